--- a/examples/members.py
+++ b/examples/members.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from uuid import uuid4
 
-from marlseam.store.ledger import first_life
+from marlseam.store.ledger_writer import first_life
 from marlseam.world.model import Day, Fleet, Kind, Type, settings
 
 NODES = 7
@@ -75,12 +75,15 @@
             change["settings"]["requestClasses"][0]["aimUs"] *= 2
             changed = Path(folder, "change.json")
             changed.write_text(json.dumps(change))
-            print(f"""
+            print(
+                f"""
 who is there, and acts on what:  python -m marlseam fleet status --at {doors["n0"]}
 publish a change (--why is kept): python -m marlseam fleet publish {changed} --at {doors["n0"]} --why trial
 stop a node, and let it go on:   kill -STOP {nodes["n5"].pid}; kill -CONT {nodes["n5"].pid}
 who acted on what:               python -m marlseam fleet audit {folder}/ledgers/*
-""", flush=True)  # fmt: skip
+""",
+                flush=True,
+            )
             while True:
                 for name in names:
                     asked(listens[name])
--- a/marlseam/__main__.py
+++ b/marlseam/__main__.py
@@ -7,8 +7,7 @@
 
 import click
 
-from marlseam import __version__
-from marlseam import config as configuration
+from marlseam import __version__, configuration
 from marlseam.net.node import Node
 
 CONFIG = click.option("--config", "path", help="Configuration file; else the one that EDGE_CONFIG names.")
--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -11,9 +11,9 @@
 
 from marlseam.cli.door import ask
 from marlseam.cli.tables import table
-from marlseam.fleet import audit as auditing
-from marlseam.store import audit as ledgers
-from marlseam.store.folder import Disk, Folder, code_of
+from marlseam.cluster import audit as auditing
+from marlseam.store import ledger_audit as ledgers
+from marlseam.store.state_directory import Disk, Folder, code_of
 
 FOLDER = click.Path(path_type=Path, file_okay=False, exists=True)
 PAGE = """<!doctype html><meta charset=utf-8><title>Audit of the fleet</title>
@@ -46,11 +46,15 @@
         told = f"{row['node']} life {row['life']} interval {row['interval']}: version {row['number']}, list "
         told += f"{row['listed']}, {row['sent']} sent, {row['code'] or 'well'}, {clock(row['from_ms'])}"
         fill, pale = COLOURS[row["number"] % len(COLOURS)], 1.0 if row["serving"] else 0.3
-        bars.append(f'<rect x="{100 + x:.1f}" y="{y + 2}" width="{width:.1f}" height="18" fill="{fill}" '
-                    f'opacity="{pale}"><title>{escape(told)}</title></rect>')  # fmt: skip
+        bars.append(
+            f'<rect x="{100 + x:.1f}" y="{y + 2}" width="{width:.1f}" height="18" fill="{fill}" '
+            f'opacity="{pale}"><title>{escape(told)}</title></rect>'
+        )
         if not row["proved"]:
-            bars.append(f'<line x1="{100 + x:.1f}" x2="{100 + x + width:.1f}" y1="{y + 11}" y2="{y + 11}" '
-                        'stroke="#fff" stroke-dasharray="3 3"/>')  # fmt: skip
+            bars.append(
+                f'<line x1="{100 + x:.1f}" x2="{100 + x + width:.1f}" y1="{y + 11}" y2="{y + 11}" '
+                'stroke="#fff" stroke-dasharray="3 3"/>'
+            )
     labels = [f'<text x="0" y="{24 * i + 16}">{escape(name)}</text>' for i, name in enumerate(names)]
     versions = sorted({row["number"] for row in rows})
     key = " ".join(f'<b style="color:{COLOURS[v % len(COLOURS)]}">version {v}</b>' for v in versions)
@@ -67,17 +71,25 @@
 @click.option("--node", help="Of this node alone.")
 @click.option("--since", "since_s", type=float, help="Of the last so many seconds.")
 @click.option("--unit", help="A work unit's key: who sent it, and on what that stood.")
-@click.option("--store", "stores", multiple=True, type=FOLDER,
-              help="Nodes' state folders, for --unit; may repeat.")  # fmt: skip
+@click.option(
+    "--store", "stores", multiple=True, type=FOLDER, help="Nodes' state folders, for --unit; may repeat."
+)
 @click.option("--json", "raw", is_flag=True, help="Print a line of JSON for each interval.")
 @click.option("--html", type=click.Path(path_type=Path, dir_okay=False), help="Write a timeline here.")
 @click.option(
     "--error-ms", default=100.0, show_default=True, help="By which the machines' clocks may differ."
 )
 def audit(
-    folders: tuple[Path, ...], address: str | None, node: str | None, since_s: float | None, unit: str | None,
-    stores: tuple[Path, ...], raw: bool, html: Path | None, error_ms: float,
-) -> None:  # fmt: skip
+    folders: tuple[Path, ...],
+    address: str | None,
+    node: str | None,
+    since_s: float | None,
+    unit: str | None,
+    stores: tuple[Path, ...],
+    raw: bool,
+    html: Path | None,
+    error_ms: float,
+) -> None:
     """Say which node acted on which version, by the ledgers in FOLDERS.
 
     Ends with 1 and a list where an act stood on a version past the bound, a chain is broken, an interval is
--- a/marlseam/cli/fleet.py
+++ b/marlseam/cli/fleet.py
@@ -14,8 +14,8 @@
 from marlseam.cli.audit import audit
 from marlseam.cli.door import ask, call
 from marlseam.cli.tables import table
-from marlseam.store.folder import code_of
-from marlseam.store.ledger import first_life
+from marlseam.store.ledger_writer import first_life
+from marlseam.store.state_directory import code_of
 
 AGE_S = (60.0, 3600.0)
 
@@ -55,11 +55,22 @@
                 if m["former_life"] is not None:
                     life += f" (after {m['former_life']})"
                 incarnation = "-" if m["incarnation"] is None else str(m["incarnation"])
-                rows.append([m["name"], m["standing"], aged(m["since_ms"]), aged(m["heard_ms"]), life,
-                             incarnation, ", ".join(m["suspected_by"])])  # fmt: skip
+                rows.append(
+                    [
+                        m["name"],
+                        m["standing"],
+                        aged(m["since_ms"]),
+                        aged(m["heard_ms"]),
+                        life,
+                        incarnation,
+                        ", ".join(m["suspected_by"]),
+                    ]
+                )
             left_out = sum(row["letters"]["left_out"].values())
-            click.echo(f"{row['fleet']} as {row['by']} holds it; doubts itself {row['health']}, "
-                       f"{left_out} letters left out")  # fmt: skip
+            click.echo(
+                f"{row['fleet']} as {row['by']} holds it; doubts itself {row['health']}, "
+                f"{left_out} letters left out"
+            )
             click.echo(table(rows))
             if "acting" in row:
                 click.echo(acting_told(row["by"], row["acting"]))
@@ -117,9 +128,14 @@
     "--wait", "wait_s", default=60.0, show_default=True, help="Seconds to wait for what comes of it."
 )
 def publish(
-    file: Path, address: str, why: str, voters: str | None, added: tuple[str, ...],
-    removed: tuple[str, ...], wait_s: float,
-) -> None:  # fmt: skip
+    file: Path,
+    address: str,
+    why: str,
+    voters: str | None,
+    added: tuple[str, ...],
+    removed: tuple[str, ...],
+    wait_s: float,
+) -> None:
     """Have the settings in FILE, a node's configuration or its settings alone.
 
     Agreed on as the next version.
@@ -179,8 +195,10 @@
 @click.option("--seeds", default=100, show_default=True, type=click.IntRange(1), help="Schedules to play.")
 @click.option("--first", default=0, show_default=True, help="The first seed.")
 @click.option("--nodes", default=7, show_default=True, type=click.IntRange(3, 1000), help="Members.")
-@click.option("--versions", "of", flag_value="trial", help="Of versions, in place of membership.")
-@click.option("--limits", "of", flag_value="skew", help="Of a limit shared by lending, likewise.")
+@click.option(
+    "--versions", "of", flag_value="replication_schedules", help="Of versions, in place of membership."
+)
+@click.option("--limits", "of", flag_value="quota_schedules", help="Of a limit shared by lending, likewise.")
 def hunt(seeds: int, first: int, nodes: int, of: str | None) -> None:
     """Search schedules of faults, in virtual time, for one that breaks a bound; ends with 1 if one does.
 
@@ -188,11 +206,11 @@
     """
     from concurrent.futures import ProcessPoolExecutor
 
-    from marlseam.fleet import hunt as world
+    from marlseam.cluster.checking import membership_schedules as world
 
     nearest: dict[str, tuple[float, int]] = {}
     broken = []
-    kind = importlib.import_module(f"marlseam.fleet.{of or 'hunt'}")
+    kind = importlib.import_module(f"marlseam.cluster.checking.{of or 'membership_schedules'}")
     with ProcessPoolExecutor() as pool:
         for seed, found in zip(
             range(first, first + seeds),
@@ -224,10 +242,10 @@
     Ends with 1 if a number gets two contents, a proof says what is not so, or members may use more than their
     limit. A step is one process's. States grow threefold a step.
     """
-    from marlseam.fleet import explore as agreement
-    from marlseam.fleet import explore_lending
+    from marlseam.cluster.checking import explore_leasing
+    from marlseam.cluster.checking import explore_paxos as agreement
 
-    search = explore_lending if lending else agreement
+    search = explore_leasing if lending else agreement
     found = search.explore(depth, tell=lambda level, states: click.echo(f"{level} steps: {states} states"))
     for name in found.way:
         click.echo(f"  {name}")
--- a/marlseam/cli/load.py
+++ b/marlseam/cli/load.py
@@ -36,7 +36,7 @@
 )
 def run(day: Path, nodes: tuple[str, ...], seed: int, connections: int, records: Path | None) -> None:
     """Send a day's work units to nodes and print what was counted; ends with 1 where the run is not valid."""
-    from marlseam.config import address_from
+    from marlseam.configuration import address_from
     from marlseam.load import process
     from marlseam.load.generator import Generator
     from marlseam.load.trace import BadTrace
--- a/marlseam/cli/state.py
+++ b/marlseam/cli/state.py
@@ -6,8 +6,8 @@
 
 import click
 
-from marlseam.store.folder import Disk, Finding, Folder, code_of, first_life
-from marlseam.store.state import State
+from marlseam.store.node_state import State
+from marlseam.store.state_directory import Disk, Finding, Folder, code_of, first_life
 
 FOLDER = click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
 
--- a/marlseam/fleet/audit.py
+++ b/marlseam/cluster/audit.py
@@ -10,7 +10,7 @@
 
 from msgspec.structs import replace
 
-from marlseam.fleet.ledger import ACTS, Acting, Ended, Entry, Held, Life, Mark, Written
+from marlseam.cluster.audit_log import ACTS, Acting, Ended, Entry, Held, Life, Mark, Written
 
 TOLD = ("life", "interval", "program", "number", "id", "meaning", "listed", "proved", "serving", "code")
 
@@ -97,9 +97,12 @@
 
 
 def note(
-    audit: Audit, node: str, found: dict[int, Lived], before: dict[tuple[int, int], tuple[int, ...]],
+    audit: Audit,
+    node: str,
+    found: dict[int, Lived],
+    before: dict[tuple[int, int], tuple[int, ...]],
     entry: Entry,
-) -> None:  # fmt: skip
+) -> None:
     """Take in what a process wrote of its acts; `before` are the acts so far, in this chain."""
     lived = found.get(getattr(entry, "life", -1))
     if lived is None:
@@ -171,7 +174,7 @@
 
 
 def acts_after(span: Span, at_ms: float) -> int:
-    """Return how many allocations provably went out after a time."""
+    """Return how many attempts provably went out after a time."""
     count, before, before_ms = 0, 0, span.acting.wall_ms
     for marked_ms, acts in sorted(span.marks):
         if before_ms >= at_ms:
--- a/marlseam/fleet/ledger.py
+++ b/marlseam/cluster/audit_log.py
@@ -1,7 +1,7 @@
 """What a node of a fleet writes down of itself, append-only and chained by digest; pure.
 
 Each record is an entry behind the digest of the record before it, over all files, so that none can be left
-out, changed or put in another's place unseen. An act (a taking, an allocation, an answer, a refusal) lies
+out, changed or put in another's place unseen. An act (a taking, an attempt, an answer, a refusal) lies
 in one interval of one life: from one `Acting` to the next. `Mark` counts acts by interval, as a whole: a
 later one of the same interval stands for the earlier ones. What came after a killed life's last mark is not
 known.
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from marlseam.fleet.agree import NONE, Promised
+from marlseam.cluster.replication.paxos import NONE, Promised
 
 CHAIN = 16  # bytes of a digest in the chain
 START = b"\0" * CHAIN
--- a/marlseam/fleet/explore_lending.py
+++ b/marlseam/cluster/checking/explore_leasing.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from marlseam.fleet import search
-from marlseam.fleet.lending import Borrow, Give, Held, Lend, Lending, Lent, Message
-from marlseam.fleet.search import Explored
+from marlseam.cluster.checking import search
+from marlseam.cluster.checking.search import Explored
+from marlseam.cluster.quota.leasing import Borrow, Give, Held, Lend, Lending, Lent, Message
 
 NAMES = ("a", "b", "c")
 LEASE, TIME_MOST = 2, 6  # in steps of time
--- a/marlseam/fleet/explore.py
+++ b/marlseam/cluster/checking/explore_paxos.py
@@ -13,8 +13,9 @@
 from itertools import combinations
 from typing import NamedTuple
 
-from marlseam.fleet import search
-from marlseam.fleet.agree import (
+from marlseam.cluster.checking import search
+from marlseam.cluster.checking.search import Explored
+from marlseam.cluster.replication.paxos import (
     NONE,
     Accept,
     Accepted,
@@ -27,7 +28,6 @@
     Proposer,
     majority,
 )
-from marlseam.fleet.search import Explored
 
 NUMBER = 2  # the number that is agreed on
 
--- a/marlseam/fleet/hunt.py
+++ b/marlseam/cluster/checking/membership_schedules.py
@@ -12,9 +12,9 @@
 from typing import Any, NamedTuple
 from zlib import crc32
 
-from marlseam.chance import Chance
-from marlseam.fleet.members import HEALTH_MOST, Changed, Members, Say, Twin
-from marlseam.fleet.words import Kind, Letter, Odd, Standing, read, write
+from marlseam.cluster.membership import HEALTH_MOST, Changed, Members, Say, Twin
+from marlseam.cluster.membership_codec import Kind, Letter, Odd, Standing, read, write
+from marlseam.random_source import RandomSource
 
 PERIOD_MS = 1000.0
 BUFFER = 200  # letters that a stopped process's socket keeps
@@ -90,7 +90,7 @@
         drift: float = DRIFT,
         machine: type[Members] = Members,
     ) -> None:
-        self.seed, self.chance, self.now, self.count = seed, Chance(f"world:{seed}"), 0.0, 0
+        self.seed, self.chance, self.now, self.count = seed, RandomSource(f"world:{seed}"), 0.0, 0
         self.names = frozenset(f"n{i}" for i in range(nodes))
         self.loss, self.doubles, self.drift, self.machine = loss, doubles, drift, machine
         self.strikes = {(s.node, s.sends, int(s.kind), s.count): s for s in strikes}
@@ -315,7 +315,7 @@
     """Whole numbers of chance, by a seed."""
 
     def __init__(self, prefix: str, seed: int) -> None:
-        self.chance = Chance(f"{prefix}:{seed}")
+        self.chance = RandomSource(f"{prefix}:{seed}")
 
     def __call__(self, below: int) -> int:
         """Return the next one, below some number."""
@@ -323,9 +323,13 @@
 
 
 def drawn(
-    draws: Draws, nodes: int, step: Callable[[Draws], tuple[enum.IntEnum, int]], faults: tuple[str, ...],
-    periods: int, most: int = 4,
-) -> list[Strike]:  # fmt: skip
+    draws: Draws,
+    nodes: int,
+    step: Callable[[Draws], tuple[enum.IntEnum, int]],
+    faults: tuple[str, ...],
+    periods: int,
+    most: int = 4,
+) -> list[Strike]:
     """Return some faults of chance, each before a step that `step` draws, for up to so many periods."""
     found = []
     for _ in range(1 + draws(most)):
@@ -373,9 +377,12 @@
 
 
 def shrunk(
-    nodes: int, seed: int, strikes: list[Strike], machine: type | None = None,
+    nodes: int,
+    seed: int,
+    strikes: list[Strike],
+    machine: type | None = None,
     play: Callable[..., Found] = play,
-) -> list[Strike]:  # fmt: skip
+) -> list[Strike]:
     """Return a shortest part of a schedule that still breaks a bound, as `play` has it."""
     at, words = 0, () if machine is None else (machine,)
     while at < len(strikes):
--- a/marlseam/fleet/skew.py
+++ b/marlseam/cluster/checking/quota_schedules.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from marlseam.fleet.hunt import DRIFT, PERIOD_MS, Draws, Seat, Strike, World, drawn
-from marlseam.fleet.lending import Borrow, Give, Lend, Lending, Lent
-from marlseam.fleet.room import Keep, Room
-from marlseam.fleet.says import Kind
+from marlseam.cluster.checking.membership_schedules import DRIFT, PERIOD_MS, Draws, Seat, Strike, World, drawn
+from marlseam.cluster.quota.demand import Keep, Room
+from marlseam.cluster.quota.leasing import Borrow, Give, Lend, Lending, Lent
+from marlseam.cluster.replication.messages import Kind
 
 LEASE_PERIODS = 10.0
 DISK_MS = 20.0  # at most, for a record
@@ -25,10 +25,17 @@
     """Members that share a limit; `demand` tells what one would use at a time."""
 
     def __init__(
-        self, nodes: int, seed: int, strikes: list[Strike], limit: float,
-        demand: Callable[[str, float], float], loss: float = 0.0, doubles: float = 0.0, drift: float = DRIFT,
+        self,
+        nodes: int,
+        seed: int,
+        strikes: list[Strike],
+        limit: float,
+        demand: Callable[[str, float], float],
+        loss: float = 0.0,
+        doubles: float = 0.0,
+        drift: float = DRIFT,
         rules: type[Lending] = Lending,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.limit, self.demand = limit, demand
         self.rules = rules(LEASE_PERIODS * PERIOD_MS, least=limit / nodes / 100.0)
         self.disks: dict[str, tuple[Lent, ...] | None] = {}
--- a/marlseam/fleet/trial.py
+++ b/marlseam/cluster/checking/replication_schedules.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from marlseam.chance import number
-from marlseam.fleet import says
-from marlseam.fleet.agree import majority
-from marlseam.fleet.content import FORMAT, Content, digest, read, write
-from marlseam.fleet.hunt import DRIFT, PERIOD_MS, Draws, Seat, Strike, World, drawn
-from marlseam.fleet.ledger import Barred, Begun, Entry, Held, Promises, added_up
-from marlseam.fleet.versions import Apply, Keep, Terms, To, Versions
-from marlseam.fleet.words import Odd
+from marlseam.cluster.audit_log import Barred, Begun, Entry, Held, Promises, added_up
+from marlseam.cluster.checking.membership_schedules import DRIFT, PERIOD_MS, Draws, Seat, Strike, World, drawn
+from marlseam.cluster.membership_codec import Odd
+from marlseam.cluster.replication import messages
+from marlseam.cluster.replication.content import FORMAT, Content, digest, read, write
+from marlseam.cluster.replication.paxos import majority
+from marlseam.cluster.replication.replica import Apply, Keep, Terms, To, Versions
+from marlseam.random_source import number
 
 FLEET = "trial"
 LEASE_PERIODS = 15.0
@@ -59,11 +59,20 @@
     """Members of a fleet with versions."""
 
     def __init__(
-        self, nodes: int, seed: int, strikes: list[Strike], voters: int = 3, strict: bool = True,
-        loss: float = 0.0, doubles: float = 0.0, drift: float = DRIFT,
+        self,
+        nodes: int,
+        seed: int,
+        strikes: list[Strike],
+        voters: int = 3,
+        strict: bool = True,
+        loss: float = 0.0,
+        doubles: float = 0.0,
+        drift: float = DRIFT,
         machine: Callable[..., Versions] = Versions,
-        lease_periods: float = LEASE_PERIODS, twists: float = 0.0, rows: int = ROWS,
-    ) -> None:  # fmt: skip
+        lease_periods: float = LEASE_PERIODS,
+        twists: float = 0.0,
+        rows: int = ROWS,
+    ) -> None:
         self.disks: dict[str, Disk] = {}
         self.rows = rows  # of the contents' settings: none for contents that are smaller than changes to them
         self.twists = twists  # share of the pieces of contents that come otherwise than they were sent
@@ -97,14 +106,14 @@
             if not seat.live:
                 return
             if type(effect) is To:
-                kind = says.kind_of(effect.say)
+                kind = messages.kind_of(effect.say)
                 strike = self.struck(seat, True, kind)
                 if strike is not None:
                     self.strike(strike, seat)
                 if seat.live:
-                    note = says.Note(says.VERSION, FLEET, seat.name, self.twisted(effect.say))
+                    note = messages.Note(messages.VERSION, FLEET, seat.name, self.twisted(effect.say))
                     held = strike.for_ms if strike is not None and strike.fault == "hold" else 0.0
-                    self.send(seat, effect.name, says.write(note), held)
+                    self.send(seat, effect.name, messages.write(note), held)
             elif type(effect) is Keep:
                 disk = self.disks[seat.name]
                 # In order, as the node's scribe writes.
@@ -113,9 +122,9 @@
             elif type(effect) is Apply:
                 self.acting_at.setdefault((seat.name, effect.number), self.now)
 
-    def twisted(self, say: says.Say) -> says.Say:
+    def twisted(self, say: messages.Say) -> messages.Say:
         """Return what is said, or a piece with one byte changed."""
-        if not self.twists or type(say) is not says.Piece or self.chance() >= self.twists:
+        if not self.twists or type(say) is not messages.Piece or self.chance() >= self.twists:
             return say
         at = int(self.chance() * len(say.data))
         data = say.data[:at] + bytes([say.data[at] ^ 1]) + say.data[at + 1 :]
@@ -124,10 +133,10 @@
     def hear(self, seat: Seat, data: bytes) -> None:
         """Hand a note to a process."""
         try:
-            note = says.read(data, FLEET, self.names)
+            note = messages.read(data, FLEET, self.names)
         except Odd:
             return
-        strike = self.struck(seat, False, says.kind_of(note.say))
+        strike = self.struck(seat, False, messages.kind_of(note.say))
         if strike is not None:
             self.strike(strike, seat)
         if seat.live and seat.stopped_until <= self.now:
@@ -278,10 +287,10 @@
         return found
 
 
-def notes(draws: Draws) -> tuple[says.Kind, int]:
+def notes(draws: Draws) -> tuple[messages.Kind, int]:
     """Return a step of versions: those of agreement often, early ones of them."""
-    kind = says.Kind(11 + draws(9)) if draws(3) else says.Kind(13 + draws(4))
-    return kind, 10 + draws(60) if kind < says.Kind.PREPARE else 1 + draws(3)
+    kind = messages.Kind(11 + draws(9)) if draws(3) else messages.Kind(13 + draws(4))
+    return kind, 10 + draws(60) if kind < messages.Kind.PREPARE else 1 + draws(3)
 
 
 def schedule(nodes: int, seed: int, most: int = 4) -> list[Strike]:
@@ -290,9 +299,14 @@
 
 
 def play(
-    nodes: int, seed: int, strikes: list[Strike], machine: Callable[..., Versions] = Versions,
-    strict: bool = True, rows: int = ROWS, twists: float = 0.0,
-) -> Found:  # fmt: skip
+    nodes: int,
+    seed: int,
+    strikes: list[Strike],
+    machine: Callable[..., Versions] = Versions,
+    strict: bool = True,
+    rows: int = ROWS,
+    twists: float = 0.0,
+) -> Found:
     """Play a schedule with publications by two at a time, wait until its last fault is over, and judge."""
     more = {"machine": machine, "rows": rows, "twists": twists}
     world = Trial(nodes, seed, strikes, strict=strict, doubles=0.02, **more)
--- a/marlseam/fleet/search.py
+++ b/marlseam/cluster/checking/search.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Hashable, Iterator
 from typing import NamedTuple, TypeVar
 
-from marlseam.chance import number
+from marlseam.random_source import number
 
 State = TypeVar("State", bound=Hashable)
 Steps = Callable[[State], Iterator[tuple[str, State]]]
@@ -21,9 +21,13 @@
 
 
 def explore(
-    first: State, steps: Steps, broken: Callable[[State], bool], depth: int, states_most: int,
+    first: State,
+    steps: Steps,
+    broken: Callable[[State], bool],
+    depth: int,
+    states_most: int,
     tell: Callable[[int, int], None] | None = None,
-) -> Explored:  # fmt: skip
+) -> Explored:
     """Look at each state up to a depth, nearest first."""
     came: dict[State, tuple[State, str] | None] = {first: None}
     layer = [first]
--- a/marlseam/fleet/members.py
+++ b/marlseam/cluster/membership.py
@@ -14,8 +14,7 @@
 from math import ceil, inf, log, log2, log10
 from typing import NamedTuple
 
-from marlseam.chance import Chance
-from marlseam.fleet.words import (
+from marlseam.cluster.membership_codec import (
     NUMBER_MOST,
     RUMOURS_MOST,
     VERSION,
@@ -25,6 +24,7 @@
     Rumour,
     Standing,
 )
+from marlseam.random_source import RandomSource
 
 HELPERS = 3  # members that are asked to ask
 DIRECT = 0.3  # of a period, after which they are asked
@@ -92,7 +92,7 @@
     def __init__(
         self, fleet: str, me: str, names: frozenset[str], life: int, seed: int, period_ms: float, now: float
     ) -> None:
-        self.fleet, self.me, self.chance = fleet, me, Chance(f"{seed}:{me}")
+        self.fleet, self.me, self.chance = fleet, me, RandomSource(f"{seed}:{me}")
         self.period_ms, self.now, self.looked_ms = period_ms, now, now
         self.own = Claim(0, life, Standing.HERE)
         self.members: dict[str, Member] = {}
--- a/marlseam/fleet/room.py
+++ b/marlseam/cluster/quota/demand.py
@@ -7,8 +7,8 @@
 
 from typing import NamedTuple
 
-from marlseam.chance import Chance
-from marlseam.fleet.lending import Borrow, Held, Lend, Lending, Lent, Message
+from marlseam.cluster.quota.leasing import Borrow, Held, Lend, Lending, Lent, Message
+from marlseam.random_source import RandomSource
 
 HEADROOM = 0.1  # of its demand, that a member keeps beside it
 TOO_MUCH = 0.3  # of its demand, past which it gives loans back
@@ -38,12 +38,18 @@
     """One member's part of one limit; `demand` is what it would use now. Times in ms, one's own."""
 
     def __init__(
-        self, name: str, members: frozenset[str], rules: Lending, held: Held, period_ms: float, seed: int,
+        self,
+        name: str,
+        members: frozenset[str],
+        rules: Lending,
+        held: Held,
+        period_ms: float,
+        seed: int,
         now: float,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Make one; `held` is what this process begins with (`Lending.restarted`)."""
         self.name, self.others, self.rules, self.held = name, sorted(members - {name}), rules, held
-        self.period_ms, self.chance = period_ms, Chance(seed)
+        self.period_ms, self.chance = period_ms, RandomSource(seed)
         self.demand, self.next_ms = 0.0, now
         self.refused: dict[str, int] = {}  # how often in a row a member had nothing: asked last
 
--- /dev/null
+++ b/marlseam/cluster/replication/__init__.py
@@ -0,0 +1,1 @@
+"""Agreement on configuration versions, and how they spread."""
--- a/marlseam/fleet/content.py
+++ b/marlseam/cluster/replication/content.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from marlseam.fleet.says import CONTENT_MOST, TEXT_MOST
-from marlseam.fleet.words import NAME_MOST
+from marlseam.cluster.membership_codec import NAME_MOST
+from marlseam.cluster.replication.messages import CONTENT_MOST, TEXT_MOST
 
 FORMAT = 1  # which this program writes, and the only one that it reads
 VOTERS = (3, 5, 7)  # how many a version may name; a fleet of fewer members has all of them
--- a/marlseam/fleet/changes.py
+++ b/marlseam/cluster/replication/delta.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from marlseam.fleet.content import digest
-from marlseam.fleet.says import CONTENT_MOST, ID
+from marlseam.cluster.replication.content import digest
+from marlseam.cluster.replication.messages import CONTENT_MOST, ID
 
 DEPTH_MOST = 16  # of a path; what lies deeper is replaced as a whole
 FOLLOWS = ("number", "before")  # of a content: what a difference leaves out
--- a/marlseam/fleet/says.py
+++ b/marlseam/cluster/replication/messages.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from marlseam.fleet.words import LETTER_MOST, NAME_MOST, NUMBER_MOST, Odd
+from marlseam.cluster.membership_codec import LETTER_MOST, NAME_MOST, NUMBER_MOST, Odd
 
 FIRST = b"V"  # which no letter of `words` begins with
 VERSION = 1
--- a/marlseam/fleet/versions.py
+++ b/marlseam/cluster/replication/replica.py
@@ -17,9 +17,12 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from marlseam.chance import Chance
-from marlseam.fleet import agree, changes, says
-from marlseam.fleet.agree import (
+from marlseam.cluster.audit_log import Barred, Entry, Handed, Held, Kept, Promises, Stored
+from marlseam.cluster.replication import delta, messages, paxos
+from marlseam.cluster.replication.content import Content, Unfit, digest, of_document
+from marlseam.cluster.replication.delta import Document, Link, Wrong
+from marlseam.cluster.replication.messages import Ask, Piece, Say, Tell, Vote, Want
+from marlseam.cluster.replication.paxos import (
     NONE,
     Accept,
     Accepted,
@@ -30,10 +33,7 @@
     Proposer,
     Refused,
 )
-from marlseam.fleet.changes import Document, Link, Wrong
-from marlseam.fleet.content import Content, Unfit, digest, of_document
-from marlseam.fleet.ledger import Barred, Entry, Handed, Held, Kept, Promises, Stored
-from marlseam.fleet.says import Ask, Piece, Say, Tell, Vote, Want
+from marlseam.random_source import RandomSource
 
 DRIFT = 0.001  # by which a clock may run fast or slow
 LEAST_SHARE = 0.5  # of the lease, after which the first of those without a proof stop acting
@@ -128,7 +128,7 @@
 
     def want(self) -> Want:
         """Ask for what is next."""
-        self.until = len(self.data) + WINDOW * says.PIECE
+        self.until = len(self.data) + WINDOW * messages.PIECE
         return Want(self.id, len(self.data), self.have if self.form is None else self.form[1])
 
     def anew(self, have: str) -> None:
@@ -144,11 +144,11 @@
             return "other-form"
         if piece.at < len(self.data) or piece.at in self.ahead:
             return "repeated"
-        end = len(self.data) + WINDOW * says.PIECE
+        end = len(self.data) + WINDOW * messages.PIECE
         if (
             piece.at >= end
-            or piece.at % says.PIECE
-            or len(piece.data) < min(says.PIECE, piece.size - piece.at)
+            or piece.at % messages.PIECE
+            or len(piece.data) < min(messages.PIECE, piece.size - piece.at)
         ):
             return "out-of-turn"
         self.form, self.fresh, self.ahead[piece.at] = form, True, piece.data
@@ -181,7 +181,7 @@
     votes: bool
 
 
-def vote_of(message: agree.Message, why: str = "") -> Vote:
+def vote_of(message: paxos.Message, why: str = "") -> Vote:
     """Return a message of agreement as it is said."""
     number, (round, place) = message.number, message.ballot
     if type(message) is Prepare:
@@ -195,7 +195,7 @@
     )
 
 
-def message_of(vote: Vote, sender: str) -> agree.Message:
+def message_of(vote: Vote, sender: str) -> paxos.Message:
     """Return what was said as a message of agreement."""
     ballot, other = (vote.round, vote.place), (vote.other_round, vote.other_place)
     match vote.kind:
@@ -214,13 +214,20 @@
     """One node's part; `check` says what is wrong with a content here, or nothing. Times in ms, one's own."""
 
     def __init__(
-        self, name: str, members: frozenset[str], terms: Terms, place: str, seed: int, now: float, kept: Kept,
+        self,
+        name: str,
+        members: frozenset[str],
+        terms: Terms,
+        place: str,
+        seed: int,
+        now: float,
+        kept: Kept,
         check: Callable[[Content], str] = lambda content: "",
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Make one; `place` is this process's own in ballots, no other process of any name has it."""
         self.name, self.members, self.terms, self.place = name, members, terms, place
         self.others = sorted(members - {name})
-        self.chance, self.check = Chance(seed), check
+        self.chance, self.check = RandomSource(seed), check
         self.contents: dict[str, bytes] = dict(kept.contents)
         self.documents: dict[str, Document] = {}  # of contents, as they were last read
         self.links: dict[str, Link] = {}  # changes, by the id that they lead to, the earliest first
@@ -421,8 +428,11 @@
             self.well_ms = inf
         elif self.well_ms == inf:
             self.well_ms = now
-        acts = not code and (self.stood.acts or self.stood.code == "joining" or
-                             now >= self.well_ms + BACK * self.terms.period_ms)  # fmt: skip
+        acts = not code and (
+            self.stood.acts
+            or self.stood.code == "joining"
+            or now >= self.well_ms + BACK * self.terms.period_ms
+        )
         if not acts:
             self.stood = Stand(False, False, code or self.stood.code)
         elif self.unfit:
@@ -434,10 +444,15 @@
 
     def until(self, now: float) -> float:
         """Return until when what `stand` says holds, if nothing is heard."""
-        ends = [self.proof_ms + self.lease_ms(), self.proof_ms + self.longest(),
-                self.began_ms + self.terms.lease_ms, self.began_ms + self.longest(),
-                self.former_ms + self.lease_ms(), self.behind_ms + self.lease_ms(),
-                self.well_ms + BACK * self.terms.period_ms]  # fmt: skip
+        ends = [
+            self.proof_ms + self.lease_ms(),
+            self.proof_ms + self.longest(),
+            self.began_ms + self.terms.lease_ms,
+            self.began_ms + self.longest(),
+            self.former_ms + self.lease_ms(),
+            self.behind_ms + self.lease_ms(),
+            self.well_ms + BACK * self.terms.period_ms,
+        ]
         return min([end for end in ends if end > now], default=inf)
 
     # Time.
@@ -480,7 +495,7 @@
 
     def weigh(self, round: Asked) -> None:
         """Take most voters' word that nothing above a number was accepted as a proof."""
-        if len(round.clear) >= agree.majority(round.voters) and round.number <= self.number:
+        if len(round.clear) >= paxos.majority(round.voters) and round.number <= self.number:
             self.proof_ms = max(self.proof_ms, round.at_ms)
 
     def push_on(self, now: float) -> list[Effect]:
@@ -551,14 +566,14 @@
         if not proposer.open:
             return []
         if proposer.asked is None:
-            message: agree.Message = Prepare(proposer.number, proposer.ballot)
+            message: paxos.Message = Prepare(proposer.number, proposer.ballot)
             left = proposer.voters - set(proposer.promises)
         else:
             message = Accept(proposer.number, proposer.ballot, proposer.asked)
             left = proposer.voters - proposer.taken
         return [To(name, vote_of(message)) for name in sorted(left - {self.name})]
 
-    def to_voters(self, now: float, message: agree.Message) -> list[Effect]:
+    def to_voters(self, now: float, message: paxos.Message) -> list[Effect]:
         """Say something to all voters, this node maybe among them."""
         vote = vote_of(message)
         voters = self.publication.proposer.voters
@@ -634,7 +649,7 @@
             if why:
                 held = self.acceptor.kept.get(vote.number, Promised())
                 refused = Refused(vote.number, (vote.round, vote.place), held.ballot)
-                return self.answer(now, sender, vote_of(refused, why[: says.TEXT_MOST]))
+                return self.answer(now, sender, vote_of(refused, why[: messages.TEXT_MOST]))
         new, message = self.acceptor.heard(message_of(vote, sender))
         if new is None:
             # A repeat: said again only where the first is on the disk.
@@ -720,8 +735,10 @@
             return []
         chain = self.chain(want.have, want.id) if want.have else None
         data, have = (data, "") if chain is None else (chain, want.have)
-        starts = range(want.at, min(len(data), want.at + WINDOW * says.PIECE), says.PIECE)
-        return [To(sender, Piece(want.id, len(data), at, data[at : at + says.PIECE], have)) for at in starts]
+        starts = range(want.at, min(len(data), want.at + WINDOW * messages.PIECE), messages.PIECE)
+        return [
+            To(sender, Piece(want.id, len(data), at, data[at : at + messages.PIECE], have)) for at in starts
+        ]
 
     def piece(self, now: float, sender: str, piece: Piece) -> list[Effect]:
         """Take in some of a content; go on once it is whole and what it should be."""
@@ -770,7 +787,7 @@
         """Return a content that is here as a document; raises Wrong."""
         found = self.documents.get(id)
         if found is None:
-            found = self.documents[id] = changes.document(self.contents[id])
+            found = self.documents[id] = delta.document(self.contents[id])
         return found
 
     def content_of(self, id: str) -> Content:
@@ -778,7 +795,7 @@
         try:
             return of_document(self.document(id), self.members)
         except Wrong as wrong:
-            raise Unfit(str(wrong)[: says.TEXT_MOST]) from None
+            raise Unfit(str(wrong)[: messages.TEXT_MOST]) from None
 
     def link(self, id: str, link: Link) -> None:
         """Keep a change, to be passed on."""
@@ -799,7 +816,7 @@
             before = after.get("before")
             if id in self.links or before not in self.contents:
                 return
-            found = changes.change(self.document(before), self.contents[id], after)
+            found = delta.change(self.document(before), self.contents[id], after)
         except (Wrong, TypeError, RecursionError):
             return  # of a document that no operator writes: the whole is sent
         if found is not None:
@@ -818,11 +835,11 @@
                 return None
             found.append(link)
             at = link.before
-        return changes.chain(found[::-1]) if found else None
+        return delta.chain(found[::-1]) if found else None
 
     def followed(self, have: str, data: bytes, id: str) -> bytes:
         """Return the content that changes lead to, and keep them; raises Wrong."""
-        found = changes.follow(self.document(have), have, data, id)
+        found = delta.follow(self.document(have), have, data, id)
         self.documents[id] = found.document
         for key, link in found.links.items():
             self.link(key, link)
@@ -837,8 +854,23 @@
         age = max(0.0, now - self.proof_ms) * (1.0 + 2.0 * DRIFT) if self.proof_ms > -inf else -1.0
         stood = self.stand(now)
         votes = self.votes(self.number + 1)
-        return [To(to, Tell(seq, self.number, self.id, self.acting, stood.acts, stood.code, self.accepted(),
-                            self.top(), votes, age))]  # fmt: skip
+        return [
+            To(
+                to,
+                Tell(
+                    seq,
+                    self.number,
+                    self.id,
+                    self.acting,
+                    stood.acts,
+                    stood.code,
+                    self.accepted(),
+                    self.top(),
+                    votes,
+                    age,
+                ),
+            )
+        ]
 
     def told(self, now: float, sender: str, say: Tell) -> list[Effect]:
         """Take in what another holds."""
@@ -873,7 +905,7 @@
         """
         if self.bar is not None or self.beside or round.number != self.number:
             return []
-        if len(round.tops) < agree.majority(round.voters):
+        if len(round.tops) < paxos.majority(round.voters):
             return []
         bar = max(*round.tops.values(), self.number) + 1
 
--- a/marlseam/config.py
+++ b/marlseam/configuration/loader.py
@@ -15,9 +15,9 @@
 from pathlib import Path
 from typing import Any
 
-from marlseam.interface import Effect, Group, ProjectType, Settings
+from marlseam.decisions.types import DeduplicationScope, Idempotency, RequestClass, Settings
 
-EFFECTS = {"safe": Effect.RERUNNABLE, "keyed": Effect.RECEIPTED, "unsafe": Effect.EXCLUSIVE}
+EFFECTS = {"safe": Idempotency.SAFE, "keyed": Idempotency.KEYED, "unsafe": Idempotency.UNSAFE}
 REPORT_NAMES = {"outstanding": "held", "inflight": "held", "backlog": "queued", "queue": "queued"}
 FILE, SOCKET, FOLDER = "EDGE_CONFIG", "EDGE_SOCKET_FD", "TMPDIR"
 MEMBERS_MOST, NAME_MOST = 1000, 64  # members of a fleet, and characters of a member's name
@@ -66,8 +66,8 @@
     report_names: dict[str, str]
     keepalive_ms: float
     connect_ms: float
-    pushed: bool = False  # the roster's changes count as told when they are made
-    grace_ms: float = GRACE_LEAST_MS  # within which sends to a draining executor have to stop
+    pushed: bool = False  # discovery's changes count as told when they are made
+    grace_ms: float = GRACE_LEAST_MS  # within which sends to a draining server have to stop
     marks_retry: bool = False  # clients mark their retries
 
 
@@ -81,28 +81,28 @@
     )
     journal_mb: float  # at which the journal is replaced by a snapshot
     wait_ms: float  # how long work waits for the disk
-    keys: int = 100000  # of work that may have run; a new one past that is deferred
+    keys: int = 100000  # of work that may have run; a new one past that is rejected
 
 
 @dataclass(frozen=True)
-class WatchSettings:
+class ShadowSettings:
     """Settings of another shape of deployment that a node holds beside its own; None: as its own."""
 
-    answers_report: bool | None
+    reports_in_responses: bool | None
     live_weights: bool | None
-    fetch_price: float | None
-    by_size: bool | None
+    fetch_cost: float | None
+    weight_by_size: bool | None
     every_s: float  # how often the counts are logged
 
     def change(self, settings: Settings) -> Settings:
         """Return a node's settings with those watched in their place."""
-        names = ("answers_report", "live_weights", "fetch_price", "by_size")
+        names = ("reports_in_responses", "live_weights", "fetch_cost", "weight_by_size")
         found = {name: getattr(self, name) for name in names}
         return replace(settings, **{name: value for name, value in found.items() if value is not None})
 
 
 @dataclass(frozen=True)
-class FleetSettings:
+class ClusterSettings:
     """Which nodes may belong to one fleet, and where each is heard."""
 
     name: str
@@ -138,8 +138,8 @@
     socket_fd: int | None = None  # the clients' listening socket, where the platform hands it on
     folder: str | None = None  # that processes of one node share, with the socket
     store: StoreSettings | None = None
-    watch: WatchSettings | None = None
-    fleet: FleetSettings | None = None
+    watch: ShadowSettings | None = None
+    fleet: ClusterSettings | None = None
     settings_path: str | None = None
 
 
@@ -257,56 +257,61 @@
     rows = top.tables("requestClasses")
     types = [row.text("name") for row in rows]
     all_types = indexed(types, before.all_types if before else {})
-    # A project type that is offered no more keeps its index for what is open, and sets no times.
+    # A request class that is offered no more keeps its index for what is open, and sets no times.
     known = (
-        {i: replace(t, promised_ms=inf, limit_ms=inf) for i, t in enumerate(before.settings.types)}
+        {
+            i: replace(t, latency_objective_ms=inf, deadline_ms=inf)
+            for i, t in enumerate(before.settings.request_classes)
+        }
         if before
         else {}
     )
     for i, row in enumerate(rows):
-        stretch = stretches[i] if i < len(stretches) else row.number("aimStretch", 0.0)
-        known[all_types[types[i]]] = ProjectType(
-            promised_ms=row.ms("aimUs", zero),
-            stretch=stretch,
-            limit_ms=row.ms("deadlineUs", zero, least),
-            effect=row.word("semantics", EFFECTS, REQUIRED if whole else "unsafe"),
-            group=row.word("dedupScope", Group, "cell"),
-            memory_ms=row.ms("memorySpanUs", 0.0),
+        objective_run_factor = stretches[i] if i < len(stretches) else row.number("aimStretch", 0.0)
+        known[all_types[types[i]]] = RequestClass(
+            latency_objective_ms=row.ms("aimUs", zero),
+            objective_run_factor=objective_run_factor,
+            deadline_ms=row.ms("deadlineUs", zero, least),
+            idempotency=row.word("semantics", EFFECTS, REQUIRED if whole else "unsafe"),
+            deduplication_scope=row.word("dedupScope", DeduplicationScope, "cell"),
+            deduplication_window_ms=row.ms("memorySpanUs", 0.0),
             kind=int(class_kinds[i]) if i < len(class_kinds) else -1,
-            credit=row.number("worth", 1.0),
-            in_turn=row.flag("oneAtATime"),
+            priority_weight=row.number("worth", 1.0),
+            ordered_by_key=row.flag("oneAtATime"),
         )
-    asked, must_ask_ms = top.get("registryMode", "") == "subscribe", rules.ms("mustAskInUs", 10000.0)
-    renew_ms = min(RENEW_SHARE * must_ask_ms, RENEW_MOST_MS)
+    asked, list_max_age_ms = top.get("registryMode", "") == "subscribe", rules.ms("mustAskInUs", 10000.0)
+    max_poll_interval_ms = min(RENEW_SHARE * list_max_age_ms, RENEW_MOST_MS)
     grace_ms = max(GRACE_LEAST_MS, rules.ms("stopSendingWithinUs", 0.0))
     settings = Settings(
-        types=tuple(known.values()),
-        kinds=len(kinds),
+        request_classes=tuple(known.values()),
+        kind_count=len(kinds),
         zone=zones.get(top.text("zone", "none"), -1),
-        nodes=max(1, int(top.number("fleetSize", 1))),
+        node_count=max(1, int(top.number("fleetSize", 1))),
         tick_ms=top.ms("tickUs", 1.0),
-        max_allocs=int(limits.number("sendCap", one, least)),
+        max_attempts=int(limits.number("sendCap", one, least)),
         may_probe=limits.flag("mayProbe"),
         may_cancel=limits.flag("cancel"),
-        second_copies=limits.flag("secondCopies"),
-        max_advice_ms=limits.ms("maxRetryAfterUs", 0.0) if limits.flag("retryAfter") else 0.0,
-        asked_roster=asked,
-        must_ask_ms=must_ask_ms,
-        renew_ms=renew_ms if asked else min(renew_ms, RENEW_PUSHED * grace_ms),
-        tells_start=info.flag("tellsStart"),
-        progress_ms=info.ms("progressUs", 0.0),
-        cold_share=rules.number("startCapacity", 0.1),
-        warm_ms=rules.ms("warmWithinUs", 30000.0),
-        fall_multiple=rules.number("fallMultiple", 1.0),
-        fall_ms=rules.ms("tipAfterUs", 1000.0),
-        cross_price=prices.number("crossZone", 0.0),
-        answers_report=answers_report(top),
+        may_hedge=limits.flag("secondCopies"),
+        max_retry_after_ms=limits.ms("maxRetryAfterUs", 0.0) if limits.flag("retryAfter") else 0.0,
+        subscribes_to_endpoints=asked,
+        list_max_age_ms=list_max_age_ms,
+        max_poll_interval_ms=max_poll_interval_ms
+        if asked
+        else min(max_poll_interval_ms, RENEW_PUSHED * grace_ms),
+        reports_start=info.flag("tellsStart"),
+        progress_period_ms=info.ms("progressUs", 0.0),
+        slow_start_initial_share=rules.number("startCapacity", 0.1),
+        slow_start_ms=rules.ms("warmWithinUs", 30000.0),
+        overload_multiple=rules.number("fallMultiple", 1.0),
+        overload_window_ms=rules.ms("tipAfterUs", 1000.0),
+        cross_zone_cost=prices.number("crossZone", 0.0),
+        reports_in_responses=reports_in_responses(top),
         live_weights=top.word("weights", WEIGHTS, "none"),
-        may_tell=limits.flag("peers"),
-        fetch_price=prices.number("origin", 0.0),
-        by_size=top.word("worthBy", WORTH, "request"),
-        turn_gap_ms=rules.ms("turnGapUs", 0.0),
-        drain_binds_alone=rules.flag("drainBindsAlone"),
+        may_gossip=limits.flag("peers"),
+        fetch_cost=prices.number("origin", 0.0),
+        weight_by_size=top.word("worthBy", WORTH, "request"),
+        key_gap_ms=rules.ms("turnGapUs", 0.0),
+        only_draining_excludes=rules.flag("drainBindsAlone"),
     )
     return Deployment(
         settings=settings,
@@ -323,8 +328,8 @@
     )
 
 
-def answers_report(top: Table) -> bool:
-    """Return whether executors tell their load with answers; then it must be said what they tell."""
+def reports_in_responses(top: Table) -> bool:
+    """Return whether servers tell their load with answers; then it must be said what they tell."""
     reports = top.table("loadReport", {})
     found = reports.word("how", REPORTS, "probe")
     fields = reports.get("fields", [])
@@ -388,7 +393,7 @@
 
 
 def keep(values: Mapping[str, Any], shape: Mapping[str, Any], path: str = "") -> None:
-    """Refuse a file that is short of a key that the one in force has; what executors are listed is free."""
+    """Refuse a file that is short of a key that the one in force has; what servers are listed is free."""
     for key, inner in shape.items():
         at = f"{path}{key}"
         if key not in values:
@@ -404,7 +409,7 @@
                     keep(row, dict.fromkeys(inner[0]), f"{at}[{i}].")
 
 
-Own = tuple[StoreSettings | None, WatchSettings | None, FleetSettings | None]
+Own = tuple[StoreSettings | None, ShadowSettings | None, ClusterSettings | None]
 
 
 def own_settings(path: str | None) -> Own:
@@ -429,7 +434,7 @@
     return store_from(values), watch_from(values), fleet_from(values)
 
 
-def fleet_from(values: Mapping[str, Any]) -> FleetSettings | None:
+def fleet_from(values: Mapping[str, Any]) -> ClusterSettings | None:
     """Read who belongs to a fleet.
 
     Nothing that is said there is signed: loopback only, unless the settings say that the network is trusted.
@@ -451,7 +456,7 @@
             raise ConfigError(key, value, "an address of its own")
         found[name] = address
     period_ms = fleet.number("period_ms", 1000.0, least=20.0)
-    settings = FleetSettings(name=fleet.text("name"), members=found, period_ms=period_ms, trusted=trusted)
+    settings = ClusterSettings(name=fleet.text("name"), members=found, period_ms=period_ms, trusted=trusted)
     return versions_from(fleet, settings)
 
 
@@ -465,7 +470,7 @@
     return found
 
 
-def versions_from(fleet: Table, settings: FleetSettings) -> FleetSettings:
+def versions_from(fleet: Table, settings: ClusterSettings) -> ClusterSettings:
     """Read how a fleet has versions: with a folder for each node's ledger and voters, or not at all."""
     given = [key for key in VERSIONS if key in fleet.values]
     if not given:
@@ -477,7 +482,7 @@
     if not isinstance(voters, list) or not all(isinstance(name, str) for name in voters):
         raise ConfigError(fleet.path("voters"), voters, "a list of members' names")
     # Imported here: a node of a fleet without versions needs nothing of it.
-    from marlseam.fleet.content import voters_fit
+    from marlseam.cluster.replication.content import voters_fit
 
     wrong = voters_fit(voters, frozenset(settings.members))
     if wrong:
@@ -495,18 +500,18 @@
     )
 
 
-def watch_from(values: Mapping[str, Any]) -> WatchSettings | None:
+def watch_from(values: Mapping[str, Any]) -> ShadowSettings | None:
     """Read which settings of another shape are to be watched: one at least, or there is nothing to tell."""
     if "watch" not in values:
         return None
     watch = Table(values["watch"], "watch")
     if not set(watch.values) - {"every_s"}:
         raise ConfigError("watch", watch.values, "one at least of reports, weights, fetch_price, worth_by")
-    return WatchSettings(
-        answers_report=watch.word("reports", REPORTS, "probe") if "reports" in watch.values else None,
+    return ShadowSettings(
+        reports_in_responses=watch.word("reports", REPORTS, "probe") if "reports" in watch.values else None,
         live_weights=watch.word("weights", WEIGHTS, "none") if "weights" in watch.values else None,
-        fetch_price=watch.number("fetch_price") if "fetch_price" in watch.values else None,
-        by_size=watch.word("worth_by", WORTH, "request") if "worth_by" in watch.values else None,
+        fetch_cost=watch.number("fetch_price") if "fetch_price" in watch.values else None,
+        weight_by_size=watch.word("worth_by", WORTH, "request") if "worth_by" in watch.values else None,
         every_s=watch.number("every_s", 60.0, least=1.0),
     )
 
@@ -527,7 +532,7 @@
 
 
 def offered(settings: Table) -> None:
-    """Refuse settings without project types."""
+    """Refuse settings without request classes."""
     if not settings.tables("requestClasses"):
         raise ConfigError("settings.requestClasses", [], "one project type at least")
 
--- a/marlseam/counters.py
+++ b/marlseam/counters.py
@@ -8,7 +8,7 @@
 
 @dataclass
 class Counters:
-    """Counts that only grow: final answers by project type, attempts, and files taken or turned down."""
+    """Counts that only grow: final answers by request class, attempts, and files taken or turned down."""
 
     ends: dict[str, dict[str, int]] = field(default_factory=dict)
     attempts: int = 0  # whose last byte was handed to the system, however they ended
@@ -17,12 +17,12 @@
     faults: int = 0  # requests that met an error of this program, and were answered for it
 
     def know(self, types: Iterable[str]) -> None:
-        """Show these project types from now on, 0 at first; one that has gone keeps its counts."""
+        """Show these request classes from now on, 0 at first; one that has gone keeps its counts."""
         for name in types:
             self.ends.setdefault(name, dict.fromkeys(ENDS, 0))
 
     def ended(self, type: str, status: int) -> None:
-        """Count a work unit's final answer by the status that its client is told."""
+        """Count a request's final answer by the status that its client is told."""
         how = "completed" if status == 200 else "rejected" if status in (429, 503) else "failed"
         self.ends[type][how] += 1
 
--- a/marlseam/turns.py
+++ b/marlseam/decisions/key_ordering.py
@@ -1,7 +1,7 @@
-"""Whose turn it is among work units of one key, where their project types ask for one at a time.
+"""Whose turn it is among requests of one key, where their request classes ask for one at a time.
 
-A key's line holds its work units in the order taken. The first may be sent; the next once that is over (it
-has its answer and nothing out) and the rest after an allocation that may still be running has passed. What is
+A key's line holds its requests in the order taken. The first may be sent; the next once that is over (it
+has its answer and nothing out) and the rest after an attempt that may still be running has passed. What is
 given up out of turn stays unseen until it is first. A key without work or rest is forgotten.
 """
 
@@ -9,22 +9,22 @@
 from collections.abc import Callable
 from typing import Any
 
-from marlseam.interface import Outcome
+from marlseam.decisions.types import Outcome
 
-MAY_RUN_ON = (Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.WITHDRAWN, Outcome.DROPPED)
+MAY_RUN_ON = (Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED, Outcome.STALE_CONNECTION)
 
 
-class Line:
-    """One key's work units, and how long those not over should run; `lines` are those of all keys."""
+class KeyQueue:
+    """One key's requests, and how long those not over should run; `lines` are those of all keys."""
 
-    def __init__(self, lines: dict[str, "Line"], key: str) -> None:
+    def __init__(self, lines: dict[str, "KeyQueue"], key: str) -> None:
         self.lines, self.key, self.queue = lines, key, deque[Any]()
         self.resting, self.serving, self.ahead_ms = 0, False, 0.0
 
-    def join(self, wu: Any, run_ms: float) -> None:  # noqa: ANN401
-        """Put a work unit at the end."""
-        wu.line, wu.lined_ms, wu.turn = self, run_ms, not (self.queue or self.resting)
-        self.queue.append(wu)
+    def join(self, state: Any, run_ms: float) -> None:  # noqa: ANN401
+        """Put a request at the end."""
+        state.line, state.lined_ms, state.turn = self, run_ms, not (self.queue or self.resting)
+        self.queue.append(state)
         self.ahead_ms += run_ms
 
     def rest(self, after: Callable[[float, Callable[[], None]], None], gap_ms: float) -> None:
@@ -37,9 +37,9 @@
         self.resting -= 1
         self.serve()
 
-    def left(self, wu: Any) -> None:  # noqa: ANN401
-        """Note that a work unit is over."""
-        self.ahead_ms, wu.lined_ms = self.ahead_ms - wu.lined_ms, 0.0
+    def left(self, state: Any) -> None:  # noqa: ANN401
+        """Note that a request is over."""
+        self.ahead_ms, state.lined_ms = self.ahead_ms - state.lined_ms, 0.0
         self.serve()
 
     def serve(self) -> None:
--- a/marlseam/experiment/fleet.py
+++ b/marlseam/experiment/fleet.py
@@ -27,23 +27,24 @@
 from typing import Literal
 
 from marlseam import records
-from marlseam.chance import Chance
+from marlseam.cluster.audit_log import Kept
+from marlseam.cluster.checking import membership_schedules
+from marlseam.cluster.checking.membership_schedules import FAULTS, detect_ms, heal_ms
+from marlseam.cluster.checking.replication_schedules import Trial
+from marlseam.cluster.membership import HEALTH_MOST, Members
+from marlseam.cluster.membership_codec import Claim, Kind, Odd, Rumour, read
+from marlseam.cluster.replication import messages
+from marlseam.cluster.replication.messages import Tell
+from marlseam.cluster.replication.replica import Terms, Versions
 from marlseam.experiment import file, plays
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import Played, Say, play
 from marlseam.experiment.processes import Failed
 from marlseam.experiment.sockets import Sockets
-from marlseam.fleet import hunt, says
-from marlseam.fleet.hunt import FAULTS, detect_ms, heal_ms
-from marlseam.fleet.ledger import Kept
-from marlseam.fleet.members import HEALTH_MOST, Members
-from marlseam.fleet.says import Tell
-from marlseam.fleet.trial import Trial
-from marlseam.fleet.versions import Terms, Versions
-from marlseam.fleet.words import Claim, Kind, Odd, Rumour, read
 from marlseam.load.process import arrivals_of
+from marlseam.random_source import RandomSource
 from marlseam.standin import clocks
-from marlseam.store.ledger import first_life
+from marlseam.store.ledger_writer import first_life
 from marlseam.world.model import Count, Day, NotNegative, Positive, Share, Strict, nodes, settings
 
 SAID = re.compile(r"member (\S+) (here|suspect|gone|left) life=(\d+)")
@@ -91,7 +92,7 @@
 
     def __init__(self, names: list[str], table: Fleet, seed: int, out: Path) -> None:
         self.names, self.table, self.seed, self.out = names, table, seed, out
-        self.chance = Chance(f"rig:{seed}")
+        self.chance = RandomSource(f"rig:{seed}")
         self.real = {name: reserved() for name in names}
         self.held: list[socket.socket] = []
         self.doors = {name: self.door() for name in names}
@@ -136,16 +137,16 @@
     def by_chance(self) -> list[Fault]:
         """Return the schedule of the seed, as `fleet hunt` has it, with times in this fleet's periods."""
         found = []
-        for s in hunt.schedule(len(self.names), self.seed):
+        for s in membership_schedules.schedule(len(self.names), self.seed):
             step = f"{'sends' if s.sends else 'receives'} {s.kind.name.lower()} {s.count}"
-            for_ms = s.for_ms * self.table.period_ms / hunt.PERIOD_MS
+            for_ms = s.for_ms * self.table.period_ms / membership_schedules.PERIOD_MS
             found.append(Fault(s.node, step, "hold" if s.fault == "twin" else s.fault, s.other, for_ms))
         return found
 
     def key(self, fault: Fault) -> tuple[str, bool, int, int]:
         """Return the step of a fault."""
         way, kind, count = fault.step.split()
-        kinds = {k.name.lower(): int(k) for k in (*Kind, *says.Kind)}
+        kinds = {k.name.lower(): int(k) for k in (*Kind, *messages.Kind)}
         if way not in ("sends", "receives") or fault.fault not in RIG_FAULTS or kind not in kinds:
             raise file.FileError(f"fleet.faults: {fault} has no known step or fault")
         if fault.node not in self.names or (fault.fault == "pair" and fault.other not in self.names):
@@ -257,8 +258,8 @@
             return None
         names = frozenset(self.names)
         try:
-            if data[:1] == says.FIRST:
-                kind = int(says.kind_of(says.read(data, "rig", names).say))
+            if data[:1] == messages.FIRST:
+                kind = int(messages.kind_of(messages.read(data, "rig", names).say))
             else:
                 kind = int(read(data, "rig", names).kind)
         except Odd:
@@ -397,10 +398,16 @@
     """Play a day under the rig's faults; return it, and how long after the last one nothing was wrong."""
     rig = Rig([name for name, _ in nodes(day)], table, seed, out)
     driver = rig.driver = Sockets(
-        day, seed, out, more=rig.settings, prepare=rig.prepare, between=rig.between_lives,
-        module=rig.module, env=rig.env,
+        day,
+        seed,
+        out,
+        more=rig.settings,
+        prepare=rig.prepare,
+        between=rig.between_lives,
+        module=rig.module,
+        env=rig.env,
         shared=any(fault.fault == "upgrade" for fault in table.faults),
-    )  # fmt: skip
+    )
     healed: list[float] = []
     driver.zero = time.monotonic()  # until the run's own: nodes hear each other before they are ready
     rig.thread.start()
@@ -467,20 +474,32 @@
             held += 1.0
         seen = sorted(first.values())
         shown = [f"{t / 1000.0:.2f}" for t in (seen[0], seen[-1])] if seen else ["-", "-"]
-        rows.append([name, fault, f"{since / 1000.0:.1f}", f"{(until - since) / 1000.0:.1f}", *shown,
-                     f"{bound / 1000.0:.1f}" if due else "none"])  # fmt: skip
+        rows.append(
+            [
+                name,
+                fault,
+                f"{since / 1000.0:.1f}",
+                f"{(until - since) / 1000.0:.1f}",
+                *shown,
+                f"{bound / 1000.0:.1f}" if due else "none",
+            ]
+        )
     false = 0
     for at, _, _, what, _ in rig.told:
         calm = all(s[3] + many < at or s[2] > at for s in rig.spells)
         false += what == "gone" and calm and not table.loss
     heal = heal_ms(count, period) + SLACK_MS
     figures = {
-        "faults": float(len(rig.spells)), "not_struck": float(len(rig.strikes)),
-        "past_bound": past, "held_to_bound": held,
-        "nearest_detection": slowest, "false_gone": float(false), "letters": float(rig.passed),
+        "faults": float(len(rig.spells)),
+        "not_struck": float(len(rig.strikes)),
+        "past_bound": past,
+        "held_to_bound": held,
+        "nearest_detection": slowest,
+        "false_gone": float(false),
+        "letters": float(rig.passed),
         "heal_s": healed[0] / 1000.0 if healed else inf,
         "nearest_heal": healed[0] / heal if healed else inf,
-    }  # fmt: skip
+    }
     return figures, rows
 
 
@@ -496,7 +515,7 @@
 def one_size(count: int, loss: float, seed: int, table: Sizes) -> dict[str, float]:
     """Play one fleet: find each other, lose one, and tell how long that took and what was said."""
     began = time.process_time()
-    world = hunt.World(count, seed, [], loss=loss)
+    world = membership_schedules.World(count, seed, [], loss=loss)
     world.run(1000.0 * table.calm_s)
     early = sum(map(len, world.gone_at.values()))
     before = sum(seat.letters for seat in world.seats.values()), sum(s.bytes for s in world.seats.values())
@@ -513,10 +532,14 @@
     size = sum(seat.bytes for seat in world.seats.values()) - before[1]
     return {
         "not_told": float(sum(t >= 1000.0 * table.watched_s for t in took)),
-        "median_s": took[len(took) // 2] / 1000.0, "p99_s": took[int(0.99 * (len(took) - 1))] / 1000.0,
-        "most_s": took[-1] / 1000.0, "false": float(false), "letters": letters / spent, "bytes": size / spent,
+        "median_s": took[len(took) // 2] / 1000.0,
+        "p99_s": took[int(0.99 * (len(took) - 1))] / 1000.0,
+        "most_s": took[-1] / 1000.0,
+        "false": float(false),
+        "letters": letters / spent,
+        "bytes": size / spent,
         "cpu_s": time.process_time() - began,
-    }  # fmt: skip
+    }
 
 
 def memory_kb(count: int) -> float:
@@ -525,10 +548,16 @@
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        machine = Members("scale", "n0", names, 0, 0, hunt.PERIOD_MS, 0.0)
+        machine = Members("scale", "n0", names, 0, 0, membership_schedules.PERIOD_MS, 0.0)
         for name in names - {"n0"}:
             machine.take(Rumour(name, Claim(0, 1, 0)))
-        terms = Terms(frozenset(list(names)[:3]), hunt.PERIOD_MS, 15.0 * hunt.PERIOD_MS, True, 0.0)
+        terms = Terms(
+            frozenset(list(names)[:3]),
+            membership_schedules.PERIOD_MS,
+            15.0 * membership_schedules.PERIOD_MS,
+            True,
+            0.0,
+        )
         versions = Versions("n0", names, terms, "n0/1", 0, 0.0, Kept())
         for name in names - {"n0"}:
             versions.told(0.0, name, Tell(0, 0, "", 0, True, "", 0, 0, True, -1.0))
@@ -552,37 +581,56 @@
     world.run(asked + 1000.0 * table.watched_s)
     took = sorted(world.acting_at.get((name, 1), inf) - asked for name in world.names)
     return {
-        "not_acting": float(sum(t == inf for t in took)), "act_median_s": took[len(took) // 2] / 1000.0,
-        "act_p99_s": took[int(0.99 * (len(took) - 1))] / 1000.0, "act_most_s": took[-1] / 1000.0,
-        "unproved": float(count - proved), "notes": letters / spent, "note_bytes": size / spent,
+        "not_acting": float(sum(t == inf for t in took)),
+        "act_median_s": took[len(took) // 2] / 1000.0,
+        "act_p99_s": took[int(0.99 * (len(took) - 1))] / 1000.0,
+        "act_most_s": took[-1] / 1000.0,
+        "unproved": float(count - proved),
+        "notes": letters / spent,
+        "note_bytes": size / spent,
         "versions_wrong": float(len(world.wrong)),
-    }  # fmt: skip
+    }
 
 
 @play("fleet_scale")
 def fleet_scale(experiment: Experiment, out: Path, say: Say) -> Played:
     """Measure membership by the fleet's size and the share of letters that are lost, in virtual time."""
     table: Sizes = experiment.tables["fleet_scale"]
-    rows = [["members", "loss", "gone at half, s", "99%, s", "all, s", "bound, s", "not told", "false words",
-             "letters a node and s", "bytes", "CPU, s"]]  # fmt: skip
+    rows = [
+        [
+            "members",
+            "loss",
+            "gone at half, s",
+            "99%, s",
+            "all, s",
+            "bound, s",
+            "not told",
+            "false words",
+            "letters a node and s",
+            "bytes",
+            "CPU, s",
+        ]
+    ]
     head = "members;loss;half act on a new version after, s;99%, s;all, s;not;notes a node and s;"
     versions = [(head + "bytes a node and s, in all;memory a node, kB").split(";")]
     found: dict[str, float] = {}
     with ProcessPoolExecutor() as pool:
         spread = {
             (count, loss): pool.submit(one_version, count, loss, experiment.head.seed, table)
-            for count in table.nodes for loss in table.loss
-        }  # fmt: skip
+            for count in table.nodes
+            for loss in table.loss
+        }
         runs = {
             (count, loss): pool.submit(one_size, count, loss, experiment.head.seed, table)
-            for count in table.nodes for loss in table.loss
-        }  # fmt: skip
+            for count in table.nodes
+            for loss in table.loss
+        }
         for (count, loss), run in runs.items():
             seen = run.result()
             say(f"{count} members, {loss:.0%} lost")
             names = frozenset(f"n{i}" for i in range(count))
-            machine = Members("fleet", "n0", names, 0, 0, hunt.PERIOD_MS, 0.0)
-            bound = detect_ms(count, machine.suspicion_ms(0), hunt.PERIOD_MS, 0) / 1000.0
+            machine = Members("fleet", "n0", names, 0, 0, membership_schedules.PERIOD_MS, 0.0)
+            bound = detect_ms(count, machine.suspicion_ms(0), membership_schedules.PERIOD_MS, 0) / 1000.0
             found |= {f"n{count}_loss{round(100 * loss)}_{key}": value for key, value in seen.items()}
             shown = [f"{seen[key]:.1f}" for key in ("median_s", "p99_s", "most_s")]
             rows.append(
--- a/marlseam/experiment/measures.py
+++ b/marlseam/experiment/measures.py
@@ -215,11 +215,15 @@
         served, jobs = played.figures["service"], max(1.0, played.figures["completed"])
         rows.append(
             [
-                f"{rate:g}", f"{served:.4f}", f"{counted.intended[50.0]:.2f}",
-                f"{counted.intended[99.0]:.2f}", f"{cpu / table.seconds:.2f}",
-                f"{1000.0 * cpu / jobs:.3f}", f"{counted.lag[99.0]:.2f}",
+                f"{rate:g}",
+                f"{served:.4f}",
+                f"{counted.intended[50.0]:.2f}",
+                f"{counted.intended[99.0]:.2f}",
+                f"{cpu / table.seconds:.2f}",
+                f"{1000.0 * cpu / jobs:.3f}",
+                f"{counted.lag[99.0]:.2f}",
             ]
-        )  # fmt: skip
+        )
         if served < table.in_time or not counted.valid:
             break
         best = rate
@@ -268,16 +272,15 @@
 def part_of(where: str, name: str) -> str:
     """Return which part of the program a function belongs to."""
     for part in (
-        "logic",
-        "figures",
+        "decisions",
         "core",
         "net/loop",
         "net/connection",
-        "net/server",
-        "net/executors",
+        "net/downstream",
+        "net/upstream",
         "net/protocol",
     ):
-        if f"marlseam/{part}.py" in where:
+        if f"marlseam/{part}/" in where or f"marlseam/{part}.py" in where:
             return part
     if "h11" in where:
         return "h11"
@@ -346,11 +349,18 @@
         }
         rows.append(
             [
-                str(k), str(day.fleet.nodes), str(len(driver.hosts)), f"{units:.0f}",
-                f"{played.figures['service']:.4f}", f"{played.figures['rules_broken']:.0f}",
-                str(driver.events), f"{wall:.1f}", f"{driver.events / wall:.0f}", f"{1e6 * wall / units:.0f}",
+                str(k),
+                str(day.fleet.nodes),
+                str(len(driver.hosts)),
+                f"{units:.0f}",
+                f"{played.figures['service']:.4f}",
+                f"{played.figures['rules_broken']:.0f}",
+                str(driver.events),
+                f"{wall:.1f}",
+                f"{driver.events / wall:.0f}",
+                f"{1e6 * wall / units:.0f}",
             ]
-        )  # fmt: skip
+        )
         first = first or played
     figures_of = first.figures | found
     figures_of["rules_broken"] = sum(
@@ -435,9 +445,12 @@
 def register() -> None:
     """Make the tables of these plays known to experiment files; the plays are from the import on."""
     for name, table in (
-        ("pause", Pause), ("generator", Rates), ("capacity", Capacity), ("scale", Scale),
+        ("pause", Pause),
+        ("generator", Rates),
+        ("capacity", Capacity),
+        ("scale", Scale),
         ("policies", Policies),
-    ):  # fmt: skip
+    ):
         file.register(name, table)
     recovering.register()
     fleet.register()
--- a/marlseam/experiment/policies.py
+++ b/marlseam/experiment/policies.py
@@ -7,14 +7,14 @@
 
 from collections.abc import Callable
 
-from marlseam.core import Core
-from marlseam.logic import Handle, Node
+from marlseam.core import Reducer
+from marlseam.decisions.dispatcher import Dispatcher, RequestState
 
 
-class Baseline(Handle):
+class Baseline(RequestState):
     """A work unit placed by a baseline."""
 
-    node: "Dispatcher"
+    node: "BaselineDispatcher"
 
     def place(self) -> None:
         """Send to the policy's choice among usable executors that fit."""
@@ -42,7 +42,7 @@
         return [e for e in (*node.near, *node.far) if node.usable(e) and self.fits(e)]
 
 
-class Dispatcher(Node):
+class BaselineDispatcher(Dispatcher):
     """A node that places its work by one of the baselines."""
 
     turn = -1
@@ -106,14 +106,14 @@
             self.hold()
 
 
-def maker(handle: type[Baseline]) -> Callable[[], Core]:
+def maker(handle: type[Baseline]) -> Callable[[], Reducer]:
     """Return a maker of reducers that place work by a baseline."""
-    dispatcher = type("Baseline" + handle.__name__, (Dispatcher,), {"handle": handle})
-    return type(handle.__name__ + "Core", (Core,), {"decider": dispatcher})
+    dispatcher = type("Baseline" + handle.__name__, (BaselineDispatcher,), {"handle": handle})
+    return type(handle.__name__ + "Core", (Reducer,), {"decider": dispatcher})
 
 
-POLICIES: dict[str, Callable[[], Core]] = {
-    "marlseam": Core,
+POLICIES: dict[str, Callable[[], Reducer]] = {
+    "marlseam": Reducer,
     "random (baseline)": maker(AtRandom),
     "round robin (baseline)": maker(RoundRobin),
     "least requests (baseline)": maker(LeastRequests),
--- a/marlseam/experiment/ready.py
+++ b/marlseam/experiment/ready.py
@@ -72,9 +72,15 @@
     def __init__(self, stand: Stand, case: Case, slow_s: float) -> None:
         self.stand, self.slow_ms = stand, 1000.0 * slow_s if case.discovery == "slow" else 0.0
         host = {
-            "host": "e1", "dial": "127.0.0.1:9", "health": "active", "site": "here", "class": "plain",
-            "block": 0, "share": 1.0, "born_ms": 0,
-        }  # fmt: skip
+            "host": "e1",
+            "dial": "127.0.0.1:9",
+            "health": "active",
+            "site": "here",
+            "class": "plain",
+            "block": 0,
+            "share": 1.0,
+            "born_ms": 0,
+        }
         self.list = {"seq": 1, "whole": True, "hosts": [host]}
         self.calls: list[tuple[float, bool]] = []  # when, and whether for the whole list
         self.door = Door(stand, "discovery", self.answer)
@@ -182,10 +188,14 @@
         fleet=Fleet(zones=["here"], nodes=nodes, kinds=[Kind(name="plain", executors=1)]),
     )
     return {
-        "name": name, "listen": "127.0.0.1:0", "discovery": service.door.address, "seed": f"{number + 1:x}",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings(day, "here"),
+        "name": name,
+        "listen": "127.0.0.1:0",
+        "discovery": service.door.address,
+        "seed": f"{number + 1:x}",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "settings": settings(day, "here"),
         "known": service.list if case.listed else {"seq": 0, "whole": True, "hosts": []},
-    }  # fmt: skip
+    }
 
 
 def started(case: Case, table: Ready, out: Path) -> tuple[dict[str, float], list[str]]:
--- a/marlseam/experiment/recovering.py
+++ b/marlseam/experiment/recovering.py
@@ -23,10 +23,10 @@
 from marlseam.load.process import arrivals_of
 from marlseam.load.verdict import Counted, merge
 from marlseam.records import Streams
-from marlseam.recovery import lists
+from marlseam.recovery import saved_list
 from marlseam.standin.disk import FAULTS, OVER, Faults
-from marlseam.store import format as form
-from marlseam.store.folder import Disk, Folder, first_life
+from marlseam.store import file_format as form
+from marlseam.store.state_directory import Disk, Folder, first_life
 from marlseam.world.chance import stream
 from marlseam.world.model import Count, Day, NotNegative, Positive, Share, Strict, Trouble, executors
 
@@ -104,10 +104,14 @@
     env = {FAULTS: msgspec.json.encode(faults).decode(), OVER: str(over)}
     try:
         played, _, driver = on_sockets(
-            day, experiment.head.seed, out, own=own,
-            module=lambda name: "marlseam.standin.disk", env=lambda name: env,
+            day,
+            experiment.head.seed,
+            out,
+            own=own,
+            module=lambda name: "marlseam.standin.disk",
+            env=lambda name: env,
             between=lambda name: damage(out / "state" / name, next(starts), case.torn),
-        )  # fmt: skip
+        )
     finally:
         over.touch()
     book, now = played.book, driver.now()
@@ -118,9 +122,12 @@
     keyed = {tried.id for tried in book.tries.values() if tried.receipt is not None}
     refused = sum(r.how in ("deferred", "aborted") and r.id in keyed for r in book.of(records.Answered))
     found = {
-        "repeats": float(len(twice)), "missing": float(len(missing)), "refused": refused / max(1, len(keyed)),
-        "service": played.figures["service"], "rules_broken": played.figures["rules_broken"],
-    }  # fmt: skip
+        "repeats": float(len(twice)),
+        "missing": float(len(missing)),
+        "refused": refused / max(1, len(keyed)),
+        "service": played.figures["service"],
+        "rules_broken": played.figures["rules_broken"],
+    }
     row = [case.name, *(f"{found[name]:.0f}" for name in ("repeats", "missing", "rules_broken"))]
     return found, [*row, f"{found['service']:.3f}", f"{found['refused']:.3f}"]
 
@@ -290,7 +297,10 @@
     """
     day, seed = experiment.day, experiment.head.seed
     total = len(executors(day)) / (1.0 - table.gone - table.reused)
-    old = Old(round(total * (table.gone + table.reused)), lists.doubt(1000.0 * table.age_s, lists.Turnover()))
+    old = Old(
+        round(total * (table.gone + table.reused)),
+        saved_list.doubt(1000.0 * table.age_s, saved_list.Turnover()),
+    )
     troubled = msgspec.structs.replace(day, troubles=[*day.troubles, down])
     rows = [
         ["", "service", "late", "worst 10 s", "deferred", "cold margin, mean", "cold margin, most", "broken"]
@@ -349,9 +359,12 @@
         size = sum(path.stat().st_size for path in (where / "state").rglob("journal-*")) / jobs
         cpu = 1000.0 * sum(driver.cpu_s.values()) / jobs
         found |= {
-            f"{sync}_p50": counted.intended[50.0], f"{sync}_p99": counted.intended[99.0],
-            f"{sync}_cpu_ms": cpu, f"{sync}_bytes": size, f"{sync}_service": played.figures["service"],
-        }  # fmt: skip
+            f"{sync}_p50": counted.intended[50.0],
+            f"{sync}_p99": counted.intended[99.0],
+            f"{sync}_cpu_ms": cpu,
+            f"{sync}_bytes": size,
+            f"{sync}_service": played.figures["service"],
+        }
         rows.append(
             [
                 sync,
--- a/marlseam/experiment/size.py
+++ b/marlseam/experiment/size.py
@@ -231,10 +231,14 @@
         ],
     )
     return {
-        "name": name, "listen": "127.0.0.1:0", "discovery": discovery, "seed": f"{seed:x}",
-        "limits": {"memory_mb": 192, "sockets": 1024}, "known": {"seq": 0, "whole": True, "hosts": []},
+        "name": name,
+        "listen": "127.0.0.1:0",
+        "discovery": discovery,
+        "seed": f"{seed:x}",
+        "limits": {"memory_mb": 192, "sockets": 1024},
+        "known": {"seq": 0, "whole": True, "hosts": []},
         "settings": settings(day, ZONES[0]),
-    }  # fmt: skip
+    }
 
 
 class Band:
@@ -322,7 +326,26 @@
 
 
 __all__ = [
-    "BYTES_S", "CHANGES_S", "CORE_SHARE", "FORCE_S", "FULL", "KINDS", "MEMORY_MB", "TURN_MS", "ZONES",
-    "Band", "Charged", "Need", "Slope", "afford", "apart", "beside", "cpu_ms", "limited", "middle",
-    "node_config", "resident_mb", "scratch",
-]  # fmt: skip
+    "BYTES_S",
+    "CHANGES_S",
+    "CORE_SHARE",
+    "FORCE_S",
+    "FULL",
+    "KINDS",
+    "MEMORY_MB",
+    "TURN_MS",
+    "ZONES",
+    "Band",
+    "Charged",
+    "Need",
+    "Slope",
+    "afford",
+    "apart",
+    "beside",
+    "cpu_ms",
+    "limited",
+    "middle",
+    "node_config",
+    "resident_mb",
+    "scratch",
+]
--- a/marlseam/experiment/size_changes.py
+++ b/marlseam/experiment/size_changes.py
@@ -21,21 +21,21 @@
 
 import msgspec
 
-from marlseam.chance import number as number_of
-from marlseam.config import ConfigError, Deployment, deployment_from
+from marlseam.cluster.audit_log import Held, Kept, encode
+from marlseam.cluster.checking.membership_schedules import DRIFT, PERIOD_MS, Seat, World
+from marlseam.cluster.checking.replication_schedules import DISK_MS, LEASE_PERIODS
+from marlseam.cluster.replication import messages
+from marlseam.cluster.replication.content import FORMAT, Content, Meaning, digest, read, write
+from marlseam.cluster.replication.replica import Apply, Keep, Terms, To, Versions
+from marlseam.configuration import ConfigError, Deployment, deployment_from
 from marlseam.experiment import file, size, slope
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.fleet import reserved
 from marlseam.experiment.plays import Played, Say, play
 from marlseam.experiment.processes import Failed
 from marlseam.experiment.slope import Slope
-from marlseam.fleet import says
-from marlseam.fleet.content import FORMAT, Content, Meaning, digest, read, write
-from marlseam.fleet.hunt import DRIFT, PERIOD_MS, Seat, World
-from marlseam.fleet.ledger import Held, Kept, encode
-from marlseam.fleet.trial import DISK_MS, LEASE_PERIODS
-from marlseam.fleet.versions import Apply, Keep, Terms, To, Versions
-from marlseam.store.ledger import first_life
+from marlseam.random_source import number as number_of
+from marlseam.store.ledger_writer import first_life
 from marlseam.world.model import Count, Positive, Strict
 
 TEAMS = 640  # that the operators plan for
@@ -89,11 +89,14 @@
     """Return what a configuration says of so many teams: quotas as the operators plan them."""
     return {
         f"team-{i:03d}": {
-            "accelerators": 20 + i % 80, "starts": 5 + i % 30, "borrow": i % 9, "urgent": i % 4 == 0,
+            "accelerators": 20 + i % 80,
+            "starts": 5 + i % 30,
+            "borrow": i % 9,
+            "urgent": i % 4 == 0,
             "region": f"r{i % 6}",
         }
         for i in range(count)
-    }  # fmt: skip
+    }
 
 
 def changed(settings: dict[str, Any], seed: int, mark: int) -> dict[str, Any]:
@@ -125,9 +128,13 @@
     """Members of a fleet with versions, in one process; times in ms, by the clock and as charged."""
 
     def __init__(
-        self, count: int, seed: int, listed: bool = False, ways: Ways = LAN,
+        self,
+        count: int,
+        seed: int,
+        listed: bool = False,
+        ways: Ways = LAN,
         machine: type[Versions] = Versions,
-    ) -> None:  # fmt: skip
+    ) -> None:
         names = [f"n{i}" for i in range(count)]
         self.voters = names[:VOTERS] if count >= VOTERS else names
         lease = LEASE_PERIODS * PERIOD_MS
@@ -182,9 +189,9 @@
         began = time.thread_time_ns()
         for effect in call(*words):
             if type(effect) is To:
-                note = says.Note(says.VERSION, FLEET, name, effect.say)
-                out.append((effect.name, says.write(note)))
-                self.kinds[says.kind_of(effect.say).name.lower()] += 1
+                note = messages.Note(messages.VERSION, FLEET, name, effect.say)
+                out.append((effect.name, messages.write(note)))
+                self.kinds[messages.kind_of(effect.say).name.lower()] += 1
             elif type(effect) is Keep:
                 for entry in effect.entries:
                     encode(entry)
@@ -249,7 +256,7 @@
         seat = self.seats[to]
 
         def hear() -> list[Any]:
-            note = says.read(data, FLEET, self.names)
+            note = messages.read(data, FLEET, self.names)
             return seat.machine.heard(self.local(seat), note.sender, note.say)
 
         self.work(seat, charged, hear)
@@ -316,11 +323,14 @@
         world = self.world
         others = world.names - set(world.voters)
         return {
-            "bytes": sum(world.sent.values()) / len(world.names), "notes": world.notes / len(world.names),
-            "taken_in": world.taken_in, "applied": world.applied,
+            "bytes": sum(world.sent.values()) / len(world.names),
+            "notes": world.notes / len(world.names),
+            "taken_in": world.taken_in,
+            "applied": world.applied,
             "cpu_ms": sum(world.cpu[name] for name in others) / max(1, len(others)),
-            "publisher_cpu_ms": world.cpu["n0"], "publisher_bytes": world.sent["n0"],
-        }  # fmt: skip
+            "publisher_cpu_ms": world.cpu["n0"],
+            "publisher_bytes": world.sent["n0"],
+        }
 
     def spent(self) -> dict[str, float]:
         """Return what a node has spent, and for how long, in s."""
@@ -330,9 +340,14 @@
 
 
 def one_size(
-    seed: int, table: Changes, count: int, nodes: int, listed: bool = False, ways: Ways = LAN,
+    seed: int,
+    table: Changes,
+    count: int,
+    nodes: int,
+    listed: bool = False,
+    ways: Ways = LAN,
     machine: type[Versions] = Versions,
-) -> dict[str, float]:  # fmt: skip
+) -> dict[str, float]:
     """Play one size: a time without changes, changes at their pace, a burst; return figures of a node."""
     world = Hollow(nodes, seed, listed, ways, machine)
     shared = {key: value for key, value in world.base.items() if key != "zone"} | {"teams": teams(count)}
@@ -365,23 +380,27 @@
     missed = any(seat.machine.acting != newest for seat in world.seats.values())
     found = {
         "content_bytes": float(len(world.seats["n0"].machine.contents[world.seats["n0"].machine.id])),
-        "idle_bytes_s": quiet["bytes"], "bytes_s": paced["bytes"] / span,
+        "idle_bytes_s": quiet["bytes"],
+        "bytes_s": paced["bytes"] / span,
         "bytes_change": each(paced, "bytes", table.changes),
         "notes_change": each(paced, "notes", table.changes),
         "publisher_bytes_s": paced["publisher_bytes"] / span,
         "values_change": paced["taken_in"] / max(1.0, paced["applied"]),
-        "core_share": paced["cpu_ms"] / span / 1000.0, "cpu_ms_change": each(paced, "cpu_ms", table.changes),
+        "core_share": paced["cpu_ms"] / span / 1000.0,
+        "cpu_ms_change": each(paced, "cpu_ms", table.changes),
         "publisher_core_share": paced["publisher_cpu_ms"] / span / 1000.0,
         "last_s": max(world.last_s(n) for n in marks),
         "memory_mb": memory_mb(count, nodes, listed),
-        "notes": float(world.notes), "bytes": float(sum(world.sent.values())),
-        "missed": float(missed or len(world.waits)), "two_contents": float(world.two_contents),
-    }  # fmt: skip
+        "notes": float(world.notes),
+        "bytes": float(sum(world.sent.values())),
+        "missed": float(missed or len(world.waits)),
+        "two_contents": float(world.two_contents),
+    }
     if table.burst:
         found |= {
             "burst_s": world.last_s(newest) + (world.asked_at[newest] - began) / 1000.0,
             "burst_bytes_change": each(hurried, "bytes", newest - number),
-        }  # fmt: skip
+        }
     return found
 
 
@@ -555,11 +574,16 @@
         span = paced["seconds"] - begun["seconds"]
         each = {key: (paced[key] - begun[key] - quiet[key] * span) / table.changes for key in calm}
         return {
-            "bytes_change": each["bytes"], "notes_change": each["notes"], "cpu_ms_change": each["cpu_ms"],
-            "helper_ms_change": each["helper_ms"], "memory_mb": calm["memory_mb"] - first["memory_mb"],
-            "process_mb": paced["memory_mb"], "last_s": max(took), "burst_s": self.last(number) - began,
+            "bytes_change": each["bytes"],
+            "notes_change": each["notes"],
+            "cpu_ms_change": each["cpu_ms"],
+            "helper_ms_change": each["helper_ms"],
+            "memory_mb": calm["memory_mb"] - first["memory_mb"],
+            "process_mb": paced["memory_mb"],
+            "last_s": max(took),
+            "burst_s": self.last(number) - began,
             "idle_core_share": quiet["cpu_ms"] / 1000.0,
-        }  # fmt: skip
+        }
 
     def end(self) -> None:
         """End the nodes."""
@@ -572,16 +596,31 @@
 
 COMPARED = ("bytes_change", "notes_change", "cpu_ms_change", "memory_mb", "last_s", "burst_s")
 UNITS = {
-    "content_bytes": "bytes", "idle_bytes_s": "bytes a second", "bytes_s": "bytes a second",
-    "bytes_change": "bytes a change", "notes_change": "notes a change", "notes": "in the run",
-    "publisher_bytes_s": "bytes a second", "values_change": "values a change", "bytes": "in the run",
-    "core_share": "of a core", "cpu_ms_change": "ms a change", "publisher_core_share": "of a core",
-    "last_s": "s", "burst_s": "s", "burst_bytes_change": "bytes a change", "memory_mb": "MB",
-}  # fmt: skip
+    "content_bytes": "bytes",
+    "idle_bytes_s": "bytes a second",
+    "bytes_s": "bytes a second",
+    "bytes_change": "bytes a change",
+    "notes_change": "notes a change",
+    "notes": "in the run",
+    "publisher_bytes_s": "bytes a second",
+    "values_change": "values a change",
+    "bytes": "in the run",
+    "core_share": "of a core",
+    "cpu_ms_change": "ms a change",
+    "publisher_core_share": "of a core",
+    "last_s": "s",
+    "burst_s": "s",
+    "burst_bytes_change": "bytes a change",
+    "memory_mb": "MB",
+}
 BOUNDS = {
-    "bytes_s": size.BYTES_S, "core_share": size.CORE_SHARE, "memory_mb": size.MEMORY_MB,
-    "last_s": size.FORCE_S, "burst_s": size.FORCE_S, "publisher_core_share": size.CORE_SHARE,
-}  # fmt: skip
+    "bytes_s": size.BYTES_S,
+    "core_share": size.CORE_SHARE,
+    "memory_mb": size.MEMORY_MB,
+    "last_s": size.FORCE_S,
+    "burst_s": size.FORCE_S,
+    "publisher_core_share": size.CORE_SHARE,
+}
 HOLLOW = ("core_share", "cpu_ms_change", "publisher_core_share", "memory_mb")
 CHARGED = ("last_s", "burst_s")
 NONE_OF = ("missed", "two_contents")
@@ -635,8 +674,11 @@
                 if bound:
                     found[f"{name}_{key}_over"] = value / bound
             nodes = table.full_nodes if name == "full" else table.nodes
-            title = f"{TEAMS} teams, {nodes} nodes that the content lists" if name == "full" else (
-                f"{table.disorder} teams, {nodes} nodes, notes overtake each other")  # fmt: skip
+            title = (
+                f"{TEAMS} teams, {nodes} nodes that the content lists"
+                if name == "full"
+                else (f"{table.disorder} teams, {nodes} nodes, notes overtake each other")
+            )
             tables.append((title, rows))
         if table.real:
             hollow = size.apart(one_size, seed, table, table.real_teams, table.real, False, LOOPBACK)
@@ -652,11 +694,16 @@
             found |= ratios | {f"real_{key}": value for key, value in seen.items()}
     drawn = [
         Slope(
-            name, UNITS[name], how_of(name), [(float(n), seen[name]) for n, seen in by_size.items()],
-            float(TEAMS), BOUNDS.get(name), "teams",
+            name,
+            UNITS[name],
+            how_of(name),
+            [(float(n), seen[name]) for n, seen in by_size.items()],
+            float(TEAMS),
+            BOUNDS.get(name),
+            "teams",
         )
         for name in next(iter(by_size.values()))
-    ]  # fmt: skip
+    ]
     tables = [(f"Slopes, {table.nodes} nodes", slope.rows(drawn)), *tables]
     driver = "hollow and sockets" if table.real else "hollow"
     return Played(found | slope.figures(drawn), tables=tables, driver=driver, slopes=drawn)
--- a/marlseam/experiment/size_cold.py
+++ b/marlseam/experiment/size_cold.py
@@ -19,7 +19,7 @@
 from msgspec import Meta
 
 from marlseam import records
-from marlseam.config import deployment_from
+from marlseam.configuration import deployment_from
 from marlseam.experiment import file
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import Played, Say, play
@@ -148,7 +148,7 @@
         self.fullest = max(self.fullest, got / n)
         self.sent += took[-1][1]
         self.units += 1
-        node = flight.node.core.node
+        node = flight.node.core.dispatcher
         e = flight.node.core.index.get(executor.name)
         if node is not None and e is not None:
             own = node.slots(e) / (node.run[arrival.type] * node.kind_pace[node.kind[e]])
@@ -180,10 +180,15 @@
             self.close(host)
         over = sorted(self.over) or [0.0]
         return {
-            "most": self.most, "most_work": self.most_work, "fullest": self.fullest,
-            "used": self.sent / (self.allowed or 1.0), "units": float(self.units), "lives": float(self.lives),
-            "over_median": over[len(over) // 2], "over_p99": over[int(0.99 * (len(over) - 1))],
-        }  # fmt: skip
+            "most": self.most,
+            "most_work": self.most_work,
+            "fullest": self.fullest,
+            "used": self.sent / (self.allowed or 1.0),
+            "units": float(self.units),
+            "lives": float(self.lives),
+            "over_median": over[len(over) // 2],
+            "over_p99": over[int(0.99 * (len(over) - 1))],
+        }
 
 
 def mean_work(day: Day) -> float:
@@ -247,12 +252,23 @@
         found["used"] += mean["used"] / len(plays)
         found["units"] += sum(of["units"])
         found["lives"] += sum(of["lives"])
-        rows.append([
-            str(nodes), traffic, case, f"{of['most'][-1]:.3f}", f"{mean['most']:.3f}",
-            f"{of['most_work'][-1]:.3f}", f"{of['fullest'][-1]:.2f}", f"{mean['used']:.3f}",
-            f"{sum(of['units']):.0f}", f"{sum(of['lives']):.0f}", f"{of['over_median'][len(seen) // 2]:.2f}",
-            f"{of['over_p99'][-1]:.2f}", f"{sum(of['cpu_s']):.0f}",
-        ])  # fmt: skip
+        rows.append(
+            [
+                str(nodes),
+                traffic,
+                case,
+                f"{of['most'][-1]:.3f}",
+                f"{mean['most']:.3f}",
+                f"{of['most_work'][-1]:.3f}",
+                f"{of['fullest'][-1]:.2f}",
+                f"{mean['used']:.3f}",
+                f"{sum(of['units']):.0f}",
+                f"{sum(of['lives']):.0f}",
+                f"{of['over_median'][len(seen) // 2]:.2f}",
+                f"{of['over_p99'][-1]:.2f}",
+                f"{sum(of['cpu_s']):.0f}",
+            ]
+        )
     title = f"What cold executors got, {table.seeds} seeds each, virtual time"
     return Played(found, tables=[(title, rows)], driver="virtual")
 
--- a/marlseam/experiment/size_members.py
+++ b/marlseam/experiment/size_members.py
@@ -15,20 +15,30 @@
 from typing import Any, NamedTuple
 from zlib import crc32
 
-from marlseam.config import FleetSettings
+from marlseam.cluster.checking.membership_schedules import PERIOD_MS, detect_ms
+from marlseam.cluster.membership import Members
+from marlseam.cluster.membership import Say as Post
+from marlseam.cluster.membership_codec import (
+    LETTER_MOST,
+    VERSION,
+    Claim,
+    Kind,
+    Letter,
+    Rumour,
+    Standing,
+    read,
+    write,
+)
+from marlseam.configuration import ClusterSettings
 from marlseam.experiment import file, size, slope
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.fleet import Sizes as Whole
 from marlseam.experiment.fleet import one_size
 from marlseam.experiment.plays import Played, Say, play
 from marlseam.experiment.slope import Slope
-from marlseam.fleet.hunt import PERIOD_MS, detect_ms
-from marlseam.fleet.members import Members
-from marlseam.fleet.members import Say as Post
-from marlseam.fleet.words import LETTER_MOST, VERSION, Claim, Kind, Letter, Rumour, Standing, read, write
 from marlseam.net.log import Log
 from marlseam.net.loop import Loop
-from marlseam.net.peers import Peers
+from marlseam.net.membership_service import Peers
 from marlseam.world.model import Count, Positive, Strict
 
 WAY_MS = 1.0  # of a letter
@@ -240,15 +250,22 @@
     zone, zone_turn = watched(world, table.seconds)
     suspicion = next(iter(world.members.values())).suspicion_ms(0)
     return {
-        "tick_ms": day.tick_ms / max(1, day.ticks), "heard_ms": day.heard_ms / max(1, day.heard),
-        "turn_ms": turn, "core_share": day.cpu_ms / 1000.0 * each,
-        "letters": day.letters * each, "bytes_s": day.bytes * each,
-        "letter_bytes": day.bytes / max(1, day.letters), "letter_most": float(world.most),
-        "changes": float(changes), "zone_core_share": zone.cpu_ms / 1000.0 * each,
-        "zone_letters": zone.letters * each, "zone_bytes_s": zone.bytes * each, "zone_turn_ms": zone_turn,
+        "tick_ms": day.tick_ms / max(1, day.ticks),
+        "heard_ms": day.heard_ms / max(1, day.heard),
+        "turn_ms": turn,
+        "core_share": day.cpu_ms / 1000.0 * each,
+        "letters": day.letters * each,
+        "bytes_s": day.bytes * each,
+        "letter_bytes": day.bytes / max(1, day.letters),
+        "letter_most": float(world.most),
+        "changes": float(changes),
+        "zone_core_share": zone.cpu_ms / 1000.0 * each,
+        "zone_letters": zone.letters * each,
+        "zone_bytes_s": zone.bytes * each,
+        "zone_turn_ms": zone_turn,
         "memory_mb": memory_mb(count),
         "gone_bound_s": detect_ms(count, suspicion, PERIOD_MS, 0) / 1000.0,
-    } | door(world.names)  # fmt: skip
+    } | door(world.names)
 
 
 def door(names: list[str]) -> dict[str, float]:
@@ -257,7 +274,7 @@
     loop.now = lambda: 10.0 * PERIOD_MS  # ages are told, and would have other lengths on each run
     # Nobody listens at the others' address, and one tick is all that is said there.
     members = dict.fromkeys(names, ("127.0.0.1", 9)) | {names[0]: ("127.0.0.1", 0)}
-    peers = Peers(loop, Log("door", loop.now), FleetSettings("size", members, PERIOD_MS), names[0], 1)
+    peers = Peers(loop, Log("door", loop.now), ClusterSettings("size", members, PERIOD_MS), names[0], 1)
     for name in names:
         peers.machine.take(Rumour(name, Claim(0, 1, Standing.HERE)))
     text = clock.do(peers.status)
@@ -284,23 +301,57 @@
 # The play.
 
 UNITS = {
-    "tick_ms": "ms", "heard_ms": "ms", "turn_ms": "ms", "core_share": "of a core", "letters": "a second",
-    "bytes_s": "bytes a second", "letter_bytes": "bytes", "letter_most": "bytes", "memory_mb": "MB",
-    "zone_core_share": "of a core", "zone_letters": "a second", "zone_bytes_s": "bytes a second",
-    "zone_turn_ms": "ms", "gone_bound_s": "s", "door_bytes": "bytes", "door_ms": "ms",
+    "tick_ms": "ms",
+    "heard_ms": "ms",
+    "turn_ms": "ms",
+    "core_share": "of a core",
+    "letters": "a second",
+    "bytes_s": "bytes a second",
+    "letter_bytes": "bytes",
+    "letter_most": "bytes",
+    "memory_mb": "MB",
+    "zone_core_share": "of a core",
+    "zone_letters": "a second",
+    "zone_bytes_s": "bytes a second",
+    "zone_turn_ms": "ms",
+    "gone_bound_s": "s",
+    "door_bytes": "bytes",
+    "door_ms": "ms",
     "changes": "in the run",
-    "whole_gone_s": "s", "whole_half_s": "s",
-    "whole_letters": "a second", "whole_bytes_s": "bytes a second", "whole_false": "words",
-}  # fmt: skip
+    "whole_gone_s": "s",
+    "whole_half_s": "s",
+    "whole_letters": "a second",
+    "whole_bytes_s": "bytes a second",
+    "whole_false": "words",
+}
 BOUNDS = {
-    "core_share": size.CORE_SHARE, "bytes_s": size.BYTES_S, "memory_mb": size.MEMORY_MB,
-    "letter_most": float(LETTER_MOST), "turn_ms": size.TURN_MS, "zone_core_share": size.CORE_SHARE,
-    "zone_bytes_s": size.BYTES_S, "zone_turn_ms": size.TURN_MS, "door_ms": size.TURN_MS,
-}  # fmt: skip
-COUNTED = ("letters", "bytes_s", "letter_bytes", "letter_most", "changes", "zone_letters", "zone_bytes_s",
-           "door_bytes")  # fmt: skip
-SHOWN = {"most_s": "whole_gone_s", "median_s": "whole_half_s", "letters": "whole_letters",
-         "bytes": "whole_bytes_s", "false": "whole_false"}  # fmt: skip
+    "core_share": size.CORE_SHARE,
+    "bytes_s": size.BYTES_S,
+    "memory_mb": size.MEMORY_MB,
+    "letter_most": float(LETTER_MOST),
+    "turn_ms": size.TURN_MS,
+    "zone_core_share": size.CORE_SHARE,
+    "zone_bytes_s": size.BYTES_S,
+    "zone_turn_ms": size.TURN_MS,
+    "door_ms": size.TURN_MS,
+}
+COUNTED = (
+    "letters",
+    "bytes_s",
+    "letter_bytes",
+    "letter_most",
+    "changes",
+    "zone_letters",
+    "zone_bytes_s",
+    "door_bytes",
+)
+SHOWN = {
+    "most_s": "whole_gone_s",
+    "median_s": "whole_half_s",
+    "letters": "whole_letters",
+    "bytes": "whole_bytes_s",
+    "false": "whole_false",
+}
 
 
 def how_of(name: str) -> str:
--- a/marlseam/experiment/size_roster.py
+++ b/marlseam/experiment/size_roster.py
@@ -22,23 +22,22 @@
 
 import h11
 
-from marlseam import config as configuration
-from marlseam import core
-from marlseam.core import Entry
+from marlseam import configuration, core
+from marlseam.core import EndpointEntry
 from marlseam.counters import Counters
+from marlseam.decisions.types import EndpointState, LoadReport, Outcome, Request
 from marlseam.experiment import file, size, slope
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import Played, Say, play
 from marlseam.experiment.processes import Failed
 from marlseam.experiment.slope import Slope
-from marlseam.interface import Outcome, Report, State, WorkUnit
 from marlseam.net import protocol
 from marlseam.net.connection import Connection
 from marlseam.net.discovery import Discovery
-from marlseam.net.executors import Executors
 from marlseam.net.log import Log
 from marlseam.net.loop import LATE, READY, Loop
 from marlseam.net.node import alone, room
+from marlseam.net.upstream import Upstream
 from marlseam.standin.roster import HEALTH
 from marlseam.world.model import Count, Strict
 from marlseam.world.roster import Roster
@@ -80,20 +79,20 @@
         self.whole = False  # whether the next answer is the whole list
         self.names = [f"w-{i:05}" for i in range(count)]
 
-    def entry(self, i: int, state: State, born: float | None) -> Entry:
+    def entry(self, i: int, state: EndpointState, born: float | None) -> EndpointEntry:
         """Return an executor as it is listed: zones in rows, three kinds, cells of four."""
         kind = 0 if i % 21 < 11 else 1 + i % 2
-        return Entry(self.names[i], state, kind, i % len(size.ZONES), i // 4, born)
+        return EndpointEntry(self.names[i], state, kind, i % len(size.ZONES), i // 4, born)
 
     def fill(self) -> None:
         """List all, at once."""
         for i in range(self.count):
-            self.roster.change(self.entry(i, State.READY, None))
+            self.roster.change(self.entry(i, EndpointState.READY, None))
 
     def change(self) -> None:
         """Change one entry: it is to leave, then gone, then back as another process; then the next."""
         i, step = divmod(self.turn, 3)
-        state = (State.DRAINING, State.GONE, State.READY)[step]
+        state = (EndpointState.DRAINING, EndpointState.GONE, EndpointState.READY)[step]
         self.roster.change(self.entry(i % self.count, state, self.born() if step == 2 else None))
         self.turn += 1
 
@@ -102,23 +101,27 @@
         self.births += 1
         return 1.7e12 + self.births
 
-    def zone(self, state: State) -> None:
+    def zone(self, state: EndpointState) -> None:
         """Have up to a thousand entries be gone, or back, at once."""
         for i in range(min(THOUSAND, self.count)):
-            self.roster.change(self.entry(i, state, self.born() if state is State.READY else None))
+            self.roster.change(self.entry(i, state, self.born() if state is EndpointState.READY else None))
 
     def body(self, since: int, whole: bool) -> bytes:
         """Return an answer's body: what is newer than a version, or all."""
         _, rows = self.roster.news(0 if whole else since)
         hosts = [
             {
-                "host": row.executor,
+                "host": row.server,
                 "dial": self.dial or f"10.{row.cell >> 8 & 255}.{row.cell & 255}.{row.zone}:7070",
-                "site": size.ZONES[row.zone], "class": size.KINDS[row.kind], "block": row.cell,
-                "health": HEALTH[row.state], "share": 1.0, "born_ms": row.born_ms or 0.0,
+                "site": size.ZONES[row.zone],
+                "class": size.KINDS[row.kind],
+                "block": row.cell,
+                "health": HEALTH[row.state],
+                "share": 1.0,
+                "born_ms": row.process_started_ms or 0.0,
             }
             for row in rows
-        ]  # fmt: skip
+        ]
         return json.dumps({"seq": self.roster.version(), "whole": whole, "hosts": hosts}).encode()
 
     def answer(self, since: int, whole: bool) -> bytes:
@@ -310,33 +313,37 @@
         self.loop = Loop(print)
         self.loop.now = self.clock.due
         config = configuration.load(str(path))
-        self.core = core.Core()
+        self.core = core.Reducer()
         self.marks = self.probes = self.sends = 0
         self.due: list[tuple[float, int, core.Event]] = []
         log = Quiet("hollow", self.clock.due)
-        self.executors = Executors(self.loop, log, config.deployment, room(config)[1], self.post, Counters())
+        self.executors = Upstream(self.loop, log, config.deployment, room(config)[1], self.post, Counters())
         self.discovery = Discovery(self.loop, log, config, self.executors, self.post)
         self.stream = Stream()
         self.connection = Connection(self.loop, log, self.stream, h11.CLIENT, "discovery")
-        self.post(core.Begin(alone(config.deployment.settings), config.seed))
+        self.post(core.NodeStarted(alone(config.deployment.settings), config.seed))
 
     def post(self, event: core.Event) -> None:
         """Hand an event to the reducer, and note what is due of what it asks for."""
         for effect in self.core.reduce(self.clock.due(), event):
             kind = type(effect)
-            if kind is core.Timer:
+            if kind is core.SetTimer:
                 self.marks += 1
                 heapq.heappush(
-                    self.due, (self.clock.due() + effect.delay_ms, self.marks, core.Due(effect.mark))
+                    self.due,
+                    (self.clock.due() + effect.delay_ms, self.marks, core.TimerFired(effect.timer_id)),
                 )
             elif kind is core.Probe:
                 self.probes += 1
-                told = core.Probed(effect.executor, Outcome.COMPLETED, WAY_MS, Report(0.0, 0.0, 8.0))
+                told = core.ProbeEnded(effect.server, Outcome.COMPLETED, WAY_MS, LoadReport(0.0, 0.0, 8.0))
                 self.later(WAY_MS, told)
-            elif kind is core.Send:
+            elif kind is core.SendAttempt:
                 self.sends += 1
-                self.later(WAY_MS, core.Started(effect.ref, effect.alloc))
-                self.later(RUN_MS, core.Settled(effect.ref, effect.alloc, Outcome.COMPLETED, True, None))
+                self.later(WAY_MS, core.AttemptStarted(effect.request_id, effect.attempt_index))
+                self.later(
+                    RUN_MS,
+                    core.AttemptEnded(effect.request_id, effect.attempt_index, Outcome.COMPLETED, True, None),
+                )
 
     def later(self, delay_ms: float, event: core.Event) -> None:
         """Have an event happen later."""
@@ -367,20 +374,23 @@
     def touched(self, data: bytes) -> tuple[int, int]:
         """Take in an answer, and return how many entries were looked at for it, and how often in all."""
         places, keys = Counter[int](), Counter[str]()
-        node, executors = self.core.node, self.executors
-        state, zone, peers = node.state, node.zone, executors.peers
-        node.state, node.zone = Touched(state, places), Touched(zone, places)
+        node, executors = self.core.dispatcher, self.executors
+        state, zone, peers = node.endpoint_state, node.zone, executors.peers
+        node.endpoint_state, node.zone = Touched(state, places), Touched(zone, places)
         executors.peers = TouchedDict(peers, keys)
         self.take(data)
-        node.state, node.zone = list(list.__iter__(node.state)), list(list.__iter__(node.zone))
+        node.endpoint_state, node.zone = (
+            list(list.__iter__(node.endpoint_state)),
+            list(list.__iter__(node.zone)),
+        )
         executors.peers = dict(dict.items(executors.peers))
         return max(len(places), len(keys)), places.total() + keys.total()
 
     def work(self, units: int) -> None:
         """Take work units one after another, each once the one before has its answer, as a real node does."""
         for i in range(units):
-            unit = WorkUnit(f"u{i}", i % 2, self.clock.due() + 5000.0)
-            self.clock.do(self.post, core.Arrival(unit))
+            unit = Request(f"u{i}", i % 2, self.clock.due() + 5000.0)
+            self.clock.do(self.post, core.RequestArrived(unit))
             self.until(self.clock.due_ms + UNIT_MS)
 
     def until(self, end_ms: float) -> None:
@@ -423,7 +433,7 @@
         longest.append(node.clock.longest_ms)
     found |= {"one_ms": size.middle(took), "one_turn_ms": size.middle(longest), "one_most_ms": max(longest)}
     found["one_bytes"] = sent / table.changes
-    for name, state in (("thousand", State.GONE), ("thousand_back", State.READY)):
+    for name, state in (("thousand", EndpointState.GONE), ("thousand_back", EndpointState.READY)):
         data = told(listing, partial(listing.zone, state))
         found[f"{name}_bytes"] = float(len(data))
         spent = node.clock.mark()
@@ -451,9 +461,11 @@
     node.work(table.units)
     return {
         "decision_us": 1000.0 * (node.clock.cpu_ms - spent) / table.units,
-        "decision_turn_ms": node.clock.longest_ms, "decision_late_ms": node.clock.late_ms,
-        "unit_probes": (node.probes - probes) / table.units, "unit_sends": (node.sends - sends) / table.units,
-    }  # fmt: skip
+        "decision_turn_ms": node.clock.longest_ms,
+        "decision_late_ms": node.clock.late_ms,
+        "unit_probes": (node.probes - probes) / table.units,
+        "unit_sends": (node.sends - sends) / table.units,
+    }
 
 
 # Real nodes.
@@ -570,7 +582,7 @@
         ones = [step(listing.change, False) for _ in range(table.real_changes)]
         found["one_ms"] = size.middle([cpu for cpu, _ in ones])
         found["one_all_ms"] = max(took for _, took in ones)
-        for name, state in (("thousand", State.GONE), ("thousand_back", State.READY)):
+        for name, state in (("thousand", EndpointState.GONE), ("thousand_back", EndpointState.READY)):
             change = partial(listing.zone, state)
             found[f"{name}_ms"], found[f"{name}_all_ms"] = step(change, False)
     finally:
@@ -594,9 +606,15 @@
 )
 # What the band shows too.
 SAME = (
-    "whole_ms", "whole_turn_ms", "one_ms", "thousand_ms", "thousand_back_ms", "memory_mb", "unit_probes",
+    "whole_ms",
+    "whole_turn_ms",
+    "one_ms",
+    "thousand_ms",
+    "thousand_back_ms",
+    "memory_mb",
+    "unit_probes",
     "unit_sends",
-)  # fmt: skip
+)
 UNITS = {
     "touched": "entries",
     "reads": "of entries",
--- a/marlseam/experiment/soak.py
+++ b/marlseam/experiment/soak.py
@@ -39,7 +39,7 @@
     "epoll_ctl": ("ENOMEM", "ENOSPC"),
 }
 CLOCKS_S = (-3600.0, -5.0, 3600.0)
-DECISIONS = ("Settled", "Arrival", "Probed", "Started")
+DECISIONS = ("AttemptEnded", "RequestArrived", "ProbeEnded", "AttemptStarted")
 SPANS_S = (1.0, 3.0)  # how long a trouble lasts
 
 
--- a/marlseam/experiment/sockets.py
+++ b/marlseam/experiment/sockets.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from marlseam import records
-from marlseam.config import FOLDER, SOCKET
+from marlseam.configuration import FOLDER, SOCKET
 from marlseam.experiment.processes import Failed, Process
 from marlseam.net.protocol import READY_PATH
 from marlseam.records import Streams
@@ -96,11 +96,14 @@
     def node(self, name: str, zone: str, listen: str) -> Process:
         """Start a node, and return once it says where it listens."""
         config = {
-            "name": name, "listen": listen, "discovery": self.rosters[name],
+            "name": name,
+            "listen": listen,
+            "discovery": self.rosters[name],
             "seed": f"{int(stream(self.seed, 'node', name, time.monotonic_ns()).integers(1 << 62)):x}",
             "limits": {"memory_mb": 192, "sockets": 1024},
-            "known": {"seq": 0, "whole": True, "hosts": []}, "settings": settings(self.day, zone),
-        }  # fmt: skip
+            "known": {"seq": 0, "whole": True, "hosts": []},
+            "settings": settings(self.day, zone),
+        }
         own = self.own
         if self.more is not None:
             further, own = self.more(name)
--- a/marlseam/experiment/versions.py
+++ b/marlseam/experiment/versions.py
@@ -11,14 +11,14 @@
 from msgspec.structs import replace
 
 from marlseam import records
+from marlseam.cluster.audit import Audit
 from marlseam.experiment import file, plays
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.fleet import Fleet, Rig, run
 from marlseam.experiment.plays import Played, Say, play
-from marlseam.fleet.audit import Audit
 from marlseam.judge.book import Book
 from marlseam.judge.service import turnarounds
-from marlseam.store import audit as ledgers
+from marlseam.store import ledger_audit as ledgers
 from marlseam.world.model import Count
 
 ERROR_MS = 20.0  # one machine: by which a node's clock, read at its start, may be off
@@ -85,12 +85,15 @@
             differences += abs(known - said)
         total = len(self.took)
         return {
-            "allocations": float(total), "differences": float(differences + self.bare),
-            "unknown": float(unknown), "unknown_share": unknown / max(1, total),
-            "numbers": float(len(self.audit.held)), "audit_wrong": float(len(self.audit.wrong)),
+            "allocations": float(total),
+            "differences": float(differences + self.bare),
+            "unknown": float(unknown),
+            "unknown_share": unknown / max(1, total),
+            "numbers": float(len(self.audit.held)),
+            "audit_wrong": float(len(self.audit.wrong)),
             "two_contents": float(sum(len(ids) > 1 for ids in self.audit.held.values())),
             "lives": float(sum(map(len, self.audit.lives.values()))),
-        }  # fmt: skip
+        }
 
     def stale(self) -> dict[str, float]:
         """Return allocations past the bound, and how near the others came to it."""
@@ -128,10 +131,13 @@
     truth = Truth(rig, out, found, zero)
     figures = played.figures | truth.compared() | truth.stale()
     figures |= {
-        "faults": float(len(rig.spells)), "not_struck": float(len(rig.strikes)),
+        "faults": float(len(rig.spells)),
+        "not_struck": float(len(rig.strikes)),
         "alike_s": healed[0] / 1000.0 if healed else inf,
-    } | {f"came_{what}": float(sum(told.get(what, 0) for told in rig.contents.values()))
-         for what in ("whole", "chains", "edits", "changes", "digest")}  # fmt: skip
+    } | {
+        f"came_{what}": float(sum(told.get(what, 0) for told in rig.contents.values()))
+        for what in ("whole", "chains", "edits", "changes", "digest")
+    }
     for text in truth.audit.wrong:
         say(f"WRONG {text}")
     return rig, truth, played, figures
@@ -222,8 +228,11 @@
         slow = max(slow, 0.0 if code == "unfit" else inf)
         rows.append([name, "older", "-", f"out, code={code}", "-"])
     ill = {name for name, *_ in rig.spells} | set(table.older)
-    figures |= {"slowest_up_s": slow / 1000.0, "rest_service": at_nodes(played.book, set(rig.names) - ill),
-                "rest_without": at_nodes(calm.book, set(rig.names) - ill)}  # fmt: skip
+    figures |= {
+        "slowest_up_s": slow / 1000.0,
+        "rest_service": at_nodes(played.book, set(rig.names) - ill),
+        "rest_without": at_nodes(calm.book, set(rig.names) - ill),
+    }
     figures["rest_lost"] = figures["rest_without"] - figures["rest_service"]
     tables = [("Stragglers", rows), ("Publications", published(rig))]
     return Played(figures, played.verdict, played.book, tables, "sockets")
@@ -249,9 +258,17 @@
             worst[f"{mode}_unproved"] = max(worst.get(f"{mode}_unproved", 0.0), figures["unproved_share"])
             worst[f"{mode}_service"] = min(worst.get(f"{mode}_service", inf), figures["service"])
             worst["numbers"] = min(worst.get("numbers", inf), figures["numbers"])
-            rows.append([cut, mode, f"{figures['numbers']:.0f}", f"{figures['two_contents']:.0f}",
-                         f"{figures['unproved_share']:.3f}", f"{figures['past_bound']:.0f}",
-                         f"{figures['alike_s']:.1f}"])  # fmt: skip
+            rows.append(
+                [
+                    cut,
+                    mode,
+                    f"{figures['numbers']:.0f}",
+                    f"{figures['two_contents']:.0f}",
+                    f"{figures['unproved_share']:.3f}",
+                    f"{figures['past_bound']:.0f}",
+                    f"{figures['alike_s']:.1f}",
+                ]
+            )
     return Played(worst, tables=[("Publications on all sides of a cut", rows)], driver="sockets")
 
 
--- a/marlseam/experiment/virtual.py
+++ b/marlseam/experiment/virtual.py
@@ -3,7 +3,7 @@
 The real reducers of any number of nodes against the pure world, in one process and no time.
 
 Simulated are executors, roster, network and clients, and what a node's sockets do: connections kept and
-opened, patience with silence as in `marlseam.net.executors`. A node's own CPU time is not. The same day and
+opened, patience with silence as in `marlseam.net.upstream`. A node's own CPU time is not. The same day and
 seed give the same records byte for byte.
 """
 
@@ -13,11 +13,11 @@
 from math import inf
 
 from marlseam import core, records
-from marlseam.config import Deployment, deployment_from
-from marlseam.core import Core, Entry
-from marlseam.interface import Listing, Outcome, State, WorkUnit
-from marlseam.net.executors import GAP_PERIODS, PROBE_SHARE, TAKE_SHARE
+from marlseam.configuration import Deployment, deployment_from
+from marlseam.core import EndpointEntry, Reducer
+from marlseam.decisions.types import EndpointState, ListUpdateKind, Outcome, Request
 from marlseam.net.node import ANSWER_MS, DRAIN_MOST_MS
+from marlseam.net.upstream import GAP_PERIODS, PROBE_SHARE, TAKE_SHARE
 from marlseam.records import Streams
 from marlseam.world import fleet, plan, troubles
 from marlseam.world.chance import stream
@@ -32,7 +32,7 @@
 WATCH_GAP_MS = 100.0  # least time between two words of a watch
 RESTART_MS = 300.0  # how long a killed node is away
 ROLL_OPEN_MS = 350.0  # how long a front deals to a node that was told to end
-CLIENT_ENDS = {core.Complete: "completed", core.Defer: "deferred", core.Abort: "aborted"}
+CLIENT_ENDS = {core.Respond: "completed", core.Reject: "deferred", core.Fail: "aborted"}
 ENDS = {"done": Outcome.COMPLETED, "failed": Outcome.ERROR, "lost": Outcome.BROKEN}
 
 
@@ -85,7 +85,7 @@
     name: str
     zone: str
     deployment: Deployment
-    core: Core
+    core: Reducer
     life: int = 0
     up: bool = True
     version: int = 0
@@ -116,7 +116,7 @@
         day: Day,
         seed: int,
         streams: Streams,
-        make_core: Callable[[], Core] = Core,
+        make_core: Callable[[], Reducer] = Reducer,
         old: Old | None = None,
     ) -> None:
         self.day, self.seed, self.make_core = day, seed, make_core
@@ -139,14 +139,14 @@
             self.hosts[name] = host = Host(made[name], kind, zone, cell)
             self.writer(name, "executors")
             if host.executor.up:
-                rows.append(self.row(name, State.READY, None))
+                rows.append(self.row(name, EndpointState.READY, None))
         self.doubt, self.ghosts = (old.doubt, []) if old is not None else (0.0, [])
         for i in range(old.gone if old is not None else 0):
             name, (_, kind, number, zone, _) = f"gone-{i}", executors(day)[i % len(made)]
             ghost = fleet.executor(day, seed, name, kind, {})
             ghost.up = False
             self.hosts[name] = Host(ghost, number, zone, 9000 + i)
-            self.ghosts.append(self.row(name, State.READY, None))
+            self.ghosts.append(self.row(name, EndpointState.READY, None))
         self.roster = Roster(rows, day.roster.calls_per_s, day.roster.timeout_ms)
         self.seats = {name: self.seat(name, zone) for name, zone in nodes(day)}
         by_zone: dict[str, list[str]] = {}
@@ -201,9 +201,9 @@
         seat.idle, seat.tries, seat.version = {}, {}, 0
         self.driver.add(records.Node(t=self.now, by="driver", node=seat.name, state="began", zone=seat.zone))
         number = int(stream(self.seed, "node", seat.name, seat.life).integers(1 << 62))
-        self.post(seat, core.Begin(seat.deployment.settings, number))
+        self.post(seat, core.NodeStarted(seat.deployment.settings, number))
         listed = [*self.roster.news(0)[1], *self.ghosts]
-        self.post(seat, core.Roster(Listing.CACHED, listed, self.doubt))
+        self.post(seat, core.EndpointListUpdate(ListUpdateKind.CACHED, listed, self.doubt))
         self.front.back(seat.name) if seat.life > 1 else None
 
     def post(self, seat: Seat, event: core.Event) -> None:
@@ -218,9 +218,9 @@
         if seat.up and seat.life == life:
             self.post(seat, event)
 
-    def timer(self, seat: Seat, effect: core.Timer) -> None:
+    def timer(self, seat: Seat, effect: core.SetTimer) -> None:
         """Bring back a mark later."""
-        self.at(self.now + effect.delay_ms, self.post_in, seat, seat.life, core.Due(effect.mark))
+        self.at(self.now + effect.delay_ms, self.post_in, seat, seat.life, core.TimerFired(effect.timer_id))
 
     def end_node(self, seat: Seat, state: str) -> None:
         """End a node's life: what it held is lost to its clients and to executors."""
@@ -267,14 +267,14 @@
         if not (out.open and seat.up and seat.life == out.life):
             return
         expires = out.client.expires + self.lines.figures.client_ms
-        work = WorkUnit(out.id, arrival.type, expires, arrival.slots, key=arrival.key)
-        self.post(seat, core.Arrival(work))
+        work = Request(out.id, arrival.type, expires, arrival.slots, resource_key=arrival.key)
+        self.post(seat, core.RequestArrived(work))
 
-    def reply(self, seat: Seat, effect: core.Complete | core.Defer | core.Abort) -> None:
+    def reply(self, seat: Seat, effect: core.Respond | core.Reject | core.Fail) -> None:
         """A node answers."""
-        out = seat.tries.get(effect.ref)
+        out = seat.tries.get(effect.request_id)
         if out is not None:
-            advice = effect.advice_ms if type(effect) is core.Defer else 0.0
+            advice = effect.retry_after_ms if type(effect) is core.Reject else 0.0
             how = CLIENT_ENDS[type(effect)]
             self.at(self.now + self.lines.client_delay(), self.answered, out, how, advice)
 
@@ -301,22 +301,24 @@
     def left(self, out: Try) -> None:
         """A node sees that a client has gone."""
         out.seat.tries.pop(out.id, None)
-        self.post_in(out.seat, out.life, core.Left(out.id))
+        self.post_in(out.seat, out.life, core.ClientLeft(out.id))
 
     # Allocations.
 
-    def send(self, seat: Seat, effect: core.Send) -> None:
+    def send(self, seat: Seat, effect: core.SendAttempt) -> None:
         """A node sends an allocation, over a kept connection if it has one."""
-        host, now = self.hosts[effect.executor], self.now
-        limit, there = now + effect.limit_ms, self.reaches(seat, host)
-        kept = seat.idle.get(effect.executor, 0) > 0
-        exclusive = self.exclusive(effect.ref)
+        host, now = self.hosts[effect.server], self.now
+        limit, there = now + effect.time_left_ms, self.reaches(seat, host)
+        kept = seat.idle.get(effect.server, 0) > 0
+        exclusive = self.exclusive(effect.request_id)
         silent_at = inf if exclusive else now + self.take_ms
-        flight = Flight(seat, seat.life, effect.ref, effect.alloc, host, limit, silent_at, kept)
+        flight = Flight(
+            seat, seat.life, effect.request_id, effect.attempt_index, host, limit, silent_at, kept
+        )
         host.flights[flight.key] = flight
         way = self.lines.delay(seat.zone, host.zone)
         if kept:
-            seat.idle[effect.executor] -= 1
+            seat.idle[effect.server] -= 1
             flight.written = True
             self.at(now + way, self.deliver, flight)
         elif not there:
@@ -349,7 +351,7 @@
         if not flight.written or not flight.open or not self.hears(seat, host):
             return  # given up on its way, or lost there
         if not host.executor.up:
-            outcome = Outcome.DROPPED if flight.kept else Outcome.BROKEN
+            outcome = Outcome.STALE_CONNECTION if flight.kept else Outcome.BROKEN
             self.at(self.now + self.lines.delay(seat.zone, host.zone), self.settle, flight, outcome)
             return
         self.look(host)
@@ -364,7 +366,9 @@
         )
         if not taken:
             writer.add(records.Refused(t=self.now, by=name, id=flight.ref))
-            self.at(self.now + self.lines.delay(seat.zone, host.zone), self.settle, flight, Outcome.FULL)
+            self.at(
+                self.now + self.lines.delay(seat.zone, host.zone), self.settle, flight, Outcome.AT_CAPACITY
+            )
         else:
             # The head of the answer says that it has the job; silence counts again from its start.
             flight.silent_at = inf
@@ -386,20 +390,23 @@
         if not flight.open:
             return
         seat = flight.node
-        if outcome in (Outcome.TIMED_OUT, Outcome.WITHDRAWN):
+        if outcome in (Outcome.TIMED_OUT, Outcome.CANCELLED):
             self.give_up(flight)
         else:
             flight.open = False
             flight.host.flights.pop(flight.key, None)
-            if outcome in (Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL) and seat.life == flight.life:
+            if (
+                outcome in (Outcome.COMPLETED, Outcome.ERROR, Outcome.AT_CAPACITY)
+                and seat.life == flight.life
+            ):
                 name = flight.host.executor.name
                 seat.idle[name] = seat.idle.get(name, 0) + 1
             elif outcome is not Outcome.UNREACHABLE:
                 flight.host.connections -= 1
         done, report = outcome is Outcome.COMPLETED, None
-        if self.day.reports.answers and outcome in (Outcome.COMPLETED, Outcome.ERROR, Outcome.FULL):
+        if self.day.reports.answers and outcome in (Outcome.COMPLETED, Outcome.ERROR, Outcome.AT_CAPACITY):
             report = flight.host.executor.report(self.now)
-        self.post_in(seat, flight.life, core.Settled(flight.ref, flight.alloc, outcome, done, report))
+        self.post_in(seat, flight.life, core.AttemptEnded(flight.ref, flight.alloc, outcome, done, report))
 
     def give_up(self, flight: Flight) -> None:
         """A node closes an allocation's connection; its executor hears of it if it can."""
@@ -420,12 +427,12 @@
         host.executor.withdraw(key)
         self.look(host)
 
-    def cancel(self, seat: Seat, effect: core.Cancel) -> None:
+    def cancel(self, seat: Seat, effect: core.CancelAttempt) -> None:
         """A node gives up an allocation; it hears of that as of any other end."""
         for host in self.hosts.values():
-            flight = host.flights.get(f"{effect.ref}/{effect.alloc}")
+            flight = host.flights.get(f"{effect.request_id}/{effect.attempt_index}")
             if flight is not None and flight.node is seat and (effect.begun or not flight.written):
-                outcome = Outcome.WITHDRAWN if flight.written else Outcome.VOID
+                outcome = Outcome.CANCELLED if flight.written else Outcome.CANCELLED_UNSENT
                 self.at(self.now, self.settle, flight, outcome)
                 return
 
@@ -464,7 +471,11 @@
             self.at(way, self.settle, flight, ENDS[h.what])
             return
         number = int(alloc)
-        event = core.Started(ref, number) if h.what == "started" else core.Progress(ref, number, h.value)
+        event = (
+            core.AttemptStarted(ref, number)
+            if h.what == "started"
+            else core.AttemptProgressed(ref, number, h.value)
+        )
         self.at(way, self.word, flight, event)
 
     def word(self, flight: Flight, event: core.Event) -> None:
@@ -505,7 +516,7 @@
 
     def probe(self, seat: Seat, effect: core.Probe) -> None:
         """A node asks an executor for its report."""
-        host, sent, life = self.hosts[effect.executor], self.now, seat.life
+        host, sent, life = self.hosts[effect.server], self.now, seat.life
         way, back = self.lines.delay(seat.zone, host.zone), self.lines.delay(seat.zone, host.zone)
 
         def asked() -> None:
@@ -521,16 +532,16 @@
                 self.at(self.now + back + self.day.reports.probe_ms, told, Outcome.COMPLETED, report)
 
         def told(outcome: Outcome, report: object) -> None:
-            self.post_in(seat, life, core.Probed(effect.executor, outcome, self.now - sent, report))
+            self.post_in(seat, life, core.ProbeEnded(effect.server, outcome, self.now - sent, report))
 
         self.at(sent + way, asked)
 
     # The roster.
 
-    def row(self, name: str, state: State, born: float | None) -> Entry:
+    def row(self, name: str, state: EndpointState, born: float | None) -> EndpointEntry:
         """Return an executor as it is listed."""
         host = self.hosts[name]
-        return Entry(name, state, host.kind, self.day.fleet.zones.index(host.zone), host.cell, born)
+        return EndpointEntry(name, state, host.kind, self.day.fleet.zones.index(host.zone), host.cell, born)
 
     def listed(self, news: Listed) -> None:
         """The roster has learned of a change, and tells who watches."""
@@ -547,14 +558,14 @@
             if seat.watching and seat.up:
                 self.tell(seat)
 
-    def watch(self, seat: Seat, effect: core.Watch) -> None:
+    def watch(self, seat: Seat, effect: core.WatchEndpoints) -> None:
         """A node asks for the list and its changes."""
         served = self.roster.call(self.now)
         called = records.Called(t=self.now, by="roster", node=seat.name, served=served is not None)
         self.listing.add(called)
         if served is None:
             fail = self.now + min(self.day.roster.timeout_ms, 50.0)
-            self.at(fail, self.post_in, seat, seat.life, core.Roster(Listing.FAILED, []))
+            self.at(fail, self.post_in, seat, seat.life, core.EndpointListUpdate(ListUpdateKind.FAILED, []))
         else:
             self.at(served, self.served, seat, seat.life)
 
@@ -572,8 +583,8 @@
             self.listing.add(
                 records.Told(t=self.now, by="roster", node=seat.name, executor=executor, state=state.value)
             )
-        listing = Listing.FULL if whole else Listing.DELTA
-        self.post(seat, core.Roster(listing, rows))
+        listing = ListUpdateKind.FULL if whole else ListUpdateKind.DELTA
+        self.post(seat, core.EndpointListUpdate(listing, rows))
 
     # Troubles.
 
@@ -606,7 +617,7 @@
             for seat in self.seats.values():
                 if seat.watching:
                     seat.watching = False
-                    self.post(seat, core.Roster(Listing.FAILED, []))
+                    self.post(seat, core.EndpointListUpdate(ListUpdateKind.FAILED, []))
         elif what == "reset" and on:
             for host in hosts:
                 self.reset(host)
@@ -645,24 +656,24 @@
     def node_trouble(self, seat: Seat, what: str) -> None:
         """A node is killed, rolled or told to read its settings anew."""
         if what == "node_reload":
-            self.post_in(seat, seat.life, core.Renewed(seat.deployment.settings))
+            self.post_in(seat, seat.life, core.SettingsChanged(seat.deployment.settings))
         elif what == "node_kill" and seat.up:
             self.end_node(seat, "killed")
         elif what == "node_roll" and seat.up:
             seat.starts_ms = self.now + 1000.0 * self.day.fleet.roll_s
             drain = min(DRAIN_MOST_MS, max(type.limit_ms for type in self.day.types)) + ANSWER_MS
-            self.post(seat, core.Closing(drain))
+            self.post(seat, core.ShutdownBegun(drain))
             self.at(self.now + ROLL_OPEN_MS, self.front.died, seat.name, -inf)
             self.at(self.now + drain + 100.0, self.end_node, seat, "ended")
 
 
 EFFECTS: dict[type, Callable] = {
-    core.Send: Virtual.send,
-    core.Cancel: Virtual.cancel,
-    core.Complete: Virtual.reply,
-    core.Defer: Virtual.reply,
-    core.Abort: Virtual.reply,
+    core.SendAttempt: Virtual.send,
+    core.CancelAttempt: Virtual.cancel,
+    core.Respond: Virtual.reply,
+    core.Reject: Virtual.reply,
+    core.Fail: Virtual.reply,
     core.Probe: Virtual.probe,
-    core.Timer: Virtual.timer,
-    core.Watch: Virtual.watch,
+    core.SetTimer: Virtual.timer,
+    core.WatchEndpoints: Virtual.watch,
 }
--- a/marlseam/load/generator.py
+++ b/marlseam/load/generator.py
@@ -265,9 +265,18 @@
         left = max(0.0, out.client.expires - now) / 1000.0
         host = "{}:{}".format(*self.addresses[line.node]).encode()
         line.rest = REQUEST % (
-            name, key, host, out.id.encode(), name, left, receipt.encode(), arrival.slots, arrival.memory,
-            len(body), body,
-        )  # fmt: skip
+            name,
+            key,
+            host,
+            out.id.encode(),
+            name,
+            left,
+            receipt.encode(),
+            arrival.slots,
+            arrival.memory,
+            len(body),
+            body,
+        )
         out.sent = now
         self.tally.sent += 1
         self.flush(line)
--- a/marlseam/load/trace.py
+++ b/marlseam/load/trace.py
@@ -106,14 +106,23 @@
     numbers = {type.name: i for i, type in enumerate(day.types)}
     return [
         Arrival(
-            at=(row.t - begin) * load.time_scale, id=row.id, type=numbers[row.type], zone=row.zone,
-            work=row.work, slots=row.slots, memory=row.memory,
+            at=(row.t - begin) * load.time_scale,
+            id=row.id,
+            type=numbers[row.type],
+            zone=row.zone,
+            work=row.work,
+            slots=row.slots,
+            memory=row.memory,
             credit=day.types[numbers[row.type]].credit if row.credit is UNSET else row.credit,
-            receipt=row.receipt, key=row.key, honours=True, leaves=False,
-            first=(row.first or row.id) if inside else "", number=row.number,
+            receipt=row.receipt,
+            key=row.key,
+            honours=True,
+            leaves=False,
+            first=(row.first or row.id) if inside else "",
+            number=row.number,
         )
         for row in kept
-    ]  # fmt: skip
+    ]
 
 
 def load(path: Path, day: Day) -> list[Arrival]:
@@ -139,8 +148,17 @@
             continue
         arrival = by_id[r.first]
         row = Row(
-            t=round(r.t if r.number else r.intended, 3), id=r.id, type=r.type, zone=r.zone, work=arrival.work,
-            slots=arrival.slots, memory=arrival.memory, credit=r.credit, receipt=r.receipt, key=r.key,
-            first=r.first if r.number else "", number=r.number,
-        )  # fmt: skip
+            t=round(r.t if r.number else r.intended, 3),
+            id=r.id,
+            type=r.type,
+            zone=r.zone,
+            work=arrival.work,
+            slots=arrival.slots,
+            memory=arrival.memory,
+            credit=r.credit,
+            receipt=r.receipt,
+            key=r.key,
+            first=r.first if r.number else "",
+            number=r.number,
+        )
         yield msgspec.json.encode(row) + b"\n"
--- a/marlseam/net/admin.py
+++ b/marlseam/net/admin.py
@@ -22,9 +22,14 @@
     """Answers operators' calls, so many at a time; `calls` gives each its status and text."""
 
     def __init__(
-        self, loop: Loop, log: Log, address: tuple[str, int], places: int, calls: Calls,
+        self,
+        loop: Loop,
+        log: Log,
+        address: tuple[str, int],
+        places: int,
+        calls: Calls,
         body_most: int = BODY_MOST,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.loop, self.log, self.places, self.calls, self.body_most = loop, log, places, calls, body_most
         self.open: dict[Connection, Task | None] = {}  # the one that has waited longest first
         self.listener = http.Listener(loop, http.bound(address), self.make_room, self.taken, first=True)
--- a/marlseam/net/acting.py
+++ b/marlseam/net/config_service.py
@@ -1,6 +1,6 @@
 """Which version this node acts on: joins the pure machine and the ledger to the node, on a narrow port.
 
-Each act (a taking, an allocation, an answer, a refusal) is counted under the interval that it lies in. Before
+Each act (a taking, an attempt, an answer, a refusal) is counted under the interval that it lies in. Before
 anything is taken or sent it is looked whether the node may: after a stop of the process, too, as the look
 is at the clock.
 """
@@ -17,9 +17,10 @@
 from typing import Any
 
 from marlseam import __version__
-from marlseam.config import ConfigError, FleetSettings, member_address
-from marlseam.fleet import says
-from marlseam.fleet.content import (
+from marlseam.cluster.audit_log import ACTS, Ended, Entry, Held, Kept, Life, Mark, encode
+from marlseam.cluster.audit_log import Acting as Interval
+from marlseam.cluster.replication import messages
+from marlseam.cluster.replication.content import (
     FORMAT,
     Content,
     Meaning,
@@ -30,16 +31,15 @@
     voters_fit,
     write,
 )
-from marlseam.fleet.ledger import ACTS, Ended, Entry, Held, Kept, Life, Mark, encode
-from marlseam.fleet.ledger import Acting as Interval
-from marlseam.fleet.versions import Apply, Effect, Keep, Stand, Terms, To, Versions
-from marlseam.fleet.versions import Log as Said
+from marlseam.cluster.replication.replica import Apply, Effect, Keep, Stand, Terms, To, Versions
+from marlseam.cluster.replication.replica import Log as Said
+from marlseam.configuration import ClusterSettings, ConfigError, member_address
 from marlseam.net.log import Log
 from marlseam.net.loop import Coroutine, Loop
-from marlseam.store.folder import Disk, code_of, unix_ms
-from marlseam.store.helper import APPEND
-from marlseam.store.ledger import BESIDE, Ledger
-from marlseam.store.scribe import LOCK_S, Scribe
+from marlseam.store.ledger_writer import BESIDE, Ledger
+from marlseam.store.log_writer_client import LOCK_S, Scribe
+from marlseam.store.state_directory import Disk, code_of, unix_ms
+from marlseam.store.writer_process import APPEND
 
 MARK_MS = 1000.0  # between marks of acts, and looks at what changes by itself
 ACTS_MOST = 200  # acts after which a mark does not wait
@@ -65,7 +65,7 @@
 class Pages(Scribe):
     """The ledger's scribe."""
 
-    helper, what = "marlseam.store.ledger", "the ledger"
+    helper, what = "marlseam.store.ledger_writer", "the ledger"
     back_most_ms = BACK_MOST_MS
 
     def __init__(self, loop: Loop, log: Log, path: Path, name: str, take_in: Callable[[Kept], None]) -> None:
@@ -92,13 +92,20 @@
 class Acting:
     """One node's versions and ledger."""
 
-    FIRST = says.FIRST
+    FIRST = messages.FIRST
 
     def __init__(
-        self, loop: Loop, log: Log, settings: FleetSettings, name: str, life: int, seed: int, port: Port,
+        self,
+        loop: Loop,
+        log: Log,
+        settings: ClusterSettings,
+        name: str,
+        life: int,
+        seed: int,
+        port: Port,
         send: Callable[[str, bytes], None],
         regroup: Callable[[Mapping[str, str]], None] = lambda members: None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.loop, self.log, self.settings, self.name = loop, log, settings, name
         self.life, self.seed, self.port, self.send, self.regroup = life, seed, port, send, regroup
         self.machine: Versions | None = None
@@ -186,8 +193,16 @@
     def lived(self, now: float) -> Life:
         """Return what tells of this life."""
         began, wall = now - self.began_ms, self.wall()
-        return Life(self.life, __version__, self.pages.era.boot, wall - began, now - began,
-                    self.settings.lease_ms, self.beside, self.pages.era.zero_ms)  # fmt: skip
+        return Life(
+            self.life,
+            __version__,
+            self.pages.era.boot,
+            wall - began,
+            now - began,
+            self.settings.lease_ms,
+            self.beside,
+            self.pages.era.zero_ms,
+        )
 
     def take_in(self, kept: Kept) -> None:
         """Begin with what the ledger holds."""
@@ -271,7 +286,7 @@
 
     def hear(self, data: bytes, names: frozenset[str]) -> None:
         """Take in a note; raises Odd."""
-        note = says.read(data, self.settings.name, names)
+        note = messages.read(data, self.settings.name, names)
         if self.machine is not None and note.sender != self.name:
             self.act(self.machine.heard(self.loop.now(), note.sender, note.say))
             if not self.stood.proved:
@@ -296,7 +311,9 @@
             if type(effect) is To:
                 self.send(
                     effect.name,
-                    says.write(says.Note(says.VERSION, self.settings.name, self.name, effect.say)),
+                    messages.write(
+                        messages.Note(messages.VERSION, self.settings.name, self.name, effect.say)
+                    ),
                 )
             elif type(effect) is Keep:
                 self.loop.spawn(self.keep(effect))
@@ -359,7 +376,7 @@
             held is None
             or (held.number, held.meaning, held.listed) != (machine.acting, self.meant, listed)
             or (held.proved, held.serving, held.code) != (stood.proved, stood.acts, stood.code)
-        ):  # fmt: skip
+        ):
             self.begin_interval(now, listed)
         return stood
 
@@ -369,9 +386,19 @@
         number = self.interval.interval + 1 if self.interval is not None else 1
         id = machine.id if machine.acting == machine.number else ""
         self.interval = Interval(
-            self.life, number, __version__, machine.acting, id, self.meant, listed, stood.proved, stood.acts,
-            stood.code, self.wall(), now,
-        )  # fmt: skip
+            self.life,
+            number,
+            __version__,
+            machine.acting,
+            id,
+            self.meant,
+            listed,
+            stood.proved,
+            stood.acts,
+            stood.code,
+            self.wall(),
+            now,
+        )
         self.counts[number] = [0, 0, 0, 0]
         self.spans[number] = self.interval
         for table in (self.counts, self.spans):
@@ -390,7 +417,7 @@
             self.log.line("fleet code=local-refused: the file's settings are not the version's, these stay")
 
     def order(self) -> "Order":
-        """Return what an allocation is to ask and tell."""
+        """Return what an attempt is to ask and tell."""
         return Order(self)
 
     def may_take(self) -> bool:
@@ -469,8 +496,8 @@
             voters, members = given.get("voters"), given.get("members")
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
             return 400, f"settings and why were expected ({error!r})\n"
-        if not (isinstance(settings, dict) and isinstance(why, str) and 0 < len(why) <= says.TEXT_MOST):
-            return 400, f"settings, and why in up to {says.TEXT_MOST} characters, were expected\n"
+        if not (isinstance(settings, dict) and isinstance(why, str) and 0 < len(why) <= messages.TEXT_MOST):
+            return 400, f"settings, and why in up to {messages.TEXT_MOST} characters, were expected\n"
         names = isinstance(voters, list) and all(isinstance(name, str) for name in voters)
         if voters is not None and not names:
             return 400, "voters: a list of members' names was expected\n"
@@ -525,8 +552,8 @@
         """Shut this node out by an operator's word, or bring it back; it holds across restarts."""
         if self.machine is None:
             return 503, "another process has the ledger\n"
-        if why is not None and not 0 < len(why) <= says.TEXT_MOST:
-            return 400, f"why in up to {says.TEXT_MOST} characters was expected\n"
+        if why is not None and not 0 < len(why) <= messages.TEXT_MOST:
+            return 400, f"why in up to {messages.TEXT_MOST} characters was expected\n"
         if not self.pages.serves():
             return 503, f"the ledger cannot be written: {self.pages.code}\n"
         self.act([self.machine.by_hand(why, self.wall())])
@@ -541,21 +568,42 @@
         acts = map(sum, zip(*self.counts.values(), strict=True))
         open_id = machine.publication.id if machine.publication is not None else ""
         return {
-            "version": machine.number, "id": machine.id, "acting": machine.acting, "meaning": held.meaning,
-            "listed": held.listed, "interval": held.interval, "since_ms": round(now - held.mono_ms),
-            "serving": stood.acts, "proved": stood.proved, "code": stood.code,
-            "proof_age_ms": round(age) if age < now + 1e12 else None, "lease_ms": round(machine.lease_ms()),
-            "members": self.members(), "voters": sorted(machine.voters),
+            "version": machine.number,
+            "id": machine.id,
+            "acting": machine.acting,
+            "meaning": held.meaning,
+            "listed": held.listed,
+            "interval": held.interval,
+            "since_ms": round(now - held.mono_ms),
+            "serving": stood.acts,
+            "proved": stood.proved,
+            "code": stood.code,
+            "proof_age_ms": round(age) if age < now + 1e12 else None,
+            "lease_ms": round(machine.lease_ms()),
+            "members": self.members(),
+            "voters": sorted(machine.voters),
             "votes": machine.votes(machine.number + 1),
-            "unfit": machine.unfit, "hand": machine.hand, "disk": machine.disk,
+            "unfit": machine.unfit,
+            "hand": machine.hand,
+            "disk": machine.disk,
             "local": bool(machine.acting) and held.meaning != self.shared_meaning(),
             "contents": dict(machine.came),
-            "ledger": str(self.pages.path), "publication": machine.result, "agreeing": open_id,
+            "ledger": str(self.pages.path),
+            "publication": machine.result,
+            "agreeing": open_id,
             "acts": dict(zip(ACTS, acts, strict=True)),
-            "peers": {name: {"version": p.number, "acting": p.acting, "serving": p.serving, "code": p.code,
-                             "votes": p.votes, "told_ms": round(now - p.at_ms)}
-                      for name, p in sorted(machine.peers.items())},
-        }  # fmt: skip
+            "peers": {
+                name: {
+                    "version": p.number,
+                    "acting": p.acting,
+                    "serving": p.serving,
+                    "code": p.code,
+                    "votes": p.votes,
+                    "told_ms": round(now - p.at_ms),
+                }
+                for name, p in sorted(machine.peers.items())
+            },
+        }
 
     def shared_meaning(self) -> str:
         """Return the digest of the meaning of the version held."""
@@ -569,7 +617,7 @@
 
 
 class Order:
-    """One allocation, as the fleet knows it."""
+    """One attempt, as the fleet knows it."""
 
     def __init__(self, acting: Acting) -> None:
         self.acting, self.interval = acting, 0
--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -1,4 +1,4 @@
-"""The roster: the list that the node was given, then the whole list and a watch on its changes."""
+"""Discovery: the list that the node was given, then the whole list and a watch on its changes."""
 
 import json
 from collections.abc import Callable
@@ -7,16 +7,16 @@
 
 import h11
 
-from marlseam.config import Config
-from marlseam.core import Entry, Event, Roster
-from marlseam.interface import Listing, State
+from marlseam.configuration import Config
+from marlseam.core import EndpointEntry, EndpointListUpdate, Event
+from marlseam.decisions.types import EndpointState, ListUpdateKind
 from marlseam.net import protocol
 from marlseam.net.connection import Connection, Ended, Steps, connect
-from marlseam.net.executors import Executors
 from marlseam.net.log import Log, Reason
 from marlseam.net.loop import Cancelled, Coroutine, Loop, Task, sleep
 from marlseam.net.protocol import Malformed
-from marlseam.net.starts import StartTimes
+from marlseam.net.server_start_times import StartTimes
+from marlseam.net.upstream import Upstream
 
 # How long a call may take beyond its wait before it counts as failed, in times after which one must ask.
 CALL_SHARE = 0.2
@@ -37,16 +37,16 @@
 
 
 class Discovery:
-    """Follows the roster while it can; a failure is told to the reducer, which says when to ask again."""
+    """Follows discovery while it can; a failure is told to the reducer, which says when to ask again."""
 
     def __init__(
-        self, loop: Loop, log: Log, config: Config, executors: Executors, post: Callable[[Event], None]
+        self, loop: Loop, log: Log, config: Config, upstream: Upstream, post: Callable[[Event], None]
     ) -> None:
-        self.loop, self.log, self.executors, self.post = loop, log, executors, post
+        self.loop, self.log, self.upstream, self.post = loop, log, upstream, post
         self.version = -1
         self.told = False  # by discovery itself
         self.over = Reason.DRAINING  # why a watch is cancelled
-        self.held: dict[str, Entry] = {}
+        self.held: dict[str, EndpointEntry] = {}
         self.heard: Callable[[bool], None] = lambda changed: None  # told of each word of discovery's
         self.task: Task | None = None
         self.overdue: set[Task] = set()  # calls for the list that were told as failed and may yet be answered
@@ -62,7 +62,7 @@
         self.config = config
         settings = config.deployment.settings
         grace_ms = config.deployment.grace_ms
-        self.call_ms = min(CALL_SHARE * settings.must_ask_ms, CALL_MOST_MS)
+        self.call_ms = min(CALL_SHARE * settings.list_max_age_ms, CALL_MOST_MS)
         if config.deployment.pushed:
             # Guards against a call begun while the agent was down, which may never be answered: what the
             # agent has at its return counts as told at once.
@@ -70,8 +70,8 @@
         self.hear_ms = max(OVERDUE * self.call_ms, CALL_MOST_MS)
         self.gap_ms = min(GAP_MS, GAP_SHARE * grace_ms)
         # Guards against a watch that falls silent and is missed for long; large fleets make fewer calls each.
-        share = min(max(WATCH_LEAST, WATCH_SHARE * settings.nodes), WATCH_MOST)
-        self.wait_ms = min(share * settings.must_ask_ms, WATCH_MOST_MS)
+        share = min(max(WATCH_LEAST, WATCH_SHARE * settings.node_count), WATCH_MOST)
+        self.wait_ms = min(share * settings.list_max_age_ms, WATCH_MOST_MS)
 
     def configure(self, config: Config) -> None:
         """Take in a new configuration; the list that is held serves until discovery has told another.
@@ -91,7 +91,7 @@
         for task in tuple(self.overdue):
             task.cancel()
         if self.task is None or self.task.done:
-            self.post(Roster(Listing.FAILED, []))
+            self.post(EndpointListUpdate(ListUpdateKind.FAILED, []))
         else:
             self.task.cancel()
         self.over = Reason.DRAINING
@@ -156,7 +156,7 @@
     def fail(self) -> None:
         """Tell that the list is not followed now."""
         self.task = None
-        self.post(Roster(Listing.FAILED, []))
+        self.post(EndpointListUpdate(ListUpdateKind.FAILED, []))
 
     def fetch(self, connection: Connection, began: float) -> Steps:
         """Call for the list, and take it in unless a later call has brought one.
@@ -227,10 +227,12 @@
             self.confirmed_ms = now
 
     def rows(self) -> list[dict[str, Any]]:
-        """Return the list as it is held, as the roster writes it."""
-        peers, listed = self.executors.peers, self.starts.listed
+        """Return the list as it is held, as discovery writes it."""
+        peers, listed = self.upstream.peers, self.starts.listed
         return [
-            protocol.row_of(entry._replace(born_ms=listed(name)), peers[name].address, self.config.deployment)
+            protocol.row_of(
+                entry._replace(process_started_ms=listed(name)), peers[name].address, self.config.deployment
+            )
             for name, entry in self.held.items()
             if name in peers and peers[name].address is not None
         ]
@@ -241,7 +243,7 @@
         One that resumes and brings nothing new is not told: it shows no watch that lasts, so that rests grow.
         """
         news = protocol.news_from(value, self.config.deployment)
-        whole = news.listing is Listing.FULL
+        whole = news.listing is ListUpdateKind.FULL
         if (not whole or cached) and news.version < self.version:
             return False
         self.place_starts(news, cached)
@@ -254,18 +256,18 @@
         if whole:
             self.held.clear()
         for entry in news.entries:
-            if entry.state is State.GONE:
-                self.held.pop(entry.executor, None)
+            if entry.state is EndpointState.GONE:
+                self.held.pop(entry.server, None)
             else:
-                self.held[entry.executor] = entry
+                self.held[entry.server] = entry
         self.starts.keep(self.held)
-        self.executors.listed(self.held, news.addresses)
-        if self.executors.guard is not None:
-            self.executors.guard.listed(self.held, self.loop.now())
+        self.upstream.listed(self.held, news.addresses)
+        if self.upstream.guard is not None:
+            self.upstream.guard.listed(self.held, self.loop.now())
         if resumed and not whole and not news.entries:
             self.heard(False)
             return True
-        self.post(Roster(Listing.CACHED if cached else news.listing, news.entries, doubt))
+        self.post(EndpointListUpdate(ListUpdateKind.CACHED if cached else news.listing, news.entries, doubt))
         if not cached:
             self.heard(whole or bool(news.entries))
         return True
--- a/marlseam/net/server.py
+++ b/marlseam/net/downstream.py
@@ -1,4 +1,4 @@
-"""The node's own door: accepts clients, reads their work units and writes their answers."""
+"""The node's own door: accepts clients, reads their requests and writes their answers."""
 
 import socket
 import traceback
@@ -9,7 +9,7 @@
 
 import h11
 
-from marlseam.config import Config, Deployment
+from marlseam.configuration import Config, Deployment
 from marlseam.net import http, protocol
 from marlseam.net.connection import Connection, Ended, Headers, Steps
 from marlseam.net.invariants import Promise, Violations
@@ -36,13 +36,13 @@
 
 
 class Pending:
-    """A work unit that is out for its client, and the answer once there is one."""
+    """A request that is out for its client, and the answer once there is one."""
 
     def __init__(self, job: Job, taken_ms: float, gone: Callable[[], bool] = lambda: False) -> None:
         self.job, self.gone = job, gone  # `gone` looks whether its client has ended its connection
         self.task: Task | None = None  # that waits for the answer
         self.sent = False  # whether an attempt was handed on to be sent
-        self.expires_ms = taken_ms + job.left_ms
+        self.deadline_at_ms = taken_ms + job.left_ms
         self.answer: tuple[int, Headers, bytes] | None = None
 
     def give(self, status: int, headers: Headers, body: bytes) -> None:
@@ -52,8 +52,8 @@
             self.task.wake()
 
 
-class Server:
-    """Accepts connections and serves each by a coroutine; `take` and `left` tell the node of work units."""
+class DownstreamServer:
+    """Accepts connections and serves each by a coroutine; `take` and `left` tell the node of requests."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self.configure(config.deployment, room)
         self.violations: Violations | None = None
         self.owed: dict[Connection, str] = {}  # requests that were read and have no answer yet, by their ids
-        self.ids: set[str] = set()  # of work units that are out
+        self.ids: set[str] = set()  # of requests that are out
         self.draining: Timer | None = None  # the next look of a drain, while there is one
         self.close_ms = self.part_ms = inf  # when answers, and when unused connections, begin to close
         fd = config.socket_fd
@@ -300,7 +300,7 @@
         return connection.again()
 
     def work_unit(self, connection: Connection, pending: Pending) -> Steps:
-        """Hand a work unit to the node and wait for its answer, or for the client to go."""
+        """Hand a request to the node and wait for its answer, or for the client to go."""
         id = pending.job.id
         if connection.ahead():
             connection.shed_ahead()
@@ -311,14 +311,14 @@
         pending.task = self.loop.current
         self.ids.add(id)
         self.unproven.pop(connection, None)
-        ref = ""
+        request_id = ""
         try:
-            ref = self.take(pending)
-            yield from self.wait(connection, pending, ref)
+            request_id = self.take(pending)
+            yield from self.wait(connection, pending, request_id)
         except Ended:
             raise
         except Exception:
-            self.left(ref)  # its client is told of the error, and nothing more of it is sent
+            self.left(request_id)  # its client is told of the error, and nothing more of it is sent
             raise
         finally:
             self.ids.discard(id)
@@ -326,8 +326,8 @@
             raise Malformed("no executor can use this")
         return pending.answer
 
-    def wait(self, connection: Connection, pending: Pending, ref: str) -> Steps:
-        """Wait for a work unit's answer, or for its client to go."""
+    def wait(self, connection: Connection, pending: Pending, request_id: str) -> Steps:
+        """Wait for a request's answer, or for its client to go."""
         while pending.answer is None:
             wait, asked = connection.waits(), self.loop.now()
             came = yield wait
@@ -341,6 +341,6 @@
                 except Ended:
                     gone = True
                 if gone:
-                    self.left(ref)
+                    self.left(request_id)
                     raise Ended(Reason.PEER_CLOSED)
         pending.task = None
--- a/marlseam/net/memory.py
+++ b/marlseam/net/durable_state.py
@@ -1,6 +1,6 @@
 """A node's memory across restarts.
 
-The store's entries, made of the reducer's effects and the roster's words.
+The store's entries, made of the reducer's effects and discovery's words.
 """
 
 from __future__ import annotations
@@ -11,21 +11,21 @@
 from typing import TYPE_CHECKING
 
 from marlseam import core
+from marlseam.core.idempotency import AttemptRecord, told
 from marlseam.net.connection import Steps
 from marlseam.net.loop import sleep
-from marlseam.recovery import lists
-from marlseam.recovery.lists import Saved, Turnover
-from marlseam.recovery.receipts import Trace, told
-from marlseam.store import format as form
-from marlseam.store.keeper import Keeper
-from marlseam.store.state import State
+from marlseam.recovery import saved_list
+from marlseam.recovery.saved_list import Saved, Turnover
+from marlseam.store import file_format as form
+from marlseam.store.node_state import State
+from marlseam.store.state_store import Keeper
 
 if TYPE_CHECKING:
     from marlseam.net.node import Node
 
 PIECE = 500  # keys handed on in one step
 SOURCE = "store"  # as the reducer names it
-HEARD_MS = 5000.0  # how often the roster's silence about changes is noted
+HEARD_MS = 5000.0  # how often discovery's silence about changes is noted
 LISTED_MS = 1000.0  # least time between two lists in the journal
 
 
@@ -36,10 +36,10 @@
         self.node, self.clock = node, node.loop.clock
         self.keeper = Keeper(node.loop, node.log, node.config.store, node.config.name, self.take_in)
         self.turnover = Turnover()
-        self.numbers: dict[str, int] = {}  # of what must be durable, by work unit
+        self.numbers: dict[str, int] = {}  # of what must be durable, by request
         self.noted_ms = self.listed_ms = -1e18
         self.heard_unix_ms = 0.0  # when the list that is held was last confirmed
-        self.counted: set[str] = set()  # executors whose time is counted, and since when
+        self.counted: set[str] = set()  # servers whose time is counted, and since when
         self.counted_ms = 0.0
         self.changed = False
         self.keys = 0  # that were read
@@ -55,9 +55,9 @@
         gc.disable()  # guards the start: each collection looks at all the keys read so far
         state = self.keeper.load()
         node = self.node
-        node.core.receipts.most = node.config.store.keys
+        node.core.idempotency_records.most = node.config.store.keys
         if state is None:
-            self.node.post(core.Untold(SOURCE))
+            self.node.post(core.HistoryUnavailable(SOURCE))
             node.log.line("what may have run under a key is not known yet: marked retries go nowhere for now")
         else:
             for _ in self.recall(state):
@@ -76,10 +76,10 @@
         listed = state.listed if state is not None else None
         file = listed and Saved(listed.version, listed.rows, listed.heard_ms)
         given = Saved(int(known.get("seq", 0)), known.get("hosts", []), None) if known else None
-        if file is None or lists.choose(file, given) is not file:
+        if file is None or saved_list.choose(file, given) is not file:
             return False
-        age = lists.age(file, unix)
-        doubt = lists.doubt(age, self.turnover)
+        age = saved_list.age(file, unix)
+        doubt = saved_list.doubt(age, self.turnover)
         self.heard_unix_ms = file.heard_ms
         node.discovery.begin({"seq": file.version, "whole": True, "hosts": file.rows}, doubt)
         shown = "of unknown age" if age is None else f"{age / 1000.0:.0f} s old"
@@ -98,20 +98,20 @@
         since = -self.clock.unix_zero_ms
         names: dict[str, str] = {}  # each held once
 
-        def trace(r: form.Sent) -> Trace:
+        def trace(r: form.Sent) -> AttemptRecord:
             name = names.setdefault(r.executor, r.executor)
-            return Trace(name, zones.get(r.zone, -1), r.cell, r.sent_ms + since, r.until_ms + since)
+            return AttemptRecord(name, zones.get(r.zone, -1), r.cell, r.sent_ms + since, r.until_ms + since)
 
         sent, self.keys = state.sent, len(state.sent)
         while sent:
             # Taken out as it is handed on: to let go of 100,000 keys at once takes a turn of its own.
             rows = [sent.popitem() for _ in range(min(len(sent), PIECE))]
-            node.post(core.Recalled({key: [trace(r) for r in found] for key, found in rows}))
+            node.post(core.HistoryRecovered({key: [trace(r) for r in found] for key, found in rows}))
             yield
         if state.lost_ms is None:
-            node.post(core.Retold(SOURCE))
+            node.post(core.HistoryAvailable(SOURCE))
         else:
-            node.post(core.Untold(SOURCE, min(node.loop.now(), state.lost_ms + since)))
+            node.post(core.HistoryUnavailable(SOURCE, min(node.loop.now(), state.lost_ms + since)))
             node.log.line("what may have run under a key is lost: marked retries go nowhere for now")
 
     def take_in(self, state: State) -> Steps:
@@ -125,31 +125,31 @@
     # Entries.
 
     def list_now(self) -> form.Listed:
-        """Return the list as it is held, with the time at which the roster last confirmed it."""
+        """Return the list as it is held, with the time at which discovery last confirmed it."""
         discovery = self.node.discovery
         return form.Listed(max(0, discovery.version), discovery.rows(), self.heard_unix_ms)
 
-    def sent(self, key: str, trace: Trace) -> form.Sent:
+    def sent(self, key: str, trace: AttemptRecord) -> form.Sent:
         """Return a sending as the files hold it."""
         return form.Sent(*told(key, trace, self.node.config.deployment.zones, self.clock.to_unix))
 
     # What happens.
 
-    def keep(self, effect: core.Remember | core.Forget) -> None:
+    def keep(self, effect: core.PersistAttempt | core.ErasePersisted) -> None:
         """Journal what may have run, or that it never did."""
-        if type(effect) is core.Remember:
-            self.numbers[effect.ref] = self.keeper.append(self.sent(effect.key, effect.trace))
+        if type(effect) is core.PersistAttempt:
+            self.numbers[effect.request_id] = self.keeper.append(self.sent(effect.key, effect.trace))
         else:
             unix = self.clock.to_unix(effect.sent_ms)
-            self.keeper.append(form.NeverRan(effect.key, effect.executor, unix))
+            self.keeper.append(form.NeverRan(effect.key, effect.server, unix))
 
-    def gate(self, ref: str) -> Callable[[], Steps] | None:
+    def gate(self, request_id: str) -> Callable[[], Steps] | None:
         """Return what a sending that needs a record waits for: whether that is durable."""
-        number = self.numbers.pop(ref, None)
+        number = self.numbers.pop(request_id, None)
         return None if number is None else lambda: self.keeper.durable(number)
 
     def heard(self, changed: bool) -> None:
-        """Note a word of the roster's: a list that changed, or that the one held still holds."""
+        """Note a word of discovery's: a list that changed, or that the one held still holds."""
         node, now = self.node, self.node.loop.now()
         held = set(node.discovery.held)
         self.turnover.lived_ms += len(self.counted) * (now - self.counted_ms)
--- a/marlseam/net/http.py
+++ b/marlseam/net/http.py
@@ -91,7 +91,7 @@
                     empty, self.empty_ms = True, self.loop.now()
                     break  # before room is made: for nobody a connection would be closed
                 while not self.room(False):
-                    # Guards against losing work units: what is not accepted yet waits, what is would be lost.
+                    # Guards against losing requests: what is not accepted yet waits, what is would be lost.
                     yield from sleep(self.loop.now() + PAUSE_MS)
                 try:
                     self.one()
--- a/marlseam/net/invariants.py
+++ b/marlseam/net/invariants.py
@@ -10,9 +10,9 @@
 from enum import Enum
 from math import inf, sqrt
 
-from marlseam.config import Deployment
-from marlseam.core import Entry
-from marlseam.interface import Effect, Outcome, State
+from marlseam.configuration import Deployment
+from marlseam.core import EndpointEntry
+from marlseam.decisions.types import EndpointState, Idempotency, Outcome
 from marlseam.net.log import Log
 from marlseam.net.protocol import Job
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class Attempt:
+class GuardedAttempt:
     """One attempt whose last byte was about to go out."""
 
     server: str
@@ -64,17 +64,17 @@
 
 
 @dataclass(slots=True)
-class Request:
+class GuardedRequest:
     """What the guard knows of an open request."""
 
     job: Job
-    expires_ms: float
-    attempts: dict[int, Attempt] = field(default_factory=dict)
+    deadline_at_ms: float
+    attempts: dict[int, GuardedAttempt] = field(default_factory=dict)
     ended: Promise | None = None  # what an attempt would break from now on
     ended_ms: float = inf
 
 
-NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.VOID)
+NEVER_RAN = (Outcome.AT_CAPACITY, Outcome.UNREACHABLE, Outcome.CANCELLED_UNSENT)
 
 
 class SendGuard:
@@ -92,49 +92,49 @@
     ) -> None:
         self.violations, self.deployment, self.slow_start = violations, deployment, slow_start
         self.members: set[str] = set()
-        self.requests: dict[str, Request] = {}
+        self.requests: dict[str, GuardedRequest] = {}
         self.over: dict[str, Promise] = {}  # requests that were forgotten last
         self.draining_ms: dict[str, float] = {}  # since when a server is told to drain or be gone
         self.starting: dict[str, deque[tuple[float, float]]] = {}  # sends in slow start: when, of what size
 
     # What happens.
 
-    def taken(self, ref: str, job: Job, expires_ms: float) -> None:
+    def taken(self, request_id: str, job: Job, deadline_at_ms: float) -> None:
         """Note a request that is to be sent, and until when its client waits."""
-        self.requests.setdefault(ref, Request(job, expires_ms))
+        self.requests.setdefault(request_id, GuardedRequest(job, deadline_at_ms))
 
-    def ended(self, ref: str, promise: Promise, now: float) -> None:
+    def ended(self, request_id: str, promise: Promise, now: float) -> None:
         """Note that a request has its answer, or that its client has left."""
-        request = self.requests.get(ref)
+        request = self.requests.get(request_id)
         if request is None:
             return
         if request.ended is Promise.AFTER_ANSWER and promise is Promise.AFTER_ANSWER:
-            self.violations.note(Promise.ONE_ANSWER, ref=ref)
+            self.violations.note(Promise.ONE_ANSWER, request_id=request_id)
         if request.ended is None:
             request.ended, request.ended_ms = promise, now
-        self.forget(ref, request)
+        self.forget(request_id, request)
 
-    def settled(self, ref: str, attempt: int, outcome: Outcome) -> None:
+    def settled(self, request_id: str, attempt: int, outcome: Outcome) -> None:
         """Note how an attempt ended."""
-        request = self.requests.get(ref)
+        request = self.requests.get(request_id)
         if request is not None:
             if attempt in request.attempts:
                 request.attempts[attempt].outcome = outcome
-            self.forget(ref, request)
+            self.forget(request_id, request)
 
-    def forget(self, ref: str, request: Request) -> None:
+    def forget(self, request_id: str, request: GuardedRequest) -> None:
         """Forget a request that has its end and nothing out."""
         if request.ended is not None and all(a.outcome is not None for a in request.attempts.values()):
-            del self.requests[ref]
-            self.over[ref] = request.ended
+            del self.requests[request_id]
+            self.over[request_id] = request.ended
             if len(self.over) > OVER_MOST:
                 del self.over[next(iter(self.over))]
 
-    def listed(self, held: Mapping[str, Entry], now: float) -> None:
+    def listed(self, held: Mapping[str, EndpointEntry], now: float) -> None:
         """Take in the list as it is held now; one off it may be used where draining alone binds."""
-        gone = set() if self.deployment.settings.drain_binds_alone else self.members - held.keys()
+        gone = set() if self.deployment.settings.only_draining_excludes else self.members - held.keys()
         self.members = set(held)
-        draining = {name for name, entry in held.items() if entry.state is not State.READY}
+        draining = {name for name, entry in held.items() if entry.state is not EndpointState.READY}
         for name in held.keys() - draining & self.draining_ms.keys():
             self.draining_ms.pop(name, None)
         for name in draining | gone:
@@ -144,24 +144,24 @@
 
     # The look.
 
-    def allows(self, ref: str, attempt: int, server: str, told_ms: float, now: float) -> bool:
+    def allows(self, request_id: str, attempt: int, server: str, told_ms: float, now: float) -> bool:
         """Return whether an attempt may begin now, and note it; a violation is counted and refused."""
-        request = self.requests.get(ref)
-        promise = self.over.get(ref) if request is None else self.broken(request, server, told_ms, now)
+        request = self.requests.get(request_id)
+        promise = self.over.get(request_id) if request is None else self.broken(request, server, told_ms, now)
         if promise is not None:
-            self.violations.note(promise, ref=ref, attempt=attempt, server=server)
+            self.violations.note(promise, request_id=request_id, attempt=attempt, server=server)
             return False
         if request is not None:
-            request.attempts[attempt] = Attempt(server, now)
+            request.attempts[attempt] = GuardedAttempt(server, now)
         return True
 
-    def broken(self, request: Request, server: str, told_ms: float, now: float) -> Promise | None:
+    def broken(self, request: GuardedRequest, server: str, told_ms: float, now: float) -> Promise | None:
         """Return the promise that an attempt would break."""
         if request.ended is Promise.AFTER_ANSWER:
             return request.ended
         if request.ended is not None and now - request.ended_ms > LEFT_MS:
             return request.ended
-        if told_ms > request.expires_ms - now + TOLD_MS:
+        if told_ms > request.deadline_at_ms - now + TOLD_MS:
             return Promise.DEADLINE
         since = self.draining_ms.get(server)
         if since is not None and now - since > self.deployment.grace_ms:
@@ -170,24 +170,27 @@
             return Promise.REPEAT
         return Promise.SLOW_START if self.overloads(server, request.job, now) else None
 
-    def repeats(self, request: Request, now: float) -> bool:
+    def repeats(self, request: GuardedRequest, now: float) -> bool:
         """Return whether something of a request may have run, after which it may not go out again."""
         ran = [a for a in request.attempts.values() if a.outcome not in NEVER_RAN]
         if not ran:
             return False
-        of_class = self.deployment.settings.types[request.job.type]
-        if of_class.effect is Effect.EXCLUSIVE:
+        of_class = self.deployment.settings.request_classes[request.job.class_index]
+        if of_class.idempotency is Idempotency.UNSAFE:
             return True
-        return of_class.effect is Effect.RECEIPTED and now > ran[0].begun_ms + of_class.memory_ms
+        return (
+            of_class.idempotency is Idempotency.KEYED
+            and now > ran[0].begun_ms + of_class.deduplication_window_ms
+        )
 
     def overloads(self, server: str, job: Job, now: float) -> bool:
         """Return whether this node alone would send a server in slow start more than all nodes may."""
-        budget, size = self.slow_start(server, job.type, job.slots)
+        budget, size = self.slow_start(server, job.class_index, job.slots)
         if budget == inf:
             self.starting.pop(server, None)
             return False
         sends = self.starting.setdefault(server, deque())
-        while sends and sends[0][0] < now - self.deployment.settings.fall_ms:
+        while sends and sends[0][0] < now - self.deployment.settings.overload_window_ms:
             sends.popleft()
         factor = more = 3.0 if budget < SMALL_BUDGET else 2.0
         if sends and sum(row[1] for row in sends) + size > budget + factor * sqrt(budget) + more:
--- a/marlseam/net/log.py
+++ b/marlseam/net/log.py
@@ -28,7 +28,7 @@
     WITHDRAWN = "withdrawn"  # nobody waits for it any more
     BAD_MESSAGE = "bad-message"
     TOO_LARGE = "too-large"
-    FORGOTTEN = "forgotten"  # its executor is gone or has another address
+    FORGOTTEN = "forgotten"  # its server is gone or has another address
     DRAINING = "draining"  # this node stops
     FAULT = "fault"  # an error of this program
 
--- a/marlseam/net/peers.py
+++ b/marlseam/net/membership_service.py
@@ -15,14 +15,14 @@
 from typing import TYPE_CHECKING
 
 from marlseam import __version__
-from marlseam.config import FleetSettings, member_address
-from marlseam.fleet.members import Changed, Effect, Members, Say
-from marlseam.fleet.words import LETTER_MOST, Odd, Standing, read, write
+from marlseam.cluster.membership import Changed, Effect, Members, Say
+from marlseam.cluster.membership_codec import LETTER_MOST, Odd, Standing, read, write
+from marlseam.configuration import ClusterSettings, member_address
 from marlseam.net.log import Log
 from marlseam.net.loop import READ, Coroutine, Loop
 
 if TYPE_CHECKING:
-    from marlseam.net.acting import Acting, Port
+    from marlseam.net.config_service import Acting, Port
 
 READS = 32  # letters read in one turn
 AGAIN_MS = 50.0  # between tries of an address that another process has
@@ -36,7 +36,7 @@
     """
 
     def __init__(
-        self, loop: Loop, log: Log, settings: FleetSettings, name: str, seed: int, port: Port | None = None
+        self, loop: Loop, log: Log, settings: ClusterSettings, name: str, seed: int, port: Port | None = None
     ) -> None:
         self.loop, self.log, self.settings, self.name, self.seed = loop, log, settings, name, seed
         self.names = frozenset(settings.members)  # that are read; one that belonged is told why it does not
@@ -49,7 +49,7 @@
         self.acting: Acting | None = None
         if port is not None:
             # Imported here: a node of a fleet without versions needs nothing of it.
-            from marlseam.net.acting import Acting
+            from marlseam.net.config_service import Acting
 
             self.acting = Acting(loop, log, settings, name, self.life, seed, port, self.send, self.regroup)
         self.machine = self.machine_now()
@@ -173,10 +173,16 @@
         standing = "here" if self.sock is not None else "out"
         rows = [
             {
-                "name": self.name, "standing": standing, "life": own.life, "incarnation": own.incarnation,
-                "since_ms": round(now), "heard_ms": 0, "suspected_by": [], "former_life": None,
+                "name": self.name,
+                "standing": standing,
+                "life": own.life,
+                "incarnation": own.incarnation,
+                "since_ms": round(now),
+                "heard_ms": 0,
+                "suspected_by": [],
+                "former_life": None,
             }
-        ]  # fmt: skip
+        ]
         for name, member in self.machine.members.items():
             claim = member.claim
             heard = None if member.heard_ms == -inf else round(now - member.heard_ms)
@@ -184,21 +190,32 @@
                 {
                     "name": name,
                     "standing": "unheard" if claim is None else Standing(claim.standing).name.lower(),
-                    "life": claim and claim.life, "incarnation": claim and claim.incarnation,
-                    "since_ms": round(now - member.since_ms), "heard_ms": heard,
+                    "life": claim and claim.life,
+                    "incarnation": claim and claim.incarnation,
+                    "since_ms": round(now - member.since_ms),
+                    "heard_ms": heard,
                     "suspected_by": sorted(member.suspects),
                     "former_life": member.former if member.former >= 0 else None,
                 }
-            )  # fmt: skip
+            )
         told = {
-            "fleet": self.settings.name, "by": self.name, "program": __version__,
-            "health": self.machine.health, "period_ms": self.settings.period_ms,
-            "letters": {"sent": self.sent, "came": self.came, "bytes_sent": self.sent_bytes,
-                        "bytes_came": self.came_bytes, "left_out": dict(self.dropped)},
+            "fleet": self.settings.name,
+            "by": self.name,
+            "program": __version__,
+            "health": self.machine.health,
+            "period_ms": self.settings.period_ms,
+            "letters": {
+                "sent": self.sent,
+                "came": self.came,
+                "bytes_sent": self.sent_bytes,
+                "bytes_came": self.came_bytes,
+                "left_out": dict(self.dropped),
+            },
             "members": sorted(rows, key=lambda row: row["name"]),
-            "addresses": {name: "{}:{}".format(*self.addresses[name])
-                          for name in (self.belong or self.settings.members)},
-        }  # fmt: skip
+            "addresses": {
+                name: "{}:{}".format(*self.addresses[name]) for name in (self.belong or self.settings.members)
+            },
+        }
         if self.acting is not None:
             told["acting"] = self.acting.status()
         return json.dumps(told) + "\n"
