--- a/marlseam/net/node.py
+++ b/marlseam/net/node.py
@@ -10,19 +10,18 @@
 from math import inf
 from typing import Any, NamedTuple
 
-from marlseam import config as configuration
-from marlseam import core
-from marlseam.config import Config, ConfigError
-from marlseam.core import Core, Effect, Event
+from marlseam import configuration, core
+from marlseam.configuration import Config, ConfigError
+from marlseam.core import Effect, Event, Reducer
 from marlseam.counters import Counters
-from marlseam.interface import Outcome, Settings, WorkUnit
-from marlseam.net import protocol, server
+from marlseam.decisions.types import Outcome, Request, Settings
+from marlseam.net import downstream, protocol
 from marlseam.net.discovery import Discovery
-from marlseam.net.executors import Executors, Order
+from marlseam.net.downstream import Pending, Room
 from marlseam.net.invariants import Promise, SendGuard, Violations
 from marlseam.net.log import Log
 from marlseam.net.loop import Loop
-from marlseam.net.server import Pending, Room
+from marlseam.net.upstream import Order, Upstream
 
 OWN_SOCKETS = 32  # descriptors for listeners, epoll, signals, discovery, logs and the interpreter
 OWN_MB, CONNECTION_KB = 20.0, 20.0  # memory for the node itself, and for a connection without its body
@@ -35,7 +34,7 @@
 CONTENT_MOST = 512 << 10  # bytes of a fleet's settings as an operator sends them
 LISTEN_MS = 600.0  # how long new connections may still come after SIGTERM
 PART_MS = 300.0  # how long clients may go on using the connections that they have, once out of service
-DRAIN_MOST_MS = 3000.0  # how long work goes on after SIGTERM, or for the longest hard limit if that is less
+DRAIN_MOST_MS = 3000.0  # how long work goes on after SIGTERM, or for the longest deadline if that is less
 KEEP_SHARE = 0.4  # of that time, in which clients may go on using the connections that they have
 ANSWER_MS, EXIT_MS = 300.0, 500.0  # by when after that all is answered, and the node ends at the latest
 LAST_MS = 100.0  # but not before what came on the last connections could be read
@@ -55,7 +54,7 @@
 
     The platform's protocol has no messages between nodes, and its lists come to those that watch alone.
     """
-    return replace(settings, may_tell=False, asked_roster=True, share=1.0 / processes)
+    return replace(settings, may_gossip=False, subscribes_to_endpoints=True, process_share=1.0 / processes)
 
 
 @contextmanager
@@ -77,7 +76,7 @@
 
 
 def room(config: Config, processes: int = 1) -> tuple[Room, int]:
-    """Return what clients may have, and how many connections executors may, in one of some processes."""
+    """Return what clients may have, and how many connections servers may, in one of some processes."""
     places = connections(config, processes)
     clients = int(CLIENT_SHARE * places)
     free = BODY_SHARE * (config.memory_mb / processes - OWN_MB) * 1024.0 * 1024.0
@@ -87,16 +86,16 @@
 class GiveUp(NamedTuple):
     """Answer a request that met an error of this program."""
 
-    ref: str
+    request_id: str
 
 
 def ref_of(what: Event | Effect) -> str:
     """Return the request that an event or an effect is of; "" where it is of none."""
-    return what.work.ref if type(what) is core.Arrival else getattr(what, "ref", "")
+    return what.request.request_id if type(what) is core.RequestArrived else getattr(what, "request_id", "")
 
 
 class Node:
-    """Joins the loop, the server, the executors, discovery and the reducer."""
+    """Joins the loop, the server, the servers, discovery and the reducer."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
@@ -111,31 +110,34 @@
         self.watch = None
         if config.watch is not None:
             # Imported here: a node that watches nothing needs nothing of it.
-            from marlseam.watch import Watch
+            from marlseam.shadow_policy import Watch
 
             self.watch = Watch(config.watch.change)
             self.loop.at(self.loop.now() + 1000.0 * config.watch.every_s, self.tell_watch)
-        self.core = Core(self.watch)
+        self.core = Reducer(self.watch)
         self.pending: dict[str, Pending] = {}
-        self.refs, self.events, self.busy = 0, deque[Event](), False
+        self.last_request_id, self.events, self.busy = 0, deque[Event](), False
         self.ending = self.waits = False
         self.counters = Counters()
         self.counters.know(config.deployment.types)
-        self.executors = Executors(self.loop, self.log, config.deployment, places, self.post, self.counters)
+        self.upstream = Upstream(self.loop, self.log, config.deployment, places, self.post, self.counters)
         self.violations = Violations(self.log)
         self.guard = SendGuard(self.violations, config.deployment, self.slow_start)
-        self.executors.guard = self.guard
-        self.discovery = Discovery(self.loop, self.log, config, self.executors, self.post)
+        self.upstream.guard = self.guard
+        self.discovery = Discovery(self.loop, self.log, config, self.upstream, self.post)
         door = "listen", "{}:{}".format(*config.listen), "a free address"
         if config.socket_fd is not None:
             door = configuration.SOCKET, config.socket_fd, "the number of a stream socket that listens"
         with usable(*door):
-            self.server = server.Server(
+            self.downstream = downstream.DownstreamServer(
                 self.loop, self.log, config, clients, self.ready, self.take, self.left
             )
-        self.server.violations = self.violations
+        self.downstream.violations = self.violations
         descriptors, self.regrows = self.loop.descriptors, self.loop.at(self.loop.now(), lambda: None)
-        descriptors.givers, descriptors.lacks = [self.server.make_room, self.executors.make_room], self.lacks
+        descriptors.givers, descriptors.lacks = (
+            [self.downstream.make_room, self.upstream.make_room],
+            self.lacks,
+        )
         self.admin = None
         if config.admin is not None:
             # Imported here: a node without such a door needs nothing of it.
@@ -160,11 +162,11 @@
                 most = CONTENT_MOST
             with usable("admin", "{}:{}".format(*config.admin), "a free address"):
                 self.admin = Admin(self.loop, self.log, config.admin, OPERATORS, calls, most)
-        self.post(core.Begin(alone(config.deployment.settings), config.seed))
+        self.post(core.NodeStarted(alone(config.deployment.settings), config.seed))
         self.memory = self.handover = None
         if config.store is not None:
             # Imported here: a node without a store needs nothing of it.
-            from marlseam.net.memory import Memory
+            from marlseam.net.durable_state import Memory
 
             self.memory = Memory(self)
             self.memory.recover()
@@ -172,29 +174,34 @@
             self.discovery.begin()
         if config.socket_fd is not None and config.folder is not None:
             # Imported here: a node that no other process takes over from needs nothing of it.
-            from marlseam.net.handover import Handover
+            from marlseam.net.process_handover import Handover
 
             self.handover = Handover(self, self.take_over)
             self.handover.begin()
         else:
             with usable(*door):
-                self.server.listen()
+                self.downstream.listen()
         if self.acting is not None:
             self.acting.begin()
 
     def join(self) -> None:
         """Become one of a fleet, and act from the start on the version that its ledger holds."""
         # Imported here: a node that is of no fleet needs nothing of it.
-        from marlseam.net.peers import Peers
+        from marlseam.net.membership_service import Peers
 
         fleet, port = self.config.fleet, None
         if fleet.folder is not None:
-            from marlseam.net.acting import Port
+            from marlseam.net.config_service import Port
 
             port = Port(
-                self.wrong, self.act_on, self.serve, lambda: max(0, self.discovery.version),
-                lambda: self.config.settings, self.prove, self.config.socket_fd is not None,
-            )  # fmt: skip
+                self.wrong,
+                self.act_on,
+                self.serve,
+                lambda: max(0, self.discovery.version),
+                lambda: self.config.settings,
+                self.prove,
+                self.config.socket_fd is not None,
+            )
         with usable("fleet.members", fleet.members[self.config.name], "a free address of this machine"):
             self.peers = Peers(self.loop, self.log, fleet, self.config.name, self.config.seed, port)
         self.acting = self.peers.acting
@@ -211,7 +218,7 @@
         return ""
 
     def act_on(self, settings: Mapping[str, Any]) -> None:
-        """Act on a fleet's settings, between two events; open work keeps its project type."""
+        """Act on a fleet's settings, between two events; open work keeps its request class."""
         self.adopt(configuration.with_settings(self.config, settings))
 
     def prove(self, number: int, id: str, mono_ms: float) -> None:
@@ -239,7 +246,7 @@
         """Take work from the socket that is shared, once this process may: another may still do so."""
         self.waits = self.acting is not None and not self.acting.stood.acts
         if not self.waits:
-            self.server.listen()
+            self.downstream.listen()
 
     def processes(self) -> int:
         """Return how many processes serve as this node."""
@@ -249,24 +256,24 @@
         """Keep to this process's part of the node's limits and budgets, as others come and go."""
         deployment, processes = self.config.deployment, self.processes()
         clients, places = room(self.config, processes)
-        self.post(core.Renewed(alone(deployment.settings, processes)))
-        self.server.configure(deployment, clients)
-        self.executors.configure(deployment, places)
+        self.post(core.SettingsChanged(alone(deployment.settings, processes)))
+        self.downstream.configure(deployment, clients)
+        self.upstream.configure(deployment, places)
 
     def lacks(self) -> None:
         """Take fewer clients for a while: the system has fewer descriptors than the settings say.
 
         Guards the sends of what was taken, which need as many again as clients have.
         """
-        has = len(self.server.open) + self.executors.open()
-        self.server.lacks(max(CLIENTS_LEAST, int(CLIENT_SHARE * has)))
+        has = len(self.downstream.open) + self.upstream.open()
+        self.downstream.lacks(max(CLIENTS_LEAST, int(CLIENT_SHARE * has)))
         self.loop.drop(self.regrows)
         self.regrows = self.loop.at(self.loop.now() + LACK_MS, self.regrow)
 
     def regrow(self) -> None:
         """Take as many clients again as the settings say: other processes may have given back."""
         self.loop.descriptors.whole()
-        self.server.configure(self.config.deployment, room(self.config, self.processes())[0])
+        self.downstream.configure(self.config.deployment, room(self.config, self.processes())[0])
 
     def tell_watch(self) -> None:
         """Log what the settings watched would have decided otherwise so far, and again after a while."""
@@ -280,10 +287,10 @@
         self.loop.on_signals(calls)
         self.loop.descriptors.hold()
         # As bound: a configured port 0 leaves the choice to the system.
-        self.log.line("listens on {}:{}".format(*self.server.sock.getsockname()[:2]))
+        self.log.line("listens on {}:{}".format(*self.downstream.sock.getsockname()[:2]))
         self.loop.run()
         self.busy = True  # nothing is decided any more
-        self.executors.close()
+        self.upstream.close()
         if self.handover is not None:
             self.handover.close()
         if self.peers is not None:
@@ -295,7 +302,7 @@
 
     def ready(self) -> bool:
         """Return whether clients should come."""
-        return bool(self.discovery.held and self.server.listener) and self.server.draining is None
+        return bool(self.discovery.held and self.downstream.listener) and self.downstream.draining is None
 
     def figures(self) -> str:
         """Return the figures, those of this moment included."""
@@ -342,93 +349,114 @@
 
         It is refused where a retry does no harm: nothing of it was sent, or its class is safe to repeat.
         """
-        pending = self.pending.get(effect.ref)
+        pending = self.pending.get(effect.request_id)
         if pending is None:
             return
         self.counters.faults += 1
         harmless = not (pending.sent and pending.job.once)
-        self.answer(effect.ref, 503 if harmless else 500, [], b"")
-        self.post(core.Left(effect.ref))
+        self.answer(effect.request_id, 503 if harmless else 500, [], b"")
+        self.post(core.ClientLeft(effect.request_id))
 
     def take(self, pending: Pending) -> str:
-        """Take a client's work unit under a name of our own, as clients may send one name twice."""
-        if self.handover is not None and pending.job.receipt is not None:
+        """Take a client's request under a name of our own, as clients may send one name twice."""
+        if self.handover is not None and pending.job.idempotency_key is not None:
             self.handover.catch_up()
-        self.refs += 1
-        ref, job = str(self.refs), pending.job
-        self.pending[ref] = pending
+        self.last_request_id += 1
+        request_id, job = str(self.last_request_id), pending.job
+        self.pending[request_id] = pending
         goes = self.acting is None or self.acting.may_take()
         if self.acting is not None:
             self.acting.took()
-        work = WorkUnit(
-            ref, job.type, pending.expires_ms, job.slots, receipt=job.receipt, key=job.key, repeat=job.repeat,
-            kept=goes and (self.memory is None or self.memory.keeper.serves()), goes=goes,
-        )  # fmt: skip
-        self.post(core.Arrival(work))
-        return ref
-
-    def left(self, ref: str) -> None:
+        request = Request(
+            request_id,
+            job.class_index,
+            pending.deadline_at_ms,
+            job.slots,
+            idempotency_key=job.idempotency_key,
+            resource_key=job.resource_key,
+            may_be_retry=job.may_be_retry,
+            is_recordable=goes and (self.memory is None or self.memory.keeper.serves()),
+            is_sendable=goes,
+        )
+        self.post(core.RequestArrived(request))
+        return request_id
+
+    def left(self, request_id: str) -> None:
         """Tell that a client has gone."""
-        self.guard.ended(ref, Promise.AFTER_LEAVING, self.loop.now())
-        self.post(core.Left(ref))
-        self.pending.pop(ref, None)
+        self.guard.ended(request_id, Promise.AFTER_LEAVING, self.loop.now())
+        self.post(core.ClientLeft(request_id))
+        self.pending.pop(request_id, None)
 
-    def look(self, ref: str, pending: Pending) -> bool:
-        """Return whether a work unit's client has gone or has its answer; if so nothing more of it is tried.
+    def look(self, request_id: str, pending: Pending) -> bool:
+        """Return whether a request's client has gone or has its answer; if so nothing more of it is tried.
 
         Its own coroutine closes the connection once the loop comes to that.
         """
         if pending.answer is None and not pending.gone():
             return False
-        self.guard.ended(ref, Promise.AFTER_LEAVING, self.loop.now())
-        self.post(core.Left(ref))
+        self.guard.ended(request_id, Promise.AFTER_LEAVING, self.loop.now())
+        self.post(core.ClientLeft(request_id))
         return True
 
     # Effects.
 
-    def send(self, effect: core.Send) -> None:
-        """Send an allocation."""
-        pending, now = self.pending.get(effect.ref), self.loop.now()
+    def send(self, effect: core.SendAttempt) -> None:
+        """Send an attempt."""
+        pending, now = self.pending.get(effect.request_id), self.loop.now()
         if pending is None:
-            self.post(core.Settled(effect.ref, effect.alloc, Outcome.VOID, True, None))
+            self.post(
+                core.AttemptEnded(
+                    effect.request_id, effect.attempt_index, Outcome.CANCELLED_UNSENT, True, None
+                )
+            )
             return  # it has its answer
-        gate = self.memory.gate(effect.ref) if self.memory is not None else None
+        gate = self.memory.gate(effect.request_id) if self.memory is not None else None
         stands = self.acting.order() if self.acting is not None else None
         order = Order(
-            effect.ref, effect.alloc, effect.executor, pending.job, now + effect.limit_ms,
-            pending.expires_ms, gate, stands, now + effect.begin_ms, lambda: self.look(effect.ref, pending),
-        )  # fmt: skip
+            effect.request_id,
+            effect.attempt_index,
+            effect.server,
+            pending.job,
+            now + effect.time_left_ms,
+            pending.deadline_at_ms,
+            gate,
+            stands,
+            now + effect.begin_ms,
+            lambda: self.look(effect.request_id, pending),
+        )
         pending.sent = True
-        self.guard.taken(effect.ref, pending.job, pending.expires_ms)
-        self.executors.send(order)
+        self.guard.taken(effect.request_id, pending.job, pending.deadline_at_ms)
+        self.upstream.send(order)
 
-    def remember(self, effect: core.Remember | core.Forget) -> None:
+    def remember(self, effect: core.PersistAttempt | core.ErasePersisted) -> None:
         """Keep what may have run, or that it never did, where there is a store, and tell other processes."""
         if self.handover is not None:
             self.handover.tell(effect)
         if self.memory is not None:
             self.memory.keep(effect)
 
-    def answer(self, ref: str, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
+    def answer(self, request_id: str, status: int, headers: list[tuple[str, str]], body: bytes) -> None:
         """Give a client its one answer, if it is still there."""
-        pending = self.pending.pop(ref, None)
-        self.guard.ended(ref, Promise.AFTER_ANSWER, self.loop.now())
+        pending = self.pending.pop(request_id, None)
+        self.guard.ended(request_id, Promise.AFTER_ANSWER, self.loop.now())
         if pending is not None:
             self.counters.ended(pending.job.type_name, status)
             if self.acting is not None:
                 self.acting.ended(status)
             pending.give(status, headers, body)
 
-    def abort(self, effect: core.Abort) -> None:
+    def abort(self, effect: core.Fail) -> None:
         """Tell a client that its work may have run, unless none of it has begun: that is called off."""
-        if effect.out and not any(self.executors.begun(effect.ref, alloc) for alloc in effect.out):
-            self.answer(effect.ref, 503, protocol.advice(effect.advice_ms), b"")
+        if effect.out and not any(
+            self.upstream.begun(effect.request_id, attempt_index) for attempt_index in effect.out
+        ):
+            self.answer(effect.request_id, 503, protocol.advice(effect.retry_after_ms), b"")
         else:
-            self.answer(effect.ref, 400 if effect.unfit else 500, [], b"")
+            self.answer(effect.request_id, 400 if effect.unfit else 500, [], b"")
 
-    def timer(self, effect: core.Timer) -> None:
+    def timer(self, effect: core.SetTimer) -> None:
         """Bring back a mark later."""
-        self.loop.at(self.loop.now() + effect.delay_ms, lambda: self.post(core.Due(effect.mark)))
+        self.loop.at(self.loop.now() + effect.delay_ms, lambda: self.post(core.TimerFired(effect.timer_id)))
 
     # A new configuration.
 
@@ -465,9 +493,9 @@
     def leave_service(self, by: str) -> tuple[int, str]:
         """Send clients away; what is taken is finished, and all else goes on."""
         self.outs.add(by)
-        if self.server.draining is None:
+        if self.downstream.draining is None:
             self.log.line(f"out of service with {len(self.pending)} work units open")
-        self.server.drain(0.0, PART_MS)
+        self.downstream.drain(0.0, PART_MS)
         return 200, ""
 
     def enter_service(self, by: str) -> tuple[int, str]:
@@ -477,9 +505,9 @@
         self.outs.discard(by)
         if self.outs:
             return 200, f"still out of service by {', '.join(sorted(self.outs))}\n"
-        if self.server.draining is not None:
+        if self.downstream.draining is not None:
             self.log.line("in service")
-            self.server.resume()
+            self.downstream.resume()
         return 200, ""
 
     def close(self) -> None:
@@ -490,43 +518,47 @@
         began = self.loop.now()
         if self.peers is not None and self.config.socket_fd is not None:
             self.peers.leave()  # the later process is the member from here on
-        limits = [t.limit_ms for t in self.config.deployment.settings.types if t.limit_ms < inf]
+        limits = [
+            t.deadline_ms for t in self.config.deployment.settings.request_classes if t.deadline_ms < inf
+        ]
         drain = min(DRAIN_MOST_MS, max(limits, default=0.0))
         self.log.line(f"told to end with {len(self.pending)} work units open")
-        self.post(core.Closing(drain + ANSWER_MS))
+        self.post(core.ShutdownBegun(drain + ANSWER_MS))
         # Guards against a moment without any node: the one that restarted before this may not be back yet.
         # Where the socket is handed on, the one that goes on accepting is there already, or will be.
         stays = self.config.socket_fd is not None
         part_ms = PART_MS if stays else max(LISTEN_MS, KEEP_SHARE * drain)
-        self.server.drain(0.0 if stays else part_ms, part_ms)
-        self.loop.at(began + (0.0 if stays else LISTEN_MS), self.server.stop_listening)
+        self.downstream.drain(0.0 if stays else part_ms, part_ms)
+        self.loop.at(began + (0.0 if stays else LISTEN_MS), self.downstream.stop_listening)
         last_ms = began + max(drain + EXIT_MS, part_ms + LAST_MS)
         self.loop.at(began + part_ms, lambda: self.end(last_ms))
 
     def end(self, at_ms: float) -> None:
         """Stop once no client waits any more, or the time is over."""
-        if not self.server.owes() or self.loop.now() >= at_ms:
-            self.server.turn_away()
+        if not self.downstream.owes() or self.loop.now() >= at_ms:
+            self.downstream.turn_away()
             for line in self.watch.lines() if self.watch is not None else ():
                 self.log.line(line)
             late = f"timers at most {self.loop.late_ms:.0f} ms late, turns at most {self.loop.turn_ms:.0f} ms"
             self.log.line(f"ends with {len(self.pending)} work units open, {late}")
             self.loop.stopped = True
         else:
-            self.loop.at(self.loop.now() + server.LOOK_MS, lambda: self.end(at_ms))
+            self.loop.at(self.loop.now() + downstream.LOOK_MS, lambda: self.end(at_ms))
 
 
 EFFECTS: dict[type, Callable[[Node, Any], None]] = {
-    core.Send: Node.send,
-    core.Cancel: lambda node, effect: node.executors.cancel(*effect),
-    core.Complete: lambda node, effect: node.answer(effect.ref, 200, [], effect.result),
-    core.Defer: lambda node, effect: node.answer(effect.ref, 503, protocol.advice(effect.advice_ms), b""),
-    core.Abort: Node.abort,
-    core.Probe: lambda node, effect: node.executors.probe(effect.executor),
-    core.Timer: Node.timer,
-    core.Remember: Node.remember,
-    core.Forget: Node.remember,
+    core.SendAttempt: Node.send,
+    core.CancelAttempt: lambda node, effect: node.upstream.cancel(*effect),
+    core.Respond: lambda node, effect: node.answer(effect.request_id, 200, [], effect.result),
+    core.Reject: lambda node, effect: node.answer(
+        effect.request_id, 503, protocol.advice(effect.retry_after_ms), b""
+    ),
+    core.Fail: Node.abort,
+    core.Probe: lambda node, effect: node.upstream.probe(effect.server),
+    core.SetTimer: Node.timer,
+    core.PersistAttempt: Node.remember,
+    core.ErasePersisted: Node.remember,
     GiveUp: Node.give_up,
-    core.Watch: lambda node, effect: node.discovery.watch(),
+    core.WatchEndpoints: lambda node, effect: node.discovery.watch(),
     core.Log: lambda node, effect: node.log.line(effect.text),
 }
--- a/marlseam/net/handover.py
+++ b/marlseam/net/process_handover.py
@@ -1,7 +1,7 @@
 """What an old process of a node tells the new one, and both each other while both serve.
 
 Each has a Unix socket in the folder that they share, under its own process number, and calls all others at
-its start. The form of what is told, and its checks, are those of marlseam/recovery/handover.py.
+its start. The form of what is told, and its checks, are those of marlseam/recovery/handover_codec.py.
 """
 
 import os
@@ -13,12 +13,12 @@
 from typing import TYPE_CHECKING
 
 from marlseam import core
+from marlseam.core.idempotency import AttemptRecord, told
 from marlseam.net import protocol
 from marlseam.net.http import PAUSE_MS
 from marlseam.net.loop import READ, WRITE, Cancelled, Coroutine, Task, sleep
-from marlseam.recovery import handover as form
-from marlseam.recovery.handover import Hello, Item, Listed, Never, Odd, Over, Proof, Sent, Whole
-from marlseam.recovery.receipts import Trace, told
+from marlseam.recovery import handover_codec as form
+from marlseam.recovery.handover_codec import Hello, Item, Listed, Never, Odd, Over, Proof, Sent, Whole
 
 if TYPE_CHECKING:
     from marlseam.net.node import Node
@@ -122,7 +122,7 @@
         """Note that what another process has sent is not known, the last of it at some time or to come."""
         if source not in self.node.core.untold:
             self.log.line("what may have run under a key is not known: marked retries go nowhere for now")
-        self.node.post(core.Untold(source, since_ms))
+        self.node.post(core.HistoryUnavailable(source, since_ms))
 
     def accept(self) -> Coroutine:
         """Take in later processes."""
@@ -155,8 +155,8 @@
     def snapshot(self) -> Iterable[bytes]:
         """Return the lines that tell what this process holds."""
         node = self.node
-        node.core.receipts.expire(self.loop.now())
-        sendings = (self.row(key, trace) for key, trace in node.core.receipts)
+        node.core.idempotency_records.expire(self.loop.now())
+        sendings = (self.row(key, trace) for key, trace in node.core.idempotency_records)
         return form.snapshot(max(0, node.discovery.version), node.discovery.rows(), sendings)
 
     def look(self) -> None:
@@ -231,10 +231,10 @@
             peer.hosts += item.hosts
             peer.seq = item.seq
         elif type(item) is Sent:
-            self.node.post(core.Elsewhere(item.key, self.trace(peer, item)))
+            self.node.post(core.PeerAttempt(item.key, self.trace(peer, item)))
             peer.sendings += 1
         elif type(item) is Never:
-            self.node.post(core.Undone(item.key, item.executor, self.here(peer, item.sent_ms)))
+            self.node.post(core.PeerAttemptNeverRan(item.key, item.executor, self.here(peer, item.sent_ms)))
         elif type(item) is Over:
             peer.over = True
         elif type(item) is Proof:
@@ -242,7 +242,7 @@
                 self.node.acting.proved(item.number, item.id, item.mono_ms)
         elif type(item) is Whole and not peer.whole:
             peer.whole = True
-            self.node.post(core.Retold(peer.source))
+            self.node.post(core.HistoryAvailable(peer.source))
             if peer.seq > self.seq:
                 self.seq, self.hosts = peer.seq, peer.hosts
             took = self.loop.now() - self.began_ms
@@ -252,15 +252,15 @@
             )
             self.look()
 
-    def tell(self, effect: core.Remember | core.Forget) -> None:
+    def tell(self, effect: core.PersistAttempt | core.ErasePersisted) -> None:
         """Tell all others of a sending that may run from now on, or that provably never did."""
         if not self.peers:
             return
-        if type(effect) is core.Remember:
+        if type(effect) is core.PersistAttempt:
             text = form.sent([self.row(effect.key, effect.trace)])
         else:
             sent_ms = self.loop.clock.to_unix(effect.sent_ms)
-            text = form.never(Never(effect.key, effect.executor, sent_ms))
+            text = form.never(Never(effect.key, effect.server, sent_ms))
         self.pass_on(text, list(self.peers))
 
     def prove(self, number: int, id: str, mono_ms: float) -> None:
@@ -330,7 +330,7 @@
 
     # Words.
 
-    def row(self, key: str, trace: Trace) -> Sent:
+    def row(self, key: str, trace: AttemptRecord) -> Sent:
         """Return a sending as it is told."""
         return Sent(*told(key, trace, self.node.config.deployment.zones, self.loop.clock.to_unix))
 
@@ -344,11 +344,11 @@
         shift_ms = round(clock.epoch_ms() - told_ms) if told_ms is not None else 0
         return clock.from_unix(unix_ms + shift_ms)
 
-    def trace(self, peer: Peer, row: Sent) -> Trace:
+    def trace(self, peer: Peer, row: Sent) -> AttemptRecord:
         """Return a sending on this process's clock."""
         zone = self.node.config.deployment.zones.get(row.zone, -1)
         sent_ms, until_ms = self.here(peer, row.sent_ms), self.here(peer, row.until_ms)
-        return Trace(row.executor, zone, row.cell, sent_ms, until_ms)
+        return AttemptRecord(row.executor, zone, row.cell, sent_ms, until_ms)
 
     def name(self, peer: Peer) -> str:
         """Return what another process is called in the log."""
--- a/marlseam/net/protocol.py
+++ b/marlseam/net/protocol.py
@@ -8,26 +8,26 @@
 from typing import Any
 from urllib.parse import parse_qsl
 
-from marlseam.config import Deployment, address_from, finite
-from marlseam.core import Entry
-from marlseam.interface import Effect, Listing, Outcome, Report, State
+from marlseam.configuration import Deployment, address_from, finite
+from marlseam.core import EndpointEntry
+from marlseam.decisions.types import EndpointState, Idempotency, ListUpdateKind, LoadReport, Outcome
 
 READY_PATH, LOAD_PATH, LIST_PATH = "/-/ready", "/-/load", "/api/targets"
 ID, TYPE, TIME_LEFT, RECEIPT = "X-Correlation-Id", "X-Service-Class", "X-Time-Left", "Idempotency-Key"
-ACTING = "X-Marlseam-Acting"  # where a fleet is on: on what an allocation stands
+ACTING = "X-Marlseam-Acting"  # where a fleet is on: on what an attempt stands
 FACTS, LOAD, NEVER_RAN, REPEAT = "X-Facts", "X-Backend-Load", "X-Unprocessed", "X-Repeat"
-KEY = "user"  # the parameter that names the thing that a work unit needs
-BODY_MOST = 65536  # bytes of a request's body, and of an executor's answer
+KEY = "user"  # the parameter that names the thing that a request needs
+BODY_MOST = 65536  # bytes of a request's body, and of a server's answer
 LINE_MOST = 2 * BODY_MOST  # bytes of one line, which is a body in JSON
 LIST_MOST = 1 << 22  # bytes of a whole list
 SINGLE = (ID, TYPE, TIME_LEFT, RECEIPT, FACTS, "Host", "Content-Length", "Transfer-Encoding")
 ID_MOST = 256
-LEFT_MOST = 100.0  # time left that can be meant, in hard limits of the project type
-HEALTH = {"active": State.READY, "leaving": State.DRAINING, "left": State.GONE}
+LEFT_MOST = 100.0  # time left that can be meant, in deadlines of the request class
+HEALTH = {"active": EndpointState.READY, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
 ENDS = {
     "done": Outcome.COMPLETED,
     "failed": Outcome.ERROR,
-    "returned": Outcome.FULL,
+    "returned": Outcome.AT_CAPACITY,
     "lost": Outcome.BROKEN,
 }
 
@@ -42,20 +42,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """A work unit as its client wrote it: what goes on to executors unchanged, and what we read of it."""
+    """A request as its client wrote it: what goes on to servers unchanged, and what we read of it."""
 
     id: str
     target: str
-    receipt: str | None
+    idempotency_key: str | None
     body: bytes
-    type: int
+    class_index: int
     type_name: str
     left_ms: float
     slots: float
     exclusive: bool = False  # as its type's effect was when it was taken
     once: bool = False  # likewise: it may not run twice everywhere
-    key: str | None = None  # the thing that it needs
-    repeat: bool = False  # it may be a client's retry
+    resource_key: str | None = None  # the thing that it needs
+    may_be_retry: bool = False  # it may be a client's retry
 
 
 class Head(Mapping[str, str]):
@@ -128,7 +128,7 @@
 
 
 def first_part(target: str) -> str:
-    """Return the first part of a path, which is the project type's name."""
+    """Return the first part of a path, which is the request class's name."""
     return path_of(target).strip("/").partition("/")[0]
 
 
@@ -157,7 +157,7 @@
 
 
 def job_from(target: str, head: Head, body: bytes, deployment: Deployment) -> Job:
-    """Read a work unit out of a client's request."""
+    """Read a request out of a client's request."""
     id = head.get(ID, "")
     if not fits(id):
         raise Malformed(f"{ID} is missing or bad")
@@ -166,12 +166,14 @@
         raise Malformed(f"{TYPE} is missing, unknown or another than the path's")
     left_ms = 1000.0 * number(head.get(TIME_LEFT, ""), TIME_LEFT)
     type = deployment.types[name]
-    of_type = deployment.settings.types[type]
-    limit_ms = of_type.limit_ms or inf
-    if left_ms > LEFT_MOST * limit_ms:
+    of_type = deployment.settings.request_classes[type]
+    deadline_ms = of_type.deadline_ms or inf
+    if left_ms > LEFT_MOST * deadline_ms:
         raise Malformed(f"{TIME_LEFT} is out of range")
-    receipt = head.get(RECEIPT)
-    if not fits(receipt or "") and (receipt is not None or of_type.effect is Effect.RECEIPTED):
+    idempotency_key = head.get(RECEIPT)
+    if not fits(idempotency_key or "") and (
+        idempotency_key is not None or of_type.idempotency is Idempotency.KEYED
+    ):
         raise Malformed(f"{RECEIPT} is missing or bad")
     facts = pairs(head.get(FACTS, ""))
     if head.get(FACTS) and len(facts) < head[FACTS].count(",") + 1:
@@ -179,29 +181,29 @@
     return Job(
         id=id,
         target=target,
-        receipt=receipt,
+        idempotency_key=idempotency_key,
         body=body,
-        type=type,
+        class_index=type,
         type_name=name,
-        left_ms=min(left_ms, limit_ms),
+        left_ms=min(left_ms, deadline_ms),
         slots=number(facts.get("slots", "1"), FACTS) or 1.0,
-        exclusive=of_type.effect is Effect.EXCLUSIVE,
-        once=of_type.effect is not Effect.RERUNNABLE,
-        repeat=head.get(REPEAT) == "1" or not deployment.marks_retry,
-        key=dict(parse_qsl(target.partition("?")[2])).get(KEY),
+        exclusive=of_type.idempotency is Idempotency.UNSAFE,
+        once=of_type.idempotency is not Idempotency.SAFE,
+        may_be_retry=head.get(REPEAT) == "1" or not deployment.marks_retry,
+        resource_key=dict(parse_qsl(target.partition("?")[2])).get(KEY),
     )
 
 
-def advice(advice_ms: float) -> list[tuple[str, str]]:
+def advice(retry_after_ms: float) -> list[tuple[str, str]]:
     """Return the headers that tell a client when to come back."""
-    return [("Retry-After", f"{advice_ms / 1000.0:.3f}")] if advice_ms > 0.0 else []
+    return [("Retry-After", f"{retry_after_ms / 1000.0:.3f}")] if retry_after_ms > 0.0 else []
 
 
-# Executors.
+# Servers.
 
 
 def job_headers(job: Job, host: str, left_ms: float, acting: str = "") -> list[tuple[str, str]]:
-    """Return the headers under which a work unit goes to an executor; `acting` tells on what that stands."""
+    """Return the headers under which a request goes to a server; `acting` tells on what that stands."""
     headers = [
         ("Host", host),
         (ID, job.id),
@@ -209,38 +211,38 @@
         (TIME_LEFT, f"{max(0.0, left_ms) / 1000.0:.3f}"),
         ("Content-Length", str(len(job.body))),
     ]
-    if job.receipt is not None:
-        headers.append((RECEIPT, job.receipt))
+    if job.idempotency_key is not None:
+        headers.append((RECEIPT, job.idempotency_key))
     if acting:
         headers.append((ACTING, acting))
     return headers
 
 
 def refusal(status: int, head: Head) -> Outcome:
-    """Return what an executor's answer means that is no stream of lines."""
+    """Return what a server's answer means that is no stream of lines."""
     if 400 <= status < 500:
-        return Outcome.UNFIT
-    return Outcome.FULL if status in (503, 504) and head.get(NEVER_RAN) == "1" else Outcome.ERROR
+        return Outcome.INVALID_REQUEST
+    return Outcome.AT_CAPACITY if status in (503, 504) and head.get(NEVER_RAN) == "1" else Outcome.ERROR
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One line of an executor's answer: a start, a share of progress, or an end."""
+    """One line of a server's answer: a start, a share of progress, or an end."""
 
     started: bool = False
     share: float | None = None
     end: Outcome | None = None
     result: bytes = b""
-    report: Report | None = None
+    report: LoadReport | None = None
 
 
-def line_from(raw: bytes, id: str, executor: str, names: Mapping[str, str]) -> Line:
-    """Read one line of an executor's answer."""
+def line_from(raw: bytes, id: str, server: str, names: Mapping[str, str]) -> Line:
+    """Read one line of a server's answer."""
     try:
         row = json.loads(raw)
     except (ValueError, RecursionError):
         raise Malformed("a line is no JSON") from None
-    if not isinstance(row, dict) or row.get("id") != id or row.get("from") != executor:
+    if not isinstance(row, dict) or row.get("id") != id or row.get("from") != server:
         raise Malformed("a line is not from this executor on this work unit")
     state, share, result = row.get("state"), row.get("share"), row.get("result")
     report = report_from(row.get("load"), names)
@@ -271,7 +273,7 @@
         return [line for line in lines if line.strip()]
 
 
-def report_from(value: object, names: Mapping[str, str]) -> Report | None:
+def report_from(value: object, names: Mapping[str, str]) -> LoadReport | None:
     """Read a load report, as an object or as the text of a header; what is odd in it is passed by."""
     if isinstance(value, str):
         value = pairs(value.strip().removeprefix("TEXT").removeprefix("JSON"))
@@ -286,10 +288,10 @@
                 continue
             if isfinite(figure):
                 found[names[name]] = figure
-    return Report(**found)
+    return LoadReport(**found)
 
 
-def load_from(body: bytes, head: Head, names: Mapping[str, str]) -> Report | None:
+def load_from(body: bytes, head: Head, names: Mapping[str, str]) -> LoadReport | None:
     """Read the load report that a probe's answer holds as its body or in its header."""
     text = body.decode("latin-1").strip()
     if text.startswith("{"):
@@ -305,11 +307,11 @@
 
 @dataclass(frozen=True, slots=True)
 class News:
-    """One answer of discovery: what changed, or the whole list, with each executor's address."""
+    """One answer of discovery: what changed, or the whole list, with each server's address."""
 
     version: int
-    listing: Listing
-    entries: list[Entry]
+    listing: ListUpdateKind
+    entries: list[EndpointEntry]
     addresses: dict[str, tuple[str, int]]
     odd: list[tuple[str, str]]  # the host, as far as it can be told, and what is wrong
 
@@ -326,7 +328,7 @@
     version = value.get("seq")
     if not isinstance(version, int) or isinstance(version, bool):
         raise Malformed("the answer holds no version")
-    news = News(version, Listing.FULL if value.get("whole") else Listing.DELTA, [], {}, [])
+    news = News(version, ListUpdateKind.FULL if value.get("whole") else ListUpdateKind.DELTA, [], {}, [])
     for row in value["hosts"]:
         try:
             entry, address = entry_from(row, deployment)
@@ -335,11 +337,11 @@
             continue
         news.entries.append(entry)
         if address is not None:
-            news.addresses[entry.executor] = address
+            news.addresses[entry.server] = address
     return news
 
 
-def entry_from(row: object, deployment: Deployment) -> tuple[Entry, tuple[str, int] | None]:
+def entry_from(row: object, deployment: Deployment) -> tuple[EndpointEntry, tuple[str, int] | None]:
     """Read one entry of the list; of one that wants nothing new, host and health are enough.
 
     Guards a drain that is told in an entry that is spoilt elsewhere.
@@ -352,38 +354,38 @@
         raise Malformed("no host")
     if not isinstance(state, str) or state not in HEALTH:
         raise Malformed("unknown health")
-    if born is not None and at is None and HEALTH[state] is State.READY:
+    if born is not None and at is None and HEALTH[state] is EndpointState.READY:
         raise Malformed("born_ms is no number")
-    entry = Entry(
-        executor=name,
+    entry = EndpointEntry(
+        server=name,
         state=HEALTH[state],
         kind=place(row.get("class"), deployment.kinds),
         zone=place(row.get("site"), deployment.zones),
         cell=block if isinstance(block, int) else -1,
-        born_ms=at or None,
+        process_started_ms=at or None,
         weight=share if share is not None and share > 0 else None,
     )
-    if entry.state is State.GONE:
+    if entry.state is EndpointState.GONE:
         return entry, None
     address = address_from(row.get("dial"))
-    if address is None and entry.state is State.READY:
+    if address is None and entry.state is EndpointState.READY:
         raise Malformed("dial is no address and port")
     return entry, address
 
 
-def row_of(entry: Entry, address: tuple[str, int], deployment: Deployment) -> dict[str, Any]:
-    """Write an entry, whose start is as listed, as the roster does."""
+def row_of(entry: EndpointEntry, address: tuple[str, int], deployment: Deployment) -> dict[str, Any]:
+    """Write an entry, whose start is as listed, as discovery does."""
     zones, kinds = list(deployment.zones), list(deployment.kinds)
     host = f"[{address[0]}]" if ":" in address[0] else address[0]
     return {
-        "host": entry.executor,
+        "host": entry.server,
         "dial": f"{host}:{address[1]}",
         "site": zones[entry.zone] if 0 <= entry.zone < len(zones) else "",
         "class": kinds[entry.kind] if 0 <= entry.kind < len(kinds) else "",
         "block": entry.cell,
-        "health": "leaving" if entry.state is State.DRAINING else "active",
+        "health": "leaving" if entry.state is EndpointState.DRAINING else "active",
         "share": 1.0,
-        "born_ms": round(entry.born_ms) if entry.born_ms is not None else 0,
+        "born_ms": round(entry.process_started_ms) if entry.process_started_ms is not None else 0,
     }
 
 
--- a/marlseam/net/starts.py
+++ b/marlseam/net/server_start_times.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable, Collection, Iterable
 from math import inf
 
-from marlseam.core import Entry
+from marlseam.core import EndpointEntry
 
 BELIEVED_MS = 3000.0  # how long before a list was told what it did not tell yet may have started
 SPARE = 1000  # servers off the list whose starts are known still
@@ -32,30 +32,34 @@
         self.ahead_ms = -inf  # how far the list's clock is ahead of the node's monotonic one, at least
         self.starts: dict[str, tuple[float, float]] = {}  # by server: as listed, and on the node's clock
 
-    def placed(self, entries: Iterable[Entry], now_ms: float, confirmed_ms: float | None) -> list[Entry]:
+    def placed(
+        self, entries: Iterable[EndpointEntry], now_ms: float, confirmed_ms: float | None
+    ) -> list[EndpointEntry]:
         """Return entries whose `born_ms`, Unix time as listed, is brought onto the node's clock.
 
         `confirmed_ms`: when the list was last known to be true that these are changes of; None where they are
         a first list.
         """
         entries = list(entries)
-        told = [entry.born_ms for entry in entries if entry.born_ms is not None]
-        self.ahead_ms = max([self.ahead_ms, *(born_ms - now_ms for born_ms in told)])
-        return [entry._replace(born_ms=self.start(entry, now_ms, confirmed_ms)) for entry in entries]
+        told = [entry.process_started_ms for entry in entries if entry.process_started_ms is not None]
+        self.ahead_ms = max([self.ahead_ms, *(process_started_ms - now_ms for process_started_ms in told)])
+        return [
+            entry._replace(process_started_ms=self.start(entry, now_ms, confirmed_ms)) for entry in entries
+        ]
 
-    def start(self, entry: Entry, now_ms: float, confirmed_ms: float | None) -> float | None:
+    def start(self, entry: EndpointEntry, now_ms: float, confirmed_ms: float | None) -> float | None:
         """Return when a server started, or None where that was long ago."""
-        listed = entry.born_ms
+        listed = entry.process_started_ms
         if listed is None:
-            self.starts.pop(entry.executor, None)
+            self.starts.pop(entry.server, None)
             return None
-        known = self.starts.get(entry.executor)
+        known = self.starts.get(entry.server)
         if known is not None and known[0] == listed:
             return known[1]
         start = self.placed_start(
             listed, now_ms, -inf if confirmed_ms is None else confirmed_ms - BELIEVED_MS
         )
-        self.starts[entry.executor] = (listed, start)
+        self.starts[entry.server] = (listed, start)
         return start
 
     def placed_start(self, listed: float, now_ms: float, earliest_ms: float) -> float:
--- a/marlseam/net/executors.py
+++ b/marlseam/net/upstream.py
@@ -1,4 +1,4 @@
-"""Connections to executors: the pool, allocations as streams of lines, and probes."""
+"""Connections to servers: the pool, attempts as streams of lines, and probes."""
 
 from collections.abc import Callable, Collection
 from dataclasses import dataclass, field
@@ -7,10 +7,18 @@
 
 import h11
 
-from marlseam.config import Deployment
-from marlseam.core import FORGET, Event, Probed, Progress, Settled, Started, Unkept
+from marlseam.configuration import Deployment
+from marlseam.core import (
+    FORGET_AFTER_POLLS,
+    AttemptEnded,
+    AttemptProgressed,
+    AttemptStarted,
+    Event,
+    NotDurable,
+    ProbeEnded,
+)
 from marlseam.counters import Counters
-from marlseam.interface import Outcome, Report
+from marlseam.decisions.types import LoadReport, Outcome
 from marlseam.net import protocol
 from marlseam.net.connection import Connection, Ended, Steps, connect
 from marlseam.net.invariants import SendGuard
@@ -19,32 +27,32 @@
 from marlseam.net.protocol import Head, Job, Malformed
 
 IDLE_SHARE = 0.7  # of the settings' time, after which an unused connection is closed
-PROBE_SHARE = 2.0  # how long a probe may take, in promised turnarounds of the most urgent project type
-TAKE_SHARE = 1.0  # how long an executor may take to say that it has a job, likewise
+PROBE_SHARE = 2.0  # how long a probe may take, in latency objectives of the most urgent request class
+TAKE_SHARE = 1.0  # how long a server may take to say that it has a job, likewise
 GAP_PERIODS = 2.5  # how long it may say nothing of one that has started, in progress periods
 END_SHARE = 1.0  # how long the end of an answer may take after its last line, likewise
-PROBE_PLACES = 4  # connections to an executor that probes may open beyond those of allocations
+PROBE_PLACES = 4  # connections to a server that probes may open beyond those of attempts
 FIRST_LOOK = 0.5  # of a probe's time, after which it is made once more on a new connection
 SECOND_MS = 50.0  # by when a second answer has come at the latest: the page says some milliseconds
 CUT = (Reason.PEER_CLOSED, Reason.PEER_RESET, Reason.REFUSED)  # what ends one connection, and maybe no other
-FAILED = {  # what a probe's end says of its executor; any other is a break
+FAILED = {  # what a probe's end says of its server; any other is a break
     Reason.TIMED_OUT: Outcome.TIMED_OUT,
     Reason.NO_CONNECT: Outcome.UNREACHABLE,
-    Reason.NO_SOCKETS: Outcome.VOID,  # nothing: the lack is ours
+    Reason.NO_SOCKETS: Outcome.CANCELLED_UNSENT,  # nothing: the lack is ours
 }
-PEER_SHARE, PEER_LEAST = 0.25, 4  # most connections to one executor, as a share of all, and at least
+PEER_SHARE, PEER_LEAST = 0.25, 4  # most connections to one server, as a share of all, and at least
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """One allocation to be carried out."""
+    """One attempt to be carried out."""
 
-    ref: str
-    alloc: int
-    executor: str
+    request_id: str
+    attempt_index: int
+    server: str
     job: Job
     until_ms: float
-    expires_ms: float
+    deadline_at_ms: float
     gate: Callable[[], Steps] | None = None  # must be over, and say yes, before anything goes out
     stands: "Stands | None" = None  # where the node is of a fleet
     begins_ms: float = inf  # before which its last byte goes out, or it never ran
@@ -52,7 +60,7 @@
 
 
 class Stands(Protocol):
-    """On what an allocation stands, as a fleet knows it."""
+    """On what an attempt stands, as a fleet knows it."""
 
     def goes(self) -> str:
         """Return what tells that, or nothing where it must not go out."""
@@ -63,19 +71,19 @@
 
 @dataclass
 class Flight:
-    """An allocation until its outcome is told, and whether it has begun: its last byte has gone out.
+    """An attempt until its outcome is told, and whether it has begun: its last byte has gone out.
 
     An executor begins a request then.
     """
 
-    executor: str
+    server: str
     task: Task | None = None
     begun: bool = False
 
 
 @dataclass
 class Peer:
-    """One executor: where it is, the connections to it, and those that stand unused."""
+    """One server: where it is, the connections to it, and those that stand unused."""
 
     name: str
     address: tuple[str, int] | None = None
@@ -85,7 +93,7 @@
     idle: list[tuple[Connection, Task]] = field(default_factory=list)
 
 
-class Executors:
+class Upstream:
     """Carries out sends, cancels and probes, and hands what comes of them to the reducer."""
 
     def __init__(
@@ -106,21 +114,21 @@
     def configure(self, deployment: Deployment, places: int) -> None:
         """Take in settings and how many connections there may be."""
         self.deployment, self.places = deployment, places
-        urgent = deployment.settings.urgent_ms
+        urgent = deployment.settings.shortest_objective_ms
         self.idle_ms = IDLE_SHARE * deployment.keepalive_ms
         self.probe_ms, self.end_ms, self.take_ms = (
             PROBE_SHARE * urgent,
             END_SHARE * urgent,
             TAKE_SHARE * urgent,
         )
-        self.gap_ms = GAP_PERIODS * deployment.settings.progress_ms or inf
+        self.gap_ms = GAP_PERIODS * deployment.settings.progress_period_ms or inf
         while self.open() > places and self.make_room():
             pass
 
     # The list.
 
     def listed(self, names: Collection[str], addresses: dict[str, tuple[str, int]]) -> None:
-        """Take in which executors there are, and the addresses of some."""
+        """Take in which servers there are, and the addresses of some."""
         moved = set()
         for name, address in addresses.items():
             peer = self.peers.setdefault(name, Peer(name))
@@ -129,7 +137,7 @@
                 moved.add(name)
             peer.address, peer.listed, peer.left_ms = address, True, None
         settings, now = self.deployment.settings, self.loop.now()
-        kept_ms = FORGET * settings.must_ask_ms if settings.drain_binds_alone else 0.0
+        kept_ms = FORGET_AFTER_POLLS * settings.list_max_age_ms if settings.only_draining_excludes else 0.0
         for peer in [peer for peer in self.peers.values() if peer.name not in names]:
             # Where draining alone binds it may still be sent to, for as long as the reducer knows it.
             peer.left_ms = now if peer.left_ms is None else peer.left_ms
@@ -138,13 +146,13 @@
             peer.listed = False
             self.empty(peer)
             self.forget(peer)
-        # Guards whoever is at an executor's old address now against work meant for it.
+        # Guards whoever is at a server's old address now against work meant for it.
         for key, flight in list(self.out.items()) if moved else ():
-            if flight.executor in moved:
+            if flight.server in moved:
                 self.cancel(*key, begun=False)
 
     def empty(self, peer: Peer, reason: Reason = Reason.FORGOTTEN) -> None:
-        """Close the unused connections to an executor."""
+        """Close the unused connections to a server."""
         while peer.idle:
             self.end(peer, self.checked_out(peer), reason)
 
@@ -154,18 +162,18 @@
             self.empty(peer, Reason.DRAINING)
 
     def forget(self, peer: Peer) -> None:
-        """Forget an executor that has left once no connection to it is left."""
+        """Forget a server that has left once no connection to it is left."""
         if not peer.listed and not peer.count and self.peers.get(peer.name) is peer:
             del self.peers[peer.name]
 
     # The pool.
 
     def open(self) -> int:
-        """Return how many connections to executors there are."""
+        """Return how many connections to servers there are."""
         return sum(peer.count for peer in self.peers.values())
 
     def limit(self) -> int:
-        """Return how many connections one executor may get for allocations."""
+        """Return how many connections one server may get for attempts."""
         return max(PEER_LEAST, int(PEER_SHARE * self.places))
 
     def make_room(self) -> bool:
@@ -227,51 +235,60 @@
         peer.count -= 1
         self.forget(peer)
 
-    # Allocations.
+    # Attempts.
 
     def send(self, order: Order) -> None:
-        """Send a work unit's allocation."""
-        flight = self.out[order.ref, order.alloc] = Flight(order.executor)
+        """Send a request's attempt."""
+        flight = self.out[order.request_id, order.attempt_index] = Flight(order.server)
         flight.task = self.loop.spawn(self.allocation(order, flight))
 
-    def cancel(self, ref: str, alloc: int, begun: bool = True) -> None:
-        """Give up an allocation; where not `begun`, only if its last byte has not gone out."""
-        flight = self.out.get((ref, alloc))
+    def cancel(self, request_id: str, attempt_index: int, begun: bool = True) -> None:
+        """Give up an attempt; where not `begun`, only if its last byte has not gone out."""
+        flight = self.out.get((request_id, attempt_index))
         if flight is not None and flight.task is not None and (begun or not flight.begun):
             flight.task.cancel()
 
-    def begun(self, ref: str, alloc: int) -> bool:
-        """Return whether an allocation has begun, or is over."""
-        flight = self.out.get((ref, alloc))
+    def begun(self, request_id: str, attempt_index: int) -> bool:
+        """Return whether an attempt has begun, or is over."""
+        flight = self.out.get((request_id, attempt_index))
         return flight is None or flight.begun
 
     def allocation(self, order: Order, flight: Flight) -> Coroutine:
-        """Carry one allocation from its sending to its outcome, which is told exactly once.
+        """Carry one attempt from its sending to its outcome, which is told exactly once.
 
         Where there is no whole answer it is told once the connection is closed. Guards against two that are
         out together: what is told of a time-out or a broken line may have the next one go out at once.
         """
-        ref, alloc, job, until = order.ref, order.alloc, order.job, order.until_ms
-        peer = self.peers.get(order.executor) or Peer(order.executor, listed=False)
+        request_id, attempt_index, job, until = (
+            order.request_id,
+            order.attempt_index,
+            order.job,
+            order.until_ms,
+        )
+        peer = self.peers.get(order.server) or Peer(order.server, listed=False)
         connection, written, told, kept = None, False, False, False
         outcome: Outcome | None = None
 
-        def tell(outcome: Outcome, report: Report | None = None, result: bytes = b"") -> None:
+        def tell(outcome: Outcome, report: LoadReport | None = None, result: bytes = b"") -> None:
             nonlocal told
             if not told:
                 told = True
-                self.out.pop((ref, alloc), None)
+                self.out.pop((request_id, attempt_index), None)
                 if self.guard is not None:
-                    self.guard.settled(ref, alloc, outcome)
-                self.post(Settled(ref, alloc, outcome, outcome is Outcome.COMPLETED, report, result))
+                    self.guard.settled(request_id, attempt_index, outcome)
+                self.post(
+                    AttemptEnded(
+                        request_id, attempt_index, outcome, outcome is Outcome.COMPLETED, report, result
+                    )
+                )
 
         def unkept() -> None:
             nonlocal told
             told = True
-            self.out.pop((ref, alloc), None)
+            self.out.pop((request_id, attempt_index), None)
             if self.guard is not None:
-                self.guard.settled(ref, alloc, Outcome.VOID)
-            self.post(Unkept(ref, alloc))
+                self.guard.settled(request_id, attempt_index, Outcome.CANCELLED_UNSENT)
+            self.post(NotDurable(request_id, attempt_index))
 
         reason = Reason.FAULT
         try:
@@ -292,11 +309,13 @@
                 return
             now, goes_until = self.loop.now(), min(until, order.begins_ms)
             if now >= goes_until:
-                # Guards the hard limit, and the memory of pods, against a connection that comes up late.
+                # Guards the deadline, and the memory of pods, against a connection that comes up late.
                 raise Ended(Reason.TIMED_OUT)
-            headers = protocol.job_headers(job, peer.name, order.expires_ms - now, acting)
+            headers = protocol.job_headers(job, peer.name, order.deadline_at_ms - now, acting)
             told_ms = 1000.0 * float(dict(headers)[protocol.TIME_LEFT])
-            if self.guard is not None and not self.guard.allows(ref, alloc, peer.name, told_ms, now):
+            if self.guard is not None and not self.guard.allows(
+                request_id, attempt_index, peer.name, told_ms, now
+            ):
                 raise Ended(Reason.WITHDRAWN)
             request = h11.Request(method="POST", target=job.target, headers=headers)
             # It begins with its last byte. The look at its client guards against work for nobody: the end may
@@ -315,41 +334,41 @@
             else:
                 report = protocol.report_from(head.get(protocol.LOAD), self.deployment.report_names)
                 said = protocol.refusal(answer.status_code, head)
-                if said is not Outcome.UNFIT and self.loop.now() < doubt_until:
-                    # Guards what may not run twice: this names no work unit, and may be a second answer to
+                if said is not Outcome.INVALID_REQUEST and self.loop.now() < doubt_until:
+                    # Guards what may not run twice: this names no request, and may be a second answer to
                     # what the connection carried before.
                     raise Malformed("perhaps a second answer")
                 outcome = said
                 tell(outcome, report)
             yield from connection.body(protocol.BODY_MOST, self.loop.now() + self.end_ms)
             reason = Reason.DONE
-            if outcome is not Outcome.FULL:
+            if outcome is not Outcome.AT_CAPACITY:
                 # Guards what is sent next against a second answer that comes late: what says that it never
-                # ran may name no work unit, and would be believed.
+                # ran may name no request, and would be believed.
                 self.release(peer, connection)
                 connection = None
         except Ended as ended:
             reason = ended.reason
             if not written:
-                outcome = Outcome.VOID if reason is Reason.WITHDRAWN else Outcome.UNREACHABLE
+                outcome = Outcome.CANCELLED_UNSENT if reason is Reason.WITHDRAWN else Outcome.UNREACHABLE
             elif reason is Reason.TIMED_OUT:
                 outcome = Outcome.TIMED_OUT
             else:
-                outcome = Outcome.DROPPED if kept and reason in CUT else Outcome.BROKEN
+                outcome = Outcome.STALE_CONNECTION if kept and reason in CUT else Outcome.BROKEN
         except Malformed:
             reason = Reason.BAD_MESSAGE
         except Cancelled:
             reason = Reason.WITHDRAWN
-            outcome = Outcome.WITHDRAWN if written else Outcome.VOID
+            outcome = Outcome.CANCELLED if written else Outcome.CANCELLED_UNSENT
             raise
         finally:
             if connection is not None:
                 self.end(peer, connection, reason)
             self.forget(peer)
-            tell(outcome or (Outcome.BROKEN if written else Outcome.VOID))
+            tell(outcome or (Outcome.BROKEN if written else Outcome.CANCELLED_UNSENT))
 
     def patience(self, job: Job, until_ms: float, silence_ms: float) -> float:
-        """Return until when to wait for an executor's next word.
+        """Return until when to wait for a server's next word.
 
         Guards against connections that fall silent while their executor goes on. Only exclusive work, which
         cannot go elsewhere, waits to the end.
@@ -367,22 +386,22 @@
             if type(event) is not h11.Data:
                 raise Ended(Reason.PEER_CLOSED)
             for raw in lines.feed(bytes(event.data)):
-                line = protocol.line_from(raw, order.job.id, order.executor, names)
-                if line.end is Outcome.FULL and ran:
+                line = protocol.line_from(raw, order.job.id, order.server, names)
+                if line.end is Outcome.AT_CAPACITY and ran:
                     raise Malformed("handed back unstarted after a start")
                 if line.end is not None:
                     return line
                 ran = True
                 until = self.patience(order.job, order.until_ms, self.gap_ms)
                 if line.started:
-                    self.post(Started(order.ref, order.alloc))
+                    self.post(AttemptStarted(order.request_id, order.attempt_index))
                 elif line.share is not None:
-                    self.post(Progress(order.ref, order.alloc, line.share))
+                    self.post(AttemptProgressed(order.request_id, order.attempt_index, line.share))
 
     # Probes.
 
     def probe(self, name: str) -> None:
-        """Ask an executor for its report."""
+        """Ask a server for its report."""
         self.loop.spawn(self.asking(name))
 
     def asking(self, name: str) -> Coroutine:
@@ -396,14 +415,14 @@
             except Ended as ended:
                 if ended.reason not in (*CUT, Reason.TIMED_OUT):
                     raise
-                # Guards executors against blame for one connection, such as a kept one that they had closed.
+                # Guards servers against blame for one connection, such as a kept one that they had closed.
                 began = self.loop.now()
                 outcome, report = yield from self.look(peer, until, fresh=True)
         except Ended as ended:
             outcome = FAILED.get(ended.reason, Outcome.BROKEN)
         finally:
             self.forget(peer)
-            self.post(Probed(name, outcome, self.loop.now() - began, report))
+            self.post(ProbeEnded(name, outcome, self.loop.now() - began, report))
 
     def look(self, peer: Peer, until: float, fresh: bool = False) -> Steps:
         """Make one call for a report; return how it ended, and the report."""
@@ -415,7 +434,9 @@
             answer = yield from connection.answer(until)
             body = yield from connection.body(protocol.BODY_MOST, until)
             report = protocol.load_from(body, Head(answer.headers), self.deployment.report_names)
-            outcome = {200: Outcome.COMPLETED, 503: Outcome.FULL}.get(answer.status_code, Outcome.ERROR)
+            outcome = {200: Outcome.COMPLETED, 503: Outcome.AT_CAPACITY}.get(
+                answer.status_code, Outcome.ERROR
+            )
             reason = Reason.DONE
             if outcome is Outcome.COMPLETED:  # a refusal might come twice: see above
                 self.release(peer, connection)
--- a/marlseam/chance.py
+++ b/marlseam/random_source.py
@@ -19,7 +19,7 @@
     return n ^ n >> 16
 
 
-class Chance:
+class RandomSource:
     """A sequence of its own for a seed (any text); each call gives the next number in [0, 1)."""
 
     __slots__ = ("crc", "draws")
--- a/marlseam/records.py
+++ b/marlseam/records.py
@@ -192,9 +192,26 @@
 
 
 AnyRecord = (
-    Begin | End | Tried | Answered | Quit | Lagged | Took | Refused | Ran | Ended | Withdrawn | Asked | Born
-    | Fell | Called | Told | Cut | Trouble | Node
-)  # fmt: skip
+    Begin
+    | End
+    | Tried
+    | Answered
+    | Quit
+    | Lagged
+    | Took
+    | Refused
+    | Ran
+    | Ended
+    | Withdrawn
+    | Asked
+    | Born
+    | Fell
+    | Called
+    | Told
+    | Cut
+    | Trouble
+    | Node
+)
 ENCODER, DECODER = msgspec.json.Encoder(), msgspec.json.Decoder(AnyRecord)
 
 
--- a/marlseam/recovery/handover.py
+++ b/marlseam/recovery/handover_codec.py
@@ -52,7 +52,7 @@
 
 
 class Listed(NamedTuple):
-    """Some entries of the list that is held, as the roster wrote them."""
+    """Some entries of the list that is held, as discovery wrote them."""
 
     seq: int
     hosts: list[dict[str, Any]]
--- a/marlseam/recovery/lists.py
+++ b/marlseam/recovery/saved_list.py
@@ -1,17 +1,17 @@
 """Which saved list a node starts from, and how much doubt each entry carries.
 
 Doubt is the chance that an entry is no longer who it says, in [0, 1]. It grows with the list's age by the
-fleet's known turnover: of executors that leave at a constant rate, a share of 1 - exp(-age / life) has left
-after some age. Evidence ends it: a word that came from the executor under its own name, or the live roster.
+fleet's known turnover: of servers that leave at a constant rate, a share of 1 - exp(-age / life) has left
+after some age. Evidence ends it: a word that came from the server under its own name, or the live list.
 An answered probe says that somebody is there, and no more.
 """
 
 from dataclasses import dataclass
 from math import exp
 
-LIFE_MS = 24.0 * 3600.0 * 1000.0  # an executor's mean life where none is known
+LIFE_MS = 24.0 * 3600.0 * 1000.0  # a server's mean life where none is known
 PRIOR = 3.0  # departures that this guess counts for
-SURE = 0.001  # doubt under which an entry counts as told by the roster itself
+SURE = 0.001  # doubt under which an entry counts as told by discovery itself
 ANSWERED = 0.5  # what an answered probe leaves of a doubt
 
 
@@ -29,7 +29,7 @@
 
 @dataclass
 class Turnover:
-    """How often executors leave, as a node has seen it.
+    """How often servers leave, as a node has seen it.
 
     Departures, and the time of all executors together, in ms.
     """
@@ -38,7 +38,7 @@
     lived_ms: float = 0.0
 
     def life_ms(self) -> float:
-        """Return an executor's mean life, from what was seen and a guess that counts for some departures."""
+        """Return a server's mean life, from what was seen and a guess that counts for some departures."""
         return (self.lived_ms + PRIOR * LIFE_MS) / (self.departures + PRIOR)
 
 
--- a/marlseam/simhost/wire.py
+++ b/marlseam/simhost/wire.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from marlseam.interface import Listing, Outcome, Report, State
+from marlseam.decisions.types import EndpointState, ListUpdateKind, LoadReport, Outcome
 
 BEGIN, END, ACK, ENTRY = "begin_batch", "eof_batch", "ack", "m"
 
@@ -13,8 +13,18 @@
     "provision": ("node", "nonce64", "options"),
     "directory_update": ("node", "index", "scope", "members"),
     "arrival": (
-        "node", "opId", "qos", "userGroup", "pathKey", "expiresUs", "workHintUs", "needs", "memNeeded",
-        "resent", "mutates", "cameBack",
+        "node",
+        "opId",
+        "qos",
+        "userGroup",
+        "pathKey",
+        "expiresUs",
+        "workHintUs",
+        "needs",
+        "memNeeded",
+        "resent",
+        "mutates",
+        "cameBack",
     ),
     "sampled": ("node", "lagUs", "executor", "verdict", "pressure"),
     "left": ("node", "opId"),
@@ -25,21 +35,26 @@
     "mail": ("node", "neighbour", "msg"),
     "change": ("node", "opId", "attempt", "executor", "kind", "x"),
     ENTRY: ("cohort", "dc", "weight", "familyType", "bornUs", "availability", "executor"),
-}  # fmt: skip
+}
 TEXT_LAST = {"provision"}
 
 OUTCOMES = {
     "success": Outcome.COMPLETED,
     "failure": Outcome.ERROR,
-    "overloaded": Outcome.FULL,
+    "overloaded": Outcome.AT_CAPACITY,
     "timed_out": Outcome.TIMED_OUT,
     "unreachable": Outcome.UNREACHABLE,
     "broken": Outcome.BROKEN,
-    "withdrawn": Outcome.WITHDRAWN,
-    "void": Outcome.VOID,
+    "withdrawn": Outcome.CANCELLED,
+    "void": Outcome.CANCELLED_UNSENT,
+}
+LISTINGS = {
+    "0": ListUpdateKind.DELTA,
+    "1": ListUpdateKind.FULL,
+    "2": ListUpdateKind.CACHED,
+    "3": ListUpdateKind.FAILED,
 }
-LISTINGS = {"0": Listing.DELTA, "1": Listing.FULL, "2": Listing.CACHED, "3": Listing.FAILED}
-STATES = {"0": State.GONE, "1": State.READY, "2": State.DRAINING}
+STATES = {"0": EndpointState.GONE, "1": EndpointState.READY, "2": EndpointState.DRAINING}
 
 
 class Malformed(Exception):
@@ -104,7 +119,7 @@
     return value / 1000.0 if value else None
 
 
-def report(names: dict[str, str], text: str | None) -> Report | None:
+def report(names: dict[str, str], text: str | None) -> LoadReport | None:
     """Read a load report by the names that the deployment gives; unknown pairs are passed by."""
     if text is None:
         return None
@@ -116,7 +131,7 @@
                 found[names[name]] = float(value)
             except ValueError:
                 raise Malformed(f"the load report holds no number: {pair!r}") from None
-    return Report(**found)
+    return LoadReport(**found)
 
 
 def message(values: dict[str, str | None]) -> bytes:
--- a/marlseam/standin/disk.py
+++ b/marlseam/standin/disk.py
@@ -1,7 +1,7 @@
 """A disk that is slow, hangs, fails or keeps its lock, behind the calls of a real node's helper.
 
 python -m marlseam.standin.disk serve ...    a node whose helper writes to such a disk
-python -m marlseam.standin.disk FOLDER ...   that helper, with the words of marlseam.store.helper
+python -m marlseam.standin.disk FOLDER ...   that helper, with the words of marlseam.store.writer_process
 
 MARLSEAM_DISK holds the faults as JSON (`Faults`). A call that hangs, and a lock that is held on, end once the
 file that MARLSEAM_DISK_OVER names is there, so that an experiment leaves no process behind.
@@ -16,8 +16,8 @@
 
 import msgspec
 
-from marlseam.store import helper
-from marlseam.store.helper import Gone, Held
+from marlseam.store import writer_process
+from marlseam.store.writer_process import Gone, Held
 from marlseam.world.model import NotNegative, Strict
 
 FAULTS, OVER = "MARLSEAM_DISK", "MARLSEAM_DISK_OVER"
@@ -96,12 +96,12 @@
     """Run a node, or its helper, by the words given."""
     if sys.argv[1:2] == ["serve"]:
         from marlseam.__main__ import main as marlseam
-        from marlseam.store.keeper import Keeper
+        from marlseam.store.state_store import Keeper
 
         Keeper.helper = "marlseam.standin.disk"
         marlseam()
         return
-    helper.main(disk=Faulty)
+    writer_process.main(disk=Faulty)
 
 
 if __name__ == "__main__":
--- a/marlseam/standin/executors.py
+++ b/marlseam/standin/executors.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from marlseam import records
-from marlseam.interface import Report
+from marlseam.decisions.types import LoadReport
 from marlseam.net.connection import AHEAD_MOST, Connection, Ended, Steps
 from marlseam.net.log import Reason
 from marlseam.net.loop import READ, READY, sleep
@@ -93,9 +93,16 @@
             return
         self.count += 1
         job = Job(
-            id=f"{head[ID]}/{self.count}", unit=head[ID], type=type.name, work=order.work, slots=order.slots,
-            memory=order.memory, receipt=head.get(RECEIPT), group=type.group, memory_ms=type.memory_ms,
-        )  # fmt: skip
+            id=f"{head[ID]}/{self.count}",
+            unit=head[ID],
+            type=type.name,
+            work=order.work,
+            slots=order.slots,
+            memory=order.memory,
+            receipt=head.get(RECEIPT),
+            group=type.group,
+            memory_ms=type.memory_ms,
+        )
         yield from Call(self, connection, job, head.get(ACTING, "")).run()
 
     def offer(self, job: Job, acting: str = "") -> bool:
@@ -219,13 +226,13 @@
                 raise Ended(Reason.PEER_CLOSED)
 
 
-def load_of(report: Report) -> dict[str, float]:
+def load_of(report: LoadReport) -> dict[str, float]:
     """Return a load report under the protocol's names."""
     parts = {"errors_per_s": 0.0, "backlog": report.queued, "x0": report.free_slots}
     return {name: value for name, value in parts.items() if value is not None}
 
 
-def load_text(report: Report) -> str:
+def load_text(report: LoadReport) -> str:
     """Return a load report as the protocol's text."""
     return "TEXT " + ", ".join(f"{name}={value:g}" for name, value in load_of(report).items())
 
--- a/marlseam/standin/older.py
+++ b/marlseam/standin/older.py
@@ -4,7 +4,7 @@
 """
 
 from marlseam.__main__ import main
-from marlseam.fleet import content
+from marlseam.cluster.replication import content
 
 if __name__ == "__main__":
     content.FORMAT -= 1
--- a/marlseam/standin/roster.py
+++ b/marlseam/standin/roster.py
@@ -12,8 +12,8 @@
 import h11
 
 from marlseam import records
-from marlseam.core import Entry
-from marlseam.interface import State
+from marlseam.core import EndpointEntry
+from marlseam.decisions.types import EndpointState
 from marlseam.net.connection import Connection, Steps
 from marlseam.net.loop import READ, READY, Task, sleep
 from marlseam.net.protocol import LIST_PATH
@@ -22,7 +22,7 @@
 from marlseam.world.model import Day, executors, nodes
 from marlseam.world.roster import Roster
 
-HEALTH = {State.READY: "active", State.DRAINING: "leaving", State.GONE: "left"}
+HEALTH = {EndpointState.READY: "active", EndpointState.DRAINING: "leaving", EndpointState.GONE: "left"}
 
 
 class Directory:
@@ -46,7 +46,7 @@
             name: (k, day.fleet.zones.index(zone), cell) for name, _, k, zone, cell in executors(day)
         }
         later = {name for met in schedule if met.trouble.what == "grow" for name in met.targets}
-        rows = [self.row(name, State.READY, None) for name in self.places if name not in later]
+        rows = [self.row(name, EndpointState.READY, None) for name in self.places if name not in later]
         self.roster = Roster(rows, day.roster.calls_per_s, day.roster.timeout_ms)
         self.roster.outages = [(m.at, m.until) for m in schedule if m.trouble.what == "roster_outage"]
         self.writer = stand.streams.of("roster")
@@ -59,11 +59,11 @@
         for begin, _ in self.roster.outages:
             stand.at(begin, self.wake)
 
-    def row(self, name: str, state: State, born: float | None) -> Entry:
+    def row(self, name: str, state: EndpointState, born: float | None) -> EndpointEntry:
         """Return an executor as it is listed."""
-        return Entry(name, state, *self.numbers[name], born)
+        return EndpointEntry(name, state, *self.numbers[name], born)
 
-    def change(self, row: Entry) -> None:
+    def change(self, row: EndpointEntry) -> None:
         """List a change and tell who waits."""
         self.roster.change(row)
         self.wake()
@@ -126,19 +126,25 @@
         hosts = [self.entry(row, zone) for row in rows]
         return json.dumps({"seq": self.roster.version(), "whole": whole, "hosts": hosts}).encode()
 
-    def entry(self, row: Entry, zone: str) -> dict:
+    def entry(self, row: EndpointEntry, zone: str) -> dict:
         """Return a row as the protocol writes it."""
-        kind, site, cell = self.places[row.executor]
+        kind, site, cell = self.places[row.server]
         born = 0.0
-        if row.born_ms is not None:
-            born = time.time() * 1000.0 - (self.stand.now() - row.born_ms)
+        if row.process_started_ms is not None:
+            born = time.time() * 1000.0 - (self.stand.now() - row.process_started_ms)
             born = (
                 round(born / 50.0) * 50.0
             )  # the same at each call: an executor that restarts has another one
         return {
-            "host": row.executor, "dial": self.dials[zone][row.executor], "site": site, "class": kind,
-            "block": cell, "health": HEALTH[row.state], "share": 1.0, "born_ms": born,
-        }  # fmt: skip
+            "host": row.server,
+            "dial": self.dials[zone][row.server],
+            "site": site,
+            "class": kind,
+            "block": cell,
+            "health": HEALTH[row.state],
+            "share": 1.0,
+            "born_ms": born,
+        }
 
 
 def serve(
--- a/marlseam/store/check.py
+++ b/marlseam/store/check.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from marlseam.config import ConfigError, FleetSettings, StoreSettings
-from marlseam.store.folder import Disk, Finding, Folder, code_of, lock
-from marlseam.store.ledger import Ledger
+from marlseam.configuration import ClusterSettings, ConfigError, StoreSettings
+from marlseam.store.ledger_writer import Ledger
+from marlseam.store.state_directory import Disk, Finding, Folder, code_of, lock
 
 TRIAL = "trial"
 
@@ -56,7 +56,7 @@
     tried(Path(settings.folder), "store.folder", read)
 
 
-def test_ledger(settings: FleetSettings, node: str) -> None:
+def test_ledger(settings: ClusterSettings, node: str) -> None:
     """Try a ledger's folder; raise ConfigError with what is wrong."""
 
     def read(disk: Disk) -> tuple[str, list[Finding]]:
--- a/marlseam/store/format.py
+++ b/marlseam/store/file_format.py
@@ -36,7 +36,7 @@
 
 
 class Listed(msgspec.Struct, tag="list", array_like=True):
-    """The roster's list as the roster wrote it, and when it was last true (Unix ms)."""
+    """Discovery's list as discovery wrote it, and when it was last true (Unix ms)."""
 
     version: int
     rows: list[dict]
@@ -44,13 +44,13 @@
 
 
 class Heard(msgspec.Struct, tag="heard", array_like=True):
-    """The roster has confirmed the list as it is (Unix ms)."""
+    """Discovery has confirmed the list as it is (Unix ms)."""
 
     heard_ms: float
 
 
 class Sent(msgspec.Struct, tag="sent", array_like=True, gc=False):
-    """A work unit under a key is about to be sent: it may have run from now on (times in Unix ms)."""
+    """A request under a key is about to be sent: it may have run from now on (times in Unix ms)."""
 
     key: str
     executor: str
@@ -75,7 +75,7 @@
 
 
 class Turned(msgspec.Struct, tag="turnover", array_like=True):
-    """What is known of how often executors leave."""
+    """What is known of how often servers leave."""
 
     departures: float
     lived_ms: float
--- a/marlseam/store/audit.py
+++ b/marlseam/store/ledger_audit.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable
 from pathlib import Path
 
-from marlseam.fleet import audit
-from marlseam.fleet.ledger import Entry
-from marlseam.store.folder import Disk
-from marlseam.store.ledger import BESIDE, Ledger
+from marlseam.cluster import audit
+from marlseam.cluster.audit_log import Entry
+from marlseam.store.ledger_writer import BESIDE, Ledger
+from marlseam.store.state_directory import Disk
 
 
 def writing(folder: Path) -> bool:
--- a/marlseam/store/ledger.py
+++ b/marlseam/store/ledger_writer.py
@@ -17,11 +17,11 @@
 
 import msgspec
 
-from marlseam.fleet.ledger import START, Entry, Kept, Opened, Written, encode, linked, unlinked
-from marlseam.store import format as form
-from marlseam.store.folder import Disk, Era, Finding, era, lock, unix_ms, write_all
-from marlseam.store.format import Unusable
-from marlseam.store.helper import main
+from marlseam.cluster.audit_log import START, Entry, Kept, Opened, Written, encode, linked, unlinked
+from marlseam.store import file_format as form
+from marlseam.store.file_format import Unusable
+from marlseam.store.state_directory import Disk, Era, Finding, era, lock, unix_ms, write_all
+from marlseam.store.writer_process import main
 
 NAME = re.compile(r"ledger-(\d{10})$")
 FILES = 16  # kept
--- a/marlseam/store/scribe.py
+++ b/marlseam/store/log_writer_client.py
@@ -19,8 +19,8 @@
 from marlseam.net.connection import Steps
 from marlseam.net.log import Log
 from marlseam.net.loop import READ, WRITE, Coroutine, Loop, Task, sleep
-from marlseam.store.folder import code_of, era, lock
-from marlseam.store.helper import APPEND, COMPACT, END, HEAD
+from marlseam.store.state_directory import code_of, era, lock
+from marlseam.store.writer_process import APPEND, COMPACT, END, HEAD
 
 LOCK_S = 0.5  # how long a start waits for the lock, which the last life's helper holds until it has ended
 LOOK_MS = 50.0  # between looks at a lock that another process has
@@ -44,7 +44,7 @@
 class Scribe:
     """Keeps a helper that writes to a folder."""
 
-    helper = "marlseam.store.helper"  # the module that is run; stand-ins for a disk set another
+    helper = "marlseam.store.writer_process"  # the module that is run; stand-ins for a disk set another
     what = "state"  # as staff are told of it
     back_most_ms = BACK_MOST_MS
 
@@ -137,8 +137,10 @@
         try:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", self.helper, *words],
-                pass_fds=(theirs.fileno(), self.lock), stdin=subprocess.DEVNULL, stdout=subprocess.DEVNULL,
-            )  # fmt: skip
+                pass_fds=(theirs.fileno(), self.lock),
+                stdin=subprocess.DEVNULL,
+                stdout=subprocess.DEVNULL,
+            )
         except OSError:
             ours.close()
             raise
--- a/marlseam/store/state.py
+++ b/marlseam/store/node_state.py
@@ -8,7 +8,7 @@
 
 from msgspec.structs import replace
 
-from marlseam.store.format import BATCH, Batch, Entry, Heard, Listed, Lost, NeverRan, Sent, Turned
+from marlseam.store.file_format import BATCH, Batch, Entry, Heard, Listed, Lost, NeverRan, Sent, Turned
 
 Steps = Generator[None, None, None]  # long work, in pieces that a caller may spread over turns
 STEP_MS = 20.0  # by which a clock must have been set to count as set
--- a/marlseam/store/folder.py
+++ b/marlseam/store/state_directory.py
@@ -22,20 +22,29 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from marlseam.store import format as form
-from marlseam.store.format import Unusable
-from marlseam.store.state import State
+from marlseam.store import file_format as form
+from marlseam.store.file_format import Unusable
+from marlseam.store.node_state import State
 
 NAME = re.compile(r"(snapshot|journal)-(\d{10})$")
 KEPT = 2  # snapshots
 CLOCK_MS = 1000.0  # by which clocks may differ
 BOOT = Path("/proc/sys/kernel/random/boot_id")
 CODES = {
-    errno.ENOSPC: "full", errno.EDQUOT: "full", errno.EROFS: "read-only", errno.EACCES: "read-only",
-    errno.EPERM: "read-only", errno.ENOENT: "vanished", errno.EIO: "broken", errno.ESTALE: "vanished",
-    errno.ENOTDIR: "vanished", errno.EAGAIN: "locked", errno.ENOSYS: "unsupported",
-    errno.EINVAL: "unsupported", errno.EFBIG: "full",
-}  # fmt: skip
+    errno.ENOSPC: "full",
+    errno.EDQUOT: "full",
+    errno.EROFS: "read-only",
+    errno.EACCES: "read-only",
+    errno.EPERM: "read-only",
+    errno.ENOENT: "vanished",
+    errno.EIO: "broken",
+    errno.ESTALE: "vanished",
+    errno.ENOTDIR: "vanished",
+    errno.EAGAIN: "locked",
+    errno.ENOSYS: "unsupported",
+    errno.EINVAL: "unsupported",
+    errno.EFBIG: "full",
+}
 
 
 class Disk:
--- a/marlseam/store/keeper.py
+++ b/marlseam/store/state_store.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from marlseam.config import StoreSettings
+from marlseam.configuration import StoreSettings
 from marlseam.net.connection import Steps
 from marlseam.net.log import Log
 from marlseam.net.loop import Coroutine, Loop, sleep
-from marlseam.store import format as form
-from marlseam.store.folder import Disk, Folder, code_of, unix_ms
-from marlseam.store.format import Entry
-from marlseam.store.helper import APPEND
-from marlseam.store.scribe import Scribe
-from marlseam.store.state import State
+from marlseam.store import file_format as form
+from marlseam.store.file_format import Entry
+from marlseam.store.log_writer_client import Scribe
+from marlseam.store.node_state import State
+from marlseam.store.state_directory import Disk, Folder, code_of, unix_ms
+from marlseam.store.writer_process import APPEND
 
 PIECE_MS = 5.0  # of a turn that reading may take
 
--- a/marlseam/store/helper.py
+++ b/marlseam/store/writer_process.py
@@ -1,6 +1,6 @@
 """The process that writes a node's state, so that a slow disk never stalls the node's loop.
 
-python -m marlseam.store.helper FOLDER NODE SYNC CHANNEL LOCK BOOT ZERO
+python -m marlseam.store.writer_process FOLDER NODE SYNC CHANNEL LOCK BOOT ZERO
 
 Messages on the channel, a Unix stream: one byte (A append, C compact what is there, E end), four bytes of
 length, a payload: frames as they go into the journal. All appends that wait are written at once and synced
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import Protocol
 
-from marlseam.store.folder import Disk, Era, Folder, code_of
+from marlseam.store.state_directory import Disk, Era, Folder, code_of
 
 HEAD = struct.Struct(">BI")
 APPEND, COMPACT, END = ord("A"), ord("C"), ord("E")
--- a/marlseam/world/clients.py
+++ b/marlseam/world/clients.py
@@ -69,11 +69,22 @@
     """Return the record of a try that goes out to a node now."""
     arrival, type = client.arrival, client.type
     return Tried(
-        t=now, by=by, id=id, first=arrival.first or arrival.id, number=arrival.number + client.tries - 1,
-        node=node, zone=arrival.zone, type=type.name, intended=arrival.at, expires=client.expires,
-        promised=client.promised, credit=arrival.credit, late_credit=type.late_credit,
-        receipt=arrival.receipt, key=arrival.key,
-    )  # fmt: skip
+        t=now,
+        by=by,
+        id=id,
+        first=arrival.first or arrival.id,
+        number=arrival.number + client.tries - 1,
+        node=node,
+        zone=arrival.zone,
+        type=type.name,
+        intended=arrival.at,
+        expires=client.expires,
+        promised=client.promised,
+        credit=arrival.credit,
+        late_credit=type.late_credit,
+        receipt=arrival.receipt,
+        key=arrival.key,
+    )
 
 
 class Front:
--- a/marlseam/world/executor.py
+++ b/marlseam/world/executor.py
@@ -16,7 +16,7 @@
 
 import numpy as np
 
-from marlseam.interface import Report
+from marlseam.decisions.types import LoadReport
 from marlseam.world.model import Kind
 
 QUICK = 0.02  # how much of its work a job has done when it fails quickly
@@ -135,7 +135,7 @@
         self.free_slots, self.free_memory = float(self.kind.slots), self.kind.memory
         self.at, self.clock = now, 0.0
         self.sampled = now
-        self.samples: deque[tuple[float, Report]] = deque([(now, self.sample())], maxlen=REPORT_HISTORY)
+        self.samples: deque[tuple[float, LoadReport]] = deque([(now, self.sample())], maxlen=REPORT_HISTORY)
         self.happened: list[Happening] = []
 
     # Rates.
@@ -315,13 +315,13 @@
 
     # Reports.
 
-    def sample(self) -> Report:
+    def sample(self) -> LoadReport:
         """Return the load as it is."""
         told, slots = self.ills.told, self.kind.slots
         queued = told * len(self.state.queue) if self.tells_queue else None
-        return Report(queued=queued, free_slots=slots - told * (slots - self.free_slots))
+        return LoadReport(queued=queued, free_slots=slots - told * (slots - self.free_slots))
 
-    def report(self, now: float) -> Report:
+    def report(self, now: float) -> LoadReport:
         """Return the load report that is to be had at a time: refreshed now and then, and late."""
         known = now - self.late - self.ills.late_ms
         for at, report in reversed(self.samples):
--- a/marlseam/world/model.py
+++ b/marlseam/world/model.py
@@ -16,10 +16,26 @@
 Name = Annotated[str, Meta(pattern="^[a-z0-9][a-z0-9-]*$")]
 
 TROUBLES = (
-    "silent", "slow", "errors", "tail", "zone_cut", "shrink", "grow", "crash", "late_reports",
-    "roster_outage", "neighbour", "node_kill", "node_roll", "node_reload", "reset", "surge",
-    "false_reports", "flapping", "slow_link",
-)  # fmt: skip
+    "silent",
+    "slow",
+    "errors",
+    "tail",
+    "zone_cut",
+    "shrink",
+    "grow",
+    "crash",
+    "late_reports",
+    "roster_outage",
+    "neighbour",
+    "node_kill",
+    "node_roll",
+    "node_reload",
+    "reset",
+    "surge",
+    "false_reports",
+    "flapping",
+    "slow_link",
+)
 
 
 class Strict(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -172,8 +188,14 @@
 
     count: int = 0
     of: tuple[Literal[TROUBLES], ...] = (  # type: ignore[valid-type]
-        "silent", "slow", "errors", "tail", "zone_cut", "crash", "neighbour",
-    )  # fmt: skip
+        "silent",
+        "slow",
+        "errors",
+        "tail",
+        "zone_cut",
+        "crash",
+        "neighbour",
+    )
 
 
 class Day(Strict):
@@ -235,24 +257,34 @@
             for type in day.types
         ],
         "ceilings": {
-            "sendCap": rules.max_allocs, "mayProbe": rules.probes, "cancel": rules.cancel,
-            "secondCopies": rules.second_copies, "retryAfter": rules.max_advice_ms > 0.0,
-            "maxRetryAfterUs": rules.max_advice_ms * 1000.0, "keepaliveUs": 30e6, "connectTimeoutUs": 250e3,
+            "sendCap": rules.max_allocs,
+            "mayProbe": rules.probes,
+            "cancel": rules.cancel,
+            "secondCopies": rules.second_copies,
+            "retryAfter": rules.max_advice_ms > 0.0,
+            "maxRetryAfterUs": rules.max_advice_ms * 1000.0,
+            "keepaliveUs": 30e6,
+            "connectTimeoutUs": 250e3,
         },
         "familyInfo": {
-            "tellsStart": True, "progressUs": day.fleet.progress_s * 1e6,
-            "classStretch": [type.stretch for type in day.types], "reportX0": "free slots",
+            "tellsStart": True,
+            "progressUs": day.fleet.progress_s * 1e6,
+            "classStretch": [type.stretch for type in day.types],
+            "reportX0": "free slots",
         },
         "guarantees": {
-            "mustAskInUs": rules.must_ask_ms * 1000.0, "warmWithinUs": warm * 1e6,
+            "mustAskInUs": rules.must_ask_ms * 1000.0,
+            "warmWithinUs": warm * 1e6,
             "startCapacity": min(kind.cold_share for kind in day.fleet.kinds),
-            "fallMultiple": rules.fall_multiple, "tipAfterUs": rules.fall_ms * 1000.0,
-            "turnGapUs": rules.turn_gap_ms * 1000.0, "drainBindsAlone": rules.drain_binds_alone,
+            "fallMultiple": rules.fall_multiple,
+            "tipAfterUs": rules.fall_ms * 1000.0,
+            "turnGapUs": rules.turn_gap_ms * 1000.0,
+            "drainBindsAlone": rules.drain_binds_alone,
         },
         "loadReport": {"how": "answers" if day.reports.answers else "probe", "fields": ["backlog", "x0"]},
         "penalties": {"crossZone": rules.cross_price},
         "clients": {"marksRetry": day.clients.marks},
-    }  # fmt: skip
+    }
 
 
 def read(data: bytes) -> Day:
--- a/marlseam/world/plan.py
+++ b/marlseam/world/plan.py
@@ -102,10 +102,18 @@
         id = f"{seed:x}-{i:x}"
         found.append(
             Arrival(
-                at=float(at[i]), id=id, type=int(types[i]), zone=zones[of_zone[i]], work=float(work[i]),
-                slots=float(slots[i]), memory=type.memory, credit=type.credit,
+                at=float(at[i]),
+                id=id,
+                type=int(types[i]),
+                zone=zones[of_zone[i]],
+                work=float(work[i]),
+                slots=float(slots[i]),
+                memory=type.memory,
+                credit=type.credit,
                 receipt=f"r{id}" if type.effect == "receipted" else None,
-                honours=bool(honours[i]), leaves=bool(leaves[i]), key=keys[i],
+                honours=bool(honours[i]),
+                leaves=bool(leaves[i]),
+                key=keys[i],
             )
-        )  # fmt: skip
+        )
     return found
--- a/marlseam/world/roster.py
+++ b/marlseam/world/roster.py
@@ -5,16 +5,16 @@
 
 from math import inf
 
-from marlseam.core import Entry
-from marlseam.interface import State
+from marlseam.core import EndpointEntry
+from marlseam.decisions.types import EndpointState
 
 
 class Roster:
     """What is listed, by version, and when a call is served."""
 
-    def __init__(self, rows: list[Entry], calls_per_s: float, timeout_ms: float) -> None:
-        self.rows = {row.executor: row for row in rows}
-        self.log: list[Entry] = list(rows)  # version v is the state after the first v entries
+    def __init__(self, rows: list[EndpointEntry], calls_per_s: float, timeout_ms: float) -> None:
+        self.rows = {row.server: row for row in rows}
+        self.log: list[EndpointEntry] = list(rows)  # version v is the state after the first v entries
         self.cost_ms, self.timeout_ms = 1000.0 / calls_per_s, timeout_ms
         self.busy_until = 0.0
         self.leaving: dict[str, set[str]] = {}  # by node: what it was last told to be leaving
@@ -24,9 +24,9 @@
         """Return the newest version."""
         return len(self.log)
 
-    def change(self, row: Entry) -> None:
+    def change(self, row: EndpointEntry) -> None:
         """List a change."""
-        self.rows[row.executor] = row
+        self.rows[row.server] = row
         self.log.append(row)
 
     def out(self, now: float) -> float:
@@ -40,22 +40,24 @@
         self.busy_until = max(self.busy_until, now) + self.cost_ms
         return None if self.busy_until - now > self.timeout_ms else self.busy_until
 
-    def news(self, since: int) -> tuple[bool, list[Entry]]:
+    def news(self, since: int) -> tuple[bool, list[EndpointEntry]]:
         """Return whether the answer is the whole list, and its rows: what changed since, last state only."""
         if since <= 0 or since > len(self.log):
-            return True, [row for row in self.rows.values() if row.state is not State.GONE]
-        changed = dict.fromkeys(row.executor for row in self.log[since:])
+            return True, [row for row in self.rows.values() if row.state is not EndpointState.GONE]
+        changed = dict.fromkeys(row.server for row in self.log[since:])
         return False, [self.rows[name] for name in changed]
 
-    def told(self, node: str, whole: bool, rows: list[Entry]) -> list[tuple[str, State]]:
+    def told(self, node: str, whole: bool, rows: list[EndpointEntry]) -> list[tuple[str, EndpointState]]:
         """Return what an answer's rows tell a node that a judge must hear of: leavings, and the end of each.
 
         A whole list tells of all that are gone by leaving them out; that the others are ready is no news.
         """
         leaving = self.leaving.setdefault(node, set())
         if whole:
-            rows = rows + [row for row in self.rows.values() if row.state is State.GONE]
-        found = [(r.executor, r.state) for r in rows if r.state is not State.READY or r.executor in leaving]
+            rows = rows + [row for row in self.rows.values() if row.state is EndpointState.GONE]
+        found = [
+            (r.server, r.state) for r in rows if r.state is not EndpointState.READY or r.server in leaving
+        ]
         for executor, state in found:
-            (leaving.discard if state is State.READY else leaving.add)(executor)
+            (leaving.discard if state is EndpointState.READY else leaving.add)(executor)
         return found
--- a/marlseam/world/troubles.py
+++ b/marlseam/world/troubles.py
@@ -10,7 +10,7 @@
 import msgspec
 import numpy as np
 
-from marlseam.interface import State
+from marlseam.decisions.types import EndpointState
 from marlseam.world.chance import stream
 from marlseam.world.executor import Ills
 from marlseam.world.model import Day, Trouble, executors, nodes
@@ -111,7 +111,7 @@
 
     at: float
     executor: str
-    state: State
+    state: EndpointState
     born: float | None
 
 
@@ -130,20 +130,20 @@
     return sorted(found, key=lambda listed: listed.at)
 
 
-def listed_at(met: list[Met], executor: str, t: float) -> tuple[State, float | None]:
+def listed_at(met: list[Met], executor: str, t: float) -> tuple[EndpointState, float | None]:
     """Return an executor's true state at a time, and when its process was born if that was in this day."""
-    state, born = State.READY, None
+    state, born = EndpointState.READY, None
     for m in met:
         if executor not in m.targets:
             continue
         on = m.at <= t < m.until
         match m.trouble.what:
             case "silent" | "crash" if on:
-                state = State.GONE
+                state = EndpointState.GONE
             case "shrink" if t >= m.at:
-                state = State.DRAINING if on else State.GONE
+                state = EndpointState.DRAINING if on else EndpointState.GONE
             case "grow" if t < m.at:
-                state = State.GONE
+                state = EndpointState.GONE
         risen = {"crash": m.until, "grow": m.at}.get(m.trouble.what, inf)
         if risen <= t:
             born = max(born or 0.0, risen)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,41 +11,60 @@
 import pytest
 from hypothesis import settings as hypothesis_settings
 
-from marlseam.config import Config, ConfigError, Deployment, deployment_from, load, own_settings
+from marlseam.configuration import Config, ConfigError, Deployment, deployment_from, load, own_settings
 from marlseam.core import Event
 from marlseam.counters import Counters
-from marlseam.interface import (
-    Alloc,
-    Effect,
-    Group,
-    Listing,
-    Member,
-    ProjectType,
+from marlseam.decisions.dispatcher import Dispatcher as Decider
+from marlseam.decisions.dispatcher import RequestState
+from marlseam.decisions.types import (
+    Attempt,
+    DeduplicationScope,
+    Endpoint,
+    EndpointState,
+    Idempotency,
+    ListUpdateKind,
+    Request,
+    RequestClass,
     Settings,
-    State,
-    WorkUnit,
 )
-from marlseam.logic import Handle
-from marlseam.logic import Node as Decider
 from marlseam.net.connection import Connection, Steps
-from marlseam.net.executors import Executors
 from marlseam.net.log import Log
 from marlseam.net.loop import READ, Loop
 from marlseam.net.node import Node
+from marlseam.net.upstream import Upstream
 
 # The same examples each time: whether a change lands does not hang on chance, or on how busy the machine is.
 hypothesis_settings.register_profile("fixed", derandomize=True, deadline=None)
 hypothesis_settings.load_profile("fixed")
-RERUNNABLE = ProjectType(200.0, 2.0, 5000.0, Effect.RERUNNABLE, Group.ALL, 5000.0, -1)
-RECEIPTED = replace(RERUNNABLE, effect=Effect.RECEIPTED, group=Group.CELL, memory_ms=3000.0)
-EXCLUSIVE = replace(RERUNNABLE, effect=Effect.EXCLUSIVE)
+SAFE = RequestClass(200.0, 2.0, 5000.0, Idempotency.SAFE, DeduplicationScope.ALL, 5000.0, -1)
+KEYED = replace(
+    SAFE,
+    idempotency=Idempotency.KEYED,
+    deduplication_scope=DeduplicationScope.CELL,
+    deduplication_window_ms=3000.0,
+)
+UNSAFE = replace(SAFE, idempotency=Idempotency.UNSAFE)
 SETTINGS = Settings(
-    types=(RERUNNABLE, RECEIPTED, EXCLUSIVE), kinds=1, zone=0, nodes=2, tick_ms=4.0, max_allocs=4,
-    may_probe=True, may_cancel=True, second_copies=False, max_advice_ms=2000.0,
-    asked_roster=True, must_ask_ms=10000.0,
-    tells_start=True, progress_ms=1000.0, cold_share=0.3, warm_ms=8000.0, fall_multiple=3.0, fall_ms=1000.0,
-    cross_price=0.02,
-)  # fmt: skip
+    request_classes=(SAFE, KEYED, UNSAFE),
+    kind_count=1,
+    zone=0,
+    node_count=2,
+    tick_ms=4.0,
+    max_attempts=4,
+    may_probe=True,
+    may_cancel=True,
+    may_hedge=False,
+    max_retry_after_ms=2000.0,
+    subscribes_to_endpoints=True,
+    list_max_age_ms=10000.0,
+    reports_start=True,
+    progress_period_ms=1000.0,
+    slow_start_initial_share=0.3,
+    slow_start_ms=8000.0,
+    overload_multiple=3.0,
+    overload_window_ms=1000.0,
+    cross_zone_cost=0.02,
+)
 
 
 class RecordingPort:
@@ -59,17 +78,17 @@
     def now(self) -> float:
         return self.clock
 
-    def send(self, wu: Handle, executor: int, limit_ms: float) -> None:
-        self.acts.append(("send", wu.work.ref, executor))
+    def send(self, state: RequestState, executor: int, time_left_ms: float) -> None:
+        self.acts.append(("send", state.request.request_id, executor))
 
-    def cancel(self, wu: Handle, alloc: int) -> None:
-        self.acts.append(("cancel", wu.work.ref, alloc))
+    def cancel(self, state: RequestState, attempt_index: int) -> None:
+        self.acts.append(("cancel", state.request.request_id, attempt_index))
 
-    def defer(self, wu: Handle, advice_ms: float) -> None:
-        self.acts.append(("defer", wu.work.ref))
+    def defer(self, state: RequestState, retry_after_ms: float) -> None:
+        self.acts.append(("defer", state.request.request_id))
 
-    def abort(self, wu: Handle) -> None:
-        self.acts.append(("abort", wu.work.ref))
+    def abort(self, state: RequestState) -> None:
+        self.acts.append(("abort", state.request.request_id))
 
     def probe(self, executor: int) -> None:
         self.acts.append(("probe", executor))
@@ -77,8 +96,8 @@
     def after(self, delay_ms: float, call: Callable[[], None]) -> None:
         self.timers.append((self.clock + delay_ms, call))
 
-    def never_ran(self, wu: Handle, executor: int, sent_ms: float) -> None:
-        self.acts.append(("never_ran", wu.work.ref, executor))
+    def never_ran(self, state: RequestState, executor: int, sent_ms: float) -> None:
+        self.acts.append(("never_ran", state.request.request_id, executor))
 
     def subscribe(self) -> None:
         self.acts.append(("subscribe",))
@@ -92,12 +111,15 @@
 
 @pytest.fixture
 def make() -> Callable[..., Decider]:
-    """Return a maker of nodes whose executors 0..n-1 are ready and have just reported these counts."""
+    """Return a maker of nodes whose servers 0..n-1 are ready and have just reported these counts."""
 
     def build(*counts: float | None, cells: tuple[int, ...] = (), **changes: object) -> Decider:
         node = Decider(replace(SETTINGS, **changes), 7, RecordingPort())
         cells = cells or (0,) * len(counts)
-        node.roster(Listing.FULL, [Member(e, State.READY, 0, 0, cells[e], None) for e in range(len(counts))])
+        node.update_endpoints(
+            ListUpdateKind.FULL,
+            [Endpoint(e, EndpointState.READY, 0, 0, cells[e], None) for e in range(len(counts))],
+        )
         node.most_free[0] = 4.0
         for e, count in enumerate(counts):
             node.hear(e, count)
@@ -109,17 +131,17 @@
 
 
 @pytest.fixture
-def unit() -> Callable[..., Handle]:
-    """Return a maker of handles with allocations of given executors and outcomes."""
+def unit() -> Callable[..., RequestState]:
+    """Return a maker of handles with attempts of given servers and outcomes."""
 
-    def build(node: Decider, type: int = 0, allocs: tuple = (), slots: float = 1.0) -> Handle:
+    def build(node: Decider, type: int = 0, attempts: tuple = (), slots: float = 1.0) -> RequestState:
         now = node.port.now()
-        wu = Handle(node, WorkUnit(f"w{type}", type, now + 5000.0, slots=slots))
-        for executor, outcome in allocs:
-            wu.allocs.append(Alloc(executor, now, now, outcome=outcome))
+        state = RequestState(node, Request(f"w{type}", type, now + 5000.0, slots=slots))
+        for executor, outcome in attempts:
+            state.attempts.append(Attempt(executor, now, now, outcome=outcome))
             if outcome is None:
-                node.hold(executor, wu, len(wu.allocs) - 1, slots)
-        return wu
+                node.hold(executor, state, len(state.attempts) - 1, slots)
+        return state
 
     return build
 
@@ -127,7 +149,10 @@
 # The real node: settings as the file holds them, a socket that plays a script, and the parts round it.
 
 OPTIONS = {
-    "zone": "here", "dcs": ["here", "there"], "kinds": ["plain"], "tickUs": 4000,
+    "zone": "here",
+    "dcs": ["here", "there"],
+    "kinds": ["plain"],
+    "tickUs": 4000,
     "registryMode": "subscribe",
     "requestClasses": [
         {"name": "statement", "aimUs": 200000, "deadlineUs": 5000000, "semantics": "safe"},
@@ -135,17 +160,21 @@
     ],
     "ceilings": {"sendCap": 4, "mayProbe": True, "cancel": True, "keepaliveUs": 1000000},
     "familyInfo": {"tellsStart": True, "reportX0": "free slots"},
-}  # fmt: skip
+}
 PAYMENTS = OPTIONS | {
     "requestClasses": [
         *OPTIONS["requestClasses"],
         {
-            "name": "payment", "aimUs": 200000, "deadlineUs": 5000000, "semantics": "keyed",
-            "dedupScope": "cell", "memorySpanUs": 30000000,
+            "name": "payment",
+            "aimUs": 200000,
+            "deadlineUs": 5000000,
+            "semantics": "keyed",
+            "dedupScope": "cell",
+            "memorySpanUs": 30000000,
         },
     ],
     "clients": {"marksRetry": True},
-}  # fmt: skip
+}
 
 
 LINES = b'{"id":"9b","from":"e1","state":"started"}\n{"id":"9b","from":"e1","state":"done","result":"r"}\n'
@@ -275,12 +304,12 @@
 
 
 @pytest.fixture
-def executors(
+def upstream(
     loop: Loop, deployment: Deployment, connection: Callable[..., Connection], monkeypatch: pytest.MonkeyPatch
-) -> Callable[..., Executors]:
-    """Return a maker of executors whose one connection plays a script; events are kept in `events`."""
+) -> Callable[..., Upstream]:
+    """Return a maker of servers whose one connection plays a script; events are kept in `events`."""
 
-    def build(*replies: bytes, **script: object) -> Executors:
+    def build(*replies: bytes, **script: object) -> Upstream:
         def connected(loop: Loop, log: Log, address: tuple[str, int], what: str, until_ms: float) -> Steps:
             made = connection(h11.CLIENT, *replies, **script)
             made.address = address
@@ -288,9 +317,9 @@
             return made
             yield
 
-        monkeypatch.setattr("marlseam.net.executors.connect", connected)
+        monkeypatch.setattr("marlseam.net.upstream.connect", connected)
         events: list[Event] = []
-        parts = Executors(loop, Log("test", loop.now), deployment, 64, events.append, Counters())
+        parts = Upstream(loop, Log("test", loop.now), deployment, 64, events.append, Counters())
         parts.events, parts.connections = events, []
         parts.listed({"e1"}, {"e1": ("127.0.0.1", 9)})
         return parts
@@ -300,7 +329,7 @@
 
 @pytest.fixture
 def node(tmp_path: Path) -> Node:
-    """Return a node on a free port, with one executor listed that refuses connections."""
+    """Return a node on a free port, with one server listed that refuses connections."""
     hosts = [
         {
             "host": "e1",
@@ -312,9 +341,12 @@
         }
     ]
     values = {
-        "listen": "127.0.0.1:0", "admin": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": OPTIONS,
+        "listen": "127.0.0.1:0",
+        "admin": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "settings": OPTIONS,
         "known": {"seq": 1, "whole": True, "hosts": hosts},
-    }  # fmt: skip
+    }
     path = tmp_path / "node.json"
     path.write_text(json.dumps(values))
     made = Node(load(str(path), {}))
@@ -335,7 +367,7 @@
     opened = []
 
     def call(data: bytes, door: object = None) -> socket.socket:
-        sock = socket.create_connection((door or node.server).listener.sock.getsockname())
+        sock = socket.create_connection((door or node.downstream).listener.sock.getsockname())
         opened.append(sock)
         sock.setblocking(False)
         sock.sendall(data)
@@ -369,7 +401,7 @@
 
 @pytest.fixture
 def executor(node: Node) -> Callable[[], list[bytes]]:
-    """Return a function that stands up an executor for the node, and gives the methods it is asked by."""
+    """Return a function that stands up a server for the node, and gives the methods it is asked by."""
     servers = []
 
     def stand() -> list[bytes]:
@@ -395,7 +427,7 @@
                 node.loop.spawn(talk(server.accept()[0]))
 
         node.loop.spawn(accept())
-        node.executors.listed({"e1"}, {"e1": server.getsockname()})
+        node.upstream.listed({"e1"}, {"e1": server.getsockname()})
         return asked
 
     yield stand
--- a/tests/effects_digest.py
+++ b/tests/effects_digest.py
@@ -17,22 +17,31 @@
 from conftest import SETTINGS
 
 from marlseam import core
-from marlseam.core import Core, Entry
-from marlseam.interface import Effect, Group, Listing, Outcome, ProjectType, Report, State, WorkUnit
-from marlseam.recovery.receipts import Trace
+from marlseam.core import EndpointEntry, Reducer
+from marlseam.core.idempotency import AttemptRecord
+from marlseam.decisions.types import (
+    DeduplicationScope,
+    EndpointState,
+    Idempotency,
+    ListUpdateKind,
+    LoadReport,
+    Outcome,
+    Request,
+    RequestClass,
+)
 
 CODES = {
-    core.Send: 1,
-    core.Cancel: 2,
-    core.Complete: 3,
-    core.Defer: 4,
-    core.Abort: 5,
+    core.SendAttempt: 1,
+    core.CancelAttempt: 2,
+    core.Respond: 3,
+    core.Reject: 4,
+    core.Fail: 5,
     core.Probe: 6,
-    core.Timer: 7,
-    core.Remember: 8,
-    core.Forget: 9,
-    core.Watch: 10,
-    core.Tell: 11,
+    core.SetTimer: 7,
+    core.PersistAttempt: 8,
+    core.ErasePersisted: 9,
+    core.WatchEndpoints: 10,
+    core.Gossip: 11,
     core.Log: 12,
 }
 
@@ -80,7 +89,7 @@
     return [type | changes for type in worlds.TYPES]
 
 
-EXCLUSIVE = {
+UNSAFE = {
     "name": "pay",
     "share": 0.2,
     "work_ms": 400,
@@ -99,9 +108,9 @@
         "rate": 30.0,
         "troubles": troubles(("grow", 3.0, {}), ("crash", 5.0, {})),
     },
-    "unsafe": {"types": [*worlds.TYPES, EXCLUSIVE], "troubles": HARD},
+    "unsafe": {"types": [*worlds.TYPES, UNSAFE], "troubles": HARD},
     "in turn": {
-        "types": [type | {"keys": 5, "in_turn": True} for type in [*worlds.TYPES, EXCLUSIVE]],
+        "types": [type | {"keys": 5, "in_turn": True} for type in [*worlds.TYPES, UNSAFE]],
         "rules": {"turn_gap_ms": 50.0},
         "troubles": HARD,
     },
@@ -130,7 +139,7 @@
     """Play a day and return the digest of its nodes' effects."""
     digest = Digest()
 
-    class Followed(Core):
+    class Followed(Reducer):
         def reduce(self, clock, event):
             effects = super().reduce(clock, event)
             digest.take(clock, effects)
@@ -146,20 +155,26 @@
 # Walks.
 
 TYPES = (
-    ProjectType(200.0, 2.0, 5000.0, Effect.RERUNNABLE, Group.ALL, 5000.0, -1, credit=2.0),
-    ProjectType(300.0, 1.0, 4000.0, Effect.RECEIPTED, Group.CELL, 3000.0, -1),
-    ProjectType(400.0, 2.0, 6000.0, Effect.EXCLUSIVE, Group.ALL, 5000.0, 1, credit=3.0),
-    ProjectType(250.0, 2.0, 5000.0, Effect.RECEIPTED, Group.ALL, 9000.0, 0),
-    ProjectType(250.0, 2.0, 5000.0, Effect.RECEIPTED, Group.ZONE, 9000.0, -1, in_turn=True),
+    RequestClass(
+        200.0, 2.0, 5000.0, Idempotency.SAFE, DeduplicationScope.ALL, 5000.0, -1, priority_weight=2.0
+    ),
+    RequestClass(300.0, 1.0, 4000.0, Idempotency.KEYED, DeduplicationScope.CELL, 3000.0, -1),
+    RequestClass(
+        400.0, 2.0, 6000.0, Idempotency.UNSAFE, DeduplicationScope.ALL, 5000.0, 1, priority_weight=3.0
+    ),
+    RequestClass(250.0, 2.0, 5000.0, Idempotency.KEYED, DeduplicationScope.ALL, 9000.0, 0),
+    RequestClass(
+        250.0, 2.0, 5000.0, Idempotency.KEYED, DeduplicationScope.ZONE, 9000.0, -1, ordered_by_key=True
+    ),
 )
-BASE = replace(SETTINGS, types=TYPES, kinds=2, nodes=3, turn_gap_ms=40.0)
+BASE = replace(SETTINGS, request_classes=TYPES, kind_count=2, node_count=3, key_gap_ms=40.0)
 WALKS = {
     "base": {},
-    "hedged": {"second_copies": True, "max_allocs": 3},
-    "answers": {"answers_report": True, "live_weights": True, "tells_start": False},
-    "told": {"may_tell": True, "cross_price": 0.3},
-    "fetched": {"fetch_price": 2.0, "by_size": True},
-    "not cancelled": {"may_cancel": False, "drain_binds_alone": True, "share": 0.5},
+    "hedged": {"may_hedge": True, "max_attempts": 3},
+    "answers": {"reports_in_responses": True, "live_weights": True, "reports_start": False},
+    "told": {"may_gossip": True, "cross_zone_cost": 0.3},
+    "fetched": {"fetch_cost": 2.0, "weight_by_size": True},
+    "not cancelled": {"may_cancel": False, "only_draining_excludes": True, "process_share": 0.5},
     "not probed": {"may_probe": False},
 }
 SERVERS = 14
@@ -169,10 +184,10 @@
     """One reducer in a world that answers at random; quotas change with `Renewed`."""
 
     def __init__(self, name):
-        self.settings, self.core, self.digest = replace(BASE, **WALKS[name]), Core(), Digest()
+        self.settings, self.core, self.digest = replace(BASE, **WALKS[name]), Reducer(), Digest()
         self.random, self.heap, self.count = random.Random(name), [], 0
         self.clock, self.settled = 0.0, set[tuple[str, int]]()
-        self.step(core.Begin(self.settings, 11))
+        self.step(core.NodeStarted(self.settings, 11))
 
     def at(self, delay, event):
         """Play an event later; `event` may be a function that makes it then."""
@@ -180,10 +195,10 @@
         heapq.heappush(self.heap, (self.clock + delay, self.count, event))
 
     def step(self, event):
-        attempt = getattr(event, "ref", ""), getattr(event, "alloc", -1)
+        attempt = getattr(event, "request_id", ""), getattr(event, "attempt_index", -1)
         if attempt in self.settled:
             return  # an attempt's end is told once, and nothing of it after that
-        if type(event) in (core.Settled, core.Unkept):
+        if type(event) in (core.AttemptEnded, core.NotDurable):
             self.settled.add(attempt)
         effects = self.core.reduce(self.clock, event)
         self.digest.take(self.clock, effects)
@@ -193,80 +208,97 @@
     def answer(self, effect):
         """Draw what becomes of an effect."""
         draw = self.random
-        if type(effect) is core.Timer:
-            self.at(effect.delay_ms, core.Due(effect.mark))
+        if type(effect) is core.SetTimer:
+            self.at(effect.delay_ms, core.TimerFired(effect.timer_id))
         elif type(effect) is core.Probe:
             late = draw.choice([0.5, 1.0, 3.0, 300.0])
             outcome = draw.choice(
                 [Outcome.COMPLETED] * 7 + [Outcome.TIMED_OUT, Outcome.UNREACHABLE, Outcome.BROKEN]
             )
-            self.at(late, core.Probed(effect.executor, outcome, late, self.report()))
-        elif type(effect) is core.Watch:
-            self.at(2.0, self.whole_list if draw.random() < 0.7 else core.Roster(Listing.FAILED, []))
-        elif type(effect) is core.Tell:
+            self.at(late, core.ProbeEnded(effect.server, outcome, late, self.report()))
+        elif type(effect) is core.WatchEndpoints:
+            self.at(
+                2.0,
+                self.whole_list
+                if draw.random() < 0.7
+                else core.EndpointListUpdate(ListUpdateKind.FAILED, []),
+            )
+        elif type(effect) is core.Gossip:
             other = bytearray(effect.message)
             other[3::4] = bytes(draw.randrange(4) for _ in other[3::4])
-            self.at(1.0, core.Told(draw.randrange(3), bytes(other)))
-        elif type(effect) is core.Send:
+            self.at(1.0, core.GossipReceived(draw.randrange(3), bytes(other)))
+        elif type(effect) is core.SendAttempt:
             self.attempt(effect)
-        elif type(effect) is core.Cancel and draw.random() < 0.8:
-            self.at(0.0, core.Settled(effect.ref, effect.alloc, Outcome.WITHDRAWN, False, None))
+        elif type(effect) is core.CancelAttempt and draw.random() < 0.8:
+            self.at(
+                0.0,
+                core.AttemptEnded(effect.request_id, effect.attempt_index, Outcome.CANCELLED, False, None),
+            )
 
     def attempt(self, effect):
         draw = self.random
         if draw.random() < 0.02:
-            self.at(0.1, core.Unkept(effect.ref, effect.alloc))
+            self.at(0.1, core.NotDurable(effect.request_id, effect.attempt_index))
             return
         wait, run = draw.expovariate(1 / 30.0), draw.expovariate(1 / 250.0)
         outcome = draw.choice([Outcome.COMPLETED] * 12 + list(Outcome))
         if draw.random() < 0.9:
-            self.at(wait, core.Started(effect.ref, effect.alloc))
-            self.at(wait + run / 2, core.Progress(effect.ref, effect.alloc, 0.5))
+            self.at(wait, core.AttemptStarted(effect.request_id, effect.attempt_index))
+            self.at(wait + run / 2, core.AttemptProgressed(effect.request_id, effect.attempt_index, 0.5))
         if draw.random() < 0.1:
-            self.at(wait + run * 0.9, core.Streaming(effect.ref, effect.alloc))
+            self.at(wait + run * 0.9, core.ResponseStreaming(effect.request_id, effect.attempt_index))
         if draw.random() < 0.95:
             final = outcome is Outcome.COMPLETED
-            self.at(wait + run, core.Settled(effect.ref, effect.alloc, outcome, final, self.report(), b"r"))
+            self.at(
+                wait + run,
+                core.AttemptEnded(
+                    effect.request_id, effect.attempt_index, outcome, final, self.report(), b"r"
+                ),
+            )
 
     def report(self):
         """Draw a load report, of which parts may be missing."""
         draw = self.random
         rows = [draw.choice([None, float(draw.randrange(9))]) for _ in range(3)]
-        return draw.choice([None, Report(*rows)])
+        return draw.choice([None, LoadReport(*rows)])
 
     def entry(self, number):
         draw = self.random
-        state = draw.choice([State.READY] * 8 + [State.DRAINING, State.GONE])
+        state = draw.choice([EndpointState.READY] * 8 + [EndpointState.DRAINING, EndpointState.GONE])
         born = draw.choice([None, None, self.clock - draw.uniform(0.0, 6000.0)])
         cell = number // 3
-        return Entry(
+        return EndpointEntry(
             f"e{number}", state, number % 2, number % 3, cell, born, draw.choice([None, 0.5, 1.0, 2.0])
         )
 
     def whole_list(self):
         numbers = self.random.sample(range(SERVERS), self.random.randrange(8, SERVERS))
-        listing = self.random.choice([Listing.FULL, Listing.FULL, Listing.CACHED])
-        doubt = self.random.choice([0.0, 0.4]) if listing is Listing.CACHED else 0.0
-        return core.Roster(listing, [self.entry(n) for n in numbers], doubt)
+        listing = self.random.choice([ListUpdateKind.FULL, ListUpdateKind.FULL, ListUpdateKind.CACHED])
+        doubt = self.random.choice([0.0, 0.4]) if listing is ListUpdateKind.CACHED else 0.0
+        return core.EndpointListUpdate(listing, [self.entry(n) for n in numbers], doubt)
 
     def changes(self):
-        return core.Roster(Listing.DELTA, [self.entry(n) for n in self.random.sample(range(SERVERS), 2)])
+        return core.EndpointListUpdate(
+            ListUpdateKind.DELTA, [self.entry(n) for n in self.random.sample(range(SERVERS), 2)]
+        )
 
     def arrival(self):
         draw, type = self.random, self.random.randrange(len(TYPES))
-        receipt = f"k{draw.randrange(60)}" if TYPES[type].effect is not Effect.RERUNNABLE else None
+        idempotency_key = (
+            f"k{draw.randrange(60)}" if TYPES[type].idempotency is not Idempotency.SAFE else None
+        )
         self.count += 1
-        ref = f"r{self.count}"
+        request_id = f"r{self.count}"
         if draw.random() < 0.1:
-            self.at(draw.uniform(5.0, 900.0), core.Left(ref))
-        return core.Arrival(
-            WorkUnit(
-                ref,
+            self.at(draw.uniform(5.0, 900.0), core.ClientLeft(request_id))
+        return core.RequestArrived(
+            Request(
+                request_id,
                 type,
-                self.clock + draw.uniform(50.0, TYPES[type].limit_ms),
+                self.clock + draw.uniform(50.0, TYPES[type].deadline_ms),
                 draw.choice([1.0, 1.0, 2.0]),
                 draw.choice([None, 120.0]),
-                receipt,
+                idempotency_key,
                 draw.choice([None, f"t{draw.randrange(8)}"]),
                 draw.random() < 0.2,
                 draw.random() < 0.95,
@@ -276,20 +308,22 @@
 
     def trace(self):
         name = f"e{self.random.randrange(SERVERS + 3)}"
-        return Trace(name, 0, 1, self.clock - 50.0, self.clock + self.random.uniform(100.0, 3000.0))
+        return AttemptRecord(name, 0, 1, self.clock - 50.0, self.clock + self.random.uniform(100.0, 3000.0))
 
     def seldom(self):
         """Draw one of the events that come seldom."""
         draw, key = self.random, f"k{self.random.randrange(60)}"
         return draw.choice(
             [
-                core.Recalled({key: [self.trace()]}),
-                core.Elsewhere(key, self.trace()),
-                core.Undone(key, "e1", self.clock),
-                core.Untold("store", draw.choice([None, self.clock - 3000.0])),
-                core.Retold("store"),
-                core.Renewed(
-                    replace(self.settings, share=draw.choice([0.25, 0.5, 1.0]), max_advice_ms=500.0)
+                core.HistoryRecovered({key: [self.trace()]}),
+                core.PeerAttempt(key, self.trace()),
+                core.PeerAttemptNeverRan(key, "e1", self.clock),
+                core.HistoryUnavailable("store", draw.choice([None, self.clock - 3000.0])),
+                core.HistoryAvailable("store"),
+                core.SettingsChanged(
+                    replace(
+                        self.settings, process_share=draw.choice([0.25, 0.5, 1.0]), max_retry_after_ms=500.0
+                    )
                 ),
             ]
         )
@@ -304,7 +338,7 @@
         for at in range(500, int(until_ms), 500):
             self.at(float(at) + 0.25, self.changes)
             self.at(float(at) + 100.0, self.seldom)
-        self.at(until_ms, core.Closing(1500.0))
+        self.at(until_ms, core.ShutdownBegun(1500.0))
         while self.heap and self.heap[0][0] < until_ms + 4000.0:
             self.clock, _, event = heapq.heappop(self.heap)
             self.step(event() if callable(event) else event)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -8,15 +8,14 @@
 from conftest import OPTIONS
 from test_net import CHUNKED, JOB, REQUEST
 
-from marlseam import core
 from marlseam.counters import Counters
-from marlseam.interface import State
+from marlseam.decisions.types import Endpoint, EndpointState
 from marlseam.net import admin as admin_module
+from marlseam.net import downstream as server_module
 from marlseam.net import loop as loop_module
 from marlseam.net import node as node_module
-from marlseam.net import server as server_module
-from marlseam.net.executors import Order
 from marlseam.net.invariants import Promise
+from marlseam.net.upstream import Order
 
 
 @pytest.fixture
@@ -56,13 +55,13 @@
 
 
 def taken(node, client, request=REQUEST):
-    """Send a work unit, wait until it is taken, and return its connection and its name."""
+    """Send a request, wait until it is taken, and return its connection and its name."""
     before = set(node.pending)
     sock = client(request)
     while set(node.pending) <= before:
         node.loop.turn()
-    (ref,) = set(node.pending) - before
-    return sock, ref
+    (request_id,) = set(node.pending) - before
+    return sock, request_id
 
 
 # Calls.
@@ -129,9 +128,9 @@
             pass
         return real(pending)
 
-    node.server.take = slow
+    node.downstream.take = slow
     socks = [client(b"") for _ in range(10)]
-    while len(node.server.idle) < 10:
+    while len(node.downstream.idle) < 10:
         node.loop.turn()
     for i, sock in enumerate(socks):
         sock.sendall(REQUEST.replace(b"9b", b"w%d" % i))
@@ -157,7 +156,7 @@
     """Return a client's connection that has served and stands unused."""
     sock = client(READY)
     reply(sock)
-    while not node.server.idle:
+    while not node.downstream.idle:
         node.loop.turn()
     return sock
 
@@ -173,9 +172,9 @@
 
 
 def test_work_that_is_taken_is_finished_out_of_service(node, client, reply, call):
-    sock, ref = taken(node, client)
+    sock, request_id = taken(node, client)
     call("POST", "/control/out-of-service")
-    node.answer(ref, 200, [], b"r")
+    node.answer(request_id, 200, [], b"r")
     data = reply(sock)
     assert data.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in data and read(node, sock) == b""
 
@@ -184,7 +183,7 @@
     sock = unused(node, client, reply)
     began = node.loop.now()
     call("POST", "/control/out-of-service")
-    assert node.server.idle
+    assert node.downstream.idle
     assert read(node, sock) == b"" and node.loop.now() - began >= node_module.PART_MS
 
 
@@ -192,7 +191,7 @@
     monkeypatch.setattr(node_module, "PART_MS", 0.0)
     call("POST", "/control/out-of-service")
     sock = client(b"")
-    while not node.server.idle:
+    while not node.downstream.idle:
         node.loop.turn()
     opened = node.loop.now()
     assert read(node, sock) == b"" and node.loop.now() - opened >= 0.9 * server_module.NEW_MS
@@ -231,7 +230,7 @@
     node.loop.at(end, lambda: None)
     while node.loop.now() < end:
         node.loop.turn()
-    assert node.server.idle
+    assert node.downstream.idle
 
 
 def test_sigterm_during_a_drain_ends_the_process_and_nothing_brings_it_back(node, call, monkeypatch):
@@ -264,7 +263,7 @@
     } | {f"invariant_violations_total.{promise.value}": 0 for promise in Promise}
 
 
-def test_mixed_ends_agree_with_what_clients_and_executors_saw(node, executor, client, reply, figures, call):
+def test_mixed_ends_agree_with_what_clients_and_servers_saw(node, executor, client, reply, figures, call):
     asked, seen = executor(), {"completed": 0, "rejected": 0, "failed": 0}
 
     def answered(sock):
@@ -275,14 +274,14 @@
         answered(client(REQUEST))
 
     def hold(pending):
-        node.refs += 1
-        node.pending[str(node.refs)] = pending
-        return str(node.refs)
+        node.last_request_id += 1
+        node.pending[str(node.last_request_id)] = pending
+        return str(node.last_request_id)
 
-    node.server.take = hold  # from here on the test decides
+    node.downstream.take = hold  # from here on the test decides
     for i, status in enumerate((503, 500, 400, 503)):
-        sock, ref = taken(node, client, REQUEST.replace(b"9b", b"w%d" % i))
-        node.answer(ref, status, [], b"")
+        sock, request_id = taken(node, client, REQUEST.replace(b"9b", b"w%d" % i))
+        node.answer(request_id, status, [], b"")
         answered(sock)
     gone, _ = taken(node, client, CHUNKED)
     gone.close()
@@ -299,8 +298,8 @@
         node.reload()
     call("POST", "/control/out-of-service")
     request = REQUEST.replace(b"9b", b"wd").replace(b"statement", b"extra")
-    drained, ref = taken(node, client, request)
-    node.answer(ref, 200, [], b"r")
+    drained, request_id = taken(node, client, request)
+    node.answer(request_id, 200, [], b"r")
     answered(drained)
     found = figures()
     ends = {how: found[f"downstream_requests.statement.{how}"] for how in seen}
@@ -311,12 +310,12 @@
     assert (found["pending"], found["config_reloads"], found["config_reload_errors"]) == (0, 1, 1)
 
 
-def test_attempts_count_once_their_last_byte_is_handed_over(executors):
-    parts = executors(silent=True)
+def test_attempts_count_once_their_last_byte_is_handed_over(upstream):
+    parts = upstream(silent=True)
     now = parts.loop.now()
     parts.send(Order("1", 0, "e1", JOB, now + 1000.0, now + 1000.0))
     assert parts.counters.attempts == 1
-    broken = executors(takes=10)
+    broken = upstream(takes=10)
     broken.send(Order("1", 0, "e1", JOB, now + 1000.0, now + 1000.0))
     assert broken.counters.attempts == 0
 
@@ -330,18 +329,18 @@
 
 
 def test_what_the_module_avoids_is_its_own_account(node, figures):
-    module = node.core.node
-    module.enter(core.Member(0, State.DRAINING, 0, 0, 0, None))
+    module = node.core.dispatcher
+    module.enter(Endpoint(0, EndpointState.DRAINING, 0, 0, 0, None))
     assert figures()["members_unavailable"] == 1
-    module.enter(core.Member(0, State.READY, 0, 0, 0, None))
+    module.enter(Endpoint(0, EndpointState.READY, 0, 0, 0, None))
     module.suspend(0, "outcomes", False)
     assert figures()["members_unavailable"] == 1
     module.recover(0)
     assert figures()["members_unavailable"] == 0
 
 
-def test_the_figures_change_nothing_of_a_cold_executors_budget(node, figures):
-    module = node.core.node
+def test_the_figures_change_nothing_of_a_cold_servers_budget(node, figures):
+    module = node.core.dispatcher
     module.born[0], module.tokens[0] = node.loop.now(), -1.0
     before = module.tokens[0], module.token_ms[0]
     assert figures()["members_unavailable"] == 0
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from marlseam.fleet.agree import (
+from marlseam.cluster.checking.explore_paxos import NUMBER, Rules, after, contents, explore, wander
+from marlseam.cluster.replication.paxos import (
     NONE,
     Accept,
     Accepted,
@@ -13,7 +14,6 @@
     Proposer,
     Refused,
 )
-from marlseam.fleet.explore import NUMBER, Rules, after, contents, explore, wander
 
 
 def test_no_interleaving_of_few_steps_gives_one_number_two_contents():
@@ -166,14 +166,23 @@
 @pytest.mark.parametrize(
     ("rules", "path"),
     [
-        (ForgetsPromise, ONE[:4]), (ForgetsAccepted, ONE), (SpeaksFirst, ONE[:4]), (HalfIsEnough, []),
-        (WrongVoters, [*ONE, "b hears Accept", "2 begins 1"]), (OwnGoesFirst, ONE),
-        (EarliestGoesFirst, FAR), (SameRoundAgain, ONE), (TakesAnything, ONE[:4]),
-        (LossUnknown, ONE), (VotesAfterLoss, ONE), (FromTheAnswer, ONE[:5]),
-        (ClearByDisk, ONE), (ProvedByOne, ONE),
+        (ForgetsPromise, ONE[:4]),
+        (ForgetsAccepted, ONE),
+        (SpeaksFirst, ONE[:4]),
+        (HalfIsEnough, []),
+        (WrongVoters, [*ONE, "b hears Accept", "2 begins 1"]),
+        (OwnGoesFirst, ONE),
+        (EarliestGoesFirst, FAR),
+        (SameRoundAgain, ONE),
+        (TakesAnything, ONE[:4]),
+        (LossUnknown, ONE),
+        (VotesAfterLoss, ONE),
+        (FromTheAnswer, ONE[:5]),
+        (ClearByDisk, ONE),
+        (ProvedByOne, ONE),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
-)  # fmt: skip
+)
 def test_a_planted_defect_is_found(rules, path):
     assert wander(6000, 16, rules(), after(path, rules()))
     assert wander(60, 16, Rules(), after(path, Rules())) == []
--- a/tests/test_bytes.py
+++ b/tests/test_bytes.py
@@ -11,12 +11,12 @@
 from test_net import CHUNKED, REQUEST
 
 from marlseam.net import admin as admin_module
+from marlseam.net import downstream as server_module
 from marlseam.net import http
-from marlseam.net import server as server_module
 from marlseam.net.connection import Connection
+from marlseam.net.downstream import Room
 from marlseam.net.log import Log
 from marlseam.net.loop import READY, Loop
-from marlseam.net.server import Room
 
 STREAM = REQUEST + CHUNKED + b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n" + REQUEST.replace(b"9b", b"9c")
 
@@ -63,17 +63,17 @@
 def test_a_client_that_goes_at_any_point_leaves_nothing(node, client, at, reset):
     before, tasks = descriptors(), len(node.loop.tasks)
     sock = client(REQUEST[:at])
-    while not (node.pending if at == len(REQUEST) else node.server.open):
+    while not (node.pending if at == len(REQUEST) else node.downstream.open):
         node.loop.turn()
     if reset:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00")
     sock.close()
     end = node.loop.now() + 5000.0
-    while node.server.open or len(node.loop.tasks) > tasks:
+    while node.downstream.open or len(node.loop.tasks) > tasks:
         assert node.loop.now() < end
         node.loop.at(node.loop.now() + 5.0, lambda: None)
         node.loop.turn()
-    assert not node.pending and not node.server.held and not node.server.ids
+    assert not node.pending and not node.downstream.held and not node.downstream.ids
     assert descriptors() <= before
 
 
@@ -86,11 +86,11 @@
     for _ in range(3):
         node.loop.at(node.loop.now(), lambda: None)
         node.loop.turn()
-    assert node.server.open
+    assert node.downstream.open
     sock.close()
-    while node.server.open:
+    while node.downstream.open:
         node.loop.turn()
-    assert not node.server.held
+    assert not node.downstream.held
 
 
 def test_a_client_that_does_not_read_its_answer_is_given_up(node, client, monkeypatch):
@@ -99,17 +99,17 @@
     while not node.pending:
         node.loop.turn()
     node.answer("1", 200, [], b"x" * (1 << 23))
-    while node.server.open:
+    while node.downstream.open:
         node.loop.turn()
 
 
 def test_a_crowd_takes_no_place_of_the_operators(node, client, reply):
-    node.server.room = Room(5, 1e9)
+    node.downstream.room = Room(5, 1e9)
     for _ in range(40):
         client(b"POST /statement")
     for _ in range(5):
         node.loop.turn()
-    assert len(node.server.open) <= 5
+    assert len(node.downstream.open) <= 5
     assert reply(client(b"GET /control/ready HTTP/1.1\r\nHost: h\r\n\r\n", node.admin)).split()[1] == b"200"
 
 
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -6,15 +6,15 @@
 
 import pytest
 
+from marlseam.cluster.checking.membership_schedules import Draws, World
+from marlseam.cluster.checking.search import wander
+from marlseam.cluster.membership import Members
+from marlseam.cluster.quota.demand import Room
+from marlseam.cluster.quota.leasing import Held, Lending
+from marlseam.cluster.replication.replica import Kept, Terms, Versions
+from marlseam.decisions.dispatcher import Dispatcher
+from marlseam.decisions.types import ListUpdateKind
 from marlseam.experiment.fleet import Fault, Fleet, Rig
-from marlseam.fleet.hunt import Draws, World
-from marlseam.fleet.lending import Held, Lending
-from marlseam.fleet.members import Members
-from marlseam.fleet.room import Room
-from marlseam.fleet.search import wander
-from marlseam.fleet.versions import Kept, Terms, Versions
-from marlseam.interface import Listing
-from marlseam.logic import Node
 from tests.conftest import SETTINGS, RecordingPort
 
 NAMES = frozenset("abc")
@@ -23,7 +23,7 @@
 
 
 def node(seed):
-    return Node(SETTINGS, seed, RecordingPort())
+    return Dispatcher(SETTINGS, seed, RecordingPort())
 
 
 def members(seed):
@@ -103,14 +103,14 @@
     ends = []
     for seed in SEEDS:
         made = node(seed)
-        made.backoff, began, rests = made.set.renew_ms, made.port.clock, 12
+        made.backoff, began, rests = made.settings.max_poll_interval_ms, made.port.clock, 12
         for _ in range(rests):
-            made.roster(Listing.FAILED, [])
+            made.update_endpoints(ListUpdateKind.FAILED, [])
             made.port.clock = made.next_ask
         ends.append(made.port.clock - began)
     mean = sum(ends) / len(ends)
     spread = (sum((x - mean) ** 2 for x in ends) / len(ends)) ** 0.5
-    by_chance = (rests * 5.0 / 192.0) ** 0.5 * made.set.renew_ms
+    by_chance = (rests * 5.0 / 192.0) ** 0.5 * made.settings.max_poll_interval_ms
     assert 0.7 * by_chance < spread < 1.3 * by_chance
 
 
@@ -121,7 +121,7 @@
 
 
 def test_the_finaliser_is_the_published_one():
-    from marlseam.chance import number
+    from marlseam.random_source import number
 
     # MurmurHash3 of nothing under seeds 1 and 2**32 - 1, as published with its tests.
     assert (number(b"", 1), number(b"", 0xFFFFFFFF)) == (0x514E28B7, 0x81F16F39)
@@ -129,16 +129,18 @@
 
 
 def test_the_same_seed_draws_the_same_in_every_process():
-    from marlseam.chance import Chance, number
+    from marlseam.random_source import RandomSource, number
 
-    drawn = Chance(7)
+    drawn = RandomSource(7)
     assert drawn() == number(b"7:1") / 2.0**32 and drawn() == number(b"7:2") / 2.0**32
-    code = "from marlseam.chance import Chance; c = Chance(7); print([c() for _ in range(5)])"
+    code = (
+        "from marlseam.random_source import RandomSource; c = RandomSource(7); print([c() for _ in range(5)])"
+    )
     said = {
         subprocess.run(
             [sys.executable, "-c", code], capture_output=True, text=True, check=True, env=env
         ).stdout
         for env in ({"PYTHONHASHSEED": "1"}, {"PYTHONHASHSEED": "2"})
     }
-    again = Chance(7)
+    again = RandomSource(7)
     assert said == {f"{[again() for _ in range(5)]}\n"}
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -10,14 +10,15 @@
 from hypothesis import strategies as st
 
 from marlseam.__main__ import main
-from marlseam.chance import Chance
+from marlseam.cluster.audit_log import Kept, Stored
+from marlseam.cluster.checking import replication_schedules
+from marlseam.cluster.replication import delta, messages
+from marlseam.cluster.replication.content import FORMAT, Content, Meaning, digest, meaning, read, write
+from marlseam.cluster.replication.messages import Piece, Tell, Vote, Want
+from marlseam.cluster.replication.replica import STALLED, WINDOW, Keep, Terms, To, Versions
 from marlseam.experiment import file, measures, plays
 from marlseam.experiment.size_changes import changed, counted, one_size, teams
-from marlseam.fleet import changes, says, trial
-from marlseam.fleet.content import FORMAT, Content, Meaning, digest, meaning, read, write
-from marlseam.fleet.ledger import Kept, Stored
-from marlseam.fleet.says import Piece, Tell, Vote, Want
-from marlseam.fleet.versions import STALLED, WINDOW, Keep, Terms, To, Versions
+from marlseam.random_source import RandomSource
 
 SHORT = Path(__file__).parent.parent / "experiments" / "size-changes-short.toml"
 
@@ -64,19 +65,19 @@
 
 def written(some):
     data = write(some)
-    return data, changes.document(data)
+    return data, delta.document(data)
 
 
 @given(SETTINGS, SETTINGS, st.dictionaries(TEXTS.filter(bool), TEXTS, max_size=3))
 def test_a_change_makes_exactly_the_one_content_out_of_the_other(one, two, members):
     before, base = written(content(settings=one))
     after, document = written(content(2, digest(before), settings=two, members=members, why="x"))
-    found, shared = changes.change(base, after, document)
+    found, shared = delta.change(base, after, document)
     assert shared == document
-    link = changes.Link(digest(before), found)
-    chained = changes.follow(base, digest(before), changes.chain([link]), digest(after))
+    link = delta.Link(digest(before), found)
+    chained = delta.follow(base, digest(before), delta.chain([link]), digest(after))
     assert chained.data == after and chained.document == document
-    assert base == changes.document(before)  # not changed in place
+    assert base == delta.document(before)  # not changed in place
 
 
 def versions_of(settings):
@@ -86,7 +87,7 @@
         before = digest(datas[-1]) if datas else ""
         data, document = written(content(number, before, settings=some))
         if datas:
-            links.append(changes.Link(before, changes.change(changes.document(datas[-1]), data, document)[0]))
+            links.append(delta.Link(before, delta.change(delta.document(datas[-1]), data, document)[0]))
         datas.append(data)
     return datas, links
 
@@ -95,25 +96,28 @@
 def test_a_chain_that_was_tampered_with_leads_nowhere_or_where_it_should(settings, data):
     datas, links = versions_of(settings)
     start, goal = digest(datas[0]), digest(datas[-1])
-    raw = bytearray(changes.chain(links))
+    raw = bytearray(delta.chain(links))
     kind = data.draw(st.sampled_from(["flip", "cut", "drop", "swap", "twice", "other base", "other goal"]))
-    base = changes.document(datas[0])
+    base = delta.document(datas[0])
     if kind == "flip":
         raw[data.draw(st.integers(0, len(raw) - 1))] ^= data.draw(st.integers(1, 255))
     elif kind == "cut":
         del raw[data.draw(st.integers(0, len(raw) - 1)) :]
     elif kind in ("drop", "swap", "twice"):
         at = data.draw(st.integers(0, len(links) - 1))
-        some = {"drop": [*links[:at], *links[at + 1 :]], "twice": [*links[: at + 1], *links[at:]],
-                "swap": links[::-1]}[kind]  # fmt: skip
-        raw = bytearray(changes.chain(some))
+        some = {
+            "drop": [*links[:at], *links[at + 1 :]],
+            "twice": [*links[: at + 1], *links[at:]],
+            "swap": links[::-1],
+        }[kind]
+        raw = bytearray(delta.chain(some))
     elif kind == "other base":
-        base = changes.document(datas[-1])
+        base = delta.document(datas[-1])
     else:
         goal = digest(b"another")
     try:
-        found = changes.follow(base, start, bytes(raw), goal)
-    except changes.Wrong:
+        found = delta.follow(base, start, bytes(raw), goal)
+    except delta.Wrong:
         return
     assert found.data == datas[-1]
 
@@ -121,38 +125,46 @@
 @pytest.mark.parametrize(
     "edit",
     [
-        changes.Put([], 1), changes.Put(["number"], 9), changes.Put(["before"], "x"),
-        changes.Drop(["nothing"]), changes.Put(["settings", "a", "b", "c"], 1),
-        changes.Put(["settings", "list", 7], 1),
-        changes.Put(["settings", "list", -1], 1), changes.Put(["settings", "list", True], 1),
-        changes.Splice(["settings", "list"], 2, 2, []), changes.Splice(["settings"], 0, 0, []),
-        changes.Splice(["settings", "list"], -1, 0, []), changes.Drop(["settings", "list", 0]),
-        changes.Put(["x"] * 99, 1), changes.Drop([]), changes.Put(["settings", 0], 1),
+        delta.Put([], 1),
+        delta.Put(["number"], 9),
+        delta.Put(["before"], "x"),
+        delta.Drop(["nothing"]),
+        delta.Put(["settings", "a", "b", "c"], 1),
+        delta.Put(["settings", "list", 7], 1),
+        delta.Put(["settings", "list", -1], 1),
+        delta.Put(["settings", "list", True], 1),
+        delta.Splice(["settings", "list"], 2, 2, []),
+        delta.Splice(["settings"], 0, 0, []),
+        delta.Splice(["settings", "list"], -1, 0, []),
+        delta.Drop(["settings", "list", 0]),
+        delta.Put(["x"] * 99, 1),
+        delta.Drop([]),
+        delta.Put(["settings", 0], 1),
     ],
-)  # fmt: skip
+)
 def test_an_edit_that_fits_nothing_is_wrong_and_changes_nothing(edit):
     _, base = written(content(settings={"a": {"b": 1}, "list": [1, 2, 3]}))
     kept = json.dumps(base)
-    with pytest.raises(changes.Wrong):
-        changes.applied(base, "i", changes.Change("i", [edit]))
+    with pytest.raises(delta.Wrong):
+        delta.applied(base, "i", delta.Change("i", [edit]))
     assert json.dumps(base) == kept
 
 
 def test_a_chain_that_grows_past_a_contents_size_is_wrong():
     data, base = written(content())
-    edit = changes.Put(["settings", "y"], "y" * says.CONTENT_MOST)
-    raw = changes.ENCODER.encode([changes.Change("0" * 64, [edit])])
-    with pytest.raises(changes.Wrong, match="too large"):
-        changes.follow(base, digest(data), raw, "0" * 64)
+    edit = delta.Put(["settings", "y"], "y" * messages.CONTENT_MOST)
+    raw = delta.ENCODER.encode([delta.Change("0" * 64, [edit])])
+    with pytest.raises(delta.Wrong, match="too large"):
+        delta.follow(base, digest(data), raw, "0" * 64)
 
 
 def test_what_is_not_edited_is_the_same_object_and_one_quota_is_two_edits():
     before, base = written(content(settings={"teams": teams(300), "kinds": ["a", "b"]}))
     changed_settings = changed({"teams": teams(300), "kinds": ["a", "b"]}, 1, 1)
     after, document = written(content(2, digest(before), settings=changed_settings, why="x"))
-    raw, found = changes.change(base, after, document)
+    raw, found = delta.change(base, after, document)
     assert len(raw) < 200 < len(after) / 50
-    assert found == changes.applied(base, digest(before), changes.CHANGE.decode(raw))
+    assert found == delta.applied(base, digest(before), delta.CHANGE.decode(raw))
     kept = [
         name for name, row in found["settings"]["teams"].items() if row is base["settings"]["teams"][name]
     ]
@@ -269,7 +281,7 @@
     source, reader, datas = source_and_reader()
     links = source.links
     last = links[digest(datas[-1])]
-    links[digest(datas[-1])] = changes.Link(last.before, last.data.replace(b"1005", b"1006"))
+    links[digest(datas[-1])] = delta.Link(last.before, last.data.replace(b"1005", b"1006"))
     effects = reader.told(0.0, "b", told(6, digest(datas[-1])))
     (piece,) = [e.say for e in source.pieces("d", effects[0].say)]
     log, again = reader.piece(0.0, "b", piece)
@@ -349,7 +361,7 @@
     source, reader, datas = source_and_reader(count=101 if chained else 6, rows=600)
     if not chained:
         source.links.clear()
-    goal, lost, now = digest(datas[-1]), Chance("lost"), 0.0
+    goal, lost, now = digest(datas[-1]), RandomSource("lost"), 0.0
     effects = reader.told(0.0, "b", told(len(datas), goal))
     periods = 0
     while reader.number < len(datas) and periods < 60:
@@ -373,7 +385,7 @@
         pieces = [e.say for want in wants for e in source.pieces("d", want)][::-1]
         said = [e for piece in pieces for e in settle(reader, reader.piece(0.0, "b", piece))]
         wants = [e.say for e in said if type(e) is To and type(e.say) is Want]
-    assert reader.number == 6 and rounds == -(-len(datas[-1]) // (WINDOW * says.PIECE))
+    assert reader.number == 6 and rounds == -(-len(datas[-1]) // (WINDOW * messages.PIECE))
 
 
 @pytest.mark.parametrize(
@@ -427,7 +439,7 @@
     data: bytes
 
 
-OLD = msgspec.msgpack.Decoder(says.Ask | Tell | Vote | OldWant | OldPiece)
+OLD = msgspec.msgpack.Decoder(messages.Ask | Tell | Vote | OldWant | OldPiece)
 
 
 class Older(Versions):
@@ -435,7 +447,7 @@
 
     def heard(self, now, sender, say):
         old = OLD.decode(msgspec.msgpack.encode(say))  # as its codec reads it
-        say = msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=says.Say)
+        say = msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=messages.Say)
         assert getattr(say, "have", "") == ""
         return [self.in_old_words(effect) for effect in super().heard(now, sender, say)]
 
@@ -446,7 +458,7 @@
         if type(effect) is not To or type(effect.say) is not Want:
             return effect
         say = msgspec.msgpack.decode(
-            msgspec.msgpack.encode(OldWant(effect.say.id, effect.say.at)), type=says.Say
+            msgspec.msgpack.encode(OldWant(effect.say.id, effect.say.at)), type=messages.Say
         )
         return To(effect.name, say)
 
@@ -457,12 +469,12 @@
 
 @pytest.mark.parametrize("seed", [0, 3, 17, 42, 81])
 def test_a_mixed_fleet_goes_on_with_whole_contents_where_a_side_knows_no_changes(seed):
-    strikes = trial.schedule(7, seed) if seed else []
-    assert trial.play(7, seed, strikes, mixed).broken == []
+    strikes = replication_schedules.schedule(7, seed) if seed else []
+    assert replication_schedules.play(7, seed, strikes, mixed).broken == []
 
 
 def test_in_a_mixed_fleet_those_that_know_changes_are_sent_them_and_no_whole_spreads():
-    world = trial.Trial(7, 1, [], machine=mixed)
+    world = replication_schedules.Trial(7, 1, [], machine=mixed)
     world.run(5000.0)
     for mark in range(1, 9):
         world.publish("n1", mark)
@@ -479,7 +491,7 @@
 
 @pytest.mark.parametrize("seed", [2, 9, 33, 145])
 def test_pieces_that_come_otherwise_than_they_were_sent_break_no_bound(seed):
-    found = trial.play(7, seed, trial.schedule(7, seed), twists=0.1)
+    found = replication_schedules.play(7, seed, replication_schedules.schedule(7, seed), twists=0.1)
     assert found.broken == []
 
 
@@ -489,11 +501,11 @@
     def followed(self, have, data, id):
         document, before = self.document(have), have
         try:
-            for one in changes.CHAIN.decode(data):
-                document, before = changes.applied(document, before, one), one.id
+            for one in delta.CHAIN.decode(data):
+                document, before = delta.applied(document, before, one), one.id
         except msgspec.MsgspecError as error:
-            raise changes.Wrong(str(error)) from None
-        return changes.whole(document)
+            raise delta.Wrong(str(error)) from None
+        return delta.whole(document)
 
 
 class LastAlone(Versions):
@@ -501,7 +513,7 @@
 
     def chain(self, have, id):
         link = self.links.get(id)
-        return changes.chain([link]) if link is not None else None
+        return delta.chain([link]) if link is not None else None
 
 
 class Stubborn(Versions):
@@ -531,16 +543,19 @@
 
 
 PLANTED = [
-    (Unchecked, 2, 0.1, trial.ROWS), (LastAlone, 2, 0.0, trial.ROWS), (Stubborn, 128, 0.0, trial.ROWS),
-    (Hoards, 1, 0.0, trial.ROWS), (AsTheyCome, 1, 0.0, 150),
-]  # fmt: skip
+    (Unchecked, 2, 0.1, replication_schedules.ROWS),
+    (LastAlone, 2, 0.0, replication_schedules.ROWS),
+    (Stubborn, 128, 0.0, replication_schedules.ROWS),
+    (Hoards, 1, 0.0, replication_schedules.ROWS),
+    (AsTheyCome, 1, 0.0, 150),
+]
 
 
 @pytest.mark.parametrize(("machine", "seed", "twists", "rows"), PLANTED)
 def test_a_planted_defect_is_found(machine, seed, twists, rows):
-    strikes = trial.schedule(7, seed)
-    assert trial.play(7, seed, strikes, machine, twists=twists, rows=rows).broken
-    assert trial.play(7, seed, strikes, twists=twists, rows=rows).broken == []
+    strikes = replication_schedules.schedule(7, seed)
+    assert replication_schedules.play(7, seed, strikes, machine, twists=twists, rows=rows).broken
+    assert replication_schedules.play(7, seed, strikes, twists=twists, rows=rows).broken == []
 
 
 class ForgetsIts(Versions):
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""What all nodes together send to a cold executor: one by one, and in the experiment `size-cold`."""
+"""What all nodes together send to a cold server: one by one, and in the experiment `size-cold`."""
 
 from dataclasses import replace
 from math import sqrt
@@ -7,30 +7,32 @@
 import msgspec
 import pytest
 
+from marlseam.decisions.dispatcher import COLD, OPEN, PAID, Dispatcher
+from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind, Request
 from marlseam.experiment import file, measures, size_cold
-from marlseam.interface import Listing, Member, State, WorkUnit
-from marlseam.logic import COLD, OPEN, PAID, Node
 from tests.conftest import SETTINGS, RecordingPort
 
 SLOTS, BORN = 8.0, 1000.0
-WINDOW = SETTINGS.fall_ms
+WINDOW = SETTINGS.overload_window_ms
 
 
-def fleet(nodes, told=None, warm_ms=16.0 * WINDOW):
-    """Return so many nodes that have just been told of a cold executor with eight slots."""
+def fleet(nodes, told=None, slow_start_ms=16.0 * WINDOW):
+    """Return so many nodes that have just been told of a cold server with eight slots."""
     made = []
     for seed in range(1, nodes + 1):
-        settings = replace(SETTINGS, nodes=told or nodes, warm_ms=warm_ms, cold_share=0.2)
-        node = Node(settings, seed, RecordingPort())
+        settings = replace(
+            SETTINGS, node_count=told or nodes, slow_start_ms=slow_start_ms, slow_start_initial_share=0.2
+        )
+        node = Dispatcher(settings, seed, RecordingPort())
         node.most_free[0] = SLOTS
-        node.roster(Listing.FULL, [Member(0, State.READY, 0, 0, 0, BORN)])
+        node.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, BORN)])
         node.heard_ms[0] = 1e9
         made.append(node)
     return made
 
 
 def budget(node):
-    """Return how many work units of mean size the settings allow in their window now."""
+    """Return how many requests of mean size the settings allow in their window now."""
     return node.allowance(0) * WINDOW / COLD
 
 
@@ -45,10 +47,10 @@
     for node in nodes:
         node.run[0] = size * node.mean_area
         for i in range(1000):
-            wu = node.handle(node, WorkUnit(f"w{i}", 0, node.port.clock + 5000.0))
-            if not (node.usable(0) and wu.fits(0)):
+            state = node.handle(node, Request(f"w{i}", 0, node.port.clock + 5000.0))
+            if not (node.usable(0) and state.fits(0)):
                 break
-            wu.send(0)
+            state.send(0)
             sent += size
         node.run[0] = node.mean_area
     return sent
@@ -81,7 +83,7 @@
 
 
 @pytest.mark.parametrize("nodes", [20, 30, 200])
-def test_large_work_units_do_not_all_go_at_once(nodes):
+def test_large_requests_do_not_all_go_at_once(nodes):
     # Parts just earned: each node would send one of a part of its own, and owe the rest.
     made = fleet(nodes)
     at(made, BORN + 4000.0)
@@ -93,7 +95,7 @@
     assert burst(made, 1.0) == pytest.approx(nodes)
 
 
-def test_a_large_work_unit_goes_once_its_node_has_saved_up_a_part_of_it():
+def test_a_large_request_goes_once_its_node_has_saved_up_a_part_of_it():
     (node,) = fleet(1)
     at([node], BORN + 4000.0)
     node.warm(0)
@@ -104,26 +106,26 @@
     assert node.warm(0, size)
 
 
-def test_a_small_work_unit_goes_where_a_window_allows_less_than_one_of_mean_size():
+def test_a_small_request_goes_where_a_window_allows_less_than_one_of_mean_size():
     (node,) = fleet(1)
     at([node], BORN + 4000.0)
     node.warm(0)
     node.mean_area *= node.allowance(0) * WINDOW / 0.8
     node.tokens[0], node.token_ms[0] = 0.05, node.port.clock
-    wu = node.handle(node, WorkUnit("w", 0, node.port.clock + 5000.0))
+    state = node.handle(node, Request("w", 0, node.port.clock + 5000.0))
     node.run[0] = 0.1 * node.mean_area
-    assert node.usable(0) and wu.fits(0)
+    assert node.usable(0) and state.fits(0)
     node.run[0] = 0.9 * node.mean_area
-    assert not wu.fits(0)
+    assert not state.fits(0)
 
 
 def test_a_restarted_node_has_nothing_saved_up():
     (node,) = fleet(1, told=200)
     at([node], BORN + 12000.0)
-    again = Node(node.set, 99, RecordingPort())
+    again = Dispatcher(node.settings, 99, RecordingPort())
     again.port.clock = node.port.clock
     again.most_free[0] = SLOTS
-    again.roster(Listing.FULL, [Member(0, State.READY, 0, 0, 0, BORN)])
+    again.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, BORN)])
     assert again.tokens[0] <= 0.0 and not again.warm(0)
 
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -11,7 +11,7 @@
 from conftest import OPTIONS
 
 from marlseam.__main__ import main
-from marlseam.config import ConfigError, deployment_from, load
+from marlseam.configuration import ConfigError, deployment_from, load
 
 GOOD = {"listen": "127.0.0.1:8443", "discovery": "127.0.0.1:8500", "seed": "ff", "settings": OPTIONS}
 
@@ -46,21 +46,34 @@
 
 
 def test_times_become_milliseconds(deployment):
-    assert (deployment.settings.types[0].promised_ms, deployment.keepalive_ms) == (200.0, 1000.0)
+    assert (deployment.settings.request_classes[0].latency_objective_ms, deployment.keepalive_ms) == (
+        200.0,
+        1000.0,
+    )
 
 
 def test_what_is_missing_is_least_generous():
     settings = deployment_from({"requestClasses": [{"name": "x"}]}).settings
-    assert not (settings.may_cancel or settings.may_probe or settings.second_copies or settings.max_advice_ms)
+    assert not (
+        settings.may_cancel or settings.may_probe or settings.may_hedge or settings.max_retry_after_ms
+    )
 
 
 def test_order_and_drains_are_read_and_off_without_them():
     row = {"name": "x", "oneAtATime": True}
     rules = {"turnGapUs": 50000, "drainBindsAlone": True}
     now = deployment_from({"requestClasses": [row], "guarantees": rules}).settings
-    assert (now.types[0].in_turn, now.turn_gap_ms, now.drain_binds_alone) == (True, 50.0, True)
+    assert (now.request_classes[0].ordered_by_key, now.key_gap_ms, now.only_draining_excludes) == (
+        True,
+        50.0,
+        True,
+    )
     now = deployment_from({"requestClasses": [{"name": "x"}]}).settings
-    assert (now.types[0].in_turn, now.turn_gap_ms, now.drain_binds_alone) == (False, 0.0, False)
+    assert (now.request_classes[0].ordered_by_key, now.key_gap_ms, now.only_draining_excludes) == (
+        False,
+        0.0,
+        False,
+    )
 
 
 def test_a_reports_extra_figure_has_the_meaning_that_the_settings_give(deployment):
@@ -129,21 +142,26 @@
     assert (after.discovery, after.name) == (before.discovery, "n7")
 
 
-def test_project_types_zones_and_kinds_keep_their_indices(write):
+def test_request_classes_zones_and_kinds_keep_their_indices(write):
     before = load(write(), {}).deployment
     rows = [OPTIONS["requestClasses"][1], OPTIONS["requestClasses"][0] | {"name": "new"}]
     changed = OPTIONS | {"requestClasses": rows, "dcs": ["far", "there"], "kinds": ["big", "plain"]}
     after = deployment_from(changed, before=before)
-    assert after.types == {"posting": 1, "new": 2} and after.settings.types[1] == before.settings.types[1]
+    assert (
+        after.types == {"posting": 1, "new": 2}
+        and after.settings.request_classes[1] == before.settings.request_classes[1]
+    )
     assert (after.zones["there"], after.kinds["plain"], after.kinds["big"]) == (1, 0, 1)
     again = deployment_from(OPTIONS, before=after)
-    assert again.types == before.types and again.settings.types[:2] == before.settings.types
+    assert (
+        again.types == before.types and again.settings.request_classes[:2] == before.settings.request_classes
+    )
 
 
-def test_a_project_type_offered_no_more_sets_no_times(write):
+def test_a_request_class_offered_no_more_sets_no_times(write):
     before = load(write(), {}).deployment
     after = deployment_from(OPTIONS | {"requestClasses": OPTIONS["requestClasses"][1:]}, before=before)
-    assert min(range(2), key=lambda i: after.settings.types[i].promised_ms) == 1
+    assert min(range(2), key=lambda i: after.settings.request_classes[i].latency_objective_ms) == 1
 
 
 def test_a_node_loads_nothing_of_the_bench():
@@ -157,9 +175,11 @@
 # What deployments of another shape set.
 
 SHAPE = {
-    "weights": "live", "worthBy": "work", "loadReport": {"how": "answers", "fields": ["backlog"]},
+    "weights": "live",
+    "worthBy": "work",
+    "loadReport": {"how": "answers", "fields": ["backlog"]},
     "penalties": {"origin": 0.03},
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize(
@@ -167,7 +187,12 @@
 )
 def test_settings_of_another_shape_are_read_and_off_without_them(more, shape):
     now = deployment_from(OPTIONS | more).settings
-    assert (now.live_weights, now.answers_report, now.fetch_price, now.by_size) == shape and not now.may_tell
+    assert (
+        now.live_weights,
+        now.reports_in_responses,
+        now.fetch_cost,
+        now.weight_by_size,
+    ) == shape and not now.may_gossip
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -173,9 +173,12 @@
     def begin(free_calls: int, known: int = 1) -> CrowdedFleet:
         discovery = CrowdedDiscovery(free_calls)
         config = reconfigured(
-            node, tmp_path / "crowd.json", discovery="{}:{}".format(*discovery.address),
-            settings=OPTIONS | {"fleetSize": NODES}, known=given(node, seq=known),
-        )  # fmt: skip
+            node,
+            tmp_path / "crowd.json",
+            discovery="{}:{}".format(*discovery.address),
+            settings=OPTIONS | {"fleetSize": NODES},
+            known=given(node, seq=known),
+        )
         nodes = [Led(node_module.Node(replace(config, seed=seed)), discovery) for seed in range(1, NODES + 1)]
         made.append(CrowdedFleet(nodes, discovery))
         return made[-1]
@@ -265,9 +268,11 @@
     def begin(**known: object) -> Led:
         service = Scripted()
         config = reconfigured(
-            node, tmp_path / "scripted.json", discovery="{}:{}".format(*service.address),
+            node,
+            tmp_path / "scripted.json",
+            discovery="{}:{}".format(*service.address),
             known=given(node, **({"seq": 5} | known)),
-        )  # fmt: skip
+        )
         made.append(Led(node_module.Node(config), service))
         return made[-1]
 
@@ -328,8 +333,8 @@
         next_call(one)
         one.service.open[-1].sendall(DECLINED)
         one.settle(one.failed)
-    rest = one.node.core.node.backoff
+    rest = one.node.core.dispatcher.backoff
     next_call(one)
     one.service.say(b'{"seq":5,"whole":false,"hosts":[]}')
     one.settle(lambda: one.node.discovery.told)
-    assert one.node.core.node.backoff == rest > 0.0
+    assert one.node.core.dispatcher.backoff == rest > 0.0
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,6 +1,6 @@
 """Descriptors: none are left at the very moment at which one is needed (issue 47, docs/design/endings.md).
 
-A real node in a process of its own, under a limit of its own; the test plays discovery, executors, operators
+A real node in a process of its own, under a limit of its own; the test plays discovery, servers, operators
 and the crowd of clients. `full` takes the last descriptor from the node: it sets that process's limit to the
 number of those that it has, so that the next call that needs one fails in every run, whatever else goes
 on; what the node gives up from then on it can have again. Every wait ends by an event, and a long time that
@@ -26,8 +26,8 @@
 from marlseam.net import http
 from marlseam.net.connection import Ended, connect
 from marlseam.net.descriptors import SPARES, Descriptors
+from marlseam.net.downstream import NEW_MS, Room
 from marlseam.net.log import BURST, Log, Reason
-from marlseam.net.server import NEW_MS, Room
 
 LIMIT = 256
 ROOM = (LIMIT - 32 - 16) // 2  # for clients, of a node with an operators' door (docs/node.md)
@@ -113,23 +113,31 @@
     def __init__(self, path, **values) -> None:
         self.discovery, self.executor = Server(), Server()
         self.executor.listen()
-        self.answers = True  # whether the executor does
+        self.answers = True  # whether the server does
         self.clients: list[socket.socket] = []
         hosts = [
             {
-                "host": "e1", "dial": self.executor.address, "health": "active", "site": "here",
-                "class": "plain", "block": 0,
+                "host": "e1",
+                "dial": self.executor.address,
+                "health": "active",
+                "site": "here",
+                "class": "plain",
+                "block": 0,
             }
-        ]  # fmt: skip
+        ]
         self.list = {"seq": 1, "whole": True, "hosts": hosts}
         limits = OPTIONS["ceilings"] | {"mayProbe": False, "sendCap": 1, "keepaliveUs": 600000000}
         options = OPTIONS | {"requestClasses": CLASSES, "ceilings": limits, "guarantees": {}}
         options["guarantees"] = {"mustAskInUs": 10000000}
         self.values = {
-            "name": "n1", "listen": "127.0.0.1:0", "admin": "127.0.0.1:0", "settings": options,
-            "discovery": self.discovery.address, "known": self.list,
+            "name": "n1",
+            "listen": "127.0.0.1:0",
+            "admin": "127.0.0.1:0",
+            "settings": options,
+            "discovery": self.discovery.address,
+            "known": self.list,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 4096},
-        }  # fmt: skip
+        }
         self.path = path / "node.json"
         self.path.write_text(json.dumps(self.values))
         words = ["serve", "--config", str(self.path)]
@@ -301,7 +309,7 @@
                 held, free = 0, free + 1
                 if free % LOOKS == 0:
                     self.limit(LIMIT)
-                    answers, self.answers = self.answers, True  # whose executor may be one that hangs
+                    answers, self.answers = self.answers, True  # whose server may be one that hangs
                     self.rest(1)
                     self.answers = answers
             elif len(used) != resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE)[0]:
@@ -389,7 +397,7 @@
     here.rest(5)
     here.full()
     before = len(here.executor.asked)
-    here.served(here.clients[-1])  # on a connection that it has; to the executor a new one is needed
+    here.served(here.clients[-1])  # on a connection that it has; to the server a new one is needed
     assert len(here.executor.asked) == before + 1 and "no-sockets" not in here.codes("executor e1")
     assert here.ended(here.clients[0])  # the one that rested for longest
     here.gives_all_back()
@@ -542,29 +550,29 @@
     """Return clients that rest after an answer, six in a room for eight, in the order in which they came."""
 
     def take(pending):
-        pending.give(200, [], b"r")  # at once: an executor of this process's own may be late on busy cores
+        pending.give(200, [], b"r")  # at once: a server of this process's own may be late on busy cores
         return "1"
 
-    node.server.take, socks = take, []
+    node.downstream.take, socks = take, []
     for _ in range(6):
         socks.append(client(REQUEST))
         assert reply(socks[-1]).startswith(b"HTTP/1.1 200 ")
-    node.server.room = Room(8, 1e9)
+    node.downstream.room = Room(8, 1e9)
     return socks
 
 
 def silent(node, client):
     """Return a client that has connected alone, and the node's end of it."""
-    before = {*node.server.open}
+    before = {*node.downstream.open}
     sock, end = client(b""), node.loop.now() + 1000.0 * WAIT_S
-    while not (made := {*node.server.open} - before):
+    while not (made := {*node.downstream.open} - before):
         assert node.loop.now() < end, "it was not taken"
         node.loop.turn()
     return sock, made.pop()
 
 
 def test_clients_that_say_nothing_for_a_while_give_way_first(node, client, resting):
-    kept = {*node.server.open}
+    kept = {*node.downstream.open}
     (_, old), (_, new) = silent(node, client), silent(node, client)
     old.opened_ms -= NEW_MS
     silent(node, client)
@@ -572,7 +580,7 @@
 
 
 def test_those_who_rest_give_way_before_a_few_new_ones(node, client, resting, reply):
-    kept = [*node.server.idle]
+    kept = [*node.downstream.idle]
     (sock, first), (_, second) = silent(node, client), silent(node, client)
     silent(node, client)
     assert not first.closed and not second.closed and [door.closed for door in kept] == [True] + 5 * [False]
@@ -581,7 +589,7 @@
 
 
 def test_a_flood_of_new_ones_takes_no_more_than_its_share_from_those_who_rest(node, client, resting):
-    kept = [*node.server.idle]
+    kept = [*node.downstream.idle]
     for _ in range(30):
         silent(node, client)
     assert sum(door.closed for door in kept) == 1  # three new ones are over a quarter of eight
@@ -644,7 +652,7 @@
 def test_spares_are_held_again_before_more_clients_are_taken(node, client, monkeypatch):
     node.loop.descriptors.hold()
     node.loop.descriptors.free(own=True)
-    taken = node.server.open
+    taken = node.downstream.open
     with monkeypatch.context() as patch:
         patch.setattr(os, "dup", lambda number: (_ for _ in ()).throw(OSError(errno.EMFILE, "none")))
         client(b"")
@@ -652,7 +660,7 @@
             node.loop.at(node.loop.now(), lambda: None)
             node.loop.turn()
         assert not taken
-    assert node.server.has_room(False) and len(node.loop.descriptors.spares) == SPARES
+    assert node.downstream.has_room(False) and len(node.loop.descriptors.spares) == SPARES
     node.loop.descriptors.let_go()
 
 
@@ -674,9 +682,9 @@
     """Not one in 20 ms: forty good clients behind a full table would wait for most of a second."""
     for _ in range(4):
         client(b"")
-    while len(node.server.open) < 4:
+    while len(node.downstream.open) < 4:
         node.loop.turn()
-    real, most, taken = node.server.listener.sock, 4, []
+    real, most, taken = node.downstream.listener.sock, 4, []
 
     class Short:
         """The listening socket of a process that can have four connections of clients."""
@@ -685,18 +693,18 @@
             return getattr(real, name)
 
         def accept(self):
-            if len(node.server.open) >= most and select.select([real], [], [], 0)[0]:
+            if len(node.downstream.open) >= most and select.select([real], [], [], 0)[0]:
                 raise OSError(errno.EMFILE, "none")
             taken.append(real.accept())
             return taken[-1]
 
-    node.server.listener.sock = Short()
-    before = {*node.server.open}
+    node.downstream.listener.sock = Short()
+    before = {*node.downstream.open}
     for _ in range(http.ACCEPTS):
         client(b"")
     node.loop.turn()
-    assert len(taken) >= http.ACCEPTS - 1 and not before & {*node.server.open}
-    node.server.listener.sock = real
+    assert len(taken) >= http.ACCEPTS - 1 and not before & {*node.downstream.open}
+    node.downstream.listener.sock = real
 
 
 def test_the_ends_of_connections_leave_room_in_the_log_for_all_else(capsys):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -18,13 +18,13 @@
 from test_net import JOB, outcomes, sent
 
 from marlseam import core
-from marlseam.config import deployment_from
-from marlseam.core import Entry
-from marlseam.interface import Listing, Outcome, State
+from marlseam.configuration import deployment_from
+from marlseam.core import EndpointEntry
+from marlseam.decisions.types import EndpointState, ListUpdateKind, Outcome
 from marlseam.net import discovery as discovery_module
 from marlseam.net import node as node_module
 from marlseam.net.connection import AHEAD_MOST, Connection
-from marlseam.net.executors import Order
+from marlseam.net.upstream import Order
 
 AHEAD = b"x" * 20000  # more than a node reads ahead
 REQUEST = test_net.REQUEST.replace(b"0.5", b"5")
@@ -125,7 +125,7 @@
 
 @pytest.fixture
 def stand(node, peers):
-    """Return a function that lists executors of the test's for the node, under settings of the test's."""
+    """Return a function that lists servers of the test's for the node, under settings of the test's."""
 
     def begin(*names, backlog=16, **options):
         change = {"ceilings": OPTIONS["ceilings"] | options.pop("ceilings", {})} | options
@@ -141,11 +141,11 @@
     return begin
 
 
-def tell(node, addresses, state=State.READY, listing=Listing.FULL):
-    """Have the roster say where executors are."""
-    entries = [Entry(name, state, 0, 0, 0, None) for name in addresses]
-    node.executors.listed(addresses if listing is Listing.FULL else node.executors.peers, addresses)
-    node.post(core.Roster(listing, entries))
+def tell(node, addresses, state=EndpointState.READY, listing=ListUpdateKind.FULL):
+    """Have discovery say where servers are."""
+    entries = [EndpointEntry(name, state, 0, 0, 0, None) for name in addresses]
+    node.upstream.listed(addresses if listing is ListUpdateKind.FULL else node.upstream.peers, addresses)
+    node.post(core.EndpointListUpdate(listing, entries))
 
 
 NO_PROBES = {"mayProbe": False}
@@ -167,11 +167,11 @@
         ANSWER[: ANSWER.index(b"\r\n\r\n") + 4] + b"%x\r\n%b\r\n" % (len(started), started)
     )
     settle()  # it runs, and nothing but its client's end would end it soon
-    (door,) = node.server.open
+    (door,) = node.downstream.open
     turn(lambda: not ahead or (door.ahead() and (ahead is not AHEAD or len(door.buffer) >= AHEAD_MOST)))
     goes(sock)
-    turn(lambda: not node.server.open)
-    assert not node.pending and not node.core.open and not node.executors.out
+    turn(lambda: not node.downstream.open)
+    assert not node.pending and not node.core.open and not node.upstream.out
     turn(lambda: ended(executor.held[0]) or executor.read() and ended(executor.held[0]))
 
 
@@ -181,8 +181,8 @@
     sock = client(REQUEST)
     goes(sock)  # while it waits in the queue of the listening socket
     settle()
-    turn(lambda: not node.server.open)
-    assert node.refs == 0 and not executor.accept()
+    turn(lambda: not node.downstream.open)
+    assert node.last_request_id == 0 and not executor.accept()
 
 
 def test_the_second_request_of_a_client_that_left_during_the_first_goes_nowhere(
@@ -194,29 +194,29 @@
     half_close(sock)
     executor.held[0].sendall(ANSWER)
     settle()
-    turn(lambda: not node.server.open)
-    assert node.refs == 1
+    turn(lambda: not node.downstream.open)
+    assert node.last_request_id == 1
 
 
 # What has not begun is called off, whatever settings say of cancelling.
 
 
 def gated(node):
-    """Hold every allocation at its gate, as a record not yet on the disk does; return what opens it."""
+    """Hold every attempt at its gate, as a record not yet on the disk does; return what opens it."""
     opened = []
-    real = node.executors.send
+    real = node.upstream.send
 
     def gate():
         while not opened:
             yield (-1, 0, node.loop.now() + 1.0)
         return True
 
-    node.executors.send = lambda order: real(replace(order, gate=gate))
+    node.upstream.send = lambda order: real(replace(order, gate=gate))
     return lambda: opened.append(True)
 
 
 def full_queue(peer):
-    """Fill an executor's queue, so that no further connection to it comes up; return what empties it."""
+    """Fill a server's queue, so that no further connection to it comes up; return what empties it."""
     fillers = []
     while True:
         sock = socket.socket()
@@ -240,20 +240,20 @@
 
 
 def deadline(node, sock):
-    node.post(core.Closing(0.0))  # all that is open is answered in the next turn
+    node.post(core.ShutdownBegun(0.0))  # all that is open is answered in the next turn
 
 
 def drains(node, sock):
-    tell(node, {"e1": node.executors.peers["e1"].address}, State.DRAINING, Listing.DELTA)
+    tell(node, {"e1": node.upstream.peers["e1"].address}, EndpointState.DRAINING, ListUpdateKind.DELTA)
 
 
 def goes_cold(node, sock):
-    born = core.Entry("e1", State.READY, 0, 0, 0, node.loop.now())
-    node.post(core.Roster(Listing.DELTA, [born]))
+    born = core.EndpointEntry("e1", EndpointState.READY, 0, 0, 0, node.loop.now())
+    node.post(core.EndpointListUpdate(ListUpdateKind.DELTA, [born]))
 
 
 def moves(node, sock):
-    tell(node, {"e1": ("127.0.0.1", 1)}, listing=Listing.DELTA)
+    tell(node, {"e1": ("127.0.0.1", 1)}, listing=ListUpdateKind.DELTA)
 
 
 @pytest.mark.parametrize("end", [leaves, deadline, drains, moves])
@@ -265,14 +265,14 @@
     (executor,) = stand("e1", backlog=0, ceilings=FORBIDDEN)
     release = hold(node if hold is gated else executor)
     sock = client(request_)
-    turn(lambda: node.executors.out)
-    flight = next(iter(node.executors.out.values()))
+    turn(lambda: node.upstream.out)
+    flight = next(iter(node.upstream.out.values()))
     settle()
     assert not flight.begun
     end(node, sock)
     turn(lambda: flight.task.done)
-    # The executor's count is right again: what moved has been sent anew, to its other address.
-    assert node.core.node.ours[node.core.index["e1"]] == len(node.executors.out)
+    # The server's count is right again: what moved has been sent anew, to its other address.
+    assert node.core.dispatcher.ours[node.core.index["e1"]] == len(node.upstream.out)
     release()
     settle()
     while executor.accept():
@@ -288,18 +288,18 @@
     turn(lambda: b"abc" in executor.read())
     end(node, sock)
     settle()
-    assert node.executors.out and not ended(executor.held[0])
+    assert node.upstream.out and not ended(executor.held[0])
     executor.held[0].sendall(ANSWER)
-    turn(lambda: not node.executors.out)
+    turn(lambda: not node.upstream.out)
     assert not node.core.open
 
 
-def test_an_executor_that_returns_cold_gets_nothing_chosen_before(node, client, stand, turn, settle):
+def test_a_server_that_returns_cold_gets_nothing_chosen_before(node, client, stand, turn, settle):
     (executor,) = stand("e1", backlog=0, ceilings=FORBIDDEN)
     release = full_queue(executor)
     client(REQUEST)
-    turn(lambda: node.executors.out)
-    flight = next(iter(node.executors.out.values()))
+    turn(lambda: node.upstream.out)
+    flight = next(iter(node.upstream.out.values()))
     goes_cold(node, None)
     assert flight.task.done and not flight.begun
     release()
@@ -309,8 +309,8 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     release = gated(node)
     client(REQUEST)
-    turn(lambda: node.executors.out)
-    flight = next(iter(node.executors.out.values()))
+    turn(lambda: node.upstream.out)
+    flight = next(iter(node.upstream.out.values()))
     late = node.loop.now() + 10000.0
     node.loop.now = lambda: late  # the loop runs late: the gate opens in the turn in which the limit is over
     release()
@@ -321,24 +321,27 @@
 
 def test_what_is_called_off_leaves_no_record_and_gives_its_keys_turn_on(node, client, stand, turn, settle):
     keyed = OPTIONS["requestClasses"][0] | {
-        "semantics": "keyed", "dedupScope": "cell", "memorySpanUs": 30000000, "oneAtATime": True,
+        "semantics": "keyed",
+        "dedupScope": "cell",
+        "memorySpanUs": 30000000,
+        "oneAtATime": True,
         "aimStretch": 20,
-    }  # fmt: skip
+    }
     (executor,) = stand("e1", backlog=0, ceilings=FORBIDDEN, requestClasses=[keyed])
     release = full_queue(executor)
     asked = REQUEST.replace(b"/statement", b"/statement?user=u").replace(
         b"Host: h", b"Host: h\r\nIdempotency-Key: k%d"
     )
     first = client(asked % 1)
-    turn(lambda: node.executors.out)
+    turn(lambda: node.upstream.out)
     client((asked % 2).replace(b"9b", b"9c"))
-    turn(lambda: node.refs == 2)
-    (flight,) = node.executors.out.values()
-    assert node.core.receipts.known("k1", node.loop.now())
+    turn(lambda: node.last_request_id == 2)
+    (flight,) = node.upstream.out.values()
+    assert node.core.idempotency_records.known("k1", node.loop.now())
     first.close()
-    turn(lambda: flight.task.done and node.executors.out)
-    assert not node.core.receipts.known("k1", node.loop.now())  # it provably never ran
-    assert node.core.receipts.known("k2", node.loop.now())  # and the key's next has its turn
+    turn(lambda: flight.task.done and node.upstream.out)
+    assert not node.core.idempotency_records.known("k1", node.loop.now())  # it provably never ran
+    assert node.core.idempotency_records.known("k2", node.loop.now())  # and the key's next has its turn
     assert list(node.core.open) == ["2"]
     release()
 
@@ -347,17 +350,20 @@
     node, client, stand, turn, settle
 ):
     keyed = OPTIONS["requestClasses"][0] | {
-        "semantics": "keyed", "dedupScope": "all", "memorySpanUs": 1000000, "aimStretch": 20,
-    }  # fmt: skip
+        "semantics": "keyed",
+        "dedupScope": "all",
+        "memorySpanUs": 1000000,
+        "aimStretch": 20,
+    }
     one, two = stand("e1", "e2", ceilings=NO_PROBES, requestClasses=[keyed])
     client(REQUEST.replace(b"Host: h", b"Host: h\r\nIdempotency-Key: k"))
     turn(lambda: b"abc" in one.read() + two.read())
-    (flight,) = node.executors.out.values()
+    (flight,) = node.upstream.out.values()
     release = gated(node)  # the next one, as a connection that does not come up
-    (one if flight.executor == "e1" else two).held[0].sendall(b"nonsense\r\n\r\n")
-    turn(lambda: flight.task.done and node.executors.out)
-    (second,) = node.executors.out.values()
-    late = node.loop.now() + 1000.0  # within the hard limit
+    (one if flight.server == "e1" else two).held[0].sendall(b"nonsense\r\n\r\n")
+    turn(lambda: flight.task.done and node.upstream.out)
+    (second,) = node.upstream.out.values()
+    late = node.loop.now() + 1000.0  # within the deadline
     node.loop.now = lambda: late
     release()
     second.task.step("ready")
@@ -381,14 +387,14 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     sock = client(REQUEST)
     turn(lambda: b"abc" in executor.read())
-    executor.held[0].sendall(NEVER)  # between two tries: the only executor is full
-    turn(lambda: not node.executors.out and node.core.node.lines)
+    executor.held[0].sendall(NEVER)  # between two tries: the only server is full
+    turn(lambda: not node.upstream.out and node.core.dispatcher.lines)
     sock.close()
     turn(lambda: not node.pending)
-    node.core.node.full[node.core.index["e1"]] = False
-    node.core.node.pump()
+    node.core.dispatcher.full[node.core.index["e1"]] = False
+    node.core.dispatcher.pump()
     settle()
-    assert b"POST" not in executor.read() and not node.core.open and not node.core.node.lines
+    assert b"POST" not in executor.read() and not node.core.open and not node.core.dispatcher.lines
 
 
 def test_work_whose_client_leaves_before_its_keys_turn_goes_nowhere(node, client, stand, turn, settle):
@@ -398,13 +404,13 @@
     first = client(asked)
     turn(lambda: b"abc" in executor.read())
     second = client(asked.replace(b"9b", b"9c"))
-    turn(lambda: node.refs == 2)
+    turn(lambda: node.last_request_id == 2)
     second.close()
     turn(lambda: len(node.pending) == 1)
     executor.held[0].sendall(ANSWER)
     turn(lambda: not node.pending)
     settle()
-    assert b"POST" not in executor.read() and not node.core.open and not node.core.node.turns
+    assert b"POST" not in executor.read() and not node.core.open and not node.core.dispatcher.turns
     assert first.recv(1000).startswith(b"HTTP/1.1 200 ")
 
 
@@ -438,20 +444,20 @@
     # Both have a kept connection, on which the next can go out within the turn in which the one before ends.
     for name, peer in (("e1", one), ("e2", two)):
         until = node.loop.now() + 1000.0
-        node.executors.send(Order("0", 0, name, JOB, until, until))
+        node.upstream.send(Order("0", 0, name, JOB, until, until))
         turn(lambda peer=peer: b"abc" in peer.read())
         peer.held[0].sendall(ANSWER.replace(b'"e1"', b'"%b"' % name.encode()))
-        turn(lambda name=name: node.executors.peers[name].idle)
+        turn(lambda name=name: node.upstream.peers[name].idle)
     seen.clear()
     client(REQUEST)
-    turn(lambda: node.executors.out)
-    (flight,) = node.executors.out.values()
-    sock = (one if flight.executor == "e1" else two).held[0]
+    turn(lambda: node.upstream.out)
+    (flight,) = node.upstream.out.values()
+    sock = (one if flight.server == "e1" else two).held[0]
     turn(lambda: flight.begun and b"abc" in one.read() + two.read())
     if first is None:
-        # Time itself is the subject: the executor says nothing for as long as it may.
+        # Time itself is the subject: the server says nothing for as long as it may.
         late = node.loop.now
-        node.loop.now = lambda: late() + node.executors.take_ms
+        node.loop.now = lambda: late() + node.upstream.take_ms
     else:
         sock.sendall(first)
     turn(lambda: len(seen) == 2)
@@ -470,19 +476,19 @@
 
 @pytest.mark.parametrize("refusal", [NEVER, lines(b"returned")], ids=["head", "line"])
 def test_a_refusal_that_comes_twice_is_not_believed_of_the_next(node, stand, turn, settle, refusal):
-    # The second of two refusals names no work unit, or the same one: taken for the answer to what is sent
-    # next on its connection, it would have exclusive work run twice.
+    # The second of two refusals names no request, or the same one: taken for the answer to what is sent
+    # next on its connection, it would have unsafe work run twice.
     (executor,) = stand("e1", ceilings=NO_PROBES)
     told = []
-    node.executors.post = told.append
+    node.upstream.post = told.append
     job = replace(JOB, exclusive=True)
-    for alloc in range(2):
+    for attempt_index in range(2):
         until = node.loop.now() + 5000.0
-        node.executors.send(Order("1", alloc, "e1", job, until, until))
+        node.upstream.send(Order("1", attempt_index, "e1", job, until, until))
         turn(lambda: b"abc" in executor.read())
         executor.held[0].sendall(refusal)
         settle()
-    assert [event.outcome for event in told] == [Outcome.FULL] and ("1", 1) in node.executors.out
+    assert [event.outcome for event in told] == [Outcome.AT_CAPACITY] and ("1", 1) in node.upstream.out
     assert len(executor.held) == 2 and ended(executor.held[0]) and not ended(executor.held[1])
 
 
@@ -502,8 +508,8 @@
     ],
     ids=["refused", "cut body", "spoilt body", "no word", "cut head", "returned", "started"]
     + ["lost", "failed", "reset"],
-)  # fmt: skip
-def test_exclusive_work_is_sent_again_on_proof_alone(node, client, stand, turn, reply, answer, sent_again):
+)
+def test_unsafe_work_is_sent_again_on_proof_alone(node, client, stand, turn, reply, answer, sent_again):
     one, two = stand("e1", "e2", ceilings=NO_PROBES)
     sock = client(POSTING)
     turn(lambda: one.accept() or two.accept())
@@ -536,7 +542,7 @@
     monkeypatch.setattr(socket, "socket", small)
     turn(lambda: one.accept() or two.accept())
     first = one if one.held else two
-    (flight,) = node.executors.out.values()
+    (flight,) = node.upstream.out.values()
     read = bytearray()
     while len(read) < takes:
         turn(lambda: select.select(first.held, [], [], 0)[0])
@@ -544,27 +550,27 @@
     assert not flight.begun and not node.counters.attempts  # its last byte has not gone out
     reset(first.held.pop())
     turn(lambda: flight.task.done)
-    turn(lambda: one.accept() or two.accept())  # it never ran: exclusive work is sent once more, to either
+    turn(lambda: one.accept() or two.accept())  # it never ran: unsafe work is sent once more, to either
 
 
 def test_a_probe_that_was_refused_leaves_no_connection_for_work(node, stand, turn):
     (executor,) = stand("e1")
     told = []
-    node.executors.post = told.append
-    node.executors.probe("e1")
+    node.upstream.post = told.append
+    node.upstream.probe("e1")
     turn(lambda: b"/-/load" in executor.read())
     executor.held[0].sendall(NEVER)
     turn(lambda: told)
-    assert told[0].outcome is Outcome.FULL and ended(executor.held[0])
+    assert told[0].outcome is Outcome.AT_CAPACITY and ended(executor.held[0])
 
 
 # A peer that never ends.
 
 
-def test_an_answer_that_never_ends_leaves_others_their_turns(executors, loop):
+def test_an_answer_that_never_ends_leaves_others_their_turns(upstream, loop):
     running = b'{"id":"9b","from":"e1","state":"running","share":0.5}\n'
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-    parts = executors(head, *[b"%x\r\n%b\r\n" % (len(running), running)] * 2000, silent=True)
+    parts = upstream(head, *[b"%x\r\n%b\r\n" % (len(running), running)] * 2000, silent=True)
     turns = []
     loop.soon(lambda: turns.append(1))
     sent(parts)
@@ -578,10 +584,10 @@
     [b"HTTP/1.1 102 -\r\n\r\n", b"HTTP/1.1 200 -\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\n \r\n" * 50],
     ids=["informational", "blanks"],
 )
-def test_an_answer_that_never_ends_ends_at_its_limit(executors, loop, until, endless):
+def test_an_answer_that_never_ends_ends_at_its_limit(upstream, loop, until, endless):
     clock = count(loop.now(), 0.001)  # moves by each look alone, however busy the machine is
     loop.now = lambda: next(clock)
-    parts = executors(endless, *[endless[-300:]] * 2000)
+    parts = upstream(endless, *[endless[-300:]] * 2000)
     sent(parts)
     loop.turn()
     assert not outcomes(parts)
@@ -596,21 +602,21 @@
 def test_what_stands_in_the_queue_as_the_listener_closes_is_taken(node, client, turn, stand):
     stand("e1", ceilings=NO_PROBES)
     socks = [client(REQUEST.replace(b"9b", b"w%d" % i)) for i in range(20)]
-    node.server.stop_listening()
-    turn(lambda: node.refs == len(socks))
+    node.downstream.stop_listening()
+    turn(lambda: node.last_request_id == len(socks))
 
 
 def test_what_stands_in_the_queue_for_want_of_room_is_refused_as_the_listener_closes(
     node, client, settle, stand, reply
 ):
     stand("e1", ceilings=NO_PROBES)
-    node.server.room = replace(node.server.room, clients=1)
+    node.downstream.room = replace(node.downstream.room, clients=1)
     socks = []
     for i in range(4):
         socks.append(client(REQUEST.replace(b"9b", b"w%d" % i)))
         settle(5)
-    node.server.stop_listening()
-    assert node.refs == len(node.server.open) == 1  # no limit is passed
+    node.downstream.stop_listening()
+    assert node.last_request_id == len(node.downstream.open) == 1  # no limit is passed
     for sock in socks[1:]:
         assert reply(sock).startswith(b"HTTP/1.1 503 ") and sock.recv(1) == b""
         assert not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -620,7 +626,7 @@
     for name in ("LISTEN_MS", "DRAIN_MOST_MS", "ANSWER_MS", "EXIT_MS"):
         monkeypatch.setattr(node_module, name, 1.0)
     sock = client(REQUEST[:-1])
-    turn(lambda: node.server.reading)
+    turn(lambda: node.downstream.reading)
     node.close()
     node.loop.run()
     assert reply(sock).startswith(b"HTTP/1.1 503 ") and ended(sock)
@@ -644,13 +650,13 @@
 def test_a_request_behind_one_that_is_answered_near_the_end_is_answered_too(node, client, turn, stand):
     stand("e1", ceilings=NO_PROBES)
     sock = client(REQUEST)
-    turn(lambda: node.refs == 1)
-    node.server.drain(0.0, 10000.0)
+    turn(lambda: node.last_request_id == 1)
+    node.downstream.drain(0.0, 10000.0)
     sock.sendall(REQUEST.replace(b"9b", b"9c"))  # unread as the first is answered
     node.answer("1", 200, [], b"")
-    turn(lambda: node.refs == 2)
+    turn(lambda: node.last_request_id == 2)
     node.answer("2", 200, [], b"")
-    turn(lambda: not node.server.open)
+    turn(lambda: not node.downstream.open)
     data = sock.recv(1 << 16)
     assert data.count(b"HTTP/1.1 200 ") == 2 and data.count(b"Connection: close") == 1
     assert not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -665,7 +671,7 @@
     sock = client(POSTING)
     turn(lambda: b"abc" in executor.read())  # it hangs from here on
     half = client(REQUEST[:-1])  # and this one never comes whole
-    turn(lambda: node.server.reading)
+    turn(lambda: node.downstream.reading)
     began = node.loop.now()
     node.close()
     clock = node.loop.now
@@ -677,30 +683,30 @@
         node.loop.turn()
     kill_ms = min(longest_ms, 3000.0) + 700.0
     assert node.loop.now() - began < kill_ms and not node.pending
-    assert reply(sock).startswith(b"HTTP/1.1 500 ")  # exclusive work that may have run
+    assert reply(sock).startswith(b"HTTP/1.1 500 ")  # unsafe work that may have run
     assert reply(half)[:13] in (b"HTTP/1.1 503 ", b"HTTP/1.1 408 ")
 
 
 def test_a_second_sigterm_and_new_settings_change_nothing_of_the_end(node, client, turn, stand):
     stand("e1", ceilings=NO_PROBES)
     node.close()
-    closes, draining = node.core.closes_ms, node.server.close_ms
+    closes, draining = node.core.closes_ms, node.downstream.close_ms
     node.close()
     node.reload()
-    assert (node.core.closes_ms, node.server.close_ms) == (closes, draining) and node.ending
+    assert (node.core.closes_ms, node.downstream.close_ms) == (closes, draining) and node.ending
     client(REQUEST)
-    turn(lambda: node.refs == 1)  # new connections still come
-    (wu,) = node.core.open.values()
-    assert wu.work.expires_ms <= closes
+    turn(lambda: node.last_request_id == 1)  # new connections still come
+    (state,) = node.core.open.values()
+    assert state.request.deadline_at_ms <= closes
 
 
 def test_a_request_that_comes_as_its_connections_time_ends_is_served(node, client, turn, settle, monkeypatch):
     sock = client(b"")
-    turn(lambda: node.server.idle)
-    (task,) = node.server.idle.values()
+    turn(lambda: node.downstream.idle)
+    (task,) = node.downstream.idle.values()
     sock.sendall(REQUEST)
     task.step("late")  # its time is over in the turn in which the request comes
-    turn(lambda: node.refs == 1)
+    turn(lambda: node.last_request_id == 1)
 
 
 # Room.
@@ -708,9 +714,9 @@
 
 def test_a_request_on_its_way_that_gives_up_its_room_is_refused(node, client, turn, reply):
     sock = client(REQUEST[:-2])
-    turn(lambda: node.server.reading)
+    turn(lambda: node.downstream.reading)
     sock.sendall(REQUEST[-2:-1])  # unread: closing would reset the connection
-    assert node.server.make_room()
+    assert node.downstream.make_room()
     assert reply(sock).startswith(b"HTTP/1.1 503 ") and sock.recv(1) == b""
     assert not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)  # no reset
 
@@ -745,9 +751,13 @@
     deployment = deployment_from(options | {"guarantees": {"mustAskInUs": must_ask_us}})
     node.discovery.set(replace(node.config, deployment=deployment))
     begun = node.core
-    begun.reduce(0.0, core.Begin(node_module.alone(deployment.settings), 1))
-    (timer,) = [e for e in begun.reduce(0.0, core.Roster(Listing.FAILED, [])) if type(e) is core.Timer]
-    assert core.Watch() in begun.reduce(timer.delay_ms, core.Due(timer.mark))
+    begun.reduce(0.0, core.NodeStarted(node_module.alone(deployment.settings), 1))
+    (timer,) = [
+        e
+        for e in begun.reduce(0.0, core.EndpointListUpdate(ListUpdateKind.FAILED, []))
+        if type(e) is core.SetTimer
+    ]
+    assert core.WatchEndpoints() in begun.reduce(timer.delay_ms, core.TimerFired(timer.timer_id))
     list_ms = 100.0  # a list on the way: the page's figures leave that much
     late = min(node.discovery.call_ms, discovery_module.LATE_MOST_MS) + timer.delay_ms + list_ms
     assert late < 2000.0 and 2.0 * (node.discovery.call_ms + timer.delay_ms) < 6000.0
@@ -812,9 +822,13 @@
     deployment = deployment_from(options)
     node.discovery.set(replace(node.config, deployment=deployment))
     begun, seen = node.core, []
-    begun.reduce(0.0, core.Begin(node_module.alone(deployment.settings), 1))
+    begun.reduce(0.0, core.NodeStarted(node_module.alone(deployment.settings), 1))
     for _ in range(10):  # an outage that lasts
-        seen += [e for e in begun.reduce(0.0, core.Roster(Listing.FAILED, [])) if type(e) is core.Timer]
+        seen += [
+            e
+            for e in begun.reduce(0.0, core.EndpointListUpdate(ListUpdateKind.FAILED, []))
+            if type(e) is core.SetTimer
+        ]
     longest = max(timer.delay_ms for timer in seen)
     grace_ms = grace_us / 1000.0
     assert longest + node.discovery.call_ms <= grace_ms and node.discovery.gap_ms <= grace_ms / 10.0
@@ -825,8 +839,8 @@
     rows = [row | {"aimUs": aim} for row, aim in zip(OPTIONS["requestClasses"], aims_us, strict=True)]
     deployment = deployment_from(OPTIONS | {"requestClasses": rows})
     begun = node.core
-    begun.reduce(0.0, core.Begin(node_module.alone(deployment.settings), 1))
-    module = begun.node
+    begun.reduce(0.0, core.NodeStarted(node_module.alone(deployment.settings), 1))
+    module = begun.dispatcher
     assert min(module.sweep_ms, module.ask_ms, module.fresh_ms, module.queue_ms, module.mean_area) > 0.0
-    node.executors.configure(deployment, 64)
-    assert min(node.executors.probe_ms, node.executors.take_ms, node.executors.end_ms) > 0.0
+    node.upstream.configure(deployment, 64)
+    assert min(node.upstream.probe_ms, node.upstream.take_ms, node.upstream.end_ms) > 0.0
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -12,9 +12,12 @@
 from marlseam.experiment.policies import POLICIES
 
 DAY = {
-    "seconds": 4, "fleet": {"zones": ["east"], "nodes": 2, "kinds": KINDS}, "types": TYPES,
-    "load": {"rate": 20}, "troubles": [{"what": "slow", "at_s": 1}],
-}  # fmt: skip
+    "seconds": 4,
+    "fleet": {"zones": ["east"], "nodes": 2, "kinds": KINDS},
+    "types": TYPES,
+    "load": {"rate": 20},
+    "troubles": [{"what": "slow", "at_s": 1}],
+}
 
 
 def data(**more):
