--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,13 +13,10 @@
 from hypothesis import strategies as st
 
 from marlseam.cli import fleet as command
-from marlseam.config import ConfigError, FleetSettings, load
-from marlseam.experiment.file import FileError
-from marlseam.experiment.fleet import Fault, Fleet, Rig
-from marlseam.fleet import hunt
-from marlseam.fleet.hunt import Strike
-from marlseam.fleet.members import Changed, Members, Twin
-from marlseam.fleet.words import (
+from marlseam.cluster.checking import membership_schedules
+from marlseam.cluster.checking.membership_schedules import Strike
+from marlseam.cluster.membership import Changed, Members, Twin
+from marlseam.cluster.membership_codec import (
     LETTER_MOST,
     RUMOURS_MOST,
     VERSION,
@@ -32,10 +29,13 @@
     read,
     write,
 )
+from marlseam.configuration import ClusterSettings, ConfigError, load
+from marlseam.experiment.file import FileError
+from marlseam.experiment.fleet import Fault, Fleet, Rig
 from marlseam.judge.book import Book
 from marlseam.judge.rules import answers
 from marlseam.net.log import Log
-from marlseam.net.peers import Peers
+from marlseam.net.membership_service import Peers
 from marlseam.records import Answered, Begin, End, Node, Quit, Took, Tried
 
 NAMES = frozenset({"a", "b", "c"})
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_schedule_of_faults_breaks_no_bound(seed):
-    assert not hunt.hunted(5, seed).broken
+    assert not membership_schedules.hunted(5, seed).broken
 
 
 class NoRefutation(Members):
@@ -191,20 +191,25 @@
 SHORT = Strike("n4", True, Kind.PING, 8, "cut", "n0", 12000.0)
 LATER = Strike("n4", True, Kind.PING, 45, "restart", "n0", 0.0)  # once it has refuted that it was gone
 PLANTED = [
-    (NoRefutation, [CUT]), (NoOtherLife, [SHORT, LATER]), (NobodyBack, [CUT]), (GoneForGood, [KILL]),
-    (OneLeftOut, [KILL]), (EndlessSuspicion, [KILL]), (ExcusedByNacks, [KILL]),
-]  # fmt: skip
+    (NoRefutation, [CUT]),
+    (NoOtherLife, [SHORT, LATER]),
+    (NobodyBack, [CUT]),
+    (GoneForGood, [KILL]),
+    (OneLeftOut, [KILL]),
+    (EndlessSuspicion, [KILL]),
+    (ExcusedByNacks, [KILL]),
+]
 
 
 @pytest.mark.parametrize(("machine", "strikes"), PLANTED, ids=lambda value: getattr(value, "__name__", ""))
 def test_a_planted_defect_is_found(machine, strikes):
-    assert not hunt.play(5, 1, strikes).broken
-    assert hunt.play(5, 1, strikes, machine).broken
+    assert not membership_schedules.play(5, 1, strikes).broken
+    assert membership_schedules.play(5, 1, strikes, machine).broken
 
 
 def test_a_schedule_is_cut_down_to_what_breaks_the_bound():
     more = Strike("n1", True, Kind.ACK, 9, "hold", "n0", 2000.0)
-    assert hunt.shrunk(5, 1, [more, SHORT, LATER], NoOtherLife) == [SHORT, LATER]
+    assert membership_schedules.shrunk(5, 1, [more, SHORT, LATER], NoOtherLife) == [SHORT, LATER]
 
 
 # The wire.
@@ -219,15 +224,21 @@
 @pytest.mark.parametrize(
     ("change", "code"),
     [
-        ({"version": 2}, "version"), ({"fleet": "g"}, "foreign"), ({"sender": "z"}, "unknown"),
-        ({"about": "z"}, "unknown"), ({"rumours": [Rumour("z", Claim(0, 1, 0))]}, "unknown"),
-        ({"rumours": [Rumour("b", Claim(0, 1, 0), "z")]}, "unknown"), ({"kind": 9}, "bounds"),
-        ({"own": Claim(-1, 1, 0)}, "bounds"), ({"own": Claim(0, 1 << 60, 0)}, "bounds"),
-        ({"own": Claim(0, 1, 7)}, "bounds"), ({"seq": -1}, "bounds"),
+        ({"version": 2}, "version"),
+        ({"fleet": "g"}, "foreign"),
+        ({"sender": "z"}, "unknown"),
+        ({"about": "z"}, "unknown"),
+        ({"rumours": [Rumour("z", Claim(0, 1, 0))]}, "unknown"),
+        ({"rumours": [Rumour("b", Claim(0, 1, 0), "z")]}, "unknown"),
+        ({"kind": 9}, "bounds"),
+        ({"own": Claim(-1, 1, 0)}, "bounds"),
+        ({"own": Claim(0, 1 << 60, 0)}, "bounds"),
+        ({"own": Claim(0, 1, 7)}, "bounds"),
+        ({"seq": -1}, "bounds"),
         ({"rumours": [Rumour("b", Claim(0, 1, 0))] * (RUMOURS_MOST + 1)}, "bounds"),
         ({"fleet": "f" * LETTER_MOST}, "too-large"),
     ],
-)  # fmt: skip
+)
 def test_what_is_no_letter_of_the_fleets_has_a_code(change, code):
     data = msgspec.msgpack.encode(msgspec.structs.replace(letter(), **change))
     with pytest.raises(Odd) as odd:
@@ -242,7 +253,9 @@
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in NAMES]
     for sock in socks:
         sock.bind(("127.0.0.1", 0))
-    found = FleetSettings("f", {n: s.getsockname() for n, s in zip(sorted(NAMES), socks, strict=True)}, 20.0)
+    found = ClusterSettings(
+        "f", {n: s.getsockname() for n, s in zip(sorted(NAMES), socks, strict=True)}, 20.0
+    )
     for sock in socks:
         sock.close()
     return {name: Peers(loop, Log(name, loop.now), found, name, i) for i, name in enumerate(sorted(NAMES))}
@@ -308,7 +321,8 @@
 @pytest.mark.parametrize(
     ("text", "key"),
     [
-        ("[fleet]\n", "fleet.members"), ("[fleet]\nmembers = {}\nname = 'f'\n", "fleet.members"),
+        ("[fleet]\n", "fleet.members"),
+        ("[fleet]\nmembers = {}\nname = 'f'\n", "fleet.members"),
         ("[fleet]\n[fleet.members]\na = 'here:1'\n", "fleet.members.a"),
         ("[fleet]\n[fleet.members]\na = '127.0.0.1:0'\n", "fleet.members.a"),
         ("[fleet]\n[fleet.members]\na = 7\n", "fleet.members.a"),
@@ -318,7 +332,7 @@
         ("[fleet]\nperiod_ms = 1\nname = 'f'\n[fleet.members]\na = '127.0.0.1:5'\n", "fleet.period_ms"),
         ("[fleet]\n[fleet.members]\na = '127.0.0.1:5'\n", "fleet.name"),
     ],
-)  # fmt: skip
+)
 def test_a_wrong_setting_is_named(at_fault, text, key):
     assert at_fault(text) == key
 
@@ -348,10 +362,12 @@
 @pytest.mark.parametrize(
     "fault",
     [
-        Fault("n0", "sends ping 1", "melt"), Fault("n9", "sends ping 1", "kill"),
-        Fault("n0", "says ping 1", "kill"), Fault("n0", "sends ping 1", "pair", "n9"),
+        Fault("n0", "sends ping 1", "melt"),
+        Fault("n9", "sends ping 1", "kill"),
+        Fault("n0", "says ping 1", "kill"),
+        Fault("n0", "sends ping 1", "pair", "n9"),
     ],
-)  # fmt: skip
+)
 def test_a_fault_that_cannot_strike_is_named(tmp_path, fault):
     with pytest.raises(FileError):
         Rig(["n0", "n1"], Fleet(faults=[fault]), 1, tmp_path)
@@ -360,16 +376,31 @@
 @pytest.mark.parametrize(("until", "broken"), [(1500.0, 1), (2500.0, 0)])
 def test_a_stopped_node_answers_nothing_and_only_then_is_excused(until, broken):
     tried = Tried(
-        n=1, t=1000.0, by="c", id="1", first="1", number=0, node="n0", zone="z", type="t", intended=1000.0,
-        expires=2000.0, promised=500.0, credit=1.0, late_credit=0.0,
-    )  # fmt: skip
+        n=1,
+        t=1000.0,
+        by="c",
+        id="1",
+        first="1",
+        number=0,
+        node="n0",
+        zone="z",
+        type="t",
+        intended=1000.0,
+        expires=2000.0,
+        promised=500.0,
+        credit=1.0,
+        late_credit=0.0,
+    )
     rules = {"slack_ms": 50.0, "types": {"t": {"effect": "rerunnable", "group": "all", "memory_ms": 1.0}}}
     found = [
         Begin(t=0.0, by="driver", system="driver", rules=rules),
         Node(n=1, t=900.0, by="driver", node="n0", state="stopped", until=until),
         End(n=1, t=3000.0, by="driver"),
-        Begin(t=0.0, by="c"), tried, Quit(n=2, t=2000.0, by="c", id="1"), End(n=2, t=3000.0, by="c"),
-    ]  # fmt: skip
+        Begin(t=0.0, by="c"),
+        tried,
+        Quit(n=2, t=2000.0, by="c", id="1"),
+        End(n=2, t=3000.0, by="c"),
+    ]
     assert len(answers(Book(found)).broken) == broken
     # What is sent after an answer is excused by nothing.
     sent = [Answered(n=3, t=1500.0, by="c", id="1", how="deferred"), Took(n=1, t=1900.0, by="e", id="1")]
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from marlseam.core import Entry
-from marlseam.interface import Effect, Outcome, State
+from marlseam.core import EndpointEntry
+from marlseam.decisions.types import EndpointState, Idempotency, Outcome
 from marlseam.net.invariants import Promise, SendGuard, Violations
 from marlseam.net.log import Log
 from marlseam.net.protocol import Job
@@ -17,16 +17,23 @@
     return Job("id", "/statement", None, b"", type, "statement", LEFT_MS, 1.0)
 
 
-def entry(name: str, state: State = State.READY) -> Entry:
-    return Entry(name, state, 0, 0, 0, None)
+def entry(name: str, state: EndpointState = EndpointState.READY) -> EndpointEntry:
+    return EndpointEntry(name, state, 0, 0, 0, None)
 
 
 class Guarded:
     """A guard whose request `r` is of a class with some effect, and the clock."""
 
-    def __init__(self, deployment, effect: Effect = Effect.RERUNNABLE, budget: float = float("inf")) -> None:
-        types = tuple(replace(t, effect=effect, memory_ms=1000.0) for t in deployment.settings.types)
-        deployment = replace(deployment, settings=replace(deployment.settings, types=types), grace_ms=400.0)
+    def __init__(
+        self, deployment, effect: Idempotency = Idempotency.SAFE, budget: float = float("inf")
+    ) -> None:
+        types = tuple(
+            replace(t, idempotency=effect, deduplication_window_ms=1000.0)
+            for t in deployment.settings.request_classes
+        )
+        deployment = replace(
+            deployment, settings=replace(deployment.settings, request_classes=types), grace_ms=400.0
+        )
         self.violations = Violations(Log("test", lambda: 0.0))
         self.guard = SendGuard(self.violations, deployment, lambda name, type, slots: (budget, 1.0))
         self.attempts = 0
@@ -54,7 +61,7 @@
     one.guard.settled("r", 1, Outcome.BROKEN)
     assert one.begins(20.0)
     one.guard.settled("r", 2, Outcome.COMPLETED)
-    one.guard.settled("r", 3, Outcome.WITHDRAWN)
+    one.guard.settled("r", 3, Outcome.CANCELLED)
     one.guard.ended("r", Promise.AFTER_ANSWER, 30.0)
     assert not one.violations.total() and not one.guard.requests
 
@@ -78,23 +85,23 @@
 
 @pytest.mark.parametrize("outcome", [None, Outcome.BROKEN, Outcome.TIMED_OUT, Outcome.ERROR])
 def test_an_unsafe_request_that_may_have_run_is_not_repeated(guarded, outcome):
-    one = guarded(Effect.EXCLUSIVE)
+    one = guarded(Idempotency.UNSAFE)
     one.begins(0.0)
     if outcome is not None:
         one.guard.settled("r", 1, outcome)
     assert not one.begins(10.0, "e2") and one.broke(Promise.REPEAT)
 
 
-@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.UNREACHABLE, Outcome.VOID])
+@pytest.mark.parametrize("outcome", [Outcome.AT_CAPACITY, Outcome.UNREACHABLE, Outcome.CANCELLED_UNSENT])
 def test_an_unsafe_request_that_never_ran_is_repeated(guarded, outcome):
-    one = guarded(Effect.EXCLUSIVE)
+    one = guarded(Idempotency.UNSAFE)
     one.begins(0.0)
     one.guard.settled("r", 1, outcome)
     assert one.begins(10.0, "e2") and not one.violations.total()
 
 
 def test_a_keyed_request_is_not_repeated_after_its_window(guarded):
-    one = guarded(Effect.RECEIPTED)
+    one = guarded(Idempotency.KEYED)
     one.begins(0.0)
     one.guard.settled("r", 1, Outcome.BROKEN)
     assert one.begins(900.0)
@@ -105,7 +112,11 @@
 @pytest.mark.parametrize("how", ["drains", "left"])
 def test_nothing_begins_after_the_grace_of_a_drain(guarded, how):
     one = guarded()
-    held = {"e1": entry("e1", State.DRAINING), "e2": entry("e2")} if how == "drains" else {"e2": entry("e2")}
+    held = (
+        {"e1": entry("e1", EndpointState.DRAINING), "e2": entry("e2")}
+        if how == "drains"
+        else {"e2": entry("e2")}
+    )
     one.guard.listed(held, 100.0)
     assert one.begins(450.0) and one.begins(600.0, "e2")
     assert not one.begins(501.0) and one.broke(Promise.DRAIN)
@@ -124,7 +135,7 @@
     one = guarded(budget=budget)
     assert all(one.begins(10.0) for _ in range(most))
     assert not one.begins(10.0) and one.broke(Promise.SLOW_START)
-    assert one.begins(11.0 + one.guard.deployment.settings.fall_ms)
+    assert one.begins(11.0 + one.guard.deployment.settings.overload_window_ms)
 
 
 def test_a_second_answer_is_counted(guarded):
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -8,72 +8,75 @@
 from worlds import TYPES, day, played
 
 from marlseam import records
-from marlseam.core import Core
-from marlseam.interface import Effect, Outcome
+from marlseam.core import Reducer
+from marlseam.decisions.dispatcher import Dispatcher, RequestState
+from marlseam.decisions.types import Idempotency, Outcome
 from marlseam.judge.book import Book
 from marlseam.judge.rules import judge
 from marlseam.judge.service import figures
-from marlseam.logic import Handle, Node
 from marlseam.records import Answered, Asked, Begin, End, Ended, Took, Tried, Withdrawn
 
 
 def dispatcher(handle, **node):
     """Return a maker of reducers with another handle, and other methods of the node."""
 
-    wrong = type("Wrong", (Node,), {"handle": handle, **node})
+    wrong = type("Wrong", (Dispatcher,), {"handle": handle, **node})
 
-    class WrongCore(Core):
+    class WrongCore(Reducer):
         decider = wrong
 
     return WrongCore
 
 
-class Mute(Handle):
+class Mute(RequestState):
     """Gives no answer to what it gives up."""
 
     def answer(self):
         self.done = True
 
 
-class Twice(Handle):
-    """Sends receipted work on to anybody once it has run anywhere."""
+class Twice(RequestState):
+    """Sends keyed work on to anybody once it has run anywhere."""
 
     def fits(self, e):
         return True
 
     def may_send(self):
-        return not self.done and len(self.allocs) < 3
+        return not self.done and len(self.attempts) < 3
 
-    def settled(self, alloc, outcome, final, report):
+    def settled(self, attempt_index, outcome, final, report):
         super().settled(
-            alloc, Outcome.ERROR if self.type.effect is Effect.RECEIPTED else outcome, False, report
+            attempt_index,
+            Outcome.ERROR if self.request_class.idempotency is Idempotency.KEYED else outcome,
+            False,
+            report,
         )
 
 
-class Copies(Handle):
-    """Sends each work unit to two executors at once."""
+class Copies(RequestState):
+    """Sends each request to two servers at once."""
 
     def may_send(self):
-        return not self.done and len(self.allocs) < 2
+        return not self.done and len(self.attempts) < 2
 
     def send(self, e):
         super().send(e)
-        if len(self.allocs) == 1:
-            super().send((e + 1) % len(self.node.state))
+        if len(self.attempts) == 1:
+            super().send((e + 1) % len(self.node.endpoint_state))
 
 
-class Late(Handle):
+class Late(RequestState):
     """Goes on sending what is answered."""
 
     def left(self):
         super().left()
-        if self.allocs and len(self.allocs) < 3:
+        if self.attempts and len(self.attempts) < 3:
             self.done = False
-            self.send((self.allocs[-1].executor + 1) % len(self.node.state))
+            self.send((self.attempts[-1].server + 1) % len(self.node.endpoint_state))
             self.done = True
 
 
-class Jumps(Handle):
+class Jumps(RequestState):
     """Waits for no turn."""
 
     turn = property(lambda self: True, lambda self, value: None)
@@ -87,10 +90,10 @@
     return None
 
 
-def deaf(node, listing, members, doubt):
+def deaf(node, update_kind, members, doubt):
     """Hear of the first list alone."""
     if not node.near and not node.far:
-        Node.roster(node, listing, members)
+        Dispatcher.update_endpoints(node, update_kind, members)
 
 
 CRASH = {"what": "crash", "at_s": 3, "for_s": 2, "share": 0.4}
@@ -102,11 +105,17 @@
     "twice": ("no effect twice", dispatcher(Twice), {}),
     "copies": ("no effect twice", dispatcher(Copies), {}),
     "jumps": ("in turn", dispatcher(Jumps), {"types": TURNED, "rules": {"turn_gap_ms": 50.0}}),
-    "deaf": ("drains kept", dispatcher(Handle, roster=deaf), {"troubles": [DRAIN]}),
-    "rash": ("cold spared", dispatcher(Handle, warm=always, cost=lambda self, work: 0.0, in_time=always), {
-        "troubles": [CRASH], "rate": 40.0, "rules": {"fall_multiple": 0.7, "fall_ms": 2000.0},
-    }),
-}  # fmt: skip
+    "deaf": ("drains kept", dispatcher(RequestState, update_endpoints=deaf), {"troubles": [DRAIN]}),
+    "rash": (
+        "cold spared",
+        dispatcher(RequestState, warm=always, cost=lambda self, work: 0.0, in_time=always),
+        {
+            "troubles": [CRASH],
+            "rate": 40.0,
+            "rules": {"fall_multiple": 0.7, "fall_ms": 2000.0},
+        },
+    ),
+}
 
 
 @pytest.mark.parametrize("name", WRONG)
@@ -175,13 +184,14 @@
 @pytest.mark.parametrize(
     ("ends", "what"),
     [
-        ([], "no answer"), ([answered(50.0, "lost")], "ended without"),
+        ([], "no answer"),
+        ([answered(50.0, "lost")], "ended without"),
         ([answered(1020.0)], "after its"),
         ([answered(50.0), answered(60.0, "aborted")], "2 final answers"),
         ([records.Quit(t=1010.0, by="clients", id="a")], "no answer"),
     ],
-)  # fmt: skip
-def test_a_work_unit_without_its_one_answer_in_time_breaks_the_first_rule(ends, what):
+)
+def test_a_request_without_its_one_answer_in_time_breaks_the_first_rule(ends, what):
     found, _ = rules(tried(), *ends)
     assert [who for who, _ in found["one answer"].broken] == ["a"] and what in found["one answer"].broken[0][
         1
@@ -191,28 +201,33 @@
 @pytest.mark.parametrize(
     "ends",
     [
-        [answered(1005.0)], [answered(0.0, "unsent")],
+        [answered(1005.0)],
+        [answered(0.0, "unsent")],
         [records.Quit(t=90.0, by="clients", id="a", early=True)],
         [answered(50.0, "lost"), records.Node(t=48.0, by="driver", node="n0", state="killed")],
     ],
-)  # fmt: skip
+)
 def test_what_is_no_breach_of_the_first_rule(ends):
     assert not rules(tried(), *ends)[0]["one answer"].broken
 
 
 def ran(t, by, id="a"):
     return [
-        records.Took(t=t, by="executors", id=id), records.Ran(t=t, by="executors", id=id),
+        records.Took(t=t, by="executors", id=id),
+        records.Ran(t=t, by="executors", id=id),
         records.Ended(t=t + 1.0, by="executors", id=id, how="done"),
-    ]  # fmt: skip
+    ]
 
 
-def test_an_exclusive_effect_counts_over_all_tries_and_bars_a_deferral():
+def test_an_unsafe_effect_counts_over_all_tries_and_bars_a_deferral():
     found, book = rules(
-        tried(), *ran(1.0, "e"), answered(5.0, "deferred"), tried("a.1", "a", 1, 10.0),
+        tried(),
+        *ran(1.0, "e"),
+        answered(5.0, "deferred"),
+        tried("a.1", "a", 1, 10.0),
         *ran(12.0, "e", "a.1"),
         answered(20.0, id="a.1"),
-    )  # fmt: skip
+    )
     texts = [what for _, what in found["no effect twice"].broken]
     assert any("2 effects" in text for text in texts) and any("deferred though" in text for text in texts)
     assert len(book.story("a")) == 10
@@ -246,22 +261,30 @@
 )
 def test_a_send_out_of_turn_breaks_the_rule_on_order(end, over, took, broken):
     rows = [
-        tried(**LINE), tried("b", "b", t=100.0, **LINE), Took(t=50.0, by="executors", id="a"), answered(over),
-        Took(t=took, by="executors", id="b"), Ended(t=took + 5.0, by="executors", id="b", how="done"),
+        tried(**LINE),
+        tried("b", "b", t=100.0, **LINE),
+        Took(t=50.0, by="executors", id="a"),
+        answered(over),
+        Took(t=took, by="executors", id="b"),
+        Ended(t=took + 5.0, by="executors", id="b", how="done"),
         answered(took + 5.0, id="b"),
-    ]  # fmt: skip
+    ]
     found = rules(*rows, *([end] if end else []))[0]
     assert bool(found["in turn"].broken) is broken
 
 
 def test_service_counts_retries_with_their_first_try_from_the_intended_send():
     rows = run(
-        tried(intended=0.0, t=30.0), answered(40.0, "deferred"), tried("a.1", "a", 1, 60.0),
+        tried(intended=0.0, t=30.0),
+        answered(40.0, "deferred"),
+        tried("a.1", "a", 1, 60.0),
         answered(90.0, id="a.1"),
-        tried("b", "b", intended=0.0, t=50.0), answered(130.0, id="b"), tried("c", "c"),
+        tried("b", "b", intended=0.0, t=50.0),
+        answered(130.0, id="b"),
+        tried("c", "c"),
         answered(50.0, "aborted", "c"),
         Asked(t=1.0, by="executors"),
-    )  # fmt: skip
+    )
     found = figures(Book(rows))
     assert (found["work_units"], found["tries"]) == (3.0, 4.0)
     assert found["service"] == pytest.approx(2.0 / 6.0) and found["late"] == pytest.approx(1.0 / 6.0)
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -1,6 +1,6 @@
 """For a client that has gone nothing begins, first or further attempt (docs/design/endings.md).
 
-Each hold brings a work unit to the instant at which the next event has it sent. That event and the client's
+Each hold brings a request to the instant at which the next event has it sent. That event and the client's
 end are then put before the node in the bad order, on real loopback sockets: both ready in one turn, the send
 in front, or the end in the middle of a turn that is late.
 """
@@ -34,13 +34,13 @@
 from test_net import JOB
 
 from marlseam import core
-from marlseam.interface import Listing, State
+from marlseam.decisions.types import EndpointState, ListUpdateKind
 from marlseam.net import protocol
 from marlseam.net.connection import AHEAD_MS, Connection
-from marlseam.net.executors import SECOND_MS, Order
 from marlseam.net.loop import READ as READ_MASK
 from marlseam.net.loop import READY
 from marlseam.net.protocol import BODY_MOST
+from marlseam.net.upstream import SECOND_MS, Order
 
 peers, settle, stand, turn = (
     test_endings.peers,
@@ -70,12 +70,12 @@
 
 
 class Scene:
-    """A node with its client and its executors, and the ways to have things happen to them."""
+    """A node with its client and its servers, and the ways to have things happen to them."""
 
     def __init__(self, node, client, turn, settle, stand, may_cancel):
         self.node, self.client, self.turn, self.settle, self.stand = node, client, turn, settle, stand
         self.may_cancel = may_cancel
-        self.ahead, self.executors, self.bells = b"", {}, []
+        self.ahead, self.upstream, self.bells = b"", {}, []
         self.begun = 0  # attempts
         self.sock = self.within = None  # `within`: what a late turn handles by itself
         self.late_ms = LATE_MS
@@ -93,28 +93,28 @@
         node.loop.turn = step
 
     def list(self, *names, probes=False, **options):
-        """List executors with two kept connections each, so that what is chosen goes out in the same turn."""
+        """List servers with two kept connections each, so that what is chosen goes out in the same turn."""
         limits = {"mayProbe": probes, "cancel": self.may_cancel} | options.pop("ceilings", {})
         options = {"requestClasses": PATIENT} | options
-        self.executors = dict(zip(names, self.stand(*names, ceilings=limits, **options), strict=True))
-        for name, peer in self.executors.items():
+        self.upstream = dict(zip(names, self.stand(*names, ceilings=limits, **options), strict=True))
+        for name, peer in self.upstream.items():
             until = self.node.loop.now() + 1000.0
-            for alloc in range(2):
-                self.node.executors.send(Order("0", alloc, name, JOB, until, until))
+            for attempt_index in range(2):
+                self.node.upstream.send(Order("0", attempt_index, name, JOB, until, until))
             self.turn(lambda peer=peer: peer.accept() and len(peer.held) == 2)
             for sock in peer.held:
                 sock.sendall(ANSWER.replace(b'"e1"', b'"%b"' % name.encode()))
-            self.turn(lambda name=name: len(self.node.executors.peers[name].idle) == 2)
+            self.turn(lambda name=name: len(self.node.upstream.peers[name].idle) == 2)
         assert self.read().count(b"abc") == 2 * len(names)
         self.lead_ms += SECOND_MS  # what may not run twice uses no connection before
 
     def ask(self, request=REQUEST, read=True):
         """Have the client that will go send its request; `read` what it sends ahead as far as a node does."""
-        before, units = set(self.node.server.open), self.node.refs
+        before, units = set(self.node.downstream.open), self.node.last_request_id
         self.sock = self.client(request + self.ahead)
-        self.turn(lambda: set(self.node.server.open) - before)
-        (self.door,) = set(self.node.server.open) - before
-        self.turn(lambda: self.node.refs > units)
+        self.turn(lambda: set(self.node.downstream.open) - before)
+        (self.door,) = set(self.node.downstream.open) - before
+        self.turn(lambda: self.node.last_request_id > units)
         if read and self.ahead:
             much = self.ahead is AHEAD
             self.turn(lambda: self.door.ahead() and (not much or len(self.door.buffer) >= AHEAD_MOST))
@@ -122,9 +122,9 @@
             self.node.loop.turn()  # else its bytes are still news, and its end comes in their place
 
     def read(self):
-        """Return what came to executors since the last look."""
+        """Return what came to servers since the last look."""
         data = b""
-        for name, peer in self.executors.items():
+        for name, peer in self.upstream.items():
             while peer.accept():
                 pass
             for sock in peer.held:
@@ -138,7 +138,7 @@
         return data
 
     def running(self, word=b"abc"):
-        """Wait until a request is at an executor; return that one's name and its side of the connection."""
+        """Wait until a request is at a server; return that one's name and its side of the connection."""
         self.turn(lambda: word in self.read())
         return self.at
 
@@ -184,15 +184,15 @@
         each.close()
 
 
-# What a send waits for. Each brings a work unit there and returns what has it go out in the next turn.
+# What a send waits for. Each brings a request there and returns what has it go out in the next turn.
 
 
 def a_dial(scene):
     scene.list("e1")
-    for connection, _ in scene.node.executors.peers["e1"].idle:
-        connection.eof = True  # closed by its executor: a new one is dialled
+    for connection, _ in scene.node.upstream.peers["e1"].idle:
+        connection.eof = True  # closed by its server: a new one is dialled
     scene.ask(read=False)
-    (flight,) = scene.node.executors.out.values()
+    (flight,) = scene.node.upstream.out.values()
     comes(flight.task.fd, select.POLLOUT)  # it is up, and the node has not heard of it
     scene.within = lambda: flight.task.step(READY)
     return lambda: None
@@ -212,7 +212,7 @@
     scene.list("e1", "e2")
     scene.ask()
     name, sock = scene.running()
-    scene.executors[name].held.remove(sock)
+    scene.upstream[name].held.remove(sock)
     return lambda: reset(sock)
 
 
@@ -220,7 +220,7 @@
     scene.list("e1", "e2", requestClasses=[PATIENT[0], OPTIONS["requestClasses"][1]])  # time is left for two
     scene.ask()
     scene.running()
-    scene.late_ms = scene.node.executors.take_ms
+    scene.late_ms = scene.node.upstream.take_ms
     return lambda: None
 
 
@@ -228,13 +228,13 @@
     scene.list("e1", "e2", ceilings={"secondCopies": True})
     scene.ask()
     name, _ = scene.running()
-    gone = {name: scene.executors[name].address}
-    return scene.bell(lambda: tell(scene.node, gone, State.GONE, Listing.DELTA))
+    gone = {name: scene.upstream[name].address}
+    return scene.bell(lambda: tell(scene.node, gone, EndpointState.GONE, ListUpdateKind.DELTA))
 
 
 def a_probe(scene):
     scene.list("e1", probes=True)
-    scene.node.core.node.heard_ms[scene.node.core.index["e1"]] = -inf
+    scene.node.core.dispatcher.heard_ms[scene.node.core.index["e1"]] = -inf
     scene.ask()
     _, sock = scene.running(b"/-/load")
     return lambda: sock.sendall(LOAD)
@@ -249,20 +249,20 @@
         yield (theirs.fileno(), READ_MASK, inf)  # the word that a record is on the disk
         return True
 
-    real = scene.node.executors.send
-    scene.node.executors.send = lambda order: real(replace(order, gate=gate))
+    real = scene.node.upstream.send
+    scene.node.upstream.send = lambda order: real(replace(order, gate=gate))
     scene.ask()
-    assert scene.node.executors.out
+    assert scene.node.upstream.out
     return lambda: ours.send(b"!")
 
 
 def a_line(scene):
     scene.list("e1")
-    at = {"e1": scene.executors["e1"].address}
-    tell(scene.node, at, State.DRAINING, Listing.DELTA)
+    at = {"e1": scene.upstream["e1"].address}
+    tell(scene.node, at, EndpointState.DRAINING, ListUpdateKind.DELTA)
     scene.ask()
-    assert scene.node.core.node.lines
-    return scene.bell(lambda: tell(scene.node, at, State.READY, Listing.DELTA))
+    assert scene.node.core.dispatcher.lines
+    return scene.bell(lambda: tell(scene.node, at, EndpointState.READY, ListUpdateKind.DELTA))
 
 
 def a_turn_of_its_key(scene):
@@ -271,7 +271,7 @@
     scene.client(asked.replace(b"9b", b"9a"))
     _, sock = scene.running()
     scene.ask(asked)
-    assert scene.node.refs == 2
+    assert scene.node.last_request_id == 2
     return lambda: sock.sendall(ANSWER.replace(b"9b", b"9a"))
 
 
@@ -294,9 +294,13 @@
 
 
 def over(node):
-    """Say that nothing is left of work, and that the executors' counts are right."""
-    assert not node.pending and not node.core.open and not node.executors.out and not node.server.ids
-    assert not any(node.core.node.ours) and not node.core.node.turns and not node.core.node.lines
+    """Say that nothing is left of work, and that the servers' counts are right."""
+    assert not node.pending and not node.core.open and not node.upstream.out and not node.downstream.ids
+    assert (
+        not any(node.core.dispatcher.ours)
+        and not node.core.dispatcher.turns
+        and not node.core.dispatcher.lines
+    )
 
 
 @HOLD
@@ -314,11 +318,11 @@
     node = scene.node
     assert scene.begun == begun and b"abc" not in scene.read()
     scene.settle()
-    scene.turn(lambda: scene.door not in node.server.open)
+    scene.turn(lambda: scene.door not in node.downstream.open)
     scene.lead_ms += (
-        1000.0 if node.executors.out else 0.0
+        1000.0 if node.upstream.out else 0.0
     )  # what had begun runs on where cancelling is forbidden
-    scene.turn(lambda: not node.executors.out)
+    scene.turn(lambda: not node.upstream.out)
     assert scene.begun == begun and b"abc" not in scene.read()
     over(node)
 
@@ -401,7 +405,7 @@
     for _ in range(int(100.0 / AHEAD_MS) - 1):
         scene.lead_ms += AHEAD_MS
         scene.settle(3)
-    assert scene.door not in node.server.open
+    assert scene.door not in node.downstream.open
     act()
     goes_nowhere(scene, begun)
 
@@ -410,12 +414,12 @@
 def test_an_end_behind_more_than_is_held_is_seen_before_work_is_taken(goes, scene, node, client, turn):
     scene = scene(True)
     scene.list("e1")
-    units, sock = node.refs, client(b"")
-    turn(lambda: node.server.idle)
+    units, sock = node.last_request_id, client(b"")
+    turn(lambda: node.downstream.idle)
     floods(sock, REQUEST + FAR)
     goes(sock)  # the node reads it later
-    turn(lambda: not node.server.open)
-    assert node.refs == units and b"abc" not in scene.read()
+    turn(lambda: not node.downstream.open)
+    assert node.last_request_id == units and b"abc" not in scene.read()
 
 
 def test_a_client_that_floods_and_stays_has_its_answer_whole(scene, node, turn, reply):
@@ -432,7 +436,7 @@
     scene.settle()
     assert not scene.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     half_close(scene.sock)
-    turn(lambda: scene.door not in node.server.open)
+    turn(lambda: scene.door not in node.downstream.open)
 
 
 def test_a_whole_request_of_the_largest_size_ahead_is_served(scene, node, turn, reply):
@@ -456,13 +460,13 @@
 def test_a_burst_that_leaves_from_a_line_goes_nowhere(scene, node, turn):
     scene = scene(False)
     scene.list("e1")
-    at = {"e1": scene.executors["e1"].address}
-    tell(node, at, State.DRAINING, Listing.DELTA)
+    at = {"e1": scene.upstream["e1"].address}
+    tell(node, at, EndpointState.DRAINING, ListUpdateKind.DELTA)
     doors = []
     for i in range(30):
         scene.ask(REQUEST.replace(b"9b", b"w%d" % i))
         doors.append((scene.sock, scene.door))
-    ring = scene.bell(lambda: tell(node, at, State.READY, Listing.DELTA))
+    ring = scene.bell(lambda: tell(node, at, EndpointState.READY, ListUpdateKind.DELTA))
     begun = scene.begun
     ring()
     comes(node.loop.poll.fileno())
@@ -470,56 +474,59 @@
         scene.leave(socket.socket.close)
     node.loop.turn()
     goes_nowhere(scene, begun)
-    assert not node.server.open
+    assert not node.downstream.open
 
 
 def test_what_found_its_client_gone_leaves_no_record_and_gives_its_keys_turn_on(scene, node, turn):
     keyed = PATIENT[0] | {
-        "semantics": "keyed", "dedupScope": "cell", "memorySpanUs": 30000000, "oneAtATime": True,
+        "semantics": "keyed",
+        "dedupScope": "cell",
+        "memorySpanUs": 30000000,
+        "oneAtATime": True,
         "aimStretch": 20,
-    }  # fmt: skip
+    }
     scene = scene(False)
     scene.list("e1", requestClasses=[keyed])
-    for connection, _ in node.executors.peers["e1"].idle:
-        connection.eof = True  # closed by its executor: a new one is dialled
+    for connection, _ in node.upstream.peers["e1"].idle:
+        connection.eof = True  # closed by its server: a new one is dialled
     asked = REQUEST.replace(b"/statement", b"/statement?user=u").replace(
         b"Host: h", b"Host: h\r\nIdempotency-Key: k%d"
     )
     scene.ask(asked % 1, read=False)
-    (flight,) = node.executors.out.values()
+    (flight,) = node.upstream.out.values()
     first = scene.sock, scene.door
     scene.client((asked % 2).replace(b"9b", b"9c"))
     flight.task.rest()  # its dial is not heard of until the next has come
-    turn(lambda: node.refs == 2)
-    assert node.core.receipts.known("k1", node.loop.now())
+    turn(lambda: node.last_request_id == 2)
+    assert node.core.idempotency_records.known("k1", node.loop.now())
     begun = scene.begun
     scene.sock, scene.door = first
     scene.leave(socket.socket.close)
     flight.task.step(READY)
-    assert not node.core.receipts.known("k1", node.loop.now())  # it provably never ran
-    assert node.core.receipts.known("k2", node.loop.now())
+    assert not node.core.idempotency_records.known("k1", node.loop.now())  # it provably never ran
+    assert node.core.idempotency_records.known("k2", node.loop.now())
     turn(lambda: scene.begun > begun)
     data = scene.read()
     assert b"k2" in data and b"k1" not in data and scene.begun == begun + 1
-    turn(lambda: scene.door not in node.server.open)
+    turn(lambda: scene.door not in node.downstream.open)
 
 
 @pytest.mark.parametrize("end", [socket.socket.close, half_close, "drains"], ids=["closes", "half", "drains"])
 def test_a_first_byte_that_the_system_does_not_take_has_not_begun(end, scene, node, turn):
     scene = scene(False)
     scene.list("e1")
-    (connection, _), (other, _) = node.executors.peers["e1"].idle
-    for each in (connection, other):  # as if an executor had answered what it did not read
+    (connection, _), (other, _) = node.upstream.peers["e1"].idle
+    for each in (connection, other):  # as if a server had answered what it did not read
         floods(each.sock, b"x" * (1 << 24))
     scene.ask(read=False)
-    (flight,) = node.executors.out.values()
+    (flight,) = node.upstream.out.values()
     assert not flight.task.done and scene.read().count(b"x") > 0
     if end == "drains":
-        tell(node, {"e1": scene.executors["e1"].address}, State.DRAINING, Listing.DELTA)
+        tell(node, {"e1": scene.upstream["e1"].address}, EndpointState.DRAINING, ListUpdateKind.DELTA)
     else:
         scene.leave(end)
     turn(lambda: flight.task.done)
-    turn(lambda: end == "drains" or not node.server.open)
+    turn(lambda: end == "drains" or not node.downstream.open)
     data = scene.read()
     while more := scene.read():
         data += more
@@ -530,20 +537,29 @@
 def test_a_process_that_stood_still_sends_nothing_again_for_clients_that_left(peers, tmp_path, answer):
     peers |= {"e1": Peer(), "e2": Peer()}
     hosts = [
-        {"host": name, "dial": "{}:{}".format(*peer.address), "health": "active", "site": "here",
-         "class": "plain", "block": 0} for name, peer in peers.items()
-    ]  # fmt: skip
+        {
+            "host": name,
+            "dial": "{}:{}".format(*peer.address),
+            "health": "active",
+            "site": "here",
+            "class": "plain",
+            "block": 0,
+        }
+        for name, peer in peers.items()
+    ]
     limits = OPTIONS["ceilings"] | {"mayProbe": False, "cancel": False, "keepaliveUs": 30000000}
     settings = OPTIONS | {"requestClasses": PATIENT, "ceilings": limits}
     values = {
-        "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings,
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "settings": settings,
         "known": {"seq": 1, "whole": True, "hosts": hosts},
-    }  # fmt: skip
+    }
     path = tmp_path / "node.json"
     path.write_text(json.dumps(values))
     command = [sys.executable, "-m", "marlseam", "serve", "--config", str(path)]
     process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
-    clients, held = [], {}  # and executors' sides of connections, with their names
+    clients, held = [], {}  # and servers' sides of connections, with their names
 
     def asks():
         """Have a client ask; return where that came."""
@@ -563,7 +579,7 @@
             assert line
         listen = "127.0.0.1", int(line.rpartition(":")[2])
         used = [asks()]
-        while len(set(held.values())) < 2:  # at once, so that each executor has a kept connection
+        while len(set(held.values())) < 2:  # at once, so that each server has a kept connection
             used.append(asks())
         for sock in used:
             number = b"w%d" % (used.index(sock) + 1)
@@ -599,13 +615,13 @@
 
     def faulty(*given):
         tried.append(given)
-        assert len(tried) <= node.core.node.set.max_allocs
+        assert len(tried) <= node.core.dispatcher.settings.max_attempts
         raise KeyError("a fault")
 
     monkeypatch.setattr(protocol, "job_headers", faulty)
     scene.ask(read=False)
     turn(lambda: not node.pending)
-    assert len(tried) == node.core.node.set.max_allocs
+    assert len(tried) == node.core.dispatcher.settings.max_attempts
     over(node)
 
 
@@ -618,7 +634,7 @@
 def test_what_stands_in_the_middle_of_its_bytes_is_cut(
     goes, request_, order, scene, node, turn, client, monkeypatch
 ):
-    # An executor begins a request when its last byte has come.
+    # A server begins a request when its last byte has come.
     sends = []
 
     class Small(socket.socket):
@@ -635,14 +651,14 @@
             return super().send(data)
 
     scene = scene(False)
-    scene.executors = {"e1": scene.stand("e1", ceilings={"mayProbe": False, "cancel": False})[0]}
-    peer = scene.executors["e1"]
+    scene.upstream = {"e1": scene.stand("e1", ceilings={"mayProbe": False, "cancel": False})[0]}
+    peer = scene.upstream["e1"]
     peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     scene.sock = client(request_.replace(b"Length: 3", b"Length: %d" % LONG)[:-3] + b"b" * LONG)
     monkeypatch.setattr(socket, "socket", Small)
     turn(peer.accept)
-    (scene.door,) = node.server.open
-    (flight,) = node.executors.out.values()
+    (scene.door,) = node.downstream.open
+    (flight,) = node.upstream.out.values()
     turn(lambda: flight.task.fd >= 0 and select.select([peer.held[0]], [], [], 0)[0])
     read = 0
     if order == "room before the end":
@@ -650,7 +666,7 @@
             read += peer.read().count(b"b")
     parts = len(sends)
     if order == "answered":
-        node.post(core.Closing(0.0))
+        node.post(core.ShutdownBegun(0.0))
         turn(lambda: flight.task.done)
     else:
         scene.leave(goes)
@@ -661,7 +677,7 @@
         scene.settle(1)
     assert read < LONG and not node.counters.attempts and len(sends) == parts > 0
     if order != "answered":
-        turn(lambda: not node.server.open)
+        turn(lambda: not node.downstream.open)
     over(node)
 
 
@@ -675,8 +691,8 @@
         patch.setattr(Connection, "fill", lambda connection: 1 // 0)
         scene.sock.sendall(b"GET")
         turn(lambda: faults)
-    turn(lambda: scene.door not in node.server.open)  # it is told of the error first
+    turn(lambda: scene.door not in node.downstream.open)  # it is told of the error first
     act()
-    turn(lambda: not node.executors.out)
+    turn(lambda: not node.upstream.out)
     assert scene.begun == begun and b"abc" not in scene.read() and len(faults) == 1
-    assert not node.core.open and not any(node.core.node.ours)
+    assert not node.core.open and not any(node.core.dispatcher.ours)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlseam.fleet import skew
-from marlseam.fleet.explore_lending import Rules, explore, wander
-from marlseam.fleet.lending import DRIFT, Borrow, Give, Got, Held, Lend, Lending, Lent
+from marlseam.cluster.checking import quota_schedules
+from marlseam.cluster.checking.explore_leasing import Rules, explore, wander
+from marlseam.cluster.quota.leasing import DRIFT, Borrow, Give, Got, Held, Lend, Lending, Lent
 
 
 def test_no_interleaving_of_few_steps_goes_over():
@@ -121,9 +121,21 @@
 
 @pytest.mark.parametrize(
     "rules",
-    [CountsAnew, FromTheAnswer, SaidFirst, StartsAtOnce, LendsInUse, LendsTwice, LendsOn, Revives, AnyLoan,
-     EndsEarly, NeverEnds, TwiceForOne],
-)  # fmt: skip
+    [
+        CountsAnew,
+        FromTheAnswer,
+        SaidFirst,
+        StartsAtOnce,
+        LendsInUse,
+        LendsTwice,
+        LendsOn,
+        Revives,
+        AnyLoan,
+        EndsEarly,
+        NeverEnds,
+        TwiceForOne,
+    ],
+)
 def test_a_planted_defect_is_found(rules):
     assert explore(8, rules()).way or wander(6000, 24, rules())
 
@@ -131,10 +143,11 @@
 STEPS = st.lists(
     st.tuples(
         st.sampled_from(["time", "ask", "hear", "again", "give", "durable", "restart", "forget", "use"]),
-        st.integers(0, 2), st.integers(0, 30),
+        st.integers(0, 2),
+        st.integers(0, 30),
     ),
     max_size=80,
-)  # fmt: skip
+)
 
 
 @given(STEPS, st.tuples(*[st.floats(1.0 - DRIFT, 1.0 + DRIFT)] * 3))
@@ -190,33 +203,36 @@
 
 @pytest.mark.parametrize("seed", [0, 1, 2, 3, 4, 5])
 def test_no_schedule_brings_the_sum_over_and_room_follows_the_demand(seed):
-    assert skew.play(7, seed, skew.schedule(7, seed) if seed else []).broken == []
+    assert quota_schedules.play(7, seed, quota_schedules.schedule(7, seed) if seed else []).broken == []
 
 
 def test_one_rich_member_gets_what_the_others_do_not_use_in_a_few_periods():
     # Fixed parts would leave it at one of the five that it wants.
-    world = skew.Skew(7, 1, [], 70.0, skew.one_rich(70.0, 7, "n3", 5.0))
+    world = quota_schedules.Skew(7, 1, [], 70.0, quota_schedules.one_rich(70.0, 7, "n3", 5.0))
     world.run(6000.0)
     at, used, wanted = world.samples[-1]
     assert used >= 0.95 * wanted == 0.95 * 56.0 and at < 6001.0 and world.most <= 70.0 + 1e-9
 
 
 def test_cut_off_a_member_keeps_its_own_part_and_no_more():
-    world = skew.Skew(7, 1, [], 70.0, skew.one_rich(70.0, 7, "n3", 5.0))
+    world = quota_schedules.Skew(7, 1, [], 70.0, quota_schedules.one_rich(70.0, 7, "n3", 5.0))
     world.run(6000.0)
     world.cuts += [("n3", "", 1e9), ("", "n3", 1e9)]
-    world.run(6000.0 + 2.0 * skew.LEASE_PERIODS * 1000.0)
+    world.run(6000.0 + 2.0 * quota_schedules.LEASE_PERIODS * 1000.0)
     rich = world.seats["n3"]
     assert rich.machine.usable(world.local(rich)) == 10.0 and world.most <= 70.0 + 1e-9
 
 
 @pytest.mark.parametrize(
-    "machine", [type("Early", (Lending,), {"lent_ms": lambda self: 0.5 * self.lease_ms}),
-                type("Late", (Lending,), {"borrowed_ms": lambda self: 2.0 * self.lease_ms})],
-)  # fmt: skip
+    "machine",
+    [
+        type("Early", (Lending,), {"lent_ms": lambda self: 0.5 * self.lease_ms}),
+        type("Late", (Lending,), {"borrowed_ms": lambda self: 2.0 * self.lease_ms}),
+    ],
+)
 def test_a_lease_that_is_wrong_on_one_side_brings_the_sum_over(machine):
     # A borrower that is cut off: its lender takes the room back by its own lease.
-    world = skew.Skew(7, 1, [], 70.0, skew.one_rich(70.0, 7, "n3", 5.0), rules=machine)
+    world = quota_schedules.Skew(7, 1, [], 70.0, quota_schedules.one_rich(70.0, 7, "n3", 5.0), rules=machine)
     world.run(6000.0)
     world.cuts += [("n3", "", 1e9), ("", "n3", 1e9)]
     world.run(40000.0)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -127,8 +127,10 @@
     held = day(clients={"tries": 3, "wait_ms": 1.0}, load={"time_scale": 2.0})
     found = trace.arrivals(trace.rows(lines(*ROWS), held), held)
     assert [(a.id, a.at, a.first, a.number) for a in found] == [
-        ("a", 10.0, "a", 0), ("b", 40.0, "b", 0), ("a.1", 80.0, "a", 1),
-    ]  # fmt: skip
+        ("a", 10.0, "a", 0),
+        ("b", 40.0, "b", 0),
+        ("a.1", 80.0, "a", 1),
+    ]
     assert found[1].credit == 7.0 and found[0].credit == 1.0
 
 
@@ -140,14 +142,17 @@
 @pytest.mark.parametrize(
     ("row", "text"),
     [
-        ({"type": "none"}, "no project type 'none'"), ({"zone": "n"}, "no zone"),
+        ({"type": "none"}, "no project type 'none'"),
+        ({"zone": "n"}, "no zone"),
         ({"id": "a"}, "came before"),
-        ({"t": -1.0}, "line 5"), ({"work": "x"}, "work"), ({"extra": 1}, "extra"),
+        ({"t": -1.0}, "line 5"),
+        ({"work": "x"}, "work"),
+        ({"extra": 1}, "extra"),
         ({"first": "a"}, "both first"),
         ({"first": "zz", "number": 1}, "'zz' is not in the trace"),
         ({"type": "post"}, "without a receipt"),
     ],
-)  # fmt: skip
+)
 def test_a_bad_line_is_named_and_nothing_is_read(row, text):
     bad = {"t": 50.0, "id": "z", "type": "lookup", "zone": "east", "work": 1.0} | row
     with pytest.raises(trace.BadTrace, match=text):
--- a/tests/test_logic.py
+++ b/tests/test_logic.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from marlseam.interface import Listing, Member, Outcome, Report, State, WorkUnit
-from marlseam.logic import Handle
+from marlseam.decisions.dispatcher import RequestState
+from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind, LoadReport, Outcome, Request
 
-RAN = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.WITHDRAWN, Outcome.DROPPED)
-NEVER = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.VOID)
+RAN = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED, Outcome.STALE_CONNECTION)
+NEVER = (Outcome.AT_CAPACITY, Outcome.UNREACHABLE, Outcome.CANCELLED_UNSENT)
 
 
 def ready(node):
-    return [e for e in range(len(node.state)) if node.usable(e)]
+    return [e for e in range(len(node.endpoint_state)) if node.usable(e)]
 
 
 def waiting(node, further=False):
@@ -20,23 +20,23 @@
 
 
 def test_open_work_gets_no_more_attempts_than_were_allowed_then_or_are_now(make, unit):
-    node = make(1.0, 1.0, 1.0, max_allocs=2)
-    wu = unit(node, allocs=((0, Outcome.ERROR), (1, Outcome.ERROR)))
-    node.configure(replace(node.set, max_allocs=4))
-    assert not wu.may_send()
-    later = unit(node, allocs=((0, Outcome.ERROR), (1, Outcome.ERROR)))
+    node = make(1.0, 1.0, 1.0, max_attempts=2)
+    state = unit(node, attempts=((0, Outcome.ERROR), (1, Outcome.ERROR)))
+    node.configure(replace(node.settings, max_attempts=4))
+    assert not state.may_send()
+    later = unit(node, attempts=((0, Outcome.ERROR), (1, Outcome.ERROR)))
     assert later.may_send()
-    node.configure(replace(node.set, max_allocs=2))
+    node.configure(replace(node.settings, max_attempts=2))
     assert not later.may_send()
 
 
-def test_a_share_of_the_node_is_a_share_of_a_cold_executors_budget(make):
-    node = make(0.0, nodes=2)
+def test_a_share_of_the_node_is_a_share_of_a_cold_servers_budget(make):
+    node = make(0.0, node_count=2)
     node.born[0], node.tokens[0], node.token_ms[0] = node.port.clock, 0.0, node.port.clock
     node.port.clock += 100.0
     node.warm(0)
     whole = node.tokens[0]
-    node.configure(replace(node.set, share=0.5))
+    node.configure(replace(node.settings, process_share=0.5))
     node.tokens[0], node.token_ms[0] = 0.0, node.port.clock - 100.0
     node.warm(0)
     assert 0.0 < node.tokens[0] == pytest.approx(whole / 2)
@@ -47,34 +47,34 @@
 
 def test_home_takes_work_at_threshold_plus_one(make, unit):
     node = make(2.0, 1.0)  # mean 1.5, threshold 2
-    wu = unit(node)
-    wu.home = 0
-    wu.at_home(wu.at(wu.home))
+    state = unit(node)
+    state.home = 0
+    state.at_home(state.at(state.home))
     assert node.port.did("send") == [("send", "w0", 0)]
 
 
 def test_home_over_threshold_plus_one_probes_two_others(make, unit):
     node = make(3.0, 0.0, 0.0, 0.0)
-    wu = unit(node)
-    wu.home = 0
-    wu.at_home(wu.at(wu.home))
+    state = unit(node)
+    state.home = 0
+    state.at_home(state.at(state.home))
     assert len(node.port.did("probe")) == 2 and ("probe", 0) not in node.port.acts
 
 
 def test_probed_one_that_holds_a_passed_job_is_passed_by(make, unit):
     node = make(3.0, 0.0, 0.0)
-    wu = unit(node)
-    wu.home, wu.asked, wu.round_ms = 0, [1, 2], node.port.now()
+    state = unit(node)
+    state.home, state.asked, state.round_ms = 0, [1, 2], node.port.now()
     node.passed[1] = True
-    wu.choose()
+    state.choose()
     assert node.port.did("send") == [("send", "w0", 2)]
 
 
 def test_home_keeps_work_when_nobody_qualifies(make, unit):
     node = make(3.0, 3.0, 3.0)
-    wu = unit(node)
-    wu.home, wu.asked, wu.round_ms = 0, [1, 2], node.port.now() + 1.0
-    wu.choose()
+    state = unit(node)
+    state.home, state.asked, state.round_ms = 0, [1, 2], node.port.now() + 1.0
+    state.choose()
     assert node.port.did("send") == [("send", "w0", 0)]
 
 
@@ -87,10 +87,10 @@
 
 def test_probe_that_never_answers_delays_no_work(make, unit):
     node = make(9.0, 0.0, 0.0)
-    wu = unit(node)
-    wu.home = 0
+    state = unit(node)
+    state.home = 0
     node.port.clock += 1.0
-    wu.ask([1, 2], wu.choose)
+    state.ask([1, 2], state.choose)
     node.others[0] = 0.0
     node.port.timers[-1][1]()
     assert node.port.did("send") == [("send", "w0", 0)]
@@ -100,46 +100,46 @@
     assert make(1.0, 1.0, 2.0).threshold(0) == 2
 
 
-def test_executor_never_heard_from_takes_the_others_mean(make):
+def test_server_never_heard_from_takes_the_others_mean(make):
     node = make(2.0, 4.0, None)
     assert node.count(2) == 3.0
 
 
 def test_report_of_free_slots_and_queue_makes_a_count(make, unit):
     node = make(0.0)
-    unit(node, allocs=((0, None),)).allocs[0].started_ms = 0.0
-    node.take_report(0, Report(queued=2.0, free_slots=1.0), node.port.now())
+    unit(node, attempts=((0, None),)).attempts[0].started_ms = 0.0
+    node.take_report(0, LoadReport(queued=2.0, free_slots=1.0), node.port.now())
     assert node.others[0] == 4.0 and node.count(0) == 5.0
 
 
 def test_wide_work_counts_by_the_slots_that_are_not_free(make):
-    # Seen at quito-render: a node that read work units held as slots sent to executors without a free one.
+    # Seen at quito-render: a node that read requests held as slots sent to servers without a free one.
     node = make(0.0)
-    node.take_report(0, Report(held=2.0, free_slots=0.0), node.port.now())
+    node.take_report(0, LoadReport(held=2.0, free_slots=0.0), node.port.now())
     assert node.count(0) == 4.0
     node.mean_slots = 1.5
-    node.take_report(0, Report(held=6.0, free_slots=0.0), node.port.now())
+    node.take_report(0, LoadReport(held=6.0, free_slots=0.0), node.port.now())
     assert node.count(0) == 9.0
 
 
 @pytest.mark.parametrize(("counts", "home"), [((4.0, 4.0, 0.0, 4.0), 2), ((4.0, 4.0, 4.0, 4.0), -1)])
 def test_room_elsewhere_goes_before_a_wait_where_the_thing_is_kept(make, unit, counts, home):
-    node = make(*counts, fetch_price=0.03)
-    wu = unit(node)
-    wu.work = replace(wu.work, key="k")
+    node = make(*counts, fetch_cost=0.03)
+    state = unit(node)
+    state.request = replace(state.request, resource_key="k")
     node.ring = {-1: [(0, 1), (1 << 32, 1)]}
     node.others[1] = 90.0
-    wu.taken += 9999.0  # so there is time to wait
-    assert wu.patient() and wu.first()[1] == home
+    state.taken += 9999.0  # so there is time to wait
+    assert state.patient() and state.first()[1] == home
 
 
-def test_full_marks_an_executor_until_its_next_report(make, unit):
+def test_full_marks_a_server_until_its_next_report(make, unit):
     node = make(0.0)
-    wu = unit(node, allocs=((0, None),))
-    wu.settled(0, Outcome.FULL, False, None)
-    assert node.over(0, wu.work)
-    node.take_report(0, Report(held=0.0), node.port.now())
-    assert not node.over(0, wu.work)
+    state = unit(node, attempts=((0, None),))
+    state.settled(0, Outcome.AT_CAPACITY, False, None)
+    assert node.over(0, state.request)
+    node.take_report(0, LoadReport(held=0.0), node.port.now())
+    assert not node.over(0, state.request)
 
 
 def test_same_seed_draws_the_same(make):
@@ -151,7 +151,7 @@
 
 def test_guard_answers_before_the_hard_limit(make):
     node = make(0.0)
-    node.take(WorkUnit("w", 2, node.port.clock + 5000.0))
+    node.take(Request("w", 2, node.port.clock + 5000.0))
     at, guard = max(node.port.timers, key=lambda timer: timer[0])
     assert at < node.port.clock + 5000.0
     guard()
@@ -161,16 +161,16 @@
 
 def test_nothing_is_sent_after_the_answer(make, unit):
     node = make(0.0)
-    wu = unit(node)
-    wu.answer()
-    wu.place()
+    state = unit(node)
+    state.answer()
+    state.place()
     assert not node.port.did("send")
 
 
-def test_work_without_any_executor_waits_then_is_deferred(make):
+def test_work_without_any_server_waits_then_is_rejected(make):
     node = make()
-    wu = node.take(WorkUnit("w", 0, node.port.clock + 5000.0))
-    assert not wu.done
+    state = node.take(Request("w", 0, node.port.clock + 5000.0))
+    assert not state.done
     node.port.clock += 2000.0
     node.pump()
     assert node.port.did("defer") == [("defer", "w")]
@@ -180,83 +180,85 @@
 
 
 @pytest.mark.parametrize("outcome", RAN)
-def test_exclusive_that_may_have_run_is_aborted(make, unit, outcome):
+def test_unsafe_that_may_have_run_is_failed(make, unit, outcome):
     node = make(0.0, 0.0)
     unit(node, 2, ((0, None),)).settled(0, outcome, False, None)
     assert node.port.did("abort") and not node.port.did("defer")
 
 
 @pytest.mark.parametrize("outcome", NEVER)
-def test_exclusive_that_never_ran_may_go_again(make, unit, outcome):
+def test_unsafe_that_never_ran_may_go_again(make, unit, outcome):
     node = make(0.0, 0.0)
-    wu = unit(node, 2, ((0, outcome),))
-    assert wu.may_send() and wu.may_defer() and wu.fits(1)
+    state = unit(node, 2, ((0, outcome),))
+    assert state.may_send() and state.may_defer() and state.fits(1)
 
 
-def test_receipted_goes_again_only_to_its_cell(make, unit):
+def test_keyed_goes_again_only_to_its_cell(make, unit):
     node = make(0.0, 0.0, 0.0, cells=(0, 0, 1))
-    wu = unit(node, 1, ((0, Outcome.ERROR),))
-    assert wu.fits(1) and not wu.fits(2) and not wu.may_defer()
+    state = unit(node, 1, ((0, Outcome.ERROR),))
+    assert state.fits(1) and not state.fits(2) and not state.may_defer()
 
 
-def test_receipted_is_not_sent_past_the_memory(make, unit):
+def test_keyed_is_not_sent_past_the_memory(make, unit):
     node = make(0.0, 0.0)
-    wu = unit(node, 1, ((0, Outcome.ERROR),))
+    state = unit(node, 1, ((0, Outcome.ERROR),))
     node.port.clock += 3000.0
-    assert not wu.may_send()
+    assert not state.may_send()
 
 
 def test_no_second_copy_where_the_settings_forbid_it(make, unit):
     assert not unit(make(0.0, 0.0), 0, ((0, None),)).may_send()
-    assert unit(make(0.0, 0.0, second_copies=True), 0, ((0, None),)).may_send()
+    assert unit(make(0.0, 0.0, may_hedge=True), 0, ((0, None),)).may_send()
 
 
-def test_allocations_are_limited(make, unit):
+def test_attempts_are_limited(make, unit):
     assert not unit(make(0.0), 0, ((0, Outcome.ERROR),) * 4).may_send()
 
 
-# Rule 3 and the roster.
+# Rule 3 and discovery.
 
 
-@pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
-def test_draining_or_gone_executor_gets_nothing(make, state):
+@pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
+def test_draining_or_gone_server_gets_nothing(make, state):
     node = make(0.0, 0.0)
-    node.roster(Listing.DELTA, [Member(0, state, 0, 0, 0, None)])
+    node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, state, 0, 0, 0, None)])
     assert ready(node) == [1]
 
 
 def test_absent_from_a_full_list_means_gone(make):
     node = make(0.0, 0.0)
-    node.roster(Listing.FULL, [Member(1, State.READY, 0, 0, 0, None)])
-    assert node.state[0] is State.GONE
+    node.update_endpoints(ListUpdateKind.FULL, [Endpoint(1, EndpointState.READY, 0, 0, 0, None)])
+    assert node.endpoint_state[0] is EndpointState.GONE
 
 
 @pytest.mark.parametrize("left_out", [False, True])
 @pytest.mark.parametrize(("before", "used"), [("", True), ("drained", False), ("rests", False)])
 def test_where_draining_alone_binds_the_list_is_no_proof(make, left_out, before, used):
-    node = make(0.0, 0.0, drain_binds_alone=True)
-    rows = [Member(0, State.GONE, 0, 0, 0, None), Member(1, State.READY, 0, 0, 0, None)]
+    node = make(0.0, 0.0, only_draining_excludes=True)
+    rows = [Endpoint(0, EndpointState.GONE, 0, 0, 0, None), Endpoint(1, EndpointState.READY, 0, 0, 0, None)]
     if before == "drained":
-        node.roster(Listing.DELTA, [Member(0, State.DRAINING, 0, 0, 0, None)])
+        node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.DRAINING, 0, 0, 0, None)])
     elif before == "rests":
         node.suspend(0, "test", True)
     for _ in range(2):
-        node.roster(Listing.FULL if left_out else Listing.DELTA, rows[1:] if left_out else rows)
+        node.update_endpoints(
+            ListUpdateKind.FULL if left_out else ListUpdateKind.DELTA, rows[1:] if left_out else rows
+        )
     node.port.clock += node.rest_ms
     assert (0 in ready(node)) is used
     if used:  # what we see and what the list says together are believed, until it is listed again
         node.suspend(0, "test", True)
         node.port.clock = node.out_until[0]
-        assert ready(node) == [1] and node.state[0] is State.GONE
-        node.roster(Listing.DELTA, [Member(0, State.READY, 0, 0, 0, None)])
+        assert ready(node) == [1] and node.endpoint_state[0] is EndpointState.GONE
+        node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, None)])
         assert 0 in ready(node)
 
 
 def test_failed_subscription_is_tried_again_later(make):
     node = make(0.0)
-    node.roster(Listing.FAILED, [])
+    node.update_endpoints(ListUpdateKind.FAILED, [])
     stale, _ = node.port.timers[-1]
-    node.roster(Listing.FAILED, [])
+    node.update_endpoints(ListUpdateKind.FAILED, [])
     (due, call) = node.port.timers[-1]
     assert node.port.clock < stale and node.port.clock < due == node.next_ask < node.port.clock + 10000.0
     for _, older in node.port.timers[:-1]:
@@ -268,16 +270,16 @@
 
 def test_new_start_time_voids_old_counts(make):
     node = make(3.0, 1.0)
-    node.roster(Listing.DELTA, [Member(0, State.READY, 0, 0, 0, 900.0)])
+    node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, 900.0)])
     assert node.others[0] is None
 
 
 # Rule 4.
 
 
-def test_cold_executor_gets_only_this_nodes_part(make, unit):
+def test_cold_server_gets_only_this_nodes_part(make, unit):
     node = make(0.0, 0.0)
-    node.roster(Listing.DELTA, [Member(0, State.READY, 0, 0, 0, 900.0)])
+    node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, 900.0)])
     assert 0 not in ready(node)
     node.port.clock += 3000.0
     assert 0 in ready(node)
@@ -286,44 +288,44 @@
     assert 0 not in ready(node)
 
 
-def test_nodes_do_not_begin_on_a_cold_executor_at_once(make):
+def test_nodes_do_not_begin_on_a_cold_server_at_once(make):
     node = make(0.0)
     for born in (910.0, 920.0, 930.0):
-        node.roster(Listing.DELTA, [Member(0, State.READY, 0, 0, 0, born)])
+        node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, born)])
         assert -1.0 < node.tokens[0] <= 0.0
 
 
-def test_heavy_work_is_kept_from_a_cold_executor(make, unit):
+def test_heavy_work_is_kept_from_a_cold_server(make, unit):
     node = make(0.0)
     node.run[0] = 100.0 * node.mean_area
-    wu = unit(node)
-    assert wu.fits(0)
-    node.roster(Listing.DELTA, [Member(0, State.READY, 0, 0, 0, 900.0)])
-    assert not wu.fits(0)
+    state = unit(node)
+    assert state.fits(0)
+    node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, 900.0)])
+    assert not state.fits(0)
 
 
 # Health.
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.BROKEN, Outcome.TIMED_OUT])
-def test_fast_failing_executor_stops_getting_work(make, unit, outcome):
+def test_fast_failing_server_stops_getting_work(make, unit, outcome):
     node = make(0.0, 0.0)
     for _ in range(2):
-        unit(node, allocs=((0, None),)).settled(0, outcome, False, None)
+        unit(node, attempts=((0, None),)).settled(0, outcome, False, None)
     assert 0 not in ready(node)
 
 
-def test_work_that_fails_wherever_it_goes_blames_no_executor(make, unit):
-    # Incident i89b8ef: two types failed on every executor; all of these rested, and other work waited.
+def test_work_that_fails_wherever_it_goes_blames_no_server(make, unit):
+    # Incident i89b8ef: two types failed on every server; all of these rested, and other work waited.
     node = make(*(0.0,) * 6)
     for i in range(120):
         outcome = Outcome.COMPLETED if i % 5 in (1, 3) else Outcome.ERROR
-        unit(node, allocs=((i % 6, None),)).settled(0, outcome, False, None)
+        unit(node, attempts=((i % 6, None),)).settled(0, outcome, False, None)
         node.port.clock += 500.0
     rests = len(node.port.did("log"))
     for i in range(120):
         outcome = Outcome.COMPLETED if i % 5 in (1, 3) else Outcome.ERROR
-        unit(node, allocs=((i % 6, None),)).settled(0, outcome, False, None)
+        unit(node, attempts=((i % 6, None),)).settled(0, outcome, False, None)
         node.port.clock += 20.0
     assert len(node.port.did("log")) - rests <= 2 and len(ready(node)) >= 5
     for _ in range(3):  # a type that does not fail elsewhere still tells of a sick one
@@ -331,27 +333,27 @@
     assert 3 not in ready(node)
 
 
-def test_sick_executor_is_tried_again_with_one_work_unit(make, unit):
+def test_sick_server_is_tried_again_with_one_request(make, unit):
     node = make(0.0)
     node.suspend(0, "test", True)
     node.port.clock = node.out_until[0]
     assert ready(node) == [0]
-    unit(node, allocs=((0, None),))
+    unit(node, attempts=((0, None),))
     assert ready(node) == []
 
 
-def test_silent_executor_is_asked_by_whoever_draws_it(make, unit):
+def test_silent_server_is_asked_by_whoever_draws_it(make, unit):
     node = make(0.0)
     node.probed(0, Outcome.TIMED_OUT, 400.0, None)
     assert ready(node) == []
     node.port.clock = node.out_until[0]
     unit(node).place()
     assert node.port.did("probe") and not node.port.did("send")
-    node.probed(0, Outcome.COMPLETED, 1.0, Report(held=0.0))
+    node.probed(0, Outcome.COMPLETED, 1.0, LoadReport(held=0.0))
     assert node.out_until[0] is None and node.port.did("send")
 
 
-def test_overdue_probe_takes_an_executor_out(make):
+def test_overdue_probe_takes_a_server_out(make):
     node = make(0.0)
     node.ask(0, lambda e: None)
     node.port.clock += 2.0 * node.ask_ms
@@ -360,15 +362,15 @@
 
 def test_started_work_without_progress_stands(make, unit):
     node = make(0.0)
-    wu = unit(node, allocs=((0, None),))
-    wu.started(0)
+    state = unit(node, attempts=((0, None),))
+    state.started(0)
     node.port.clock += 3000.0
     assert node.standing(0)
 
 
 def test_long_wait_in_a_queue_is_no_sickness(make, unit):
     node = make(6.0)
-    unit(node, allocs=((0, None),))
+    unit(node, attempts=((0, None),))
     node.port.clock += 3000.0
     node.heard_ms[0] = node.port.clock
     assert not node.standing(0)
@@ -376,7 +378,7 @@
 
 def test_lost_work_is_cancelled_to_go_elsewhere_where_copies_are_forbidden(make, unit):
     node = make(0.0, 0.0)
-    unit(node, allocs=((0, None),))
+    unit(node, attempts=((0, None),))
     node.suspend(0, "test", True)
     assert node.port.did("cancel") == [("cancel", "w0", 0)]
 
@@ -390,31 +392,31 @@
     assert not node.port.did("send") and waiting(node) == 1
 
 
-def test_further_allocations_wait_in_a_line_of_their_own(make, unit):
+def test_further_attempts_wait_in_a_line_of_their_own(make, unit):
     node = make(40.0)
-    unit(node, 0, ((0, Outcome.FULL),)).hold()
+    unit(node, 0, ((0, Outcome.AT_CAPACITY),)).hold()
     assert not waiting(node) and waiting(node, True) == 1
 
 
 def test_wide_work_waits_for_all_its_slots(make, unit):
     node = make(2.0)
-    assert node.wait(0, unit(node).work) == 0.0
-    assert node.wait(0, unit(node, slots=4.0).work) > 0.0
+    assert node.wait(0, unit(node).request) == 0.0
+    assert node.wait(0, unit(node, slots=4.0).request) > 0.0
 
 
 def test_work_in_line_probes_no_others(make, unit):
     node = make(40.0, 40.0)
-    wu = unit(node)
-    wu.waited, wu.home = True, 0
-    wu.at_home(wu.at(wu.home))
+    state = unit(node)
+    state.waited, state.home = True, 0
+    state.at_home(state.at(state.home))
     assert not node.port.did("probe") and not node.port.did("send")
 
 
 def test_report_that_misses_our_running_work_is_doubted(make, unit):
     node = make(0.0)
-    wu = unit(node, allocs=((0, None), (0, None)))
-    wu.allocs[0].started_ms = wu.allocs[1].started_ms = node.port.clock - 1000.0
-    node.take_report(0, Report(held=0.0), node.port.now())
+    state = unit(node, attempts=((0, None), (0, None)))
+    state.attempts[0].started_ms = state.attempts[1].started_ms = node.port.clock - 1000.0
+    node.take_report(0, LoadReport(held=0.0), node.port.now())
     assert node.doubt > 0.0 and node.others[0] > -2.0
 
 
@@ -427,8 +429,8 @@
 
 
 def test_own_zone_is_drawn_more_often(make):
-    node = make(0.0, cross_price=0.1)
-    node.roster(Listing.DELTA, [Member(1, State.READY, 0, 1, 0, None)])
+    node = make(0.0, cross_zone_cost=0.1)
+    node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(1, EndpointState.READY, 0, 1, 0, None)])
     drawn = [node.draw(lambda e: True) for _ in range(200)]
     assert 0 < drawn.count(1) < 30
 
@@ -438,15 +440,15 @@
 
 def test_sums_of_a_kind_follow_every_change(make, unit):
     node = make(2.0, 4.0, None)
-    wu = unit(node, allocs=((0, None), (1, None)))
-    wu.settled(1, Outcome.COMPLETED, False, None)
-    node.roster(Listing.DELTA, [Member(1, State.GONE, 0, 0, 0, None)])
+    state = unit(node, attempts=((0, None), (1, None)))
+    state.settled(1, Outcome.COMPLETED, False, None)
+    node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(1, EndpointState.GONE, 0, 0, 0, None)])
     node.suspend(2, "test", True)
     assert node.threshold(0) == 3 and (node.members[0], node.others_sum[0], node.ours_sum[0]) == (1, 2.0, 1.0)
 
 
 def test_node_with_nothing_standing_sleeps(make, unit):
-    node = make(0.0, asked_roster=False)
+    node = make(0.0, subscribes_to_endpoints=False)
     assert not node.port.timers
     unit(node).send(0)
     assert node.awake and len(node.port.timers) == 1
@@ -455,7 +457,7 @@
 def test_no_free_slot_is_busy_though_none_was_ever_seen_free(make):
     node = make(None)
     node.most_free[0] = 0.0
-    node.take_report(0, Report(free_slots=0.0), node.port.now())
+    node.take_report(0, LoadReport(free_slots=0.0), node.port.now())
     assert node.count(0) == 1.0
 
 
@@ -468,11 +470,11 @@
 
 
 def test_what_has_waited_is_drawn_evenly(make, unit):
-    node = make(0.0, cross_price=0.1)
-    node.roster(Listing.DELTA, [Member(1, State.READY, 0, 1, 0, None)])
-    wu = unit(node)
-    wu.waited = True
-    drawn = [node.draw(lambda e: True, wu) for _ in range(200)]
+    node = make(0.0, cross_zone_cost=0.1)
+    node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(1, EndpointState.READY, 0, 1, 0, None)])
+    state = unit(node)
+    state.waited = True
+    drawn = [node.draw(lambda e: True, state) for _ in range(200)]
     assert 70 < drawn.count(1) < 130
 
 
@@ -480,7 +482,7 @@
     node = make(0.0)
     guess = node.mean_area
     for _ in range(20):
-        node.learn(unit(node).work, 0, 3.0 * guess)
+        node.learn(unit(node).request, 0, 3.0 * guess)
     assert node.mean_area > 2.0 * guess
 
 
@@ -509,7 +511,7 @@
 def test_a_look_in_vain_by_work_for_one_kind_holds_up_no_other_work(make, unit):
     node = make(0.0)
     bound = unit(node)
-    bound.type = replace(bound.type, kind=1, promised_ms=100.0)
+    bound.request_class = replace(bound.request_class, kind=1, latency_objective_ms=100.0)
     bound.hold()
     unit(node).hold()
     node.pump()
@@ -517,30 +519,30 @@
 
 
 def test_after_a_look_that_found_room_the_next_one_looks(make, unit):
-    node = make(40.0, asked_roster=False)
+    node = make(40.0, subscribes_to_endpoints=False)
     for _ in range(2):
         unit(node).hold()
     node.heard_ms[:] = [-1e18] * 3
     node.pump()
-    node.probed(0, Outcome.COMPLETED, 1.0, Report(held=0.0))
+    node.probed(0, Outcome.COMPLETED, 1.0, LoadReport(held=0.0))
     assert len(node.port.did("send")) == 2
 
 
 def test_work_that_waits_behind_a_reported_free_slot_casts_doubt_on_reports(make, unit):
     node = make(0.0)
-    wu = unit(node)
-    wu.send(0)
+    state = unit(node)
+    state.send(0)
     node.port.clock += 5.0 * node.queue_ms
-    wu.started(0)
+    state.started(0)
     assert node.doubt > 0.0
 
 
 def test_home_out_of_use_lets_others_be_probed(make, unit):
     node = make(0.0, 0.0, 0.0)
-    wu = unit(node)
-    wu.home = 0
+    state = unit(node)
+    state.home = 0
     node.suspend(0, "test", True)
-    wu.at_home(wu.at(wu.home))
+    state.at_home(state.at(state.home))
     assert len(node.port.did("probe")) == 2
 
 
@@ -548,38 +550,38 @@
     node = make(9.0, 9.0, 9.0)
     for _ in range(60):
         node.found(False)
-    wu = unit(node)
-    wu.home = 0
-    wu.at_home(wu.at(wu.home))
+    state = unit(node)
+    state.home = 0
+    state.at_home(state.at(state.home))
     assert not node.port.did("probe") and waiting(node) == 1
 
 
 @pytest.mark.parametrize("type", range(3))
-def test_what_no_executor_can_use_is_aborted_at_once_and_blames_none(make, unit, type):
+def test_what_no_server_can_use_is_failed_at_once_and_blames_none(make, unit, type):
     node = make(0.0, 0.0)
-    wu = unit(node, type, ((0, None),))
-    wu.settled(0, Outcome.UNFIT, False, None)
-    assert node.port.acts == [("abort", wu.work.ref)]
-    assert node.evidence[0] == 0.0 and node.sign_ms[0] == node.port.now()
+    state = unit(node, type, ((0, None),))
+    state.settled(0, Outcome.INVALID_REQUEST, False, None)
+    assert node.port.acts == [("abort", state.request.request_id)]
+    assert node.evidence[0] == 0.0 and node.last_heard_ms[0] == node.port.now()
 
 
 def test_a_short_time_left_is_tried_where_a_short_run_still_fits(make):
     node = make(0.0)
     node.run[0] = 400.0
-    node.take(WorkUnit("w", 0, node.port.now() + 150.0))
+    node.take(Request("w", 0, node.port.now() + 150.0))
     assert node.port.did("send") and not node.port.did("defer")
 
 
-def test_a_kept_connection_that_ended_says_nothing_of_its_executor(make, unit):
+def test_a_kept_connection_that_ended_says_nothing_of_its_server(make, unit):
     node = make(0.0)
-    wu = unit(node, allocs=((0, None),))
-    wu.settled(0, Outcome.DROPPED, False, None)
+    state = unit(node, attempts=((0, None),))
+    state.settled(0, Outcome.STALE_CONNECTION, False, None)
     assert node.evidence[0] == 0.0
 
 
 def test_broken_connections_call_no_running_work_back(make, unit):
     node = make(0.0, 0.0)
-    unit(node, allocs=((0, None),))
+    unit(node, attempts=((0, None),))
     node.testify(0, 99.0)
     node.probed(0, Outcome.BROKEN, 1.0, None)
     assert 0 not in ready(node) and not node.port.did("cancel")
@@ -587,9 +589,9 @@
     assert node.port.did("cancel") == [("cancel", "w0", 0)]
 
 
-def test_an_old_silent_allocation_bars_no_trial(make, unit):
+def test_an_old_silent_attempt_bars_no_trial(make, unit):
     node = make(0.0)
-    unit(node, allocs=((0, None),))
+    unit(node, attempts=((0, None),))
     node.port.clock += 3.0 * node.fresh_ms
     node.heard_ms[0], node.room[0] = node.port.clock, 4.0
     assert node.standing(0)
@@ -602,12 +604,14 @@
 
 # Reports with answers, weights that move, keys, kinds that others need, nodes that talk.
 
-LIVE = {"live_weights": True, "answers_report": True, "nodes": 5}
+LIVE = {"live_weights": True, "reports_in_responses": True, "node_count": 5}
 
 
 def listed(node, *weights):
-    rows = [Member(e, State.READY, 0, 0, 0, None, weight, 100 + e) for e, weight in enumerate(weights)]
-    node.roster(Listing.DELTA, rows)
+    rows = [
+        Endpoint(e, EndpointState.READY, 0, 0, 0, None, weight, 100 + e) for e, weight in enumerate(weights)
+    ]
+    node.update_endpoints(ListUpdateKind.DELTA, rows)
 
 
 def test_a_weight_that_moves_counts_as_a_departure_from_the_level(make):
@@ -623,19 +627,19 @@
     node = make(None, None, **LIVE)
     before = node.threshold(0), node.count(1)
     for e in (0, 0, 1, 1):
-        unit(node, allocs=((e, None),))
+        unit(node, attempts=((e, None),))
     assert before == (0.0, 0.0)
     assert node.threshold(0) >= 8.0 and node.count(1) > 6.0  # four others who do as we do
     for e in (0, 1):
-        for wu, _ in list(node.own[e]):
-            wu.settled(0, Outcome.COMPLETED, True, None)
+        for state, _ in list(node.own[e]):
+            state.settled(0, Outcome.COMPLETED, True, None)
     assert node.count(1) == 0.0
 
 
 def test_a_report_of_before_shows_no_work_that_stands(make, unit):
-    # Incident ie3063f: executors rested 238 times, as reports of a second before had them free.
+    # Incident ie3063f: servers rested 238 times, as reports of a second before had them free.
     node = make(0.0, **LIVE)
-    unit(node, allocs=((0, None),))
+    unit(node, attempts=((0, None),))
     node.period_ms, node.room[0] = 1000.0, 4.0
     node.port.clock += 2.5 * node.fresh_ms
     node.heard_ms[0] = node.port.clock - 1.0
@@ -653,18 +657,18 @@
     assert node.count(0) < 11.0
 
 
-def test_an_executor_that_keeps_our_work_counts_as_full_whatever_it_reports(make, unit):
-    # Seen at ledger-semarang: slow executors of one hall told a tenth of their load, and all nodes sent on.
+def test_a_server_that_keeps_our_work_counts_as_full_whatever_it_reports(make, unit):
+    # Seen at ledger-semarang: slow servers of one hall told a tenth of their load, and all nodes sent on.
     node = make(3.0, 3.0, 3.0, 3.0, **LIVE)
     node.listed[0] = 3.0
     for _ in range(3):
-        unit(node, allocs=((0, None),))
-    node.take_report(0, Report(queued=0.0, free_slots=4.0), node.port.now())
-    assert node.over(0, unit(node).work) and not node.over(1, unit(node).work)
+        unit(node, attempts=((0, None),))
+    node.take_report(0, LoadReport(queued=0.0, free_slots=4.0), node.port.now())
+    assert node.over(0, unit(node).request) and not node.over(1, unit(node).request)
     assert node.count(0) - node.ours[0] > 1.5 * node.count(1)
-    for wu, _ in list(node.own[0]):
-        wu.settled(0, Outcome.COMPLETED, True, Report(queued=0.0, free_slots=4.0))
-    assert not node.over(0, unit(node).work)
+    for state, _ in list(node.own[0]):
+        state.settled(0, Outcome.COMPLETED, True, LoadReport(queued=0.0, free_slots=4.0))
+    assert not node.over(0, unit(node).request)
 
 
 def test_home_is_first_sought_where_there_is_room(make, unit):
@@ -672,11 +676,11 @@
     assert {unit(node).first()[1] for _ in range(20)} == {2}
 
 
-WORD = (100).to_bytes(3, "big")  # of the first executor
+WORD = (100).to_bytes(3, "big")  # of the first server
 
 
 def test_nodes_tell_what_they_have(make, unit):
-    node = make(0.0, 0.0, may_tell=True, asked_roster=False)
+    node = make(0.0, 0.0, may_gossip=True, subscribes_to_endpoints=False)
     listed(node, None, None)
     node.port.tell = lambda message: node.port.acts.append(("tell", message))
     unit(node).send(1)
@@ -689,11 +693,11 @@
     [
         ([WORD + b"\x03", WORD + b"\x02"], 2.0),  # the last word holds
         ([WORD + b"\x03", WORD], 3.0),  # cut short
-        ([b"\xff\xff\xff\x05\x01"], 0.0),  # of an executor that is not listed
+        ([b"\xff\xff\xff\x05\x01"], 0.0),  # of a server that is not listed
     ],
 )
 def test_what_others_told_is_reckoned_with_until_they_fall_silent(make, messages, count):
-    node = make(0.0, may_tell=True)
+    node = make(0.0, may_gossip=True)
     listed(node, None)
     for message in messages:
         node.told(4, node.port.now(), message)
@@ -703,8 +707,8 @@
     assert node.count(0) == 0.0 and not node.peers
 
 
-def test_words_of_a_forgotten_executor_count_for_nobody(make):
-    node = make(0.0, may_tell=True)
+def test_words_of_a_forgotten_server_count_for_nobody(make):
+    node = make(0.0, may_gossip=True)
     listed(node, None)
     node.clear(0)
     node.told(4, 0.0, WORD + b"\x03")
@@ -712,7 +716,7 @@
 
 
 def test_home_is_where_there_is_room_once_nodes_tell(make, unit):
-    node = make(4.0, 4.0, 0.0, may_tell=True)
+    node = make(4.0, 4.0, 0.0, may_gossip=True)
     node.peers[4] = {}
     assert {unit(node).first()[1] for _ in range(20)} == {2}
 
@@ -720,33 +724,35 @@
 @pytest.mark.parametrize(("price", "least", "most"), [(0.03, 1, 2), (0.0, 11, 20)])
 def test_where_fetching_has_a_price_a_key_draws_few_and_the_same_at_every_node(make, price, least, most):
     def homes(seed):
-        node = make(*[0.0] * 20, fetch_price=price)
+        node = make(*[0.0] * 20, fetch_cost=price)
         listed(node, *[None] * 20)
         node.seed = seed
-        wu = Handle(node, WorkUnit("w", 0, 9e9, key="calendar-7"))
-        return {node.draw(lambda e: True, wu) for _ in range(60)}
+        state = RequestState(node, Request("w", 0, 9e9, resource_key="calendar-7"))
+        return {node.draw(lambda e: True, state) for _ in range(60)}
 
     assert least <= len(homes(1)) <= most and (not price or homes(1) == homes(2))
 
 
 def test_work_that_may_go_anywhere_leaves_a_kind_to_work_that_may_not(make, unit):
-    node = make(0.0, kinds=2)
-    rows = [Member(e, State.READY, e % 2, 0, 0, None) for e in range(4)]
-    bound = replace(node.types[1], kind=1)
-    node.configure(replace(node.set, types=(node.types[0], bound, node.types[2])))
-    node.roster(Listing.FULL, rows)
+    node = make(0.0, kind_count=2)
+    rows = [Endpoint(e, EndpointState.READY, e % 2, 0, 0, None) for e in range(4)]
+    bound = replace(node.request_classes[1], kind=1)
+    node.configure(
+        replace(node.settings, request_classes=(node.request_classes[0], bound, node.request_classes[2]))
+    )
+    node.update_endpoints(ListUpdateKind.FULL, rows)
     node.most_free[:2] = [4.0, 4.0]
     for _ in range(100):
-        node.note(WorkUnit("w", 0, 9e9))
-        node.note(WorkUnit("w", 1, 9e9))
+        node.note(Request("w", 0, 9e9))
+        node.note(Request("w", 1, 9e9))
     drawn = [node.kind[node.draw(lambda e: True, unit(node))] for _ in range(60)]
     assert drawn.count(1) < 10
 
 
 def test_credit_goes_before_slack_where_it_is_earned_by_size(make, unit):
-    node = make(40.0, by_size=True)
-    rich = replace(node.types[2], credit=5.0)
-    node.configure(replace(node.set, types=(*node.types[:2], rich)))
+    node = make(40.0, weight_by_size=True)
+    rich = replace(node.request_classes[2], priority_weight=5.0)
+    node.configure(replace(node.settings, request_classes=(*node.request_classes[:2], rich)))
     poor, better = unit(node, 0), unit(node, 2)
     poor.hold()
     better.hold()
@@ -756,14 +762,16 @@
 
 
 def test_wide_work_waits_until_its_slots_are_free_together(make, unit):
-    node = make(3.0, answers_report=True)
-    assert node.wait(0, unit(node, slots=4.0).work) > 1.5 * make(3.0).wait(0, unit(node, slots=4.0).work)
+    node = make(3.0, reports_in_responses=True)
+    assert node.wait(0, unit(node, slots=4.0).request) > 1.5 * make(3.0).wait(
+        0, unit(node, slots=4.0).request
+    )
 
 
 def test_one_called_off_beside_another_that_is_out_brings_no_third(make, unit):
-    node = make(0.0, 0.0, 0.0, second_copies=True)
-    wu = unit(node, allocs=((0, None), (1, None)))
-    wu.settled(0, Outcome.VOID, False, None)
-    assert not node.port.did("send") and wu.out() == 1
-    wu.settled(1, Outcome.VOID, False, None)
+    node = make(0.0, 0.0, 0.0, may_hedge=True)
+    state = unit(node, attempts=((0, None), (1, None)))
+    state.settled(0, Outcome.CANCELLED_UNSENT, False, None)
+    assert not node.port.did("send") and state.out() == 1
+    state.settled(1, Outcome.CANCELLED_UNSENT, False, None)
     assert len(node.port.did("send")) == 1
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""Sockets: buffer, loop, log, connections, the pool and its allocations, clients, discovery, the end."""
+"""Sockets: buffer, loop, log, connections, the pool and its attempts, clients, discovery, the end."""
 
 import copy
 import errno
@@ -17,19 +17,19 @@
 from conftest import ANSWER, LINES, OPTIONS
 
 from marlseam import core
-from marlseam.interface import Listing, Outcome
+from marlseam.decisions.types import ListUpdateKind, Outcome
 from marlseam.net import discovery as discovery_module
-from marlseam.net import executors as executors_module
+from marlseam.net import downstream as server_module
 from marlseam.net import http
 from marlseam.net import node as node_module
-from marlseam.net import server as server_module
+from marlseam.net import upstream as executors_module
 from marlseam.net.buffer import Buffer
 from marlseam.net.connection import Ended, connect
-from marlseam.net.executors import Order
+from marlseam.net.downstream import Pending, Room
 from marlseam.net.log import BURST, Log, Reason
 from marlseam.net.loop import END, LATE, READ, WOKEN, Cancelled
 from marlseam.net.protocol import Job, Malformed
-from marlseam.net.server import Pending, Room
+from marlseam.net.upstream import Order
 
 JOB = Job("9b", "/statement", "k", b"abc", 0, "statement", 5000.0, 1.0)
 REQUEST = (
@@ -39,14 +39,14 @@
 
 
 def sent(parts, **limits):
-    """Send one allocation and return the outcomes told."""
+    """Send one attempt and return the outcomes told."""
     now = parts.loop.now()
     parts.send(Order("1", 0, "e1", JOB, now + limits.get("until", 1000.0), now + 1000.0))
     return outcomes(parts)
 
 
 def outcomes(parts):
-    return [event.outcome for event in parts.events if type(event) is core.Settled]
+    return [event.outcome for event in parts.events if type(event) is core.AttemptEnded]
 
 
 def reasons(capsys):
@@ -210,24 +210,24 @@
     assert reasons(capsys) == ["idle"]
 
 
-# Allocations.
+# Attempts.
 
 
 @pytest.mark.parametrize(("alone", "kept"), [(False, False), (True, True)])
 def test_where_draining_alone_binds_one_off_the_list_keeps_its_address(
-    executors, deployment, monkeypatch, alone, kept
+    upstream, deployment, monkeypatch, alone, kept
 ):
-    parts = executors(ANSWER)
-    settings = replace(deployment.settings, drain_binds_alone=alone)
+    parts = upstream(ANSWER)
+    settings = replace(deployment.settings, only_draining_excludes=alone)
     parts.configure(replace(deployment, settings=settings), 64)
     parts.listed(set(), {})
     assert ("e1" in parts.peers) is kept
-    monkeypatch.setattr(executors_module, "FORGET", 0.0)  # its time is over
+    monkeypatch.setattr(executors_module, "FORGET_AFTER_POLLS", 0.0)  # its time is over
     parts.listed(set(), {})
     assert "e1" not in parts.peers
 
 
-def test_where_ipv6_is_refused_an_executor_there_costs_its_own_work_alone(loop, refuse, capsys):
+def test_where_ipv6_is_refused_a_server_there_costs_its_own_work_alone(loop, refuse, capsys):
     refuse(socket.AF_INET6, errno.EAFNOSUPPORT)
     caught = []
 
@@ -241,35 +241,35 @@
     assert caught == [Reason.NO_SOCKETS] and "code=no-sockets" in capsys.readouterr().err
 
 
-def test_an_answer_completes(executors):
-    parts = executors(ANSWER)
-    assert sent(parts) == [Outcome.COMPLETED] and parts.events[0] == core.Started("1", 0)
+def test_an_answer_completes(upstream):
+    parts = upstream(ANSWER)
+    assert sent(parts) == [Outcome.COMPLETED] and parts.events[0] == core.AttemptStarted("1", 0)
     assert parts.events[1].result == b"r" and len(parts.peers["e1"].idle) == 1
 
 
 @pytest.mark.parametrize("at", range(1, len(ANSWER)))
-def test_an_answer_may_come_in_two_reads(executors, at):
-    assert sent(executors(ANSWER[:at], ANSWER[at:])) == [Outcome.COMPLETED]
+def test_an_answer_may_come_in_two_reads(upstream, at):
+    assert sent(upstream(ANSWER[:at], ANSWER[at:])) == [Outcome.COMPLETED]
 
 
 @pytest.mark.parametrize("at", range(len(ANSWER)))
-def test_a_cut_answer_may_have_run_until_its_last_line(executors, at):
+def test_a_cut_answer_may_have_run_until_its_last_line(upstream, at):
     last_line = ANSWER.index(LINES) + len(LINES)
-    assert sent(executors(ANSWER[:at])) == [Outcome.COMPLETED if at >= last_line else Outcome.BROKEN]
+    assert sent(upstream(ANSWER[:at])) == [Outcome.COMPLETED if at >= last_line else Outcome.BROKEN]
 
 
-def test_only_a_request_written_to_its_last_byte_may_have_run(executors):
-    whole = executors()
+def test_only_a_request_written_to_its_last_byte_may_have_run(upstream):
+    whole = upstream()
     sent(whole)
     size = len(whole.connections[0].sock.sent)
     for takes in range(size):
-        assert sent(executors(takes=takes)) == [Outcome.UNREACHABLE]
-    assert sent(executors(takes=size)) == [Outcome.BROKEN]
+        assert sent(upstream(takes=takes)) == [Outcome.UNREACHABLE]
+    assert sent(upstream(takes=size)) == [Outcome.BROKEN]
 
 
 @pytest.mark.parametrize("piece", [1, 7, 100])
-def test_a_request_may_go_out_in_pieces(executors, until, piece):
-    parts = executors(ANSWER, piece=piece)
+def test_a_request_may_go_out_in_pieces(upstream, until, piece):
+    parts = upstream(ANSWER, piece=piece)
     sent(parts)
     until(lambda: outcomes(parts))
     data = parts.connections[0].sock.sent
@@ -279,13 +279,15 @@
 @pytest.mark.parametrize(
     "lines",
     [
-        b"nonsense\n", b'{"id":"other","from":"e1","state":"done","result":"r"}\n',
-        b'{"id":"9b","from":"e2","state":"done","result":"r"}\n', b"x" * 200000,
+        b"nonsense\n",
+        b'{"id":"other","from":"e1","state":"done","result":"r"}\n',
+        b'{"id":"9b","from":"e2","state":"done","result":"r"}\n',
+        b"x" * 200000,
     ],
-)  # fmt: skip
-def test_a_broken_line_may_have_run_and_ends_the_connection(executors, until, capsys, lines):
+)
+def test_a_broken_line_may_have_run_and_ends_the_connection(upstream, until, capsys, lines):
     head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(lines)
-    parts = executors(head + lines)
+    parts = upstream(head + lines)
     sent(parts)
     until(lambda: outcomes(parts))  # what is long comes in several turns
     assert outcomes(parts) == [Outcome.BROKEN] and reasons(capsys) == ["bad-message"]
@@ -294,19 +296,19 @@
 @pytest.mark.parametrize(
     ("answer", "outcome"),
     [
-        (b"HTTP/1.1 503 -\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", Outcome.FULL),
+        (b"HTTP/1.1 503 -\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", Outcome.AT_CAPACITY),
         (b"HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
         (b"HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n", Outcome.ERROR),
-        (b"HTTP/1.1 400 -\r\nContent-Length: 0\r\n\r\n", Outcome.UNFIT),
+        (b"HTTP/1.1 400 -\r\nContent-Length: 0\r\n\r\n", Outcome.INVALID_REQUEST),
         (b"nonsense\r\n\r\n", Outcome.BROKEN),
     ],
 )
-def test_an_answer_without_lines_has_its_outcome(executors, answer, outcome):
-    assert sent(executors(answer)) == [outcome]
+def test_an_answer_without_lines_has_its_outcome(upstream, answer, outcome):
+    assert sent(upstream(answer)) == [outcome]
 
 
-def test_a_silent_executor_times_out_at_the_limit(executors, until, capsys):
-    parts = executors(silent=True)
+def test_a_silent_server_times_out_at_the_limit(upstream, until, capsys):
+    parts = upstream(silent=True)
     sent(parts, until=5.0)
     until(lambda: outcomes(parts))
     assert outcomes(parts) == [Outcome.TIMED_OUT] and reasons(capsys) == ["timed-out"]
@@ -323,9 +325,9 @@
     ],
 )
 def test_a_connection_that_falls_silent_is_given_up_before_the_limit(
-    executors, until, begun, exclusive, outcome
+    upstream, until, begun, exclusive, outcome
 ):
-    parts = executors(*filter(None, [begun]), silent=True)
+    parts = upstream(*filter(None, [begun]), silent=True)
     parts.take_ms = parts.gap_ms = 5.0
     now = parts.loop.now()
     parts.send(Order("1", 0, "e1", replace(JOB, exclusive=exclusive), now + 90000.0, now + 90000.0))
@@ -334,23 +336,23 @@
     assert outcomes(parts) == ([outcome] if outcome else [])
 
 
-def test_a_probe_looks_again_where_a_connection_falls_silent(executors, until):
-    parts = executors(silent=True)
+def test_a_probe_looks_again_where_a_connection_falls_silent(upstream, until):
+    parts = upstream(silent=True)
     parts.probe_ms = 10.0
     parts.probe("e1")
     until(lambda: parts.events)
     assert len(parts.connections) == 2 and parts.events[0].outcome is Outcome.TIMED_OUT
 
 
-def test_giving_up_closes_the_connection(executors):
-    parts = executors(silent=True)
+def test_giving_up_closes_the_connection(upstream):
+    parts = upstream(silent=True)
     sent(parts)
     parts.cancel("1", 0)
-    assert outcomes(parts) == [Outcome.WITHDRAWN] and not parts.connections[0].sock.open
+    assert outcomes(parts) == [Outcome.CANCELLED] and not parts.connections[0].sock.open
 
 
-def test_an_executor_not_listed_is_unreachable(executors):
-    parts = executors(ANSWER)
+def test_a_server_not_listed_is_unreachable(upstream):
+    parts = upstream(ANSWER)
     parts.listed(set(), {})
     assert sent(parts) == [Outcome.UNREACHABLE] and not parts.connections
 
@@ -358,33 +360,33 @@
 # The pool.
 
 
-def test_a_connection_is_used_again(executors):
-    parts = executors(ANSWER, silent=True)
+def test_a_connection_is_used_again(upstream):
+    parts = upstream(ANSWER, silent=True)
     sent(parts)
     parts.connections[0].sock.upon_send.append(ANSWER)
     assert sent(parts) == [Outcome.COMPLETED] * 2 and len(parts.connections) == 1
 
 
-def test_a_pooled_connection_that_was_closed_is_not_used(executors):
-    parts = executors(ANSWER)
+def test_a_pooled_connection_that_was_closed_is_not_used(upstream):
+    parts = upstream(ANSWER)
     sent(parts)
     assert sent(parts) == [Outcome.COMPLETED] * 2 and len(parts.connections) == 2
 
 
 @pytest.mark.parametrize(
     ("begun", "outcome"),
-    [(b"", Outcome.DROPPED), (ANSWER[:60], Outcome.BROKEN), (ANSWER[:5], Outcome.DROPPED)],
+    [(b"", Outcome.STALE_CONNECTION), (ANSWER[:60], Outcome.BROKEN), (ANSWER[:5], Outcome.STALE_CONNECTION)],
 )
-def test_a_kept_connection_that_ends_before_an_answer_is_told_apart(executors, begun, outcome):
-    parts = executors(ANSWER, silent=True)
+def test_a_kept_connection_that_ends_before_an_answer_is_told_apart(upstream, begun, outcome):
+    parts = upstream(ANSWER, silent=True)
     sent(parts)
     sock = parts.connections[0].sock
     sock.upon_send = [*filter(None, [begun]), b""]
     assert sent(parts)[-1] is outcome
 
 
-def test_a_probe_looks_again_where_a_kept_connection_ends(executors):
-    parts = executors(b"HTTP/1.1 200 -\r\nContent-Length: 0\r\n\r\n", silent=True)
+def test_a_probe_looks_again_where_a_kept_connection_ends(upstream):
+    parts = upstream(b"HTTP/1.1 200 -\r\nContent-Length: 0\r\n\r\n", silent=True)
     parts.probe("e1")
     parts.connections[0].sock.takes = len(parts.connections[0].sock.sent)
     parts.probe("e1")
@@ -393,23 +395,23 @@
     ) == 2
 
 
-def test_a_probe_that_finds_no_place_blames_nobody(executors):
-    parts = executors()
+def test_a_probe_that_finds_no_place_blames_nobody(upstream):
+    parts = upstream()
     parts.places = 0
     parts.probe("e1")
-    assert parts.events[0].outcome is Outcome.VOID
+    assert parts.events[0].outcome is Outcome.CANCELLED_UNSENT
 
 
-def test_an_unused_connection_is_closed_well_before_its_time(executors, until, capsys):
-    parts = executors(ANSWER, silent=True)
+def test_an_unused_connection_is_closed_well_before_its_time(upstream, until, capsys):
+    parts = upstream(ANSWER, silent=True)
     parts.idle_ms = 1.0
     sent(parts)
     until(lambda: not parts.peers["e1"].count)
     assert reasons(capsys) == ["idle"]
 
 
-def test_an_executor_that_left_is_forgotten_once_nothing_is_out(executors):
-    parts = executors(silent=True)
+def test_a_server_that_left_is_forgotten_once_nothing_is_out(upstream):
+    parts = upstream(silent=True)
     sent(parts)
     parts.listed(set(), {})
     assert "e1" in parts.peers
@@ -417,22 +419,22 @@
     assert not parts.peers
 
 
-def test_another_address_closes_the_unused_connections(executors, capsys):
-    parts = executors(ANSWER, silent=True)
+def test_another_address_closes_the_unused_connections(upstream, capsys):
+    parts = upstream(ANSWER, silent=True)
     sent(parts)
     parts.listed({"e1"}, {"e1": ("127.0.0.2", 9)})
     assert reasons(capsys) == ["forgotten"]
 
 
-def test_connections_to_one_executor_are_bounded(executors):
-    parts = executors(silent=True)
+def test_connections_to_one_server_are_bounded(upstream):
+    parts = upstream(silent=True)
     for _ in range(parts.limit() + 1):
         sent(parts)
     assert outcomes(parts) == [Outcome.UNREACHABLE] and len(parts.connections) == parts.limit()
 
 
-def test_the_longest_unused_connection_makes_room(executors, capsys):
-    parts = executors(ANSWER, silent=True)
+def test_the_longest_unused_connection_makes_room(upstream, capsys):
+    parts = upstream(ANSWER, silent=True)
     sent(parts)
     parts.places = 1
     parts.listed({"e1", "e2"}, {"e2": ("127.0.0.1", 9)})
@@ -444,25 +446,25 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "outcome"), [(200, Outcome.COMPLETED), (503, Outcome.FULL), (404, Outcome.ERROR)]
+    ("status", "outcome"), [(200, Outcome.COMPLETED), (503, Outcome.AT_CAPACITY), (404, Outcome.ERROR)]
 )
-def test_a_probes_answer_carries_its_report(executors, status, outcome):
-    parts = executors(b"HTTP/1.1 %d -\r\nContent-Length: 13\r\n\r\nTEXT x0=3.500" % status)
+def test_a_probes_answer_carries_its_report(upstream, status, outcome):
+    parts = upstream(b"HTTP/1.1 %d -\r\nContent-Length: 13\r\n\r\nTEXT x0=3.500" % status)
     parts.probe("e1")
     (event,) = parts.events
     assert (event.outcome, event.report.free_slots) == (outcome, 3.5)
 
 
-def test_a_probe_times_out(executors, until):
-    parts = executors(silent=True)
+def test_a_probe_times_out(upstream, until):
+    parts = upstream(silent=True)
     parts.probe_ms = 1.0
     parts.probe("e1")
     until(lambda: parts.events)
     assert parts.events[0].outcome is Outcome.TIMED_OUT
 
 
-def test_a_probe_has_places_of_its_own(executors):
-    parts = executors(silent=True)
+def test_a_probe_has_places_of_its_own(upstream):
+    parts = upstream(silent=True)
     for _ in range(parts.limit()):
         sent(parts)
     parts.probe("e1")
@@ -539,7 +541,7 @@
     ],
 )
 def test_bad_input_has_its_status_and_goes_no_further(node, client, reply, data, status):
-    assert reply(client(data)).startswith(b"HTTP/1.1 %d " % status) and not node.refs
+    assert reply(client(data)).startswith(b"HTTP/1.1 %d " % status) and not node.last_request_id
 
 
 def test_a_request_may_come_in_chunks(node, client):
@@ -555,7 +557,7 @@
         node.loop.turn()
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 409 ")
     node.answer("1", 200, [], b"result")
-    assert reply(first).endswith(b"result") and not node.server.ids
+    assert reply(first).endswith(b"result") and not node.downstream.ids
 
 
 @pytest.mark.parametrize(
@@ -565,12 +567,12 @@
 def test_a_first_request_has_its_time_from_connecting(node, client, capsys, monkeypatch, data, drop, code):
     monkeypatch.setattr(server_module, "READ_MS", 500.0)
     sock = client(data)
-    while not node.server.open:
+    while not node.downstream.open:
         node.loop.turn()
-    (connection,) = node.server.open
+    (connection,) = node.downstream.open
     connection.opened_ms -= 500.0
     node.loop.at(node.loop.now(), lambda: sock.send(drop))
-    while node.server.open:
+    while node.downstream.open:
         node.loop.turn()
     assert reasons(capsys)[-1] == code
 
@@ -586,7 +588,7 @@
     node.loop.at(end, lambda: None)
     while node.loop.now() < end:
         node.loop.turn()
-    assert node.server.idle
+    assert node.downstream.idle
 
 
 def test_connections_without_a_good_request_make_room_first(node, client, reply, capsys):
@@ -596,38 +598,38 @@
     node.answer("1", 200, [], b"")
     reply(usual)
     silent, half = client(b""), client(REQUEST[:60])
-    while len(node.server.open) < 3:
+    while len(node.downstream.open) < 3:
         node.loop.turn()
-    node.server.room = Room(3, 1e9)
+    node.downstream.room = Room(3, 1e9)
     for left in (half, usual):
         client(REQUEST[:60])
         while "crowded" not in reasons(capsys):
             node.loop.turn()
         assert all(c.fileno() >= 0 for c in (left, usual))
-    assert silent.recv(1) == b"" and len(node.server.idle) == 1
+    assert silent.recv(1) == b"" and len(node.downstream.idle) == 1
     assert half.recv(1000).startswith(b"HTTP/1.1 503 ") and half.recv(1) == b""
 
 
 def test_bodies_are_bounded_and_those_without_a_good_request_give_up_theirs(node, client, capsys):
     slow = client(REQUEST.replace(b"Length: 3", b"Length: 900"))
-    while not node.server.held:
+    while not node.downstream.held:
         node.loop.turn()
-    node.server.room = Room(9, 901.0)
+    node.downstream.room = Room(9, 901.0)
     client(REQUEST)
     while not node.pending:
         node.loop.turn()
     assert slow.recv(1000).startswith(b"HTTP/1.1 503 ") and slow.recv(1) == b""
     assert "crowded" in reasons(capsys)
-    assert list(node.server.held.values()) == [3]
+    assert list(node.downstream.held.values()) == [3]
 
 
 def test_a_body_waits_for_room_that_taken_work_has(node, client, reply):
-    node.server.room = Room(9, 3.0)
+    node.downstream.room = Room(9, 3.0)
     client(REQUEST)
     while not node.pending:
         node.loop.turn()
     client(REQUEST.replace(b"9b", b"9c"))
-    while len(node.server.open) < 2:
+    while len(node.downstream.open) < 2:
         node.loop.turn()
     node.loop.at(node.loop.now() + 50.0, lambda: node.answer("1", 200, [], b""))
     while "2" not in node.pending:
@@ -641,7 +643,7 @@
     for _ in range(5):
         node.loop.at(node.loop.now(), lambda: None)
         node.loop.turn()
-    (connection,) = node.server.open
+    (connection,) = node.downstream.open
     assert connection.messages < 10
 
 
@@ -649,16 +651,16 @@
     for _ in range(2 * http.ACCEPTS):
         client(b"")
     node.loop.turn()
-    assert len(node.server.open) <= http.ACCEPTS
+    assert len(node.downstream.open) <= http.ACCEPTS
 
 
 @pytest.mark.parametrize(
     ("effect", "start", "part"),
     [
-        (core.Complete("1", b"result"), b"HTTP/1.1 200 ", b"\r\n\r\nresult"),
-        (core.Defer("1", 250.0), b"HTTP/1.1 503 ", b"Retry-After: 0.250\r\n"),
-        (core.Abort("1"), b"HTTP/1.1 500 ", b"Content-Length: 0\r\n"),
-        (core.Abort("1", unfit=True), b"HTTP/1.1 400 ", b"Connection: close\r\n"),
+        (core.Respond("1", b"result"), b"HTTP/1.1 200 ", b"\r\n\r\nresult"),
+        (core.Reject("1", 250.0), b"HTTP/1.1 503 ", b"Retry-After: 0.250\r\n"),
+        (core.Fail("1"), b"HTTP/1.1 500 ", b"Content-Length: 0\r\n"),
+        (core.Fail("1", unfit=True), b"HTTP/1.1 400 ", b"Connection: close\r\n"),
     ],
 )
 def test_a_final_answer_reaches_the_client(node, client, reply, effect, start, part):
@@ -673,7 +675,7 @@
 @pytest.mark.parametrize("at", range(1, len(REQUEST)))
 def test_a_request_may_come_in_two_writes(node, client, at):
     sock = client(REQUEST[:at])
-    while not node.server.open:
+    while not node.downstream.open:
         node.loop.turn()
     node.loop.at(node.loop.now(), lambda: sock.sendall(REQUEST[at:]))
     while not node.pending:
@@ -695,7 +697,7 @@
     while not node.pending:
         node.loop.turn()
     sock.close()
-    while node.server.open:
+    while node.downstream.open:
         node.loop.turn()
     assert not node.pending and not node.core.open
 
@@ -713,9 +715,9 @@
 
 def test_the_longest_unused_client_makes_room(node, client, capsys):
     first = client(b"")
-    while not node.server.idle:
+    while not node.downstream.idle:
         node.loop.turn()
-    node.server.room = Room(1, 1e9)
+    node.downstream.room = Room(1, 1e9)
     client(b"")
     while "crowded" not in reasons(capsys):
         node.loop.turn()
@@ -726,7 +728,7 @@
     client(REQUEST)
     while not node.pending:
         node.loop.turn()
-    node.server.room = Room(1, 1e9)
+    node.downstream.room = Room(1, 1e9)
     second = client(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
     node.answer("1", 200, [("Connection", "close")], b"")
     assert reply(second).startswith(b"HTTP/1.1 200 ")
@@ -734,10 +736,10 @@
 
 def test_a_client_that_began_a_request_is_not_closed_to_make_room(node, client):
     sock = client(b"")
-    while not node.server.idle:
+    while not node.downstream.idle:
         node.loop.turn()
     sock.sendall(REQUEST)
-    assert not node.server.make_room()
+    assert not node.downstream.make_room()
     while not node.pending:
         node.loop.turn()
 
@@ -747,7 +749,7 @@
 
 @pytest.fixture
 def roster(node, monkeypatch, connection):
-    """Return a function that follows the roster over a script, and the events that it posts."""
+    """Return a function that follows discovery over a script, and the events that it posts."""
 
     def follow(*answers, status=200, silent=False):
         events = []
@@ -775,18 +777,22 @@
     events = roster(listing(5, "e1"), listing(6, "e2", whole=False))
     while len(events) < 3:
         node.loop.turn()
-    assert [event.listing for event in events] == [Listing.FULL, Listing.DELTA, Listing.FAILED]
+    assert [event.update_kind for event in events] == [
+        ListUpdateKind.FULL,
+        ListUpdateKind.DELTA,
+        ListUpdateKind.FAILED,
+    ]
 
 
 def test_an_older_change_leads_to_the_whole_list(roster):
     events = roster(listing(5, "e1"), listing(3, "e2", whole=False), listing(3, "e2"))
-    assert [event.entries[0].executor for event in events[:2]] == ["e1", "e2"]
+    assert [event.entries[0].server for event in events[:2]] == ["e1", "e2"]
 
 
 @pytest.mark.parametrize("answer", [b"nonsense", b"[]", b'{"seq":9,"hosts":7}'])
 def test_an_odd_answer_leaves_the_last_good_list(node, roster, answer):
     events = roster(listing(5, "e1"), answer)
-    assert events[-1].listing is Listing.FAILED and list(node.discovery.held) == ["e1"]
+    assert events[-1].update_kind is ListUpdateKind.FAILED and list(node.discovery.held) == ["e1"]
 
 
 def test_an_odd_entry_keeps_what_was_last_good_of_it(node, roster):
@@ -799,7 +805,7 @@
     node.discovery.post = events.append
     while not events:
         node.loop.turn()
-    assert events == [core.Roster(Listing.FAILED, [])]
+    assert events == [core.EndpointListUpdate(ListUpdateKind.FAILED, [])]
 
 
 def test_a_configured_list_that_is_odd_leaves_none(node):
@@ -814,14 +820,16 @@
 
 @pytest.mark.parametrize(("nodes", "wait_ms"), [(1, 3000.0), (4, 4000.0), (300, 5000.0)])
 def test_watches_are_short(node, nodes, wait_ms):
-    settings = replace(node.config.deployment.settings, nodes=nodes)
+    settings = replace(node.config.deployment.settings, node_count=nodes)
     node.discovery.set(replace(node.config, deployment=replace(node.config.deployment, settings=settings)))
     assert node.discovery.wait_ms == wait_ms
 
 
 def test_an_error_of_discovery_is_told(roster, monkeypatch, capsys):
     events = roster(b"", status=503)
-    assert [event.listing for event in events] == [Listing.FAILED] and reasons(capsys) == ["declined"]
+    assert [event.update_kind for event in events] == [ListUpdateKind.FAILED] and reasons(capsys) == [
+        "declined"
+    ]
 
 
 # A new configuration.
@@ -843,7 +851,7 @@
     events = roster(listing(5, "e1"), silent=True)
     watch = node.discovery.task
     rewrite(discovery="127.0.0.1:2")
-    assert watch.done and events[-1].listing is Listing.FAILED and reasons(capsys) == ["forgotten"]
+    assert watch.done and events[-1].update_kind is ListUpdateKind.FAILED and reasons(capsys) == ["forgotten"]
     assert list(node.discovery.held) == ["e1"] and node.discovery.config.discovery == ("127.0.0.1", 2)
 
 
@@ -871,7 +879,7 @@
 
 
 def classes(*names, **changes):
-    """Return settings with these project types, the last of them changed."""
+    """Return settings with these request classes, the last of them changed."""
     rows = [OPTIONS["requestClasses"][0] | {"name": name} for name in names]
     rows[-1] |= changes
     return OPTIONS | {"requestClasses": rows}
@@ -911,9 +919,9 @@
     ],
 )
 def test_settings_that_are_broken_change_nothing(node, rewrite, capsys, settings):
-    before, served = node.config, node.core.node.types
+    before, served = node.config, node.core.dispatcher.request_classes
     rewrite(settings=settings, discovery="127.0.0.1:9")
-    assert node.config is before and node.core.node.types == served
+    assert node.config is before and node.core.dispatcher.request_classes == served
     assert (node.counters.reloads, node.counters.reload_errors) == (0, 1)
     (line,) = [line for line in capsys.readouterr().err.splitlines() if "stays as it was" in line]
     assert "settings." in line and "expected" in line
@@ -933,7 +941,7 @@
     rewrite(settings=classes("new"))
     rewrite(settings=classes("new", "newer"))
     assert (node.counters.reloads, node.counters.reload_errors) == (2, 1)
-    assert list(node.server.deployment.types) == ["new", "newer"]
+    assert list(node.downstream.deployment.types) == ["new", "newer"]
 
 
 def test_new_types_are_served_and_gone_ones_unknown(node, rewrite, client, reply):
@@ -948,10 +956,13 @@
     sock = client(REQUEST)
     while not node.pending:
         node.loop.turn()
-    (wu,) = node.core.open.values()
-    taken = wu.type
+    (state,) = node.core.open.values()
+    taken = state.request_class
     rewrite(settings=classes("statement", semantics="unsafe", aimUs=1, deadlineUs=1000000))
-    assert wu.type is taken and node.core.node.types[wu.work.type] != taken
+    assert (
+        state.request_class is taken
+        and node.core.dispatcher.request_classes[state.request.class_index] != taken
+    )
     rewrite(settings=classes("other"))
     node.answer(next(iter(node.pending)), 200, [], b"r")
     assert reply(sock).startswith(b"HTTP/1.1 200 ")
@@ -963,13 +974,13 @@
     rewrite(
         settings=OPTIONS | {"ceilings": ceilings, "requestClasses": OPTIONS["requestClasses"][1:]}, seed="9"
     )
-    assert node.executors.idle_ms == 1400.0 and len(node.core.node.types) == 2
+    assert node.upstream.idle_ms == 1400.0 and len(node.core.dispatcher.request_classes) == 2
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 404 ")
 
 
 def test_limits_follow_a_new_configuration(node, rewrite):
     rewrite(limits={"sockets": 96, "memory_mb": 192})
-    assert (node.server.room.clients, node.executors.places) == (24, 24)
+    assert (node.downstream.room.clients, node.upstream.places) == (24, 24)
 
 
 def test_what_cannot_change_is_told_and_left(node, rewrite, capsys):
@@ -1003,7 +1014,7 @@
 
 def test_near_the_end_answers_close_their_connections(node, client, reply):
     node.close()
-    node.server.drain(0.0, 0.0)
+    node.downstream.drain(0.0, 0.0)
     data = reply(client(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"))
     assert data.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in data
 
@@ -1012,7 +1023,7 @@
     monkeypatch.setattr(node_module, "LISTEN_MS", 1.0)
     node.close()
     node.loop.run()
-    assert node.loop.stopped and node.server.sock.fileno() < 0
+    assert node.loop.stopped and node.downstream.sock.fileno() < 0
 
 
 def test_sigterm_answers_what_is_open_before_the_end(node, client, reply, monkeypatch):
@@ -1026,9 +1037,9 @@
     assert reply(sock).startswith(b"HTTP/1.1 503 ")
 
 
-def test_a_failed_coroutine_still_closes_its_connection(executors, loop, capsys):
+def test_a_failed_coroutine_still_closes_its_connection(upstream, loop, capsys):
     loop.fault = lambda text: None
-    parts = executors(ANSWER)
+    parts = upstream(ANSWER)
     parts.last_line = lambda *args: 1 / 0
     assert sent(parts) == [Outcome.BROKEN] and reasons(capsys) == ["fault"]
 
@@ -1052,8 +1063,8 @@
 
 
 @pytest.mark.parametrize("reason", [Reason.NO_CONNECT, Reason.REFUSED, Reason.NO_SOCKETS])
-def test_what_does_not_come_up_never_ran(executors, monkeypatch, reason):
-    parts = executors()
+def test_what_does_not_come_up_never_ran(upstream, monkeypatch, reason):
+    parts = upstream()
 
     def fails(*_):
         raise Ended(reason)
@@ -1092,7 +1103,7 @@
 # The whole way.
 
 
-def test_a_work_unit_goes_to_an_executor_and_its_result_back(executor, client, reply):
+def test_a_request_goes_to_a_server_and_its_result_back(executor, client, reply):
     asked = executor()
     assert reply(client(REQUEST)).endswith(b"\r\n\r\nr")
     assert asked.count(b"POST") == 1
--- a/tests/test_own_faults.py
+++ b/tests/test_own_faults.py
@@ -43,7 +43,7 @@
 
 def test_a_request_is_refused_where_taking_it_fails(node, client, reply, executor, plant):
     executor()
-    plant(core.Arrival)
+    plant(core.RequestArrived)
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 503")
 
 
@@ -56,13 +56,13 @@
     node, client, reply, executor, plant, request_bytes, says
 ):
     asked = executor()
-    plant(core.Settled)
+    plant(core.AttemptEnded)
     began = time.monotonic()
     assert reply(client(request_bytes)).startswith(says)
     assert time.monotonic() - began < 2.0 and not node.pending and asked.count(b"POST") == 1
 
 
-@pytest.mark.parametrize("kind", [core.Settled, core.Left, core.Due, core.Probed])
+@pytest.mark.parametrize("kind", [core.AttemptEnded, core.ClientLeft, core.TimerFired, core.ProbeEnded])
 def test_errors_again_and_again_cost_no_answer_and_no_second_attempt(
     node, client, reply, executor, plant, kind
 ):
@@ -81,14 +81,14 @@
 
 def test_what_was_answered_for_an_error_is_counted(node, client, reply, executor, plant):
     executor()
-    plant(core.Arrival)
+    plant(core.RequestArrived)
     reply(client(REQUEST))
     assert "requests_given_up_on_faults=1\n" in node.figures()
 
 
 def test_a_request_is_refused_where_sending_it_fails(node, client, reply, executor, plant):
     asked = executor()
-    plant(core.Send)
+    plant(core.SendAttempt)
     began = time.monotonic()
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 503")
     assert time.monotonic() - began < 2.0 and not node.pending and b"POST" not in asked
@@ -102,7 +102,7 @@
         raise Ended(Reason.FAULT)
         yield
 
-    monkeypatch.setattr(node.server, "work_unit", dropped)
+    monkeypatch.setattr(node.downstream, "work_unit", dropped)
     client(REQUEST)
     turn(node, lambda: node.violations.counts[Promise.CLOSE])
     assert node.violations.total() == 1
@@ -114,5 +114,5 @@
     for _ in range(3):
         reply(client(REQUEST))
     client(POSTING).close()
-    turn(node, lambda: not node.server.owed)
+    turn(node, lambda: not node.downstream.owed)
     assert not node.violations.total()
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,11 +1,11 @@
-"""The codecs: clients' requests, executors' lines and reports, discovery's lists."""
+"""The codecs: clients' requests, servers' lines and reports, discovery's lists."""
 
 import json
 from dataclasses import replace
 
 import pytest
 
-from marlseam.interface import Effect, Listing, Outcome, Report, State
+from marlseam.decisions.types import EndpointState, Idempotency, ListUpdateKind, LoadReport, Outcome
 from marlseam.net import protocol
 from marlseam.net.protocol import Head, Lines, Malformed
 
@@ -26,9 +26,9 @@
 # Clients.
 
 
-def test_a_work_unit_is_read(deployment):
+def test_a_request_is_read(deployment):
     job = protocol.job_from("/statement?user=7", head(x_facts="slots=4,odd=1"), b"body", deployment)
-    assert (job.id, job.type, job.left_ms, job.slots, job.body) == ("9b", 0, 480.0, 4.0, b"body")
+    assert (job.id, job.class_index, job.left_ms, job.slots, job.body) == ("9b", 0, 480.0, 4.0, b"body")
 
 
 def test_time_left_is_capped_by_the_types_hard_limit(deployment):
@@ -38,26 +38,40 @@
 @pytest.mark.parametrize(
     "changes",
     [
-        {"x_correlation_id": None}, {"x_correlation_id": ""}, {"x_correlation_id": "a b"},
-        {"x_correlation_id": "a" * 300}, {"x_service_class": None}, {"x_service_class": "posting"},
-        {"x_service_class": "odd"}, {"x_time_left": None}, {"x_time_left": "soon"}, {"x_time_left": "nan"},
-        {"x_time_left": "-1"}, {"x_time_left": "inf"}, {"x_time_left": "1_0"}, {"x_facts": "slots=wide"},
-        {"x_time_left": "1e9"}, {"x_facts": "slots"}, {"x_facts": "slots=2,slots=3"},
-        {"idempotency_key": ""}, {"idempotency_key": "a\x01"}, {"idempotency_key": "\xe9"},
+        {"x_correlation_id": None},
+        {"x_correlation_id": ""},
+        {"x_correlation_id": "a b"},
+        {"x_correlation_id": "a" * 300},
+        {"x_service_class": None},
+        {"x_service_class": "posting"},
+        {"x_service_class": "odd"},
+        {"x_time_left": None},
+        {"x_time_left": "soon"},
+        {"x_time_left": "nan"},
+        {"x_time_left": "-1"},
+        {"x_time_left": "inf"},
+        {"x_time_left": "1_0"},
+        {"x_facts": "slots=wide"},
+        {"x_time_left": "1e9"},
+        {"x_facts": "slots"},
+        {"x_facts": "slots=2,slots=3"},
+        {"idempotency_key": ""},
+        {"idempotency_key": "a\x01"},
+        {"idempotency_key": "\xe9"},
     ],
-)  # fmt: skip
-def test_a_bad_work_unit_is_told_400(deployment, changes):
+)
+def test_a_bad_request_is_told_400(deployment, changes):
     with pytest.raises(Malformed) as raised:
         protocol.job_from("/statement", head(**changes), b"", deployment)
     assert raised.value.status == 400
 
 
-def test_a_receipted_work_unit_needs_its_receipt(deployment):
-    receipted = replace(deployment.settings.types[0], effect=Effect.RECEIPTED)
-    deployment = replace(deployment, settings=replace(deployment.settings, types=(receipted,)))
+def test_a_keyed_request_needs_its_receipt(deployment):
+    receipted = replace(deployment.settings.request_classes[0], idempotency=Idempotency.KEYED)
+    deployment = replace(deployment, settings=replace(deployment.settings, request_classes=(receipted,)))
     with pytest.raises(Malformed, match="Idempotency-Key is missing"):
         protocol.job_from("/statement", head(), b"", deployment)
-    assert protocol.job_from("/statement", head(idempotency_key="k"), b"", deployment).receipt == "k"
+    assert protocol.job_from("/statement", head(idempotency_key="k"), b"", deployment).idempotency_key == "k"
 
 
 @pytest.mark.parametrize(
@@ -86,16 +100,18 @@
     assert (headers["X-Time-Left"], headers["Content-Length"]) == ("1.234", "3")
 
 
-# Executors.
+# Servers.
 
 
 @pytest.mark.parametrize(
     ("state", "outcome"),
     [
-        ("done", Outcome.COMPLETED), ("failed", Outcome.ERROR), ("returned", Outcome.FULL),
+        ("done", Outcome.COMPLETED),
+        ("failed", Outcome.ERROR),
+        ("returned", Outcome.AT_CAPACITY),
         ("lost", Outcome.BROKEN),
     ],
-)  # fmt: skip
+)
 def test_a_last_line_tells_the_outcome(state, outcome):
     assert line(state=state).end is outcome
 
@@ -103,10 +119,13 @@
 @pytest.mark.parametrize(
     ("status", "headers", "outcome"),
     [
-        (503, {"x_unprocessed": "1"}, Outcome.FULL), (504, {"x_unprocessed": "1"}, Outcome.FULL),
-        (500, {"x_unprocessed": "1"}, Outcome.ERROR), (503, {}, Outcome.ERROR), (500, {}, Outcome.ERROR),
+        (503, {"x_unprocessed": "1"}, Outcome.AT_CAPACITY),
+        (504, {"x_unprocessed": "1"}, Outcome.AT_CAPACITY),
+        (500, {"x_unprocessed": "1"}, Outcome.ERROR),
+        (503, {}, Outcome.ERROR),
+        (500, {}, Outcome.ERROR),
     ],
-)  # fmt: skip
+)
 def test_only_an_unprocessed_refusal_never_ran(status, headers, outcome):
     assert protocol.refusal(status, head(**headers)) is outcome
 
@@ -118,10 +137,15 @@
 @pytest.mark.parametrize(
     "changes",
     [
-        {"id": "other"}, {"from": "e2"}, {"state": "odd"}, {"state": []}, {"result": None},
-        {"state": "running", "share": "x"}, {"result": "\ud800"},
+        {"id": "other"},
+        {"from": "e2"},
+        {"state": "odd"},
+        {"state": []},
+        {"result": None},
+        {"state": "running", "share": "x"},
+        {"result": "\ud800"},
     ],
-)  # fmt: skip
+)
 def test_an_odd_line_is_malformed(changes):
     with pytest.raises(Malformed, match="."):
         line(**changes)
@@ -149,16 +173,16 @@
     "value", ["TEXT backlog=2, x0=0.5, odd=1, broken", {"backlog": 2, "x0": 0.5, "odd": [], "held": "x"}]
 )
 def test_a_report_is_read_as_text_and_as_object(value):
-    assert protocol.report_from(value, NAMES) == Report(queued=2.0, free_slots=0.5)
+    assert protocol.report_from(value, NAMES) == LoadReport(queued=2.0, free_slots=0.5)
 
 
 def test_an_odd_figure_in_a_report_is_passed_by():
-    assert protocol.report_from({"backlog": "nan", "x0": None}, NAMES) == Report()
+    assert protocol.report_from({"backlog": "nan", "x0": None}, NAMES) == LoadReport()
 
 
 @pytest.mark.parametrize("body", [b"TEXT backlog=2", b'{"backlog":2}'])
 def test_a_probes_report_is_its_body(body):
-    assert protocol.load_from(body, head(), NAMES) == Report(queued=2.0)
+    assert protocol.load_from(body, head(), NAMES) == LoadReport(queued=2.0)
 
 
 @pytest.mark.parametrize(("body", "found"), [(b"", None), (b"{", None)])
@@ -169,9 +193,14 @@
 # Discovery.
 
 HOST = {
-    "host": "e1", "dial": "127.0.0.1:9", "site": "there", "class": "plain", "block": 3, "health": "active",
+    "host": "e1",
+    "dial": "127.0.0.1:9",
+    "site": "there",
+    "class": "plain",
+    "block": 3,
+    "health": "active",
     "born_ms": 5000,
-}  # fmt: skip
+}
 
 
 def news(*hosts, **changes):
@@ -180,26 +209,36 @@
 
 def test_an_entry_is_read(deployment):
     found = protocol.news_from(news(HOST), deployment)
-    assert found.entries == [("e1", State.READY, 0, 1, 3, 5000.0, None)] and found.addresses == {
+    assert found.entries == [("e1", EndpointState.READY, 0, 1, 3, 5000.0, None)] and found.addresses == {
         "e1": ("127.0.0.1", 9)
     }
 
 
 def test_one_that_has_left_needs_no_address(deployment):
     found = protocol.news_from(news({"host": "e1", "health": "left"}, whole=False), deployment)
-    assert (found.listing, found.entries[0].state, found.addresses) == (Listing.DELTA, State.GONE, {})
+    assert (found.listing, found.entries[0].state, found.addresses) == (
+        ListUpdateKind.DELTA,
+        EndpointState.GONE,
+        {},
+    )
 
 
 @pytest.mark.parametrize(
     "change",
     [
-        {"host": ""}, {"host": 7}, {"health": "odd"}, {"health": []}, {"dial": "name"}, {"dial": ":1"},
-        {"dial": None}, {"born_ms": "x"},
+        {"host": ""},
+        {"host": 7},
+        {"health": "odd"},
+        {"health": []},
+        {"dial": "name"},
+        {"dial": ":1"},
+        {"dial": None},
+        {"born_ms": "x"},
     ],
-)  # fmt: skip
+)
 def test_an_odd_entry_is_left_out(deployment, change):
     found = protocol.news_from(news(HOST | {"host": "e0"}, HOST | change), deployment)
-    assert [entry.executor for entry in found.entries] == ["e0"] and len(found.odd) == 1
+    assert [entry.server for entry in found.entries] == ["e0"] and len(found.odd) == 1
 
 
 @pytest.mark.parametrize("value", [None, [], {}, news(seq="x"), news(hosts={})])
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -10,7 +10,7 @@
 from conftest import OPTIONS
 from test_endings import Peer
 
-from marlseam.config import load
+from marlseam.configuration import load
 from marlseam.experiment import ready
 from marlseam.experiment.ready import Case, Ready
 from marlseam.net.node import Node
@@ -38,8 +38,10 @@
 
     def build(settings, known=None):
         values = {
-            "listen": "127.0.0.1:0", "discovery": "{}:{}".format(*discovery.address), "settings": settings,
-        }  # fmt: skip
+            "listen": "127.0.0.1:0",
+            "discovery": "{}:{}".format(*discovery.address),
+            "settings": settings,
+        }
         path = tmp_path / "node.json"
         path.write_text(json.dumps(values | ({"known": known} if known else {})))
         node = Node(load(str(path), {}))
@@ -115,9 +117,12 @@
 # Thirty real processes at once.
 
 CASES = [
-    Case("there"), Case("slow", discovery="slow"), Case("away", discovery="away"),
-    Case("there-unlisted", listed=False), Case("slow-unlisted", discovery="slow", listed=False),
-]  # fmt: skip
+    Case("there"),
+    Case("slow", discovery="slow"),
+    Case("away", discovery="away"),
+    Case("there-unlisted", listed=False),
+    Case("slow-unlisted", discovery="slow", listed=False),
+]
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def instance():
-    """Return an instance with one executor that has just reported."""
+    """Return an instance with one server that has just reported."""
     made = Instance("node_3", 7, OPTIONS, 1000.0, [])
     play(made, "directory_update node_3 1 1 1", ENTRY)
     play(made, "sampled node_3 900 10.0.0.1:80 success backlog:0,x0:4")
@@ -30,7 +30,7 @@
     return play(instance, f"arrival node_3 c:1 {type} - - 6000000 - 1 - 0 0 0")
 
 
-def test_a_new_instance_asks_for_the_roster():
+def test_a_new_instance_asks_for_discovery():
     assert "watch node_3 1" in Instance("node_3", 7, OPTIONS, 1000.0, []).out
 
 
@@ -43,7 +43,7 @@
     assert play(instance, "settled node_3 c:1 0 10.0.0.1:80 success 9000 1 - -") == []
 
 
-def test_exclusive_work_that_may_have_run_is_finished_with_an_error(instance):
+def test_unsafe_work_that_may_have_run_is_finished_with_an_error(instance):
     arrive(instance, "posting")
     assert play(instance, "settled node_3 c:1 0 10.0.0.1:80 broken 9000 - - -") == ["finish_error node_3 c:1"]
 
@@ -63,8 +63,8 @@
 def test_news_of_an_attempt_reaches_its_handle(instance, line, started, share):
     arrive(instance)
     play(instance, line)
-    (alloc,) = instance.core.open["c:1"].allocs
-    assert (alloc.started_ms, alloc.share) == (started, share)
+    (attempt_index,) = instance.core.open["c:1"].attempts
+    assert (attempt_index.started_ms, attempt_index.progress) == (started, share)
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
 
 def test_another_nodes_message_reaches_the_reducer(instance):
     play(instance, "mail node_3 1 AAAAAQ==")
-    assert instance.core.node.peers == {1: {0: 1}}
+    assert instance.core.dispatcher.peers == {1: {0: 1}}
 
 
 def test_a_message_that_is_no_base64_is_malformed(instance):
@@ -93,4 +93,6 @@
 
 def test_an_entrys_weight_and_an_arrivals_key_are_read(instance):
     assert instance.entry(wire.parse("m 0 here 1.5 plain - 1 10.0.0.1:80")[1]).weight == 1.5
-    assert instance.work(wire.parse("arrival node_3 c:1 statement - fn:k 6000000")[1]).key == "fn:k"
+    assert (
+        instance.request(wire.parse("arrival node_3 c:1 statement - fn:k 6000000")[1]).resource_key == "fn:k"
+    )
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -316,10 +316,12 @@
     path.write_text(ROSTER.format(real=2).replace("real_changes = 2", "real_changes = 2000"))
     words = [sys.executable, "-m", "marlseam", "experiment", "run", str(path), "--out", str(out)]
     run = subprocess.Popen(
-        words, stderr=subprocess.DEVNULL, cwd=Path(__file__).parent.parent,
+        words,
+        stderr=subprocess.DEVNULL,
+        cwd=Path(__file__).parent.parent,
         # A suite that a shell runs in the background was started with interrupts ignored, and hands that on.
         preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
-    )  # fmt: skip
+    )
     try:
         end, log = time.monotonic() + 60.0, out / "band" / "logs" / "n1.log"
         while not log.exists() or "listens on" not in log.read_text():
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -32,15 +32,15 @@
 from test_net import JOB
 
 from marlseam import core
-from marlseam.config import deployment_from
-from marlseam.core import Entry
-from marlseam.interface import Listing, Outcome, State
+from marlseam.configuration import deployment_from
+from marlseam.core import EndpointEntry
+from marlseam.decisions.types import EndpointState, ListUpdateKind, Outcome
+from marlseam.net import downstream
 from marlseam.net import node as node_module
-from marlseam.net import server
 from marlseam.net.connection import Ended
-from marlseam.net.executors import SECOND_MS, Order
+from marlseam.net.downstream import NEW_MS, WRITE_MS
 from marlseam.net.loop import LATE, READY
-from marlseam.net.server import NEW_MS, WRITE_MS
+from marlseam.net.upstream import SECOND_MS, Order
 
 peers, settle, stand, turn = (
     test_endings.peers,
@@ -89,7 +89,7 @@
 
 
 def answer_all(peer, name):
-    """Have an executor of the test's complete all that it has been sent."""
+    """Have a server of the test's complete all that it has been sent."""
     while peer.accept():
         pass
     for sock in peer.held:
@@ -111,7 +111,7 @@
 def test_a_repeat_whose_bytes_wait_past_the_pods_memory_is_cut(
     node, client, stand, turn, settle, small, lead, reads
 ):
-    # An executor begins a request when its last byte has come: by then its pods have forgotten the first.
+    # A server begins a request when its last byte has come: by then its pods have forgotten the first.
     keyed = KEYED | {"memorySpanUs": 1000000}
     one, two = stand("e1", "e2", ceilings=NO_PROBES, requestClasses=[keyed])
     for peer in (one, two):
@@ -130,17 +130,17 @@
     first.held[0].sendall(b"nonsense\r\n\r\n")  # it may have run
     turn(lambda: other.accept())
     settle()
-    (flight,) = node.executors.out.values()
+    (flight,) = node.upstream.out.values()
     assert not flight.begun  # it stands in the middle of its bytes
     attempts = node.counters.attempts
-    lead(1000.0)  # the memory is over, the hard limit is not
+    lead(1000.0)  # the memory is over, the deadline is not
     while reads == "with" and not select.select([], [flight.task.fd], [], 0)[1]:
         other.read()  # there is room for more in the turn in which the time is over
     settle()
     for _ in range(100):
         other.read()
         settle(2)
-    assert node.counters.attempts == attempts and not node.executors.out
+    assert node.counters.attempts == attempts and not node.upstream.out
 
 
 def test_what_waits_for_room_goes_out_no_more_once_its_time_is_over(connection):
@@ -168,40 +168,40 @@
 def test_a_second_answer_after_a_good_one_proves_nothing_of_the_next(node, stand, turn, lead, second, job):
     (executor,) = stand("e1", ceilings=NO_PROBES)
     told = []
-    node.executors.post = told.append
+    node.upstream.post = told.append
     until = node.loop.now() + 5000.0
-    node.executors.send(Order("1", 0, "e1", JOB, until, until))
+    node.upstream.send(Order("1", 0, "e1", JOB, until, until))
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(ANSWER)
-    turn(lambda: node.executors.peers["e1"].idle)
+    turn(lambda: node.upstream.peers["e1"].idle)
     told.clear()
-    node.executors.send(Order("2", 0, "e1", job, until, until))  # in the turn in which the first ends
+    node.upstream.send(Order("2", 0, "e1", job, until, until))  # in the turn in which the first ends
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(second.replace(b"9b", b"9a"))
     turn(lambda: told)
     # It may run: neither sent again nor off the record. Its own answer is nobody's any more.
     assert [event.outcome for event in told] == [Outcome.BROKEN]
-    assert ended(executor.held[0]) and not node.executors.peers["e1"].idle
+    assert ended(executor.held[0]) and not node.upstream.peers["e1"].idle
 
 
 @pytest.mark.parametrize("wait_ms", [0.0, SECOND_MS], ids=["new", "rested"])
 def test_a_refusal_is_believed_where_no_second_answer_can_come(node, stand, turn, lead, wait_ms):
     (executor,) = stand("e1", ceilings=NO_PROBES)
     told = []
-    node.executors.post = told.append
+    node.upstream.post = told.append
     until = node.loop.now() + 5000.0
     if wait_ms:
-        node.executors.send(Order("1", 0, "e1", JOB, until, until))
+        node.upstream.send(Order("1", 0, "e1", JOB, until, until))
         turn(lambda: b"abc" in executor.read())
         executor.held[0].sendall(ANSWER)
-        turn(lambda: node.executors.peers["e1"].idle)
+        turn(lambda: node.upstream.peers["e1"].idle)
         lead(wait_ms)
         told.clear()
-    node.executors.send(Order("2", 0, "e1", replace(JOB, exclusive=True, once=True), until, until))
+    node.upstream.send(Order("2", 0, "e1", replace(JOB, exclusive=True, once=True), until, until))
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(NEVER)
     turn(lambda: told)
-    assert [event.outcome for event in told] == [Outcome.FULL] and len(executor.held) == 1
+    assert [event.outcome for event in told] == [Outcome.AT_CAPACITY] and len(executor.held) == 1
 
 
 # The list.
@@ -221,7 +221,7 @@
     node.discovery.take({"seq": 5, "whole": True, "hosts": [row]})
     row = row | {"health": "leaving"} | spoilt
     node.discovery.take({"seq": 6, "whole": whole, "hosts": [row]})
-    assert node.core.node.state[node.core.index["e1"]] is State.DRAINING
+    assert node.core.dispatcher.endpoint_state[node.core.index["e1"]] is EndpointState.DRAINING
 
 
 @pytest.mark.parametrize("field", ["born_ms", "share", "block"])
@@ -271,7 +271,7 @@
     answer = reply(sock)
     done = says is SPOILT["a report no float holds"]
     assert answer.startswith(b"HTTP/1.1 200 " if done else b"HTTP/1.1 500 ")
-    assert not node.executors.out and node.counters.attempts == 1
+    assert not node.upstream.out and node.counters.attempts == 1
     assert "Traceback" not in capsys.readouterr().err
 
 
@@ -283,8 +283,8 @@
 def test_a_spoilt_report_is_no_fault_of_the_node(node, stand, turn, capsys, says):
     (executor,) = stand("e1")
     told = []
-    node.executors.post = told.append
-    node.executors.probe("e1")
+    node.upstream.post = told.append
+    node.upstream.probe("e1")
     turn(lambda: b"/-/load" in executor.read())
     executor.held[0].sendall(says)
     turn(lambda: told)
@@ -303,7 +303,7 @@
 
 @pytest.mark.parametrize("says", BAD.values(), ids=BAD)
 def test_a_bad_request_is_told_so_and_is_no_fault_of_the_node(node, client, reply, capsys, monkeypatch, says):
-    monkeypatch.setattr(server, "READ_MS", 300.0)
+    monkeypatch.setattr(downstream, "READ_MS", 300.0)
     sock = client(says)
     assert reply(sock)[:10] == b"HTTP/1.1 4"
     assert "Traceback" not in capsys.readouterr().err
@@ -318,7 +318,7 @@
     close = node.loop.close
 
     def begin(call):
-        doors = list(node.server.open)
+        doors = list(node.downstream.open)
 
         def closes(sock):
             if any(sock is door.sock for door in doors):
@@ -331,15 +331,15 @@
 
 
 def by_room(node):
-    node.server.make_room()
+    node.downstream.make_room()
 
 
 def by_drain(node):
-    node.server.drain(0.0, 0.0)
+    node.downstream.drain(0.0, 0.0)
 
 
 def by_age(node):
-    ((door, task),) = node.server.idle.items()
+    ((door, task),) = node.downstream.idle.items()
     task.step(LATE)
 
 
@@ -357,17 +357,17 @@
     if used:
         turn(lambda: b"abc" in executor.read())
         executor.held[0].sendall(ANSWER)
-        turn(lambda: node.refs and not node.pending and node.server.idle)
+        turn(lambda: node.last_request_id and not node.pending and node.downstream.idle)
         assert sock.recv(1 << 16).startswith(b"HTTP/1.1 200 ")
-    turn(lambda: node.server.idle)
+    turn(lambda: node.downstream.idle)
     lead(NEW_MS)
     crossed = []
     crossing(lambda: crossed.append(sock.sendall(REQUEST.replace(b"9b", b"9c"))))
     closes(node)
     if closes is not by_end:
         settle()
-    assert crossed and ended(sock) and not node.server.open
-    assert node.refs == used and b"abc" not in executor.read()  # its client may send it once more
+    assert crossed and ended(sock) and not node.downstream.open
+    assert node.last_request_id == used and b"abc" not in executor.read()  # its client may send it once more
 
 
 def test_an_answer_that_ends_its_connection_is_whole_though_a_request_crosses_it(
@@ -376,17 +376,17 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     sock = client(REQUEST)
     turn(lambda: b"abc" in executor.read())
-    node.server.drain(0.0, 10000.0)
+    node.downstream.drain(0.0, 10000.0)
     crossing(lambda: sock.sendall(REQUEST.replace(b"9b", b"9c")))
     body = b"r" * 60000
     node.answer("1", 200, [], body)
-    turn(lambda: not node.server.open)
+    turn(lambda: not node.downstream.open)
     answer = b""
     while len(answer) < len(body):
         more = sock.recv(1 << 16)
         assert more
         answer += more
-    assert answer.endswith(b"\r\n\r\n" + body) and node.refs == 1
+    assert answer.endswith(b"\r\n\r\n" + body) and node.last_request_id == 1
 
 
 def test_all_sockets_write_small_parts_at_once(node, client, stand, turn):
@@ -394,7 +394,7 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     client(REQUEST)
     turn(executor.accept)
-    (door,), (flight,) = node.server.open, node.executors.out.values()
+    (door,), (flight,) = node.downstream.open, node.upstream.out.values()
     turn(lambda: flight.begun)
     made = [door.sock.fileno(), flight.task.fd]
     for number in made:
@@ -413,27 +413,27 @@
 
 @pytest.mark.parametrize("says", SAYS.values(), ids=SAYS)
 @pytest.mark.parametrize("request_", [REQUEST, POSTING], ids=["rerunnable", "exclusive"])
-def test_what_an_executor_says_as_it_is_given_up_is_told_once(
+def test_what_a_server_says_as_it_is_given_up_is_told_once(
     node, client, stand, turn, settle, monkeypatch, says, request_
 ):
     (executor,) = stand("e1", ceilings=NO_PROBES)
     sock = client(request_)
     turn(lambda: b"abc" in executor.read())
-    told, close, post = [], node.loop.close, node.executors.post
-    node.executors.post = lambda event: (told.append(event), post(event))
+    told, close, post = [], node.loop.close, node.upstream.post
+    node.upstream.post = lambda event: (told.append(event), post(event))
 
     def closes(closed):
         if executor.held and closed.fileno() == flight_fd:
             executor.held[0].sendall(says)
         close(closed)
 
-    (flight,) = node.executors.out.values()
+    (flight,) = node.upstream.out.values()
     flight_fd = flight.task.fd
     monkeypatch.setattr(node.loop, "close", closes)
     sock.close()
     turn(lambda: flight.task.done)
     settle()
-    assert [event.outcome for event in told if type(event) is core.Settled] == [Outcome.WITHDRAWN]
+    assert [event.outcome for event in told if type(event) is core.AttemptEnded] == [Outcome.CANCELLED]
     assert not node.core.open and b"abc" not in executor.read()
 
 
@@ -443,11 +443,11 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     sock = client(REQUEST)
     turn(lambda: b"abc" in executor.read())
-    (flight,) = node.executors.out.values()
+    (flight,) = node.upstream.out.values()
     executor.held[0].sendall(ANSWER)
     while not select.select([flight.task.fd], [], [], 0)[0]:
         pass
-    lead(node.executors.take_ms + 1.0)
+    lead(node.upstream.take_ms + 1.0)
     flight.task.step(seen)
     assert reply(sock).startswith(b"HTTP/1.1 200 ") and node.counters.attempts == 1
 
@@ -460,9 +460,9 @@
 ):
     good, hanging = stand("e1", "e2", ceilings=NO_PROBES)
     resting = [client(b"") for _ in range(200)]
-    turn(lambda: len(node.server.idle) == len(resting))
+    turn(lambda: len(node.downstream.idle) == len(resting))
     lead(NEW_MS)
-    asked, refs = [], node.refs
+    asked, refs = [], node.last_request_id
 
     def ask(new):
         i = len(asked)
@@ -474,13 +474,13 @@
                 asked.append(resting.pop())
                 asked[-1].sendall(data)
 
-    part, end = node.server.part, node.end
-    node.server.part = lambda: (ask(False), part())  # in the moment in which the drain looks
+    part, end = node.downstream.part, node.end
+    node.downstream.part = lambda: (ask(False), part())  # in the moment in which the drain looks
     node.end = lambda at_ms: (ask(False), end(at_ms))
     tell(node, {"e2": hanging.address})
     for _ in range(8):
         ask(False)
-    turn(lambda: node.refs - refs == len(asked))  # exclusive work of before hangs up to the end
+    turn(lambda: node.last_request_id - refs == len(asked))  # unsafe work of before hangs up to the end
     tell(node, {"e1": good.address, "e2": hanging.address})
     began = node.loop.now()
     node.close()
@@ -502,18 +502,18 @@
     given = [answer for answer in answers if answer]
     assert {b"200", b"500"} <= {answer[9:12] for answer in given} <= {b"200", b"500", b"503"}
     assert all(b"\r\n\r\n" in answer for answer in given)
-    assert len(given) == node.refs - refs and len(given) > 100
+    assert len(given) == node.last_request_id - refs and len(given) > 100
 
 
 # Work that was never sent on is refused, within its time and half a second.
 
 
 def nobody(node, peer):
-    node.post(core.Roster(Listing.FULL, []))
+    node.post(core.EndpointListUpdate(ListUpdateKind.FULL, []))
 
 
 def all_drain(node, peer):
-    tell(node, {"e1": peer.address}, State.DRAINING)
+    tell(node, {"e1": peer.address}, EndpointState.DRAINING)
 
 
 def refuses(node, peer):
@@ -532,9 +532,9 @@
     node.adopt(replace(node.config, deployment=deployment_from(OPTIONS | {"requestClasses": EFFECTS})))
 
 
-EFFECTS = [
-    row | {"aimStretch": 20} for row in OPTIONS["requestClasses"]
-] + [KEYED | {"name": "payment", "dedupScope": "cell", "memorySpanUs": 1000000}]  # fmt: skip
+EFFECTS = [row | {"aimStretch": 20} for row in OPTIONS["requestClasses"]] + [
+    KEYED | {"name": "payment", "dedupScope": "cell", "memorySpanUs": 1000000}
+]
 PAYMENT = PAYING.replace(b"statement", b"payment")
 
 
@@ -549,7 +549,7 @@
     (peer,) = stand("e1", backlog=0, ceilings=NO_PROBES, requestClasses=EFFECTS)
     why(node, peer)
     sock = client(request_.replace(b"Left: 5", b"Left: 0.9"))
-    turn(lambda: node.refs)
+    turn(lambda: node.last_request_id)
     began, answer = node.loop.now(), b""
     while not answer:
         for _ in range(10):
@@ -582,7 +582,7 @@
         (reset if i % 3 else socket.socket.close)(sock)
     good = client(REQUEST)
     turn(lambda: any(p.job.id == "9b" for p in node.pending.values()))
-    turn(lambda: len(node.server.open) == 1)
+    turn(lambda: len(node.downstream.open) == 1)
     assert len(node.pending) == 1 and len(node.core.open) == 1
     turn(lambda: b"9b" in executor.read())
     for sock in executor.held:
@@ -591,19 +591,19 @@
     turn(lambda: not node.pending)
     assert good.recv(1 << 16).startswith(b"HTTP/1.1 200 ")
     good.close()
-    turn(lambda: not node.server.open and not node.executors.out)
-    node.executors.close()
+    turn(lambda: not node.downstream.open and not node.upstream.out)
+    node.upstream.close()
     for sock in executor.held:
         sock.close()
-    assert len(os.listdir("/proc/self/fd")) <= before and not sum(node.server.held.values())
+    assert len(os.listdir("/proc/self/fd")) <= before and not sum(node.downstream.held.values())
 
 
 def test_a_burst_of_clients_that_leave_takes_all_its_work_along(node, client, stand, turn, settle):
     executors = stand("e1", "e2", "e3", ceilings=NO_PROBES)
     socks = [client(REQUEST.replace(b"9b", b"w%d" % i)) for i in range(120)]
-    turn(lambda: node.refs == len(socks))
+    turn(lambda: node.last_request_id == len(socks))
     settle()
-    assert node.core.node.lines and node.executors.out
+    assert node.core.dispatcher.lines and node.upstream.out
     for executor in executors:
         executor.read()
     for i, sock in enumerate(socks):
@@ -611,7 +611,7 @@
     turn(lambda: not node.pending)
     attempts = node.counters.attempts
     settle(100)
-    assert not node.core.open and not node.core.node.lines and not node.executors.out
+    assert not node.core.open and not node.core.dispatcher.lines and not node.upstream.out
     assert node.counters.attempts == attempts and not any(b"POST" in e.read() for e in executors)
 
 
@@ -628,13 +628,13 @@
     release = full_queue(slow)
     tell(node, {"e1": slow.address})  # all go there first
     sock = client(request_)
-    turn(lambda: node.executors.out)
+    turn(lambda: node.upstream.out)
     tell(node, {"e1": slow.address, "e2": good.address})
-    node.core.node.full[node.core.index["e1"]] = True  # the next goes elsewhere
+    node.core.dispatcher.full[node.core.index["e1"]] = True  # the next goes elsewhere
     second = client(request_.replace(b"9b", b"9c").replace(b"-Key: k", b"-Key: l"))
     turn(lambda: b"abc" in good.read())  # and is served while the first waits
     good.held[0].sendall(ANSWER.replace(b'"e1"', b'"e2"').replace(b"9b", b"9c"))
-    assert reply(second).startswith(b"HTTP/1.1 200 ") and node.executors.out
+    assert reply(second).startswith(b"HTTP/1.1 200 ") and node.upstream.out
     lead(node.config.deployment.connect_ms)
     turn(lambda: b"abc" in good.read())
     good.held[-1].sendall(ANSWER.replace(b'"e1"', b'"e2"'))
@@ -650,7 +650,7 @@
 
 
 def listing(seq, *states, whole=True, indent=None, **changes):
-    """Return a list, or a change, with executors e1, e2 and so on in these states."""
+    """Return a list, or a change, with servers e1, e2 and so on in these states."""
     rows = [READY_ROW | {"host": f"e{i + 1}", "health": state} | changes for i, state in enumerate(states)]
     return json.dumps({"seq": seq, "whole": whole, "hosts": rows}, indent=indent).encode()
 
@@ -695,8 +695,8 @@
 def test_lists_may_come_indented(followed, indent, pieces):
     node, roster = followed()
     for body, state in (
-        (listing(5, "active", "active", indent=indent), State.READY),
-        (listing(6, "leaving", whole=False, indent=indent), State.DRAINING),
+        (listing(5, "active", "active", indent=indent), EndpointState.READY),
+        (listing(6, "leaving", whole=False, indent=indent), EndpointState.DRAINING),
     ):
         assert b"GET /api/targets" in roster.read()
         roster.held[0].setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -706,8 +706,8 @@
             roster.held[0].sendall(says[at : at + size])
             node.turns(3)
         node.turns(20)
-        assert node.core.node.state[node.core.index["e1"]] is state
-        assert node.core.node.state[node.core.index["e2"]] is State.READY
+        assert node.core.dispatcher.endpoint_state[node.core.index["e1"]] is state
+        assert node.core.dispatcher.endpoint_state[node.core.index["e2"]] is EndpointState.READY
         node.turns(lead_ms=node.discovery.gap_ms)
     assert len(roster.held) == 1  # one watch
 
@@ -730,7 +730,7 @@
     roster.read()
     roster.held[1].sendall(answer(listing(5, "leaving")))
     node.turns()
-    assert node.core.node.state[node.core.index["e1"]] is State.DRAINING
+    assert node.core.dispatcher.endpoint_state[node.core.index["e1"]] is EndpointState.DRAINING
     assert "Traceback" not in capsys.readouterr().err
 
 
@@ -743,7 +743,7 @@
     node, roster = followed(
         registryMode=mode, guarantees={"stopSendingWithinUs": 400000, "mustAskInUs": 60000000}
     )
-    node.core.node.chance = lambda: 1.0 - 1e-9  # the longest rests
+    node.core.dispatcher.chance = lambda: 1.0 - 1e-9  # the longest rests
     tell(node, {"e1": executor.address})
     roster.read()
     if in_watch:
@@ -761,9 +761,9 @@
     roster.held[1].sendall(answer(listing(6, "leaving", dial=dial)))
     node.turns()
     assert node.loop.now() - silent < told_ms
-    client(REQUEST, node.server)
+    client(REQUEST, node.downstream)
     node.turns(20)
-    assert node.refs and not executor.accept()
+    assert node.last_request_id and not executor.accept()
     tell(node, {"e1": executor.address})  # and goes there once it is ready again
     node.turns(20)
     assert executor.accept()
@@ -780,7 +780,7 @@
 def test_one_node_adds_little_to_a_herd_at_discovery(followed, mode, most, says):
     # Twenty seconds in which each call fails at once, at the soonest rests that chance can give.
     node, roster = followed(registryMode=mode, guarantees={"stopSendingWithinUs": 20000000})
-    node.core.node.chance = lambda: 0.0
+    node.core.dispatcher.chance = lambda: 0.0
     calls = 1
     for _ in range(2000):
         roster.accept()
@@ -811,13 +811,13 @@
     roster.held.clear()
     for node, _ in made:
         node.turns(2)
-    due = sorted(node.core.node.next_ask - node.loop.now() for node, _ in made)
-    rest = made[0][0].core.node.backoff
+    due = sorted(node.core.dispatcher.next_ask - node.loop.now() for node, _ in made)
+    rest = made[0][0].core.dispatcher.backoff
     most = max(sum(at <= other < at + 0.1 * rest for other in due) for at in due)
     assert most <= len(due) // 3  # of 24 in a tenth of the span; evenly it would be 3
 
 
-# Clients that come again at once, executors that hang.
+# Clients that come again at once, servers that hang.
 
 
 @pytest.mark.parametrize("cancel", [True, False], ids=["cancelled", "runs on"])
@@ -826,14 +826,16 @@
 ):
     ceilings = NO_PROBES | {"cancel": cancel}
     first, other = stand("e1", "e2", ceilings=ceilings, requestClasses=EFFECTS)
-    entries = [Entry(name, State.READY, 0, 0, cell, None) for cell, name in enumerate(("e1", "e2"))]
-    node.post(core.Roster(Listing.FULL, entries[:1]))
+    entries = [
+        EndpointEntry(name, EndpointState.READY, 0, 0, cell, None) for cell, name in enumerate(("e1", "e2"))
+    ]
+    node.post(core.EndpointListUpdate(ListUpdateKind.FULL, entries[:1]))
     sock = client(PAYMENT)
     turn(lambda: b"abc" in first.read())  # it may run from here on
     for i in range(2):
         sock.close()
         turn(lambda: not node.pending)
-        node.post(core.Roster(Listing.FULL, entries))  # the other cell is free
+        node.post(core.EndpointListUpdate(ListUpdateKind.FULL, entries))  # the other cell is free
         lead(100.0)
         sock = client(PAYMENT.replace(b"9b", b"a%d" % i).replace(b"Key: k", b"Key: k\r\nX-Repeat: 1"))
         got = b""
@@ -849,20 +851,24 @@
     [(REQUEST, True), (POSTING, False), (PAYMENT, True)],
     ids=["rerunnable", "exclusive", "receipted"],
 )
-def test_where_copies_are_allowed_exclusive_work_still_has_one_out(
+def test_where_copies_are_allowed_unsafe_work_still_has_one_out(
     node, client, stand, turn, settle, lead, request_, copied
 ):
     types = [row | {"aimUs": 1000000} for row in EFFECTS]  # so that no patience ends
     first, other = stand("e1", "e2", ceilings=NO_PROBES | {"secondCopies": True}, requestClasses=types)
-    node.post(core.Roster(Listing.FULL, [Entry("e1", State.READY, 0, 0, 0, None)]))
+    node.post(
+        core.EndpointListUpdate(
+            ListUpdateKind.FULL, [EndpointEntry("e1", EndpointState.READY, 0, 0, 0, None)]
+        )
+    )
     client(request_)
     turn(lambda: b"abc" in first.read())
     tell(node, {"e1": first.address, "e2": other.address})
-    node.post(core.Probed("e1", Outcome.TIMED_OUT, 0.0, None))  # it seems lost, with what it has
+    node.post(core.ProbeEnded("e1", Outcome.TIMED_OUT, 0.0, None))  # it seems lost, with what it has
     for _ in range(8):  # past the next look at what stands in line
         lead(100.0)
         settle(5)
-    out = [flight for flight in node.executors.out.values() if flight.begun]
+    out = [flight for flight in node.upstream.out.values() if flight.begun]
     assert len(out) == 1 + copied and not ended(first.held[0])
     assert (b"abc" in other.read()) is copied
 
@@ -873,7 +879,7 @@
     [(REQUEST, b"503"), (POSTING, b"500"), (PAYMENT, b"500")],
     ids=["rerunnable", "exclusive", "receipted"],
 )
-def test_work_that_hangs_at_its_executor_is_answered_by_half_a_second_after_its_time(
+def test_work_that_hangs_at_its_server_is_answered_by_half_a_second_after_its_time(
     node, client, stand, turn, lead, request_, status, late_ms
 ):
     (executor,) = stand("e1", ceilings=NO_PROBES, requestClasses=EFFECTS)
@@ -897,20 +903,20 @@
 
 def test_what_comes_in_the_listeners_last_moment_is_reset_not_left_silent(node, stand, settle, monkeypatch):
     (executor,) = stand("e1", ceilings=NO_PROBES)
-    address, close, crossed = node.server.sock.getsockname(), node.loop.close, []
+    address, close, crossed = node.downstream.sock.getsockname(), node.loop.close, []
 
     def closes(sock):
-        if sock is node.server.sock:  # after the last look at its queue
+        if sock is node.downstream.sock:  # after the last look at its queue
             crossed.append(socket.create_connection(address))
             crossed[0].sendall(REQUEST)
         close(sock)
 
     monkeypatch.setattr(node.loop, "close", closes)
-    node.server.stop_listening()
+    node.downstream.stop_listening()
     with pytest.raises(ConnectionResetError):
         crossed[0].recv(1)  # its client knows at once; no bytes were read, nothing was sent on
     settle()
-    assert not node.refs and not executor.accept()
+    assert not node.last_request_id and not executor.accept()
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(address)
     crossed[0].close()
@@ -920,17 +926,17 @@
     node, client, stand, turn, settle, lead, small
 ):
     (executor,) = stand("e1", ceilings=NO_PROBES)
-    node.server.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # as what it accepts has
+    node.downstream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # as what it accepts has
     small()
     sock = client(REQUEST)
     turn(lambda: b"abc" in executor.read())
-    (door,) = node.server.open
+    (door,) = node.downstream.open
     node.answer("1", 200, [], b"r" * 3000000)
     settle()
-    assert node.server.open
+    assert node.downstream.open
     lead(WRITE_MS + 1.0)
-    turn(lambda: not node.server.open)
-    assert door.closed and node.refs == 1 and b"abc" not in executor.read()
+    turn(lambda: not node.downstream.open)
+    assert door.closed and node.last_request_id == 1 and b"abc" not in executor.read()
     sock.close()
 
 
@@ -953,7 +959,10 @@
             node.turns(2, lead_ms=10.0)
     reset(roster.held.pop())
     node.turns()
-    assert node.discovery.task is None and node.core.node.backoff == node.core.node.set.renew_ms
+    assert (
+        node.discovery.task is None
+        and node.core.dispatcher.backoff == node.core.dispatcher.settings.max_poll_interval_ms
+    )
 
 
 def calling(node, roster):
@@ -967,7 +976,7 @@
     followed, peers, when, mode, grace_us
 ):
     node, roster = followed(registryMode=mode, guarantees={"stopSendingWithinUs": grace_us})
-    node.core.node.chance = lambda: 1.0 - 1e-9  # the longest rests
+    node.core.dispatcher.chance = lambda: 1.0 - 1e-9  # the longest rests
     roster.read()
     when(node, roster)
     moved = peers["moved"] = Peer()
@@ -984,5 +993,5 @@
     node.turns(lead_ms=100.0)  # lists come late
     moved.held[0].sendall(answer(listing(1, "leaving")))  # another discovery's versions
     node.turns()
-    assert node.core.node.state[node.core.index["e1"]] is State.DRAINING
+    assert node.core.dispatcher.endpoint_state[node.core.index["e1"]] is EndpointState.DRAINING
     assert node.loop.now() - began < 4000.0 and not any(not ended(sock) for sock in roster.held)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,15 +16,15 @@
 
 from marlseam import core
 from marlseam.__main__ import main
-from marlseam.config import ConfigError, StoreSettings, load
-from marlseam.interface import WorkUnit
+from marlseam.configuration import ConfigError, StoreSettings, load
+from marlseam.decisions.types import Request
 from marlseam.net.log import Log
 from marlseam.net.node import Node
-from marlseam.store import format as form
-from marlseam.store.folder import Disk, Era, Folder, first_life, lock
-from marlseam.store.format import Heard, Listed, NeverRan, Sent, Turned
-from marlseam.store.keeper import Keeper
-from marlseam.store.state import State
+from marlseam.store import file_format as form
+from marlseam.store.file_format import Heard, Listed, NeverRan, Sent, Turned
+from marlseam.store.node_state import State
+from marlseam.store.state_directory import Disk, Era, Folder, first_life, lock
+from marlseam.store.state_store import Keeper
 
 NOW = 1_000_000.0
 ERA = Era("this boot", 500_000.0)
@@ -231,9 +231,10 @@
         (form.snapshot(head(node="other"), []), "foreign"),
         (form.begin(head("journal")), "foreign"),
         (form.snapshot(head(version=99), []), "version"),
-        (form.snapshot(head(), [])[:-1], "torn"), (b"", "foreign"),
+        (form.snapshot(head(), [])[:-1], "torn"),
+        (b"", "foreign"),
     ],
-)  # fmt: skip
+)
 def test_a_file_that_cannot_be_used_is_told_and_set_aside_only_once_what_it_lost_is_on_record(data, code):
     disk = FaultyDisk()
     disk.seen["snapshot-0000000001"] = [data]
@@ -394,7 +395,7 @@
 def test_a_locked_folder_is_read_as_soon_as_it_is_free_and_only_then_written(
     keeper, loop, until, waits, capsys, monkeypatch
 ):
-    monkeypatch.setattr("marlseam.store.scribe.LOCK_S", 0.02)
+    monkeypatch.setattr("marlseam.store.log_writer_client.LOCK_S", 0.02)
     first, second = keeper(), keeper()
     first.load()
     first.begin()
@@ -436,7 +437,7 @@
 def test_a_disk_that_fails_is_told_once_keeps_nothing_and_is_tried_again(
     keeper, loop, until, waits, capsys, monkeypatch
 ):
-    monkeypatch.setattr("marlseam.store.scribe.BACK_MS", 10.0)
+    monkeypatch.setattr("marlseam.store.log_writer_client.BACK_MS", 10.0)
     part = keeper()
     part.load()
     part.begin()
@@ -458,8 +459,8 @@
     def refused(*words, **named):
         raise OSError(number, "refused")
 
-    monkeypatch.setattr("marlseam.store.scribe.subprocess.Popen", refused)
-    monkeypatch.setattr("marlseam.store.scribe.BACK_MS", 10.0)
+    monkeypatch.setattr("marlseam.store.log_writer_client.subprocess.Popen", refused)
+    monkeypatch.setattr("marlseam.store.log_writer_client.BACK_MS", 10.0)
     part = keeper()
     part.load()
     part.begin()
@@ -487,7 +488,7 @@
 def test_a_helper_that_ends_is_followed_by_another_and_what_waited_is_not_kept(
     keeper, until, waits, monkeypatch
 ):
-    monkeypatch.setattr("marlseam.store.scribe.BACK_MS", 10.0)
+    monkeypatch.setattr("marlseam.store.log_writer_client.BACK_MS", 10.0)
     part = keeper()
     part.load()
     part.begin()
@@ -504,7 +505,7 @@
 
 
 def test_a_long_reading_gives_way_in_every_turn(keeper, loop, until, monkeypatch):
-    monkeypatch.setattr("marlseam.store.keeper.PIECE_MS", 0.0)
+    monkeypatch.setattr("marlseam.store.state_store.PIECE_MS", 0.0)
     part = keeper()
     folder, far = Folder(Disk(part.path), "n"), time.time() * 2000.0
     folder.number = 1
@@ -523,7 +524,7 @@
     ("number", "code"), [(errno.ENOSPC, "full"), (errno.EROFS, "read-only"), (errno.ENOENT, "vanished")]
 )
 def test_each_failure_has_its_code(number, code):
-    from marlseam.store.folder import code_of
+    from marlseam.store.state_directory import code_of
 
     disk = FaultyDisk()
     folder = Folder(disk, "n")
@@ -563,11 +564,11 @@
 
 
 def decided(node, key, marked):
-    """Take a payment and return the effects that are asked for at once, and its allocations."""
-    work = WorkUnit(key, 2, node.loop.now() + 5000.0, receipt=key, repeat=marked)
-    work = replace(work, kept=node.memory.keeper.serves())
-    effects = node.core.reduce(node.loop.now(), core.Arrival(work))
-    return [type(e) for e in effects if type(e) in (core.Send, core.Defer, core.Abort)]
+    """Take a payment and return the effects that are asked for at once, and its attempts."""
+    request = Request(key, 2, node.loop.now() + 5000.0, idempotency_key=key, may_be_retry=marked)
+    request = replace(request, is_recordable=node.memory.keeper.serves())
+    effects = node.core.reduce(node.loop.now(), core.RequestArrived(request))
+    return [type(e) for e in effects if type(e) in (core.SendAttempt, core.Reject, core.Fail)]
 
 
 def turned(node, holds):
@@ -599,7 +600,7 @@
 def test_a_node_whose_folder_another_has_sends_no_keyed_work_until_it_has_read_it(
     live, tmp_path, started, monkeypatch
 ):
-    monkeypatch.setattr("marlseam.store.scribe.LOCK_S", 0.02)
+    monkeypatch.setattr("marlseam.store.log_writer_client.LOCK_S", 0.02)
     path, far = tmp_path / "state", time.time() * 1000.0 + 20000.0
     first_life(path, "node")
     other = live() if started else None  # two processes started on one folder at once
@@ -607,7 +608,7 @@
     node = live()
     assert node.ready() and not node.memory.keeper.serves()
     for _ in range(3):
-        assert decided(node, "old", True) == [core.Abort] and decided(node, "new", False) == [core.Defer]
+        assert decided(node, "old", True) == [core.Fail] and decided(node, "new", False) == [core.Reject]
         node.loop.turn()
     if other is not None:
         number = other.memory.keeper.append(sent("old", far - 1000.0, "gone", far))
@@ -634,9 +635,11 @@
         node = live()  # on a folder that nobody began
         assert node.core.untold  # in its second life by what the first has put on record
         turned(node, node.memory.keeper.serves)
-        assert decided(node, "old", True) == [core.Abort]
+        assert decided(node, "old", True) == [core.Fail]
         ends = max(node.core.untold.values()) + 30000.0
-        assert node.core.reduce(ends + 1.0, core.Retold("none")) == [] and not node.core.untold_still()
+        assert (
+            node.core.reduce(ends + 1.0, core.HistoryAvailable("none")) == [] and not node.core.untold_still()
+        )
         node.memory.keeper.close()
         os.close(node.memory.keeper.lock)
         node.memory.keeper.lock = None
@@ -648,11 +651,14 @@
 @pytest.mark.parametrize(
     ("text", "key"),
     [
-        ("[stor]\n", "stor"), ("[store]\nfoldr = 'x'\n", "store.foldr"), ("[store]\n", "store.folder"),
-        ("[store]\nfolder = 'x'\nsync = 'no'\n", "store.sync"), ("nonsense", "MARLSEAM_SETTINGS"),
+        ("[stor]\n", "stor"),
+        ("[store]\nfoldr = 'x'\n", "store.foldr"),
+        ("[store]\n", "store.folder"),
+        ("[store]\nfolder = 'x'\nsync = 'no'\n", "store.sync"),
+        ("nonsense", "MARLSEAM_SETTINGS"),
         ("[store]\nfolder = 'x'\njournal_mb = -1\n", "store.journal_mb"),
     ],
-)  # fmt: skip
+)
 def test_a_wrong_setting_is_named(at_fault, text, key):
     assert at_fault(text) == key
 
--- a/tests/test_stored_by_earlier_programs.py
+++ b/tests/test_stored_by_earlier_programs.py
@@ -9,10 +9,10 @@
 import msgspec
 import pytest
 
-from marlseam.fleet.ledger import added_up
+from marlseam.cluster.audit_log import added_up
 from marlseam.simhost.__main__ import main
-from marlseam.store.folder import Disk, Era, Folder
-from marlseam.store.ledger import Ledger
+from marlseam.store.ledger_writer import Ledger
+from marlseam.store.state_directory import Disk, Era, Folder
 
 DATA = Path(__file__).parent / "data"
 ERA = Era("a-start-of-the-machine", 1.0e12)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -60,10 +60,10 @@
         return failing
 
     monkeypatch.setattr(http_module.select, "poll", made)
-    node.server.listener.close()
-    node.server.sock = socket.create_server(("127.0.0.1", 0))
-    node.server.sock.setblocking(False)
-    node.server.listen()
+    node.downstream.listener.close()
+    node.downstream.sock = socket.create_server(("127.0.0.1", 0))
+    node.downstream.sock.setblocking(False)
+    node.downstream.listen()
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 200")
     assert failing.left == 0
 
@@ -163,17 +163,17 @@
     node, client, reply, executor, number
 ):
     executor()
-    listener = node.server.listener
+    listener = node.downstream.listener
     listener.task.cancel()  # nobody accepts any more, as while nothing is left
     sock = client(REQUEST)
     listener.sock = FailingSocket(listener.sock, "accept", number)
-    node.server.stop_listening()
+    node.downstream.stop_listening()
     assert reply(sock).startswith(b"HTTP/1.1 200")
 
 
 def test_a_node_does_not_end_over_its_accept_queue(node, client, reply, executor):
     executor()
-    listener = node.server.listener
+    listener = node.downstream.listener
     listener.task.cancel()
     sock = client(REQUEST)
     listener.sock = FailingSocket(listener.sock, "accept", errno.ENFILE)
@@ -184,9 +184,9 @@
 
 
 def test_no_new_connection_comes_up_once_the_queue_was_taken(node):
-    address = node.server.listener.sock.getsockname()
-    node.server.stop_listening()
-    turn(node, lambda: node.server.sock.fileno() < 0)
+    address = node.downstream.listener.sock.getsockname()
+    node.downstream.stop_listening()
+    turn(node, lambda: node.downstream.sock.fileno() < 0)
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(address)
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -21,8 +21,8 @@
 from conftest import OPTIONS, SETTINGS, reconfigured
 from test_endings import HEAD, full_queue, reset
 
-from marlseam import logic
-from marlseam.interface import Listing
+from marlseam.decisions import dispatcher
+from marlseam.decisions.types import ListUpdateKind
 from marlseam.net import node as node_module
 from marlseam.net.discovery import OVERDUE
 
@@ -154,7 +154,7 @@
 def led(node, monkeypatch):
     """Return a maker of nodes that know discovery's list, and discovery."""
     made = []
-    monkeypatch.setattr(logic, "Chance", lambda seed: lambda: 1.0 - 2.0**-32)  # the longest rests
+    monkeypatch.setattr(dispatcher, "RandomSource", lambda seed: lambda: 1.0 - 2.0**-32)  # the longest rests
 
     def begin(listens: bool = True, **settings: object) -> Led:
         service = Service(listens)
@@ -449,7 +449,7 @@
 def test_a_list_on_a_connection_that_ends_with_it_is_taken_in_and_makes_no_storm(led, settings):
     last = whole(NEW).replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
     one = led(**settings)
-    rest_ms = one.node.core.node.set.renew_ms
+    rest_ms = one.node.core.dispatcher.settings.max_poll_interval_ms
     served = 0
     end = one.clock + 20.0 * rest_ms
     while one.clock < end:
@@ -496,8 +496,8 @@
         self.due: list[tuple[float, int, Callable[[], None]]] = []
         self.calls: list[float] = []
         self.told: dict[int, float] = {}
-        settings = replace(SETTINGS, nodes=len(seeds))
-        self.nodes = [logic.Node(settings, seed, Seat(self, i)) for i, seed in enumerate(seeds)]
+        settings = replace(SETTINGS, node_count=len(seeds))
+        self.nodes = [dispatcher.Dispatcher(settings, seed, Seat(self, i)) for i, seed in enumerate(seeds)]
 
     def at(self, at: float, call: Callable[[], None]) -> None:
         self.count += 1
@@ -518,7 +518,7 @@
             self.at(self.clock + CALL_MS, lambda: self.fail(i))
 
     def fail(self, i: int) -> None:
-        self.nodes[i].roster(Listing.FAILED, [])
+        self.nodes[i].update_endpoints(ListUpdateKind.FAILED, [])
 
     def run(self, until: float) -> None:
         while self.due and self.due[0][0] <= until:
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -8,14 +8,18 @@
 from hypothesis import strategies as st
 
 from marlseam import core
-from marlseam.core import Core
-from marlseam.interface import Listing, Outcome, State, WorkUnit
-from tests.conftest import EXCLUSIVE, RERUNNABLE, SETTINGS
+from marlseam.core import Reducer
+from marlseam.decisions.types import EndpointState, ListUpdateKind, Outcome, Request
+from tests.conftest import SAFE, SETTINGS, UNSAFE
 
-TURNED = replace(EXCLUSIVE, in_turn=True)
-ALSO = replace(RERUNNABLE, in_turn=True)
+TURNED = replace(UNSAFE, ordered_by_key=True)
+ALSO = replace(SAFE, ordered_by_key=True)
 RULED = replace(
-    SETTINGS, types=(TURNED, ALSO, RERUNNABLE), turn_gap_ms=50.0, asked_roster=False, may_probe=False
+    SETTINGS,
+    request_classes=(TURNED, ALSO, SAFE),
+    key_gap_ms=50.0,
+    subscribes_to_endpoints=False,
+    may_probe=False,
 )
 
 
@@ -23,55 +27,58 @@
     """A reducer in virtual time that notes sends, and what is broken of the order as the rule words it."""
 
     def __init__(self, rules=RULED):
-        self.core, self.clock, self.timers, self.sent, self.wrong = Core(), 1000.0, [], [], []
+        self.core, self.clock, self.timers, self.sent, self.wrong = Reducer(), 1000.0, [], [], []
         self.keys, self.over, self.out, self.rests, self.ended = {}, {}, {}, {}, []
-        self.post(core.Begin(rules, 7))
-        self.core.node.run = [50.0] * 3
-        self.core.node.seen = [seen + 1.0 for seen in self.core.node.seen]  # no guesses
+        self.post(core.NodeStarted(rules, 7))
+        self.core.dispatcher.run = [50.0] * 3
+        self.core.dispatcher.seen = [seen + 1.0 for seen in self.core.dispatcher.seen]  # no guesses
         self.post(
-            core.Roster(Listing.FULL, [core.Entry(f"e{i}", State.READY, 0, 0, 0, None) for i in range(4)])
+            core.EndpointListUpdate(
+                ListUpdateKind.FULL,
+                [core.EndpointEntry(f"e{i}", EndpointState.READY, 0, 0, 0, None) for i in range(4)],
+            )
         )
 
     def post(self, event):
         for effect in self.core.reduce(self.clock, event):
-            if type(effect) is core.Timer:
-                heappush(self.timers, (self.clock + effect.delay_ms, effect.mark))
-            elif type(effect) is core.Send:
-                self.sent.append(effect.ref)
-                key, before = self.keys.get(effect.ref, (None, []))
+            if type(effect) is core.SetTimer:
+                heappush(self.timers, (self.clock + effect.delay_ms, effect.timer_id))
+            elif type(effect) is core.SendAttempt:
+                self.sent.append(effect.request_id)
+                key, before = self.keys.get(effect.request_id, (None, []))
                 held = [r for r in before if not self.over[r] or self.out[r]]
                 if held or any(self.rests.get(r, 0.0) > self.clock for r in before):
-                    self.wrong.append((effect.ref, held))
-                self.out[effect.ref].add(effect.alloc)
-            elif type(effect) in (core.Defer, core.Abort, core.Complete):
-                self.over[effect.ref] = True
-                self.ended.append((type(effect).__name__, effect.ref))
+                    self.wrong.append((effect.request_id, held))
+                self.out[effect.request_id].add(effect.attempt_index)
+            elif type(effect) in (core.Reject, core.Fail, core.Respond):
+                self.over[effect.request_id] = True
+                self.ended.append((type(effect).__name__, effect.request_id))
 
-    def take(self, ref, key="k", type=0, limit=5000.0):
+    def take(self, request_id, key="k", type=0, limit=5000.0):
         if key is not None and type < 2:
-            self.keys[ref] = key, [r for r, (other, _) in self.keys.items() if other == key]
-        self.over[ref], self.out[ref] = False, set()
-        self.post(core.Arrival(WorkUnit(ref, type, self.clock + limit, key=key)))
-
-    def settle(self, ref, outcome=Outcome.COMPLETED):
-        alloc = min(self.out[ref])
-        self.out[ref].discard(alloc)
-        if outcome in (Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.WITHDRAWN):
-            self.rests[ref] = self.clock + 50.0
+            self.keys[request_id] = key, [r for r, (other, _) in self.keys.items() if other == key]
+        self.over[request_id], self.out[request_id] = False, set()
+        self.post(core.RequestArrived(Request(request_id, type, self.clock + limit, resource_key=key)))
+
+    def settle(self, request_id, outcome=Outcome.COMPLETED):
+        attempt_index = min(self.out[request_id])
+        self.out[request_id].discard(attempt_index)
+        if outcome in (Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED):
+            self.rests[request_id] = self.clock + 50.0
         done = outcome is Outcome.COMPLETED
-        self.over[ref] = self.over[ref] or done
-        self.post(core.Settled(ref, alloc, outcome, self.over[ref], None))
+        self.over[request_id] = self.over[request_id] or done
+        self.post(core.AttemptEnded(request_id, attempt_index, outcome, self.over[request_id], None))
 
     def wait(self, ms):
         until = self.clock + ms
         while self.timers and self.timers[0][0] <= until:
             at, mark = heappop(self.timers)
             self.clock = max(self.clock, at)
-            self.post(core.Due(mark))
+            self.post(core.TimerFired(mark))
         self.clock = until
 
     def kept(self):
-        return len(self.core.node.turns)
+        return len(self.core.dispatcher.turns)
 
 
 @pytest.fixture
@@ -80,8 +87,8 @@
 
 
 def test_one_key_one_at_a_time_in_the_order_taken_and_types_share_keys(world):
-    for ref, type in (("a", 0), ("b", 1), ("c", 0)):
-        world.take(ref, type=type)
+    for request_id, type in (("a", 0), ("b", 1), ("c", 0)):
+        world.take(request_id, type=type)
     world.take("other", key="x")
     world.take("free", key=None)
     world.take("plain", type=2)
@@ -91,7 +98,7 @@
     assert world.sent[4:] == ["b", "c"]
 
 
-@pytest.mark.parametrize("outcome", [Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.WITHDRAWN])
+@pytest.mark.parametrize("outcome", [Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED])
 def test_a_key_rests_after_what_may_still_run(world, outcome):
     world.take("a")
     world.take("b")
@@ -102,24 +109,24 @@
     assert world.sent == ["a", "b"]
 
 
-def test_the_first_is_given_up_while_its_allocation_is_out(world):
+def test_the_first_is_given_up_while_its_attempt_is_out(world):
     world.take("a", limit=700.0)
     world.take("b", limit=3000.0)
     world.wait(699.0)
     assert world.over["a"] and world.sent == ["a"]
     world.wait(30.0)
-    world.settle("a", Outcome.WITHDRAWN)
+    world.settle("a", Outcome.CANCELLED)
     world.wait(50.0)
     assert world.sent == ["a", "b"] or world.over["b"]
 
 
 def test_a_rest_that_outlasts_the_next_ones_limit_ends_it_in_time():
-    world = World(replace(RULED, turn_gap_ms=900.0))
+    world = World(replace(RULED, key_gap_ms=900.0))
     world.take("a")
     world.take("b", limit=600.0)
     world.settle("a", Outcome.BROKEN)
     world.wait(600.0)
-    assert ("Defer", "b") in world.ended and world.sent == ["a"]
+    assert ("Reject", "b") in world.ended and world.sent == ["a"]
     world.wait(300.0)
     assert world.kept() == 0
 
@@ -127,17 +134,17 @@
 @pytest.mark.parametrize(
     ("taken", "leaves", "sent"),
     [
-        ("abc", "b", "ac"),  # a deferral from the middle
+        ("abc", "b", "ac"),  # a rejection from the middle
         (["a", "b", "c", "b again"], "", ["a", "b", "c", "b again"]),  # a retry goes to the back
     ],
 )
 def test_what_leaves_or_comes_again_keeps_the_order(world, taken, leaves, sent):
-    for ref in taken:
-        world.take(ref)
-    for ref in leaves:
-        world.post(core.Left(ref))
-        world.over[ref] = True
-    while out := [ref for ref, allocs in world.out.items() if allocs]:
+    for request_id in taken:
+        world.take(request_id)
+    for request_id in leaves:
+        world.post(core.ClientLeft(request_id))
+        world.over[request_id] = True
+    while out := [request_id for request_id, attempts in world.out.items() if attempts]:
         world.settle(out[0])
     assert world.sent == list(sent) and not world.wrong
 
@@ -146,10 +153,10 @@
     for i in range(600):
         world.take(f"w{i}")
     assert 0 < len(world.ended) < 600 and world.sent == ["w0"]
-    world.post(core.Closing(10.0))
+    world.post(core.ShutdownBegun(10.0))
     world.wait(10.0)
     assert all(world.over.values())
-    world.settle("w0", Outcome.WITHDRAWN)
+    world.settle("w0", Outcome.CANCELLED)
     world.wait(50.0)
     assert world.kept() == 0 and not world.wrong
 
@@ -157,19 +164,19 @@
 def test_a_reload_that_drops_the_type_keeps_what_stands_and_one_that_asks_for_it_holds_open_work(world):
     world.take("a")
     world.take("b")
-    world.post(core.Renewed(replace(RULED, types=(EXCLUSIVE, RERUNNABLE, RERUNNABLE))))
+    world.post(core.SettingsChanged(replace(RULED, request_classes=(UNSAFE, SAFE, SAFE))))
     assert world.sent == ["a"]
     world.keys.clear()
     world.take("c")
     world.take("d")
     assert world.sent == ["a", "c", "d"]
     world.wrong.clear()  # what was sent while no order was asked for
-    world.post(core.Renewed(RULED))
+    world.post(core.SettingsChanged(RULED))
     world.keys |= {"e": ("k", ["c", "d"])}
     world.over["e"], world.out["e"] = False, set()
-    world.post(core.Arrival(WorkUnit("e", 0, world.clock + 5000.0, key="k")))
-    for ref in "abcd":
-        world.settle(ref)
+    world.post(core.RequestArrived(Request("e", 0, world.clock + 5000.0, resource_key="k")))
+    for request_id in "abcd":
+        world.settle(request_id)
     assert world.sent == ["a", "c", "d", "b", "e"] and not world.wrong
 
 
@@ -189,7 +196,7 @@
     st.tuples(
         st.sampled_from(["take", "take", "settle", "wait", "left"]),
         st.integers(0, 5),
-        st.sampled_from([o for o in Outcome if o is not Outcome.DROPPED]),
+        st.sampled_from([o for o in Outcome if o is not Outcome.STALE_CONNECTION]),
     ),
     max_size=60,
 )
@@ -200,7 +207,7 @@
 def test_over_any_history_order_is_kept_and_each_line_ends(steps):
     world = World()
     for i, (what, n, outcome) in enumerate(steps):
-        out = [ref for ref, allocs in world.out.items() if allocs]
+        out = [request_id for request_id, attempts in world.out.items() if attempts]
         if what == "take":
             world.take(f"w{i}", key="kl"[n % 2], type=n % 3, limit=400.0 + 600.0 * n)
         elif what == "settle" and out:
@@ -209,10 +216,10 @@
             world.wait(40.0 * n)
         elif what == "left" and (alive := [r for r, over in world.over.items() if not over]):
             world.over[alive[n % len(alive)]] = True
-            world.post(core.Left(alive[n % len(alive)]))
+            world.post(core.ClientLeft(alive[n % len(alive)]))
     while any(world.out.values()) or not all(world.over.values()):
-        for ref in [ref for ref, allocs in world.out.items() if allocs]:
-            world.settle(ref)
+        for request_id in [request_id for request_id, attempts in world.out.items() if attempts]:
+            world.settle(request_id)
         world.wait(1000.0)
     world.wait(100.0)
     assert not world.wrong and world.kept() == 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,14 +17,14 @@
 from hypothesis import strategies as st
 
 from marlseam import core
-from marlseam.config import ConfigError, load
-from marlseam.interface import State
-from marlseam.net import handover as handover_module
+from marlseam.configuration import ConfigError, load
+from marlseam.core.idempotency import AttemptRecord
+from marlseam.decisions.types import EndpointState
+from marlseam.net import process_handover as handover_module
+from marlseam.net.downstream import Room
 from marlseam.net.node import Node
-from marlseam.net.server import Room
-from marlseam.recovery import handover as form
-from marlseam.recovery.handover import Never, Sent
-from marlseam.recovery.receipts import Trace
+from marlseam.recovery import handover_codec as form
+from marlseam.recovery.handover_codec import Never, Sent
 
 READY = b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 HOSTS = [
@@ -229,8 +229,8 @@
     talk()
     turn(node, node.ready)
     assert set(node.discovery.held) == held_now and node.discovery.version == max(1, version)
-    assert version == 0 or node.discovery.held["e2"].state is State.DRAINING
-    assert [trace.executor for _, trace in node.core.receipts] == ["e1"]
+    assert version == 0 or node.discovery.held["e2"].state is EndpointState.DRAINING
+    assert [trace.server for _, trace in node.core.idempotency_records] == ["e1"]
 
 
 def test_a_retry_goes_where_the_other_process_has_sent_the_first(made, old, held):
@@ -239,8 +239,8 @@
     node = made(settings=PAYMENTS)
     talk()
     turn(node, node.ready)
-    wu, sock = pay(node, held)
-    assert [wu.fits(node.core.index[name]) for name in ("e1", "e5")] == [False, True]
+    state, sock = pay(node, held)
+    assert [state.fits(node.core.index[name]) for name in ("e1", "e5")] == [False, True]
     sock.close()
 
 
@@ -253,8 +253,8 @@
     peer.sendall(form.sent([sending(executor="e9", cell=5)]))
     for other in node.handover.peers:
         other.task.cancel()  # only what work asks for is read from here on
-    wu, sock = pay(node, held)
-    assert len(wu.allocs) == 1 and not wu.fits(node.core.index["e1"])
+    state, sock = pay(node, held)
+    assert len(state.attempts) == 1 and not state.fits(node.core.index["e1"])
     sock.close()
 
 
@@ -270,9 +270,9 @@
     node = made(settings=PAYMENTS)
     talk()
     turn(node, node.ready)
-    wu, sock = pay(node, held)
-    assert [wu.fits(node.core.index[name]) for name in ("e1", "e5")] == [False, True]
-    ((_, trace),) = node.core.receipts
+    state, sock = pay(node, held)
+    assert [state.fits(node.core.index[name]) for name in ("e1", "e5")] == [False, True]
+    ((_, trace),) = node.core.idempotency_records
     assert abs(trace.until_ms - node.loop.now() - 4000.0) < 2000.0
     sock.close()
 
@@ -289,7 +289,7 @@
     )
     node = made()
     talk()
-    turn(node, lambda: node.ready() and not len(node.core.receipts))
+    turn(node, lambda: node.ready() and not len(node.core.idempotency_records))
 
 
 @pytest.mark.parametrize(
@@ -332,12 +332,12 @@
     sock = socket.create_connection(held.getsockname())
     sock.sendall(PAYMENT % b"X-Repeat: 1\r\n")
     sock.setblocking(False)
-    # The old code held it until its hard limit; and where any executor drops repeats, sent it late.
+    # The old code held it until its deadline; and where any server drops repeats, sent it late.
     turn(node, lambda: node.counters.ends["payment"]["failed"])
     assert sock.recv(4096).startswith(b"HTTP/1.1 500 ")
     sock.close()
-    wu, sock = pay(node, held)
-    assert wu.fits(node.core.index["e1"])
+    state, sock = pay(node, held)
+    assert state.fits(node.core.index["e1"])
     sock.close()
 
 
@@ -389,7 +389,7 @@
     node.close()
     talk()
     node.loop.run()
-    assert node.server.listener is None and not node.ready()
+    assert node.downstream.listener is None and not node.ready()
 
 
 def test_a_reload_before_it_has_begun_is_taken(made, old):
@@ -398,7 +398,7 @@
     node.reload()
     talk()
     turn(node, node.ready)
-    assert node.counters.reloads == 1 and node.core.node.set.share == 0.5
+    assert node.counters.reloads == 1 and node.core.dispatcher.settings.process_share == 0.5
 
 
 def test_a_name_that_a_killed_process_left_is_removed(made, tmp_path):
@@ -456,14 +456,18 @@
 
 def test_a_later_process_is_told_what_there_is_and_what_comes(made, tmp_path):
     node = made(settings=PAYMENTS)
-    node.core.receipts.note("k8", Trace("e1", 0, 4, node.loop.now(), node.loop.now() + 9999.0))
+    node.core.idempotency_records.note(
+        "k8", AttemptRecord("e1", 0, 4, node.loop.now(), node.loop.now() + 9999.0)
+    )
     later = caller(tmp_path)
     rows = [item for raw in told(node, later, b'"whole"') for item in form.read(raw)]
     assert [type(row).__name__ for row in rows] == ["Hello", "Listed", "Sent", "Whole"]
-    node.remember(core.Remember("9", "k9", Trace("e1", 0, 4, node.loop.now(), node.loop.now() + 1.0)))
+    node.remember(
+        core.PersistAttempt("9", "k9", AttemptRecord("e1", 0, 4, node.loop.now(), node.loop.now() + 1.0))
+    )
     (row,) = form.read(told(node, later, b"k9")[-1])
     assert (row.key, row.executor, row.zone, row.cell) == ("k9", "e1", "here", 4)
-    node.remember(core.Forget("k9", "e1", node.loop.now()))
+    node.remember(core.ErasePersisted("k9", "e1", node.loop.now()))
     assert type(form.read(told(node, later, b"never")[-1])[0]) is Never
     later.close()
 
@@ -475,12 +479,12 @@
 
 def test_what_a_later_process_is_told_has_the_form_of_53bfa1a(made, tmp_path):
     node = made(settings=PAYMENTS)
-    trace = Trace("e1", 0, 4, node.loop.now(), node.loop.now() + 9999.0)
-    node.core.receipts.note("k8", trace)
+    trace = AttemptRecord("e1", 0, 4, node.loop.now(), node.loop.now() + 9999.0)
+    node.core.idempotency_records.note("k8", trace)
     later = caller(tmp_path)
     lines = told(node, later, b'"whole"')
-    node.remember(core.Remember("9", "k9", trace))
-    node.remember(core.Forget("k9", "e1", node.loop.now()))
+    node.remember(core.PersistAttempt("9", "k9", trace))
+    node.remember(core.ErasePersisted("k9", "e1", node.loop.now()))
     lines += told(node, later, b"never")
     node.handover.close()
     lines += told(node, later, b"over")
@@ -503,24 +507,27 @@
     talk()
     turn(node, lambda: node.ready() and not node.handover.peers)
     assert node.discovery.version == 41 and not node.core.untold
-    ((key, trace),) = node.core.receipts
-    assert (key, trace.executor, trace.zone, trace.cell) == ("k1", "e1", 0, 4)
+    ((key, trace),) = node.core.idempotency_records
+    assert (key, trace.server, trace.zone, trace.cell) == ("k1", "e1", 0, 4)
     assert abs(trace.until_ms - node.loop.now() - 9000.0) < 2000.0
 
 
 def test_limits_and_budgets_are_shared_while_two_processes_serve(made, tmp_path):
     node = made()
-    whole = node.server.room.clients, node.executors.places
+    whole = node.downstream.room.clients, node.upstream.places
     later = caller(tmp_path)
     turn(node, lambda: node.handover.peers)
-    shared = node.server.room.clients, node.executors.places
+    shared = node.downstream.room.clients, node.upstream.places
     assert all(2 * part <= all_ for part, all_ in zip(shared, whole, strict=True))
-    assert node.core.node.set.share == 0.5
+    assert node.core.dispatcher.settings.process_share == 0.5
     node.reload()
-    assert node.core.node.set.share == 0.5
+    assert node.core.dispatcher.settings.process_share == 0.5
     later.close()
     turn(node, lambda: not node.handover.peers)
-    assert (node.server.room.clients, node.executors.places) == whole and node.core.node.set.share == 1.0
+    assert (
+        node.downstream.room.clients,
+        node.upstream.places,
+    ) == whole and node.core.dispatcher.settings.process_share == 1.0
 
 
 def test_a_second_upgrade_during_the_first_shares_with_both(made, tmp_path):
@@ -529,7 +536,7 @@
     for number, sock in ((5, first), (6, second)):
         sock.sendall(hello(process=number))
     turn(node, lambda: len([p for p in node.handover.peers if p.hello]) == 2)
-    assert node.core.node.set.share == pytest.approx(1 / 3)
+    assert node.core.dispatcher.settings.process_share == pytest.approx(1 / 3)
     first.close()
     second.close()
 
@@ -537,9 +544,9 @@
 def test_more_connections_than_the_part_are_closed_where_they_stand_unused(made, held, tmp_path, monkeypatch):
     node = made()
     socks = [socket.create_connection(held.getsockname()) for _ in range(4)]
-    turn(node, lambda: len(node.server.idle) == 4)
-    node.server.configure(node.config.deployment, Room(2, 1e9))
-    assert len(node.server.idle) == 2
+    turn(node, lambda: len(node.downstream.idle) == 4)
+    node.downstream.configure(node.config.deployment, Room(2, 1e9))
+    assert len(node.downstream.idle) == 2
     for sock in socks:
         sock.close()
 
@@ -549,9 +556,9 @@
     node = made()
     later = caller(tmp_path)
     told(node, later, b'"whole"')
-    trace = Trace("e1", 0, 4, 0.0, 1.0)
+    trace = AttemptRecord("e1", 0, 4, 0.0, 1.0)
     for i in range(100000):
-        node.remember(core.Remember(str(i), f"key {i}", trace))
+        node.remember(core.PersistAttempt(str(i), f"key {i}", trace))
         if not node.handover.peers:
             break
     assert not node.handover.peers and "code=behind" in capsys.readouterr().err
