--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -18,15 +18,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marlseam import chance
+from marlseam import random_source
 from marlseam.cli import fleet as command
-from marlseam.config import ConfigError, FleetSettings, load
-from marlseam.experiment.versions import up_after
-from marlseam.fleet import audit, says, trial
-from marlseam.fleet.content import FORMAT, Content, Unfit, digest, meaning, read, write
-from marlseam.fleet.hunt import Strike
-from marlseam.fleet.ledger import Acting as Interval
-from marlseam.fleet.ledger import (
+from marlseam.cluster import audit
+from marlseam.cluster.audit_log import Acting as Interval
+from marlseam.cluster.audit_log import (
     Barred,
     Begun,
     Ended,
@@ -39,18 +35,24 @@
     Written,
     encode,
 )
-from marlseam.fleet.says import Kind, Note, Piece, Tell, Vote, Want
-from marlseam.fleet.versions import Apply, Keep, Terms, To, Versions
-from marlseam.fleet.words import Claim, Letter, Odd
-from marlseam.fleet.words import Kind as LetterKind
-from marlseam.net.acting import Acting, Port
+from marlseam.cluster.checking import replication_schedules
+from marlseam.cluster.checking.membership_schedules import Strike
+from marlseam.cluster.membership_codec import Claim, Letter, Odd
+from marlseam.cluster.membership_codec import Kind as LetterKind
+from marlseam.cluster.replication import messages
+from marlseam.cluster.replication.content import FORMAT, Content, Unfit, digest, meaning, read, write
+from marlseam.cluster.replication.messages import Kind, Note, Piece, Tell, Vote, Want
+from marlseam.cluster.replication.replica import Apply, Keep, Terms, To, Versions
+from marlseam.configuration import ClusterSettings, ConfigError, load
+from marlseam.experiment.versions import up_after
+from marlseam.net.config_service import Acting, Port
 from marlseam.net.log import Log
+from marlseam.net.membership_service import Peers
 from marlseam.net.node import Node
-from marlseam.net.peers import Peers
-from marlseam.store import audit as ledgers
-from marlseam.store import format as form
-from marlseam.store.folder import Disk, Folder
-from marlseam.store.ledger import Ledger, first_life
+from marlseam.store import file_format as form
+from marlseam.store import ledger_audit as ledgers
+from marlseam.store.ledger_writer import Ledger, first_life
+from marlseam.store.state_directory import Disk, Folder
 
 NAMES = frozenset("abcdefg")
 LEASE = 15000.0
@@ -67,8 +69,17 @@
 
 
 def told(seq, **more):
-    values = {"number": 0, "id": "", "acting": 0, "serving": True, "code": "", "accepted": 0, "top": 0,
-              "votes": True, "age_ms": -1.0} | more  # fmt: skip
+    values = {
+        "number": 0,
+        "id": "",
+        "acting": 0,
+        "serving": True,
+        "code": "",
+        "accepted": 0,
+        "top": 0,
+        "votes": True,
+        "age_ms": -1.0,
+    } | more
     return Tell(seq, **values)
 
 
@@ -83,11 +94,13 @@
 # The search in virtual time, and defects that it finds.
 
 
-@pytest.mark.parametrize("rows", [0, trial.ROWS])
+@pytest.mark.parametrize("rows", [0, replication_schedules.ROWS])
 @pytest.mark.parametrize("seed", [1, 81, 1287, 2130, 8759])
 def test_no_schedule_breaks_a_bound(seed, rows):
     # What 1287 and 2130 were with the chance of before is played below.
-    assert trial.play(7, seed, trial.schedule(7, seed), rows=rows).broken == []
+    assert (
+        replication_schedules.play(7, seed, replication_schedules.schedule(7, seed), rows=rows).broken == []
+    )
 
 
 @pytest.fixture
@@ -102,25 +115,25 @@
             self.count += 1
             return crc32(f"{self.text}:{self.count}".encode()) % below
 
-    monkeypatch.setattr(chance, "number", crc32)
-    monkeypatch.setattr(trial, "number", crc32)
-    monkeypatch.setattr(trial, "Draws", Draws)
+    monkeypatch.setattr(random_source, "number", crc32)
+    monkeypatch.setattr(replication_schedules, "number", crc32)
+    monkeypatch.setattr(replication_schedules, "Draws", Draws)
 
 
 @pytest.mark.parametrize(("seed", "mark"), [(1287, 3088115518), (2130, 3829650978)])
 def test_the_schedules_that_once_broke_a_bound_break_none(seed, mark, linear):
-    strikes = trial.schedule(7, seed)
+    strikes = replication_schedules.schedule(7, seed)
     assert crc32(repr(strikes).encode()) == mark  # two contents of a number; all without a proof
-    assert trial.play(7, seed, strikes, rows=0).broken == []
+    assert replication_schedules.play(7, seed, strikes, rows=0).broken == []
 
 
 def test_without_faults_all_publications_are_chosen_and_acted_on():
-    found = trial.play(7, 0, [])
+    found = replication_schedules.play(7, 0, [])
     assert found.broken == [] and found.chosen == 6
 
 
 def test_with_loss_all_still_come_to_act_on_the_newest():
-    world = trial.Trial(30, 5, [], loss=0.2)
+    world = replication_schedules.Trial(30, 5, [], loss=0.2)
     world.run(5000.0)
     world.publish("n7", 1)
     world.run(20000.0)
@@ -205,23 +218,29 @@
 @pytest.mark.parametrize(
     ("machine", "seed"),
     [
-        (SpeaksFirst, 1), (NoAge, 22), (OneProves, 18), (AcceptedIsClear, 22),
-        (FirstVoters, 1), (NoLease, 18), (NeverFinishes, 57), (AsksOnce, 3),
+        (SpeaksFirst, 1),
+        (NoAge, 22),
+        (OneProves, 18),
+        (AcceptedIsClear, 22),
+        (FirstVoters, 1),
+        (NoLease, 18),
+        (NeverFinishes, 57),
+        (AsksOnce, 3),
         (FromTheAnswer, LATE),
     ],
-)  # fmt: skip
+)
 def test_a_planted_defect_is_found(machine, seed):
-    strikes = trial.schedule(7, seed) if isinstance(seed, int) else seed
+    strikes = replication_schedules.schedule(7, seed) if isinstance(seed, int) else seed
     number = seed if isinstance(seed, int) else 9
-    assert trial.play(7, number, strikes, machine, rows=0).broken
-    assert trial.play(7, number, strikes, rows=0).broken == []
+    assert replication_schedules.play(7, number, strikes, machine, rows=0).broken
+    assert replication_schedules.play(7, number, strikes, rows=0).broken == []
 
 
 @pytest.mark.parametrize(("machine", "seed"), [(NoLease, 18), (NeverFinishes, 57), (FirstVoters, 3)])
 def test_a_planted_defect_is_found_where_changes_are_passed_on_too(machine, seed):
-    strikes = trial.schedule(7, seed)
-    assert trial.play(7, seed, strikes, machine).broken
-    assert trial.play(7, seed, strikes).broken == []
+    strikes = replication_schedules.schedule(7, seed)
+    assert replication_schedules.play(7, seed, strikes, machine).broken
+    assert replication_schedules.play(7, seed, strikes).broken == []
 
 
 # One machine.
@@ -393,22 +412,33 @@
 @given(st.binary(max_size=400))
 def test_no_bytes_break_the_reader_of_notes(data):
     with pytest.raises(Odd):
-        says.read(says.FIRST + data, "f", NAMES)
+        messages.read(messages.FIRST + data, "f", NAMES)
 
 
 IDS = st.sampled_from([digest(b"%d" % i) for i in range(40)])
 NUMBERS = st.one_of(st.integers(0, 3), st.integers(0, 1 << 53))
 PLACES = st.sampled_from(["a/1", "b/1", ""])
 SAYS = st.one_of(
-    st.builds(says.Ask, NUMBERS, NUMBERS),
+    st.builds(messages.Ask, NUMBERS, NUMBERS),
     st.builds(
-        Tell, NUMBERS, NUMBERS, IDS, NUMBERS, st.booleans(), st.just(""), NUMBERS, NUMBERS, st.booleans(),
+        Tell,
+        NUMBERS,
+        NUMBERS,
+        IDS,
+        NUMBERS,
+        st.booleans(),
+        st.just(""),
+        NUMBERS,
+        NUMBERS,
+        st.booleans(),
         st.floats(-1.0, 1e9),
     ),
-    st.builds(Vote, st.sampled_from(says.VOTES), NUMBERS, NUMBERS, PLACES, NUMBERS, PLACES, IDS, st.just("")),
-    st.builds(Want, IDS, st.integers(0, says.CONTENT_MOST - 1)),
+    st.builds(
+        Vote, st.sampled_from(messages.VOTES), NUMBERS, NUMBERS, PLACES, NUMBERS, PLACES, IDS, st.just("")
+    ),
+    st.builds(Want, IDS, st.integers(0, messages.CONTENT_MOST - 1)),
     st.builds(Piece, IDS, st.just(2000), st.sampled_from([0, 1000]), st.just(b"x" * 1000)),
-)  # fmt: skip
+)
 
 
 @given(st.lists(st.tuples(st.sampled_from("bcg"), SAYS, st.booleans()), max_size=60))
@@ -436,15 +466,21 @@
 @pytest.mark.parametrize(
     ("say", "code"),
     [
-        (Want("x", 0), "bounds"), (Want("0" * 64, -1), "bounds"), (Piece("0" * 64, 5, 4, b"22"), "bounds"),
-        (Piece("0" * 64, 5, 5, b""), "bounds"), (told(-1), "bounds"), (told(1, code="c" * 65), "bounds"),
-        (Vote("vote", 1, 1, ""), "bounds"), (Vote("accept", 1, 1, "", value="short"), "bounds"),
-        (Vote("prepare", 1, 1, "p" * 999), "bounds"), (told(1, age_ms=inf), "bounds"),
+        (Want("x", 0), "bounds"),
+        (Want("0" * 64, -1), "bounds"),
+        (Piece("0" * 64, 5, 4, b"22"), "bounds"),
+        (Piece("0" * 64, 5, 5, b""), "bounds"),
+        (told(-1), "bounds"),
+        (told(1, code="c" * 65), "bounds"),
+        (Vote("vote", 1, 1, ""), "bounds"),
+        (Vote("accept", 1, 1, "", value="short"), "bounds"),
+        (Vote("prepare", 1, 1, "p" * 999), "bounds"),
+        (told(1, age_ms=inf), "bounds"),
     ],
-)  # fmt: skip
+)
 def test_what_is_out_of_bounds_is_no_note(say, code):
     with pytest.raises(Odd) as odd:
-        says.read(says.write(Note(says.VERSION, "f", "a", say)), "f", NAMES)
+        messages.read(messages.write(Note(messages.VERSION, "f", "a", say)), "f", NAMES)
     assert odd.value.code == code
 
 
@@ -576,7 +612,7 @@
 
 
 def test_ledgers_are_bounded(folder, monkeypatch):
-    monkeypatch.setattr("marlseam.store.ledger.FILES", 3)
+    monkeypatch.setattr("marlseam.store.ledger_writer.FILES", 3)
     _, ledger = loaded(folder)
     for _ in range(6):
         ledger.renew()
@@ -608,18 +644,29 @@
     ("entries", "what"),
     [
         ([interval(1, 1000.0), interval(3, 2000.0)], "intervals [2]"),
-        ([Written(900.0), Life(8, "0.1", "boot", 1e6, 0.0, LEASE), interval(2, 1e6, life=8)],
-         "intervals [1]"),
+        (
+            [Written(900.0), Life(8, "0.1", "boot", 1e6, 0.0, LEASE), interval(2, 1e6, life=8)],
+            "intervals [1]",
+        ),
         ([interval(1, 1000.0), Mark(7, [(2, 1, 1, 1, 1)], 1500.0, 0.0)], "is missing"),
         ([interval(1, 1000.0), interval(1, 2000.0)], "two intervals 1"),
-        ([interval(1, 1000.0), Mark(7, [(1, 5, 5, 5, 5)], 1.0, 0.0), Mark(7, [(1, 4, 5, 5, 5)], 2.0, 0.0)],
-         "fewer acts"),
+        (
+            [interval(1, 1000.0), Mark(7, [(1, 5, 5, 5, 5)], 1.0, 0.0), Mark(7, [(1, 4, 5, 5, 5)], 2.0, 0.0)],
+            "fewer acts",
+        ),
         ([Held(1, "x", 1.0), Held(1, "y", 1.0)], "2 contents"),
-        ([interval(1, 1000.0), Held(1, "x", 2000.0), Mark(7, [(1, 1, 1, 1, 1)], 2000.0 + LEASE + 50.0, 0.0),
-          Mark(7, [(1, 2, 2, 2, 2)], 2000.0 + LEASE + 99.0, 0.0)], "1 acts on version 0, as proved"),
+        (
+            [
+                interval(1, 1000.0),
+                Held(1, "x", 2000.0),
+                Mark(7, [(1, 1, 1, 1, 1)], 2000.0 + LEASE + 50.0, 0.0),
+                Mark(7, [(1, 2, 2, 2, 2)], 2000.0 + LEASE + 99.0, 0.0),
+            ],
+            "1 acts on version 0, as proved",
+        ),
         ([Mark(7, [], 9000.0, 0.0), Life(8, "0.1", "boot", 5000.0, 0.0, LEASE)], "life 8 began before 7"),
     ],
-)  # fmt: skip
+)
 def test_what_must_not_be_is_told(entries, what):
     assert any(what in text for text in spans(*entries).wrong)
 
@@ -686,7 +733,9 @@
     found = {}
     for i, name in enumerate("abc"):
         first_life(tmp_path / name, name)
-        settings = FleetSettings("f", members, 20.0, str(tmp_path / name), tuple("abc"), 300.0, True, 3000.0)
+        settings = ClusterSettings(
+            "f", members, 20.0, str(tmp_path / name), tuple("abc"), 300.0, True, 3000.0
+        )
         stage = Stage()
         found[name] = Peers(loop, Log(name, loop.now), settings, name, i, stage.port()), stage
         found[name][0].acting.load()
@@ -774,10 +823,15 @@
 
 @pytest.mark.parametrize(
     ("body", "what"),
-    [(b"[]", "settings and why"), (b"{", "settings and why"), (b'{"settings": 1, "why": "w"}', "settings"),
-     (b'{"settings": {}, "why": ""}', "why"), (b'{"settings": {}, "why": "w", "voters": 3}', "voters"),
-     (b'{"settings": {}, "why": "w", "voters": ["a", "z", "b"]}', "members")],
-)  # fmt: skip
+    [
+        (b"[]", "settings and why"),
+        (b"{", "settings and why"),
+        (b'{"settings": 1, "why": "w"}', "settings"),
+        (b'{"settings": {}, "why": ""}', "why"),
+        (b'{"settings": {}, "why": "w", "voters": 3}', "voters"),
+        (b'{"settings": {}, "why": "w", "voters": ["a", "z", "b"]}', "members"),
+    ],
+)
 def test_what_cannot_be_published_is_refused_at_once(fleet, body, what):
     status, text = fleet["a"][0].acting.publish(body)
     assert status == 400 and what in text and fleet["a"][0].acting.machine.publication is None
@@ -799,11 +853,13 @@
 @pytest.mark.parametrize(
     ("more", "key"),
     [
-        ('voters = ["n"]', "folder"), ('folder = "x"', "voters"), ('folder = "x"\nvoters = ["z"]', "voters"),
+        ('voters = ["n"]', "folder"),
+        ('folder = "x"', "voters"),
+        ('folder = "x"\nvoters = ["z"]', "voters"),
         ('folder = "x"\nvoters = ["n"]\nlease_ms = 5', "lease_ms"),
         ('folder = "x"\nvoters = ["n"]\npast_lease = "no"', "past_lease"),
     ],
-)  # fmt: skip
+)
 def test_bad_settings_of_versions_are_named(tmp_path, more, key):
     path, own = tmp_path / "n.json", tmp_path / "own.toml"
     values = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "name": "n", "settings": OPTIONS}
@@ -867,13 +923,16 @@
     settings = json.loads(json.dumps(OPTIONS))
     settings["requestClasses"][0]["aimUs"] = 777000.0
     node.acting.publish(json.dumps({"settings": settings, "why": "slower"}).encode())
-    turned(node, lambda: node.config.deployment.settings.types[0].promised_ms == 777.0)
+    turned(node, lambda: node.config.deployment.settings.request_classes[0].latency_objective_ms == 777.0)
     node.reload()  # the file says what it said
-    assert node.config.deployment.settings.types[0].promised_ms == 777.0
+    assert node.config.deployment.settings.request_classes[0].latency_objective_ms == 777.0
     assert "code=local-refused" in capsys.readouterr().err
     stop(node)
     node = start()
-    assert node.config.deployment.settings.types[0].promised_ms == 777.0 and node.acting.machine.acting == 1
+    assert (
+        node.config.deployment.settings.request_classes[0].latency_objective_ms == 777.0
+        and node.acting.machine.acting == 1
+    )
 
 
 def test_a_node_that_is_shut_out_stays_out_whatever_another_door_says(single):
@@ -943,8 +1002,9 @@
     assert publish(members=members)[0] == 202
     until(lambda: all("d" in peers.machine.members for peers, _ in fleet.values()))
     first_life(tmp_path / "d", "d")
-    joining = FleetSettings("f", a.settings.members | {"d": address}, 20.0, str(tmp_path / "d"), tuple("abc"),
-                            300.0, True, 3000.0)  # fmt: skip
+    joining = ClusterSettings(
+        "f", a.settings.members | {"d": address}, 20.0, str(tmp_path / "d"), tuple("abc"), 300.0, True, 3000.0
+    )
     stage = Stage()
     fleet["d"] = Peers(loop, Log("d", loop.now), joining, "d", 4, stage.port()), stage
     fleet["d"][0].acting.load()
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -5,17 +5,22 @@
 
 import pytest
 
-from marlseam.net.starts import BELIEVED_MS
+from marlseam.net.server_start_times import BELIEVED_MS
 
 HOUR_MS = 3600_000.0
 STEPS_MS = [-HOUR_MS, -8000.0, -1000.0, 0.0, 1000.0, 8000.0, HOUR_MS]
 
 
-def host(name: str, born_ms: float) -> dict[str, object]:
+def host(name: str, process_started_ms: float) -> dict[str, object]:
     return {
-        "host": name, "dial": "127.0.0.1:1", "site": "here", "class": "plain", "block": 0,
-        "health": "active", "born_ms": round(born_ms),
-    }  # fmt: skip
+        "host": name,
+        "dial": "127.0.0.1:1",
+        "site": "here",
+        "class": "plain",
+        "block": 0,
+        "health": "active",
+        "born_ms": round(process_started_ms),
+    }
 
 
 def tell(node, *hosts: dict[str, object], whole: bool = True) -> None:
@@ -30,12 +35,12 @@
 
 def allowance(node, name: str) -> float:
     """Return what all nodes may send to a server, in mean requests a ms; inf where it is warm."""
-    return node.core.node.allowance(node.core.index[name])
+    return node.core.dispatcher.allowance(node.core.index[name])
 
 
 def in_slow_start(node, name: str) -> bool:
     e = node.core.index[name]
-    node.core.node.warm(e, 1.0)
+    node.core.dispatcher.warm(e, 1.0)
     return allowance(node, name) < inf
 
 
@@ -60,7 +65,7 @@
     tell(node, host("e2", unix_ms - 1500.0), whole=False)
     node.core.clock = node.loop.now()
     e, now_unix_ms = node.core.index["e2"], time.time() * 1000.0
-    assert node.core.clock - node.core.node.born[e] < now_unix_ms - (unix_ms - 1500.0) + BELIEVED_MS
+    assert node.core.clock - node.core.dispatcher.born[e] < now_unix_ms - (unix_ms - 1500.0) + BELIEVED_MS
 
 
 @pytest.mark.parametrize("step_ms", [-HOUR_MS, HOUR_MS])
@@ -92,10 +97,10 @@
     tell(node, host("e1", unix_ms - 9000.0))
     node.core.clock = node.loop.now()
     e = node.core.index["e1"]
-    born = node.core.node.born[e]
+    born = node.core.dispatcher.born[e]
     tell(node, host("e2", unix_ms - 10.0), whole=False)
     tell(node, host("e1", unix_ms - 9000.0), host("e2", unix_ms - 10.0))
-    assert node.core.node.born[e] == born
+    assert node.core.dispatcher.born[e] == born
 
 
 @pytest.mark.parametrize("step_ms", STEPS_MS)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -11,56 +11,61 @@
 from conftest import OPTIONS
 
 from marlseam import core
-from marlseam.config import ConfigError, deployment_from, load
-from marlseam.core import Core, Entry
-from marlseam.interface import Decision, Listing, Outcome, Report, State, WorkUnit
-from marlseam.watch import Watch
+from marlseam.configuration import ConfigError, deployment_from, load
+from marlseam.core import EndpointEntry, Reducer
+from marlseam.decisions.types import Decision, EndpointState, ListUpdateKind, LoadReport, Outcome, Request
+from marlseam.shadow_policy import Watch
 
 SETTINGS = deployment_from(OPTIONS).settings
 
 
 def entry(name, weight=None):
-    return Entry(name, State.READY, 0, 0, 0, None, weight)
+    return EndpointEntry(name, EndpointState.READY, 0, 0, 0, None, weight)
 
 
 def day(rounds=60, plain=False):
     """Yield a day's events: arrivals, starts, ends of each sort, a list that moves, timers."""
-    yield 0.0, core.Begin(SETTINGS, 7)
-    yield 1.0, core.Roster(Listing.FULL, [entry(f"e{i}", 3.0) for i in range(4)])
+    yield 0.0, core.NodeStarted(SETTINGS, 7)
+    yield 1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry(f"e{i}", 3.0) for i in range(4)])
     for i in range(rounds):
         at = 10.0 + 40.0 * i
-        yield at, core.Arrival(WorkUnit(f"w{i}", i % 2, at + 5000.0, key=None if plain else f"k{i % 3}"))
+        yield (
+            at,
+            core.RequestArrived(
+                Request(f"w{i}", i % 2, at + 5000.0, resource_key=None if plain else f"k{i % 3}")
+            ),
+        )
         yield at + 5.0, None
         if i % 10 == 9:
             yield (
                 at + 9.0,
-                core.Roster(
-                    Listing.DELTA, [entry(f"e{j}", None if plain else 3.0 / (1 + j)) for j in range(4)]
+                core.EndpointListUpdate(
+                    ListUpdateKind.DELTA, [entry(f"e{j}", None if plain else 3.0 / (1 + j)) for j in range(4)]
                 ),
             )
         if i >= 8:
             ended = Outcome.ERROR if i % 7 == 0 else Outcome.COMPLETED
-            final, report = ended is Outcome.COMPLETED, Report(queued=1.0)
-            yield at + 12.0, core.Settled(f"w{i - 8}", 0, ended, final, report)
+            final, report = ended is Outcome.COMPLETED, LoadReport(queued=1.0)
+            yield at + 12.0, core.AttemptEnded(f"w{i - 8}", 0, ended, final, report)
     for mark in range(1, 40):
-        yield 9000.0 + mark, core.Due(mark)
+        yield 9000.0 + mark, core.TimerFired(mark)
 
 
 def play(watch=None, plain=False):
     """Play the day; each probe is answered and each send started in the next event. Return all effects."""
-    made, done, probes, sends = Core(watch), [], [], []
+    made, done, probes, sends = Reducer(watch), [], [], []
     for at, event in day(plain=plain):
         events = [event] if event is not None else []
         if event is None:
-            report = Report(queued=0.0, free_slots=2.0)
-            events = [core.Probed(e, Outcome.COMPLETED, 1.0, report) for e in probes]
-            events += [core.Started(ref, alloc) for ref, alloc in sends]
+            report = LoadReport(queued=0.0, free_slots=2.0)
+            events = [core.ProbeEnded(e, Outcome.COMPLETED, 1.0, report) for e in probes]
+            events += [core.AttemptStarted(request_id, attempt_index) for request_id, attempt_index in sends]
             probes, sends = [], []
         for each in events:
             effects = made.reduce(at, each)
             done += effects
-            probes += [e.executor for e in effects if type(e) is core.Probe]
-            sends += [(e.ref, e.alloc) for e in effects if type(e) is core.Send]
+            probes += [e.server for e in effects if type(e) is core.Probe]
+            sends += [(e.request_id, e.attempt_index) for e in effects if type(e) is core.SendAttempt]
     return done
 
 
@@ -69,7 +74,8 @@
 
 
 @pytest.mark.parametrize(
-    "changes", [{}, {"live_weights": True, "answers_report": True, "fetch_price": 0.03, "by_size": True}]
+    "changes",
+    [{}, {"live_weights": True, "reports_in_responses": True, "fetch_cost": 0.03, "weight_by_size": True}],
 )
 def test_watching_changes_no_action(changes):
     watch = other(**changes)
@@ -84,14 +90,16 @@
     watch = other()
     play(watch)
     by_chance = {(Decision.ASK, Decision.HOME), (Decision.HOME, Decision.ASK)}  # another home was drawn
-    assert set(watch.otherwise) <= by_chance and all(not wu.done or wu.out() for wu in watch.open.values())
+    assert set(watch.otherwise) <= by_chance and all(
+        not state.done or state.out() for state in watch.open.values()
+    )
 
 
 def test_a_known_difference_is_counted():
-    made = Core(other(may_probe=False))
-    made.reduce(0.0, core.Begin(SETTINGS, 7))
-    made.reduce(1.0, core.Roster(Listing.FULL, [entry("e0")]))
-    made.reduce(2.0, core.Arrival(WorkUnit("w", 0, 5000.0)))
+    made = Reducer(other(may_probe=False))
+    made.reduce(0.0, core.NodeStarted(SETTINGS, 7))
+    made.reduce(1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e0")]))
+    made.reduce(2.0, core.RequestArrived(Request("w", 0, 5000.0)))
     assert made.watch.otherwise == {(Decision.ASK, Decision.HOME): 1} and made.watch.decided == 1
     assert made.watch.lines()[1] == "watch: 1 times home asked where it would be home"
 
@@ -116,7 +124,7 @@
     config = own('[watch]\nweights = "live"\nreports = "answers"\n')
     assert own("").watch is None and not config.deployment.settings.live_weights
     changed = config.watch.change(config.deployment.settings)
-    assert (changed.live_weights, changed.answers_report, changed.fetch_price) == (True, True, 0.0)
+    assert (changed.live_weights, changed.reports_in_responses, changed.fetch_cost) == (True, True, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -137,15 +145,17 @@
     assert error.value.key == key
 
 
-# On loopback: a node of its own process, and an executor's address that refuses.
+# On loopback: a node of its own process, and a server's address that refuses.
 
 
 def test_a_real_node_logs_its_counts_at_the_end_and_answers_as_ever(tmp_path):
     host = {"host": "e1", "dial": "127.0.0.1:1", "health": "active", "site": "here", "class": "plain"}
     values = {
-        "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": OPTIONS,
+        "listen": "127.0.0.1:0",
+        "discovery": "127.0.0.1:1",
+        "settings": OPTIONS,
         "known": {"seq": 1, "whole": True, "hosts": [host]},
-    }  # fmt: skip
+    }
     (tmp_path / "node.json").write_text(json.dumps(values))
     (tmp_path / "own.toml").write_text('[watch]\nweights = "live"\nreports = "answers"\n')
     files = ["--config", str(tmp_path / "node.json"), "--settings", str(tmp_path / "own.toml")]
--- a/tests/test_wire_samples.py
+++ b/tests/test_wire_samples.py
@@ -6,9 +6,10 @@
 import pytest
 import wire_samples
 
-from marlseam.fleet import ledger, says, words
-from marlseam.recovery import handover
-from marlseam.store import format as files
+from marlseam.cluster import audit_log, membership_codec
+from marlseam.cluster.replication import messages
+from marlseam.recovery import handover_codec
+from marlseam.store import file_format as files
 
 KEPT = {
     name: bytes.fromhex(data)
@@ -33,16 +34,16 @@
 
 @pytest.mark.parametrize("data", kept("letter"))
 def test_a_letter_is_read_and_written_to_the_same_bytes(data):
-    assert words.write(words.read(data, "f", NAMES)) == data
+    assert membership_codec.write(membership_codec.read(data, "f", NAMES)) == data
 
 
 @pytest.mark.parametrize("data", kept("note"))
 def test_a_note_is_read_and_written_to_the_same_bytes(data):
-    assert says.write(says.read(data, "f", NAMES)) == data
+    assert messages.write(messages.read(data, "f", NAMES)) == data
 
 
 def test_notes_are_counted_under_the_same_numbers():
-    kinds = [int(says.kind_of(note.say)) for note in wire_samples.notes()]
+    kinds = [int(messages.kind_of(note.say)) for note in wire_samples.notes()]
     assert kinds == [11, 12, 18, 19, 13, 14, 15, 16, 17]
 
 
@@ -53,22 +54,24 @@
 
 def test_records_of_the_ledger_are_read_as_what_was_written():
     for record, data in zip(wire_samples.ledger_records(), kept("ledger"), strict=True):
-        assert ledger.DECODER.decode(data) == record
+        assert audit_log.DECODER.decode(data) == record
 
 
 def test_lines_of_the_handover_are_read_as_what_was_written():
-    row = handover.Sent("k", "e1", "here", 5, 1000.5, 2000.5)
+    row = handover_codec.Sent("k", "e1", "here", 5, 1000.5, 2000.5)
     hosts = [{"host": "e1", "dial": "127.0.0.1:1"}, {"host": "e2", "dial": "127.0.0.1:2"}]
-    read = [item for data in kept("handover") for line in data.splitlines() for item in handover.read(line)]
+    read = [
+        item for data in kept("handover") for line in data.splitlines() for item in handover_codec.read(line)
+    ]
     assert read == [
-        handover.Hello("n1", 17, False, None),
-        handover.Hello("n1", 17, True, 1.5),
-        handover.Proof(41, wire_samples.DIGEST, 42.5),
+        handover_codec.Hello("n1", 17, False, None),
+        handover_codec.Hello("n1", 17, True, 1.5),
+        handover_codec.Proof(41, wire_samples.DIGEST, 42.5),
         row,
-        handover.Never("k", "e1", 1000.5),
-        handover.Listed(43, hosts),
+        handover_codec.Never("k", "e1", 1000.5),
+        handover_codec.Listed(43, hosts),
         row,
         row,
-        handover.Whole(),
-        handover.Over(),
+        handover_codec.Whole(),
+        handover_codec.Over(),
     ]
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 from worlds import day, played
 
-from marlseam.core import Entry
-from marlseam.interface import State
+from marlseam.core import EndpointEntry
+from marlseam.decisions.types import EndpointState
 from marlseam.records import ENCODER
 from marlseam.world import plan, troubles
 from marlseam.world.chance import stream
@@ -107,7 +107,7 @@
     assert [h.id for h in e.advance(1.0) if h.what == "started"] == ["0/0"]
 
 
-def test_a_cold_executor_falls_only_past_its_bound():
+def test_a_cold_server_falls_only_past_its_bound():
     e = executor(0.0, cold_share=0.2, warm_s=100.0)
     bound = 2.5 * 3 * 0.2 * 1000.0
     e.advance(1.0)
@@ -151,21 +151,21 @@
 # Roster, troubles, clients, plan.
 
 
-def row(name, state=State.READY, born=None):
-    return Entry(name, state, 0, 0, 0, born)
+def row(name, state=EndpointState.READY, born=None):
+    return EndpointEntry(name, state, 0, 0, 0, born)
 
 
-def test_a_roster_tells_the_whole_list_then_changes_alone():
+def test_a_endpoint_list_tells_the_whole_list_then_changes_alone():
     r = Roster([row("a"), row("b")], 100.0, 50.0)
     version = r.version()
     assert r.news(0) == (True, [row("a"), row("b")]) and r.news(version) == (False, [])
-    r.change(row("a", State.DRAINING))
-    r.change(row("a", State.GONE))
-    assert r.news(version) == (False, [row("a", State.GONE)])
+    r.change(row("a", EndpointState.DRAINING))
+    r.change(row("a", EndpointState.GONE))
+    assert r.news(version) == (False, [row("a", EndpointState.GONE)])
     assert r.news(0) == (True, [row("b")])
 
 
-def test_a_swamped_roster_serves_in_turn_and_fails_what_waits_too_long():
+def test_a_swamped_endpoint_list_serves_in_turn_and_fails_what_waits_too_long():
     r = Roster([], 100.0, 50.0)
     assert [r.call(0.0) for _ in range(6)] == [10.0, 20.0, 30.0, 40.0, 50.0, None]
     r.outages.append((100.0, 200.0))
@@ -189,32 +189,45 @@
     ]
 
 
-def test_the_roster_learns_late_and_an_executor_that_rises_is_cold():
+def test_discovery_learns_late_and_a_server_that_rises_is_cold():
     held = day(troubles=[{"what": "crash", "at_s": 2, "for_s": 3, "share": 0.1}])
     gone, back = troubles.listings(held, troubles.schedule(held, 1))
-    assert (gone.at, gone.state) == (2800.0, State.GONE)
-    assert (back.at, back.state, back.born) == (5800.0, State.READY, 5000.0)
+    assert (gone.at, gone.state) == (2800.0, EndpointState.GONE)
+    assert (back.at, back.state, back.born) == (5800.0, EndpointState.READY, 5000.0)
 
 
 def client(effect, tries=3, **arrival):
     held = day(clients={"tries": tries, "wait_ms": 40, "honour": 1.0})
     type = {t.effect: t for t in held.types}[effect]
     values = {
-        "at": 0.0, "id": "a", "type": 0, "zone": "east", "work": 1.0, "slots": 1.0,
-        "memory": 0.0, "credit": 1.0,
-        "receipt": None, "honours": True, "leaves": False,
-    } | arrival  # fmt: skip
+        "at": 0.0,
+        "id": "a",
+        "type": 0,
+        "zone": "east",
+        "work": 1.0,
+        "slots": 1.0,
+        "memory": 0.0,
+        "credit": 1.0,
+        "receipt": None,
+        "honours": True,
+        "leaves": False,
+    } | arrival
     return Client(plan.Arrival(**values), type, held.clients)
 
 
 @pytest.mark.parametrize(
     ("effect", "how", "again"),
     [
-        ("rerunnable", "deferred", True), ("rerunnable", "aborted", True), ("rerunnable", "lost", True),
-        ("receipted", "deferred", True), ("receipted", "aborted", False), ("receipted", "lost", False),
-        ("receipted", "unsent", True), ("rerunnable", "completed", False),
+        ("rerunnable", "deferred", True),
+        ("rerunnable", "aborted", True),
+        ("rerunnable", "lost", True),
+        ("receipted", "deferred", True),
+        ("receipted", "aborted", False),
+        ("receipted", "lost", False),
+        ("receipted", "unsent", True),
+        ("rerunnable", "completed", False),
     ],
-)  # fmt: skip
+)
 def test_a_client_tries_again_only_what_is_harmless(effect, how, again):
     c = client(effect)
     assert c.begin() == "a"
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -4,9 +4,10 @@
 of a field's place, of a tag or of a number shows as other bytes.
 """
 
-from marlseam.fleet import changes, content, ledger, says, words
-from marlseam.recovery import handover
-from marlseam.store import format as files
+from marlseam.cluster import audit_log, membership_codec
+from marlseam.cluster.replication import content, delta, messages
+from marlseam.recovery import handover_codec
+from marlseam.store import file_format as files
 
 DIGEST = "ab" * 32
 OTHER_DIGEST = "cd" * 32
@@ -14,16 +15,27 @@
 
 def letters():
     """Return a datagram of membership of each kind, with what it claims of other members."""
-    claim = words.Claim(incarnation=3, life=1234567, standing=words.Standing.SUSPECT)
+    claim = membership_codec.Claim(incarnation=3, life=1234567, standing=membership_codec.Standing.SUSPECT)
     rumours = [
-        words.Rumour(name="n2", claim=claim, by="n3"),
-        words.Rumour(name="n4", claim=words.Claim(incarnation=5, life=6, standing=words.Standing.LEFT)),
-        words.Rumour(name="n5", claim=words.Claim(incarnation=7, life=8, standing=words.Standing.GONE)),
+        membership_codec.Rumour(name="n2", claim=claim, by="n3"),
+        membership_codec.Rumour(
+            name="n4",
+            claim=membership_codec.Claim(incarnation=5, life=6, standing=membership_codec.Standing.LEFT),
+        ),
+        membership_codec.Rumour(
+            name="n5",
+            claim=membership_codec.Claim(incarnation=7, life=8, standing=membership_codec.Standing.GONE),
+        ),
     ]
-    own = words.Claim(incarnation=1, life=99, standing=words.Standing.HERE)
-    for kind in (words.Kind.PING, words.Kind.ACK, words.Kind.ASK, words.Kind.NACK):
-        yield words.Letter(
-            version=words.VERSION,
+    own = membership_codec.Claim(incarnation=1, life=99, standing=membership_codec.Standing.HERE)
+    for kind in (
+        membership_codec.Kind.PING,
+        membership_codec.Kind.ACK,
+        membership_codec.Kind.ASK,
+        membership_codec.Kind.NACK,
+    ):
+        yield membership_codec.Letter(
+            version=membership_codec.VERSION,
             fleet="f",
             sender="n1",
             own=own,
@@ -37,8 +49,8 @@
 def notes():
     """Return a datagram of each kind on configuration versions."""
     says_all = [
-        says.Ask(seq=11, number=12),
-        says.Tell(
+        messages.Ask(seq=11, number=12),
+        messages.Tell(
             seq=21,
             number=22,
             id=DIGEST,
@@ -50,10 +62,10 @@
             votes=True,
             age_ms=26.5,
         ),
-        says.Want(id=DIGEST, at=31, have=OTHER_DIGEST),
-        says.Piece(id=DIGEST, size=400, at=41, data=b"piece", have=OTHER_DIGEST),
+        messages.Want(id=DIGEST, at=31, have=OTHER_DIGEST),
+        messages.Piece(id=DIGEST, size=400, at=41, data=b"piece", have=OTHER_DIGEST),
         *(
-            says.Vote(
+            messages.Vote(
                 kind=kind,
                 number=51,
                 round=52,
@@ -63,24 +75,24 @@
                 value=DIGEST,
                 why="a reason",
             )
-            for kind in says.VOTES
+            for kind in messages.VOTES
         ),
     ]
     for said in says_all:
-        yield says.Note(version=says.VERSION, fleet="f", sender="n1", say=said)
+        yield messages.Note(version=messages.VERSION, fleet="f", sender="n1", say=said)
 
 
 def handover_lines():
     """Return each kind of line that one process of a node writes to another."""
-    row = handover.Sent(key="k", executor="e1", zone="here", cell=5, sent_ms=1000.5, until_ms=2000.5)
+    row = handover_codec.Sent(key="k", executor="e1", zone="here", cell=5, sent_ms=1000.5, until_ms=2000.5)
     hosts = [{"host": "e1", "dial": "127.0.0.1:1"}, {"host": "e2", "dial": "127.0.0.1:2"}]
-    yield handover.hello("n1", 17)
-    yield handover.hello("n1", 17, fleet=True, epoch_ms=1.5)
-    yield handover.proof(handover.Proof(number=41, id=DIGEST, mono_ms=42.5))
-    yield handover.sent([row])
-    yield handover.never(handover.Never(key="k", executor="e1", sent_ms=1000.5))
-    yield b"".join(handover.snapshot(43, hosts, [row, row]))
-    yield handover.OVER
+    yield handover_codec.hello("n1", 17)
+    yield handover_codec.hello("n1", 17, fleet=True, epoch_ms=1.5)
+    yield handover_codec.proof(handover_codec.Proof(number=41, id=DIGEST, mono_ms=42.5))
+    yield handover_codec.sent([row])
+    yield handover_codec.never(handover_codec.Never(key="k", executor="e1", sent_ms=1000.5))
+    yield b"".join(handover_codec.snapshot(43, hosts, [row, row]))
+    yield handover_codec.OVER
 
 
 def state_records():
@@ -101,13 +113,13 @@
 
 def ledger_records():
     """Return each record of a ledger."""
-    yield ledger.Begun(wall_ms=1.5)
-    yield ledger.Opened(inode=2)
-    yield ledger.Written(wall_ms=3.5)
-    yield ledger.Life(
+    yield audit_log.Begun(wall_ms=1.5)
+    yield audit_log.Opened(inode=2)
+    yield audit_log.Written(wall_ms=3.5)
+    yield audit_log.Life(
         life=4, program="p", boot="b", wall_ms=5.5, mono_ms=6.5, lease_ms=7.5, beside=True, zero_ms=8.5
     )
-    yield ledger.Acting(
+    yield audit_log.Acting(
         life=11,
         interval=12,
         program="p",
@@ -121,15 +133,15 @@
         wall_ms=15.5,
         mono_ms=16.5,
     )
-    yield ledger.Mark(life=21, rows=[(22, 23, 24, 25, 26)], wall_ms=27.5, mono_ms=28.5)
-    yield ledger.Ended(life=31, wall_ms=32.5, mono_ms=33.5)
-    yield ledger.Promises(
+    yield audit_log.Mark(life=21, rows=[(22, 23, 24, 25, 26)], wall_ms=27.5, mono_ms=28.5)
+    yield audit_log.Ended(life=31, wall_ms=32.5, mono_ms=33.5)
+    yield audit_log.Promises(
         number=41, round=42, place="n1/43", accepted_round=44, accepted_place="n2/45", value=DIGEST
     )
-    yield ledger.Stored(id=DIGEST, data=b"content")
-    yield ledger.Held(number=51, id=DIGEST, wall_ms=52.5)
-    yield ledger.Barred(number=61)
-    yield ledger.Handed(out=True, why="a reason", wall_ms=71.5)
+    yield audit_log.Stored(id=DIGEST, data=b"content")
+    yield audit_log.Held(number=51, id=DIGEST, wall_ms=52.5)
+    yield audit_log.Barred(number=61)
+    yield audit_log.Handed(out=True, why="a reason", wall_ms=71.5)
 
 
 def contents():
@@ -147,13 +159,13 @@
             members={"n2": "127.0.0.1:2", "n1": "127.0.0.1:1"},
         )
     )
-    yield changes.ENCODER.encode(
-        changes.Change(
+    yield delta.ENCODER.encode(
+        delta.Change(
             id=DIGEST,
             edits=[
-                changes.Put(path=["a", 1], value={"k": 1}),
-                changes.Drop(path=["a", "b"]),
-                changes.Splice(path=["c"], at=2, count=3, values=[4, 5]),
+                delta.Put(path=["a", 1], value={"k": 1}),
+                delta.Drop(path=["a", "b"]),
+                delta.Splice(path=["c"], at=2, count=3, values=[4, 5]),
             ],
         )
     )
@@ -161,10 +173,10 @@
 
 def samples():
     """Return each sample's bytes by its name."""
-    found = {f"letter {i}": words.write(letter) for i, letter in enumerate(letters())}
-    found |= {f"note {i}": says.write(note) for i, note in enumerate(notes())}
+    found = {f"letter {i}": membership_codec.write(letter) for i, letter in enumerate(letters())}
+    found |= {f"note {i}": messages.write(note) for i, note in enumerate(notes())}
     found |= {f"handover {i}": line for i, line in enumerate(handover_lines())}
     found |= {f"state {i}": files.frame(record) for i, record in enumerate(state_records())}
-    found |= {f"ledger {i}": ledger.encode(record) for i, record in enumerate(ledger_records())}
+    found |= {f"ledger {i}": audit_log.encode(record) for i, record in enumerate(ledger_records())}
     found |= {f"content {i}": data for i, data in enumerate(contents())}
     return found
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -11,14 +11,22 @@
 TYPES = [
     {"name": "lookup", "share": 0.5, "work_ms": 300, "promised_ms": 200, "limit_ms": 5000},
     {
-        "name": "build", "share": 0.3, "work_ms": 600, "promised_ms": 600, "limit_ms": 8000,
+        "name": "build",
+        "share": 0.3,
+        "work_ms": 600,
+        "promised_ms": 600,
+        "limit_ms": 8000,
         "slots": [0.7, 0.3],
     },
     {
-        "name": "post", "share": 0.2, "work_ms": 900, "promised_ms": 800, "limit_ms": 9000,
+        "name": "post",
+        "share": 0.2,
+        "work_ms": 900,
+        "promised_ms": 800,
+        "limit_ms": 9000,
         "effect": "receipted",
     },
-]  # fmt: skip
+]
 KINDS = [
     {"name": "fast", "executors": 4, "speed": 1.8, "warm_s": 3.0},
     {"name": "slow", "executors": 4, "speed": 0.9, "warm_s": 3.0},
