--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -13,7 +13,7 @@
 from marlseam.cli.tables import table
 from marlseam.cluster import audit as auditing
 from marlseam.store import ledger_audit as ledgers
-from marlseam.store.state_directory import Disk, Folder, code_of
+from marlseam.store.state_directory import Disk, StateDirectory, code_of
 
 FOLDER = click.Path(path_type=Path, file_okay=False, exists=True)
 PAGE = """<!doctype html><meta charset=utf-8><title>Audit of the fleet</title>
@@ -139,7 +139,7 @@
     """Print who sent a work unit under a key, and on what each sending stood."""
     rows = [["node", "sent (UTC)", "to", "version", "list", "proved", "interval"]]
     for path in stores:
-        folder = Folder(Disk(path), None)
+        folder = StateDirectory(Disk(path), None)
         state = folder.load(0.0)
         for sent in state.sent.get(unit, ()):
             span = auditing.at(found, folder.of or "", sent.sent_ms)
--- a/marlseam/cli/state.py
+++ b/marlseam/cli/state.py
@@ -5,21 +5,31 @@
 from pathlib import Path
 
 import click
+import msgspec
 
-from marlseam.store.node_state import State
-from marlseam.store.state_directory import Disk, Finding, Folder, code_of, first_life
+from marlseam.store.file_format import AttemptSent, HistoryLost, ListStored, TurnoverNoted
+from marlseam.store.node_state import NodeState
+from marlseam.store.state_directory import Disk, Finding, StateDirectory, code_of, first_life
 
 FOLDER = click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
 
+# The names that operators are shown of each record and its fields, whatever these are called in the code.
+EXPORTED: dict[type, tuple[str, tuple[str, ...]]] = {
+    TurnoverNoted: ("turned", ("departures", "lived_ms")),
+    ListStored: ("listed", ("version", "rows", "heard_ms")),
+    HistoryLost: ("lost", ("since_ms",)),
+    AttemptSent: ("sent", ("key", "executor", "zone", "cell", "sent_ms", "until_ms")),
+}
+
 
 @click.group()
 def group() -> None:
     """Show, verify and export a node's state folder, which changes nothing in it; or begin a first one."""
 
 
-def read(folder: Path) -> tuple[State, list[Finding]]:
+def read(folder: Path) -> tuple[NodeState, list[Finding]]:
     """Read a folder, of whatever node it is."""
-    held = Folder(Disk(folder), None)
+    held = StateDirectory(Disk(folder), None)
     try:
         return held.load(time.time() * 1000.0), held.findings
     except OSError as error:
@@ -85,5 +95,6 @@
     """Print the state as JSON, one entry a line."""
     state, _ = read(folder)
     for entry in state.entries():
-        row = {name: getattr(entry, name) for name in entry.__struct_fields__}
-        click.echo(json.dumps({"entry": type(entry).__name__.lower(), **row}))
+        name, fields = EXPORTED[type(entry)]
+        row = dict(zip(fields, msgspec.structs.astuple(entry), strict=True))
+        click.echo(json.dumps({"entry": name, **row}))
--- a/marlseam/cluster/audit.py
+++ b/marlseam/cluster/audit.py
@@ -10,7 +10,16 @@
 
 from msgspec.structs import replace
 
-from marlseam.cluster.audit_log import ACTS, Acting, Ended, Entry, Held, Life, Mark, Written
+from marlseam.cluster.audit_log import (
+    ACTS,
+    ActionCounts,
+    BatchWritten,
+    IntervalBegun,
+    LogRecord,
+    ProcessEnded,
+    ProcessStarted,
+    VersionHeld,
+)
 
 TOLD = ("life", "interval", "program", "number", "id", "meaning", "listed", "proved", "serving", "code")
 
@@ -19,7 +28,7 @@
 class Span:
     """One interval of a life: what acts stood on, from when to when, and how many there were."""
 
-    acting: Acting
+    acting: IntervalBegun
     until_ms: float | None = None  # None: to the life's end
     acts: tuple[int, ...] = (0, 0, 0, 0)
     marks: list[tuple[float, tuple[int, ...]]] = field(default_factory=list)
@@ -29,7 +38,7 @@
 class Lived:
     """One process of a node: its intervals, when it was last heard of, and whether it ended by itself."""
 
-    life: Life
+    life: ProcessStarted
     spans: dict[int, Span] = field(default_factory=dict)
     last_ms: float = 0.0
     marked_ms: float = 0.0  # as of when its acts are known
@@ -52,7 +61,7 @@
 
 
 def read(
-    ledgers: Mapping[str, list[list[Entry]]], running: Iterable[str] = (), error_ms: float = 100.0
+    ledgers: Mapping[str, list[list[LogRecord]]], running: Iterable[str] = (), error_ms: float = 100.0
 ) -> Audit:
     """Return the audit of nodes' ledgers, each a list of chains of entries.
 
@@ -66,14 +75,14 @@
     return audit
 
 
-def lives_of(audit: Audit, node: str, chains: list[list[Entry]]) -> list[Lived]:
+def lives_of(audit: Audit, node: str, chains: list[list[LogRecord]]) -> list[Lived]:
     """Return a node's processes, in the order of their begin."""
     found: dict[int, Lived] = {}
     told: set[tuple[int, str]] = set()
     for entries in chains:
         lived, headed, before = None, False, dict[tuple[int, int], tuple[int, ...]]()
         for entry in entries:
-            if type(entry) is Life:
+            if type(entry) is ProcessStarted:
                 known = entry.life in found  # also from another chain: it moved on when the node was its own
                 shift = audit.zeros.setdefault(entry.boot, entry.zero_ms) - entry.zero_ms
                 began = replace(entry, wall_ms=entry.wall_ms + shift)
@@ -83,7 +92,7 @@
                 # What stands in a file's first batch is told again: a life may have begun in a file that is
                 # gone.
                 lived.whole = lived.whole if known else headed
-            elif type(entry) is Held and entry.wall_ms:
+            elif type(entry) is VersionHeld and entry.wall_ms:
                 if (entry.number, entry.id) not in told:
                     # Told once: later files begin with it again, and not on their own life's scale.
                     told.add((entry.number, entry.id))
@@ -92,7 +101,7 @@
                     ids[entry.id] = min(ids.get(entry.id, inf), at_ms)
             elif lived is not None:
                 note(audit, node, found, before, entry)
-            headed = headed or type(entry) is Written
+            headed = headed or type(entry) is BatchWritten
     return sorted(found.values(), key=lambda lived: lived.life.wall_ms)
 
 
@@ -101,7 +110,7 @@
     node: str,
     found: dict[int, Lived],
     before: dict[tuple[int, int], tuple[int, ...]],
-    entry: Entry,
+    entry: LogRecord,
 ) -> None:
     """Take in what a process wrote of its acts; `before` are the acts so far, in this chain."""
     lived = found.get(getattr(entry, "life", -1))
@@ -109,11 +118,11 @@
         return
     entry = replace(entry, wall_ms=entry.wall_ms + lived.shift_ms)
     lived.last_ms = max(lived.last_ms, entry.wall_ms)
-    if type(entry) is Acting:
+    if type(entry) is IntervalBegun:
         held = lived.spans.setdefault(entry.interval, Span(entry))
         if held.acting != entry:
             audit.wrong.append(f"{node}: two intervals {entry.interval} of life {entry.life}")
-    elif type(entry) is Mark:
+    elif type(entry) is ActionCounts:
         lived.marked_ms = max(lived.marked_ms, entry.wall_ms)
         for number, *acts in entry.rows:
             span = lived.spans.get(number)
@@ -130,7 +139,7 @@
             before[entry.life, number] = tuple(acts)
             span.acts = tuple(map(max, acts, span.acts))
             span.marks.append((entry.wall_ms, tuple(acts)))
-    elif type(entry) is Ended:
+    elif type(entry) is ProcessEnded:
         lived.ended = True
 
 
--- a/marlseam/cluster/audit_log.py
+++ b/marlseam/cluster/audit_log.py
@@ -13,32 +13,32 @@
 
 import msgspec
 
-from marlseam.cluster.replication.paxos import NONE, Promised
+from marlseam.cluster.replication.paxos import NONE, AcceptorState
 
 CHAIN = 16  # bytes of a digest in the chain
 START = b"\0" * CHAIN
 ACTS = ("taken", "sent", "answered", "refused")
 
 
-class Begun(msgspec.Struct, tag="begun", array_like=True, frozen=True):
+class FirstLifeBegun(msgspec.Struct, tag="begun", array_like=True, frozen=True):
     """A first life's memory: whatever is not in it has not happened (Unix ms)."""
 
     wall_ms: float
 
 
-class Opened(msgspec.Struct, tag="opened", array_like=True, frozen=True):
+class FileOpened(msgspec.Struct, tag="opened", array_like=True, frozen=True):
     """A file begins, with this number in its file system."""
 
     inode: int
 
 
-class Written(msgspec.Struct, tag="written", array_like=True, frozen=True):
+class BatchWritten(msgspec.Struct, tag="written", array_like=True, frozen=True):
     """What came together was written at this Unix time."""
 
     wall_ms: float
 
 
-class Life(msgspec.Struct, tag="life", array_like=True, frozen=True):
+class ProcessStarted(msgspec.Struct, tag="life", array_like=True, frozen=True):
     """A process begins: its number, program, start of the machine, Unix time and its own clock, in ms.
 
     And for how long after a newer version was chosen it may act on an older one as proved; `beside` another
@@ -55,7 +55,7 @@
     zero_ms: float = 0.0  # its Unix time at that start: it makes times of one machine comparable
 
 
-class Acting(msgspec.Struct, tag="acting", array_like=True, frozen=True):
+class IntervalBegun(msgspec.Struct, tag="acting", array_like=True, frozen=True):
     """From here on acts stand on this: an interval begins.
 
     `number` and `id` of the fleet's version, `meaning` of the settings in force (another than the version's
@@ -77,7 +77,7 @@
     mono_ms: float
 
 
-class Mark(msgspec.Struct, tag="mark", array_like=True, frozen=True):
+class ActionCounts(msgspec.Struct, tag="mark", array_like=True, frozen=True):
     """Acts so far of some intervals: (interval, taken, sent, answered, refused)."""
 
     life: int
@@ -86,7 +86,7 @@
     mono_ms: float
 
 
-class Ended(msgspec.Struct, tag="ended", array_like=True, frozen=True):
+class ProcessEnded(msgspec.Struct, tag="ended", array_like=True, frozen=True):
     """A life ended by itself: its marks are whole."""
 
     life: int
@@ -94,7 +94,7 @@
     mono_ms: float
 
 
-class Promises(msgspec.Struct, tag="promised", array_like=True, frozen=True):
+class AcceptorPromise(msgspec.Struct, tag="promised", array_like=True, frozen=True):
     """What was promised, and accepted, for a number."""
 
     number: int
@@ -105,14 +105,14 @@
     value: str
 
 
-class Stored(msgspec.Struct, tag="stored", array_like=True, frozen=True):
+class ContentStored(msgspec.Struct, tag="stored", array_like=True, frozen=True):
     """A content."""
 
     id: str
     data: bytes
 
 
-class Held(msgspec.Struct, tag="held", array_like=True, frozen=True):
+class VersionHeld(msgspec.Struct, tag="held", array_like=True, frozen=True):
     """A number and its content are held (Unix ms, 0 where not told)."""
 
     number: int
@@ -120,13 +120,13 @@
     wall_ms: float = 0.0
 
 
-class Barred(msgspec.Struct, tag="barred", array_like=True, frozen=True):
+class VotesBarred(msgspec.Struct, tag="barred", array_like=True, frozen=True):
     """No vote on numbers up to this: memory of them was lost. -1: it is not known up to which."""
 
     number: int
 
 
-class Handed(msgspec.Struct, tag="handed", array_like=True, frozen=True):
+class OperatorOverride(msgspec.Struct, tag="handed", array_like=True, frozen=True):
     """An operator shut the node out or brought it back."""
 
     out: bool
@@ -134,8 +134,21 @@
     wall_ms: float
 
 
-Entry = Begun | Opened | Written | Life | Acting | Mark | Ended | Promises | Stored | Held | Barred | Handed
-ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Entry)
+LogRecord = (
+    FirstLifeBegun
+    | FileOpened
+    | BatchWritten
+    | ProcessStarted
+    | IntervalBegun
+    | ActionCounts
+    | ProcessEnded
+    | AcceptorPromise
+    | ContentStored
+    | VersionHeld
+    | VotesBarred
+    | OperatorOverride
+)
+ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(LogRecord)
 encode = ENCODER.encode
 
 
@@ -145,7 +158,7 @@
     return record, hashlib.sha256(record).digest()[:CHAIN]
 
 
-def unlinked(record: bytes) -> tuple[bytes, Entry]:
+def unlinked(record: bytes) -> tuple[bytes, LogRecord]:
     """Return the digest that a record stands behind, and its entry; raises ValueError."""
     if len(record) <= CHAIN:
         raise ValueError("too short")
@@ -156,43 +169,43 @@
 
 
 @dataclass
-class Kept:
+class RecoveredLog:
     """What entries add up to: what a node begins with."""
 
-    held: Held | None = None
+    held: VersionHeld | None = None
     contents: dict[str, bytes] = field(default_factory=dict)
-    promises: dict[int, Promised] = field(default_factory=dict)
+    promises: dict[int, AcceptorState] = field(default_factory=dict)
     bar: int | None = 0  # None: it is not known on which numbers it may not vote
     hand: str | None = None
     handed_ms: float = 0.0
-    life: Life | None = None
-    acting: Acting | None = None
+    life: ProcessStarted | None = None
+    acting: IntervalBegun | None = None
     ended: bool = True
     begun: bool = False
     wall_ms: float = 0.0  # when the last entry that tells it was written
 
-    def take(self, entry: Entry) -> None:
+    def take(self, entry: LogRecord) -> None:
         """Take in an entry."""
         match entry:
-            case Begun():
+            case FirstLifeBegun():
                 self.begun = True
-            case Life():
+            case ProcessStarted():
                 self.life, self.acting, self.ended = entry, None, False
-            case Acting():
+            case IntervalBegun():
                 self.acting = entry
-            case Ended():
+            case ProcessEnded():
                 self.ended = True
-            case Promises():
+            case AcceptorPromise():
                 accepted = (entry.accepted_round, entry.accepted_place) if entry.value else NONE
-                self.promises[entry.number] = Promised((entry.round, entry.place), accepted, entry.value)
-            case Stored():
+                self.promises[entry.number] = AcceptorState((entry.round, entry.place), accepted, entry.value)
+            case ContentStored():
                 self.contents[entry.id] = entry.data
-            case Held():
+            case VersionHeld():
                 if self.held is None or entry.number > self.held.number:
                     self.held = entry
-            case Barred():
+            case VotesBarred():
                 self.bar = None if entry.number < 0 else entry.number
-            case Handed():
+            case OperatorOverride():
                 self.hand, self.handed_ms = entry.why if entry.out else None, entry.wall_ms
         self.wall_ms = getattr(entry, "wall_ms", 0.0) or self.wall_ms
         self.prune()
@@ -207,29 +220,29 @@
             last = next(reversed(self.contents))
             self.contents = {id: d for id, d in self.contents.items() if id in wanted or id == last}
 
-    def entries(self) -> Iterator[Entry]:
+    def entries(self) -> Iterator[LogRecord]:
         """Yield entries that add up to this: what a new file begins with."""
         if self.begun:
-            yield Begun(self.wall_ms)
+            yield FirstLifeBegun(self.wall_ms)
         for id, data in self.contents.items():
-            yield Stored(id, data)
+            yield ContentStored(id, data)
         if self.held is not None:
             yield self.held
         for number, p in self.promises.items():
-            yield Promises(number, *p.ballot, *p.accepted, p.value)
-        yield Barred(-1 if self.bar is None else self.bar)
+            yield AcceptorPromise(number, *p.ballot, *p.accepted, p.value)
+        yield VotesBarred(-1 if self.bar is None else self.bar)
         if self.handed_ms:
             # Also that it was brought back: an older word in the ledger beside this one is not the last.
-            yield Handed(self.hand is not None, self.hand or "", self.handed_ms)
+            yield OperatorOverride(self.hand is not None, self.hand or "", self.handed_ms)
         if self.life is not None and not self.ended:
             yield self.life
             if self.acting is not None:
                 yield self.acting
 
 
-def added_up(entries: Iterable[Entry]) -> Kept:
+def added_up(entries: Iterable[LogRecord]) -> RecoveredLog:
     """Return what entries add up to."""
-    kept = Kept()
+    kept = RecoveredLog()
     for entry in entries:
         kept.take(entry)
     return kept
--- a/marlseam/cluster/checking/explore_leasing.py
+++ b/marlseam/cluster/checking/explore_leasing.py
@@ -10,7 +10,15 @@
 
 from marlseam.cluster.checking import search
 from marlseam.cluster.checking.search import Explored
-from marlseam.cluster.quota.leasing import Borrow, Give, Held, Lend, Lending, Lent, Message
+from marlseam.cluster.quota.leasing import (
+    GrantedLease,
+    LeaseGrant,
+    LeaseMessage,
+    LeaseRequest,
+    LeaseReturn,
+    QuotaLeasing,
+    QuotaState,
+)
 
 NAMES = ("a", "b", "c")
 LEASE, TIME_MOST = 2, 6  # in steps of time
@@ -22,21 +30,21 @@
 
     by: str
     to: str
-    message: Message
+    message: LeaseMessage
 
 
 class State(NamedTuple):
     """All of it."""
 
     now: int
-    members: tuple[Held, ...]
-    disks: tuple[tuple[Lent, ...], ...]  # loans on record
+    members: tuple[QuotaState, ...]
+    disks: tuple[tuple[GrantedLease, ...], ...]  # loans on record
     said: frozenset[Said] = frozenset()
     crashes: int = 0
     lives: int = 3
 
 
-class Rules(Lending):
+class Rules(QuotaLeasing):
     """The rules as they are; a planted defect overrides some."""
 
     crashes = 1
@@ -59,7 +67,7 @@
 
 def beginning() -> State:
     """Return the state in which nothing has been said: the first member owns the limit."""
-    members = tuple(Held(LIMIT if name == "a" else 0.0, i) for i, name in enumerate(NAMES))
+    members = tuple(QuotaState(LIMIT if name == "a" else 0.0, i) for i, name in enumerate(NAMES))
     return State(0, members, ((),) * len(NAMES))
 
 
@@ -80,7 +88,9 @@
     for i, name in enumerate(NAMES):
         held = state.members[i]
 
-        def put(new: Held, *said: Said, disk: tuple[Lent, ...] | None = None, i: int = i) -> State:
+        def put(
+            new: QuotaState, *said: Said, disk: tuple[GrantedLease, ...] | None = None, i: int = i
+        ) -> State:
             members = (*state.members[:i], new, *state.members[i + 1 :])
             disks = state.disks if disk is None else (*state.disks[:i], disk, *state.disks[i + 1 :])
             return state._replace(members=members, disks=disks, said=state.said | set(said))
@@ -119,19 +129,21 @@
                 yield f"{name} {how}", put(new)._replace(crashes=state.crashes + 1, lives=state.lives + 1)
 
 
-def heard(rules: Rules, put, held: Held, now: int, name: str, said: Said) -> Iterator[tuple[str, State]]:  # noqa: ANN001
+def heard(
+    rules: Rules, put: Callable[..., State], held: QuotaState, now: int, name: str, said: Said
+) -> Iterator[tuple[str, State]]:
     """Yield what comes of hearing a message."""
     message, back = said.message, said.by
-    if type(message) is Borrow:
+    if type(message) is LeaseRequest:
         new, lend = rules.borrows(held, now, said.by, message)
         answer = [Said(name, back, lend)] if lend is not None and lend.amount else []
         if new != held or answer:
             yield f"{name} hears {back} borrow", put(new, *answer)
-    elif type(message) is Lend:
+    elif type(message) is LeaseGrant:
         new, give = rules.lends(held, now, said.by, message)
         if new != held or give is not None:
             yield f"{name} hears {back} lend", put(new, *([Said(name, back, give)] if give else []))
-    elif type(message) is Give:
+    elif type(message) is LeaseReturn:
         new = rules.gives(held, said.by, message)
         if new != held:
             yield f"{name} hears {back} give", put(new)
--- a/marlseam/cluster/checking/explore_paxos.py
+++ b/marlseam/cluster/checking/explore_paxos.py
@@ -20,11 +20,11 @@
     Accept,
     Accepted,
     Acceptor,
+    AcceptorState,
     Ballot,
     Message,
     Prepare,
     Promise,
-    Promised,
     Proposer,
     majority,
 )
@@ -35,8 +35,8 @@
 class Voter(NamedTuple):
     """What a voter's disk holds, and what its process does."""
 
-    disk: Promised = Promised()
-    process: Promised = Promised()
+    disk: AcceptorState = AcceptorState()
+    process: AcceptorState = AcceptorState()
     whole: bool = True  # whether its memory is, as far as it knows
 
 
@@ -108,7 +108,7 @@
         """Return how many voters choose."""
         return majority(electorate)
 
-    def acceptor(self, name: str, held: Promised) -> Acceptor:
+    def acceptor(self, name: str, held: AcceptorState) -> Acceptor:
         """Return a voter's machine."""
         return Acceptor(name, {NUMBER: held})
 
@@ -120,7 +120,7 @@
             self.place(place, operator), NUMBER, operator.value, electorate, *held, asked=operator.asked
         )
 
-    def on_disk(self, voter: Voter, new: Promised) -> Promised:
+    def on_disk(self, voter: Voter, new: AcceptorState) -> AcceptorState:
         """Return what a voter's disk holds before it speaks."""
         return new
 
@@ -163,7 +163,7 @@
             after = Voter(voter.disk, voter.disk, voter.whole)
             voters = (*state.voters[:i], after, *state.voters[i + 1 :])
             yield f"{rules.voters[i]} restarts", state._replace(voters=voters, crashes=state.crashes + 1)
-        if state.crashes < rules.crashes and voter.disk != Promised():
+        if state.crashes < rules.crashes and voter.disk != AcceptorState():
             after = Voter(whole=not rules.knows_loss())
             voters = (*state.voters[:i], after, *state.voters[i + 1 :])
             yield f"{name} loses its folder", state._replace(voters=voters, crashes=state.crashes + 1)
--- a/marlseam/cluster/checking/membership_schedules.py
+++ b/marlseam/cluster/checking/membership_schedules.py
@@ -12,8 +12,15 @@
 from typing import Any, NamedTuple
 from zlib import crc32
 
-from marlseam.cluster.membership import HEALTH_MOST, Changed, Members, Say, Twin
-from marlseam.cluster.membership_codec import Kind, Letter, Odd, Standing, read, write
+from marlseam.cluster.membership import HEALTH_MOST, DuplicateMember, MemberChanged, Membership, SendDatagram
+from marlseam.cluster.membership_codec import (
+    Datagram,
+    DatagramKind,
+    InvalidMessageError,
+    MemberStatus,
+    read,
+    write,
+)
 from marlseam.random_source import RandomSource
 
 PERIOD_MS = 1000.0
@@ -23,12 +30,12 @@
 FAULTS = ("kill", "restart", "stop", "cut", "deaf", "mute", "pair", "hold", "twin")
 
 
-class Strike(NamedTuple):
+class InjectedFault(NamedTuple):
     """A fault, and the step that it strikes at."""
 
     node: str
     sends: bool  # at a letter that the node sends, else at one that it receives
-    kind: Kind
+    kind: DatagramKind
     count: int  # the n-th of them
     fault: str
     other: str  # the second member of a fault between two
@@ -53,11 +60,11 @@
 
 
 @dataclass
-class Seat:
+class SimulatedMember:
     """One process: its machine, its clock, and what the schedule has done to it."""
 
     name: str
-    machine: Members
+    machine: Membership
     rate: float
     begun: float
     live: bool = True
@@ -69,7 +76,7 @@
     bytes: int = 0
 
 
-class Found(NamedTuple):
+class MembershipVerdict(NamedTuple):
     """What a run showed: breaches, and how near it came to each bound, as a share of it."""
 
     broken: list[str]
@@ -77,18 +84,18 @@
     twins: int
 
 
-class World:
+class MembershipSimulation:
     """A fleet in virtual time; times in ms."""
 
     def __init__(
         self,
         nodes: int,
         seed: int,
-        strikes: list[Strike],
+        strikes: list[InjectedFault],
         loss: float = 0.0,
         doubles: float = 0.0,
         drift: float = DRIFT,
-        machine: type[Members] = Members,
+        machine: type[Membership] = Membership,
     ) -> None:
         self.seed, self.chance, self.now, self.count = seed, RandomSource(f"world:{seed}"), 0.0, 0
         self.names = frozenset(f"n{i}" for i in range(nodes))
@@ -96,8 +103,8 @@
         self.strikes = {(s.node, s.sends, int(s.kind), s.count): s for s in strikes}
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.lives = 0
-        self.seats: dict[str, Seat] = {}
-        self.twins: list[Seat] = []
+        self.seats: dict[str, SimulatedMember] = {}
+        self.twins: list[SimulatedMember] = []
         self.cuts: list[tuple[str, str, float]] = []  # from, to ("" for all), until
         self.spells: list[tuple[str, float, float]] = []  # members that could not be heard: from, until
         self.touched: list[tuple[float, float]] = []  # when any fault was there
@@ -113,12 +120,12 @@
         self.count += 1
         heapq.heappush(self.queue, (when, self.count, call, words))
 
-    def start(self, name: str) -> Seat:
+    def start(self, name: str) -> SimulatedMember:
         """Start a process."""
         self.lives += 1
         rate = 1.0 + self.drift * (2.0 * self.chance() - 1.0)
         seed = crc32(b"%d:%s:%d" % (self.seed, name.encode(), self.lives))
-        seat = Seat(name, self.make(name, seed), rate, self.now)
+        seat = SimulatedMember(name, self.make(name, seed), rate, self.now)
         self.at(self.now + PERIOD_MS * self.chance(), self.tick, seat)
         return seat
 
@@ -126,11 +133,11 @@
         """Return a process's machine."""
         return self.machine("fleet", name, self.names, self.lives, seed, PERIOD_MS, 0.0)
 
-    def local(self, seat: Seat) -> float:
+    def local(self, seat: SimulatedMember) -> float:
         """Return a process's own time."""
         return (self.now - seat.begun) * seat.rate
 
-    def tick(self, seat: Seat) -> None:
+    def tick(self, seat: SimulatedMember) -> None:
         """Wake a process whose time has come."""
         if not seat.live:
             return
@@ -145,29 +152,29 @@
             self.act(seat, seat.machine.tick(self.local(seat)))
         self.plan(seat)
 
-    def plan(self, seat: Seat) -> None:
+    def plan(self, seat: SimulatedMember) -> None:
         """See to it that a process wakes in time."""
         due = max(self.now, seat.begun + seat.machine.next_ms / seat.rate)
         if seat.live and due < seat.tick_at - 1e-6:
             seat.tick_at = due
             self.at(due + 1e-6, self.tick, seat)
 
-    def act(self, seat: Seat, effects: list[Any]) -> None:
+    def act(self, seat: SimulatedMember, effects: list[Any]) -> None:
         """Carry out what a process asks for."""
         for effect in effects:
-            if type(effect) is Say:
+            if type(effect) is SendDatagram:
                 strike = self.struck(seat, True, effect.letter.kind)
                 if strike is not None:
                     self.strike(strike, seat)
                 if seat.live:
                     held = strike.for_ms if strike is not None and strike.fault == "hold" else 0.0
                     self.send(seat, effect.to, write(effect.letter), held)
-            elif type(effect) is Changed and effect.claim.standing == Standing.GONE:
+            elif type(effect) is MemberChanged and effect.claim.standing == MemberStatus.GONE:
                 self.gone_at.setdefault((seat.name, effect.name), []).append(self.now)
-            elif type(effect) is Twin:
+            elif type(effect) is DuplicateMember:
                 self.told_twins += 1
 
-    def send(self, seat: Seat, to: str, data: bytes, held: float) -> None:
+    def send(self, seat: SimulatedMember, to: str, data: bytes, held: float) -> None:
         """Put a datagram on its way: it may be lost, doubled, late."""
         seat.letters += 1
         seat.bytes += len(data)
@@ -192,11 +199,11 @@
         self.hear(seat, data)
         self.plan(seat)
 
-    def hear(self, seat: Seat, data: bytes) -> None:
+    def hear(self, seat: SimulatedMember, data: bytes) -> None:
         """Hand a letter to a process."""
         try:
-            letter: Letter = read(data, "fleet", self.names)
-        except Odd:
+            letter: Datagram = read(data, "fleet", self.names)
+        except InvalidMessageError:
             return
         strike = self.struck(seat, False, letter.kind)
         if strike is not None:
@@ -206,13 +213,13 @@
 
     # Faults.
 
-    def struck(self, seat: Seat, sends: bool, kind: int) -> Strike | None:
+    def struck(self, seat: SimulatedMember, sends: bool, kind: int) -> InjectedFault | None:
         """Count a step, and return what strikes at it."""
         key = sends, int(kind)
         seat.counts[key] = seat.counts.get(key, 0) + 1
         return self.strikes.pop((seat.name, *key, seat.counts[key]), None)
 
-    def strike(self, strike: Strike, seat: Seat) -> None:
+    def strike(self, strike: InjectedFault, seat: SimulatedMember) -> None:
         """Let a fault strike."""
         until, name, fault = self.now + strike.for_ms, seat.name, strike.fault
         self.touched.append((self.now, self.now if fault == "hold" else until))
@@ -239,12 +246,12 @@
             self.twins.append(twin)
             self.at(until, self.ends, twin)
 
-    def again(self, name: str, dead: Seat) -> None:
+    def again(self, name: str, dead: SimulatedMember) -> None:
         """Start a killed process again."""
         if self.seats[name] is dead:
             self.seats[name] = self.start(name)
 
-    def ends(self, seat: Seat) -> None:
+    def ends(self, seat: SimulatedMember) -> None:
         """End a process for good."""
         seat.live = False
 
@@ -257,7 +264,7 @@
             call(*words)
         self.now = until
 
-    def last(self, strikes: list[Strike]) -> float:
+    def last(self, strikes: list[InjectedFault]) -> float:
         """Begin no fault any more; return when the last one is over, and all that was kept back has come."""
         self.strikes.clear()
         over = max([b for _, b in self.touched], default=0.0)
@@ -276,14 +283,14 @@
                 own = self.seats[name].machine.own
                 if (
                     member.claim is None
-                    or member.claim.standing != Standing.HERE
+                    or member.claim.standing != MemberStatus.HERE
                     or member.claim.life != own.life
                 ):
                     wrong.append(f"{seat.name} holds {name} as {member.claim}")
         return wrong
 
 
-def judge(world: World, detect: float, lonely: float) -> Found:
+def judge(world: MembershipSimulation, detect: float, lonely: float) -> MembershipVerdict:
     """Hold a run against the bounds on detection and on false words.
 
     `detect`: the bound while others are in trouble too, `lonely`: while no other fault is there.
@@ -308,10 +315,10 @@
         for t in times:
             if world.calm(t - detect, t) and not world.loss:
                 broken.append(f"{seer} called {name} gone at {t:.0f} with no fault there")
-    return Found(broken, nearest, world.told_twins)
+    return MembershipVerdict(broken, nearest, world.told_twins)
 
 
-class Draws:
+class ScheduleDraws:
     """Whole numbers of chance, by a seed."""
 
     def __init__(self, prefix: str, seed: int) -> None:
@@ -323,13 +330,13 @@
 
 
 def drawn(
-    draws: Draws,
+    draws: ScheduleDraws,
     nodes: int,
-    step: Callable[[Draws], tuple[enum.IntEnum, int]],
+    step: Callable[[ScheduleDraws], tuple[enum.IntEnum, int]],
     faults: tuple[str, ...],
     periods: int,
     most: int = 4,
-) -> list[Strike]:
+) -> list[InjectedFault]:
     """Return some faults of chance, each before a step that `step` draws, for up to so many periods."""
     found = []
     for _ in range(1 + draws(most)):
@@ -337,26 +344,28 @@
         other += other >= node
         kind, count = step(draws)
         fault, for_ms = faults[draws(len(faults))], PERIOD_MS * (1.0 + draws(periods))
-        found.append(Strike(f"n{node}", bool(draws(2)), kind, count, fault, f"n{other}", for_ms))
+        found.append(InjectedFault(f"n{node}", bool(draws(2)), kind, count, fault, f"n{other}", for_ms))
     return found
 
 
-def letters(draws: Draws) -> tuple[Kind, int]:
+def letters(draws: ScheduleDraws) -> tuple[DatagramKind, int]:
     """Return a step of membership: mostly a ping or its answer."""
-    kind = Kind(1 + draws(4)) if draws(4) == 0 else Kind(1 + draws(2))
-    return kind, 3 + draws(4) if kind > Kind.ACK else 6 + draws(30)
+    kind = DatagramKind(1 + draws(4)) if draws(4) == 0 else DatagramKind(1 + draws(2))
+    return kind, 3 + draws(4) if kind > DatagramKind.ACK else 6 + draws(30)
 
 
-def schedule(nodes: int, seed: int, most: int = 4) -> list[Strike]:
+def schedule(nodes: int, seed: int, most: int = 4) -> list[InjectedFault]:
     """Return a schedule of chance."""
-    return drawn(Draws("schedule", seed), nodes, letters, FAULTS, 90, most)
+    return drawn(ScheduleDraws("schedule", seed), nodes, letters, FAULTS, 90, most)
 
 
-def play(nodes: int, seed: int, strikes: list[Strike], machine: type[Members] = Members) -> Found:
+def play(
+    nodes: int, seed: int, strikes: list[InjectedFault], machine: type[Membership] = Membership
+) -> MembershipVerdict:
     """Play a schedule, wait until its last fault is over, and judge."""
-    world = World(nodes, seed, strikes, doubles=0.02, machine=machine)
+    world = MembershipSimulation(nodes, seed, strikes, doubles=0.02, machine=machine)
     # By the machine as it should be: one that is tried must not set its own bound.
-    suspicion = Members("fleet", "n0", world.names, 0, 0, PERIOD_MS, 0.0).suspicion_ms(0)
+    suspicion = Membership("fleet", "n0", world.names, 0, 0, PERIOD_MS, 0.0).suspicion_ms(0)
     detect = detect_ms(nodes, suspicion, PERIOD_MS, HEALTH_MOST) * (1.0 + 2.0 * DRIFT)
     lonely = detect_ms(nodes, suspicion, PERIOD_MS, 0) * (1.0 + 2.0 * DRIFT)
     world.run(SETTLE * PERIOD_MS)
@@ -373,16 +382,16 @@
     found = judge(world, detect, lonely)
     found.nearest["heal"] = (step - end) / heal
     broken += [f"{heal:.0f} ms after all healed {what}" for what in wrong[:3]] + found.broken
-    return Found(broken, found.nearest, found.twins)
+    return MembershipVerdict(broken, found.nearest, found.twins)
 
 
 def shrunk(
     nodes: int,
     seed: int,
-    strikes: list[Strike],
+    strikes: list[InjectedFault],
     machine: type | None = None,
-    play: Callable[..., Found] = play,
-) -> list[Strike]:
+    play: Callable[..., MembershipVerdict] = play,
+) -> list[InjectedFault]:
     """Return a shortest part of a schedule that still breaks a bound, as `play` has it."""
     at, words = 0, () if machine is None else (machine,)
     while at < len(strikes):
@@ -394,12 +403,12 @@
     return strikes
 
 
-def hunted(nodes: int, seed: int) -> Found:
+def hunted(nodes: int, seed: int) -> MembershipVerdict:
     """Play the schedule of a seed."""
     return play(nodes, seed, schedule(nodes, seed))
 
 
-def told(strike: Strike) -> str:
+def told(strike: InjectedFault) -> str:
     """Return a fault for people."""
     way = "sends" if strike.sends else "receives"
     step = f"{strike.node} {way} its {strike.kind.name.lower()} no. {strike.count}"
--- a/marlseam/cluster/checking/quota_schedules.py
+++ b/marlseam/cluster/checking/quota_schedules.py
@@ -8,59 +8,72 @@
 
 import msgspec
 
-from marlseam.cluster.checking.membership_schedules import DRIFT, PERIOD_MS, Draws, Seat, Strike, World, drawn
-from marlseam.cluster.quota.demand import Keep, Room
-from marlseam.cluster.quota.leasing import Borrow, Give, Lend, Lending, Lent
-from marlseam.cluster.replication.messages import Kind
+from marlseam.cluster.checking.membership_schedules import (
+    DRIFT,
+    PERIOD_MS,
+    InjectedFault,
+    MembershipSimulation,
+    ScheduleDraws,
+    SimulatedMember,
+    drawn,
+)
+from marlseam.cluster.quota.demand import DemandEstimator, PersistQuotaState
+from marlseam.cluster.quota.leasing import GrantedLease, LeaseGrant, LeaseRequest, LeaseReturn, QuotaLeasing
+from marlseam.cluster.replication.messages import MessageKind
 
 LEASE_PERIODS = 10.0
 DISK_MS = 20.0  # at most, for a record
 LOOK_MS = 100.0  # between looks at demand, use and the sum
-FORMS = {form.__name__.lower(): form for form in (Borrow, Lend, Give)}
-KINDS = {"borrow": Kind.ASK, "lend": Kind.TELL, "give": Kind.WANT}  # under which steps are counted
+FORMS = {"borrow": LeaseRequest, "lend": LeaseGrant, "give": LeaseReturn}
+NAMES = {form: name for name, form in FORMS.items()}
+KINDS = {
+    "borrow": MessageKind.ASK,
+    "lend": MessageKind.TELL,
+    "give": MessageKind.WANT,
+}  # under which steps are counted
 FAULTS = ("kill", "restart", "stop", "cut", "deaf", "mute", "pair", "hold", "lost")
 
 
-class Skew(World):
+class QuotaSimulation(MembershipSimulation):
     """Members that share a limit; `demand` tells what one would use at a time."""
 
     def __init__(
         self,
         nodes: int,
         seed: int,
-        strikes: list[Strike],
+        strikes: list[InjectedFault],
         limit: float,
         demand: Callable[[str, float], float],
         loss: float = 0.0,
         doubles: float = 0.0,
         drift: float = DRIFT,
-        rules: type[Lending] = Lending,
+        rules: type[QuotaLeasing] = QuotaLeasing,
     ) -> None:
         self.limit, self.demand = limit, demand
         self.rules = rules(LEASE_PERIODS * PERIOD_MS, least=limit / nodes / 100.0)
-        self.disks: dict[str, tuple[Lent, ...] | None] = {}
+        self.disks: dict[str, tuple[GrantedLease, ...] | None] = {}
         self.most = 0.0  # that all together might use
         self.samples: list[tuple[float, float, float]] = []  # when, what was used, what was wanted
         super().__init__(nodes, seed, strikes, loss, doubles, drift)
         self.at(LOOK_MS, self.look)
 
-    def make(self, name: str, seed: int) -> Room:
+    def make(self, name: str, seed: int) -> DemandEstimator:
         """Return a process's machine, with the loans that its disk holds."""
         first = name not in self.disks
         memory = self.disks.setdefault(name, ())
         own = self.limit / len(self.names)
         held = self.rules.restarted(own, self.lives, 0.0, () if first else memory)
-        return Room(name, self.names, self.rules, held, PERIOD_MS, seed, PERIOD_MS * self.chance())
+        return DemandEstimator(name, self.names, self.rules, held, PERIOD_MS, seed, PERIOD_MS * self.chance())
 
-    def act(self, seat: Seat, effects: list[Any]) -> None:
+    def act(self, seat: SimulatedMember, effects: list[Any]) -> None:
         """Carry out what a process asks for."""
         for effect in effects:
             if not seat.live:
                 return
-            if type(effect) is Keep:
+            if type(effect) is PersistQuotaState:
                 self.at(self.now + DISK_MS * self.chance(), self.keep, seat, effect)
                 continue
-            name = type(effect.message).__name__.lower()
+            name = NAMES[type(effect.message)]
             strike = self.struck(seat, True, KINDS[name])
             if strike is not None:
                 self.strike(strike, seat)
@@ -69,7 +82,7 @@
                 held = strike.for_ms if strike is not None and strike.fault == "hold" else 0.0
                 self.send(seat, effect.name, data, held)
 
-    def hear(self, seat: Seat, data: bytes) -> None:
+    def hear(self, seat: SimulatedMember, data: bytes) -> None:
         """Hand a message to a process."""
         sender, name, fields = msgspec.msgpack.decode(data)
         strike = self.struck(seat, False, KINDS[name])
@@ -79,7 +92,7 @@
             fields = [tuple(field) if isinstance(field, list) else field for field in fields]
             self.act(seat, seat.machine.heard(self.local(seat), sender, FORMS[name](*fields)))
 
-    def keep(self, seat: Seat, keep: Keep) -> None:
+    def keep(self, seat: SimulatedMember, keep: PersistQuotaState) -> None:
         """Have loans on record, and say them."""
         if self.seats.get(seat.name) is not seat:
             return
@@ -92,7 +105,7 @@
         elif seat.live:
             self.at(seat.stopped_until, self.keep, seat, keep)
 
-    def strike(self, strike: Strike, seat: Seat) -> None:
+    def strike(self, strike: InjectedFault, seat: SimulatedMember) -> None:
         """Let a fault strike."""
         if strike.fault == "lost":
             self.touched.append((self.now, self.now + 1.0))
@@ -118,7 +131,7 @@
         self.at(self.now + LOOK_MS, self.look)
 
 
-class Found(NamedTuple):
+class QuotaVerdict(NamedTuple):
     """What a run showed: breaches, and how near it came to the limit and to leaving a twentieth unused."""
 
     broken: list[str]
@@ -131,17 +144,19 @@
     return lambda name, now: share * part if name == on else 0.1 * part
 
 
-def messages(draws: Draws) -> tuple[Kind, int]:
+def messages(draws: ScheduleDraws) -> tuple[MessageKind, int]:
     """Return a step of lending."""
     return list(KINDS.values())[draws(3)], 1 + draws(20)
 
 
-def schedule(nodes: int, seed: int, most: int = 4) -> list[Strike]:
+def schedule(nodes: int, seed: int, most: int = 4) -> list[InjectedFault]:
     """Return a schedule of chance."""
-    return drawn(Draws("skew", seed), nodes, messages, FAULTS, 40, most)
+    return drawn(ScheduleDraws("skew", seed), nodes, messages, FAULTS, 40, most)
 
 
-def play(nodes: int, seed: int, strikes: list[Strike], rules: type[Lending] = Lending) -> Found:
+def play(
+    nodes: int, seed: int, strikes: list[InjectedFault], rules: type[QuotaLeasing] = QuotaLeasing
+) -> QuotaVerdict:
     """Play a schedule while the demand stands on one node after another.
 
     Judge the sum, and its use at the end.
@@ -152,7 +167,7 @@
         on = f"n{int(now // (20.0 * PERIOD_MS)) % nodes}"
         return one_rich(limit, nodes, on, 0.6 * nodes)(name, now)
 
-    world = Skew(nodes, seed, strikes, limit, demand, doubles=0.02, rules=rules)
+    world = QuotaSimulation(nodes, seed, strikes, limit, demand, doubles=0.02, rules=rules)
     world.run(60.0 * PERIOD_MS)
     # To the end of a spell of demand that began after all was well for a lease.
     spell = 20.0 * PERIOD_MS
@@ -165,9 +180,9 @@
     if used < 0.95 * min(limit, wanted):
         broken.append(f"{used:.2f} of {min(limit, wanted):.2f} wanted is used at the end")
     unused = 1.0 - used / min(limit, wanted)
-    return Found(broken, {"the sum": world.most / limit, "unused at the end": unused / 0.05})
+    return QuotaVerdict(broken, {"the sum": world.most / limit, "unused at the end": unused / 0.05})
 
 
-def hunted(nodes: int, seed: int) -> Found:
+def hunted(nodes: int, seed: int) -> QuotaVerdict:
     """Play the schedule of a seed."""
     return play(nodes, seed, schedule(nodes, seed))
--- a/marlseam/cluster/checking/replication_schedules.py
+++ b/marlseam/cluster/checking/replication_schedules.py
@@ -11,13 +11,34 @@
 
 import msgspec
 
-from marlseam.cluster.audit_log import Barred, Begun, Entry, Held, Promises, added_up
-from marlseam.cluster.checking.membership_schedules import DRIFT, PERIOD_MS, Draws, Seat, Strike, World, drawn
-from marlseam.cluster.membership_codec import Odd
+from marlseam.cluster.audit_log import (
+    AcceptorPromise,
+    FirstLifeBegun,
+    LogRecord,
+    VersionHeld,
+    VotesBarred,
+    added_up,
+)
+from marlseam.cluster.checking.membership_schedules import (
+    DRIFT,
+    PERIOD_MS,
+    InjectedFault,
+    MembershipSimulation,
+    ScheduleDraws,
+    SimulatedMember,
+    drawn,
+)
+from marlseam.cluster.membership_codec import InvalidMessageError
 from marlseam.cluster.replication import messages
 from marlseam.cluster.replication.content import FORMAT, Content, digest, read, write
 from marlseam.cluster.replication.paxos import majority
-from marlseam.cluster.replication.replica import Apply, Keep, Terms, To, Versions
+from marlseam.cluster.replication.replica import (
+    ApplyContent,
+    ConfigReplica,
+    Persist,
+    ReplicationSettings,
+    SendMessage,
+)
 from marlseam.random_source import number
 
 FLEET = "trial"
@@ -42,12 +63,12 @@
 class Disk:
     """What a name's folder holds, and whether it takes more."""
 
-    entries: list[Entry] = field(default_factory=lambda: [Begun(0.0)])
+    entries: list[LogRecord] = field(default_factory=lambda: [FirstLifeBegun(0.0)])
     full_until: float = 0.0
     busy_until: float = 0.0
 
 
-class Found(NamedTuple):
+class ReplicationVerdict(NamedTuple):
     """What a run showed: breaches, how near it came to each bound, how many numbers were chosen."""
 
     broken: list[str]
@@ -55,20 +76,20 @@
     chosen: int
 
 
-class Trial(World):
+class ReplicationSimulation(MembershipSimulation):
     """Members of a fleet with versions."""
 
     def __init__(
         self,
         nodes: int,
         seed: int,
-        strikes: list[Strike],
+        strikes: list[InjectedFault],
         voters: int = 3,
         strict: bool = True,
         loss: float = 0.0,
         doubles: float = 0.0,
         drift: float = DRIFT,
-        machine: Callable[..., Versions] = Versions,
+        machine: Callable[..., ConfigReplica] = ConfigReplica,
         lease_periods: float = LEASE_PERIODS,
         twists: float = 0.0,
         rows: int = ROWS,
@@ -78,7 +99,7 @@
         self.twists = twists  # share of the pieces of contents that come otherwise than they were sent
         self.voters = frozenset(f"n{i}" for i in range(min(voters, nodes)))
         lease = lease_periods * PERIOD_MS
-        self.terms = Terms(self.voters, PERIOD_MS, lease, strict, 100.0 * lease)
+        self.terms = ReplicationSettings(self.voters, PERIOD_MS, lease, strict, 100.0 * lease)
         self.kind = machine
         self.by_number: dict[int, tuple[str, float]] = {}  # what was chosen, and when
         self.electorates = {1: self.voters}  # who votes on a number
@@ -93,48 +114,50 @@
 
     # The world's steps, for these machines.
 
-    def make(self, name: str, seed: int) -> Versions:
+    def make(self, name: str, seed: int) -> ConfigReplica:
         """Return a process's machine, with what its disk holds."""
         kept = added_up(self.disks.setdefault(name, Disk()).entries)
         machine = self.kind(name, self.names, self.terms, f"{name}/{self.lives}", seed, 0.0, kept)
         machine.next_ms = PERIOD_MS * self.chance()
         return machine
 
-    def act(self, seat: Seat, effects: list[Any]) -> None:
+    def act(self, seat: SimulatedMember, effects: list[Any]) -> None:
         """Carry out what a process asks for."""
         for effect in effects:
             if not seat.live:
                 return
-            if type(effect) is To:
+            if type(effect) is SendMessage:
                 kind = messages.kind_of(effect.say)
                 strike = self.struck(seat, True, kind)
                 if strike is not None:
                     self.strike(strike, seat)
                 if seat.live:
-                    note = messages.Note(messages.VERSION, FLEET, seat.name, self.twisted(effect.say))
+                    note = messages.ReplicationDatagram(
+                        messages.VERSION, FLEET, seat.name, self.twisted(effect.say)
+                    )
                     held = strike.for_ms if strike is not None and strike.fault == "hold" else 0.0
                     self.send(seat, effect.name, messages.write(note), held)
-            elif type(effect) is Keep:
+            elif type(effect) is Persist:
                 disk = self.disks[seat.name]
                 # In order, as the node's scribe writes.
                 disk.busy_until = max(disk.busy_until, self.now + DISK_MS * self.chance())
                 self.at(disk.busy_until, self.keep, seat, effect)
-            elif type(effect) is Apply:
+            elif type(effect) is ApplyContent:
                 self.acting_at.setdefault((seat.name, effect.number), self.now)
 
-    def twisted(self, say: messages.Say) -> messages.Say:
+    def twisted(self, say: messages.ReplicationMessage) -> messages.ReplicationMessage:
         """Return what is said, or a piece with one byte changed."""
-        if not self.twists or type(say) is not messages.Piece or self.chance() >= self.twists:
+        if not self.twists or type(say) is not messages.Chunk or self.chance() >= self.twists:
             return say
         at = int(self.chance() * len(say.data))
         data = say.data[:at] + bytes([say.data[at] ^ 1]) + say.data[at + 1 :]
         return msgspec.structs.replace(say, data=data)
 
-    def hear(self, seat: Seat, data: bytes) -> None:
+    def hear(self, seat: SimulatedMember, data: bytes) -> None:
         """Hand a note to a process."""
         try:
             note = messages.read(data, FLEET, self.names)
-        except Odd:
+        except InvalidMessageError:
             return
         strike = self.struck(seat, False, messages.kind_of(note.say))
         if strike is not None:
@@ -142,7 +165,7 @@
         if seat.live and seat.stopped_until <= self.now:
             self.act(seat, seat.machine.heard(self.local(seat), note.sender, note.say))
 
-    def keep(self, seat: Seat, keep: Keep) -> None:
+    def keep(self, seat: SimulatedMember, keep: Persist) -> None:
         """Have something on a disk: of a process that was killed meanwhile it may be there or not."""
         disk = self.disks[seat.name]
         if self.seats.get(seat.name) is not seat:
@@ -160,14 +183,14 @@
         else:
             self.go_on(seat, keep.token)
 
-    def go_on(self, seat: Seat, token: int) -> None:
+    def go_on(self, seat: SimulatedMember, token: int) -> None:
         """Tell a process that something is durable."""
         if seat.live:
             seat.machine.disk = ""
             self.act(seat, seat.machine.kept(self.local(seat), token))
             self.plan(seat)
 
-    def strike(self, strike: Strike, seat: Seat) -> None:
+    def strike(self, strike: InjectedFault, seat: SimulatedMember) -> None:
         """Let a fault strike."""
         until, name = self.now + strike.for_ms, seat.name
         if strike.fault == "full":
@@ -181,7 +204,7 @@
             entries = self.disks[name].entries
             # Found out at the start (store/ledger.py): the memory of votes is known not to be whole.
             kept = entries[: len(entries) // 2] if strike.fault == "old" else []
-            self.disks[name].entries = [*kept, Barred(-1)]
+            self.disks[name].entries = [*kept, VotesBarred(-1)]
             self.at(self.now + 1.0, self.again, name, seat)
         elif strike.fault == "halves":
             self.touched.append((self.now, until))
@@ -199,20 +222,20 @@
 
     # What the checker sees.
 
-    def written(self, name: str, entries: tuple[Entry, ...]) -> None:
+    def written(self, name: str, entries: tuple[LogRecord, ...]) -> None:
         """See what a disk holds now.
 
         Whether a majority has accepted a content, and that nobody holds another.
         """
         for entry in entries:
-            if type(entry) is Promises and entry.value:
+            if type(entry) is AcceptorPromise and entry.value:
                 ballot = entry.accepted_round, entry.accepted_place
                 took = self.took.setdefault((entry.number, ballot, entry.value), set())
                 took.add(name)
                 electorate = self.electorates.get(entry.number, frozenset())
                 if electorate and len(took & electorate) >= majority(electorate):
                     self.choose(entry.number, entry.value)
-            elif type(entry) is Held:
+            elif type(entry) is VersionHeld:
                 if entry.number not in self.by_number:
                     self.wrong.append(f"version {entry.number} is held, no majority of its voters took it")
                 self.choose(entry.number, entry.id)
@@ -287,29 +310,29 @@
         return found
 
 
-def notes(draws: Draws) -> tuple[messages.Kind, int]:
+def notes(draws: ScheduleDraws) -> tuple[messages.MessageKind, int]:
     """Return a step of versions: those of agreement often, early ones of them."""
-    kind = messages.Kind(11 + draws(9)) if draws(3) else messages.Kind(13 + draws(4))
-    return kind, 10 + draws(60) if kind < messages.Kind.PREPARE else 1 + draws(3)
+    kind = messages.MessageKind(11 + draws(9)) if draws(3) else messages.MessageKind(13 + draws(4))
+    return kind, 10 + draws(60) if kind < messages.MessageKind.PREPARE else 1 + draws(3)
 
 
-def schedule(nodes: int, seed: int, most: int = 4) -> list[Strike]:
+def schedule(nodes: int, seed: int, most: int = 4) -> list[InjectedFault]:
     """Return a schedule of chance."""
-    return drawn(Draws("trial", seed), nodes, notes, FAULTS, 45, most)
+    return drawn(ScheduleDraws("trial", seed), nodes, notes, FAULTS, 45, most)
 
 
 def play(
     nodes: int,
     seed: int,
-    strikes: list[Strike],
-    machine: Callable[..., Versions] = Versions,
+    strikes: list[InjectedFault],
+    machine: Callable[..., ConfigReplica] = ConfigReplica,
     strict: bool = True,
     rows: int = ROWS,
     twists: float = 0.0,
-) -> Found:
+) -> ReplicationVerdict:
     """Play a schedule with publications by two at a time, wait until its last fault is over, and judge."""
     more = {"machine": machine, "rows": rows, "twists": twists}
-    world = Trial(nodes, seed, strikes, strict=strict, doubles=0.02, **more)
+    world = ReplicationSimulation(nodes, seed, strikes, strict=strict, doubles=0.02, **more)
     world.run(3.0 * PERIOD_MS)
     for i in range(6):
         world.run((4.0 + 8.0 * i) * PERIOD_MS)
@@ -331,9 +354,9 @@
         nearest["alike after a heal"] = (step - end) / heal
     if not strikes and len(world.by_number) < 6:
         broken.append(f"{len(world.by_number)} of 6 publications were chosen with no fault there")
-    return Found(broken, nearest, len(world.by_number))
+    return ReplicationVerdict(broken, nearest, len(world.by_number))
 
 
-def hunted(nodes: int, seed: int) -> Found:
+def hunted(nodes: int, seed: int) -> ReplicationVerdict:
     """Play the schedule of a seed."""
     return play(nodes, seed, schedule(nodes, seed))
--- a/marlseam/cluster/membership.py
+++ b/marlseam/cluster/membership.py
@@ -15,14 +15,14 @@
 from typing import NamedTuple
 
 from marlseam.cluster.membership_codec import (
-    NUMBER_MOST,
-    RUMOURS_MOST,
+    MAX_GOSSIP_ENTRIES,
+    MAX_NUMBER,
     VERSION,
-    Claim,
-    Kind,
-    Letter,
-    Rumour,
-    Standing,
+    Datagram,
+    DatagramKind,
+    GossipEntry,
+    MemberState,
+    MemberStatus,
 )
 from marlseam.random_source import RandomSource
 
@@ -38,35 +38,35 @@
 LATE = 2.0  # periods between two looks from which a process must have been stopped
 
 
-class Say(NamedTuple):
+class SendDatagram(NamedTuple):
     """Send a letter to a member."""
 
     to: str
-    letter: Letter
+    letter: Datagram
 
 
-class Changed(NamedTuple):
+class MemberChanged(NamedTuple):
     """A member's standing is another, or another process has taken its name."""
 
     name: str
-    claim: Claim
+    claim: MemberState
 
 
-class Twin(NamedTuple):
+class DuplicateMember(NamedTuple):
     """Two processes act under one name: a life that another had followed spoke again."""
 
     name: str
     life: int
 
 
-Effect = Say | Changed | Twin
+Effect = SendDatagram | MemberChanged | DuplicateMember
 
 
 @dataclass(slots=True)
 class Member:
     """What is held of one member."""
 
-    claim: Claim | None = None  # nothing heard of it yet
+    claim: MemberState | None = None  # nothing heard of it yet
     since_ms: float = 0.0  # when that claim came to hold
     heard_ms: float = -inf  # its last letter
     suspects: dict[str, None] = field(default_factory=dict)
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True)
-class Look:
+class PendingProbe:
     """A ping that is out, for ourselves or for another."""
 
     name: str
@@ -86,7 +86,7 @@
     nacks: int = 0  # helpers that have not said yet that they heard nothing
 
 
-class Members:
+class Membership:
     """One member's machine: `tick` when `next_ms` has come, `heard` for each letter; both return effects."""
 
     def __init__(
@@ -94,9 +94,9 @@
     ) -> None:
         self.fleet, self.me, self.chance = fleet, me, RandomSource(f"{seed}:{me}")
         self.period_ms, self.now, self.looked_ms = period_ms, now, now
-        self.own = Claim(0, life, Standing.HERE)
+        self.own = MemberState(0, life, MemberStatus.HERE)
         self.members: dict[str, Member] = {}
-        self.looks: dict[int, Look] = {}
+        self.looks: dict[int, PendingProbe] = {}
         self.seq = self.health = 0
         self.news: dict[str, int] = {}  # members with news to pass on, and how often it was
         self.telling: deque[str] = deque()  # the same, what was told least first
@@ -136,7 +136,7 @@
     def is_here(self, name: str) -> bool:
         """Return whether a member counts as there."""
         claim = self.members[name].claim
-        return claim is not None and claim.standing <= Standing.SUSPECT
+        return claim is not None and claim.standing <= MemberStatus.SUSPECT
 
     def here(self) -> list[str]:
         """Return the members that count as there, ourselves apart."""
@@ -176,14 +176,14 @@
                 helpers = self.some(HELPERS, look.name)
                 look.nacks = len(helpers)
                 for helper in helpers:
-                    self.say(helper, Kind.ASK, seq, look.name)
+                    self.say(helper, DatagramKind.ASK, seq, look.name)
             if look.due_ms <= now:
                 del self.looks[seq]
                 self.missed(look)
         for name in sorted(self.suspected):
             member = self.members[name]
             if member.ends_ms <= now:
-                self.take(Rumour(name, self.held(member, Standing.GONE)))
+                self.take(GossipEntry(name, self.held(member, MemberStatus.GONE)))
         if self.next_probe_ms <= now:
             self.next_probe_ms = now + self.wait_ms()
             self.probe()
@@ -206,7 +206,7 @@
             self.ping(name)
         self.turn_away, name = self.next_in(self.turn_away, False)
         if name:
-            self.say(name, Kind.PING, 0)
+            self.say(name, DatagramKind.PING, 0)
 
     def next_in(self, turn: list[str], here: bool) -> tuple[list[str], str]:
         """Return the rest of an order and its next that is there, or is not; a new order after the last."""
@@ -222,30 +222,30 @@
         """Ping a member, for ourselves or for another."""
         self.seq += 1
         if asker:
-            look = Look(name, self.now + NACK_AT * self.period_ms, inf, asker, asker_seq)
+            look = PendingProbe(name, self.now + NACK_AT * self.period_ms, inf, asker, asker_seq)
         else:
             wait = self.wait_ms()
-            look = Look(name, self.now + 0.9 * wait, self.now + DIRECT * wait)
+            look = PendingProbe(name, self.now + 0.9 * wait, self.now + DIRECT * wait)
         self.looks[self.seq] = look
-        self.say(name, Kind.PING, self.seq)
+        self.say(name, DatagramKind.PING, self.seq)
 
-    def missed(self, look: Look) -> None:
+    def missed(self, look: PendingProbe) -> None:
         """Take in that a ping has no answer."""
         if look.asker:
             if look.asker in self.members:
-                self.say(look.asker, Kind.NACK, look.asker_seq, look.name)
+                self.say(look.asker, DatagramKind.NACK, look.asker_seq, look.name)
             return
         # Helpers that say nothing either speak against our own way, not against the member.
         self.health = min(HEALTH_MOST, self.health + min(1, look.nacks))
         member = self.members[look.name]
-        if member.claim is not None and member.claim.standing <= Standing.SUSPECT:
-            self.take(Rumour(look.name, self.held(member, Standing.SUSPECT), self.me))
+        if member.claim is not None and member.claim.standing <= MemberStatus.SUSPECT:
+            self.take(GossipEntry(look.name, self.held(member, MemberStatus.SUSPECT), self.me))
 
-    def held(self, member: Member, standing: Standing) -> Claim:
+    def held(self, member: Member, standing: MemberStatus) -> MemberState:
         """Return the claim on a member with another standing."""
-        return Claim(member.claim.incarnation, member.claim.life, standing)
+        return MemberState(member.claim.incarnation, member.claim.life, standing)
 
-    def heard(self, now: float, letter: Letter) -> list[Effect]:
+    def heard(self, now: float, letter: Datagram) -> list[Effect]:
         """Take in a letter."""
         self.begin(now)
         if letter.sender == self.me:
@@ -256,22 +256,22 @@
         if member is None:
             return self.effects  # it belonged, or is to: others know it already, or still
         member.heard_ms = now
-        self.take(Rumour(letter.sender, letter.own))
+        self.take(GossipEntry(letter.sender, letter.own))
         for rumour in letter.rumours:
             self.take(rumour)
-        if letter.kind == Kind.PING:
-            self.say(letter.sender, Kind.ACK, letter.seq, self.me)
-        elif letter.kind == Kind.ASK and letter.about in self.members:
+        if letter.kind == DatagramKind.PING:
+            self.say(letter.sender, DatagramKind.ACK, letter.seq, self.me)
+        elif letter.kind == DatagramKind.ASK and letter.about in self.members:
             self.ping(letter.about, letter.sender, letter.seq)
-        elif letter.kind == Kind.ACK:
+        elif letter.kind == DatagramKind.ACK:
             look = self.looks.get(letter.seq)
             if look is not None and look.name == letter.about:
                 del self.looks[letter.seq]
                 if look.asker in self.members:
-                    self.say(look.asker, Kind.ACK, look.asker_seq, look.name)
+                    self.say(look.asker, DatagramKind.ACK, look.asker_seq, look.name)
                 elif not look.asker:
                     self.health = max(0, self.health - 1)
-        elif letter.kind == Kind.NACK:
+        elif letter.kind == DatagramKind.NACK:
             look = self.looks.get(letter.seq)
             if look is not None:
                 look.nacks = max(0, look.nacks - 1)
@@ -280,25 +280,25 @@
     def leave(self, now: float) -> list[Effect]:
         """Say goodbye."""
         self.begin(now)
-        self.own = Claim(self.own.incarnation, self.own.life, Standing.LEFT)
+        self.own = MemberState(self.own.incarnation, self.own.life, MemberStatus.LEFT)
         for name in self.some(HELPERS + 1):
-            self.say(name, Kind.PING, 0)
+            self.say(name, DatagramKind.PING, 0)
         return self.effects
 
     # What is said.
 
-    def claimed(self, claim: Claim) -> None:
+    def claimed(self, claim: MemberState) -> None:
         """Hear a claim on ourselves: one that is not ours, or no praise, is refuted by a new incarnation."""
-        if claim < self.own or self.own.standing == Standing.LEFT:
+        if claim < self.own or self.own.standing == MemberStatus.LEFT:
             return
-        if claim.life == self.own.life and claim.standing == Standing.HERE:
+        if claim.life == self.own.life and claim.standing == MemberStatus.HERE:
             return
         if claim.life == self.own.life:
             self.health = min(HEALTH_MOST, self.health + 1)  # others did not hear us: our own way may be bad
-        if claim.incarnation < NUMBER_MOST:
-            self.own = Claim(claim.incarnation + 1, self.own.life, Standing.HERE)
+        if claim.incarnation < MAX_NUMBER:
+            self.own = MemberState(claim.incarnation + 1, self.own.life, MemberStatus.HERE)
 
-    def take(self, rumour: Rumour) -> None:
+    def take(self, rumour: GossipEntry) -> None:
         """Take in a rumour."""
         if rumour.name == self.me:
             self.claimed(rumour.claim)
@@ -307,27 +307,27 @@
             return
         member, claim = self.members[rumour.name], rumour.claim
         if member.claim is not None and claim <= member.claim:
-            if claim == member.claim and claim.standing == Standing.SUSPECT and rumour.by:
+            if claim == member.claim and claim.standing == MemberStatus.SUSPECT and rumour.by:
                 self.share(rumour.name, member, rumour.by)
             return
         before, member.claim = member.claim, claim
         member.since_ms = self.now
         if before is not None and before.life != claim.life:
             if claim.life == member.former:
-                self.effects.append(Twin(rumour.name, claim.life))
+                self.effects.append(DuplicateMember(rumour.name, claim.life))
             member.former = before.life
-        if before is None and claim.standing == Standing.HERE:
+        if before is None and claim.standing == MemberStatus.HERE:
             self.tell_once(rumour.name)
         else:
             self.tell(rumour.name)
         self.suspected.discard(rumour.name)
         member.suspects, member.ends_ms = {}, inf
-        if claim.standing == Standing.SUSPECT:
+        if claim.standing == MemberStatus.SUSPECT:
             self.suspected.add(rumour.name)
             member.ends_ms = self.now + self.suspicion_ms(0)
             self.share(rumour.name, member, rumour.by or self.me)
         if before is None or (before.standing, before.life) != (claim.standing, claim.life):
-            self.effects.append(Changed(rumour.name, claim))
+            self.effects.append(MemberChanged(rumour.name, claim))
 
     def share(self, name: str, member: Member, by: str) -> None:
         """Note who else suspects a member: the more do, the sooner it counts as gone."""
@@ -354,11 +354,11 @@
         self.news[name] = self.most - 1
         self.telling.append(name)
 
-    def rumours(self, to: str) -> list[Rumour]:
+    def rumours(self, to: str) -> list[GossipEntry]:
         """Return what a letter to someone carries: what is said of it, news, some in their turn."""
         first = [to] if to in self.members and self.doubted(to) else []
         fresh: dict[str, None] = {}
-        while self.telling and len(fresh) < RUMOURS_MOST - OLD - 1:
+        while self.telling and len(fresh) < MAX_GOSSIP_ENTRIES - OLD - 1:
             fresh[self.telling.popleft()] = None
         if not self.turn_old:
             self.turn_old = self.shuffled([n for n, m in self.members.items() if m.claim is not None])
@@ -374,16 +374,16 @@
     def doubted(self, name: str) -> bool:
         """Return whether something is said of a member that it would refute."""
         claim = self.members[name].claim
-        return claim is not None and claim.standing != Standing.HERE
+        return claim is not None and claim.standing != MemberStatus.HERE
 
-    def rumour(self, name: str) -> Rumour:
+    def rumour(self, name: str) -> GossipEntry:
         """Return what is held of a member, as it is told."""
         member = self.members[name]
         by = self.me if self.me in member.suspects else next(iter(member.suspects), "")
-        return Rumour(name, member.claim, by if member.claim.standing == Standing.SUSPECT else "")
+        return GossipEntry(name, member.claim, by if member.claim.standing == MemberStatus.SUSPECT else "")
 
-    def say(self, to: str, kind: Kind, seq: int, about: str = "") -> None:
+    def say(self, to: str, kind: DatagramKind, seq: int, about: str = "") -> None:
         """Send a letter."""
         rumours = self.rumours(to)
-        letter = Letter(VERSION, self.fleet, self.me, self.own, kind, seq, about, rumours)
-        self.effects.append(Say(to, letter))
+        letter = Datagram(VERSION, self.fleet, self.me, self.own, kind, seq, about, rumours)
+        self.effects.append(SendDatagram(to, letter))
--- a/marlseam/cluster/membership_codec.py
+++ b/marlseam/cluster/membership_codec.py
@@ -9,13 +9,13 @@
 import msgspec
 
 VERSION = 1
-LETTER_MOST = 1400  # bytes of a letter: one packet on common links
-RUMOURS_MOST = 16  # in a letter
-NUMBER_MOST = (1 << 53) - 1  # incarnations, lives, sequence numbers
-NAME_MOST = 64  # characters
+MAX_DATAGRAM_BYTES = 1400  # bytes of a letter: one packet on common links
+MAX_GOSSIP_ENTRIES = 16  # in a letter
+MAX_NUMBER = (1 << 53) - 1  # incarnations, lives, sequence numbers
+MAX_NAME_CHARACTERS = 64  # characters
 
 
-class Kind(enum.IntEnum):
+class DatagramKind(enum.IntEnum):
     """What a letter asks or tells."""
 
     PING = 1  # are you there?
@@ -24,7 +24,7 @@
     NACK = 4  # I was asked to ask, and have not heard either
 
 
-class Standing(enum.IntEnum):
+class MemberStatus(enum.IntEnum):
     """What is held of a member, the stronger word of one incarnation last."""
 
     HERE = 0
@@ -33,7 +33,7 @@
     LEFT = 3
 
 
-class Claim(msgspec.Struct, array_like=True, frozen=True, order=True):
+class MemberState(msgspec.Struct, array_like=True, frozen=True, order=True):
     """What is said of a member. The greater claim holds: claims merge in any order, any number of times.
 
     A higher incarnation, which only the member itself begins, goes before all; of two lives that begin the
@@ -45,28 +45,28 @@
     standing: int
 
 
-class Rumour(msgspec.Struct, array_like=True, frozen=True):
+class GossipEntry(msgspec.Struct, array_like=True, frozen=True):
     """A claim on a member and, where it is suspected, who suspects it."""
 
     name: str
-    claim: Claim
+    claim: MemberState
     by: str = ""
 
 
-class Letter(msgspec.Struct, array_like=True, frozen=True):
+class Datagram(msgspec.Struct, array_like=True, frozen=True):
     """One datagram: from whom and on what claim of its own, what about, and rumours."""
 
     version: int
     fleet: str
     sender: str
-    own: Claim
+    own: MemberState
     kind: int
     seq: int
     about: str
-    rumours: list[Rumour] = []
+    rumours: list[GossipEntry] = []
 
 
-class Odd(Exception):
+class InvalidMessageError(Exception):
     """No letter; its code says why."""
 
     def __init__(self, code: str) -> None:
@@ -74,45 +74,45 @@
         self.code = code
 
 
-DECODER, ENCODER = msgspec.msgpack.Decoder(Letter), msgspec.msgpack.Encoder()
+DECODER, ENCODER = msgspec.msgpack.Decoder(Datagram), msgspec.msgpack.Encoder()
 
 
-def write(letter: Letter) -> bytes:
+def write(letter: Datagram) -> bytes:
     """Return a letter's bytes, with as many of its rumours as fit."""
     data = ENCODER.encode(letter)
-    while len(data) > LETTER_MOST and letter.rumours:
+    while len(data) > MAX_DATAGRAM_BYTES and letter.rumours:
         letter = msgspec.structs.replace(letter, rumours=letter.rumours[:-1])
         data = ENCODER.encode(letter)
     return data
 
 
-def fits(claim: Claim) -> bool:
+def fits(claim: MemberState) -> bool:
     """Return whether a claim's values are in bounds."""
-    numbers = 0 <= claim.incarnation <= NUMBER_MOST and 0 <= claim.life <= NUMBER_MOST
-    return numbers and Standing.HERE <= claim.standing <= Standing.LEFT
+    numbers = 0 <= claim.incarnation <= MAX_NUMBER and 0 <= claim.life <= MAX_NUMBER
+    return numbers and MemberStatus.HERE <= claim.standing <= MemberStatus.LEFT
 
 
-def read(data: bytes, fleet: str, names: frozenset[str]) -> Letter:
+def read(data: bytes, fleet: str, names: frozenset[str]) -> Datagram:
     """Return a letter of the fleet's.
 
     Raises Odd with a code: too-large, bad-message, version, foreign, unknown, bounds.
     """
-    if len(data) > LETTER_MOST:
-        raise Odd("too-large")
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise InvalidMessageError("too-large")
     try:
         letter = DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        raise Odd("bad-message") from None
+        raise InvalidMessageError("bad-message") from None
     if letter.version != VERSION:
-        raise Odd("version")
+        raise InvalidMessageError("version")
     if letter.fleet != fleet:
-        raise Odd("foreign")
+        raise InvalidMessageError("foreign")
     said = [letter.sender, *(rumour.name for rumour in letter.rumours)]
     by = [rumour.by for rumour in letter.rumours if rumour.by]
     if not names.issuperset((*said, *by)) or (letter.about and letter.about not in names):
-        raise Odd("unknown")
+        raise InvalidMessageError("unknown")
     claims = [letter.own, *(rumour.claim for rumour in letter.rumours)]
-    known = Kind.PING <= letter.kind <= Kind.NACK and 0 <= letter.seq <= NUMBER_MOST
-    if not known or len(letter.rumours) > RUMOURS_MOST or not all(fits(claim) for claim in claims):
-        raise Odd("bounds")
+    known = DatagramKind.PING <= letter.kind <= DatagramKind.NACK and 0 <= letter.seq <= MAX_NUMBER
+    if not known or len(letter.rumours) > MAX_GOSSIP_ENTRIES or not all(fits(claim) for claim in claims):
+        raise InvalidMessageError("bounds")
     return letter
--- a/marlseam/cluster/quota/demand.py
+++ b/marlseam/cluster/quota/demand.py
@@ -7,7 +7,14 @@
 
 from typing import NamedTuple
 
-from marlseam.cluster.quota.leasing import Borrow, Held, Lend, Lending, Lent, Message
+from marlseam.cluster.quota.leasing import (
+    GrantedLease,
+    LeaseGrant,
+    LeaseMessage,
+    LeaseRequest,
+    QuotaLeasing,
+    QuotaState,
+)
 from marlseam.random_source import RandomSource
 
 HEADROOM = 0.1  # of its demand, that a member keeps beside it
@@ -17,32 +24,32 @@
 GROWTH = 2.0  # of an ask over the last, where more is lacking: a burst is followed in few periods
 
 
-class To(NamedTuple):
+class SendLeaseMessage(NamedTuple):
     """Say this to a member."""
 
     name: str
-    message: Message
+    message: LeaseMessage
 
 
-class Keep(NamedTuple):
+class PersistQuotaState(NamedTuple):
     """Have all loans on record, then call `kept` with the new ones' ids."""
 
-    lent: tuple[Lent, ...]
+    lent: tuple[GrantedLease, ...]
     new: frozenset[tuple[int, int]]
 
 
-Effect = To | Keep
+Effect = SendLeaseMessage | PersistQuotaState
 
 
-class Room:
+class DemandEstimator:
     """One member's part of one limit; `demand` is what it would use now. Times in ms, one's own."""
 
     def __init__(
         self,
         name: str,
         members: frozenset[str],
-        rules: Lending,
-        held: Held,
+        rules: QuotaLeasing,
+        held: QuotaState,
         period_ms: float,
         seed: int,
         now: float,
@@ -81,7 +88,7 @@
                 self.held, give = self.rules.give(self.held, now, got)
                 if give is not None:
                     usable -= got.amount
-                    effects.append(To(got.lender, give))
+                    effects.append(SendLeaseMessage(got.lender, give))
         effects += self.renewals(now)
         lacking = self.demand * (1.0 + HEADROOM) - usable
         if lacking > max(0.0, self.rules.least) and self.demand > usable * (1.0 - HEADROOM):
@@ -95,7 +102,7 @@
         for got in self.held.got:
             if got.loan not in asked and got.until_ms - now < RENEW_AT * self.rules.lease_ms:
                 self.held, borrow = self.rules.ask(self.held, now, got.lender, got.amount, got.loan)
-                effects.append(To(got.lender, borrow))
+                effects.append(SendLeaseMessage(got.lender, borrow))
         return effects
 
     def asks(self, now: float, lacking: float) -> list[Effect]:
@@ -105,28 +112,28 @@
         for name in order[:ASKS]:
             # Each may have only a part: what is too much is given back.
             self.held, borrow = self.rules.ask(self.held, now, name, GROWTH * lacking / ASKS)
-            effects.append(To(name, borrow))
+            effects.append(SendLeaseMessage(name, borrow))
         return effects
 
-    def heard(self, now: float, sender: str, message: Message) -> list[Effect]:
+    def heard(self, now: float, sender: str, message: LeaseMessage) -> list[Effect]:
         """Take in a message."""
         effects: list[Effect] = []
-        if type(message) is Borrow:
+        if type(message) is LeaseRequest:
             before = self.held.unsaid
             self.held, lend = self.rules.borrows(self.held, now, sender, message)
             if lend is not None:
-                effects.append(To(sender, lend))
+                effects.append(SendLeaseMessage(sender, lend))
             elif self.held.unsaid != before:
                 new = frozenset(row[1].loan for row in self.held.unsaid if row not in before)
-                effects.append(Keep(self.held.lent, new))
-        elif type(message) is Lend:
+                effects.append(PersistQuotaState(self.held.lent, new))
+        elif type(message) is LeaseGrant:
             if not message.amount:
                 self.refused[sender] = self.refused.get(sender, 0) + 1
             else:
                 self.refused.pop(sender, None)
             self.held, give = self.rules.lends(self.held, now, sender, message)
             if give is not None:
-                effects.append(To(sender, give))
+                effects.append(SendLeaseMessage(sender, give))
         else:
             self.held = self.rules.gives(self.held, sender, message)
         return effects
@@ -134,4 +141,4 @@
     def kept(self, now: float, new: frozenset[tuple[int, int]]) -> list[Effect]:
         """Say the grants that are on record now."""
         self.held, lends = self.rules.durable(self.held, now, new)
-        return [To(name, lend) for name, lend in lends]
+        return [SendLeaseMessage(name, lend) for name, lend in lends]
--- a/marlseam/cluster/quota/leasing.py
+++ b/marlseam/cluster/quota/leasing.py
@@ -18,7 +18,7 @@
 GENEROUS = 0.5  # of what is free, at most, in one loan: another may ask next
 
 
-class Borrow(NamedTuple):
+class LeaseRequest(NamedTuple):
     """Lend me so much; or, with a loan's id, lend me that for another lease."""
 
     seq: tuple[int, int]  # of the asking process, by its life: an answer to an earlier one's is none
@@ -26,7 +26,7 @@
     loan: tuple[int, int] | None = None
 
 
-class Lend(NamedTuple):
+class LeaseGrant(NamedTuple):
     """That much is yours for a lease from when you asked; 0: nothing is."""
 
     seq: tuple[int, int]
@@ -34,16 +34,16 @@
     amount: float
 
 
-class Give(NamedTuple):
+class LeaseReturn(NamedTuple):
     """I use this loan no more."""
 
     loan: tuple[int, int]
 
 
-Message = Borrow | Lend | Give
+LeaseMessage = LeaseRequest | LeaseGrant | LeaseReturn
 
 
-class Lent(NamedTuple):
+class GrantedLease(NamedTuple):
     """What a member has lent; until when it does not use it itself."""
 
     loan: tuple[int, int]
@@ -53,7 +53,7 @@
     seq: tuple[int, int] = (0, 0)  # of the question: one that comes twice is granted once
 
 
-class Got(NamedTuple):
+class HeldLease(NamedTuple):
     """What a member has borrowed, and until when it may use that."""
 
     lender: str
@@ -62,7 +62,7 @@
     until_ms: float
 
 
-class Asked(NamedTuple):
+class PendingLeaseRequest(NamedTuple):
     """A question that is out."""
 
     seq: tuple[int, int]
@@ -71,7 +71,7 @@
     loan: tuple[int, int] | None
 
 
-class Held(NamedTuple):
+class QuotaState(NamedTuple):
     """All that a member holds of one limit: each step makes it anew, so that a search can look at each."""
 
     own: float  # its part
@@ -79,13 +79,13 @@
     barred_until_ms: float = 0.0  # it uses nothing of its part before
     used: float = 0.0  # of all that it may use
     count: int = 0
-    lent: tuple[Lent, ...] = ()
-    got: tuple[Got, ...] = ()
-    asked: tuple[Asked, ...] = ()
-    unsaid: tuple[tuple[str, Lend], ...] = ()  # grants whose record is not durable yet
+    lent: tuple[GrantedLease, ...] = ()
+    got: tuple[HeldLease, ...] = ()
+    asked: tuple[PendingLeaseRequest, ...] = ()
+    unsaid: tuple[tuple[str, LeaseGrant], ...] = ()  # grants whose record is not durable yet
 
 
-class Lending:
+class QuotaLeasing:
     """The rules, for members with one lease; times in ms on each one's own clock."""
 
     def __init__(self, lease_ms: float, least: float = 0.0, generous: float = GENEROUS) -> None:
@@ -100,35 +100,37 @@
         """Return how long a lender leaves a loan alone, from when it said so."""
         return self.lease_ms * (1.0 + 2.0 * DRIFT)
 
-    def own_left(self, held: Held, now: float) -> float:
+    def own_left(self, held: QuotaState, now: float) -> float:
         """Return what of its own part a member has not lent."""
         if now < held.barred_until_ms:
             return 0.0
         return max(0.0, held.own - sum(lent.amount for lent in held.lent if now < lent.until_ms))
 
-    def usable(self, held: Held, now: float) -> float:
+    def usable(self, held: QuotaState, now: float) -> float:
         """Return what a member may use now."""
         return self.own_left(held, now) + sum(got.amount for got in held.got if now < got.until_ms)
 
-    def free(self, held: Held, now: float) -> float:
+    def free(self, held: QuotaState, now: float) -> float:
         """Return what a member may lend now: of its own part, and not in use; what is borrowed stays."""
         return max(0.0, min(self.own_left(held, now), self.usable(held, now) - held.used))
 
     # Asking.
 
     def ask(
-        self, held: Held, now: float, to: str, amount: float, loan: tuple[int, int] | None = None
-    ) -> tuple[Held, Borrow]:
+        self, held: QuotaState, now: float, to: str, amount: float, loan: tuple[int, int] | None = None
+    ) -> tuple[QuotaState, LeaseRequest]:
         """Ask a member for a loan, or for another lease of one."""
         seq = held.life, held.count + 1
-        asked = (*self.open(held, now), Asked(seq, to, now, loan))
-        return held._replace(count=held.count + 1, asked=asked), Borrow(seq, amount, loan)
+        asked = (*self.open(held, now), PendingLeaseRequest(seq, to, now, loan))
+        return held._replace(count=held.count + 1, asked=asked), LeaseRequest(seq, amount, loan)
 
-    def open(self, held: Held, now: float) -> tuple[Asked, ...]:
+    def open(self, held: QuotaState, now: float) -> tuple[PendingLeaseRequest, ...]:
         """Return the questions whose answers may still be of use."""
         return tuple(asked for asked in held.asked if now < asked.at_ms + self.borrowed_ms())
 
-    def lends(self, held: Held, now: float, sender: str, lend: Lend) -> tuple[Held, Give | None]:
+    def lends(
+        self, held: QuotaState, now: float, sender: str, lend: LeaseGrant
+    ) -> tuple[QuotaState, LeaseReturn | None]:
         """Take in an answer; what comes too late, or twice, changes nothing."""
         asked = next((a for a in held.asked if a.seq == lend.seq and a.to == sender), None)
         if asked is None:
@@ -147,46 +149,50 @@
             )
             return held._replace(got=got), None
         if now >= until:
-            return held, Give(lend.loan)
-        return held._replace(got=(*held.got, Got(sender, lend.loan, lend.amount, until))), None
+            return held, LeaseReturn(lend.loan)
+        return held._replace(got=(*held.got, HeldLease(sender, lend.loan, lend.amount, until))), None
 
-    def give(self, held: Held, now: float, got: Got) -> tuple[Held, Give | None]:
+    def give(self, held: QuotaState, now: float, got: HeldLease) -> tuple[QuotaState, LeaseReturn | None]:
         """Give a loan back, if it is not in use."""
         after = held._replace(got=tuple(g for g in held.got if g is not got))
         if held.used > self.usable(after, now) + 1e-9:
             return held, None
-        return after, Give(got.loan)
+        return after, LeaseReturn(got.loan)
 
     # Lending.
 
-    def borrows(self, held: Held, now: float, sender: str, borrow: Borrow) -> tuple[Held, Lend | None]:
+    def borrows(
+        self, held: QuotaState, now: float, sender: str, borrow: LeaseRequest
+    ) -> tuple[QuotaState, LeaseGrant | None]:
         """Take in a question: an answer at once, or a grant that is said once it is durable (`durable`)."""
         if borrow.loan is not None:
             return self.renews(held, now, sender, borrow)
         for lent in held.lent:
             if (lent.to, lent.seq) == (sender, borrow.seq) and now < lent.until_ms:
                 said = lent.until_ms < float("inf")
-                return held, Lend(borrow.seq, lent.loan, lent.amount) if said else None
+                return held, LeaseGrant(borrow.seq, lent.loan, lent.amount) if said else None
         amount = min(borrow.amount, self.generous * self.free(held, now))
         if amount <= 0.0 or amount < self.least:
-            return held, Lend(borrow.seq, (held.life, 0), 0.0)
+            return held, LeaseGrant(borrow.seq, (held.life, 0), 0.0)
         loan = held.life, held.count + 1
-        lent = (*held.lent, Lent(loan, sender, amount, float("inf"), borrow.seq))
-        unsaid = (*held.unsaid, (sender, Lend(borrow.seq, loan, amount)))
+        lent = (*held.lent, GrantedLease(loan, sender, amount, float("inf"), borrow.seq))
+        unsaid = (*held.unsaid, (sender, LeaseGrant(borrow.seq, loan, amount)))
         return held._replace(count=held.count + 1, lent=lent, unsaid=unsaid), None
 
-    def renews(self, held: Held, now: float, sender: str, borrow: Borrow) -> tuple[Held, Lend]:
+    def renews(
+        self, held: QuotaState, now: float, sender: str, borrow: LeaseRequest
+    ) -> tuple[QuotaState, LeaseGrant]:
         """Lend a loan for another lease, if it is not over."""
         for lent in held.lent:
             if (lent.loan, lent.to) == (borrow.loan, sender) and now < lent.until_ms < float("inf"):
                 again = lent._replace(until_ms=max(lent.until_ms, now + self.lent_ms()))
                 rows = tuple(again if row is lent else row for row in held.lent)
-                return held._replace(lent=rows), Lend(borrow.seq, lent.loan, lent.amount)
-        return held, Lend(borrow.seq, borrow.loan, 0.0)
+                return held._replace(lent=rows), LeaseGrant(borrow.seq, lent.loan, lent.amount)
+        return held, LeaseGrant(borrow.seq, borrow.loan, 0.0)
 
     def durable(
-        self, held: Held, now: float, loans: frozenset[tuple[int, int]] | None = None
-    ) -> tuple[Held, list[tuple[str, Lend]]]:
+        self, held: QuotaState, now: float, loans: frozenset[tuple[int, int]] | None = None
+    ) -> tuple[QuotaState, list[tuple[str, LeaseGrant]]]:
         """Say the grants whose records are durable now, these or all; their leases begin."""
         loans = frozenset(lend.loan for _, lend in held.unsaid) if loans is None else loans
         until = now + self.lent_ms()
@@ -195,11 +201,11 @@
         left = tuple(row for row in held.unsaid if row[1].loan not in loans)
         return held._replace(lent=lent, unsaid=left), said
 
-    def gives(self, held: Held, sender: str, give: Give) -> Held:
+    def gives(self, held: QuotaState, sender: str, give: LeaseReturn) -> QuotaState:
         """Take in that a loan is given back."""
         return held._replace(lent=tuple(r for r in held.lent if (r.loan, r.to) != (give.loan, sender)))
 
-    def swept(self, held: Held, now: float) -> Held:
+    def swept(self, held: QuotaState, now: float) -> QuotaState:
         """Drop what is over."""
         return held._replace(
             lent=tuple(row for row in held.lent if now < row.until_ms),
@@ -209,15 +215,17 @@
 
     # A new life, and a new limit.
 
-    def restarted(self, own: float, life: int, now: float, memory: tuple[Lent, ...] | None) -> Held:
+    def restarted(
+        self, own: float, life: int, now: float, memory: tuple[GrantedLease, ...] | None
+    ) -> QuotaState:
         """Return what a process begins with; `memory`: the loans on record, None where that is not whole."""
         until = now + self.lent_ms()
         if memory is None:
-            return Held(own, life, barred_until_ms=until)
+            return QuotaState(own, life, barred_until_ms=until)
         # When each was said is not known on this clock: as if now.
-        return Held(own, life, lent=tuple(row._replace(until_ms=until) for row in memory))
+        return QuotaState(own, life, lent=tuple(row._replace(until_ms=until) for row in memory))
 
-    def changed(self, held: Held, own: float, all_act_on_it: bool) -> Held:
+    def changed(self, held: QuotaState, own: float, all_act_on_it: bool) -> QuotaState:
         """Return what holds under another part: a smaller one at once, a larger one once all act on it.
 
         Guards the sum while two versions are out: parts that move from one member to another would count
--- a/marlseam/cluster/replication/content.py
+++ b/marlseam/cluster/replication/content.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from marlseam.cluster.membership_codec import NAME_MOST
-from marlseam.cluster.replication.messages import CONTENT_MOST, TEXT_MOST
+from marlseam.cluster.membership_codec import MAX_NAME_CHARACTERS
+from marlseam.cluster.replication.messages import MAX_CONTENT_BYTES, MAX_REASON_CHARACTERS
 
 FORMAT = 1  # which this program writes, and the only one that it reads
 VOTERS = (3, 5, 7)  # how many a version may name; a fleet of fewer members has all of them
@@ -21,7 +21,7 @@
 OWN = ("zone",)  # of the settings: what each node has of its own
 
 
-class Unfit(Exception):
+class InvalidContentError(Exception):
     """A content that cannot be used here; its text says why."""
 
 
@@ -109,8 +109,8 @@
     members = dict(sorted(content.members.items()))
     whole = msgspec.structs.replace(content, settings=plain(shared(content.settings)), members=members)
     data = msgspec.json.encode(whole)
-    if len(data) > CONTENT_MOST:
-        raise Unfit(f"{len(data)} bytes, {CONTENT_MOST} at most were expected")
+    if len(data) > MAX_CONTENT_BYTES:
+        raise InvalidContentError(f"{len(data)} bytes, {MAX_CONTENT_BYTES} at most were expected")
     return data
 
 
@@ -134,7 +134,7 @@
     try:
         found = DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise Unfit(f"no content: {error}"[:TEXT_MOST]) from None
+        raise InvalidContentError(f"no content: {error}"[:MAX_REASON_CHARACTERS]) from None
     fitting(found, members)
     return found
 
@@ -144,7 +144,7 @@
     try:
         found = msgspec.convert(document, Content)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise Unfit(f"no content: {error}"[:TEXT_MOST]) from None
+        raise InvalidContentError(f"no content: {error}"[:MAX_REASON_CHARACTERS]) from None
     fitting(found, members)
     return found
 
@@ -152,11 +152,17 @@
 def fitting(found: Content, members: frozenset[str]) -> None:
     """Raise Unfit where a content cannot be used here."""
     if found.format != FORMAT:
-        raise Unfit(f"format {found.format}, this program reads {FORMAT}")
-    if found.number < 1 or not (0 < len(found.why) <= TEXT_MOST and len(found.by) <= NAME_MOST):
-        raise Unfit("number, why or by is out of bounds")
-    if len(found.members) > MEMBERS_MOST or not all(0 < len(name) <= NAME_MOST for name in found.members):
-        raise Unfit(f"members: up to {MEMBERS_MOST} names of 1 to {NAME_MOST} characters were expected")
+        raise InvalidContentError(f"format {found.format}, this program reads {FORMAT}")
+    if found.number < 1 or not (
+        0 < len(found.why) <= MAX_REASON_CHARACTERS and len(found.by) <= MAX_NAME_CHARACTERS
+    ):
+        raise InvalidContentError("number, why or by is out of bounds")
+    if len(found.members) > MEMBERS_MOST or not all(
+        0 < len(name) <= MAX_NAME_CHARACTERS for name in found.members
+    ):
+        raise InvalidContentError(
+            f"members: up to {MEMBERS_MOST} names of 1 to {MAX_NAME_CHARACTERS} characters were expected"
+        )
     wrong = voters_fit(found.voters, frozenset(found.members) or members)
     if wrong:
-        raise Unfit(wrong)
+        raise InvalidContentError(wrong)
--- a/marlseam/cluster/replication/delta.py
+++ b/marlseam/cluster/replication/delta.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from marlseam.cluster.replication.content import digest
-from marlseam.cluster.replication.messages import CONTENT_MOST, ID
+from marlseam.cluster.replication.messages import DIGEST_CHARACTERS, MAX_CONTENT_BYTES
 
 DEPTH_MOST = 16  # of a path; what lies deeper is replaced as a whole
 FOLLOWS = ("number", "before")  # of a content: what a difference leaves out
@@ -54,7 +54,7 @@
     edits: list[Edit]
 
 
-class Wrong(Exception):
+class DeltaError(Exception):
     """A chain that does not lead to what was asked for; its text says why."""
 
 
@@ -67,9 +67,9 @@
     try:
         found = msgspec.json.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise Wrong(f"no document: {error}") from None
+        raise DeltaError(f"no document: {error}") from None
     if not isinstance(found, dict):
-        raise Wrong("no document: an object was expected")
+        raise DeltaError("no document: an object was expected")
     return found
 
 
@@ -134,7 +134,7 @@
     try:
         result = applied(before, after.get("before", ""), CHANGE.decode(found))
         return (found, result) if whole(result) == data else None
-    except (Wrong, msgspec.MsgspecError, RecursionError):
+    except (DeltaError, msgspec.MsgspecError, RecursionError):
         return None
 
 
@@ -154,21 +154,21 @@
             return edit.value
         if type(edit) is Splice and isinstance(value, list):
             if not (0 <= edit.at <= len(value) and 0 <= edit.count <= len(value) - edit.at):
-                raise Wrong("a splice out of its list")
+                raise DeltaError("a splice out of its list")
             return [*value[: edit.at], *edit.values, *value[edit.at + edit.count :]]
-        raise Wrong("an edit of another kind of value")
+        raise DeltaError("an edit of another kind of value")
     step = path[at]
     if isinstance(value, dict) and isinstance(step, str):
         if at == len(path) - 1 and type(edit) is Drop:
             if step not in value:
-                raise Wrong("a key that is not there")
+                raise DeltaError("a key that is not there")
             return {key: kept for key, kept in value.items() if key != step}
         if at < len(path) - 1 and step not in value:
-            raise Wrong("a path that leads nowhere")
+            raise DeltaError("a path that leads nowhere")
         return with_key(value, step, edited(value.get(step), path, at + 1, edit))
     if isinstance(value, list) and type(step) is int and 0 <= step < len(value):
         return [*value[:step], edited(value[step], path, at + 1, edit), *value[step + 1 :]]
-    raise Wrong("a path that leads nowhere")
+    raise DeltaError("a path that leads nowhere")
 
 
 def applied(before: Document, id: str, change: Change) -> Document:
@@ -176,11 +176,11 @@
     found = before
     for edit in change.edits:
         if not 0 < len(edit.path) <= DEPTH_MOST or edit.path[0] in FOLLOWS:
-            raise Wrong("an edit at a path that is none")
+            raise DeltaError("an edit at a path that is none")
         found = edited(found, edit.path, 0, edit)
     number = before.get("number")
     if type(number) is not int:
-        raise Wrong("a document without a number")
+        raise DeltaError("a document without a number")
     # Both are there: the keys stay in their order.
     return found | {"number": number + 1, "before": id}
 
@@ -190,50 +190,50 @@
     try:
         data = ENCODER.encode(document)
     except (msgspec.MsgspecError, TypeError, ValueError, OverflowError, RecursionError) as error:
-        raise Wrong(f"cannot be written: {error}") from None
-    if len(data) > CONTENT_MOST:
-        raise Wrong("too large")
+        raise DeltaError(f"cannot be written: {error}") from None
+    if len(data) > MAX_CONTENT_BYTES:
+        raise DeltaError("too large")
     return data
 
 
-class Link(msgspec.Struct, frozen=True):
+class DeltaLink(msgspec.Struct, frozen=True):
     """A change as it is passed on: the id of the version before, and the change's bytes."""
 
     before: str
     data: bytes
 
 
-def chain(links: list[Link]) -> bytes:
+def chain(links: list[DeltaLink]) -> bytes:
     """Return some changes, the earliest first, as they are passed on."""
     return b"[" + b",".join(link.data for link in links) + b"]"
 
 
-class Chained(msgspec.Struct, frozen=True):
+class AppliedChain(msgspec.Struct, frozen=True):
     """What a chain led to: the content, its document, each link by the id that it leads to, and the edits."""
 
     data: bytes
     document: Document
-    links: dict[str, Link]
+    links: dict[str, DeltaLink]
     edits: int
 
 
-def follow(base: Document, before: str, data: bytes, id: str) -> Chained:
+def follow(base: Document, before: str, data: bytes, id: str) -> AppliedChain:
     """Return what a chain from one content leads to; raises Wrong where that has not the id asked for."""
     try:
         found = CHAIN.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise Wrong(f"no chain: {error}") from None
-    links: dict[str, Link] = {}
+        raise DeltaError(f"no chain: {error}") from None
+    links: dict[str, DeltaLink] = {}
     count = 0
     for one in found:
-        if len(one.id) != ID:
-            raise Wrong("a change without an id")
+        if len(one.id) != DIGEST_CHARACTERS:
+            raise DeltaError("a change without an id")
         base = applied(base, before, one)
-        links[one.id] = Link(before, ENCODER.encode(one))
+        links[one.id] = DeltaLink(before, ENCODER.encode(one))
         before, count = one.id, count + len(one.edits)
     if before != id:
-        raise Wrong("it leads to another content")
+        raise DeltaError("it leads to another content")
     result = whole(base)
     if digest(result) != id:
-        raise Wrong("it leads to something else than its id says")
-    return Chained(result, base, links, count)
+        raise DeltaError("it leads to something else than its id says")
+    return AppliedChain(result, base, links, count)
--- a/marlseam/cluster/replication/messages.py
+++ b/marlseam/cluster/replication/messages.py
@@ -8,25 +8,30 @@
 
 import msgspec
 
-from marlseam.cluster.membership_codec import LETTER_MOST, NAME_MOST, NUMBER_MOST, Odd
-
-FIRST = b"V"  # which no letter of `words` begins with
+from marlseam.cluster.membership_codec import (
+    MAX_DATAGRAM_BYTES,
+    MAX_NAME_CHARACTERS,
+    MAX_NUMBER,
+    InvalidMessageError,
+)
+
+DATAGRAM_PREFIX = b"V"  # which no letter of `words` begins with
 VERSION = 1
-ID = 64  # hexadecimal figures of a content's digest
-PLACE_MOST = 2 * NAME_MOST + 48  # of a proposer's place in a ballot
-PIECE = 1024  # bytes of a content in one note
-CONTENT_MOST = 256 << 10  # bytes of a content
-TEXT_MOST = 160  # characters of a reason
+DIGEST_CHARACTERS = 64  # hexadecimal figures of a content's digest
+MAX_PROPOSER_CHARACTERS = 2 * MAX_NAME_CHARACTERS + 48  # of a proposer's place in a ballot
+CHUNK_BYTES = 1024  # bytes of a content in one note
+MAX_CONTENT_BYTES = 256 << 10  # bytes of a content
+MAX_REASON_CHARACTERS = 160  # characters of a reason
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
+class StatusRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
     """What do you hold? I hold this number, and have voted as far as `top`."""
 
     seq: int
     number: int
 
 
-class Tell(msgspec.Struct, array_like=True, frozen=True, tag="tell"):
+class StatusResponse(msgspec.Struct, array_like=True, frozen=True, tag="tell"):
     """What I hold and act on, and how fresh that is.
 
     `accepted` is the highest number for which I have accepted any content, `top` the highest of which I have
@@ -46,7 +51,7 @@
     age_ms: float
 
 
-class Vote(msgspec.Struct, array_like=True, frozen=True, tag="vote"):
+class VoteMessage(msgspec.Struct, array_like=True, frozen=True, tag="vote"):
     """A message of agreement.
 
     `kind` and the fields of `agree`'s message of that name, as far as it has them.
@@ -62,7 +67,7 @@
     why: str = ""  # of a refusal: what is wrong with the content
 
 
-class Want(msgspec.Struct, array_like=True, frozen=True, tag="want"):
+class FetchRequest(msgspec.Struct, array_like=True, frozen=True, tag="want"):
     """Give me a content, from some byte on; or the changes to it from one that I hold, where these are fewer.
 
     A program that knows no `have` leaves it out or reads past it, and gives the whole.
@@ -73,7 +78,7 @@
     have: str = ""
 
 
-class Piece(msgspec.Struct, array_like=True, frozen=True, tag="piece"):
+class Chunk(msgspec.Struct, array_like=True, frozen=True, tag="piece"):
     """A part of a content, and the size of all of it; or of the changes that lead to it from `have`."""
 
     id: str
@@ -83,11 +88,11 @@
     have: str = ""
 
 
-Say = Ask | Tell | Vote | Want | Piece
+ReplicationMessage = StatusRequest | StatusResponse | VoteMessage | FetchRequest | Chunk
 VOTES = ("prepare", "promise", "accept", "accepted", "refused")
 
 
-class Kind(enum.IntEnum):
+class MessageKind(enum.IntEnum):
     """What a note is called, where steps are counted; other numbers than those of letters."""
 
     ASK = 11
@@ -101,67 +106,82 @@
     PIECE = 19
 
 
-class Note(msgspec.Struct, array_like=True, frozen=True):
+class ReplicationDatagram(msgspec.Struct, array_like=True, frozen=True):
     """One datagram: from whom, of which life, and what it says."""
 
     version: int
     fleet: str
     sender: str
-    say: Say
+    say: ReplicationMessage
+
 
+DECODER, ENCODER = msgspec.msgpack.Decoder(ReplicationDatagram), msgspec.msgpack.Encoder()
 
-DECODER, ENCODER = msgspec.msgpack.Decoder(Note), msgspec.msgpack.Encoder()
 
+KINDS = {
+    StatusRequest: MessageKind.ASK,
+    StatusResponse: MessageKind.TELL,
+    FetchRequest: MessageKind.WANT,
+    Chunk: MessageKind.PIECE,
+}
+VOTE_KINDS = {kind: MessageKind[kind.upper()] for kind in VOTES}
 
-def kind_of(say: Say) -> Kind:
+
+def kind_of(say: ReplicationMessage) -> MessageKind:
     """Return what a note is called."""
-    return Kind[(say.kind if type(say) is Vote else type(say).__name__).upper()]
+    return VOTE_KINDS[say.kind] if type(say) is VoteMessage else KINDS[type(say)]
 
 
-def write(note: Note) -> bytes:
+def write(note: ReplicationDatagram) -> bytes:
     """Return a note's bytes."""
-    return FIRST + ENCODER.encode(note)
+    return DATAGRAM_PREFIX + ENCODER.encode(note)
 
 
-def fits(say: Say) -> bool:
+def fits(say: ReplicationMessage) -> bool:
     """Return whether what is said is in bounds."""
-    if type(say) is Ask:
-        return 0 <= say.seq <= NUMBER_MOST and 0 <= say.number <= NUMBER_MOST
-    if type(say) is Tell:
+    if type(say) is StatusRequest:
+        return 0 <= say.seq <= MAX_NUMBER and 0 <= say.number <= MAX_NUMBER
+    if type(say) is StatusResponse:
         numbers = say.seq, say.number, say.acting, say.accepted, say.top
-        whole = all(0 <= n <= NUMBER_MOST for n in numbers) and len(say.id) in (0, ID)
-        return whole and len(say.code) <= NAME_MOST and -1.0 <= say.age_ms <= NUMBER_MOST
-    if type(say) is Vote:
+        whole = all(0 <= n <= MAX_NUMBER for n in numbers) and len(say.id) in (0, DIGEST_CHARACTERS)
+        return whole and len(say.code) <= MAX_NAME_CHARACTERS and -1.0 <= say.age_ms <= MAX_NUMBER
+    if type(say) is VoteMessage:
         numbers = say.number, say.round, say.other_round
         whole = (
-            say.kind in VOTES and all(0 <= n <= NUMBER_MOST for n in numbers) and len(say.value) in (0, ID)
+            say.kind in VOTES
+            and all(0 <= n <= MAX_NUMBER for n in numbers)
+            and len(say.value) in (0, DIGEST_CHARACTERS)
+        )
+        return (
+            whole
+            and max(len(say.place), len(say.other_place)) <= MAX_PROPOSER_CHARACTERS
+            and len(say.why) <= MAX_REASON_CHARACTERS
         )
-        return whole and max(len(say.place), len(say.other_place)) <= PLACE_MOST and len(say.why) <= TEXT_MOST
-    if len(say.have) not in (0, ID):
+    if len(say.have) not in (0, DIGEST_CHARACTERS):
         return False
-    if type(say) is Want:
-        return len(say.id) == ID and 0 <= say.at < CONTENT_MOST
-    inside = 0 <= say.at <= say.size <= CONTENT_MOST and say.at + len(say.data) <= say.size
-    return len(say.id) == ID and inside and 0 < len(say.data) <= PIECE
+    if type(say) is FetchRequest:
+        return len(say.id) == DIGEST_CHARACTERS and 0 <= say.at < MAX_CONTENT_BYTES
+    inside = 0 <= say.at <= say.size <= MAX_CONTENT_BYTES and say.at + len(say.data) <= say.size
+    return len(say.id) == DIGEST_CHARACTERS and inside and 0 < len(say.data) <= CHUNK_BYTES
 
 
-def read(data: bytes, fleet: str, names: frozenset[str]) -> Note:
+def read(data: bytes, fleet: str, names: frozenset[str]) -> ReplicationDatagram:
     """Return a note of the fleet's.
 
     Raises Odd with a code: too-large, bad-message, version, foreign, unknown, bounds.
     """
-    if len(data) > LETTER_MOST:
-        raise Odd("too-large")
+    if len(data) > MAX_DATAGRAM_BYTES:
+        raise InvalidMessageError("too-large")
     try:
-        note = DECODER.decode(data[len(FIRST) :])
+        note = DECODER.decode(data[len(DATAGRAM_PREFIX) :])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        raise Odd("bad-message") from None
+        raise InvalidMessageError("bad-message") from None
     if note.version != VERSION:
-        raise Odd("version")
+        raise InvalidMessageError("version")
     if note.fleet != fleet:
-        raise Odd("foreign")
+        raise InvalidMessageError("foreign")
     if note.sender not in names:
-        raise Odd("unknown")
+        raise InvalidMessageError("unknown")
     if not fits(note.say):
-        raise Odd("bounds")
+        raise InvalidMessageError("bounds")
     return note
--- a/marlseam/cluster/replication/paxos.py
+++ b/marlseam/cluster/replication/paxos.py
@@ -14,7 +14,7 @@
 NONE: Ballot = (0, "")
 
 
-class Promised(NamedTuple):
+class AcceptorState(NamedTuple):
     """What an acceptor keeps for one number: the ballot that it promised, what it accepted under which."""
 
     ballot: Ballot = NONE
@@ -75,24 +75,24 @@
 class Acceptor:
     """One voter. `kept` is what its disk holds, by number; a restart begins with it."""
 
-    def __init__(self, name: str, kept: dict[int, Promised]) -> None:
+    def __init__(self, name: str, kept: dict[int, AcceptorState]) -> None:
         self.name, self.kept = name, kept
 
-    def heard(self, message: Prepare | Accept) -> tuple[Promised | None, Message]:
+    def heard(self, message: Prepare | Accept) -> tuple[AcceptorState | None, Message]:
         """Return what must be durable first, or None where nothing changes, and what to say then."""
         number, ballot = message.number, message.ballot
-        held = self.kept.get(number, Promised())
+        held = self.kept.get(number, AcceptorState())
         if ballot < held.ballot:
             return None, Refused(number, ballot, held.ballot)
         if type(message) is Prepare:
             new = held._replace(ballot=ballot)
             answer: Message = Promise(number, ballot, self.name, held.accepted, held.value)
         else:
-            new = Promised(ballot, ballot, message.value)
+            new = AcceptorState(ballot, ballot, message.value)
             answer = Accepted(number, ballot, self.name, message.value)
         return (None if new == held else new), answer
 
-    def keep(self, number: int, promised: Promised) -> None:
+    def keep(self, number: int, promised: AcceptorState) -> None:
         """Note what is durable now."""
         self.kept[number] = promised
 
--- a/marlseam/cluster/replication/replica.py
+++ b/marlseam/cluster/replication/replica.py
@@ -17,19 +17,34 @@
 from typing import NamedTuple
 from zlib import crc32
 
-from marlseam.cluster.audit_log import Barred, Entry, Handed, Held, Kept, Promises, Stored
+from marlseam.cluster.audit_log import (
+    AcceptorPromise,
+    ContentStored,
+    LogRecord,
+    OperatorOverride,
+    RecoveredLog,
+    VersionHeld,
+    VotesBarred,
+)
 from marlseam.cluster.replication import delta, messages, paxos
-from marlseam.cluster.replication.content import Content, Unfit, digest, of_document
-from marlseam.cluster.replication.delta import Document, Link, Wrong
-from marlseam.cluster.replication.messages import Ask, Piece, Say, Tell, Vote, Want
+from marlseam.cluster.replication.content import Content, InvalidContentError, digest, of_document
+from marlseam.cluster.replication.delta import DeltaError, DeltaLink, Document
+from marlseam.cluster.replication.messages import (
+    Chunk,
+    FetchRequest,
+    ReplicationMessage,
+    StatusRequest,
+    StatusResponse,
+    VoteMessage,
+)
 from marlseam.cluster.replication.paxos import (
     NONE,
     Accept,
     Accepted,
     Acceptor,
+    AcceptorState,
     Prepare,
     Promise,
-    Promised,
     Proposer,
     Refused,
 )
@@ -48,7 +63,7 @@
 STALLED = 3  # periods in a row without a new piece after which a fetch begins anew
 
 
-class Terms(NamedTuple):
+class ReplicationSettings(NamedTuple):
     """What the settings say: who votes on number 1, times in ms, and what one without a proof does."""
 
     voters: frozenset[str]
@@ -58,21 +73,21 @@
     serve_ms: float
 
 
-class To(NamedTuple):
+class SendMessage(NamedTuple):
     """Say this to a member."""
 
     name: str
-    say: Say
+    say: ReplicationMessage
 
 
-class Keep(NamedTuple):
+class Persist(NamedTuple):
     """Have these durable, then call `kept` with the token, or `unkept`."""
 
     token: int
-    entries: tuple[Entry, ...]
+    entries: tuple[LogRecord, ...]
 
 
-class Apply(NamedTuple):
+class ApplyContent(NamedTuple):
     """Act on this content from now on."""
 
     number: int
@@ -80,16 +95,16 @@
     content: Content
 
 
-class Log(NamedTuple):
+class LogLine(NamedTuple):
     """Tell staff."""
 
     text: str
 
 
-Effect = To | Keep | Apply | Log
+Effect = SendMessage | Persist | ApplyContent | LogLine
 
 
-class Stand(NamedTuple):
+class ServingStatus(NamedTuple):
     """Whether this node may act, whether its version is proved to be in force.
 
     A code if anything is amiss.
@@ -101,7 +116,7 @@
 
 
 @dataclass
-class Asked:
+class QuorumRead:
     """One round of asking: when, at which number, and which voters have said that nothing is above it."""
 
     at_ms: float
@@ -126,10 +141,10 @@
     fresh: bool = False  # whether a piece has come since the last tick
     stalled: int = 0  # ticks in a row without one
 
-    def want(self) -> Want:
+    def want(self) -> FetchRequest:
         """Ask for what is next."""
-        self.until = len(self.data) + WINDOW * messages.PIECE
-        return Want(self.id, len(self.data), self.have if self.form is None else self.form[1])
+        self.until = len(self.data) + WINDOW * messages.CHUNK_BYTES
+        return FetchRequest(self.id, len(self.data), self.have if self.form is None else self.form[1])
 
     def anew(self, have: str) -> None:
         """Drop what has come."""
@@ -137,18 +152,18 @@
         self.data.clear()
         self.ahead.clear()
 
-    def take(self, piece: Piece) -> str:
+    def take(self, piece: Chunk) -> str:
         """Take in a piece; return why not, or nothing."""
         form = piece.size, piece.have
         if piece.have not in ("", self.have) or self.form not in (None, form):
             return "other-form"
         if piece.at < len(self.data) or piece.at in self.ahead:
             return "repeated"
-        end = len(self.data) + WINDOW * messages.PIECE
+        end = len(self.data) + WINDOW * messages.CHUNK_BYTES
         if (
             piece.at >= end
-            or piece.at % messages.PIECE
-            or len(piece.data) < min(messages.PIECE, piece.size - piece.at)
+            or piece.at % messages.CHUNK_BYTES
+            or len(piece.data) < min(messages.CHUNK_BYTES, piece.size - piece.at)
         ):
             return "out-of-turn"
         self.form, self.fresh, self.ahead[piece.at] = form, True, piece.data
@@ -170,7 +185,7 @@
     refusals: dict[str, str] = field(default_factory=dict)
 
 
-class Peer(NamedTuple):
+class PeerStatus(NamedTuple):
     """What a member last said of itself."""
 
     at_ms: float
@@ -181,21 +196,21 @@
     votes: bool
 
 
-def vote_of(message: paxos.Message, why: str = "") -> Vote:
+def vote_of(message: paxos.Message, why: str = "") -> VoteMessage:
     """Return a message of agreement as it is said."""
     number, (round, place) = message.number, message.ballot
     if type(message) is Prepare:
-        return Vote("prepare", number, round, place)
+        return VoteMessage("prepare", number, round, place)
     if type(message) is Promise:
-        return Vote("promise", number, round, place, *message.accepted, message.value)
+        return VoteMessage("promise", number, round, place, *message.accepted, message.value)
     if type(message) is Refused:
-        return Vote("refused", number, round, place, *message.promised, why=why)
-    return Vote(
+        return VoteMessage("refused", number, round, place, *message.promised, why=why)
+    return VoteMessage(
         "accept" if type(message) is Accept else "accepted", number, round, place, value=message.value
     )
 
 
-def message_of(vote: Vote, sender: str) -> paxos.Message:
+def message_of(vote: VoteMessage, sender: str) -> paxos.Message:
     """Return what was said as a message of agreement."""
     ballot, other = (vote.round, vote.place), (vote.other_round, vote.other_place)
     match vote.kind:
@@ -210,18 +225,18 @@
     return Refused(vote.number, ballot, other)
 
 
-class Versions:
+class ConfigReplica:
     """One node's part; `check` says what is wrong with a content here, or nothing. Times in ms, one's own."""
 
     def __init__(
         self,
         name: str,
         members: frozenset[str],
-        terms: Terms,
+        terms: ReplicationSettings,
         place: str,
         seed: int,
         now: float,
-        kept: Kept,
+        kept: RecoveredLog,
         check: Callable[[Content], str] = lambda content: "",
     ) -> None:
         """Make one; `place` is this process's own in ballots, no other process of any name has it."""
@@ -230,7 +245,7 @@
         self.chance, self.check = RandomSource(seed), check
         self.contents: dict[str, bytes] = dict(kept.contents)
         self.documents: dict[str, Document] = {}  # of contents, as they were last read
-        self.links: dict[str, Link] = {}  # changes, by the id that they lead to, the earliest first
+        self.links: dict[str, DeltaLink] = {}  # changes, by the id that they lead to, the earliest first
         self.links_bytes = 0
         self.content: Content | None = None  # of the version held, where it can be read here
         self.came: Counter[str] = Counter()  # contents as a whole, chains, edits; pieces left out, by code
@@ -246,13 +261,15 @@
         self.rank = crc32(name.encode()) / 2.0**32
         self.proof_ms = -inf
         self.began_ms, self.well_ms = now, now
-        self.stood = Stand(False, False, "joining")
+        self.stood = ServingStatus(False, False, "joining")
         self.disk = ""  # why nothing can be kept, where that is so
         self.seq = 0
-        self.asked: dict[int, Asked] = {}
+        self.asked: dict[int, QuorumRead] = {}
         self.sent: dict[int, float] = {}  # when each was asked for
         self.fetches: dict[str, Fetch] = {}
-        self.accepts: dict[str, tuple[str, Vote]] = {}  # what is to be accepted once its content has come
+        self.accepts: dict[
+            str, tuple[str, VoteMessage]
+        ] = {}  # what is to be accepted once its content has come
         self.pending: dict[int, Callable[[float], list[Effect]]] = {}
         self.tokens = 0
         self.learning: tuple[int, str] | None = None
@@ -260,12 +277,12 @@
         self.result = ""  # of the last publication asked for here
         self.rounds: dict[int, int] = {}  # the last round begun in this process's life, of one number
         self.open_ms: float | None = None  # since when something accepted waits to be chosen
-        self.peers: dict[str, Peer] = {}
+        self.peers: dict[str, PeerStatus] = {}
         self.next_ms = now
         if kept.held is not None:
             self.take(kept.held.number, kept.held.id)
 
-    def recall(self, kept: Kept) -> None:
+    def recall(self, kept: RecoveredLog) -> None:
         """Take up this node's memory of votes, which another process of it had until now."""
         self.contents |= kept.contents
         for number, promised in kept.promises.items():
@@ -284,11 +301,11 @@
             found[self.others[int(self.chance() * len(self.others))]] = None
         return list(found)
 
-    def keep(self, entries: tuple[Entry, ...], then: Callable[[float], list[Effect]]) -> Keep:
+    def keep(self, entries: tuple[LogRecord, ...], then: Callable[[float], list[Effect]]) -> Persist:
         """Return the wish to have something durable, and note what follows."""
         self.tokens += 1
         self.pending[self.tokens] = then
-        return Keep(self.tokens, entries)
+        return Persist(self.tokens, entries)
 
     def kept(self, now: float, token: int) -> list[Effect]:
         """Go on with what has become durable."""
@@ -339,7 +356,7 @@
                 self.members = frozenset(content.members)
                 self.others = sorted(self.members - {self.name})
                 self.peers = {name: peer for name, peer in self.peers.items() if name in self.members}
-        except Unfit as error:
+        except InvalidContentError as error:
             # Who votes on the next number is not known: the voters of an earlier one would prove what is
             # not so, and others would take that over.
             self.unfit, self.voters = str(error), frozenset()
@@ -347,9 +364,12 @@
         self.let_go(number)
         self.open_ms = None
         if self.unfit:
-            return [*effects, Log(f"fleet code=unfit: version {number} cannot be used here: {self.unfit}")]
+            return [
+                *effects,
+                LogLine(f"fleet code=unfit: version {number} cannot be used here: {self.unfit}"),
+            ]
         self.acting = number
-        return [*effects, Apply(number, id, content)]
+        return [*effects, ApplyContent(number, id, content)]
 
     def overtaken(self, number: int, id: str) -> list[Effect]:
         """End a publication whose number was agreed on by another proposer's doing.
@@ -421,7 +441,7 @@
         there = sum(peer.serving and peer.acting >= self.number for peer in heard)
         return 2 * there < len(heard) + 1
 
-    def stand(self, now: float) -> Stand:
+    def stand(self, now: float) -> ServingStatus:
         """Return whether it may act now; once out it must be well for a while to come back."""
         code = self.amiss(now)
         if code:
@@ -434,12 +454,12 @@
             or now >= self.well_ms + BACK * self.terms.period_ms
         )
         if not acts:
-            self.stood = Stand(False, False, code or self.stood.code)
+            self.stood = ServingStatus(False, False, code or self.stood.code)
         elif self.unfit:
-            self.stood = Stand(True, False, "unfit")
+            self.stood = ServingStatus(True, False, "unfit")
         else:
             proved = self.proved(now)
-            self.stood = Stand(True, proved, "" if proved else "unproved")
+            self.stood = ServingStatus(True, proved, "" if proved else "unproved")
         return self.stood
 
     def until(self, now: float) -> float:
@@ -473,7 +493,7 @@
             elif fetch.stalled:
                 fetch.stalled = 0
             fetch.fresh = False
-            effects.append(To(fetch.source, fetch.want()))
+            effects.append(SendMessage(fetch.source, fetch.want()))
         return effects + self.push_on(now)
 
     def ask(self, now: float) -> list[Effect]:
@@ -482,7 +502,7 @@
         # one.
         targets = set(self.some(ceil(log10(1.0 + len(self.others)))))
         self.seq += 1
-        round = Asked(now, self.number, self.voters)
+        round = QuorumRead(now, self.number, self.voters)
         if self.name in self.voters:
             targets |= self.voters - {self.name}
         self.asked[self.seq], self.sent[self.seq] = round, now
@@ -491,9 +511,9 @@
         if self.votes(self.number + 1) and self.accepted() <= self.number:
             round.clear.add(self.name)
         self.weigh(round)
-        return [To(name, Ask(self.seq, self.number)) for name in sorted(targets)]
+        return [SendMessage(name, StatusRequest(self.seq, self.number)) for name in sorted(targets)]
 
-    def weigh(self, round: Asked) -> None:
+    def weigh(self, round: QuorumRead) -> None:
         """Take most voters' word that nothing above a number was accepted as a proof."""
         if len(round.clear) >= paxos.majority(round.voters) and round.number <= self.number:
             self.proof_ms = max(self.proof_ms, round.at_ms)
@@ -571,16 +591,16 @@
         else:
             message = Accept(proposer.number, proposer.ballot, proposer.asked)
             left = proposer.voters - proposer.taken
-        return [To(name, vote_of(message)) for name in sorted(left - {self.name})]
+        return [SendMessage(name, vote_of(message)) for name in sorted(left - {self.name})]
 
     def to_voters(self, now: float, message: paxos.Message) -> list[Effect]:
         """Say something to all voters, this node maybe among them."""
         vote = vote_of(message)
         voters = self.publication.proposer.voters
-        effects: list[Effect] = [To(name, vote) for name in sorted(voters - {self.name})]
+        effects: list[Effect] = [SendMessage(name, vote) for name in sorted(voters - {self.name})]
         return effects + (self.asked_to_vote(now, self.name, vote) if self.name in voters else [])
 
-    def answered(self, now: float, sender: str, vote: Vote) -> list[Effect]:
+    def answered(self, now: float, sender: str, vote: VoteMessage) -> list[Effect]:
         """Take in a voter's answer."""
         publication = self.publication
         if publication is None or vote.number != publication.proposer.number:
@@ -625,16 +645,16 @@
         self.publication = None
         if publication.by_operator:
             self.result = text
-        return [Log(f"fleet publication: {text}")]
+        return [LogLine(f"fleet publication: {text}")]
 
     # Agreement: this node as a voter.
 
-    def asked_to_vote(self, now: float, sender: str, vote: Vote) -> list[Effect]:
+    def asked_to_vote(self, now: float, sender: str, vote: VoteMessage) -> list[Effect]:
         """Answer a proposer, once what is promised is durable."""
         if vote.number <= self.number:
             return self.tell(now, sender, 0)
         if vote.number > self.number + 1:
-            return [To(sender, Ask(0, self.number))] if sender != self.name else []
+            return [SendMessage(sender, StatusRequest(0, self.number))] if sender != self.name else []
         if not self.votes(vote.number):
             return []
         if vote.kind == "accept":
@@ -647,9 +667,9 @@
                 return self.fetch(vote.value, 0, sender)
             why = self.wrong(vote)
             if why:
-                held = self.acceptor.kept.get(vote.number, Promised())
+                held = self.acceptor.kept.get(vote.number, AcceptorState())
                 refused = Refused(vote.number, (vote.round, vote.place), held.ballot)
-                return self.answer(now, sender, vote_of(refused, why[: messages.TEXT_MOST]))
+                return self.answer(now, sender, vote_of(refused, why[: messages.MAX_REASON_CHARACTERS]))
         new, message = self.acceptor.heard(message_of(vote, sender))
         if new is None:
             # A repeat: said again only where the first is on the disk.
@@ -657,9 +677,11 @@
             return self.answer(now, sender, vote_of(message)) if same or type(message) is Refused else []
         # In memory at once, so that what comes while the disk works meets it; said once it is written.
         self.acceptor.keep(vote.number, new)
-        entries: tuple[Entry, ...] = (Promises(vote.number, *new.ballot, *new.accepted, new.value),)
+        entries: tuple[LogRecord, ...] = (
+            AcceptorPromise(vote.number, *new.ballot, *new.accepted, new.value),
+        )
         if type(message) is Accepted:
-            entries = (Stored(new.value, self.contents[new.value]), *entries)
+            entries = (ContentStored(new.value, self.contents[new.value]), *entries)
 
         def then(now: float) -> list[Effect]:
             if vote.number <= self.number:
@@ -669,19 +691,19 @@
 
         return [self.keep(entries, then)]
 
-    def wrong(self, vote: Vote) -> str:
+    def wrong(self, vote: VoteMessage) -> str:
         """Return what is wrong with a content that is to be accepted, or nothing."""
         try:
             content = self.content_of(vote.value)
-        except Unfit as error:
+        except InvalidContentError as error:
             return str(error)
         if content.number != vote.number or content.before != self.id:
             return f"number {content.number} after {content.before[:12]}, {vote.number} after {self.id[:12]}"
         return self.check(content)
 
-    def answer(self, now: float, sender: str, vote: Vote) -> list[Effect]:
+    def answer(self, now: float, sender: str, vote: VoteMessage) -> list[Effect]:
         """Answer a proposer, maybe this node."""
-        return self.answered(now, self.name, vote) if sender == self.name else [To(sender, vote)]
+        return self.answered(now, self.name, vote) if sender == self.name else [SendMessage(sender, vote)]
 
     # Holding, fetching, telling.
 
@@ -691,10 +713,10 @@
             return []
         try:
             whole = self.content_of(id).number == number
-        except Unfit:
+        except InvalidContentError:
             whole = True  # cannot be read here, and that is said once it is held
         if not whole:
-            return [Log(f"fleet code=number: the content {id[:12]} is not of version {number}")]
+            return [LogLine(f"fleet code=number: the content {id[:12]} is not of version {number}")]
         self.learning, data = (number, id), self.contents[id]
 
         def then(now: float) -> list[Effect]:
@@ -706,7 +728,7 @@
                 effects += self.tell(now, name, 0)
             return effects + self.ask(now)
 
-        return [self.keep((Stored(id, data), Held(number, id)), then)]
+        return [self.keep((ContentStored(id, data), VersionHeld(number, id)), then)]
 
     def fetch(self, id: str, number: int, source: str) -> list[Effect]:
         """Begin to fetch a content."""
@@ -722,25 +744,26 @@
                 return []
             del self.fetches[old.id]
         fetch = self.fetches[id] = Fetch(id, number, source, self.id if self.id in self.contents else "")
-        return [To(source, fetch.want())]
+        return [SendMessage(source, fetch.want())]
 
     def place_for(self, fetch: Fetch) -> str:
         """Return from which content on changes will do, after what has come of a fetch was dropped."""
         return self.id if fetch.have and self.id in self.contents else ""
 
-    def pieces(self, sender: str, want: Want) -> list[Effect]:
+    def pieces(self, sender: str, want: FetchRequest) -> list[Effect]:
         """Send some of a content, or of the changes to it."""
         data = self.contents.get(want.id)
         if data is None:
             return []
         chain = self.chain(want.have, want.id) if want.have else None
         data, have = (data, "") if chain is None else (chain, want.have)
-        starts = range(want.at, min(len(data), want.at + WINDOW * messages.PIECE), messages.PIECE)
+        starts = range(want.at, min(len(data), want.at + WINDOW * messages.CHUNK_BYTES), messages.CHUNK_BYTES)
         return [
-            To(sender, Piece(want.id, len(data), at, data[at : at + messages.PIECE], have)) for at in starts
+            SendMessage(sender, Chunk(want.id, len(data), at, data[at : at + messages.CHUNK_BYTES], have))
+            for at in starts
         ]
 
-    def piece(self, now: float, sender: str, piece: Piece) -> list[Effect]:
+    def piece(self, now: float, sender: str, piece: Chunk) -> list[Effect]:
         """Take in some of a content; go on once it is whole and what it should be."""
         fetch = self.fetches.get(piece.id)
         why = "unasked" if fetch is None else fetch.take(piece)
@@ -749,26 +772,26 @@
             return []
         fetch.source = sender
         if len(fetch.data) < fetch.form[0]:
-            return [To(sender, fetch.want())] if len(fetch.data) >= fetch.until else []
+            return [SendMessage(sender, fetch.want())] if len(fetch.data) >= fetch.until else []
         data, have = bytes(fetch.data), fetch.form[1]
         if have and have not in self.contents:
             # Let go meanwhile, as a later number is held.
             self.came["gone"] += 1
             fetch.anew(self.id if self.id in self.contents else "")
-            return [To(sender, fetch.want())]
+            return [SendMessage(sender, fetch.want())]
         if have:
             try:
                 data = self.followed(have, data, fetch.id)
-            except Wrong as wrong:
+            except DeltaError as wrong:
                 self.came["changes"] += 1
                 fetch.anew("")
                 fetch.source = (self.some(1) or [sender])[0]
                 text = f"fleet code=changes: what {sender} sent to lead to {fetch.id[:12]} does not: {wrong}"
-                return [Log(text), To(fetch.source, fetch.want())]
+                return [LogLine(text), SendMessage(fetch.source, fetch.want())]
         elif digest(data) != fetch.id:
             self.came["digest"] += 1
             fetch.anew("")
-            return [Log(f"fleet code=digest: what {sender} sent is not the content {fetch.id[:12]}")]
+            return [LogLine(f"fleet code=digest: what {sender} sent is not the content {fetch.id[:12]}")]
         del self.fetches[fetch.id]
         if len(self.contents) >= CONTENTS_MOST:
             self.let_go(self.number)
@@ -794,10 +817,10 @@
         """Return a content that is here; raises Unfit."""
         try:
             return of_document(self.document(id), self.members)
-        except Wrong as wrong:
-            raise Unfit(str(wrong)[: messages.TEXT_MOST]) from None
+        except DeltaError as wrong:
+            raise InvalidContentError(str(wrong)[: messages.MAX_REASON_CHARACTERS]) from None
 
-    def link(self, id: str, link: Link) -> None:
+    def link(self, id: str, link: DeltaLink) -> None:
         """Keep a change, to be passed on."""
         if id not in self.links:
             self.links[id] = link
@@ -817,15 +840,15 @@
             if id in self.links or before not in self.contents:
                 return
             found = delta.change(self.document(before), self.contents[id], after)
-        except (Wrong, TypeError, RecursionError):
+        except (DeltaError, TypeError, RecursionError):
             return  # of a document that no operator writes: the whole is sent
         if found is not None:
             data, self.documents[id] = found
-            self.link(id, Link(before, data))
+            self.link(id, DeltaLink(before, data))
 
     def chain(self, have: str, id: str) -> bytes | None:
         """Return the changes from one content to another, None where they are not here or not fewer bytes."""
-        found, at, left = list[Link](), id, len(self.contents[id]) - 1
+        found, at, left = list[DeltaLink](), id, len(self.contents[id]) - 1
         while at != have:
             link = self.links.get(at)
             if link is None:
@@ -855,9 +878,9 @@
         stood = self.stand(now)
         votes = self.votes(self.number + 1)
         return [
-            To(
+            SendMessage(
                 to,
-                Tell(
+                StatusResponse(
                     seq,
                     self.number,
                     self.id,
@@ -872,10 +895,10 @@
             )
         ]
 
-    def told(self, now: float, sender: str, say: Tell) -> list[Effect]:
+    def told(self, now: float, sender: str, say: StatusResponse) -> list[Effect]:
         """Take in what another holds."""
         if sender in self.members:
-            self.peers[sender] = Peer(now, say.number, say.acting, say.serving, say.code, say.votes)
+            self.peers[sender] = PeerStatus(now, say.number, say.acting, say.serving, say.code, say.votes)
         if say.number > self.number:
             if say.number > self.known:
                 self.behind_ms = min(self.behind_ms, now) if self.known > self.number else now
@@ -898,7 +921,7 @@
             return self.remember(round)
         return []
 
-    def remember(self, round: Asked) -> list[Effect]:
+    def remember(self, round: QuorumRead) -> list[Effect]:
         """Set up to which number not to vote, where this node's memory of that is lost.
 
         It may have promised for the number after the newest chosen, which most of the others know of.
@@ -911,30 +934,32 @@
 
         def then(now: float) -> list[Effect]:
             self.bar = bar
-            return [Log(f"fleet: votes again from version {bar + 1} on, its memory of earlier ones is lost")]
+            return [
+                LogLine(f"fleet: votes again from version {bar + 1} on, its memory of earlier ones is lost")
+            ]
 
-        return [self.keep((Barred(bar),), then)]
+        return [self.keep((VotesBarred(bar),), then)]
 
-    def heard(self, now: float, sender: str, say: Say) -> list[Effect]:
+    def heard(self, now: float, sender: str, say: ReplicationMessage) -> list[Effect]:
         """Take in a note."""
-        if type(say) is Ask:
-            behind = [To(sender, Ask(0, self.number))] if say.number > self.number else []
+        if type(say) is StatusRequest:
+            behind = [SendMessage(sender, StatusRequest(0, self.number))] if say.number > self.number else []
             return self.tell(now, sender, say.seq) + behind
-        if type(say) is Tell:
+        if type(say) is StatusResponse:
             return self.told(now, sender, say)
-        if type(say) is Want:
+        if type(say) is FetchRequest:
             return self.pieces(sender, say)
-        if type(say) is Piece:
+        if type(say) is Chunk:
             return self.piece(now, sender, say)
         if say.kind in ("prepare", "accept"):
             return self.asked_to_vote(now, sender, say)
         return self.answered(now, sender, say)
 
-    def by_hand(self, why: str | None, wall_ms: float) -> Keep:
+    def by_hand(self, why: str | None, wall_ms: float) -> Persist:
         """Shut this node out by an operator's word, or bring it back; holds once it is durable."""
 
         def then(now: float) -> list[Effect]:
             self.hand = why
-            return [Log("fleet code=hand: " + (f"out: {why}" if why is not None else "back"))]
+            return [LogLine("fleet code=hand: " + (f"out: {why}" if why is not None else "back"))]
 
-        return self.keep((Handed(why is not None, why or "", wall_ms),), then)
+        return self.keep((OperatorOverride(why is not None, why or "", wall_ms),), then)
--- a/marlseam/decisions/dispatcher.py
+++ b/marlseam/decisions/dispatcher.py
@@ -1,8 +1,8 @@
 """Every decision of marlseam: forward probing (docs/design.md) and what keeps the four rules around it.
 
 The reducer makes `Dispatcher(settings, seed, port)`, then calls `update_endpoints`, `probed` and `take`.
-`take` gives a RequestState, and all that happens to that request later is a call on it. The dispatcher acts through
-the port alone. Times are float milliseconds.
+`take` gives a RequestState, and all that happens to that request later is a call on it. The dispatcher acts
+through the port alone. Times are float milliseconds.
 """
 
 import zlib
--- a/marlseam/experiment/fleet.py
+++ b/marlseam/experiment/fleet.py
@@ -27,15 +27,21 @@
 from typing import Literal
 
 from marlseam import records
-from marlseam.cluster.audit_log import Kept
+from marlseam.cluster.audit_log import RecoveredLog
 from marlseam.cluster.checking import membership_schedules
 from marlseam.cluster.checking.membership_schedules import FAULTS, detect_ms, heal_ms
-from marlseam.cluster.checking.replication_schedules import Trial
-from marlseam.cluster.membership import HEALTH_MOST, Members
-from marlseam.cluster.membership_codec import Claim, Kind, Odd, Rumour, read
+from marlseam.cluster.checking.replication_schedules import ReplicationSimulation
+from marlseam.cluster.membership import HEALTH_MOST, Membership
+from marlseam.cluster.membership_codec import (
+    DatagramKind,
+    GossipEntry,
+    InvalidMessageError,
+    MemberState,
+    read,
+)
 from marlseam.cluster.replication import messages
-from marlseam.cluster.replication.messages import Tell
-from marlseam.cluster.replication.replica import Terms, Versions
+from marlseam.cluster.replication.messages import StatusResponse
+from marlseam.cluster.replication.replica import ConfigReplica, ReplicationSettings
 from marlseam.experiment import file, plays
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import Played, Say, play
@@ -146,7 +152,7 @@
     def key(self, fault: Fault) -> tuple[str, bool, int, int]:
         """Return the step of a fault."""
         way, kind, count = fault.step.split()
-        kinds = {k.name.lower(): int(k) for k in (*Kind, *messages.Kind)}
+        kinds = {k.name.lower(): int(k) for k in (*DatagramKind, *messages.MessageKind)}
         if way not in ("sends", "receives") or fault.fault not in RIG_FAULTS or kind not in kinds:
             raise file.FileError(f"fleet.faults: {fault} has no known step or fault")
         if fault.node not in self.names or (fault.fault == "pair" and fault.other not in self.names):
@@ -258,11 +264,11 @@
             return None
         names = frozenset(self.names)
         try:
-            if data[:1] == messages.FIRST:
+            if data[:1] == messages.DATAGRAM_PREFIX:
                 kind = int(messages.kind_of(messages.read(data, "rig", names).say))
             else:
                 kind = int(read(data, "rig", names).kind)
-        except Odd:
+        except InvalidMessageError:
             return None
         key = name, sends, kind
         self.counts[key] = self.counts.get(key, 0) + 1
@@ -452,7 +458,7 @@
 ) -> tuple[dict[str, float], list[list[str]]]:
     """Hold what nodes logged against the bounds; return figures and a table."""
     period = table.period_ms
-    suspicion = Members("rig", "n0", frozenset(rig.names), 0, 0, period, 0.0).suspicion_ms(0)
+    suspicion = Membership("rig", "n0", frozenset(rig.names), 0, 0, period, 0.0).suspicion_ms(0)
     alone, many = (detect_ms(count, suspicion, period, h) + SLACK_MS for h in (0, HEALTH_MOST))
     rows = [["node", "fault", "at, s", "for, s", "gone with the first, s", "with the last, s", "bound, s"]]
     past = slowest = held = 0.0
@@ -515,7 +521,7 @@
 def one_size(count: int, loss: float, seed: int, table: Sizes) -> dict[str, float]:
     """Play one fleet: find each other, lose one, and tell how long that took and what was said."""
     began = time.process_time()
-    world = membership_schedules.World(count, seed, [], loss=loss)
+    world = membership_schedules.MembershipSimulation(count, seed, [], loss=loss)
     world.run(1000.0 * table.calm_s)
     early = sum(map(len, world.gone_at.values()))
     before = sum(seat.letters for seat in world.seats.values()), sum(s.bytes for s in world.seats.values())
@@ -548,19 +554,19 @@
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        machine = Members("scale", "n0", names, 0, 0, membership_schedules.PERIOD_MS, 0.0)
+        machine = Membership("scale", "n0", names, 0, 0, membership_schedules.PERIOD_MS, 0.0)
         for name in names - {"n0"}:
-            machine.take(Rumour(name, Claim(0, 1, 0)))
-        terms = Terms(
+            machine.take(GossipEntry(name, MemberState(0, 1, 0)))
+        terms = ReplicationSettings(
             frozenset(list(names)[:3]),
             membership_schedules.PERIOD_MS,
             15.0 * membership_schedules.PERIOD_MS,
             True,
             0.0,
         )
-        versions = Versions("n0", names, terms, "n0/1", 0, 0.0, Kept())
+        versions = ConfigReplica("n0", names, terms, "n0/1", 0, 0.0, RecoveredLog())
         for name in names - {"n0"}:
-            versions.told(0.0, name, Tell(0, 0, "", 0, True, "", 0, 0, True, -1.0))
+            versions.told(0.0, name, StatusResponse(0, 0, "", 0, True, "", 0, 0, True, -1.0))
         return (tracemalloc.get_traced_memory()[0] - before) / 1024.0
     finally:
         tracemalloc.stop()
@@ -568,7 +574,7 @@
 
 def one_version(count: int, loss: float, seed: int, table: Sizes) -> dict[str, float]:
     """Publish in one fleet, and tell how long it took until all act on it, and what was said."""
-    world = Trial(count, seed, [], voters=min(7, count), loss=loss)
+    world = ReplicationSimulation(count, seed, [], voters=min(7, count), loss=loss)
     world.run(1000.0 * table.calm_s)
     before = sum(seat.letters for seat in world.seats.values()), sum(s.bytes for s in world.seats.values())
     proved = sum(seat.machine.proved(world.local(seat)) for seat in world.seats.values())
@@ -629,7 +635,7 @@
             seen = run.result()
             say(f"{count} members, {loss:.0%} lost")
             names = frozenset(f"n{i}" for i in range(count))
-            machine = Members("fleet", "n0", names, 0, 0, membership_schedules.PERIOD_MS, 0.0)
+            machine = Membership("fleet", "n0", names, 0, 0, membership_schedules.PERIOD_MS, 0.0)
             bound = detect_ms(count, machine.suspicion_ms(0), membership_schedules.PERIOD_MS, 0) / 1000.0
             found |= {f"n{count}_loss{round(100 * loss)}_{key}": value for key, value in seen.items()}
             shown = [f"{seen[key]:.1f}" for key in ("median_s", "p99_s", "most_s")]
--- a/marlseam/experiment/recovering.py
+++ b/marlseam/experiment/recovering.py
@@ -26,7 +26,7 @@
 from marlseam.recovery import saved_list
 from marlseam.standin.disk import FAULTS, OVER, Faults
 from marlseam.store import file_format as form
-from marlseam.store.state_directory import Disk, Folder, first_life
+from marlseam.store.state_directory import Disk, StateDirectory, first_life
 from marlseam.world.chance import stream
 from marlseam.world.model import Count, Day, NotNegative, Positive, Share, Strict, Trouble, executors
 
@@ -76,7 +76,7 @@
 
     What the folder says is lost is no such key: the next life takes it as perhaps run.
     """
-    state = Folder(Disk(path), name).load(1000.0 * time.time())
+    state = StateDirectory(Disk(path), name).load(1000.0 * time.time())
     if state.lost_ms is not None:
         return []
     memory = {type.name: type.memory_ms for type in day.types if type.effect == "receipted"}
@@ -243,8 +243,8 @@
         path = out / "down" / "state" / name
         path.mkdir(parents=True)
         now = time.time() * 1000.0
-        listed = form.Listed(1, old_rows(day, dials, table), now - 1000.0 * table.age_s)
-        folder = Folder(Disk(path), name)
+        listed = form.ListStored(1, old_rows(day, dials, table), now - 1000.0 * table.age_s)
+        folder = StateDirectory(Disk(path), name)
         folder.snapshot([form.frame(listed)], now)
         folder.close()
 
--- a/marlseam/experiment/size_changes.py
+++ b/marlseam/experiment/size_changes.py
@@ -21,12 +21,23 @@
 
 import msgspec
 
-from marlseam.cluster.audit_log import Held, Kept, encode
-from marlseam.cluster.checking.membership_schedules import DRIFT, PERIOD_MS, Seat, World
+from marlseam.cluster.audit_log import RecoveredLog, VersionHeld, encode
+from marlseam.cluster.checking.membership_schedules import (
+    DRIFT,
+    PERIOD_MS,
+    MembershipSimulation,
+    SimulatedMember,
+)
 from marlseam.cluster.checking.replication_schedules import DISK_MS, LEASE_PERIODS
 from marlseam.cluster.replication import messages
 from marlseam.cluster.replication.content import FORMAT, Content, Meaning, digest, read, write
-from marlseam.cluster.replication.replica import Apply, Keep, Terms, To, Versions
+from marlseam.cluster.replication.replica import (
+    ApplyContent,
+    ConfigReplica,
+    Persist,
+    ReplicationSettings,
+    SendMessage,
+)
 from marlseam.configuration import ConfigError, Deployment, deployment_from
 from marlseam.experiment import file, size, slope
 from marlseam.experiment.file import Experiment
@@ -124,7 +135,7 @@
 # Hollow nodes.
 
 
-class Hollow(World):
+class Hollow(MembershipSimulation):
     """Members of a fleet with versions, in one process; times in ms, by the clock and as charged."""
 
     def __init__(
@@ -133,12 +144,12 @@
         seed: int,
         listed: bool = False,
         ways: Ways = LAN,
-        machine: type[Versions] = Versions,
+        machine: type[ConfigReplica] = ConfigReplica,
     ) -> None:
         names = [f"n{i}" for i in range(count)]
         self.voters = names[:VOTERS] if count >= VOTERS else names
         lease = LEASE_PERIODS * PERIOD_MS
-        self.terms = Terms(frozenset(self.voters), PERIOD_MS, lease, False, 100.0 * lease)
+        self.terms = ReplicationSettings(frozenset(self.voters), PERIOD_MS, lease, False, 100.0 * lease)
         self.kind, self.ways, self.base = machine, ways, base_settings(count)
         addresses = {name: f"10.0.{i // 250}.{i % 250 + 1}:7000" for i, name in enumerate(names)}
         self.listed = addresses if listed else {}
@@ -162,7 +173,7 @@
 
     # The world's steps, for these machines.
 
-    def make(self, name: str, seed: int) -> Versions:
+    def make(self, name: str, seed: int) -> ConfigReplica:
         """Return a process's machine, which checks contents as a node does."""
 
         def wrong(content: Content) -> str:
@@ -173,7 +184,7 @@
             return ""
 
         own = f"{name}/{self.lives}"
-        machine = self.kind(name, self.names, self.terms, own, seed, 0.0, Kept(begun=True), wrong)
+        machine = self.kind(name, self.names, self.terms, own, seed, 0.0, RecoveredLog(begun=True), wrong)
         machine.next_ms = PERIOD_MS * self.chance()
         return machine
 
@@ -182,21 +193,27 @@
         whole = shared | {"zone": self.base["zone"]}
         return deployment_from(whole, before=self.deployments.get(name), whole=True)
 
-    def work(self, seat: Seat, charged: float, call: Callable[..., list[Any]], *words: Any) -> None:  # noqa: ANN401
+    def work(
+        self,
+        seat: SimulatedMember,
+        charged: float,
+        call: Callable[..., list[Any]],
+        *words: Any,  # noqa: ANN401
+    ) -> None:
         """Have a node do something that is due, note its cost, and put on its way what comes of it."""
         name, out = seat.name, list[tuple[str, bytes]]()
-        keeps, applies = list[Keep](), list[Apply]()
+        keeps, applies = list[Persist](), list[ApplyContent]()
         began = time.thread_time_ns()
         for effect in call(*words):
-            if type(effect) is To:
-                note = messages.Note(messages.VERSION, FLEET, name, effect.say)
+            if type(effect) is SendMessage:
+                note = messages.ReplicationDatagram(messages.VERSION, FLEET, name, effect.say)
                 out.append((effect.name, messages.write(note)))
                 self.kinds[messages.kind_of(effect.say).name.lower()] += 1
-            elif type(effect) is Keep:
+            elif type(effect) is Persist:
                 for entry in effect.entries:
                     encode(entry)
                 keeps.append(effect)
-            elif type(effect) is Apply:
+            elif type(effect) is ApplyContent:
                 self.act_on(name, effect.content)
                 applies.append(effect)
         spent = (time.thread_time_ns() - began) / 1e6
@@ -216,7 +233,7 @@
             self.charged_disk[name] = max(self.charged_disk[name], over) + took
             self.at(self.disk[name], self.go_on, seat, keep.token, self.charged_disk[name])
             for entry in keep.entries:
-                if type(entry) is Held:
+                if type(entry) is VersionHeld:
                     self.two_contents += self.ids.setdefault(entry.number, entry.id) != entry.id
         for apply in applies:
             self.acting_at[name, apply.number] = over
@@ -232,19 +249,19 @@
         self.deployments[name] = self.deployment(name, content.settings)
         self.meanings[name].of(content.settings)
 
-    def took_in(self, seat: Seat, apply: Apply) -> int:
+    def took_in(self, seat: SimulatedMember, apply: ApplyContent) -> int:
         """Return how many values a node took in for a change: those of a whole content, or the edits."""
         whole = values(apply.content.settings) + len(apply.content.members)
         came, before = seat.machine.came, self.came.get(seat.name, Counter())
         self.came[seat.name] = came.copy()
         return whole * (came["whole"] - before["whole"]) + came["edits"] - before["edits"]
 
-    def go_on(self, seat: Seat, token: int, charged: float) -> None:
+    def go_on(self, seat: SimulatedMember, token: int, charged: float) -> None:
         """Tell a node that something is durable."""
         self.work(seat, charged, seat.machine.kept, self.local(seat), token)
         self.plan(seat)
 
-    def tick(self, seat: Seat) -> None:
+    def tick(self, seat: SimulatedMember) -> None:
         """Wake a node whose time has come."""
         seat.tick_at = inf
         if seat.machine.next_ms <= self.local(seat) + 1e-6:
@@ -346,7 +363,7 @@
     nodes: int,
     listed: bool = False,
     ways: Ways = LAN,
-    machine: type[Versions] = Versions,
+    machine: type[ConfigReplica] = ConfigReplica,
 ) -> dict[str, float]:
     """Play one size: a time without changes, changes at their pace, a burst; return figures of a node."""
     world = Hollow(nodes, seed, listed, ways, machine)
@@ -414,9 +431,9 @@
         members = dict.fromkeys(names, "10.0.0.1:7000") if listed else {}
         data = write(Content(FORMAT, 1, "", names[:3], "w", names[0], given, members))
         del given
-        kept = Kept(begun=True, held=Held(1, digest(data)), contents={digest(data): data})
-        terms = Terms(frozenset(names[:3]), PERIOD_MS, LEASE_PERIODS * PERIOD_MS, False, 0.0)
-        machine = Versions(names[0], frozenset(names), terms, "n0/1", 0, 0.0, kept)
+        kept = RecoveredLog(begun=True, held=VersionHeld(1, digest(data)), contents={digest(data): data})
+        terms = ReplicationSettings(frozenset(names[:3]), PERIOD_MS, LEASE_PERIODS * PERIOD_MS, False, 0.0)
+        machine = ConfigReplica(names[0], frozenset(names), terms, "n0/1", 0, 0.0, kept)
         meanings = Meaning()
         meanings.of(machine.content.settings)
         deployment = deployment_from(machine.content.settings, whole=True)
--- a/marlseam/experiment/size_members.py
+++ b/marlseam/experiment/size_members.py
@@ -16,16 +16,16 @@
 from zlib import crc32
 
 from marlseam.cluster.checking.membership_schedules import PERIOD_MS, detect_ms
-from marlseam.cluster.membership import Members
-from marlseam.cluster.membership import Say as Post
+from marlseam.cluster.membership import Membership
+from marlseam.cluster.membership import SendDatagram as Post
 from marlseam.cluster.membership_codec import (
-    LETTER_MOST,
+    MAX_DATAGRAM_BYTES,
     VERSION,
-    Claim,
-    Kind,
-    Letter,
-    Rumour,
-    Standing,
+    Datagram,
+    DatagramKind,
+    GossipEntry,
+    MemberState,
+    MemberStatus,
     read,
     write,
 )
@@ -38,7 +38,7 @@
 from marlseam.experiment.slope import Slope
 from marlseam.net.log import Log
 from marlseam.net.loop import Loop
-from marlseam.net.membership_service import Peers
+from marlseam.net.membership_service import MembershipService
 from marlseam.world.model import Count, Positive, Strict
 
 WAY_MS = 1.0  # of a letter
@@ -72,18 +72,18 @@
         self.all = frozenset(self.names)
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.lives = dict.fromkeys(self.names, 1)
-        self.standing = dict.fromkeys(self.names, Standing.HERE)
+        self.standing = dict.fromkeys(self.names, MemberStatus.HERE)
         self.away = ""  # the puppet that has left, to be back with the next change
-        self.news: dict[str, deque[Rumour]] = {}  # by member: what the next letter to it brings
-        self.members: dict[str, Members] = {}
+        self.news: dict[str, deque[GossipEntry]] = {}  # by member: what the next letter to it brings
+        self.members: dict[str, Membership] = {}
         self.clocks: dict[str, size.Charged] = {}
         self.due: dict[str, float] = {}
         self.ticks = self.heard = self.letters = self.bytes = self.most = self.changes = 0
         self.tick_ms = self.heard_ms = 0.0
         for i, name in enumerate(self.names[:: max(1, count // whole)][:whole]):
-            machine = Members("size", name, self.all, 1, crc32(b"%d:%d" % (seed, i)), PERIOD_MS, 0.0)
+            machine = Membership("size", name, self.all, 1, crc32(b"%d:%d" % (seed, i)), PERIOD_MS, 0.0)
             for other in self.names:
-                machine.take(Rumour(other, Claim(0, 1, Standing.HERE)))
+                machine.take(GossipEntry(other, MemberState(0, 1, MemberStatus.HERE)))
             # The start is over: who was found has been told.
             machine.telling.clear()
             machine.news.clear()
@@ -160,32 +160,32 @@
             self.hear(to, data)
             return
         letter = read(data, "size", self.all)
-        if self.standing[to] == Standing.HERE and letter.kind in (Kind.PING, Kind.ASK):
-            about = to if letter.kind == Kind.PING else letter.about
-            self.say(to, sender, Kind.ACK, letter.seq, about)
+        if self.standing[to] == MemberStatus.HERE and letter.kind in (DatagramKind.PING, DatagramKind.ASK):
+            about = to if letter.kind == DatagramKind.PING else letter.about
+            self.say(to, sender, DatagramKind.ACK, letter.seq, about)
 
-    def say(self, puppet: str, to: str, kind: Kind, seq: int, about: str = "") -> None:
+    def say(self, puppet: str, to: str, kind: DatagramKind, seq: int, about: str = "") -> None:
         """Have a puppet write to a member, with news."""
         held = self.news[to]
         rumours = [held.popleft() for _ in range(min(13, len(held)))]
         # Two in their turn, as each letter has them.
         for _ in range(2):
             other = self.names[int(self.chance() * len(self.names))]
-            rumours.append(Rumour(other, self.claim(other)))
-        letter = Letter(VERSION, "size", puppet, self.claim(puppet), kind, seq, about, rumours)
+            rumours.append(GossipEntry(other, self.claim(other)))
+        letter = Datagram(VERSION, "size", puppet, self.claim(puppet), kind, seq, about, rumours)
         self.at(self.now + WAY_MS, self.hear, to, write(letter))
 
-    def claim(self, name: str) -> Claim:
+    def claim(self, name: str) -> MemberState:
         """Return what holds of a name."""
         if name in self.members:
             return self.members[name].own
-        return Claim(self.lives[name] - 1, self.lives[name], self.standing[name])
+        return MemberState(self.lives[name] - 1, self.lives[name], self.standing[name])
 
     def pinged(self, name: str) -> None:
         """Have a member be pinged by a puppet, as often as it is by members: once a period."""
         puppet = self.names[int(self.chance() * len(self.names))]
-        if puppet not in self.members and self.standing[puppet] == Standing.HERE:
-            self.say(puppet, name, Kind.PING, 1 + self.draws)
+        if puppet not in self.members and self.standing[puppet] == MemberStatus.HERE:
+            self.say(puppet, name, DatagramKind.PING, 1 + self.draws)
         self.at(self.now + PERIOD_MS, self.pinged, name)
 
     def change(self) -> None:
@@ -197,18 +197,18 @@
         self.changes += 1
         if self.away:
             self.lives[name] += 1
-        self.standing[name] = Standing.HERE if self.away else Standing.LEFT
+        self.standing[name] = MemberStatus.HERE if self.away else MemberStatus.LEFT
         self.away = "" if self.away else name
         for held in self.news.values():
-            held.append(Rumour(name, self.claim(name)))
+            held.append(GossipEntry(name, self.claim(name)))
 
     def zone(self) -> None:
         """Have one in 21 go without a word, a thousand at full size; members hear that others miss them."""
         for name in self.names[len(self.names) // 2 :][: max(1, len(self.names) // 21)]:
-            if name not in self.members and self.standing[name] == Standing.HERE:
-                self.standing[name] = Standing.GONE
+            if name not in self.members and self.standing[name] == MemberStatus.HERE:
+                self.standing[name] = MemberStatus.GONE
                 for held in self.news.values():
-                    held.append(Rumour(name, self.claim(name)))
+                    held.append(GossipEntry(name, self.claim(name)))
 
 
 class Spent(NamedTuple):
@@ -274,9 +274,11 @@
     loop.now = lambda: 10.0 * PERIOD_MS  # ages are told, and would have other lengths on each run
     # Nobody listens at the others' address, and one tick is all that is said there.
     members = dict.fromkeys(names, ("127.0.0.1", 9)) | {names[0]: ("127.0.0.1", 0)}
-    peers = Peers(loop, Log("door", loop.now), ClusterSettings("size", members, PERIOD_MS), names[0], 1)
+    peers = MembershipService(
+        loop, Log("door", loop.now), ClusterSettings("size", members, PERIOD_MS), names[0], 1
+    )
     for name in names:
-        peers.machine.take(Rumour(name, Claim(0, 1, Standing.HERE)))
+        peers.machine.take(GossipEntry(name, MemberState(0, 1, MemberStatus.HERE)))
     text = clock.do(peers.status)
     peers.sock.close()
     loop.poll.close()
@@ -290,9 +292,9 @@
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        machine = Members("size", "n00000", names, 0, 0, PERIOD_MS, 0.0)
+        machine = Membership("size", "n00000", names, 0, 0, PERIOD_MS, 0.0)
         for name in sorted(names):
-            machine.take(Rumour(name, Claim(0, 1, Standing.HERE)))
+            machine.take(GossipEntry(name, MemberState(0, 1, MemberStatus.HERE)))
         return (tracemalloc.get_traced_memory()[0] - before) / 2.0**20
     finally:
         tracemalloc.stop()
@@ -328,7 +330,7 @@
     "core_share": size.CORE_SHARE,
     "bytes_s": size.BYTES_S,
     "memory_mb": size.MEMORY_MB,
-    "letter_most": float(LETTER_MOST),
+    "letter_most": float(MAX_DATAGRAM_BYTES),
     "turn_ms": size.TURN_MS,
     "zone_core_share": size.CORE_SHARE,
     "zone_bytes_s": size.BYTES_S,
--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -17,27 +17,44 @@
 from typing import Any
 
 from marlseam import __version__
-from marlseam.cluster.audit_log import ACTS, Ended, Entry, Held, Kept, Life, Mark, encode
-from marlseam.cluster.audit_log import Acting as Interval
+from marlseam.cluster.audit_log import (
+    ACTS,
+    ActionCounts,
+    LogRecord,
+    ProcessEnded,
+    ProcessStarted,
+    RecoveredLog,
+    VersionHeld,
+    encode,
+)
+from marlseam.cluster.audit_log import IntervalBegun as Interval
 from marlseam.cluster.replication import messages
 from marlseam.cluster.replication.content import (
     FORMAT,
     Content,
+    InvalidContentError,
     Meaning,
-    Unfit,
     meaning,
     read,
     stepwise,
     voters_fit,
     write,
 )
-from marlseam.cluster.replication.replica import Apply, Effect, Keep, Stand, Terms, To, Versions
-from marlseam.cluster.replication.replica import Log as Said
+from marlseam.cluster.replication.replica import (
+    ApplyContent,
+    ConfigReplica,
+    Effect,
+    Persist,
+    ReplicationSettings,
+    SendMessage,
+    ServingStatus,
+)
+from marlseam.cluster.replication.replica import LogLine as Said
 from marlseam.configuration import ClusterSettings, ConfigError, member_address
 from marlseam.net.log import Log
 from marlseam.net.loop import Coroutine, Loop
-from marlseam.store.ledger_writer import BESIDE, Ledger
-from marlseam.store.log_writer_client import LOCK_S, Scribe
+from marlseam.store.ledger_writer import BESIDE, LedgerWriter
+from marlseam.store.log_writer_client import LOCK_S, LogWriterClient
 from marlseam.store.state_directory import Disk, code_of, unix_ms
 from marlseam.store.writer_process import APPEND
 
@@ -50,7 +67,7 @@
 
 
 @dataclass
-class Port:
+class ConfigServicePort:
     """What the node offers: a content's fault here, acting on settings, service on or off, what holds."""
 
     wrong: Callable[[Mapping[str, Any]], str]
@@ -62,19 +79,21 @@
     beside: bool = False  # whether another process of this node may be there, as in an upgrade
 
 
-class Pages(Scribe):
+class LedgerClient(LogWriterClient):
     """The ledger's scribe."""
 
     helper, what = "marlseam.store.ledger_writer", "the ledger"
     back_most_ms = BACK_MOST_MS
 
-    def __init__(self, loop: Loop, log: Log, path: Path, name: str, take_in: Callable[[Kept], None]) -> None:
+    def __init__(
+        self, loop: Loop, log: Log, path: Path, name: str, take_in: Callable[[RecoveredLog], None]
+    ) -> None:
         super().__init__(loop, log, path, name, "durable", FILE_MB, WAIT_MS)
         self.take_in = take_in
 
     def load(self, told: bool = True) -> None:
         """Read the ledger, and tell what is wrong in it; raises OSError."""
-        ledger = Ledger(Disk(self.path), self.node)
+        ledger = LedgerWriter(Disk(self.path), self.node)
         kept = ledger.load()
         self.known = True
         for finding in ledger.findings if told else ():
@@ -89,10 +108,10 @@
         yield
 
 
-class Acting:
+class ConfigVersionService:
     """One node's versions and ledger."""
 
-    FIRST = messages.FIRST
+    FIRST = messages.DATAGRAM_PREFIX
 
     def __init__(
         self,
@@ -102,28 +121,28 @@
         name: str,
         life: int,
         seed: int,
-        port: Port,
+        port: ConfigServicePort,
         send: Callable[[str, bytes], None],
         regroup: Callable[[Mapping[str, str]], None] = lambda members: None,
     ) -> None:
         self.loop, self.log, self.settings, self.name = loop, log, settings, name
         self.life, self.seed, self.port, self.send, self.regroup = life, seed, port, send, regroup
-        self.machine: Versions | None = None
-        self.stood, self.until_ms = Stand(False, False, "locked"), 0.0
+        self.machine: ConfigReplica | None = None
+        self.stood, self.until_ms = ServingStatus(False, False, "locked"), 0.0
         self.interval: Interval | None = None
         self.stamp = ""
         self.counts: dict[int, list[int]] = {}
         self.dirty: dict[int, None] = {}
         self.acts = 0  # since the last mark
-        self.unsaid: deque[tuple[int, Entry]] = deque()  # entries that are not durable, and their numbers
+        self.unsaid: deque[tuple[int, LogRecord]] = deque()  # entries that are not durable, and their numbers
         self.flying: deque[tuple[int, tuple[int, ...]]] = deque()  # marks likewise, and of which intervals
         self.listed = -1  # the list that the last look saw
         self.noted: object = None  # the settings in force, and the digest of their meaning
         self.meant, self.meanings = "", Meaning()
         self.shared: tuple[Content | None, str] = (None, "")  # the version held, and its settings' digest
         self.grouped: Mapping[str, str] = {}  # members that the node was last told of
-        self.pages = Pages(loop, log, Path(settings.folder), name, self.take_in)
-        self.main: Pages | None = None  # the node's ledger, while another process has it
+        self.pages = LedgerClient(loop, log, Path(settings.folder), name, self.take_in)
+        self.main: LedgerClient | None = None  # the node's ledger, while another process has it
         self.timer = loop.at(loop.now(), lambda: None)
         self.began_ms, self.beside = loop.now(), False
         self.spans: dict[int, Interval] = {}  # the intervals whose acts may still grow
@@ -152,8 +171,8 @@
 
     def go_beside(self) -> bool:
         """Write beside the ledger while an old process of this node has it; return whether that can be."""
-        self.main = Pages(self.loop, self.log, self.pages.path, self.name, self.move)
-        self.pages = Pages(self.loop, self.log, self.main.path / BESIDE, self.name, self.take_in)
+        self.main = LedgerClient(self.loop, self.log, self.pages.path, self.name, self.move)
+        self.pages = LedgerClient(self.loop, self.log, self.main.path / BESIDE, self.name, self.take_in)
         try:
             self.pages.take_lock()
             self.pages.load(told=False)
@@ -163,14 +182,14 @@
         self.log.line("fleet: another process has the ledger, writes beside it until that has ended")
         return True
 
-    def elsewhere(self, kept: Kept) -> Kept:
+    def elsewhere(self, kept: RecoveredLog) -> RecoveredLog:
         """Add what this node's other ledger holds: the later version, the later word of an operator's."""
         here = self.pages.path
         other = self.main.path if self.main is not None else here / BESIDE
         if not other.exists():
             return kept
         with contextlib.suppress(OSError):
-            found = Ledger(Disk(other), self.name).load()
+            found = LedgerWriter(Disk(other), self.name).load()
             if found.held is not None and (kept.held is None or found.held.number > kept.held.number):
                 kept.held = found.held
                 kept.contents |= found.contents
@@ -178,7 +197,7 @@
                 kept.hand, kept.handed_ms = found.hand, found.handed_ms
         return kept
 
-    def move(self, kept: Kept) -> None:
+    def move(self, kept: RecoveredLog) -> None:
         """Go on in the node's ledger, which the old process has left; from here on this one may vote."""
         machine, old = self.machine, self.pages
         self.pages, self.main = self.main, None
@@ -190,10 +209,10 @@
         self.unsaid = deque([(0, self.lived(now)), *((0, span) for span in self.spans.values())])
         self.dirty, self.flying = dict.fromkeys(self.counts), deque()
 
-    def lived(self, now: float) -> Life:
+    def lived(self, now: float) -> ProcessStarted:
         """Return what tells of this life."""
         began, wall = now - self.began_ms, self.wall()
-        return Life(
+        return ProcessStarted(
             self.life,
             __version__,
             self.pages.era.boot,
@@ -204,14 +223,16 @@
             self.pages.era.zero_ms,
         )
 
-    def take_in(self, kept: Kept) -> None:
+    def take_in(self, kept: RecoveredLog) -> None:
         """Begin with what the ledger holds."""
         fleet, kept = self.settings, self.elsewhere(kept)
         self.beside = self.main is not None
-        terms = Terms(frozenset(fleet.voters), fleet.period_ms, fleet.lease_ms, fleet.strict, fleet.serve_ms)
+        terms = ReplicationSettings(
+            frozenset(fleet.voters), fleet.period_ms, fleet.lease_ms, fleet.strict, fleet.serve_ms
+        )
         place = f"{self.name}/{self.life}/{os.urandom(8).hex()}"
         now = self.loop.now()
-        self.machine = Versions(
+        self.machine = ConfigReplica(
             self.name, frozenset(fleet.members), terms, place, self.seed, now, kept, self.wrong
         )
         if self.machine.unfit:
@@ -240,7 +261,7 @@
         """Have the last acts written, as the node ends."""
         self.mark()
         if self.interval is not None:
-            self.write(Ended(self.life, self.wall(), self.loop.now()))
+            self.write(ProcessEnded(self.life, self.wall(), self.loop.now()))
         self.pages.close()
 
     # Other processes of this node.
@@ -264,7 +285,7 @@
         if machine is None:
             return
         if number > machine.number:
-            machine.contents |= self.elsewhere(Kept()).contents
+            machine.contents |= self.elsewhere(RecoveredLog()).contents
             if id in machine.contents:
                 self.act(machine.learn(now, number, id))
         elif mono_ms - 1000.0 * self.loop.clock.zero <= now:
@@ -308,16 +329,18 @@
     def act(self, effects: Iterable[Effect]) -> None:
         """Carry out what the machine asks for."""
         for effect in effects:
-            if type(effect) is To:
+            if type(effect) is SendMessage:
                 self.send(
                     effect.name,
                     messages.write(
-                        messages.Note(messages.VERSION, self.settings.name, self.name, effect.say)
+                        messages.ReplicationDatagram(
+                            messages.VERSION, self.settings.name, self.name, effect.say
+                        )
                     ),
                 )
-            elif type(effect) is Keep:
+            elif type(effect) is Persist:
                 self.loop.spawn(self.keep(effect))
-            elif type(effect) is Apply:
+            elif type(effect) is ApplyContent:
                 self.port.apply(effect.content.settings)
                 self.group(effect.content.members)
                 self.log.line(f"acts on version {effect.number}, {effect.id[:12]}: {effect.content.why}")
@@ -331,12 +354,12 @@
             self.grouped = members
             self.regroup(members)
 
-    def keep(self, keep: Keep) -> Coroutine:
+    def keep(self, keep: Persist) -> Coroutine:
         """Have entries durable, and tell the machine."""
         number = 0
         for entry in keep.entries:
-            if type(entry) is Held:
-                entry = Held(entry.number, entry.id, self.wall())  # noqa: PLW2901 - the machine knows no such time
+            if type(entry) is VersionHeld:
+                entry = VersionHeld(entry.number, entry.id, self.wall())  # noqa: PLW2901 - the machine knows no such time
             number = self.write(entry)
         if (yield from self.pages.durable(number)):
             self.act(self.machine.kept(self.loop.now(), keep.token))
@@ -353,7 +376,7 @@
         """Return Unix ms, by a clock that does not jump."""
         return unix_ms(self.pages.era)
 
-    def look(self) -> Stand:
+    def look(self) -> ServingStatus:
         """Return whether this node may act, and see to it that the interval in hand tells on what."""
         now, machine, port = self.loop.now(), self.machine, self.port
         # The usual look, several an act: nothing has changed.
@@ -416,9 +439,9 @@
         if meaning(settings) != self.meant:
             self.log.line("fleet code=local-refused: the file's settings are not the version's, these stay")
 
-    def order(self) -> "Order":
+    def order(self) -> "StampedAttempt":
         """Return what an attempt is to ask and tell."""
-        return Order(self)
+        return StampedAttempt(self)
 
     def may_take(self) -> bool:
         """Return whether work may be taken now."""
@@ -448,7 +471,7 @@
 
     # The ledger.
 
-    def write(self, entry: Entry) -> int:
+    def write(self, entry: LogRecord) -> int:
         """Have an entry written; return its number, 0 for never."""
         return self.pages.message(APPEND, encode(entry)) if self.pages.serves() else 0
 
@@ -475,7 +498,7 @@
         rows = [(n, *self.counts[n]) for n in self.dirty if n in self.counts]
         if not rows or any(not number for number, _ in self.unsaid):
             return
-        number = self.write(Mark(self.life, rows, self.wall(), self.loop.now()))
+        number = self.write(ActionCounts(self.life, rows, self.wall(), self.loop.now()))
         if number:
             self.flying.append((number, tuple(self.dirty)))
             self.dirty, self.acts = {}, 0
@@ -496,8 +519,15 @@
             voters, members = given.get("voters"), given.get("members")
         except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
             return 400, f"settings and why were expected ({error!r})\n"
-        if not (isinstance(settings, dict) and isinstance(why, str) and 0 < len(why) <= messages.TEXT_MOST):
-            return 400, f"settings, and why in up to {messages.TEXT_MOST} characters, were expected\n"
+        if not (
+            isinstance(settings, dict)
+            and isinstance(why, str)
+            and 0 < len(why) <= messages.MAX_REASON_CHARACTERS
+        ):
+            return (
+                400,
+                f"settings, and why in up to {messages.MAX_REASON_CHARACTERS} characters, were expected\n",
+            )
         names = isinstance(voters, list) and all(isinstance(name, str) for name in voters)
         if voters is not None and not names:
             return 400, "voters: a list of members' names was expected\n"
@@ -514,7 +544,7 @@
         try:
             data = write(content)
             wrong = self.wrong(read(data, machine.members))
-        except Unfit as error:
+        except InvalidContentError as error:
             wrong = str(error)
         if wrong:
             return 400, f"{wrong}\n"
@@ -528,7 +558,7 @@
         """Return the members that the version held names, if it names any."""
         try:
             return dict(self.held().members) if self.machine.number else {}
-        except Unfit:
+        except InvalidContentError:
             return {}
 
     def step_wrong(self, voters: frozenset[str], members: frozenset[str]) -> str:
@@ -543,7 +573,7 @@
         """Return whether the version held says this already."""
         try:
             held = self.held()
-        except Unfit:
+        except InvalidContentError:
             return False
         alike = meaning(held.settings) == meaning(content.settings) and held.members == content.members
         return alike and set(held.voters) == set(content.voters)
@@ -552,8 +582,8 @@
         """Shut this node out by an operator's word, or bring it back; it holds across restarts."""
         if self.machine is None:
             return 503, "another process has the ledger\n"
-        if why is not None and not 0 < len(why) <= messages.TEXT_MOST:
-            return 400, f"why in up to {messages.TEXT_MOST} characters was expected\n"
+        if why is not None and not 0 < len(why) <= messages.MAX_REASON_CHARACTERS:
+            return 400, f"why in up to {messages.MAX_REASON_CHARACTERS} characters was expected\n"
         if not self.pages.serves():
             return 503, f"the ledger cannot be written: {self.pages.code}\n"
         self.act([self.machine.by_hand(why, self.wall())])
@@ -609,17 +639,17 @@
         """Return the digest of the meaning of the version held."""
         try:
             held = self.held()
-        except Unfit:
+        except InvalidContentError:
             return ""
         if self.shared[0] is not held:
             self.shared = held, meaning(held.settings)
         return self.shared[1]
 
 
-class Order:
+class StampedAttempt:
     """One attempt, as the fleet knows it."""
 
-    def __init__(self, acting: Acting) -> None:
+    def __init__(self, acting: ConfigVersionService) -> None:
         self.acting, self.interval = acting, 0
 
     def goes(self) -> str:
--- a/marlseam/net/downstream.py
+++ b/marlseam/net/downstream.py
@@ -28,14 +28,14 @@
 
 
 @dataclass(frozen=True)
-class Room:
+class AdmissionLimits:
     """What clients may have of the node's limits."""
 
     clients: int
     body_bytes: float
 
 
-class Pending:
+class PendingRequest:
     """A request that is out for its client, and the answer once there is one."""
 
     def __init__(self, job: Job, taken_ms: float, gone: Callable[[], bool] = lambda: False) -> None:
@@ -60,9 +60,9 @@
         loop: Loop,
         log: Log,
         config: Config,
-        room: Room,
+        room: AdmissionLimits,
         ready: Callable[[], bool],
-        take: Callable[[Pending], str],
+        take: Callable[[PendingRequest], str],
         left: Callable[[str], None],
     ) -> None:
         self.loop, self.log = loop, log
@@ -83,7 +83,7 @@
         self.sock = http.bound(config.listen) if fd is None else http.inherited(fd)
         self.listener: http.Listener | None = None
 
-    def configure(self, deployment: Deployment, room: Room) -> None:
+    def configure(self, deployment: Deployment, room: AdmissionLimits) -> None:
         """Take in settings, and for how many clients and bytes of their bodies there is room."""
         self.deployment, self.room = deployment, room
         while len(self.open) > room.clients and self.make_room():
@@ -286,7 +286,7 @@
                 self.owed[connection] = call.head.get(protocol.ID, "")
                 job = protocol.job_from(call.target, call.head, call.body, self.deployment)
                 status, headers, body = yield from self.work_unit(
-                    connection, Pending(job, connection.came_ms, connection.gone)
+                    connection, PendingRequest(job, connection.came_ms, connection.gone)
                 )
         except Malformed as error:
             raise http.bad(error) from None
@@ -299,7 +299,7 @@
             yield from connection.linger(self.loop.now() + http.LINGER_MS)
         return connection.again()
 
-    def work_unit(self, connection: Connection, pending: Pending) -> Steps:
+    def work_unit(self, connection: Connection, pending: PendingRequest) -> Steps:
         """Hand a request to the node and wait for its answer, or for the client to go."""
         id = pending.job.id
         if connection.ahead():
@@ -326,7 +326,7 @@
             raise Malformed("no executor can use this")
         return pending.answer
 
-    def wait(self, connection: Connection, pending: Pending, request_id: str) -> Steps:
+    def wait(self, connection: Connection, pending: PendingRequest, request_id: str) -> Steps:
         """Wait for a request's answer, or for its client to go."""
         while pending.answer is None:
             wait, asked = connection.waits(), self.loop.now()
--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -15,10 +15,10 @@
 from marlseam.net.connection import Steps
 from marlseam.net.loop import sleep
 from marlseam.recovery import saved_list
-from marlseam.recovery.saved_list import Saved, Turnover
+from marlseam.recovery.saved_list import SavedList, Turnover
 from marlseam.store import file_format as form
-from marlseam.store.node_state import State
-from marlseam.store.state_store import Keeper
+from marlseam.store.node_state import NodeState
+from marlseam.store.state_store import StateStore
 
 if TYPE_CHECKING:
     from marlseam.net.node import Node
@@ -29,12 +29,12 @@
 LISTED_MS = 1000.0  # least time between two lists in the journal
 
 
-class Memory:
+class DurableState:
     """Joins a node, its store and what it recovers."""
 
     def __init__(self, node: Node) -> None:
         self.node, self.clock = node, node.loop.clock
-        self.keeper = Keeper(node.loop, node.log, node.config.store, node.config.name, self.take_in)
+        self.keeper = StateStore(node.loop, node.log, node.config.store, node.config.name, self.take_in)
         self.turnover = Turnover()
         self.numbers: dict[str, int] = {}  # of what must be durable, by request
         self.noted_ms = self.listed_ms = -1e18
@@ -69,13 +69,13 @@
         node.discovery.heard = self.heard
         self.keeper.begin()
 
-    def from_list(self, state: State | None, began: float) -> bool:
+    def from_list(self, state: NodeState | None, began: float) -> bool:
         """Start from the newer of the lists that can be had, if it is the file's; return whether it was."""
         node, unix = self.node, self.clock.to_unix(self.node.loop.now())
         known = node.config.known
         listed = state.listed if state is not None else None
-        file = listed and Saved(listed.version, listed.rows, listed.heard_ms)
-        given = Saved(int(known.get("seq", 0)), known.get("hosts", []), None) if known else None
+        file = listed and SavedList(listed.version, listed.rows, listed.heard_ms)
+        given = SavedList(int(known.get("seq", 0)), known.get("hosts", []), None) if known else None
         if file is None or saved_list.choose(file, given) is not file:
             return False
         age = saved_list.age(file, unix)
@@ -90,7 +90,7 @@
         )
         return True
 
-    def recall(self, state: State) -> Iterator[None]:
+    def recall(self, state: NodeState) -> Iterator[None]:
         """Hand what may have run to the reducer, in pieces; then it is known, or known to be lost."""
         self.turnover.departures += state.turnover.departures
         self.turnover.lived_ms += state.turnover.lived_ms
@@ -98,7 +98,7 @@
         since = -self.clock.unix_zero_ms
         names: dict[str, str] = {}  # each held once
 
-        def trace(r: form.Sent) -> AttemptRecord:
+        def trace(r: form.AttemptSent) -> AttemptRecord:
             name = names.setdefault(r.executor, r.executor)
             return AttemptRecord(name, zones.get(r.zone, -1), r.cell, r.sent_ms + since, r.until_ms + since)
 
@@ -114,7 +114,7 @@
             node.post(core.HistoryUnavailable(SOURCE, min(node.loop.now(), state.lost_ms + since)))
             node.log.line("what may have run under a key is lost: marked retries go nowhere for now")
 
-    def take_in(self, state: State) -> Steps:
+    def take_in(self, state: NodeState) -> Steps:
         """Take in what was read while the node serves."""
         for _ in self.recall(state):
             yield from sleep(self.node.loop.now())
@@ -124,14 +124,14 @@
 
     # Entries.
 
-    def list_now(self) -> form.Listed:
+    def list_now(self) -> form.ListStored:
         """Return the list as it is held, with the time at which discovery last confirmed it."""
         discovery = self.node.discovery
-        return form.Listed(max(0, discovery.version), discovery.rows(), self.heard_unix_ms)
+        return form.ListStored(max(0, discovery.version), discovery.rows(), self.heard_unix_ms)
 
-    def sent(self, key: str, trace: AttemptRecord) -> form.Sent:
+    def sent(self, key: str, trace: AttemptRecord) -> form.AttemptSent:
         """Return a sending as the files hold it."""
-        return form.Sent(*told(key, trace, self.node.config.deployment.zones, self.clock.to_unix))
+        return form.AttemptSent(*told(key, trace, self.node.config.deployment.zones, self.clock.to_unix))
 
     # What happens.
 
@@ -141,7 +141,7 @@
             self.numbers[effect.request_id] = self.keeper.append(self.sent(effect.key, effect.trace))
         else:
             unix = self.clock.to_unix(effect.sent_ms)
-            self.keeper.append(form.NeverRan(effect.key, effect.server, unix))
+            self.keeper.append(form.AttemptNeverRan(effect.key, effect.server, unix))
 
     def gate(self, request_id: str) -> Callable[[], Steps] | None:
         """Return what a sending that needs a record waits for: whether that is durable."""
@@ -159,8 +159,8 @@
         if self.changed and now - self.listed_ms >= LISTED_MS:
             self.noted_ms = self.listed_ms = now
             self.changed = False
-            turned = form.Turned(self.turnover.departures, self.turnover.lived_ms)
+            turned = form.TurnoverNoted(self.turnover.departures, self.turnover.lived_ms)
             self.keeper.append(self.list_now(), turned)
         elif now - self.noted_ms >= HEARD_MS:
             self.noted_ms = now
-            self.keeper.append(form.Heard(self.heard_unix_ms))
+            self.keeper.append(form.ListConfirmed(self.heard_unix_ms))
--- a/marlseam/net/membership_service.py
+++ b/marlseam/net/membership_service.py
@@ -15,20 +15,26 @@
 from typing import TYPE_CHECKING
 
 from marlseam import __version__
-from marlseam.cluster.membership import Changed, Effect, Members, Say
-from marlseam.cluster.membership_codec import LETTER_MOST, Odd, Standing, read, write
+from marlseam.cluster.membership import Effect, MemberChanged, Membership, SendDatagram
+from marlseam.cluster.membership_codec import (
+    MAX_DATAGRAM_BYTES,
+    InvalidMessageError,
+    MemberStatus,
+    read,
+    write,
+)
 from marlseam.configuration import ClusterSettings, member_address
 from marlseam.net.log import Log
 from marlseam.net.loop import READ, Coroutine, Loop
 
 if TYPE_CHECKING:
-    from marlseam.net.config_service import Acting, Port
+    from marlseam.net.config_service import ConfigServicePort, ConfigVersionService
 
 READS = 32  # letters read in one turn
 AGAIN_MS = 50.0  # between tries of an address that another process has
 
 
-class Peers:
+class MembershipService:
     """Joins a member's machine to the loop; raises OSError where its address can never be had.
 
     Where another process has the address (the old one in an upgrade, or a second one by mistake) this one is
@@ -36,7 +42,13 @@
     """
 
     def __init__(
-        self, loop: Loop, log: Log, settings: ClusterSettings, name: str, seed: int, port: Port | None = None
+        self,
+        loop: Loop,
+        log: Log,
+        settings: ClusterSettings,
+        name: str,
+        seed: int,
+        port: ConfigServicePort | None = None,
     ) -> None:
         self.loop, self.log, self.settings, self.name, self.seed = loop, log, settings, name, seed
         self.names = frozenset(settings.members)  # that are read; one that belonged is told why it does not
@@ -46,21 +58,23 @@
         self.sent = self.came = self.sent_bytes = self.came_bytes = 0
         # A life's number need only differ from an earlier one's: incarnations order them.
         self.life = int(time.time() * 1000.0)
-        self.acting: Acting | None = None
+        self.acting: ConfigVersionService | None = None
         if port is not None:
             # Imported here: a node of a fleet without versions needs nothing of it.
-            from marlseam.net.config_service import Acting
+            from marlseam.net.config_service import ConfigVersionService
 
-            self.acting = Acting(loop, log, settings, name, self.life, seed, port, self.send, self.regroup)
+            self.acting = ConfigVersionService(
+                loop, log, settings, name, self.life, seed, port, self.send, self.regroup
+            )
         self.machine = self.machine_now()
         self.sock: socket.socket | None = None
         self.closed, self.timer = False, loop.at(loop.now(), lambda: None)
         self.join()
 
-    def machine_now(self) -> Members:
+    def machine_now(self) -> Membership:
         """Return a machine that begins now."""
         now, period = self.loop.now(), self.settings.period_ms
-        return Members(self.settings.name, self.name, self.names, self.life, self.seed, period, now)
+        return Membership(self.settings.name, self.name, self.names, self.life, self.seed, period, now)
 
     def join(self) -> None:
         """Take the address and begin, or try again after a period."""
@@ -107,13 +121,13 @@
             yield (self.sock.fileno(), READ, inf)
             for _ in range(READS):
                 try:
-                    data = self.sock.recv(LETTER_MOST + 1)
+                    data = self.sock.recv(MAX_DATAGRAM_BYTES + 1)
                 except OSError:
                     break  # nothing more, or a port on this machine where nobody listens
                 self.came, self.came_bytes = self.came + 1, self.came_bytes + len(data)
                 try:
                     self.hear(data)
-                except Odd as odd:
+                except InvalidMessageError as odd:
                     self.drop(odd.code)
             self.plan()
 
@@ -143,11 +157,11 @@
     def act(self, effects: list[Effect]) -> None:
         """Carry out what the machine asks for."""
         for effect in effects:
-            if type(effect) is Say:
+            if type(effect) is SendDatagram:
                 self.send(effect.to, write(effect.letter))
-            elif type(effect) is Changed:
+            elif type(effect) is MemberChanged:
                 claim = effect.claim
-                standing = Standing(claim.standing).name.lower()
+                standing = MemberStatus(claim.standing).name.lower()
                 self.log.line(
                     f"member {effect.name} {standing} life={claim.life} incarnation={claim.incarnation}"
                 )
@@ -189,7 +203,7 @@
             rows.append(
                 {
                     "name": name,
-                    "standing": "unheard" if claim is None else Standing(claim.standing).name.lower(),
+                    "standing": "unheard" if claim is None else MemberStatus(claim.standing).name.lower(),
                     "life": claim and claim.life,
                     "incarnation": claim and claim.incarnation,
                     "since_ms": round(now - member.since_ms),
--- a/marlseam/net/node.py
+++ b/marlseam/net/node.py
@@ -17,11 +17,11 @@
 from marlseam.decisions.types import Outcome, Request, Settings
 from marlseam.net import downstream, protocol
 from marlseam.net.discovery import Discovery
-from marlseam.net.downstream import Pending, Room
+from marlseam.net.downstream import AdmissionLimits, PendingRequest
 from marlseam.net.invariants import Promise, SendGuard, Violations
 from marlseam.net.log import Log
 from marlseam.net.loop import Loop
-from marlseam.net.upstream import Order, Upstream
+from marlseam.net.upstream import AttemptOrder, Upstream
 
 OWN_SOCKETS = 32  # descriptors for listeners, epoll, signals, discovery, logs and the interpreter
 OWN_MB, CONNECTION_KB = 20.0, 20.0  # memory for the node itself, and for a connection without its body
@@ -75,12 +75,12 @@
     return max(PLACES_LEAST, int(min(sockets / processes - own, free_kb / CONNECTION_KB)))
 
 
-def room(config: Config, processes: int = 1) -> tuple[Room, int]:
+def room(config: Config, processes: int = 1) -> tuple[AdmissionLimits, int]:
     """Return what clients may have, and how many connections servers may, in one of some processes."""
     places = connections(config, processes)
     clients = int(CLIENT_SHARE * places)
     free = BODY_SHARE * (config.memory_mb / processes - OWN_MB) * 1024.0 * 1024.0
-    return Room(clients, max(free, PLACES_LEAST * protocol.BODY_MOST)), places - clients
+    return AdmissionLimits(clients, max(free, PLACES_LEAST * protocol.BODY_MOST)), places - clients
 
 
 class GiveUp(NamedTuple):
@@ -115,7 +115,7 @@
             self.watch = Watch(config.watch.change)
             self.loop.at(self.loop.now() + 1000.0 * config.watch.every_s, self.tell_watch)
         self.core = Reducer(self.watch)
-        self.pending: dict[str, Pending] = {}
+        self.pending: dict[str, PendingRequest] = {}
         self.last_request_id, self.events, self.busy = 0, deque[Event](), False
         self.ending = self.waits = False
         self.counters = Counters()
@@ -166,17 +166,17 @@
         self.memory = self.handover = None
         if config.store is not None:
             # Imported here: a node without a store needs nothing of it.
-            from marlseam.net.durable_state import Memory
+            from marlseam.net.durable_state import DurableState
 
-            self.memory = Memory(self)
+            self.memory = DurableState(self)
             self.memory.recover()
         else:
             self.discovery.begin()
         if config.socket_fd is not None and config.folder is not None:
             # Imported here: a node that no other process takes over from needs nothing of it.
-            from marlseam.net.process_handover import Handover
+            from marlseam.net.process_handover import ProcessHandover
 
-            self.handover = Handover(self, self.take_over)
+            self.handover = ProcessHandover(self, self.take_over)
             self.handover.begin()
         else:
             with usable(*door):
@@ -187,13 +187,13 @@
     def join(self) -> None:
         """Become one of a fleet, and act from the start on the version that its ledger holds."""
         # Imported here: a node that is of no fleet needs nothing of it.
-        from marlseam.net.membership_service import Peers
+        from marlseam.net.membership_service import MembershipService
 
         fleet, port = self.config.fleet, None
         if fleet.folder is not None:
-            from marlseam.net.config_service import Port
+            from marlseam.net.config_service import ConfigServicePort
 
-            port = Port(
+            port = ConfigServicePort(
                 self.wrong,
                 self.act_on,
                 self.serve,
@@ -203,7 +203,9 @@
                 self.config.socket_fd is not None,
             )
         with usable("fleet.members", fleet.members[self.config.name], "a free address of this machine"):
-            self.peers = Peers(self.loop, self.log, fleet, self.config.name, self.config.seed, port)
+            self.peers = MembershipService(
+                self.loop, self.log, fleet, self.config.name, self.config.seed, port
+            )
         self.acting = self.peers.acting
         content = self.acting.load() if self.acting is not None else None
         if content is not None:
@@ -357,7 +359,7 @@
         self.answer(effect.request_id, 503 if harmless else 500, [], b"")
         self.post(core.ClientLeft(effect.request_id))
 
-    def take(self, pending: Pending) -> str:
+    def take(self, pending: PendingRequest) -> str:
         """Take a client's request under a name of our own, as clients may send one name twice."""
         if self.handover is not None and pending.job.idempotency_key is not None:
             self.handover.catch_up()
@@ -387,7 +389,7 @@
         self.post(core.ClientLeft(request_id))
         self.pending.pop(request_id, None)
 
-    def look(self, request_id: str, pending: Pending) -> bool:
+    def look(self, request_id: str, pending: PendingRequest) -> bool:
         """Return whether a request's client has gone or has its answer; if so nothing more of it is tried.
 
         Its own coroutine closes the connection once the loop comes to that.
@@ -412,7 +414,7 @@
             return  # it has its answer
         gate = self.memory.gate(effect.request_id) if self.memory is not None else None
         stands = self.acting.order() if self.acting is not None else None
-        order = Order(
+        order = AttemptOrder(
             effect.request_id,
             effect.attempt_index,
             effect.server,
