--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -18,7 +18,17 @@
 from marlseam.net.http import PAUSE_MS
 from marlseam.net.loop import READ, WRITE, Cancelled, Coroutine, Task, sleep
 from marlseam.recovery import handover_codec as form
-from marlseam.recovery.handover_codec import Hello, Item, Listed, Never, Odd, Over, Proof, Sent, Whole
+from marlseam.recovery.handover_codec import (
+    AttemptNeverRan,
+    AttemptSent,
+    Goodbye,
+    HandoverItem,
+    Hello,
+    InvalidLineError,
+    ListPart,
+    SnapshotEnd,
+    VersionProof,
+)
 
 if TYPE_CHECKING:
     from marlseam.net.node import Node
@@ -31,7 +41,7 @@
 PREFIX, SUFFIX = "marlseam-", ".sock"
 
 
-class Peer:
+class PeerProcess:
     """Another process of this node."""
 
     def __init__(self, sock: socket.socket, called: bool, source: str) -> None:
@@ -51,12 +61,12 @@
                 del self.out[: self.sock.send(self.out)]
 
 
-class Handover:
+class ProcessHandover:
     """Joins a node to the other processes that serve under its name; `done` is called once it may begin."""
 
     def __init__(self, node: "Node", done: Callable[[int, list[dict]], None]) -> None:
         self.node, self.loop, self.log, self.done = node, node.loop, node.log, done
-        self.peers: dict[Peer, None] = {}
+        self.peers: dict[PeerProcess, None] = {}
         self.began_ms, self.begun, self.count = self.loop.now(), False, 0
         self.seq, self.hosts = -1, list[dict]()
         self.sock: socket.socket | None = None
@@ -114,7 +124,7 @@
             self.lacks(path.name, self.loop.now())  # guards against one that ended just now, its work untold
             self.say("unheard", f"{path.name}: {error}")
         else:
-            self.join(Peer(sock, True, path.name))
+            self.join(PeerProcess(sock, True, path.name))
             return
         sock.close()
 
@@ -140,10 +150,10 @@
                 sock.close()
                 continue
             self.count += 1
-            self.join(Peer(sock, False, f"caller {self.count}"))
+            self.join(PeerProcess(sock, False, f"caller {self.count}"))
             self.node.share()
 
-    def join(self, peer: Peer) -> None:
+    def join(self, peer: PeerProcess) -> None:
         """Begin to talk with another process."""
         self.peers[peer] = None
         fleet, epoch_ms = self.node.acting is not None, self.loop.clock.epoch_ms()
@@ -180,7 +190,7 @@
 
     # Talking.
 
-    def talk(self, peer: Peer) -> Coroutine:
+    def talk(self, peer: PeerProcess) -> Coroutine:
         """Read and write until the other process ends."""
         try:
             while True:
@@ -195,7 +205,7 @@
         else:
             self.end(peer)
 
-    def read(self, peer: Peer) -> bool:
+    def read(self, peer: PeerProcess) -> bool:
         """Take in all that has come; return whether more may."""
         while True:
             try:
@@ -209,38 +219,38 @@
             try:
                 peer.size += len(data)
                 if not peer.whole and peer.size > SNAPSHOT_MOST:
-                    raise Odd("too-large", "it tells too much")
+                    raise InvalidLineError("too-large", "it tells too much")
                 for raw in peer.lines.feed(data):
                     for item in form.read(raw):
                         self.take(peer, item)
-            except (Odd, protocol.Malformed) as error:
+            except (InvalidLineError, protocol.Malformed) as error:
                 self.say(getattr(error, "code", "odd"), f"process {self.name(peer)}: {error}")
                 return False
 
-    def take(self, peer: Peer, item: Item) -> None:
+    def take(self, peer: PeerProcess, item: HandoverItem) -> None:
         """Take in one thing that another process tells."""
         if type(item) is Hello:
             if item.node != self.node.config.name:
-                raise Odd("foreign", f"it is {item.node:.80}")
+                raise InvalidLineError("foreign", f"it is {item.node:.80}")
             peer.hello = item
             if item.fleet and self.node.acting is not None:
                 self.node.acting.prove()
         elif peer.hello is None:
-            raise Odd("odd", "it says nothing of itself")
-        elif type(item) is Listed:
+            raise InvalidLineError("odd", "it says nothing of itself")
+        elif type(item) is ListPart:
             peer.hosts += item.hosts
             peer.seq = item.seq
-        elif type(item) is Sent:
+        elif type(item) is AttemptSent:
             self.node.post(core.PeerAttempt(item.key, self.trace(peer, item)))
             peer.sendings += 1
-        elif type(item) is Never:
+        elif type(item) is AttemptNeverRan:
             self.node.post(core.PeerAttemptNeverRan(item.key, item.executor, self.here(peer, item.sent_ms)))
-        elif type(item) is Over:
+        elif type(item) is Goodbye:
             peer.over = True
-        elif type(item) is Proof:
+        elif type(item) is VersionProof:
             if self.node.acting is not None:
                 self.node.acting.proved(item.number, item.id, item.mono_ms)
-        elif type(item) is Whole and not peer.whole:
+        elif type(item) is SnapshotEnd and not peer.whole:
             peer.whole = True
             self.node.post(core.HistoryAvailable(peer.source))
             if peer.seq > self.seq:
@@ -260,15 +270,15 @@
             text = form.sent([self.row(effect.key, effect.trace)])
         else:
             sent_ms = self.loop.clock.to_unix(effect.sent_ms)
-            text = form.never(Never(effect.key, effect.server, sent_ms))
+            text = form.never(AttemptNeverRan(effect.key, effect.server, sent_ms))
         self.pass_on(text, list(self.peers))
 
     def prove(self, number: int, id: str, mono_ms: float) -> None:
         """Tell those that want it when a fleet's version was in force."""
         asked = [peer for peer in self.peers if peer.hello is not None and peer.hello.fleet]
-        self.pass_on(form.proof(Proof(number, id, mono_ms)), asked)
+        self.pass_on(form.proof(VersionProof(number, id, mono_ms)), asked)
 
-    def pass_on(self, text: bytes, peers: list[Peer]) -> None:
+    def pass_on(self, text: bytes, peers: list[PeerProcess]) -> None:
         """Write a line to some."""
         for peer in peers:
             peer.out += text
@@ -293,7 +303,7 @@
             if not self.read(peer):
                 self.end(peer)
 
-    def end(self, peer: Peer) -> None:
+    def end(self, peer: PeerProcess) -> None:
         """Go on without another process."""
         if peer not in self.peers:
             return
@@ -330,11 +340,11 @@
 
     # Words.
 
-    def row(self, key: str, trace: AttemptRecord) -> Sent:
+    def row(self, key: str, trace: AttemptRecord) -> AttemptSent:
         """Return a sending as it is told."""
-        return Sent(*told(key, trace, self.node.config.deployment.zones, self.loop.clock.to_unix))
+        return AttemptSent(*told(key, trace, self.node.config.deployment.zones, self.loop.clock.to_unix))
 
-    def here(self, peer: Peer, unix_ms: float) -> float:
+    def here(self, peer: PeerProcess, unix_ms: float) -> float:
         """Return a Unix time as another process tells it on this process's clock.
 
         By the monotonic clock that both share, where it tells how its Unix times stand to that.
@@ -344,13 +354,13 @@
         shift_ms = round(clock.epoch_ms() - told_ms) if told_ms is not None else 0
         return clock.from_unix(unix_ms + shift_ms)
 
-    def trace(self, peer: Peer, row: Sent) -> AttemptRecord:
+    def trace(self, peer: PeerProcess, row: AttemptSent) -> AttemptRecord:
         """Return a sending on this process's clock."""
         zone = self.node.config.deployment.zones.get(row.zone, -1)
         sent_ms, until_ms = self.here(peer, row.sent_ms), self.here(peer, row.until_ms)
         return AttemptRecord(row.executor, zone, row.cell, sent_ms, until_ms)
 
-    def name(self, peer: Peer) -> str:
+    def name(self, peer: PeerProcess) -> str:
         """Return what another process is called in the log."""
         return str(peer.hello.process) if peer.hello else "unknown"
 
--- a/marlseam/net/upstream.py
+++ b/marlseam/net/upstream.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Order:
+class AttemptOrder:
     """One attempt to be carried out."""
 
     request_id: str
@@ -54,12 +54,12 @@
     until_ms: float
     deadline_at_ms: float
     gate: Callable[[], Steps] | None = None  # must be over, and say yes, before anything goes out
-    stands: "Stands | None" = None  # where the node is of a fleet
+    stands: "AttemptStamp | None" = None  # where the node is of a fleet
     begins_ms: float = inf  # before which its last byte goes out, or it never ran
     left: Callable[[], bool] | None = None  # whether its client has gone, as a look at that moment has it
 
 
-class Stands(Protocol):
+class AttemptStamp(Protocol):
     """On what an attempt stands, as a fleet knows it."""
 
     def goes(self) -> str:
@@ -70,7 +70,7 @@
 
 
 @dataclass
-class Flight:
+class InFlightAttempt:
     """An attempt until its outcome is told, and whether it has begun: its last byte has gone out.
 
     An executor begins a request then.
@@ -82,7 +82,7 @@
 
 
 @dataclass
-class Peer:
+class ServerConnections:
     """One server: where it is, the connections to it, and those that stand unused."""
 
     name: str
@@ -106,8 +106,8 @@
         counters: Counters,
     ) -> None:
         self.loop, self.log, self.post, self.counters = loop, log, post, counters
-        self.peers: dict[str, Peer] = {}
-        self.out: dict[tuple[str, int], Flight] = {}
+        self.peers: dict[str, ServerConnections] = {}
+        self.out: dict[tuple[str, int], InFlightAttempt] = {}
         self.guard: SendGuard | None = None  # looks at each attempt right before it begins
         self.configure(deployment, places)
 
@@ -131,7 +131,7 @@
         """Take in which servers there are, and the addresses of some."""
         moved = set()
         for name, address in addresses.items():
-            peer = self.peers.setdefault(name, Peer(name))
+            peer = self.peers.setdefault(name, ServerConnections(name))
             if peer.address not in (None, address):
                 self.empty(peer)
                 moved.add(name)
@@ -151,7 +151,7 @@
             if flight.server in moved:
                 self.cancel(*key, begun=False)
 
-    def empty(self, peer: Peer, reason: Reason = Reason.FORGOTTEN) -> None:
+    def empty(self, peer: ServerConnections, reason: Reason = Reason.FORGOTTEN) -> None:
         """Close the unused connections to a server."""
         while peer.idle:
             self.end(peer, self.checked_out(peer), reason)
@@ -161,7 +161,7 @@
         for peer in list(self.peers.values()):
             self.empty(peer, Reason.DRAINING)
 
-    def forget(self, peer: Peer) -> None:
+    def forget(self, peer: ServerConnections) -> None:
         """Forget a server that has left once no connection to it is left."""
         if not peer.listed and not peer.count and self.peers.get(peer.name) is peer:
             del self.peers[peer.name]
@@ -190,13 +190,13 @@
         self.end(peer, connection, Reason.CROWDED)
         return True
 
-    def checked_out(self, peer: Peer) -> Connection:
+    def checked_out(self, peer: ServerConnections) -> Connection:
         """Take the unused connection that was used last."""
         connection, watch = peer.idle.pop()
         watch.cancel()
         return connection
 
-    def acquire(self, peer: Peer, places: int, until_ms: float, fresh: bool = False) -> Steps:
+    def acquire(self, peer: ServerConnections, places: int, until_ms: float, fresh: bool = False) -> Steps:
         """Return a connection: one that is unused and still open, else or if wished a new one."""
         while peer.idle and not fresh:
             connection = self.checked_out(peer)
@@ -215,7 +215,7 @@
             peer.count -= 1
             raise
 
-    def release(self, peer: Peer, connection: Connection) -> None:
+    def release(self, peer: ServerConnections, connection: Connection) -> None:
         """Keep a connection for later, where both sides may go on."""
         if peer.listed and connection.address == peer.address and connection.again():
             watch = self.loop.spawn(self.watch(peer, connection))
@@ -223,13 +223,13 @@
         else:
             self.end(peer, connection, Reason.DONE)
 
-    def watch(self, peer: Peer, connection: Connection) -> Coroutine:
+    def watch(self, peer: ServerConnections, connection: Connection) -> Coroutine:
         """Close an unused connection once its time is over or anything comes on it."""
         came = yield (connection.sock.fileno(), READ, self.loop.now() + self.idle_ms)
         peer.idle = [pair for pair in peer.idle if pair[0] is not connection]
         self.end(peer, connection, Reason.PEER_CLOSED if came == READY else Reason.IDLE)
 
-    def end(self, peer: Peer, connection: Connection, reason: Reason) -> None:
+    def end(self, peer: ServerConnections, connection: Connection, reason: Reason) -> None:
         """Close a connection."""
         connection.close(reason)
         peer.count -= 1
@@ -237,9 +237,9 @@
 
     # Attempts.
 
-    def send(self, order: Order) -> None:
+    def send(self, order: AttemptOrder) -> None:
         """Send a request's attempt."""
-        flight = self.out[order.request_id, order.attempt_index] = Flight(order.server)
+        flight = self.out[order.request_id, order.attempt_index] = InFlightAttempt(order.server)
         flight.task = self.loop.spawn(self.allocation(order, flight))
 
     def cancel(self, request_id: str, attempt_index: int, begun: bool = True) -> None:
@@ -253,7 +253,7 @@
         flight = self.out.get((request_id, attempt_index))
         return flight is None or flight.begun
 
-    def allocation(self, order: Order, flight: Flight) -> Coroutine:
+    def allocation(self, order: AttemptOrder, flight: InFlightAttempt) -> Coroutine:
         """Carry one attempt from its sending to its outcome, which is told exactly once.
 
         Where there is no whole answer it is told once the connection is closed. Guards against two that are
@@ -265,7 +265,7 @@
             order.job,
             order.until_ms,
         )
-        peer = self.peers.get(order.server) or Peer(order.server, listed=False)
+        peer = self.peers.get(order.server) or ServerConnections(order.server, listed=False)
         connection, written, told, kept = None, False, False, False
         outcome: Outcome | None = None
 
@@ -377,7 +377,7 @@
             return until_ms
         return min(until_ms, self.loop.now() + silence_ms)
 
-    def last_line(self, connection: Connection, order: Order) -> Steps:
+    def last_line(self, connection: Connection, order: AttemptOrder) -> Steps:
         """Read an answer's lines, tell of starts and progress, and return the last one."""
         lines, names, until = protocol.Lines(), self.deployment.report_names, order.until_ms
         ran = False
@@ -406,7 +406,7 @@
 
     def asking(self, name: str) -> Coroutine:
         """Carry one probe to its end."""
-        peer = self.peers.get(name) or Peer(name, listed=False)
+        peer = self.peers.get(name) or ServerConnections(name, listed=False)
         began, report, outcome = self.loop.now(), None, Outcome.BROKEN
         until = began + self.probe_ms
         try:
@@ -424,7 +424,7 @@
             self.forget(peer)
             self.post(ProbeEnded(name, outcome, self.loop.now() - began, report))
 
-    def look(self, peer: Peer, until: float, fresh: bool = False) -> Steps:
+    def look(self, peer: ServerConnections, until: float, fresh: bool = False) -> Steps:
         """Make one call for a report; return how it ended, and the report."""
         reason, places = Reason.FAULT, self.limit() + PROBE_PLACES
         connection = yield from self.acquire(peer, places, until, fresh)
--- a/marlseam/recovery/handover_codec.py
+++ b/marlseam/recovery/handover_codec.py
@@ -26,7 +26,7 @@
 TIME_MOST = 1e15  # Unix ms that can be meant
 
 
-class Odd(Exception):
+class InvalidLineError(Exception):
     """A line that cannot be used; its code says why."""
 
     def __init__(self, code: str, text: str) -> None:
@@ -43,7 +43,7 @@
     epoch_ms: float | None = None  # the Unix time that it takes for the machine's monotonic zero
 
 
-class Proof(NamedTuple):
+class VersionProof(NamedTuple):
     """A fleet's version was in force at a time of the monotonic clock, which a machine's processes share."""
 
     number: int
@@ -51,14 +51,14 @@
     mono_ms: float
 
 
-class Listed(NamedTuple):
+class ListPart(NamedTuple):
     """Some entries of the list that is held, as discovery wrote them."""
 
     seq: int
     hosts: list[dict[str, Any]]
 
 
-class Sent(NamedTuple):
+class AttemptSent(NamedTuple):
     """One sending of keyed work that may have run."""
 
     key: str
@@ -69,7 +69,7 @@
     until_ms: float  # when the pod forgets it
 
 
-class Never(NamedTuple):
+class AttemptNeverRan(NamedTuple):
     """A sending that provably never ran."""
 
     key: str
@@ -77,15 +77,15 @@
     sent_ms: float
 
 
-class Whole(NamedTuple):
+class SnapshotEnd(NamedTuple):
     """The snapshot ends."""
 
 
-class Over(NamedTuple):
+class Goodbye(NamedTuple):
     """Whoever speaks has told all and sends nothing any more; one that ends without it may have."""
 
 
-Item = Hello | Listed | Sent | Never | Whole | Over | Proof
+HandoverItem = Hello | ListPart | AttemptSent | AttemptNeverRan | SnapshotEnd | Goodbye | VersionProof
 OVER = b'{"over":true}\n'
 
 
@@ -104,22 +104,22 @@
     return line(value)
 
 
-def proof(row: Proof) -> bytes:
+def proof(row: VersionProof) -> bytes:
     """Return the line on what was in force when."""
     return line({"proof": row})
 
 
-def sent(rows: list[Sent]) -> bytes:
+def sent(rows: list[AttemptSent]) -> bytes:
     """Return the line on some sendings."""
     return line({"sent": rows})
 
 
-def never(row: Never) -> bytes:
+def never(row: AttemptNeverRan) -> bytes:
     """Return the line on a sending that never ran."""
     return line({"never": row})
 
 
-def snapshot(seq: int, hosts: list[dict[str, Any]], sendings: Iterable[Sent]) -> Iterator[bytes]:
+def snapshot(seq: int, hosts: list[dict[str, Any]], sendings: Iterable[AttemptSent]) -> Iterator[bytes]:
     """Return the lines that tell all that is held."""
     for at in range(0, len(hosts), PART):
         yield line({"seq": seq, "hosts": hosts[at : at + PART]})
@@ -129,71 +129,73 @@
     yield line({"whole": True})
 
 
-def read(raw: bytes) -> list[Item]:
+def read(raw: bytes) -> list[HandoverItem]:
     """Return what a line says; raises Odd."""
     try:
         value = json.loads(raw)
     except (ValueError, RecursionError):
-        raise Odd("odd", "a line is no JSON") from None
+        raise InvalidLineError("odd", "a line is no JSON") from None
     if not isinstance(value, dict):
-        raise Odd("odd", "a line is no object")
+        raise InvalidLineError("odd", "a line is no object")
     if "marlseam" in value:
         if value["marlseam"] != VERSION:
-            raise Odd("version", f"version {value['marlseam']!r:.20}, here {VERSION}")
+            raise InvalidLineError("version", f"version {value['marlseam']!r:.20}, here {VERSION}")
         process = int(number(value.get("process")))
         epoch_ms = number(value["epoch"]) if "epoch" in value else None
         return [Hello(text(value.get("node")), process, value.get("fleet") is True, epoch_ms)]
     if "proof" in value:
         count, id, at = fields(value["proof"], 3)
-        return [Proof(int(number(count)), text(id, least=0), number(at))]
+        return [VersionProof(int(number(count)), text(id, least=0), number(at))]
     if "hosts" in value:
         hosts = rows_of(value["hosts"])
         if not all(isinstance(host, dict) for host in hosts):
-            raise Odd("odd", "a list holds no objects")
-        return [Listed(int(number(value.get("seq"))), hosts)]
+            raise InvalidLineError("odd", "a list holds no objects")
+        return [ListPart(int(number(value.get("seq"))), hosts)]
     if "sent" in value:
         return [sending(row) for row in rows_of(value["sent"])]
     if "never" in value:
         key, executor, at = fields(value["never"], 3)
-        return [Never(text(key), text(executor), number(at))]
+        return [AttemptNeverRan(text(key), text(executor), number(at))]
     if value.get("whole") is True:
-        return [Whole()]
+        return [SnapshotEnd()]
     if value.get("over") is True:
-        return [Over()]
-    raise Odd("odd", "a line says nothing known")
+        return [Goodbye()]
+    raise InvalidLineError("odd", "a line says nothing known")
 
 
-def sending(row: object) -> Sent:
+def sending(row: object) -> AttemptSent:
     """Read one sending."""
     key, executor, zone, cell, sent_ms, until_ms = fields(row, 6)
     if not isinstance(cell, int) or isinstance(cell, bool):
-        raise Odd("odd", "a cell is no whole number")
-    return Sent(text(key), text(executor), text(zone, least=0), cell, number(sent_ms), number(until_ms))
+        raise InvalidLineError("odd", "a cell is no whole number")
+    return AttemptSent(
+        text(key), text(executor), text(zone, least=0), cell, number(sent_ms), number(until_ms)
+    )
 
 
 def rows_of(value: object) -> list[Any]:
     """Return a list that is no longer than a line's part."""
     if not isinstance(value, list) or len(value) > PART:
-        raise Odd("odd", "no list, or one that is too long")
+        raise InvalidLineError("odd", "no list, or one that is too long")
     return value
 
 
 def fields(value: object, count: int) -> list[Any]:
     """Return a list of so many values."""
     if not isinstance(value, list) or len(value) != count:
-        raise Odd("odd", f"no list of {count}")
+        raise InvalidLineError("odd", f"no list of {count}")
     return value
 
 
 def text(value: object, least: int = 1) -> str:
     """Return a short text."""
     if not isinstance(value, str) or not least <= len(value) <= TEXT_MOST:
-        raise Odd("odd", "no text, or one that is too long")
+        raise InvalidLineError("odd", "no text, or one that is too long")
     return value
 
 
 def number(value: object) -> float:
     """Return a number that a time can be."""
     if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value <= TIME_MOST:
-        raise Odd("odd", "no number, or out of range")
+        raise InvalidLineError("odd", "no number, or out of range")
     return value
--- a/marlseam/recovery/saved_list.py
+++ b/marlseam/recovery/saved_list.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Saved:
+class SavedList:
     """A list as it can be had at a start.
 
     Version, entries as the roster wrote them, when it was last true (Unix ms).
@@ -42,7 +42,7 @@
         return (self.lived_ms + PRIOR * LIFE_MS) / (self.departures + PRIOR)
 
 
-def age(saved: Saved, now_unix_ms: float) -> float | None:
+def age(saved: SavedList, now_unix_ms: float) -> float | None:
     """Return a list's age in ms.
 
     None where it is unknown, as for one from the future: a clock was set back.
@@ -57,7 +57,7 @@
     return 1.0 if age_ms is None else 1.0 - exp(-age_ms / turnover.life_ms())
 
 
-def choose(file: Saved | None, known: Saved | None) -> Saved | None:
+def choose(file: SavedList | None, known: SavedList | None) -> SavedList | None:
     """Return the list to start from: the newer version; of equals the file's, as its age is known.
 
     The live roster is no candidate here: once it answers, its list replaces any other.
--- a/marlseam/standin/disk.py
+++ b/marlseam/standin/disk.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from marlseam.store import writer_process
-from marlseam.store.writer_process import Gone, Held
+from marlseam.store.writer_process import NodeBoundDisk, NodeGoneError
 from marlseam.world.model import NotNegative, Strict
 
 FAULTS, OVER = "MARLSEAM_DISK", "MARLSEAM_DISK_OVER"
@@ -42,7 +42,7 @@
         time.sleep(LOOK_S)
 
 
-class Faulty(Held):
+class Faulty(NodeBoundDisk):
     """A disk with faults."""
 
     def __init__(self, path: Path, channel: socket.socket) -> None:
@@ -87,7 +87,7 @@
         """Raise Gone where the node has ended, once the lock was held for so long."""
         try:
             super().look()
-        except Gone:
+        except NodeGoneError:
             wait(time.monotonic() + self.faults.linger_s)
             raise
 
@@ -96,9 +96,9 @@
     """Run a node, or its helper, by the words given."""
     if sys.argv[1:2] == ["serve"]:
         from marlseam.__main__ import main as marlseam
-        from marlseam.store.state_store import Keeper
+        from marlseam.store.state_store import StateStore
 
-        Keeper.helper = "marlseam.standin.disk"
+        StateStore.helper = "marlseam.standin.disk"
         marlseam()
         return
     writer_process.main(disk=Faulty)
--- a/marlseam/store/check.py
+++ b/marlseam/store/check.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from marlseam.configuration import ClusterSettings, ConfigError, StoreSettings
-from marlseam.store.ledger_writer import Ledger
-from marlseam.store.state_directory import Disk, Finding, Folder, code_of, lock
+from marlseam.store.ledger_writer import LedgerWriter
+from marlseam.store.state_directory import Disk, Finding, StateDirectory, code_of, lock
 
 TRIAL = "trial"
 
@@ -48,7 +48,7 @@
     """Try a state folder; raise ConfigError with what is wrong."""
 
     def read(disk: Disk) -> tuple[str, list[Finding]]:
-        folder = Folder(disk, node)
+        folder = StateDirectory(disk, node)
         state = folder.load(time.time() * 1000.0)
         listed = len(state.listed.rows) if state.listed else 0
         return f"state in {disk.path}: {listed} executors, {len(state.sent)} keys", folder.findings
@@ -60,7 +60,7 @@
     """Try a ledger's folder; raise ConfigError with what is wrong."""
 
     def read(disk: Disk) -> tuple[str, list[Finding]]:
-        ledger = Ledger(disk, node)
+        ledger = LedgerWriter(disk, node)
         kept = ledger.load()
         number = kept.held.number if kept.held is not None else 0
         votes = "votes" if kept.bar is not None else "does not vote at first"
--- a/marlseam/store/file_format.py
+++ b/marlseam/store/file_format.py
@@ -35,7 +35,7 @@
     zero_ms: float = 0.0
 
 
-class Listed(msgspec.Struct, tag="list", array_like=True):
+class ListStored(msgspec.Struct, tag="list", array_like=True):
     """Discovery's list as discovery wrote it, and when it was last true (Unix ms)."""
 
     version: int
@@ -43,13 +43,13 @@
     heard_ms: float
 
 
-class Heard(msgspec.Struct, tag="heard", array_like=True):
+class ListConfirmed(msgspec.Struct, tag="heard", array_like=True):
     """Discovery has confirmed the list as it is (Unix ms)."""
 
     heard_ms: float
 
 
-class Sent(msgspec.Struct, tag="sent", array_like=True, gc=False):
+class AttemptSent(msgspec.Struct, tag="sent", array_like=True, gc=False):
     """A request under a key is about to be sent: it may have run from now on (times in Unix ms)."""
 
     key: str
@@ -60,13 +60,13 @@
     until_ms: float
 
 
-class Batch(msgspec.Struct, tag="batch", array_like=True):
+class AttemptBatch(msgspec.Struct, tag="batch", array_like=True):
     """Many sendings in one frame, as a snapshot holds them: read several times as fast as one by one."""
 
-    rows: list[Sent]
+    rows: list[AttemptSent]
 
 
-class NeverRan(msgspec.Struct, tag="never", array_like=True):
+class AttemptNeverRan(msgspec.Struct, tag="never", array_like=True):
     """A sending provably never ran."""
 
     key: str
@@ -74,27 +74,37 @@
     sent_ms: float
 
 
-class Turned(msgspec.Struct, tag="turnover", array_like=True):
+class TurnoverNoted(msgspec.Struct, tag="turnover", array_like=True):
     """What is known of how often servers leave."""
 
     departures: float
     lived_ms: float
 
 
-class Lost(msgspec.Struct, tag="lost", array_like=True):
+class HistoryLost(msgspec.Struct, tag="lost", array_like=True):
     """What may have run before some time is not known any more (Unix ms)."""
 
     since_ms: float
 
 
-class Whole(msgspec.Struct, tag="whole", array_like=True):
+class SnapshotEnd(msgspec.Struct, tag="whole", array_like=True):
     """A snapshot's last frame: how many records it holds. One without it is not whole."""
 
     records: int
 
 
-Entry = Head | Listed | Heard | Sent | Batch | NeverRan | Turned | Lost | Whole
-ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Entry)
+StateRecord = (
+    Head
+    | ListStored
+    | ListConfirmed
+    | AttemptSent
+    | AttemptBatch
+    | AttemptNeverRan
+    | TurnoverNoted
+    | HistoryLost
+    | SnapshotEnd
+)
+ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(StateRecord)
 
 
 def framed(payload: bytes) -> bytes:
@@ -102,16 +112,16 @@
     return FRAME.pack(len(payload), zlib.crc32(payload, len(payload))) + payload
 
 
-def frame(entry: Entry) -> bytes:
+def frame(entry: StateRecord) -> bytes:
     """Return an entry as bytes of a file."""
     return framed(ENCODER.encode(entry))
 
 
-def frames(entries: list[Entry]) -> list[bytes]:
+def frames(entries: list[StateRecord]) -> list[bytes]:
     """Return entries as frames, with sendings in batches."""
-    sent = [entry for entry in entries if type(entry) is Sent]
-    batches = [Batch(sent[i : i + BATCH]) for i in range(0, len(sent), BATCH)]
-    return [frame(entry) for entry in entries if type(entry) is not Sent] + [
+    sent = [entry for entry in entries if type(entry) is AttemptSent]
+    batches = [AttemptBatch(sent[i : i + BATCH]) for i in range(0, len(sent), BATCH)]
+    return [frame(entry) for entry in entries if type(entry) is not AttemptSent] + [
         frame(batch) for batch in batches
     ]
 
@@ -123,10 +133,10 @@
 
 def snapshot(head: Head, frames: list[bytes]) -> bytes:
     """Return a whole snapshot that holds some frames."""
-    return begin(head) + b"".join(frames) + frame(Whole(len(frames)))
+    return begin(head) + b"".join(frames) + frame(SnapshotEnd(len(frames)))
 
 
-class Unusable(Exception):
+class UnusableFileError(Exception):
     """A file that cannot be used, with its code: foreign, version, torn."""
 
     def __init__(self, code: str, text: str) -> None:
@@ -142,7 +152,7 @@
     """
 
     head: Head
-    entries: list[Entry]
+    entries: list[StateRecord]
     left: int
     cut: bool
 
@@ -181,7 +191,7 @@
     Raises Unusable where there is no magic.
     """
     if not data.startswith(MAGIC):
-        raise Unusable("foreign", "no file of marlseam's")
+        raise UnusableFileError("foreign", "no file of marlseam's")
     at = len(MAGIC)
     while at + FRAME.size <= len(data):
         length, check = FRAME.unpack_from(data, at)
@@ -198,11 +208,11 @@
     Or one without a head.
     """
     if not isinstance(first, Head):
-        raise Unusable("torn", "its head cannot be read")
+        raise UnusableFileError("torn", "its head cannot be read")
     if first.version not in READ:
-        raise Unusable("version", f"format {first.version}, this program reads {READ}")
+        raise UnusableFileError("version", f"format {first.version}, this program reads {READ}")
     if first.kind != kind or (node is not None and first.node != node):
-        raise Unusable("foreign", f"a {first.kind} of node {first.node}")
+        raise UnusableFileError("foreign", f"a {first.kind} of node {first.node}")
     return first
 
 
@@ -211,7 +221,7 @@
 
     Raises Unusable for another kind, version or node's file, or one without a head.
     """
-    entries: list[Entry] = []
+    entries: list[StateRecord] = []
     end = len(MAGIC)
     for at, payload in payloads(data):
         try:
@@ -228,6 +238,6 @@
     """Return what a snapshot holds; one that is not whole raises Unusable."""
     found = yield from read(data, "snapshot", node)
     entries = found.entries
-    if found.left or not entries or entries[-1] != Whole(len(entries) - 1):
-        raise Unusable("torn", "it is not whole")
+    if found.left or not entries or entries[-1] != SnapshotEnd(len(entries) - 1):
+        raise UnusableFileError("torn", "it is not whole")
     return found._replace(entries=entries[:-1])
--- a/marlseam/store/ledger_audit.py
+++ b/marlseam/store/ledger_audit.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from marlseam.cluster import audit
-from marlseam.cluster.audit_log import Entry
-from marlseam.store.ledger_writer import BESIDE, Ledger
+from marlseam.cluster.audit_log import LogRecord
+from marlseam.store.ledger_writer import BESIDE, LedgerWriter
 from marlseam.store.state_directory import Disk
 
 
@@ -28,12 +28,12 @@
 
 def read(folders: Iterable[Path], error_ms: float) -> audit.Audit:
     """Return the audit of ledgers' folders, with what is wrong with their files; raises OSError."""
-    ledgers: dict[str, list[list[Entry]]] = {}
+    ledgers: dict[str, list[list[LogRecord]]] = {}
     running, wrong = [], []
     for folder in (path for each in folders for path in (each, each / BESIDE)):
         if folder.name == BESIDE and not folder.exists():
             continue
-        ledger = Ledger(Disk(folder), None)
+        ledger = LedgerWriter(Disk(folder), None)
         live = writing(folder)
         files = ledger.files()
         wrong += [f"{folder}: {f.name} code={f.code}: {f.text}" for f in ledger.findings]
--- a/marlseam/store/ledger_writer.py
+++ b/marlseam/store/ledger_writer.py
@@ -17,10 +17,19 @@
 
 import msgspec
 
-from marlseam.cluster.audit_log import START, Entry, Kept, Opened, Written, encode, linked, unlinked
+from marlseam.cluster.audit_log import (
+    START,
+    BatchWritten,
+    FileOpened,
+    LogRecord,
+    RecoveredLog,
+    encode,
+    linked,
+    unlinked,
+)
 from marlseam.store import file_format as form
-from marlseam.store.file_format import Unusable
-from marlseam.store.state_directory import Disk, Era, Finding, era, lock, unix_ms, write_all
+from marlseam.store.file_format import UnusableFileError
+from marlseam.store.state_directory import ClockEra, Disk, Finding, era, lock, unix_ms, write_all
 from marlseam.store.writer_process import main
 
 NAME = re.compile(r"ledger-(\d{10})$")
@@ -30,7 +39,7 @@
 
 
 @dataclass
-class File:
+class LedgerFile:
     """What one file holds: from which digest its chain goes on, its entries.
 
     The digest of its last record.
@@ -39,12 +48,12 @@
     number: int
     node: str
     before: bytes = START
-    entries: list[Entry] = field(default_factory=list)
+    entries: list[LogRecord] = field(default_factory=list)
     last: bytes = START
     findings: list[Finding] = field(default_factory=list)
 
 
-def read_file(data: bytes, number: int, node: str | None) -> File:
+def read_file(data: bytes, number: int, node: str | None) -> LedgerFile:
     """Return what a file holds as far as its chain is whole.
 
     Raises Unusable where it has no head of a ledger of the node's.
@@ -55,7 +64,7 @@
         head = form.DECODER.decode(payload)
     except msgspec.MsgspecError:
         head = None
-    found, name = File(number, form.headed(head, "ledger", node).node), f"ledger-{number:010d}"
+    found, name = LedgerFile(number, form.headed(head, "ledger", node).node), f"ledger-{number:010d}"
     for at, record in frames:
         try:
             before, entry = unlinked(record)
@@ -75,10 +84,12 @@
     return found
 
 
-class Ledger:
+class LedgerWriter:
     """The files of one node's ledger. Whoever writes here holds the lock."""
 
-    def __init__(self, disk: Disk, node: str | None, of: Era | None = None, machine: bool = True) -> None:
+    def __init__(
+        self, disk: Disk, node: str | None, of: ClockEra | None = None, machine: bool = True
+    ) -> None:
         self.disk, self.node, self.era, self.machine = disk, node, of or era(), machine
         self.number, self.last = 0, START
         self.fd: int | None = None
@@ -90,9 +101,9 @@
         found = (NAME.match(name) for name in self.disk.names())
         return sorted(int(m[1]) for m in found if m)
 
-    def files(self, least: int = 0) -> list[File]:
+    def files(self, least: int = 0) -> list[LedgerFile]:
         """Return what the files from a number on hold, in order, and note what is wrong."""
-        self.findings, found = [], list[File]()
+        self.findings, found = [], list[LedgerFile]()
         numbers = [n for n in self.numbers() if n >= least]
         for number in numbers:
             name = f"ledger-{number:010d}"
@@ -101,7 +112,7 @@
                 continue  # what a crash leaves at its begin: nothing was kept in it
             try:
                 file = read_file(data, number, self.node)
-            except Unusable as error:
+            except UnusableFileError as error:
                 self.findings.append(Finding(name, error.code, str(error)))
                 continue
             if found and file.entries and file.before != found[-1].last:
@@ -113,7 +124,7 @@
                 self.findings.append(Finding(f"ledger-{a + 1:010d}", "missing", "is not there"))
         return found
 
-    def load(self) -> Kept:
+    def load(self) -> RecoveredLog:
         """Return what the folder adds up to; raises OSError where it cannot be read.
 
         Where its memory of votes may not be whole, `bar` says so, and `findings` why.
@@ -121,7 +132,7 @@
         numbers = self.numbers()
         # A file begins with all that counts, so the last two do: the last may be cut short in that.
         files = self.files(numbers[-2] if len(numbers) > 1 else 0)
-        kept = Kept()
+        kept = RecoveredLog()
         for file in files:
             for entry in file.entries:
                 kept.take(entry)
@@ -132,7 +143,7 @@
         self.number, self.last = max(numbers, default=0), files[-1].last if files else START
         return kept
 
-    def lost(self, files: list[File], kept: Kept) -> str:
+    def lost(self, files: list[LedgerFile], kept: RecoveredLog) -> str:
         """Return why the memory of votes may not be whole, or nothing."""
         if not files:
             return "the folder is empty"
@@ -141,11 +152,11 @@
         if not kept.begun:
             return "its begin is not known"
         inode, changed_ms = self.disk.identity(f"ledger-{files[-1].number:010d}")
-        opened = next((e.inode for e in files[-1].entries if type(e) is Opened), None)
+        opened = next((e.inode for e in files[-1].entries if type(e) is FileOpened), None)
         if opened is not None and opened != inode:
             return "the folder is a copy"
         last = files[-1].entries[-1] if files[-1].entries else None
-        if type(last) is Written and abs(changed_ms - last.wall_ms) > APART_MS:
+        if type(last) is BatchWritten and abs(changed_ms - last.wall_ms) > APART_MS:
             return "the folder was changed by another"
         return ""
 
@@ -154,7 +165,7 @@
         if self.fd is None:
             raise OSError(errno.ENOENT, "no file is open")
         last, frames = self.last, []
-        for part in (*parts, encode(Written(unix_ms(era())))):
+        for part in (*parts, encode(BatchWritten(unix_ms(era())))):
             record, last = linked(last, part)
             frames.append(form.framed(record))
         data = b"".join(frames)
@@ -171,7 +182,7 @@
         self.begin(kept)
         return [finding.text for finding in self.findings if finding.code == "lost"]
 
-    def begin(self, kept: Kept) -> None:
+    def begin(self, kept: RecoveredLog) -> None:
         """Begin a file with what counts."""
         number = self.number + 1
         name = f"ledger-{number:010d}"
@@ -181,7 +192,7 @@
             data = form.begin(form.Head("ledger", form.VERSION, self.node or "", number, now, *self.era))
             write_all(self.disk, fd, data)
             self.fd, self.size, self.number = fd, len(data), number
-            entries = [Opened(self.disk.identity(name)[0]), *kept.entries()]
+            entries = [FileOpened(self.disk.identity(name)[0]), *kept.entries()]
             self.append([encode(entry) for entry in entries], True)
             self.disk.sync_folder()
         except OSError:
@@ -208,14 +219,14 @@
     """
     held = lock(path)
     try:
-        ledger = Ledger(Disk(path), node)
+        ledger = LedgerWriter(Disk(path), node)
         if ledger.numbers():
             raise FileExistsError(errno.EEXIST, "there is a ledger")
-        ledger.begin(Kept(begun=True, wall_ms=unix_ms(era())))
+        ledger.begin(RecoveredLog(begun=True, wall_ms=unix_ms(era())))
         ledger.close()
     finally:
         os.close(held)
 
 
 if __name__ == "__main__":
-    main(Ledger)
+    main(LedgerWriter)
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -28,7 +28,7 @@
 AHEAD_MOST = 8 << 20  # bytes that may wait for the helper before the disk counts as slow
 
 
-class Waiting:
+class DurabilityWait:
     """One that waits for a record, and whether that is kept once it is known."""
 
     def __init__(self, number: int, task: Task) -> None:
@@ -41,7 +41,7 @@
         self.task.wake()
 
 
-class Scribe:
+class LogWriterClient:
     """Keeps a helper that writes to a folder."""
 
     helper = "marlseam.store.writer_process"  # the module that is run; stand-ins for a disk set another
@@ -65,7 +65,7 @@
         # Guards what is sent in a node's first moments against being on no record.
         self.works = self.compacting = False
         self.told = self.told_lost = False  # staff, that it is kept, and that some is lost
-        self.waiting: deque[Waiting] = deque()
+        self.waiting: deque[DurabilityWait] = deque()
         self.out = bytearray()
         self.channel: socket.socket | None = None
         self.process: subprocess.Popen | None = None
@@ -236,7 +236,7 @@
         if not number or not self.works:
             return False
         until = self.loop.now() + self.wait_ms
-        mine = Waiting(number, self.loop.current)
+        mine = DurabilityWait(number, self.loop.current)
         self.waiting.append(mine)
         while not mine.over and self.loop.now() < until:
             yield from sleep(until)
--- a/marlseam/store/node_state.py
+++ b/marlseam/store/node_state.py
@@ -8,7 +8,17 @@
 
 from msgspec.structs import replace
 
-from marlseam.store.file_format import BATCH, Batch, Entry, Heard, Listed, Lost, NeverRan, Sent, Turned
+from marlseam.store.file_format import (
+    BATCH,
+    AttemptBatch,
+    AttemptNeverRan,
+    AttemptSent,
+    HistoryLost,
+    ListConfirmed,
+    ListStored,
+    StateRecord,
+    TurnoverNoted,
+)
 
 Steps = Generator[None, None, None]  # long work, in pieces that a caller may spread over turns
 STEP_MS = 20.0  # by which a clock must have been set to count as set
@@ -16,37 +26,37 @@
 
 
 @dataclass
-class State:
+class NodeState:
     """A node's durable state. Times in Unix ms."""
 
-    listed: Listed | None = None
-    turnover: Turned = field(default_factory=lambda: Turned(0.0, 0.0))
-    sent: dict[str, list[Sent]] = field(default_factory=dict)
+    listed: ListStored | None = None
+    turnover: TurnoverNoted = field(default_factory=lambda: TurnoverNoted(0.0, 0.0))
+    sent: dict[str, list[AttemptSent]] = field(default_factory=dict)
     lost_ms: float | None = None  # what may have run before then is not known
 
-    def apply(self, entry: Entry) -> None:
+    def apply(self, entry: StateRecord) -> None:
         """Take in an entry."""
         match entry:
-            case Listed():
+            case ListStored():
                 self.listed = entry
-            case Heard():
+            case ListConfirmed():
                 if self.listed is not None:
-                    self.listed = Listed(self.listed.version, self.listed.rows, entry.heard_ms)
-            case Turned():
+                    self.listed = ListStored(self.listed.version, self.listed.rows, entry.heard_ms)
+            case TurnoverNoted():
                 self.turnover = entry
-            case Lost():
+            case HistoryLost():
                 self.lost_ms = entry.since_ms
-            case Sent():
+            case AttemptSent():
                 rows = self.sent.setdefault(entry.key, [])
                 rows.append(entry)
-            case Batch():
+            case AttemptBatch():
                 sent = self.sent
                 for row in entry.rows:
                     if row.key in sent:
                         sent[row.key].append(row)
                     else:
                         sent[row.key] = [row]
-            case NeverRan():
+            case AttemptNeverRan():
                 rows = self.sent.get(entry.key, [])
                 rows[:] = [r for r in rows if (r.executor, r.sent_ms) != (entry.executor, entry.sent_ms)]
                 if not rows:
@@ -73,7 +83,7 @@
             if i % BATCH == 0:
                 yield
         if self.listed is not None:
-            self.listed = Listed(self.listed.version, self.listed.rows, self.listed.heard_ms + ms)
+            self.listed = ListStored(self.listed.version, self.listed.rows, self.listed.heard_ms + ms)
         if self.lost_ms is not None:
             self.lost_ms += ms
 
@@ -90,11 +100,11 @@
         if self.lost_ms is not None:
             self.lost_ms = now_ms
 
-    def entries(self) -> list[Entry]:
+    def entries(self) -> list[StateRecord]:
         """Return what a snapshot holds."""
-        found: list[Entry] = [self.turnover]
+        found: list[StateRecord] = [self.turnover]
         if self.listed is not None:
             found.append(self.listed)
         if self.lost_ms is not None:
-            found.append(Lost(self.lost_ms))
+            found.append(HistoryLost(self.lost_ms))
         return found + [row for rows in self.sent.values() for row in rows]
--- a/marlseam/store/state_directory.py
+++ b/marlseam/store/state_directory.py
@@ -23,8 +23,8 @@
 from typing import NamedTuple
 
 from marlseam.store import file_format as form
-from marlseam.store.file_format import Unusable
-from marlseam.store.node_state import State
+from marlseam.store.file_format import UnusableFileError
+from marlseam.store.node_state import NodeState
 
 NAME = re.compile(r"(snapshot|journal)-(\d{10})$")
 KEPT = 2  # snapshots
@@ -99,7 +99,7 @@
             os.close(fd)
 
 
-class Era(NamedTuple):
+class ClockEra(NamedTuple):
     """Which start of the machine it is, and the Unix ms at that start by the clock of whoever writes.
 
     Times told in one start can be compared whatever becomes of the clock; those of two cannot.
@@ -109,17 +109,17 @@
     zero_ms: float
 
 
-def era(unix_ms: float | None = None) -> Era:
+def era(unix_ms: float | None = None) -> ClockEra:
     """Return the present era; `unix_ms` is what the writer's clock says now, by default the system's."""
     try:
         boot = BOOT.read_text().strip()
     except OSError:
         boot = ""  # no start of the machine is known for the same as another
     since_ms = 1000.0 * time.clock_gettime(time.CLOCK_BOOTTIME)
-    return Era(boot, (1000.0 * time.time() if unix_ms is None else unix_ms) - since_ms)
+    return ClockEra(boot, (1000.0 * time.time() if unix_ms is None else unix_ms) - since_ms)
 
 
-def unix_ms(of: Era) -> float:
+def unix_ms(of: ClockEra) -> float:
     """Return the present time on an era's scale."""
     return of.zero_ms + 1000.0 * time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -163,13 +163,15 @@
     text: str
 
 
-class Folder:
+class StateDirectory:
     """The files of one node. Whoever writes here holds the lock.
 
     `machine`: whether what was written outlives the machine, as it was synced.
     """
 
-    def __init__(self, disk: Disk, node: str | None, of: Era | None = None, machine: bool = True) -> None:
+    def __init__(
+        self, disk: Disk, node: str | None, of: ClockEra | None = None, machine: bool = True
+    ) -> None:
         self.disk, self.node, self.era, self.machine = disk, node, of or era(), machine
         self.number = 0
         self.fd: int | None = None
@@ -183,7 +185,7 @@
         found = (NAME.match(name) for name in self.disk.names())
         return sorted(int(m[2]) for m in found if m and m[1] == kind)
 
-    def load(self, now_ms: float) -> State:
+    def load(self, now_ms: float) -> NodeState:
         """Read the state back; raises OSError where nothing can be read."""
         steps = self.read(now_ms)
         while True:
@@ -192,16 +194,16 @@
             except StopIteration as end:
                 return end.value
 
-    def read(self, now_ms: float) -> Generator[None, None, State]:
+    def read(self, now_ms: float) -> Generator[None, None, NodeState]:
         """Read the state back in pieces; raises OSError where nothing can be read."""
-        state, start, lost, eras = State(), None, "", list[Era]()
+        state, start, lost, eras = NodeState(), None, "", list[ClockEra]()
         self.findings, self.unusable = [], set()
         snapshots, journals = self.files("snapshot"), self.files("journal")
         for number in reversed(snapshots):
             name = f"snapshot-{number:010d}"
             try:
                 found = yield from form.read_snapshot(self.disk.read(name), self.node)
-            except Unusable as error:
+            except UnusableFileError as error:
                 self.note(name, error)
                 continue
             yield from self.take(state, found, eras)
@@ -227,7 +229,7 @@
                 continue  # what a crash leaves at its begin: nothing was kept in it
             try:
                 found = yield from form.read(data, "journal", self.node)
-            except Unusable as error:
+            except UnusableFileError as error:
                 self.note(name, error)
                 lost = lost or f"{name} cannot be used"
                 continue
@@ -251,9 +253,11 @@
         yield from state.expire(now_ms)
         return state
 
-    def take(self, state: State, found: form.Contents, eras: list[Era]) -> Generator[None, None, None]:
+    def take(
+        self, state: NodeState, found: form.Contents, eras: list[ClockEra]
+    ) -> Generator[None, None, None]:
         """Apply a file's entries, on that file's scale of time."""
-        here = Era(found.head.boot, found.head.zero_ms)
+        here = ClockEra(found.head.boot, found.head.zero_ms)
         self.of = found.head.node
         if eras and eras[-1].boot == here.boot:
             yield from state.shift_to(eras[-1].zero_ms, here.zero_ms)
@@ -266,7 +270,7 @@
         """Return the head of a file of ours."""
         return form.Head(kind, form.VERSION, self.node, number, now_ms, *self.era)
 
-    def note(self, name: str, error: Unusable) -> None:
+    def note(self, name: str, error: UnusableFileError) -> None:
         """Note a file that cannot be used, to be set aside once a new snapshot stands."""
         self.findings.append(Finding(name, error.code, str(error)))
         self.unusable.add(name)
@@ -351,7 +355,7 @@
     """
     held = lock(path)
     try:
-        folder = Folder(Disk(path), node)
+        folder = StateDirectory(Disk(path), node)
         if folder.files("snapshot") or folder.files("journal"):
             raise FileExistsError(errno.EEXIST, "there is a state")
         folder.snapshot([], unix_ms(folder.era))
--- a/marlseam/store/state_store.py
+++ b/marlseam/store/state_store.py
@@ -12,20 +12,20 @@
 from marlseam.net.log import Log
 from marlseam.net.loop import Coroutine, Loop, sleep
 from marlseam.store import file_format as form
-from marlseam.store.file_format import Entry
-from marlseam.store.log_writer_client import Scribe
-from marlseam.store.node_state import State
-from marlseam.store.state_directory import Disk, Folder, code_of, unix_ms
+from marlseam.store.file_format import StateRecord
+from marlseam.store.log_writer_client import LogWriterClient
+from marlseam.store.node_state import NodeState
+from marlseam.store.state_directory import Disk, StateDirectory, code_of, unix_ms
 from marlseam.store.writer_process import APPEND
 
 PIECE_MS = 5.0  # of a turn that reading may take
 
 
-class Keeper(Scribe):
+class StateStore(LogWriterClient):
     """A node's durable state; `take_in` is what the node does with what a later reading finds."""
 
     def __init__(
-        self, loop: Loop, log: Log, settings: StoreSettings, node: str, take_in: Callable[[State], Steps]
+        self, loop: Loop, log: Log, settings: StoreSettings, node: str, take_in: Callable[[NodeState], Steps]
     ) -> None:
         path = Path(settings.folder)
         super().__init__(loop, log, path, node, settings.sync, settings.journal_mb, settings.wait_ms)
@@ -33,11 +33,11 @@
 
     # Reading.
 
-    def folder(self) -> Folder:
+    def folder(self) -> StateDirectory:
         """Return the folder as this process reads it."""
-        return Folder(Disk(self.path), self.node, self.era, machine=self.sync == "durable")
+        return StateDirectory(Disk(self.path), self.node, self.era, machine=self.sync == "durable")
 
-    def load(self) -> State | None:
+    def load(self) -> NodeState | None:
         """Read what the last life left, before the loop runs; None where that cannot be yet."""
         try:
             self.take_lock()
@@ -49,7 +49,7 @@
         self.found(folder)
         return state
 
-    def found(self, folder: Folder) -> None:
+    def found(self, folder: StateDirectory) -> None:
         """Note that what the folder holds was read."""
         self.known = True
         for finding in folder.findings:
@@ -58,7 +58,7 @@
 
     def read(self) -> Coroutine:
         """Read in pieces, while the node serves, and have it taken in before anything is written."""
-        folder, state, began = self.folder(), State(), self.loop.now()
+        folder, state, began = self.folder(), NodeState(), self.loop.now()
         # Each collection would look at all the keys read so far, in one turn: 58 ms with 100,000 of them.
         gc.disable()
         try:
@@ -78,6 +78,6 @@
             gc.enable()
             gc.freeze()  # they stay for long
 
-    def append(self, *entries: Entry) -> int:
+    def append(self, *entries: StateRecord) -> int:
         """Hand entries to the helper; return the number under which they become durable, 0 for never."""
         return self.message(APPEND, b"".join(form.frame(entry) for entry in entries))
--- a/marlseam/store/writer_process.py
+++ b/marlseam/store/writer_process.py
@@ -21,18 +21,18 @@
 from pathlib import Path
 from typing import Protocol
 
-from marlseam.store.state_directory import Disk, Era, Folder, code_of
+from marlseam.store.state_directory import ClockEra, Disk, StateDirectory, code_of
 
 HEAD = struct.Struct(">BI")
 APPEND, COMPACT, END = ord("A"), ord("C"), ord("E")
 READ = 1 << 20
 
 
-class Gone(Exception):
+class NodeGoneError(Exception):
     """The node has ended without a word."""
 
 
-class Held(Disk):
+class NodeBoundDisk(Disk):
     """The disk for as long as the node lives, which is looked at before each call that takes long."""
 
     def __init__(self, path: Path, channel: socket.socket) -> None:
@@ -46,7 +46,7 @@
         Guards the next life: a backlog of syncs, four of them for a snapshot, once held the lock for seconds.
         """
         if self.poll.poll(0):
-            raise Gone
+            raise NodeGoneError
 
     def open(self, name: str) -> int:
         """Open a file to append to, made if there is none."""
@@ -69,7 +69,7 @@
         super().sync_folder()
 
 
-class Written(Protocol):
+class WritableLog(Protocol):
     """What is written to: a state folder, or a ledger."""
 
     size: int  # of the file in hand, in bytes
@@ -84,10 +84,10 @@
         """Close what is open."""
 
 
-class Helper:
+class WriterProcess:
     """Carries out messages and says what came of them."""
 
-    def __init__(self, folder: Written, channel: socket.socket, sync: bool) -> None:
+    def __init__(self, folder: WritableLog, channel: socket.socket, sync: bool) -> None:
         self.folder, self.channel, self.sync = folder, channel, sync
         self.rest, self.count = b"", 0
         self.failed = True  # until what is there is compacted there is no journal
@@ -95,7 +95,7 @@
 
     def run(self) -> None:
         """Work until the node says so, or is gone."""
-        with contextlib.suppress(Gone):
+        with contextlib.suppress(NodeGoneError):
             while not self.ended and (data := self.channel.recv(READ)):
                 self.rest += data
                 while select.select([self.channel], [], [], 0.0)[0] and (more := self.channel.recv(READ)):
@@ -164,7 +164,10 @@
             self.channel.sendall(json.dumps(row).encode() + b"\n")
 
 
-def main(make: Callable[[Held, str, Era, bool], Written] = Folder, disk: type[Held] = Held) -> None:
+def main(
+    make: Callable[[NodeBoundDisk, str, ClockEra, bool], WritableLog] = StateDirectory,
+    disk: type[NodeBoundDisk] = NodeBoundDisk,
+) -> None:
     """Run the helper of what `make` returns on inherited descriptors.
 
     It holds the lock for as long as it runs.
@@ -174,8 +177,8 @@
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
     ours, durable = socket.socket(fileno=int(channel)), sync == "durable"
-    folder = make(disk(Path(path), ours), node, Era(boot, float(zero)), durable)
-    Helper(folder, ours, durable).run()
+    folder = make(disk(Path(path), ours), node, ClockEra(boot, float(zero)), durable)
+    WriterProcess(folder, ours, durable).run()
 
 
 if __name__ == "__main__":
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -15,7 +15,7 @@
 from marlseam.net import loop as loop_module
 from marlseam.net import node as node_module
 from marlseam.net.invariants import Promise
-from marlseam.net.upstream import Order
+from marlseam.net.upstream import AttemptOrder
 
 
 @pytest.fixture
@@ -313,10 +313,10 @@
 def test_attempts_count_once_their_last_byte_is_handed_over(upstream):
     parts = upstream(silent=True)
     now = parts.loop.now()
-    parts.send(Order("1", 0, "e1", JOB, now + 1000.0, now + 1000.0))
+    parts.send(AttemptOrder("1", 0, "e1", JOB, now + 1000.0, now + 1000.0))
     assert parts.counters.attempts == 1
     broken = upstream(takes=10)
-    broken.send(Order("1", 0, "e1", JOB, now + 1000.0, now + 1000.0))
+    broken.send(AttemptOrder("1", 0, "e1", JOB, now + 1000.0, now + 1000.0))
     assert broken.counters.attempts == 0
 
 
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -8,9 +8,9 @@
     Accept,
     Accepted,
     Acceptor,
+    AcceptorState,
     Prepare,
     Promise,
-    Promised,
     Proposer,
     Refused,
 )
@@ -152,7 +152,7 @@
             def heard(self, message):
                 if type(message) is Prepare:
                     return super().heard(message)
-                new = Promised(max(message.ballot, held.ballot), message.ballot, message.value)
+                new = AcceptorState(max(message.ballot, held.ballot), message.ballot, message.value)
                 return new, Accepted(message.number, message.ballot, name, message.value)
 
         return Lax(name, {NUMBER: held})
@@ -196,7 +196,7 @@
     assert voter.heard(Accept(2, (1, "2"), "y")) == (None, Refused(2, (1, "2"), (2, "1")))
     new, _ = voter.heard(Accept(2, (2, "1"), "x"))
     voter.keep(2, new)
-    assert voter.heard(Prepare(3, (1, "2")))[0] == Promised((1, "2"))  # each number for itself
+    assert voter.heard(Prepare(3, (1, "2")))[0] == AcceptorState((1, "2"))  # each number for itself
 
 
 def test_an_operator_hears_only_voters_of_its_version_in_its_own_round():
--- a/tests/test_bytes.py
+++ b/tests/test_bytes.py
@@ -14,7 +14,7 @@
 from marlseam.net import downstream as server_module
 from marlseam.net import http
 from marlseam.net.connection import Connection
-from marlseam.net.downstream import Room
+from marlseam.net.downstream import AdmissionLimits
 from marlseam.net.log import Log
 from marlseam.net.loop import READY, Loop
 
@@ -104,7 +104,7 @@
 
 
 def test_a_crowd_takes_no_place_of_the_operators(node, client, reply):
-    node.downstream.room = Room(5, 1e9)
+    node.downstream.room = AdmissionLimits(5, 1e9)
     for _ in range(40):
         client(b"POST /statement")
     for _ in range(5):
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from marlseam.cluster.checking.membership_schedules import Draws, World
+from marlseam.cluster.checking.membership_schedules import MembershipSimulation, ScheduleDraws
 from marlseam.cluster.checking.search import wander
-from marlseam.cluster.membership import Members
-from marlseam.cluster.quota.demand import Room
-from marlseam.cluster.quota.leasing import Held, Lending
-from marlseam.cluster.replication.replica import Kept, Terms, Versions
+from marlseam.cluster.membership import Membership
+from marlseam.cluster.quota.demand import DemandEstimator
+from marlseam.cluster.quota.leasing import QuotaLeasing, QuotaState
+from marlseam.cluster.replication.replica import ConfigReplica, RecoveredLog, ReplicationSettings
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.types import ListUpdateKind
 from marlseam.experiment.fleet import Fault, Fleet, Rig
@@ -27,19 +27,27 @@
 
 
 def members(seed):
-    return Members("fleet", "a", NAMES, 1, seed, 1000.0, 0.0)
+    return Membership("fleet", "a", NAMES, 1, seed, 1000.0, 0.0)
 
 
 def versions(seed):
-    return Versions("a", NAMES, Terms(NAMES, 1000.0, 15000.0, True, 10.0), "a/1", seed, 0.0, Kept(begun=True))
+    return ConfigReplica(
+        "a",
+        NAMES,
+        ReplicationSettings(NAMES, 1000.0, 15000.0, True, 10.0),
+        "a/1",
+        seed,
+        0.0,
+        Kept(begun=True),
+    )
 
 
 def room(seed):
-    return Room("a", NAMES, Lending(1000.0), Held(1.0, 1), 1000.0, seed, 0.0)
+    return DemandEstimator("a", NAMES, QuotaLeasing(1000.0), QuotaState(1.0, 1), 1000.0, seed, 0.0)
 
 
 def world(seed):
-    return World(0, seed, [])
+    return MembershipSimulation(0, seed, [])
 
 
 def rig(seed, tmp):
@@ -49,7 +57,7 @@
 def numbers(of, seed, count):
     """Return so many successive numbers in [0, 1) of whatever draws by a seed."""
     if of == "draws":
-        draws = Draws("hunt", seed)
+        draws = ScheduleDraws("hunt", seed)
         return [draws(1024) / 1024.0 + 0.0004 for _ in range(count)]
     if of == "ways":
         # Where a way goes in a square without end tells what was drawn.
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -10,12 +10,19 @@
 from hypothesis import strategies as st
 
 from marlseam.__main__ import main
-from marlseam.cluster.audit_log import Kept, Stored
+from marlseam.cluster.audit_log import ContentStored, RecoveredLog
 from marlseam.cluster.checking import replication_schedules
 from marlseam.cluster.replication import delta, messages
 from marlseam.cluster.replication.content import FORMAT, Content, Meaning, digest, meaning, read, write
-from marlseam.cluster.replication.messages import Piece, Tell, Vote, Want
-from marlseam.cluster.replication.replica import STALLED, WINDOW, Keep, Terms, To, Versions
+from marlseam.cluster.replication.messages import Chunk, FetchRequest, StatusResponse, VoteMessage
+from marlseam.cluster.replication.replica import (
+    STALLED,
+    WINDOW,
+    ConfigReplica,
+    Persist,
+    ReplicationSettings,
+    SendMessage,
+)
 from marlseam.experiment import file, measures, plays
 from marlseam.experiment.size_changes import changed, counted, one_size, teams
 from marlseam.random_source import RandomSource
@@ -74,7 +81,7 @@
     after, document = written(content(2, digest(before), settings=two, members=members, why="x"))
     found, shared = delta.change(base, after, document)
     assert shared == document
-    link = delta.Link(digest(before), found)
+    link = delta.DeltaLink(digest(before), found)
     chained = delta.follow(base, digest(before), delta.chain([link]), digest(after))
     assert chained.data == after and chained.document == document
     assert base == delta.document(before)  # not changed in place
@@ -87,7 +94,7 @@
         before = digest(datas[-1]) if datas else ""
         data, document = written(content(number, before, settings=some))
         if datas:
-            links.append(delta.Link(before, delta.change(delta.document(datas[-1]), data, document)[0]))
+            links.append(delta.DeltaLink(before, delta.change(delta.document(datas[-1]), data, document)[0]))
         datas.append(data)
     return datas, links
 
@@ -117,7 +124,7 @@
         goal = digest(b"another")
     try:
         found = delta.follow(base, start, bytes(raw), goal)
-    except delta.Wrong:
+    except delta.DeltaError:
         return
     assert found.data == datas[-1]
 
@@ -145,16 +152,16 @@
 def test_an_edit_that_fits_nothing_is_wrong_and_changes_nothing(edit):
     _, base = written(content(settings={"a": {"b": 1}, "list": [1, 2, 3]}))
     kept = json.dumps(base)
-    with pytest.raises(delta.Wrong):
+    with pytest.raises(delta.DeltaError):
         delta.applied(base, "i", delta.Change("i", [edit]))
     assert json.dumps(base) == kept
 
 
 def test_a_chain_that_grows_past_a_contents_size_is_wrong():
     data, base = written(content())
-    edit = delta.Put(["settings", "y"], "y" * messages.CONTENT_MOST)
+    edit = delta.Put(["settings", "y"], "y" * messages.MAX_CONTENT_BYTES)
     raw = delta.ENCODER.encode([delta.Change("0" * 64, [edit])])
-    with pytest.raises(delta.Wrong, match="too large"):
+    with pytest.raises(delta.DeltaError, match="too large"):
         delta.follow(base, digest(data), raw, "0" * 64)
 
 
@@ -186,15 +193,15 @@
 
 
 def versions(name="a", **more):
-    terms = Terms(frozenset("abc"), 1000.0, LEASE, True, 10.0 * LEASE)
-    return Versions(name, NAMES, terms, f"{name}/1", 7, 0.0, Kept(begun=True), **more)
+    terms = ReplicationSettings(frozenset("abc"), 1000.0, LEASE, True, 10.0 * LEASE)
+    return ConfigReplica(name, NAMES, terms, f"{name}/1", 7, 0.0, RecoveredLog(begun=True), **more)
 
 
 def settle(machine, effects, now=0.0):
     """Have all durable that is to be kept, and return what is said."""
     said = []
     for effect in effects:
-        if type(effect) is Keep:
+        if type(effect) is Persist:
             said += settle(machine, machine.kept(now, effect.token), now)
         else:
             said.append(effect)
@@ -210,7 +217,7 @@
 
 
 def told(number, id):
-    return Tell(0, number, id, number, True, "", number, number, True, -1.0)
+    return StatusResponse(0, number, id, number, True, "", number, number, True, -1.0)
 
 
 def some_contents(count, rows=60):
@@ -236,7 +243,7 @@
 def exchange(source, reader, effects, meddle=lambda say: [say]):
     """Have a source answer what a reader wants until nothing more is said; return pieces and their bytes."""
     count = size = 0
-    wants = [e.say for e in effects if type(e) is To and type(e.say) is Want]
+    wants = [e.say for e in effects if type(e) is SendMessage and type(e.say) is FetchRequest]
     while wants:
         pieces = [e.say for want in wants for e in source.pieces("d", want)]
         wants = []
@@ -244,7 +251,7 @@
             count, size = count + 1, size + len(piece.data)
             for heard in meddle(piece):
                 said = settle(reader, reader.piece(0.0, "b", heard))
-                wants += [e.say for e in said if type(e) is To and type(e.say) is Want]
+                wants += [e.say for e in said if type(e) is SendMessage and type(e.say) is FetchRequest]
     return count, size
 
 
@@ -281,11 +288,11 @@
     source, reader, datas = source_and_reader()
     links = source.links
     last = links[digest(datas[-1])]
-    links[digest(datas[-1])] = delta.Link(last.before, last.data.replace(b"1005", b"1006"))
+    links[digest(datas[-1])] = delta.DeltaLink(last.before, last.data.replace(b"1005", b"1006"))
     effects = reader.told(0.0, "b", told(6, digest(datas[-1])))
     (piece,) = [e.say for e in source.pieces("d", effects[0].say)]
     log, again = reader.piece(0.0, "b", piece)
-    assert "code=changes" in log.text and again.say == Want(digest(datas[-1]), 0, "")
+    assert "code=changes" in log.text and again.say == FetchRequest(digest(datas[-1]), 0, "")
     assert reader.number == 1 and reader.came["changes"] == 1 and reader.came["edits"] == 0
     exchange(source, reader, [again])
     assert reader.number == 6 and reader.contents[reader.id] == datas[-1]
@@ -307,12 +314,12 @@
     data = write(content(4, digest(datas[-1]), settings=changed({"teams": teams(60)}, 9, 9)))
     source.publish(0.0, read(data, NAMES), data)
     voter.voters |= {"d"}
-    effects = voter.heard(0.0, "b", Vote("accept", 4, 1, "b/1", value=digest(data)))
-    assert effects[0].say == Want(digest(data), 0, digest(datas[-1]))
+    effects = voter.heard(0.0, "b", VoteMessage("accept", 4, 1, "b/1", value=digest(data)))
+    assert effects[0].say == FetchRequest(digest(data), 0, digest(datas[-1]))
     (piece,) = [e.say for e in source.pieces("d", effects[0].say)]
     (keep,) = voter.piece(0.0, "b", piece)
-    stored = [e for e in keep.entries if type(e) is Stored]
-    assert stored == [Stored(digest(data), data)] and voter.came["chains"] == 1
+    stored = [e for e in keep.entries if type(e) is ContentStored]
+    assert stored == [ContentStored(digest(data), data)] and voter.came["chains"] == 1
     assert [e.say.kind for e in voter.kept(0.0, keep.token)] == ["accepted"]
 
 
@@ -352,7 +359,7 @@
         if reader.number == 6:
             break
         now += 2000.0
-        effects = [e for e in reader.tick(now) if type(getattr(e, "say", None)) is Want]
+        effects = [e for e in reader.tick(now) if type(getattr(e, "say", None)) is FetchRequest]
     assert reader.number == 6 and reader.contents[reader.id] == datas[-1]
 
 
@@ -369,7 +376,7 @@
         if lost() >= 0.2:
             exchange(source, reader, effects, lambda piece: [] if lost() < 0.2 else [piece])
         now += 2000.0
-        effects = [e for e in reader.tick(now) if type(getattr(e, "say", None)) is Want]
+        effects = [e for e in reader.tick(now) if type(getattr(e, "say", None)) is FetchRequest]
     assert reader.contents[reader.id] == datas[-1]
     assert (reader.came["chains"], reader.came["whole"]) == ((1, 0) if chained else (0, 1))
 
@@ -378,24 +385,24 @@
     source, reader, datas = source_and_reader(place=1, rows=100)
     source.links.clear()
     effects = reader.told(0.0, "b", told(6, digest(datas[-1])))
-    wants = [e.say for e in effects if type(e) is To and type(e.say) is Want]
+    wants = [e.say for e in effects if type(e) is SendMessage and type(e.say) is FetchRequest]
     rounds = 0
     while wants:
         rounds += 1
         pieces = [e.say for want in wants for e in source.pieces("d", want)][::-1]
         said = [e for piece in pieces for e in settle(reader, reader.piece(0.0, "b", piece))]
-        wants = [e.say for e in said if type(e) is To and type(e.say) is Want]
-    assert reader.number == 6 and rounds == -(-len(datas[-1]) // (WINDOW * messages.PIECE))
+        wants = [e.say for e in said if type(e) is SendMessage and type(e.say) is FetchRequest]
+    assert reader.number == 6 and rounds == -(-len(datas[-1]) // (WINDOW * messages.CHUNK_BYTES))
 
 
 @pytest.mark.parametrize(
     ("piece", "code"),
     [
-        (lambda id, have: Piece(digest(b"x"), 5, 0, b"12345"), "unasked"),
-        (lambda id, have: Piece(id, 5000, 0, b"x" * 1024, digest(b"x")), "other-form"),
-        (lambda id, have: Piece(id, 50000, 20480, b"x" * 1024), "out-of-turn"),
-        (lambda id, have: Piece(id, 5000, 3, b"x" * 1024), "out-of-turn"),
-        (lambda id, have: Piece(id, 5000, 1024, b"x" * 10), "out-of-turn"),
+        (lambda id, have: Chunk(digest(b"x"), 5, 0, b"12345"), "unasked"),
+        (lambda id, have: Chunk(id, 5000, 0, b"x" * 1024, digest(b"x")), "other-form"),
+        (lambda id, have: Chunk(id, 50000, 20480, b"x" * 1024), "out-of-turn"),
+        (lambda id, have: Chunk(id, 5000, 3, b"x" * 1024), "out-of-turn"),
+        (lambda id, have: Chunk(id, 5000, 1024, b"x" * 10), "out-of-turn"),
     ],
 )
 def test_a_piece_that_fits_nothing_is_counted_and_changes_nothing(piece, code):
@@ -411,11 +418,11 @@
     source, reader, datas = source_and_reader(rows=100)
     source.links.clear()
     reader.told(0.0, "b", told(6, digest(datas[-1])))
-    reader.piece(0.0, "e", Piece(digest(datas[-1]), 99999, 0, b"x" * 1024))
+    reader.piece(0.0, "e", Chunk(digest(datas[-1]), 99999, 0, b"x" * 1024))
     now = 0.0
     for _ in range(STALLED + 1):
         now += 2000.0
-        effects = [e for e in reader.tick(now) if type(getattr(e, "say", None)) is Want]
+        effects = [e for e in reader.tick(now) if type(getattr(e, "say", None)) is FetchRequest]
         exchange(source, reader, effects)
     assert reader.number == 6
 
@@ -439,15 +446,15 @@
     data: bytes
 
 
-OLD = msgspec.msgpack.Decoder(messages.Ask | Tell | Vote | OldWant | OldPiece)
+OLD = msgspec.msgpack.Decoder(messages.StatusRequest | StatusResponse | VoteMessage | OldWant | OldPiece)
 
 
-class Older(Versions):
+class Older(ConfigReplica):
     """A program from before: it reads and says what that did, and knows the whole alone."""
 
     def heard(self, now, sender, say):
         old = OLD.decode(msgspec.msgpack.encode(say))  # as its codec reads it
-        say = msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=messages.Say)
+        say = msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=messages.ReplicationMessage)
         assert getattr(say, "have", "") == ""
         return [self.in_old_words(effect) for effect in super().heard(now, sender, say)]
 
@@ -455,16 +462,16 @@
         return [self.in_old_words(effect) for effect in super().tick(now)]
 
     def in_old_words(self, effect):
-        if type(effect) is not To or type(effect.say) is not Want:
+        if type(effect) is not SendMessage or type(effect.say) is not FetchRequest:
             return effect
         say = msgspec.msgpack.decode(
-            msgspec.msgpack.encode(OldWant(effect.say.id, effect.say.at)), type=messages.Say
+            msgspec.msgpack.encode(OldWant(effect.say.id, effect.say.at)), type=messages.ReplicationMessage
         )
-        return To(effect.name, say)
+        return SendMessage(effect.name, say)
 
 
 def mixed(name, *words):
-    return (Older if name in ("n0", "n3", "n5") else Versions)(name, *words)
+    return (Older if name in ("n0", "n3", "n5") else ConfigReplica)(name, *words)
 
 
 @pytest.mark.parametrize("seed", [0, 3, 17, 42, 81])
@@ -474,7 +481,7 @@
 
 
 def test_in_a_mixed_fleet_those_that_know_changes_are_sent_them_and_no_whole_spreads():
-    world = replication_schedules.Trial(7, 1, [], machine=mixed)
+    world = replication_schedules.ReplicationSimulation(7, 1, [], machine=mixed)
     world.run(5000.0)
     for mark in range(1, 9):
         world.publish("n1", mark)
@@ -495,7 +502,7 @@
     assert found.broken == []
 
 
-class Unchecked(Versions):
+class Unchecked(ConfigReplica):
     """Planted: what changes lead to is not held against the id."""
 
     def followed(self, have, data, id):
@@ -504,11 +511,11 @@
             for one in delta.CHAIN.decode(data):
                 document, before = delta.applied(document, before, one), one.id
         except msgspec.MsgspecError as error:
-            raise delta.Wrong(str(error)) from None
+            raise delta.DeltaError(str(error)) from None
         return delta.whole(document)
 
 
-class LastAlone(Versions):
+class LastAlone(ConfigReplica):
     """Planted: the last change alone is sent, wherever the reader is."""
 
     def chain(self, have, id):
@@ -516,7 +523,7 @@
         return delta.chain([link]) if link is not None else None
 
 
-class Stubborn(Versions):
+class Stubborn(ConfigReplica):
     """Planted: one that asked for changes takes no whole."""
 
     def piece(self, now, sender, piece):
@@ -524,14 +531,14 @@
         return [] if fetch and fetch.have and not piece.have else super().piece(now, sender, piece)
 
 
-class Hoards(Versions):
+class Hoards(ConfigReplica):
     """Planted: changes are kept for ever."""
 
     def trim(self):
         pass
 
 
-class AsTheyCome(Versions):
+class AsTheyCome(ConfigReplica):
     """Planted: pieces are put together as they come."""
 
     def piece(self, now, sender, piece):
@@ -558,7 +565,7 @@
     assert replication_schedules.play(7, seed, strikes, twists=twists, rows=rows).broken == []
 
 
-class ForgetsIts(Versions):
+class ForgetsIts(ConfigReplica):
     """Planted: no change is found for what is published, so all are sent the whole."""
 
     def compare(self, id):
@@ -569,6 +576,7 @@
     experiment = file.load(SHORT)
     table = msgspec.structs.replace(experiment.tables["size_changes"], burst=0)
     bytes_change = [
-        one_size(1, table, 160, 12, machine=machine)["bytes_change"] for machine in (Versions, ForgetsIts)
+        one_size(1, table, 160, 12, machine=machine)["bytes_change"]
+        for machine in (ConfigReplica, ForgetsIts)
     ]
     assert bytes_change[0] < 3000 < 10000 < bytes_change[1]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -26,7 +26,7 @@
 from marlseam.net import http
 from marlseam.net.connection import Ended, connect
 from marlseam.net.descriptors import SPARES, Descriptors
-from marlseam.net.downstream import NEW_MS, Room
+from marlseam.net.downstream import NEW_MS, AdmissionLimits
 from marlseam.net.log import BURST, Log, Reason
 
 LIMIT = 256
@@ -557,7 +557,7 @@
     for _ in range(6):
         socks.append(client(REQUEST))
         assert reply(socks[-1]).startswith(b"HTTP/1.1 200 ")
-    node.downstream.room = Room(8, 1e9)
+    node.downstream.room = AdmissionLimits(8, 1e9)
     return socks
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,7 @@
 from marlseam.net import discovery as discovery_module
 from marlseam.net import node as node_module
 from marlseam.net.connection import AHEAD_MOST, Connection
-from marlseam.net.upstream import Order
+from marlseam.net.upstream import AttemptOrder
 
 AHEAD = b"x" * 20000  # more than a node reads ahead
 REQUEST = test_net.REQUEST.replace(b"0.5", b"5")
@@ -444,7 +444,7 @@
     # Both have a kept connection, on which the next can go out within the turn in which the one before ends.
     for name, peer in (("e1", one), ("e2", two)):
         until = node.loop.now() + 1000.0
-        node.upstream.send(Order("0", 0, name, JOB, until, until))
+        node.upstream.send(AttemptOrder("0", 0, name, JOB, until, until))
         turn(lambda peer=peer: b"abc" in peer.read())
         peer.held[0].sendall(ANSWER.replace(b'"e1"', b'"%b"' % name.encode()))
         turn(lambda name=name: node.upstream.peers[name].idle)
@@ -484,7 +484,7 @@
     job = replace(JOB, exclusive=True)
     for attempt_index in range(2):
         until = node.loop.now() + 5000.0
-        node.upstream.send(Order("1", attempt_index, "e1", job, until, until))
+        node.upstream.send(AttemptOrder("1", attempt_index, "e1", job, until, until))
         turn(lambda: b"abc" in executor.read())
         executor.held[0].sendall(refusal)
         settle()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,18 +14,18 @@
 
 from marlseam.cli import fleet as command
 from marlseam.cluster.checking import membership_schedules
-from marlseam.cluster.checking.membership_schedules import Strike
-from marlseam.cluster.membership import Changed, Members, Twin
+from marlseam.cluster.checking.membership_schedules import InjectedFault
+from marlseam.cluster.membership import DuplicateMember, MemberChanged, Membership
 from marlseam.cluster.membership_codec import (
-    LETTER_MOST,
-    RUMOURS_MOST,
+    MAX_DATAGRAM_BYTES,
+    MAX_GOSSIP_ENTRIES,
     VERSION,
-    Claim,
-    Kind,
-    Letter,
-    Odd,
-    Rumour,
-    Standing,
+    Datagram,
+    DatagramKind,
+    GossipEntry,
+    InvalidMessageError,
+    MemberState,
+    MemberStatus,
     read,
     write,
 )
@@ -35,26 +35,26 @@
 from marlseam.judge.book import Book
 from marlseam.judge.rules import answers
 from marlseam.net.log import Log
-from marlseam.net.membership_service import Peers
+from marlseam.net.membership_service import MembershipService
 from marlseam.records import Answered, Begin, End, Node, Quit, Took, Tried
 
 NAMES = frozenset({"a", "b", "c"})
-CLAIMS = st.builds(Claim, st.integers(0, 3), st.integers(1, 2), st.integers(0, 3))
+CLAIMS = st.builds(MemberState, st.integers(0, 3), st.integers(1, 2), st.integers(0, 3))
 
 
 def member(me="a", names=NAMES, now=0.0):
-    return Members("f", me, names, 1, 7, 1000.0, now)
+    return Membership("f", me, names, 1, 7, 1000.0, now)
 
 
-def letter(sender="b", own=(0, 9, 0), kind=Kind.PING, seq=1, about="", rumours=()):
-    return Letter(VERSION, "f", sender, Claim(*own), kind, seq, about, list(rumours))
+def letter(sender="b", own=(0, 9, 0), kind=DatagramKind.PING, seq=1, about="", rumours=()):
+    return Datagram(VERSION, "f", sender, MemberState(*own), kind, seq, about, list(rumours))
 
 
 # What is held, whatever comes in which order.
 
 
 @given(
-    st.lists(st.builds(Rumour, st.sampled_from("bc"), CLAIMS, st.sampled_from(["", "c"])), max_size=12),
+    st.lists(st.builds(GossipEntry, st.sampled_from("bc"), CLAIMS, st.sampled_from(["", "c"])), max_size=12),
     st.data(),
 )
 def test_rumours_merge_in_any_order_and_any_number_of_times(rumours, data):
@@ -70,10 +70,10 @@
 
 def test_a_member_refutes_what_is_said_of_it_and_comes_back():
     b = member("b")
-    b.heard(10.0, letter("a", rumours=[Rumour("b", Claim(4, 1, Standing.GONE))]))
-    assert b.own == Claim(5, 1, Standing.HERE)
+    b.heard(10.0, letter("a", rumours=[GossipEntry("b", MemberState(4, 1, MemberStatus.GONE))]))
+    assert b.own == MemberState(5, 1, MemberStatus.HERE)
     a = member()
-    a.take(Rumour("b", Claim(4, 1, Standing.GONE)))
+    a.take(GossipEntry("b", MemberState(4, 1, MemberStatus.GONE)))
     a.heard(20.0, letter(own=(5, 1, 0)))
     assert a.here() == ["b"]
 
@@ -82,21 +82,21 @@
     a = member()
     a.heard(1.0, letter(own=(2, 9, 0)))
     a.heard(2.0, letter(own=(0, 10, 0)))  # it has not heard yet what is held of its name
-    assert a.members["b"].claim == Claim(2, 9, Standing.HERE)
+    assert a.members["b"].claim == MemberState(2, 9, MemberStatus.HERE)
     effects = a.heard(3.0, letter(own=(3, 10, 0)))
-    assert [type(e) for e in effects if type(e) in (Changed, Twin)] == [Changed]
+    assert [type(e) for e in effects if type(e) in (MemberChanged, DuplicateMember)] == [MemberChanged]
     effects = a.heard(4.0, letter(own=(4, 9, 0)))
-    assert Twin("b", 9) in effects
+    assert DuplicateMember("b", 9) in effects
 
 
 def test_one_that_was_stopped_takes_its_own_silence_for_nobody_elses():
     a = member()
     a.heard(0.0, letter())
     a.heard(0.0, letter("c"))
-    a.take(Rumour("b", Claim(0, 9, Standing.SUSPECT), "c"))
+    a.take(GossipEntry("b", MemberState(0, 9, MemberStatus.SUSPECT), "c"))
     ends = a.members["b"].ends_ms
     a.tick(ends + 60000.0)  # a minute late
-    assert a.members["b"].claim.standing == Standing.SUSPECT and a.members["b"].ends_ms > ends + 50000.0
+    assert a.members["b"].claim.standing == MemberStatus.SUSPECT and a.members["b"].ends_ms > ends + 50000.0
     a.heard(ends + 60001.0, letter(own=(1, 9, 0)))
     assert set(a.here()) == {"b", "c"}
 
@@ -104,17 +104,19 @@
 def test_a_letter_is_one_packet_however_many_names_there_are():
     names = frozenset(f"{i:064d}" for i in range(1000))
     me = min(names)
-    machine = Members("f", me, names, 1, 7, 1000.0, 0.0)
+    machine = Membership("f", me, names, 1, 7, 1000.0, 0.0)
     for name in sorted(names - {me}):
-        machine.take(Rumour(name, Claim(1 << 50, 1 << 50, Standing.SUSPECT), me))
+        machine.take(GossipEntry(name, MemberState(1 << 50, 1 << 50, MemberStatus.SUSPECT), me))
     effects = machine.tick(5000.0)
-    assert effects and all(len(write(e.letter)) <= LETTER_MOST for e in effects if hasattr(e, "letter"))
+    assert effects and all(
+        len(write(e.letter)) <= MAX_DATAGRAM_BYTES for e in effects if hasattr(e, "letter")
+    )
 
 
 def test_one_that_comes_and_goes_costs_no_memory():
     a = member()
     for i in range(5000):
-        a.take(Rumour("b", Claim(i, 9, i % 4)))
+        a.take(GossipEntry("b", MemberState(i, 9, i % 4)))
         a.rumours("c")
     assert len(a.telling) == len(a.news) <= 2 and len(a.members["b"].suspects) <= 1
 
@@ -127,14 +129,14 @@
     assert not membership_schedules.hunted(5, seed).broken
 
 
-class NoRefutation(Members):
+class NoRefutation(Membership):
     """Planted: says the same of itself whatever is said of it."""
 
     def claimed(self, claim):
         pass
 
 
-class NoOtherLife(Members):
+class NoOtherLife(Membership):
     """Planted: takes a claim on an earlier life of its name for its own."""
 
     def claimed(self, claim):
@@ -142,28 +144,28 @@
             super().claimed(claim)
 
 
-class NobodyBack(Members):
+class NobodyBack(Membership):
     """Planted: one that is gone is neither asked nor told."""
 
     def say(self, to, kind, seq, about=""):
         member = self.members[to]
-        if member.claim is None or member.claim.standing != Standing.GONE:
+        if member.claim is None or member.claim.standing != MemberStatus.GONE:
             super().say(to, kind, seq, about)
 
     def doubted(self, name):
         return False
 
 
-class GoneForGood(Members):
+class GoneForGood(Membership):
     """Planted: nothing ends what is held of one that is gone."""
 
     def take(self, rumour):
         member = self.members.get(rumour.name)
-        if member is None or member.claim is None or member.claim.standing != Standing.GONE:
+        if member is None or member.claim is None or member.claim.standing != MemberStatus.GONE:
             super().take(rumour)
 
 
-class OneLeftOut(Members):
+class OneLeftOut(Membership):
     """Planted: the last by name is never in turn."""
 
     def ping(self, name, asker="", asker_seq=0):
@@ -171,14 +173,14 @@
             super().ping(name, asker, asker_seq)
 
 
-class EndlessSuspicion(Members):
+class EndlessSuspicion(Membership):
     """Planted: a suspicion has no end."""
 
     def suspicion_ms(self, shared):
         return float("inf")
 
 
-class ExcusedByNacks(Members):
+class ExcusedByNacks(Membership):
     """Planted: where helpers hear nothing either, nothing is held against anybody."""
 
     def missed(self, look):
@@ -186,10 +188,12 @@
             super().missed(look)
 
 
-KILL = Strike("n4", True, Kind.PING, 8, "kill", "n0", 90000.0)
-CUT = Strike("n4", True, Kind.PING, 8, "cut", "n0", 60000.0)
-SHORT = Strike("n4", True, Kind.PING, 8, "cut", "n0", 12000.0)
-LATER = Strike("n4", True, Kind.PING, 45, "restart", "n0", 0.0)  # once it has refuted that it was gone
+KILL = InjectedFault("n4", True, DatagramKind.PING, 8, "kill", "n0", 90000.0)
+CUT = InjectedFault("n4", True, DatagramKind.PING, 8, "cut", "n0", 60000.0)
+SHORT = InjectedFault("n4", True, DatagramKind.PING, 8, "cut", "n0", 12000.0)
+LATER = InjectedFault(
+    "n4", True, DatagramKind.PING, 45, "restart", "n0", 0.0
+)  # once it has refuted that it was gone
 PLANTED = [
     (NoRefutation, [CUT]),
     (NoOtherLife, [SHORT, LATER]),
@@ -208,16 +212,16 @@
 
 
 def test_a_schedule_is_cut_down_to_what_breaks_the_bound():
-    more = Strike("n1", True, Kind.ACK, 9, "hold", "n0", 2000.0)
+    more = InjectedFault("n1", True, DatagramKind.ACK, 9, "hold", "n0", 2000.0)
     assert membership_schedules.shrunk(5, 1, [more, SHORT, LATER], NoOtherLife) == [SHORT, LATER]
 
 
 # The wire.
 
 
-@given(st.binary(max_size=LETTER_MOST + 10))
+@given(st.binary(max_size=MAX_DATAGRAM_BYTES + 10))
 def test_no_datagram_does_more_than_be_left_out(data):
-    with pytest.raises(Odd):
+    with pytest.raises(InvalidMessageError):
         read(data, "f", NAMES)
 
 
@@ -228,20 +232,20 @@
         ({"fleet": "g"}, "foreign"),
         ({"sender": "z"}, "unknown"),
         ({"about": "z"}, "unknown"),
-        ({"rumours": [Rumour("z", Claim(0, 1, 0))]}, "unknown"),
-        ({"rumours": [Rumour("b", Claim(0, 1, 0), "z")]}, "unknown"),
+        ({"rumours": [GossipEntry("z", MemberState(0, 1, 0))]}, "unknown"),
+        ({"rumours": [GossipEntry("b", MemberState(0, 1, 0), "z")]}, "unknown"),
         ({"kind": 9}, "bounds"),
-        ({"own": Claim(-1, 1, 0)}, "bounds"),
-        ({"own": Claim(0, 1 << 60, 0)}, "bounds"),
-        ({"own": Claim(0, 1, 7)}, "bounds"),
+        ({"own": MemberState(-1, 1, 0)}, "bounds"),
+        ({"own": MemberState(0, 1 << 60, 0)}, "bounds"),
+        ({"own": MemberState(0, 1, 7)}, "bounds"),
         ({"seq": -1}, "bounds"),
-        ({"rumours": [Rumour("b", Claim(0, 1, 0))] * (RUMOURS_MOST + 1)}, "bounds"),
-        ({"fleet": "f" * LETTER_MOST}, "too-large"),
+        ({"rumours": [GossipEntry("b", MemberState(0, 1, 0))] * (MAX_GOSSIP_ENTRIES + 1)}, "bounds"),
+        ({"fleet": "f" * MAX_DATAGRAM_BYTES}, "too-large"),
     ],
 )
 def test_what_is_no_letter_of_the_fleets_has_a_code(change, code):
     data = msgspec.msgpack.encode(msgspec.structs.replace(letter(), **change))
-    with pytest.raises(Odd) as odd:
+    with pytest.raises(InvalidMessageError) as odd:
         read(data, "f", NAMES)
     assert odd.value.code == code
     assert read(write(letter()), "f", NAMES) == letter()
@@ -258,13 +262,16 @@
     )
     for sock in socks:
         sock.close()
-    return {name: Peers(loop, Log(name, loop.now), found, name, i) for i, name in enumerate(sorted(NAMES))}
+    return {
+        name: MembershipService(loop, Log(name, loop.now), found, name, i)
+        for i, name in enumerate(sorted(NAMES))
+    }
 
 
 def test_members_find_each_other_and_hear_goodbye(peers, until, capsys):
     until(lambda: all(len(p.machine.here()) == 2 for p in peers.values()))
     peers["c"].close()
-    until(lambda: all(peers[n].machine.members["c"].claim.standing == Standing.LEFT for n in "ab"))
+    until(lambda: all(peers[n].machine.members["c"].claim.standing == MemberStatus.LEFT for n in "ab"))
     assert "member c left" in capsys.readouterr().err
     told = json.loads(peers["a"].status())
     assert [m["standing"] for m in told["members"]] == ["here", "here", "left"]
@@ -272,12 +279,12 @@
 
 def test_a_second_process_of_a_member_waits_until_the_first_has_left(peers, loop, until, capsys):
     until(lambda: all(len(p.machine.here()) == 2 for p in peers.values()))
-    new = Peers(loop, Log("new", loop.now), peers["c"].settings, "c", 9)
+    new = MembershipService(loop, Log("new", loop.now), peers["c"].settings, "c", 9)
     assert new.sock is None and "code=in-use" in capsys.readouterr().err
     assert json.loads(new.status())["members"][2]["standing"] == "out"
     peers["c"].close()
     until(lambda: new.sock is not None)
-    here = Standing.HERE
+    here = MemberStatus.HERE
     life = new.machine.own.life
     claims = [peers[n].machine.members["c"] for n in "ab"]
     until(lambda: all(m.claim.life == life and m.claim.standing == here for m in claims))
@@ -298,7 +305,7 @@
     monkeypatch.setattr(command, "ask", lambda address: json.loads(peers["a"].status()))
     good = CliRunner().invoke(command.group, ["status", "--at", "x"])
     assert good.exit_code == 0 and "as a holds it" in good.output
-    peers["a"].machine.take(Rumour("b", Claim(9, 9, Standing.GONE)))
+    peers["a"].machine.take(GossipEntry("b", MemberState(9, 9, MemberStatus.GONE)))
     bad = CliRunner().invoke(command.group, ["status", "--at", "x"])
     assert bad.exit_code == 1 and "gone" in bad.output
     raw = CliRunner().invoke(command.group, ["status", "--at", "x", "--json"])
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -40,7 +40,7 @@
 from marlseam.net.loop import READ as READ_MASK
 from marlseam.net.loop import READY
 from marlseam.net.protocol import BODY_MOST
-from marlseam.net.upstream import SECOND_MS, Order
+from marlseam.net.upstream import SECOND_MS, AttemptOrder
 
 peers, settle, stand, turn = (
     test_endings.peers,
@@ -100,7 +100,7 @@
         for name, peer in self.upstream.items():
             until = self.node.loop.now() + 1000.0
             for attempt_index in range(2):
-                self.node.upstream.send(Order("0", attempt_index, name, JOB, until, until))
+                self.node.upstream.send(AttemptOrder("0", attempt_index, name, JOB, until, until))
             self.turn(lambda peer=peer: peer.accept() and len(peer.held) == 2)
             for sock in peer.held:
                 sock.sendall(ANSWER.replace(b'"e1"', b'"%b"' % name.encode()))
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -9,7 +9,16 @@
 
 from marlseam.cluster.checking import quota_schedules
 from marlseam.cluster.checking.explore_leasing import Rules, explore, wander
-from marlseam.cluster.quota.leasing import DRIFT, Borrow, Give, Got, Held, Lend, Lending, Lent
+from marlseam.cluster.quota.leasing import (
+    DRIFT,
+    GrantedLease,
+    HeldLease,
+    LeaseGrant,
+    LeaseRequest,
+    LeaseReturn,
+    QuotaLeasing,
+    QuotaState,
+)
 
 
 def test_no_interleaving_of_few_steps_goes_over():
@@ -87,7 +96,7 @@
             return super().lends(held, now, sender, lend)
         got = tuple(g for g in held.got if g.loan != lend.loan)
         until = asked.at_ms + self.borrowed_ms()
-        return held._replace(got=(*got, Got(sender, lend.loan, lend.amount, until)), asked=()), None
+        return held._replace(got=(*got, HeldLease(sender, lend.loan, lend.amount, until)), asked=()), None
 
 
 class AnyLoan(Rules):
@@ -153,8 +162,8 @@
 @given(STEPS, st.tuples(*[st.floats(1.0 - DRIFT, 1.0 + DRIFT)] * 3))
 def test_clocks_within_the_drift_never_bring_the_sum_over(steps, rates):
     # Loans of any size among three members with parts of 4, 2 and 0; letters late, lost and twice.
-    rules, real, lives = Lending(1000.0), 0.0, 3
-    held = [Held(own, i) for i, own in enumerate((4.0, 2.0, 0.0))]
+    rules, real, lives = QuotaLeasing(1000.0), 0.0, 3
+    held = [QuotaState(own, i) for i, own in enumerate((4.0, 2.0, 0.0))]
     disks = [(), (), ()]
     said = []
 
@@ -187,10 +196,10 @@
             held[i] = held[i]._replace(used=rules.usable(held[i], now(i)) * n / 30.0)
         elif what == "hear" and said:
             by, to, message = said[n % len(said)]
-            if type(message) is Borrow:
+            if type(message) is LeaseRequest:
                 held[to], lend = rules.borrows(held[to], now(to), by, message)
                 said += [(str(to), int(by), lend)] if lend else []
-            elif type(message) is Lend:
+            elif type(message) is LeaseGrant:
                 held[to], give = rules.lends(held[to], now(to), by, message)
                 said += [(str(to), int(by), give)] if give else []
             else:
@@ -208,14 +217,14 @@
 
 def test_one_rich_member_gets_what_the_others_do_not_use_in_a_few_periods():
     # Fixed parts would leave it at one of the five that it wants.
-    world = quota_schedules.Skew(7, 1, [], 70.0, quota_schedules.one_rich(70.0, 7, "n3", 5.0))
+    world = quota_schedules.QuotaSimulation(7, 1, [], 70.0, quota_schedules.one_rich(70.0, 7, "n3", 5.0))
     world.run(6000.0)
     at, used, wanted = world.samples[-1]
     assert used >= 0.95 * wanted == 0.95 * 56.0 and at < 6001.0 and world.most <= 70.0 + 1e-9
 
 
 def test_cut_off_a_member_keeps_its_own_part_and_no_more():
-    world = quota_schedules.Skew(7, 1, [], 70.0, quota_schedules.one_rich(70.0, 7, "n3", 5.0))
+    world = quota_schedules.QuotaSimulation(7, 1, [], 70.0, quota_schedules.one_rich(70.0, 7, "n3", 5.0))
     world.run(6000.0)
     world.cuts += [("n3", "", 1e9), ("", "n3", 1e9)]
     world.run(6000.0 + 2.0 * quota_schedules.LEASE_PERIODS * 1000.0)
@@ -226,13 +235,15 @@
 @pytest.mark.parametrize(
     "machine",
     [
-        type("Early", (Lending,), {"lent_ms": lambda self: 0.5 * self.lease_ms}),
-        type("Late", (Lending,), {"borrowed_ms": lambda self: 2.0 * self.lease_ms}),
+        type("Early", (QuotaLeasing,), {"lent_ms": lambda self: 0.5 * self.lease_ms}),
+        type("Late", (QuotaLeasing,), {"borrowed_ms": lambda self: 2.0 * self.lease_ms}),
     ],
 )
 def test_a_lease_that_is_wrong_on_one_side_brings_the_sum_over(machine):
     # A borrower that is cut off: its lender takes the room back by its own lease.
-    world = quota_schedules.Skew(7, 1, [], 70.0, quota_schedules.one_rich(70.0, 7, "n3", 5.0), rules=machine)
+    world = quota_schedules.QuotaSimulation(
+        7, 1, [], 70.0, quota_schedules.one_rich(70.0, 7, "n3", 5.0), rules=machine
+    )
     world.run(6000.0)
     world.cuts += [("n3", "", 1e9), ("", "n3", 1e9)]
     world.run(40000.0)
@@ -240,28 +251,33 @@
 
 
 def test_nothing_is_lent_below_the_least_or_beyond_a_share_of_what_is_free():
-    rules = Lending(1000.0, least=1.0)
-    held, lend = rules.borrows(Held(10.0, 1, used=4.0), 0.0, "b", Borrow((2, 1), 9.0))
+    rules = QuotaLeasing(1000.0, least=1.0)
+    held, lend = rules.borrows(QuotaState(10.0, 1, used=4.0), 0.0, "b", LeaseRequest((2, 1), 9.0))
     assert lend is None and held.unsaid[0][1].amount == 3.0
     held, lends = rules.durable(held, 5.0)
-    assert held.lent == (Lent((1, 1), "b", 3.0, 5.0 + rules.lent_ms(), (2, 1)),) and lends[0][0] == "b"
-    assert rules.borrows(held, 6.0, "b", Borrow((2, 1), 9.0)) == (held, lends[0][1])  # asked twice: one loan
-    _, lend = rules.borrows(Held(1.0, 1), 0.0, "b", Borrow((2, 1), 9.0))
+    assert (
+        held.lent == (GrantedLease((1, 1), "b", 3.0, 5.0 + rules.lent_ms(), (2, 1)),) and lends[0][0] == "b"
+    )
+    assert rules.borrows(held, 6.0, "b", LeaseRequest((2, 1), 9.0)) == (
+        held,
+        lends[0][1],
+    )  # asked twice: one loan
+    _, lend = rules.borrows(QuotaState(1.0, 1), 0.0, "b", LeaseRequest((2, 1), 9.0))
     assert lend.amount == 0.0
 
 
 def test_a_loan_in_use_is_not_given_back_and_one_that_came_too_late_is_at_once():
-    rules = Lending(1000.0)
-    got = Got("a", (1, 1), 2.0, 500.0)
-    held, give = rules.give(Held(1.0, 2, used=2.0, got=(got,)), 0.0, got)
+    rules = QuotaLeasing(1000.0)
+    got = HeldLease("a", (1, 1), 2.0, 500.0)
+    held, give = rules.give(QuotaState(1.0, 2, used=2.0, got=(got,)), 0.0, got)
     assert give is None and held.got == (got,)
-    held, borrow = rules.ask(Held(0.0, 2), 0.0, "a", 1.0)
-    held, give = rules.lends(held, 2000.0, "a", Lend(borrow.seq, (1, 9), 1.0))
-    assert give == Give((1, 9)) and not held.got
+    held, borrow = rules.ask(QuotaState(0.0, 2), 0.0, "a", 1.0)
+    held, give = rules.lends(held, 2000.0, "a", LeaseGrant(borrow.seq, (1, 9), 1.0))
+    assert give == LeaseReturn((1, 9)) and not held.got
 
 
 def test_a_smaller_part_holds_at_once_and_a_larger_one_once_all_act_on_it():
-    rules = Lending(1000.0)
-    held = Held(4.0, 1)
+    rules = QuotaLeasing(1000.0)
+    held = QuotaState(4.0, 1)
     assert rules.changed(held, 6.0, False).own == 4.0 and rules.changed(held, 6.0, True).own == 6.0
     assert rules.changed(held, 1.0, False).own == 1.0
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -25,11 +25,11 @@
 from marlseam.net import upstream as executors_module
 from marlseam.net.buffer import Buffer
 from marlseam.net.connection import Ended, connect
-from marlseam.net.downstream import Pending, Room
+from marlseam.net.downstream import AdmissionLimits, PendingRequest
 from marlseam.net.log import BURST, Log, Reason
 from marlseam.net.loop import END, LATE, READ, WOKEN, Cancelled
 from marlseam.net.protocol import Job, Malformed
-from marlseam.net.upstream import Order
+from marlseam.net.upstream import AttemptOrder
 
 JOB = Job("9b", "/statement", "k", b"abc", 0, "statement", 5000.0, 1.0)
 REQUEST = (
@@ -41,7 +41,7 @@
 def sent(parts, **limits):
     """Send one attempt and return the outcomes told."""
     now = parts.loop.now()
-    parts.send(Order("1", 0, "e1", JOB, now + limits.get("until", 1000.0), now + 1000.0))
+    parts.send(AttemptOrder("1", 0, "e1", JOB, now + limits.get("until", 1000.0), now + 1000.0))
     return outcomes(parts)
 
 
@@ -330,7 +330,7 @@
     parts = upstream(*filter(None, [begun]), silent=True)
     parts.take_ms = parts.gap_ms = 5.0
     now = parts.loop.now()
-    parts.send(Order("1", 0, "e1", replace(JOB, exclusive=exclusive), now + 90000.0, now + 90000.0))
+    parts.send(AttemptOrder("1", 0, "e1", replace(JOB, exclusive=exclusive), now + 90000.0, now + 90000.0))
     parts.loop.at(now + 51.0, lambda: None)
     until(lambda: parts.loop.now() > now + 50.0)
     assert outcomes(parts) == ([outcome] if outcome else [])
@@ -600,7 +600,7 @@
     silent, half = client(b""), client(REQUEST[:60])
     while len(node.downstream.open) < 3:
         node.loop.turn()
-    node.downstream.room = Room(3, 1e9)
+    node.downstream.room = AdmissionLimits(3, 1e9)
     for left in (half, usual):
         client(REQUEST[:60])
         while "crowded" not in reasons(capsys):
@@ -614,7 +614,7 @@
     slow = client(REQUEST.replace(b"Length: 3", b"Length: 900"))
     while not node.downstream.held:
         node.loop.turn()
-    node.downstream.room = Room(9, 901.0)
+    node.downstream.room = AdmissionLimits(9, 901.0)
     client(REQUEST)
     while not node.pending:
         node.loop.turn()
@@ -624,7 +624,7 @@
 
 
 def test_a_body_waits_for_room_that_taken_work_has(node, client, reply):
-    node.downstream.room = Room(9, 3.0)
+    node.downstream.room = AdmissionLimits(9, 3.0)
     client(REQUEST)
     while not node.pending:
         node.loop.turn()
@@ -708,7 +708,7 @@
 
 
 def test_an_answer_given_before_the_wait_is_not_lost(node):
-    pending = Pending(JOB, 0.0)
+    pending = PendingRequest(JOB, 0.0)
     pending.give(200, [], b"r")
     assert pending.answer == (200, [], b"r")
 
@@ -717,7 +717,7 @@
     first = client(b"")
     while not node.downstream.idle:
         node.loop.turn()
-    node.downstream.room = Room(1, 1e9)
+    node.downstream.room = AdmissionLimits(1, 1e9)
     client(b"")
     while "crowded" not in reasons(capsys):
         node.loop.turn()
@@ -728,7 +728,7 @@
     client(REQUEST)
     while not node.pending:
         node.loop.turn()
-    node.downstream.room = Room(1, 1e9)
+    node.downstream.room = AdmissionLimits(1, 1e9)
     second = client(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
     node.answer("1", 200, [("Connection", "close")], b"")
     assert reply(second).startswith(b"HTTP/1.1 200 ")
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,11 +12,11 @@
 from marlseam.core.idempotency import AttemptRecord, IdempotencyRecords
 from marlseam.decisions.types import EndpointState, ListUpdateKind, Outcome, Request
 from marlseam.recovery import saved_list
-from marlseam.recovery.saved_list import LIFE_MS, Saved, Turnover
+from marlseam.recovery.saved_list import LIFE_MS, SavedList, Turnover
 
 
 def saved(version, rows=("r",), heard=0.0):
-    return Saved(version, list(rows), heard)
+    return SavedList(version, list(rows), heard)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -40,7 +40,7 @@
 from marlseam.net.connection import Ended
 from marlseam.net.downstream import NEW_MS, WRITE_MS
 from marlseam.net.loop import LATE, READY
-from marlseam.net.upstream import SECOND_MS, Order
+from marlseam.net.upstream import SECOND_MS, AttemptOrder
 
 peers, settle, stand, turn = (
     test_endings.peers,
@@ -170,12 +170,12 @@
     told = []
     node.upstream.post = told.append
     until = node.loop.now() + 5000.0
-    node.upstream.send(Order("1", 0, "e1", JOB, until, until))
+    node.upstream.send(AttemptOrder("1", 0, "e1", JOB, until, until))
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(ANSWER)
     turn(lambda: node.upstream.peers["e1"].idle)
     told.clear()
-    node.upstream.send(Order("2", 0, "e1", job, until, until))  # in the turn in which the first ends
+    node.upstream.send(AttemptOrder("2", 0, "e1", job, until, until))  # in the turn in which the first ends
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(second.replace(b"9b", b"9a"))
     turn(lambda: told)
@@ -191,13 +191,13 @@
     node.upstream.post = told.append
     until = node.loop.now() + 5000.0
     if wait_ms:
-        node.upstream.send(Order("1", 0, "e1", JOB, until, until))
+        node.upstream.send(AttemptOrder("1", 0, "e1", JOB, until, until))
         turn(lambda: b"abc" in executor.read())
         executor.held[0].sendall(ANSWER)
         turn(lambda: node.upstream.peers["e1"].idle)
         lead(wait_ms)
         told.clear()
-    node.upstream.send(Order("2", 0, "e1", replace(JOB, exclusive=True, once=True), until, until))
+    node.upstream.send(AttemptOrder("2", 0, "e1", replace(JOB, exclusive=True, once=True), until, until))
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(NEVER)
     turn(lambda: told)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -21,13 +21,13 @@
 from marlseam.net.log import Log
 from marlseam.net.node import Node
 from marlseam.store import file_format as form
-from marlseam.store.file_format import Heard, Listed, NeverRan, Sent, Turned
-from marlseam.store.node_state import State
-from marlseam.store.state_directory import Disk, Era, Folder, first_life, lock
-from marlseam.store.state_store import Keeper
+from marlseam.store.file_format import AttemptNeverRan, AttemptSent, ListConfirmed, ListStored, TurnoverNoted
+from marlseam.store.node_state import NodeState
+from marlseam.store.state_directory import ClockEra, Disk, StateDirectory, first_life, lock
+from marlseam.store.state_store import StateStore
 
 NOW = 1_000_000.0
-ERA = Era("this boot", 500_000.0)
+ERA = ClockEra("this boot", 500_000.0)
 
 
 class Crashed(Exception):
@@ -117,7 +117,7 @@
 
 
 def sent(key, at=1.0, executor="e", until=NOW * 2):
-    return Sent(key, executor, "z", 3, at, until)
+    return AttemptSent(key, executor, "z", 3, at, until)
 
 
 def head(kind="snapshot", version=form.VERSION, node="n", number=1):
@@ -125,17 +125,17 @@
 
 
 def loaded(disk, node="n"):
-    folder = Folder(disk, node, ERA)
+    folder = StateDirectory(disk, node, ERA)
     return folder.load(NOW), folder
 
 
 KEYS = st.sampled_from("abcde")
 ENTRIES = st.one_of(
     st.builds(sent, KEYS, st.integers(1, 5).map(float)),
-    st.builds(lambda key, at: NeverRan(key, "e", float(at)), KEYS, st.integers(1, 5)),
-    st.builds(lambda v: Listed(v, [{"host": f"h{v}"}], float(v)), st.integers(1, 9)),
-    st.builds(lambda t: Heard(float(t)), st.integers(10, 20)),
-    st.builds(lambda d: Turned(float(d), 1.0), st.integers(0, 5)),
+    st.builds(lambda key, at: AttemptNeverRan(key, "e", float(at)), KEYS, st.integers(1, 5)),
+    st.builds(lambda v: ListStored(v, [{"host": f"h{v}"}], float(v)), st.integers(1, 9)),
+    st.builds(lambda t: ListConfirmed(float(t)), st.integers(10, 20)),
+    st.builds(lambda d: TurnoverNoted(float(d), 1.0), st.integers(0, 5)),
 )
 STEPS = st.lists(st.one_of(ENTRIES, st.just("snapshot")), max_size=25)
 
@@ -145,7 +145,7 @@
 
     Return the states that may be found after a crash: the durable one and all later.
     """
-    folder, model = Folder(disk, "n", ERA), State()
+    folder, model = StateDirectory(disk, "n", ERA), NodeState()
     states = [model.entries()]
     folder.snapshot(frames(*model.entries()), NOW)
     try:
@@ -170,7 +170,7 @@
 @given(STEPS, st.integers(0, 2500), st.booleans())
 def test_a_crash_at_any_byte_leaves_the_durable_state_or_the_next(steps, more, torn):
     empty = FaultyDisk()
-    Folder(empty, "n", ERA).snapshot(frames(*State().entries()), NOW)
+    StateDirectory(empty, "n", ERA).snapshot(frames(*NodeState().entries()), NOW)
     disk = FaultyDisk(10**9 - empty.budget + more)
     states = play(steps, disk)
     state, _ = loaded(disk.after_crash(torn))
@@ -178,11 +178,17 @@
 
 
 def test_every_single_byte_of_a_snapshot_and_an_append_is_a_safe_place_to_crash():
-    steps = [sent("a"), "snapshot", sent("b"), NeverRan("a", "e", 1.0), Listed(3, [{"host": "h"}], 5.0)]
+    steps = [
+        sent("a"),
+        "snapshot",
+        sent("b"),
+        AttemptNeverRan("a", "e", 1.0),
+        ListStored(3, [{"host": "h"}], 5.0),
+    ]
     whole = FaultyDisk()
     play(steps, whole)
     empty = FaultyDisk()
-    Folder(empty, "n", ERA).snapshot(frames(*State().entries()), NOW)
+    StateDirectory(empty, "n", ERA).snapshot(frames(*NodeState().entries()), NOW)
     for budget in range(10**9 - empty.budget, 10**9 - whole.budget + 1):
         for torn in (True, False):
             disk = FaultyDisk(budget)
@@ -213,7 +219,7 @@
 
 def test_files_are_compacted_and_the_last_good_snapshot_is_kept():
     disk = FaultyDisk()
-    folder = Folder(disk, "n", ERA)
+    folder = StateDirectory(disk, "n", ERA)
     for i in range(6):
         folder.snapshot(frames(sent(f"k{i}")), NOW)
     assert len(folder.files("snapshot")) == 2 and len(folder.files("journal")) == 2
@@ -249,12 +255,12 @@
 
 def test_a_clock_that_was_set_back_is_told():
     disk = FaultyDisk()
-    Folder(disk, "n", ERA).snapshot(frames(), NOW + 3600e3)
+    StateDirectory(disk, "n", ERA).snapshot(frames(), NOW + 3600e3)
     assert [finding.code for finding in loaded(disk)[1].findings] == ["clock"]
 
 
 def test_keys_die_with_their_pods_memory():
-    state = State()
+    state = NodeState()
     state.apply(sent("a", until=5.0))
     state.apply(sent("b", until=9.0))
     list(state.expire(6.0))
@@ -272,7 +278,7 @@
     for cut in range(1, len(form.frame(sent("b", 2.0)))):
         state = ended(lambda data, cut=cut: data[:-cut])
         assert state.lost_ms is None and set(state.sent) == {"a"}
-    zeros = form.frame(Turned(0.0, 1.0))  # holds eight zero bytes
+    zeros = form.frame(TurnoverNoted(0.0, 1.0))  # holds eight zero bytes
     assert ended(lambda data: data + zeros[:-1]).lost_ms is None
     assert ended(lambda data: data + bytes(4096)).lost_ms is not None
     assert ended(lambda data: data[:-1] + b"x").lost_ms is not None
@@ -292,7 +298,7 @@
 def test_a_first_life_is_told_from_a_folder_that_lost_all(tmp_path):
     assert loaded(FaultyDisk())[0].lost_ms == NOW
     first_life(tmp_path / "new", "n")
-    state = Folder(Disk(tmp_path / "new"), "n").load(time.time() * 1000.0)
+    state = StateDirectory(Disk(tmp_path / "new"), "n").load(time.time() * 1000.0)
     assert state.lost_ms is None and not state.sent
     with pytest.raises(FileExistsError):
         first_life(tmp_path / "new", "n")
@@ -303,21 +309,21 @@
     disk = FaultyDisk()
     play([sent("a", NOW - 500.0, until=NOW + 500.0)], disk)
     # The same start of the machine: a second later its clock says an hour more, or less.
-    later = Folder(disk, "n", Era(ERA.boot, ERA.zero_ms + step))
+    later = StateDirectory(disk, "n", ClockEra(ERA.boot, ERA.zero_ms + step))
     (row,) = later.load(NOW + 400.0 + step).sent["a"]
     assert (row.sent_ms, row.until_ms) == (NOW - 500.0 + step, NOW + 500.0 + step)
     assert "a" not in later.load(NOW + 600.0 + step).sent
     # Another start: how long ago it was is not known, so the pod is not relied on, nor the key let go.
-    (row,) = Folder(disk, "n", Era("another boot", 0.0)).load(NOW + step).sent["a"]
+    (row,) = StateDirectory(disk, "n", ClockEra("another boot", 0.0)).load(NOW + step).sent["a"]
     assert row.sent_ms == 0.0 and row.until_ms >= NOW + step + 1000.0
 
 
 def test_what_was_only_written_is_lost_with_the_machine():
     disk = FaultyDisk()
     play([sent("a")], disk)
-    assert Folder(disk, "n", ERA, machine=False).load(NOW).lost_ms is None
-    assert Folder(disk, "n", Era("another boot", 0.0), machine=False).load(NOW).lost_ms == NOW
-    assert Folder(disk, "n", Era("another boot", 0.0)).load(NOW).lost_ms is None
+    assert StateDirectory(disk, "n", ERA, machine=False).load(NOW).lost_ms is None
+    assert StateDirectory(disk, "n", ClockEra("another boot", 0.0), machine=False).load(NOW).lost_ms == NOW
+    assert StateDirectory(disk, "n", ClockEra("another boot", 0.0)).load(NOW).lost_ms is None
 
 
 # The node's side, with a real helper on a real folder.
@@ -337,7 +343,7 @@
             return
             yield
 
-        keeper = Keeper(loop, Log("n", loop.now), StoreSettings(str(path), **values), "n", take_in)
+        keeper = StateStore(loop, Log("n", loop.now), StoreSettings(str(path), **values), "n", take_in)
         keeper.taken = []
         made.append(keeper)
         return keeper
@@ -364,12 +370,12 @@
 
 
 def on_disk(part):
-    return set(Folder(Disk(part.path), None).load(0.0).sent)
+    return set(StateDirectory(Disk(part.path), None).load(0.0).sent)
 
 
 def test_what_is_durable_is_there_after_the_process_is_killed(keeper, until, waits):
     first = keeper()
-    assert first.load().entries() == State().entries()
+    assert first.load().entries() == NodeState().entries()
     first.begin()
     seen = waits(first, "a", [])
     until(lambda: seen)
@@ -380,7 +386,7 @@
 
 def test_entries_of_a_nodes_first_moments_go_behind_what_was_there(keeper, until):
     first = keeper()
-    folder = Folder(Disk(first.path), "n")
+    folder = StateDirectory(Disk(first.path), "n")
     folder.number = 1
     folder.snapshot(form.frames([sent("old", until=time.time() * 2000.0)]), 0.0)
     folder.close()
@@ -430,7 +436,7 @@
     first.process.send_signal(signal.SIGCONT)
     assert first.process.wait(20.0) == 0
     # None of that was said to be kept, so nothing of it went out, and no sync was spent on it.
-    folder = Folder(Disk(first.path), "n")
+    folder = StateDirectory(Disk(first.path), "n")
     assert folder.files("snapshot") == [1, 2] and folder.load(0.0).lost_ms is None
 
 
@@ -507,7 +513,7 @@
 def test_a_long_reading_gives_way_in_every_turn(keeper, loop, until, monkeypatch):
     monkeypatch.setattr("marlseam.store.state_store.PIECE_MS", 0.0)
     part = keeper()
-    folder, far = Folder(Disk(part.path), "n"), time.time() * 2000.0
+    folder, far = StateDirectory(Disk(part.path), "n"), time.time() * 2000.0
     folder.number = 1
     folder.snapshot(form.frames([sent(f"k{i}", until=far) for i in range(10 * form.BATCH)]), 0.0)
     folder.close()
@@ -527,7 +533,7 @@
     from marlseam.store.state_directory import code_of
 
     disk = FaultyDisk()
-    folder = Folder(disk, "n")
+    folder = StateDirectory(disk, "n")
     folder.snapshot(frames(), NOW)
     disk.error = number
     with pytest.raises(OSError) as error:
@@ -590,7 +596,7 @@
     with socket.socket() as free:
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
-    monkeypatch.setattr(Keeper, "load", load)
+    monkeypatch.setattr(StateStore, "load", load)
     # The old code let them in before, and counted their time from when it was done with its memory.
     node = live(f"127.0.0.1:{port}")
     assert seen == [errno.ECONNREFUSED] and node.ready()
@@ -617,7 +623,7 @@
         os.close(other.memory.keeper.lock)
         other.memory.keeper.lock = None
     else:
-        folder = Folder(Disk(path), "node")
+        folder = StateDirectory(Disk(path), "node")
         folder.number = 1
         folder.snapshot(form.frames([sent("old", far - 1000.0, "gone", far)]), 0.0)
         folder.close()
@@ -664,9 +670,9 @@
 
 
 def test_staff_see_what_a_folder_holds(tmp_path):
-    folder = Folder(Disk(tmp_path), "n")
+    folder = StateDirectory(Disk(tmp_path), "n")
     now = time.time() * 1000.0
-    folder.snapshot(frames(Listed(4, [{"host": "h"}], now), sent("a", until=now + 9e5)), now)
+    folder.snapshot(frames(ListStored(4, [{"host": "h"}], now), sent("a", until=now + 9e5)), now)
     folder.close()
 
     def run(command):
--- a/tests/test_stored_by_earlier_programs.py
+++ b/tests/test_stored_by_earlier_programs.py
@@ -8,14 +8,16 @@
 
 import msgspec
 import pytest
+from click.testing import CliRunner
 
+from marlseam.cli.state import group
 from marlseam.cluster.audit_log import added_up
 from marlseam.simhost.__main__ import main
-from marlseam.store.ledger_writer import Ledger
-from marlseam.store.state_directory import Disk, Era, Folder
+from marlseam.store.ledger_writer import LedgerWriter
+from marlseam.store.state_directory import ClockEra, Disk, StateDirectory
 
 DATA = Path(__file__).parent / "data"
-ERA = Era("a-start-of-the-machine", 1.0e12)
+ERA = ClockEra("a-start-of-the-machine", 1.0e12)
 NOW_MS = 1.0e12 + 1.0e7 + 100.0
 
 
@@ -32,7 +34,7 @@
 @pytest.fixture
 def state():
     """Return the state that a folder of 53bfa1a holds, read with nothing found amiss."""
-    folder = Folder(Disk(DATA / "state"), "n1", ERA)
+    folder = StateDirectory(Disk(DATA / "state"), "n1", ERA)
     found = folder.load(NOW_MS)
     assert not folder.findings and not folder.unusable
     return found
@@ -41,7 +43,7 @@
 @pytest.fixture
 def ledger_files():
     """Return the files of a ledger of 53bfa1a, read with nothing found amiss."""
-    ledger = Ledger(Disk(DATA / "ledger"), "n1", ERA)
+    ledger = LedgerWriter(Disk(DATA / "ledger"), "n1", ERA)
     files = ledger.files()
     assert not ledger.findings
     return files
@@ -83,3 +85,13 @@
 def numbers_of_print(line):
     """Return a line of the simulator's, of one for staff its numbers alone."""
     return " ".join(["print", *re.findall(r"\d+(?:\.\d+)?", line)]) if line.startswith("print ") else line
+
+
+def test_a_state_is_exported_under_the_same_names():
+    result = CliRunner().invoke(group, ["export", str(DATA / "state")])
+    rows = [json.loads(line) for line in result.output.splitlines()]
+    kept = [json.loads(line) for line in (DATA / "state-export.txt").read_text().splitlines()]
+    # Times are shown as unknown where the machine has been started anew since.
+    assert [list(row.items())[:1] + [list(row)] for row in rows] == [
+        list(row.items())[:1] + [list(row)] for row in kept
+    ]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -21,10 +21,10 @@
 from marlseam.core.idempotency import AttemptRecord
 from marlseam.decisions.types import EndpointState
 from marlseam.net import process_handover as handover_module
-from marlseam.net.downstream import Room
+from marlseam.net.downstream import AdmissionLimits
 from marlseam.net.node import Node
 from marlseam.recovery import handover_codec as form
-from marlseam.recovery.handover_codec import Never, Sent
+from marlseam.recovery.handover_codec import AttemptNeverRan, AttemptSent
 
 READY = b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"
 HOSTS = [
@@ -202,7 +202,7 @@
 
 
 def sending(key="k", executor="e1", cell=0):
-    return Sent(key, executor, "here", cell, now_ms(), now_ms() + 30000.0)
+    return AttemptSent(key, executor, "here", cell, now_ms(), now_ms() + 30000.0)
 
 
 WHOLE = form.line({"whole": True})
@@ -264,7 +264,7 @@
     here = node_epoch_ms() + step_ms
     told = {"marlseam": 1, "node": "node", "process": 1, "epoch": here}
     began = now_ms() + step_ms
-    row = Sent("k", "gone", "here", 5, began, began + 4000.0)
+    row = AttemptSent("k", "gone", "here", 5, began, began + 4000.0)
     hosts = [*HOSTS, HOSTS[0] | {"host": "e5", "block": 5}]
     talk = old(form.line(told), *form.snapshot(2, hosts, [row]))
     node = made(settings=PAYMENTS)
@@ -285,7 +285,9 @@
 def test_a_sending_that_never_ran_is_taken_off_the_record(made, old):
     row = sending()
     talk = old(
-        hello(), *form.snapshot(2, HOSTS, [row]), form.never(Never(row.key, row.executor, row.sent_ms))
+        hello(),
+        *form.snapshot(2, HOSTS, [row]),
+        form.never(AttemptNeverRan(row.key, row.executor, row.sent_ms)),
     )
     node = made()
     talk()
@@ -461,14 +463,14 @@
     )
     later = caller(tmp_path)
     rows = [item for raw in told(node, later, b'"whole"') for item in form.read(raw)]
-    assert [type(row).__name__ for row in rows] == ["Hello", "Listed", "Sent", "Whole"]
+    assert [type(row).__name__ for row in rows] == ["Hello", "ListPart", "AttemptSent", "SnapshotEnd"]
     node.remember(
         core.PersistAttempt("9", "k9", AttemptRecord("e1", 0, 4, node.loop.now(), node.loop.now() + 1.0))
     )
     (row,) = form.read(told(node, later, b"k9")[-1])
     assert (row.key, row.executor, row.zone, row.cell) == ("k9", "e1", "here", 4)
     node.remember(core.ErasePersisted("k9", "e1", node.loop.now()))
-    assert type(form.read(told(node, later, b"never")[-1])[0]) is Never
+    assert type(form.read(told(node, later, b"never")[-1])[0]) is AttemptNeverRan
     later.close()
 
 
@@ -545,7 +547,7 @@
     node = made()
     socks = [socket.create_connection(held.getsockname()) for _ in range(4)]
     turn(node, lambda: len(node.downstream.idle) == 4)
-    node.downstream.configure(node.config.deployment, Room(2, 1e9))
+    node.downstream.configure(node.config.deployment, AdmissionLimits(2, 1e9))
     assert len(node.downstream.idle) == 2
     for sock in socks:
         sock.close()
@@ -568,7 +570,7 @@
 @given(
     st.lists(
         st.builds(
-            Sent,
+            AttemptSent,
             st.text(min_size=1, max_size=9),
             st.text(min_size=1, max_size=9),
             st.text(max_size=9),
@@ -581,14 +583,14 @@
 )
 def test_sendings_come_back_as_they_were_told(rows):
     raws = list(form.snapshot(1, [], rows))
-    assert [item for raw in raws for item in form.read(raw)] == [*rows, form.Whole()]
+    assert [item for raw in raws for item in form.read(raw)] == [*rows, form.SnapshotEnd()]
 
 
 @given(st.binary(max_size=300))
 def test_no_line_does_more_than_be_refused(raw):
     try:
         assert isinstance(form.read(raw), list)
-    except form.Odd as odd:
+    except form.InvalidLineError as odd:
         assert odd.code in ("odd", "version")
 
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -21,38 +21,59 @@
 from marlseam import random_source
 from marlseam.cli import fleet as command
 from marlseam.cluster import audit
-from marlseam.cluster.audit_log import Acting as Interval
 from marlseam.cluster.audit_log import (
-    Barred,
-    Begun,
-    Ended,
-    Handed,
-    Held,
-    Kept,
-    Life,
-    Mark,
-    Promises,
-    Written,
+    AcceptorPromise,
+    ActionCounts,
+    BatchWritten,
+    FirstLifeBegun,
+    OperatorOverride,
+    ProcessEnded,
+    ProcessStarted,
+    RecoveredLog,
+    VersionHeld,
+    VotesBarred,
     encode,
 )
+from marlseam.cluster.audit_log import IntervalBegun as Interval
 from marlseam.cluster.checking import replication_schedules
-from marlseam.cluster.checking.membership_schedules import Strike
-from marlseam.cluster.membership_codec import Claim, Letter, Odd
-from marlseam.cluster.membership_codec import Kind as LetterKind
+from marlseam.cluster.checking.membership_schedules import InjectedFault
+from marlseam.cluster.membership_codec import Datagram, InvalidMessageError, MemberState
+from marlseam.cluster.membership_codec import DatagramKind as LetterKind
 from marlseam.cluster.replication import messages
-from marlseam.cluster.replication.content import FORMAT, Content, Unfit, digest, meaning, read, write
-from marlseam.cluster.replication.messages import Kind, Note, Piece, Tell, Vote, Want
-from marlseam.cluster.replication.replica import Apply, Keep, Terms, To, Versions
+from marlseam.cluster.replication.content import (
+    FORMAT,
+    Content,
+    InvalidContentError,
+    digest,
+    meaning,
+    read,
+    write,
+)
+from marlseam.cluster.replication.messages import (
+    Chunk,
+    FetchRequest,
+    MessageKind,
+    ReplicationDatagram,
+    StatusResponse,
+    VoteMessage,
+)
+from marlseam.cluster.replication.replica import (
+    ApplyContent,
+    ConfigReplica,
+    Persist,
+    ReplicationSettings,
+    SendMessage,
+)
 from marlseam.configuration import ClusterSettings, ConfigError, load
 from marlseam.experiment.versions import up_after
-from marlseam.net.config_service import Acting, Port
+from marlseam.net.config_service import ConfigServicePort, ConfigVersionService
 from marlseam.net.log import Log
-from marlseam.net.membership_service import Peers
+from marlseam.net.membership_service import MembershipService
 from marlseam.net.node import Node
 from marlseam.store import file_format as form
 from marlseam.store import ledger_audit as ledgers
-from marlseam.store.ledger_writer import Ledger, first_life
-from marlseam.store.state_directory import Disk, Folder
+from marlseam.store.ledger_writer import LedgerWriter, first_life
+from marlseam.store.state_directory import Disk, StateDirectory
 
 NAMES = frozenset("abcdefg")
 LEASE = 15000.0
@@ -64,8 +85,8 @@
 
 
 def versions(name="a", kept=None, strict=True, voters="abc", **more):
-    terms = Terms(frozenset(voters), 1000.0, LEASE, strict, 10.0 * LEASE)
-    return Versions(name, NAMES, terms, f"{name}/1", 7, 0.0, kept or Kept(begun=True), **more)
+    terms = ReplicationSettings(frozenset(voters), 1000.0, LEASE, strict, 10.0 * LEASE)
+    return ConfigReplica(name, NAMES, terms, f"{name}/1", 7, 0.0, kept or RecoveredLog(begun=True), **more)
 
 
 def told(seq, **more):
@@ -80,7 +101,7 @@
         "votes": True,
         "age_ms": -1.0,
     } | more
-    return Tell(seq, **values)
+    return StatusResponse(seq, **values)
 
 
 def held(machine, some, now=0.0):
@@ -117,7 +138,7 @@
 
     monkeypatch.setattr(random_source, "number", crc32)
     monkeypatch.setattr(replication_schedules, "number", crc32)
-    monkeypatch.setattr(replication_schedules, "Draws", Draws)
+    monkeypatch.setattr(replication_schedules, "ScheduleDraws", Draws)
 
 
 @pytest.mark.parametrize(("seed", "mark"), [(1287, 3088115518), (2130, 3829650978)])
@@ -133,24 +154,24 @@
 
 
 def test_with_loss_all_still_come_to_act_on_the_newest():
-    world = replication_schedules.Trial(30, 5, [], loss=0.2)
+    world = replication_schedules.ReplicationSimulation(30, 5, [], loss=0.2)
     world.run(5000.0)
     world.publish("n7", 1)
     world.run(20000.0)
     assert world.alike() == [] and world.wrong == [] and len(world.by_number) == 1
 
 
-class SpeaksFirst(Versions):
+class SpeaksFirst(ConfigReplica):
     """Planted: a voter speaks before its disk has it."""
 
     def asked_to_vote(self, now, sender, vote):
         effects = super().asked_to_vote(now, sender, vote)
-        if effects and type(effects[-1]) is Keep:
+        if effects and type(effects[-1]) is Persist:
             effects += self.pending[effects[-1].token](now)
         return effects
 
 
-class FromTheAnswer(Versions):
+class FromTheAnswer(ConfigReplica):
     """Planted: a proof counts from when it came, not from when it was asked for."""
 
     def told(self, now, sender, say):
@@ -159,14 +180,14 @@
         return super().told(now, sender, say)
 
 
-class NoAge(Versions):
+class NoAge(ConfigReplica):
     """Planted: another's proof is taken for one of this moment."""
 
     def told(self, now, sender, say):
         return super().told(now, sender, msgspec.structs.replace(say, age_ms=min(say.age_ms, 0.0)))
 
 
-class OneProves(Versions):
+class OneProves(ConfigReplica):
     """Planted: one voter's word is a proof."""
 
     def weigh(self, round):
@@ -174,14 +195,14 @@
             self.proof_ms = max(self.proof_ms, round.at_ms)
 
 
-class AcceptedIsClear(Versions):
+class AcceptedIsClear(ConfigReplica):
     """Planted: a voter that has accepted something counts as clear."""
 
     def told(self, now, sender, say):
         return super().told(now, sender, msgspec.structs.replace(say, accepted=0))
 
 
-class FirstVoters(Versions):
+class FirstVoters(ConfigReplica):
     """Planted: the voters of the settings go on, whatever versions name."""
 
     def take(self, number, id):
@@ -190,29 +211,33 @@
         return effects
 
 
-class NoLease(Versions):
+class NoLease(ConfigReplica):
     """Planted: what was in force once is for ever."""
 
     def proved(self, now):
         return self.acting == self.number
 
 
-class NeverFinishes(Versions):
+class NeverFinishes(ConfigReplica):
     """Planted: what another left half done stays so."""
 
     def push_on(self, now):
         return super().push_on(now) if self.publication is not None else []
 
 
-class AsksOnce(Versions):
+class AsksOnce(ConfigReplica):
     """Planted: a content that did not come is not asked for again."""
 
     def tick(self, now):
-        return [e for e in super().tick(now) if type(getattr(e, "say", None)) is not Want]
+        return [e for e in super().tick(now) if type(getattr(e, "say", None)) is not FetchRequest]
 
 
-LATE = [Strike(f"n{i}", True, Kind.TELL, n, "hold", "", 14000.0) for i in range(7) for n in range(8, 30)]
-LATE.append(Strike("n5", True, Kind.ASK, 24, "cut", "", 40000.0))
+LATE = [
+    InjectedFault(f"n{i}", True, MessageKind.TELL, n, "hold", "", 14000.0)
+    for i in range(7)
+    for n in range(8, 30)
+]
+LATE.append(InjectedFault("n5", True, MessageKind.ASK, 24, "cut", "", 40000.0))
 
 
 @pytest.mark.parametrize(
@@ -250,18 +275,18 @@
     machine = versions("d")
     good = write(content())
     machine.told(0.0, "b", told(0, number=1, id=digest(good)))
-    effects = machine.piece(0.0, "b", Piece(digest(good), len(good), 0, b"x" * len(good)))
+    effects = machine.piece(0.0, "b", Chunk(digest(good), len(good), 0, b"x" * len(good)))
     assert "code=digest" in effects[0].text and machine.number == 0
-    effects = machine.piece(0.0, "b", Piece(digest(good), len(good), 0, good))
-    assert type(effects[0]) is Keep and machine.number == 0  # not before it is durable
-    assert type(machine.kept(1.0, effects[0].token)[0]) is Apply and machine.acting == 1
+    effects = machine.piece(0.0, "b", Chunk(digest(good), len(good), 0, good))
+    assert type(effects[0]) is Persist and machine.number == 0  # not before it is durable
+    assert type(machine.kept(1.0, effects[0].token)[0]) is ApplyContent and machine.acting == 1
 
 
 def test_a_voter_refuses_a_content_that_its_own_check_refuses_and_no_number_is_used_up():
     voter, operator = versions("b", check=lambda c: "aimUs: -1, expected a number"), versions("a")
     data = write(content())
     operator.publish(0.0, content(), data)
-    accept = Vote("accept", 1, 1, "a/1", value=digest(data))
+    accept = VoteMessage("accept", 1, 1, "a/1", value=digest(data))
     voter.contents[digest(data)] = data
     (refusal,) = [e.say for e in voter.asked_to_vote(0.0, "a", accept)]
     assert refusal.kind == "refused" and "aimUs" in refusal.why
@@ -321,21 +346,21 @@
     assert machine.hand is None
     machine.kept(0.0, keep.token)
     assert machine.stand(1.0).code == "hand"
-    kept = Kept()
-    for entry in (*keep.entries, Handed(True, "sick", 5.0)):
+    kept = RecoveredLog()
+    for entry in (*keep.entries, OperatorOverride(True, "sick", 5.0)):
         kept.take(entry)
     assert versions("d", kept).stand(0.0).code == "hand"
 
 
 def test_a_voter_without_its_memory_votes_only_past_what_it_may_have_promised():
-    machine = versions("a", Kept(bar=None))
-    assert not machine.votes(1) and machine.asked_to_vote(0.0, "b", Vote("prepare", 1, 1, "b/1")) == []
+    machine = versions("a", RecoveredLog(bar=None))
+    assert not machine.votes(1) and machine.asked_to_vote(0.0, "b", VoteMessage("prepare", 1, 1, "b/1")) == []
     assert not machine.tell(0.0, "b", 1)[0].say.votes
     machine.tick(0.0)
     machine.told(1.0, "b", told(1, top=4))
     assert machine.bar is None
     keep = machine.told(1.0, "c", told(1, top=3))[-1]
-    assert keep.entries == (Barred(5),)
+    assert keep.entries == (VotesBarred(5),)
     machine.kept(2.0, keep.token)
     assert machine.bar == 5 and not machine.votes(5) and machine.votes(6)
 
@@ -346,12 +371,12 @@
     data = write(content())
     operator.publish(0.0, content(), data)
     for name in "ab":
-        operator.answered(0.0, name, Vote("promise", 1, 1, "d/1"))
-    operator.answered(0.0, "c", Vote("refused", 1, 1, "d/1", 5, "z/1"))
+        operator.answered(0.0, name, VoteMessage("promise", 1, 1, "d/1"))
+    operator.answered(0.0, "c", VoteMessage("refused", 1, 1, "d/1", 5, "z/1"))
     operator.tick(1.0)
-    said = [e.say for e in operator.push_on(2.0) if type(e) is To]
-    assert not [vote for vote in said if type(vote) is Vote]
-    after = [e.say for e in operator.push_on(10000.0) if type(e) is To]
+    said = [e.say for e in operator.push_on(2.0) if type(e) is SendMessage]
+    assert not [vote for vote in said if type(vote) is VoteMessage]
+    after = [e.say for e in operator.push_on(10000.0) if type(e) is SendMessage]
     assert {(vote.kind, vote.round) for vote in after} == {("prepare", 6)}
 
 
@@ -362,9 +387,9 @@
     operator.publish(0.0, content(), data)
     for kind in ("promise", "accepted"):
         for name in "ab":
-            vote = Vote(kind, 1, 1, "d/1", value=digest(data) if kind == "accepted" else "")
+            vote = VoteMessage(kind, 1, 1, "d/1", value=digest(data) if kind == "accepted" else "")
             effects = operator.answered(0.0, name, vote)
-    keep = next(effect for effect in effects if type(effect) is Keep)
+    keep = next(effect for effect in effects if type(effect) is Persist)
     assert (
         operator.publication is None and operator.number == 0 and operator.result.startswith("version 1 is")
     )
@@ -399,11 +424,11 @@
 
 def test_a_repeat_is_answered_only_once_the_first_is_on_the_disk():
     machine = versions("b")
-    prepare = Vote("prepare", 1, 1, "a/1")
+    prepare = VoteMessage("prepare", 1, 1, "a/1")
     (keep,) = machine.asked_to_vote(0.0, "a", prepare)
     assert machine.asked_to_vote(0.0, "a", prepare) == []
-    assert [type(e) for e in machine.kept(1.0, keep.token)] == [To]
-    assert [type(e) for e in machine.asked_to_vote(1.0, "a", prepare)] == [To]
+    assert [type(e) for e in machine.kept(1.0, keep.token)] == [SendMessage]
+    assert [type(e) for e in machine.asked_to_vote(1.0, "a", prepare)] == [SendMessage]
 
 
 # What comes from the wire.
@@ -411,17 +436,17 @@
 
 @given(st.binary(max_size=400))
 def test_no_bytes_break_the_reader_of_notes(data):
-    with pytest.raises(Odd):
-        messages.read(messages.FIRST + data, "f", NAMES)
+    with pytest.raises(InvalidMessageError):
+        messages.read(messages.DATAGRAM_PREFIX + data, "f", NAMES)
 
 
 IDS = st.sampled_from([digest(b"%d" % i) for i in range(40)])
 NUMBERS = st.one_of(st.integers(0, 3), st.integers(0, 1 << 53))
 PLACES = st.sampled_from(["a/1", "b/1", ""])
 SAYS = st.one_of(
-    st.builds(messages.Ask, NUMBERS, NUMBERS),
+    st.builds(messages.StatusRequest, NUMBERS, NUMBERS),
     st.builds(
-        Tell,
+        StatusResponse,
         NUMBERS,
         NUMBERS,
         IDS,
@@ -434,10 +459,18 @@
         st.floats(-1.0, 1e9),
     ),
     st.builds(
-        Vote, st.sampled_from(messages.VOTES), NUMBERS, NUMBERS, PLACES, NUMBERS, PLACES, IDS, st.just("")
+        VoteMessage,
+        st.sampled_from(messages.VOTES),
+        NUMBERS,
+        NUMBERS,
+        PLACES,
+        NUMBERS,
+        PLACES,
+        IDS,
+        st.just(""),
     ),
-    st.builds(Want, IDS, st.integers(0, messages.CONTENT_MOST - 1)),
-    st.builds(Piece, IDS, st.just(2000), st.sampled_from([0, 1000]), st.just(b"x" * 1000)),
+    st.builds(FetchRequest, IDS, st.integers(0, messages.MAX_CONTENT_BYTES - 1)),
+    st.builds(Chunk, IDS, st.just(2000), st.sampled_from([0, 1000]), st.just(b"x" * 1000)),
 )
 
 
@@ -449,9 +482,9 @@
         now += 100.0
         effects = machine.heard(now, sender, say) + machine.tick(now)
         for effect in effects:
-            if type(effect) is Keep and durable:
+            if type(effect) is Persist and durable:
                 effects += machine.kept(now, effect.token)
-        assert not [e for e in effects if type(e) is Apply]  # no content of theirs is whole
+        assert not [e for e in effects if type(e) is ApplyContent]  # no content of theirs is whole
         machine.stand(now)
     assert len(machine.contents) <= 10 and len(machine.fetches) <= 3 and len(machine.accepts) <= 3
 
@@ -459,28 +492,28 @@
 def test_questions_about_contents_that_do_not_come_are_bounded():
     machine = versions("b")
     for i in range(40):
-        machine.heard(0.0, "a", Vote("accept", 1, i, "a/1", value=digest(b"%d" % i)))
+        machine.heard(0.0, "a", VoteMessage("accept", 1, i, "a/1", value=digest(b"%d" % i)))
     assert len(machine.accepts) == len(machine.fetches) == 3
 
 
 @pytest.mark.parametrize(
     ("say", "code"),
     [
-        (Want("x", 0), "bounds"),
-        (Want("0" * 64, -1), "bounds"),
-        (Piece("0" * 64, 5, 4, b"22"), "bounds"),
-        (Piece("0" * 64, 5, 5, b""), "bounds"),
+        (FetchRequest("x", 0), "bounds"),
+        (FetchRequest("0" * 64, -1), "bounds"),
+        (Chunk("0" * 64, 5, 4, b"22"), "bounds"),
+        (Chunk("0" * 64, 5, 5, b""), "bounds"),
         (told(-1), "bounds"),
         (told(1, code="c" * 65), "bounds"),
-        (Vote("vote", 1, 1, ""), "bounds"),
-        (Vote("accept", 1, 1, "", value="short"), "bounds"),
-        (Vote("prepare", 1, 1, "p" * 999), "bounds"),
+        (VoteMessage("vote", 1, 1, ""), "bounds"),
+        (VoteMessage("accept", 1, 1, "", value="short"), "bounds"),
+        (VoteMessage("prepare", 1, 1, "p" * 999), "bounds"),
         (told(1, age_ms=inf), "bounds"),
     ],
 )
 def test_what_is_out_of_bounds_is_no_note(say, code):
-    with pytest.raises(Odd) as odd:
-        messages.read(messages.write(Note(messages.VERSION, "f", "a", say)), "f", NAMES)
+    with pytest.raises(InvalidMessageError) as odd:
+        messages.read(messages.write(ReplicationDatagram(messages.VERSION, "f", "a", say)), "f", NAMES)
     assert odd.value.code == code
 
 
@@ -500,13 +533,13 @@
     ],
 )
 def test_a_content_that_cannot_be_used_says_why(change, what):
-    with pytest.raises(Unfit, match=what):
+    with pytest.raises(InvalidContentError, match=what):
         read(write(msgspec.structs.replace(content(), **change)), NAMES)
 
 
 # Ledgers.
 
-LIFE = Life(7, "0.1", "boot", 1000.0, 0.0, LEASE)
+LIFE = ProcessStarted(7, "0.1", "boot", 1000.0, 0.0, LEASE)
 
 
 def interval(number, at_ms, version=0, proved=True, life=7):
@@ -518,22 +551,27 @@
     """Return a ledger's folder with two files of a node's life."""
     path = tmp_path / "n"
     first_life(path, "n")
-    ledger = Ledger(Disk(path), "n")
+    ledger = LedgerWriter(Disk(path), "n")
     ledger.renew()
     ledger.append(
         [
             encode(e)
-            for e in (LIFE, interval(1, 1000.0), Promises(3, 2, "p", 1, "q", "v"), Handed(True, "w", 1.0))
+            for e in (
+                LIFE,
+                interval(1, 1000.0),
+                AcceptorPromise(3, 2, "p", 1, "q", "v"),
+                OperatorOverride(True, "w", 1.0),
+            )
         ],
         True,
     )
-    ledger.append([encode(Mark(7, [(1, 5, 4, 3, 2)], 1500.0, 500.0))], True)
+    ledger.append([encode(ActionCounts(7, [(1, 5, 4, 3, 2)], 1500.0, 500.0))], True)
     ledger.close()
     return path
 
 
 def loaded(path):
-    ledger = Ledger(Disk(path), "n")
+    ledger = LedgerWriter(Disk(path), "n")
     return ledger.load(), ledger
 
 
@@ -626,17 +664,19 @@
 
 
 def spans(*entries):
-    return audit.read({"n": [[Begun(0.0), LIFE, *entries]]}, error_ms=10.0)
+    return audit.read({"n": [[FirstLifeBegun(0.0), LIFE, *entries]]}, error_ms=10.0)
 
 
 def test_each_act_lies_in_one_interval_and_what_is_not_known_is_told():
     found = spans(
-        interval(1, 1000.0), interval(2, 2000.0), Mark(7, [(1, 3, 2, 1, 0), (2, 1, 1, 0, 0)], 2500.0, 0.0)
+        interval(1, 1000.0),
+        interval(2, 2000.0),
+        ActionCounts(7, [(1, 3, 2, 1, 0), (2, 1, 1, 0, 0)], 2500.0, 0.0),
     )
     rows = audit.rows(found)
     assert [(r["taken"], r["sent"], r["unknown_after"]) for r in rows] == [(3, 2, False), (1, 1, True)]
     assert found.lives["n"][0].unknown == (2500.0, inf) and not found.wrong
-    assert spans(interval(1, 1000.0), Ended(7, 3000.0, 0.0)).lives["n"][0].unknown is None
+    assert spans(interval(1, 1000.0), ProcessEnded(7, 3000.0, 0.0)).lives["n"][0].unknown is None
     assert audit.at(found, "n", 1500.0).acting.interval == 1 and audit.at(found, "n", 500.0) is None
 
 
@@ -645,26 +685,37 @@
     [
         ([interval(1, 1000.0), interval(3, 2000.0)], "intervals [2]"),
         (
-            [Written(900.0), Life(8, "0.1", "boot", 1e6, 0.0, LEASE), interval(2, 1e6, life=8)],
+            [
+                BatchWritten(900.0),
+                ProcessStarted(8, "0.1", "boot", 1e6, 0.0, LEASE),
+                interval(2, 1e6, life=8),
+            ],
             "intervals [1]",
         ),
-        ([interval(1, 1000.0), Mark(7, [(2, 1, 1, 1, 1)], 1500.0, 0.0)], "is missing"),
+        ([interval(1, 1000.0), ActionCounts(7, [(2, 1, 1, 1, 1)], 1500.0, 0.0)], "is missing"),
         ([interval(1, 1000.0), interval(1, 2000.0)], "two intervals 1"),
         (
-            [interval(1, 1000.0), Mark(7, [(1, 5, 5, 5, 5)], 1.0, 0.0), Mark(7, [(1, 4, 5, 5, 5)], 2.0, 0.0)],
+            [
+                interval(1, 1000.0),
+                ActionCounts(7, [(1, 5, 5, 5, 5)], 1.0, 0.0),
+                ActionCounts(7, [(1, 4, 5, 5, 5)], 2.0, 0.0),
+            ],
             "fewer acts",
         ),
-        ([Held(1, "x", 1.0), Held(1, "y", 1.0)], "2 contents"),
+        ([VersionHeld(1, "x", 1.0), VersionHeld(1, "y", 1.0)], "2 contents"),
         (
             [
                 interval(1, 1000.0),
-                Held(1, "x", 2000.0),
-                Mark(7, [(1, 1, 1, 1, 1)], 2000.0 + LEASE + 50.0, 0.0),
-                Mark(7, [(1, 2, 2, 2, 2)], 2000.0 + LEASE + 99.0, 0.0),
+                VersionHeld(1, "x", 2000.0),
+                ActionCounts(7, [(1, 1, 1, 1, 1)], 2000.0 + LEASE + 50.0, 0.0),
+                ActionCounts(7, [(1, 2, 2, 2, 2)], 2000.0 + LEASE + 99.0, 0.0),
             ],
             "1 acts on version 0, as proved",
         ),
-        ([Mark(7, [], 9000.0, 0.0), Life(8, "0.1", "boot", 5000.0, 0.0, LEASE)], "life 8 began before 7"),
+        (
+            [ActionCounts(7, [], 9000.0, 0.0), ProcessStarted(8, "0.1", "boot", 5000.0, 0.0, LEASE)],
+            "life 8 began before 7",
+        ),
     ],
 )
 def test_what_must_not_be_is_told(entries, what):
@@ -673,10 +724,16 @@
 
 def test_acts_within_the_bound_or_marked_unproved_are_not_past_it():
     late = 2000.0 + LEASE
-    marks = [Mark(7, [(1, 1, 1, 1, 1)], late - 500.0, 0.0), Mark(7, [(1, 9, 9, 9, 9)], late + 5.0, 0.0)]
-    assert not spans(interval(1, 1000.0), Held(1, "x", 2000.0), *marks).wrong
-    marks = [Mark(7, [(1, 1, 1, 1, 1)], late + 50.0, 0.0), Mark(7, [(1, 9, 9, 9, 9)], late + 99.0, 0.0)]
-    assert not spans(interval(1, 1000.0, proved=False), Held(1, "x", 2000.0), *marks).wrong
+    marks = [
+        ActionCounts(7, [(1, 1, 1, 1, 1)], late - 500.0, 0.0),
+        ActionCounts(7, [(1, 9, 9, 9, 9)], late + 5.0, 0.0),
+    ]
+    assert not spans(interval(1, 1000.0), VersionHeld(1, "x", 2000.0), *marks).wrong
+    marks = [
+        ActionCounts(7, [(1, 1, 1, 1, 1)], late + 50.0, 0.0),
+        ActionCounts(7, [(1, 9, 9, 9, 9)], late + 99.0, 0.0),
+    ]
+    assert not spans(interval(1, 1000.0, proved=False), VersionHeld(1, "x", 2000.0), *marks).wrong
 
 
 def test_the_audit_command_prints_a_table_and_a_page_and_ends_with_1_where_something_is_wrong(
@@ -712,7 +769,9 @@
         self.settings, self.serving, self.fault = dict(OPTIONS), None, ""
 
     def port(self):
-        return Port(lambda s: self.fault, self.apply, self.serve, lambda: 3, lambda: self.settings)
+        return ConfigServicePort(
+            lambda s: self.fault, self.apply, self.serve, lambda: 3, lambda: self.settings
+        )
 
     def apply(self, settings):
         self.settings = dict(settings)
@@ -737,7 +796,7 @@
             "f", members, 20.0, str(tmp_path / name), tuple("abc"), 300.0, True, 3000.0
         )
         stage = Stage()
-        found[name] = Peers(loop, Log(name, loop.now), settings, name, i, stage.port()), stage
+        found[name] = MembershipService(loop, Log(name, loop.now), settings, name, i, stage.port()), stage
         found[name][0].acting.load()
         found[name][0].acting.begin()
     yield found
@@ -807,7 +866,7 @@
         assert fleet[name][1].settings["teams"]["team-7"]["quota"] == 1003
         assert told[name]["meaning"] == meaning(fleet[name][1].settings)
     # What is on the disk is the whole, and a restart begins with it.
-    kept = Ledger(Disk(tmp_path / "b"), "b").load()
+    kept = LedgerWriter(Disk(tmp_path / "b"), "b").load()
     assert read(kept.contents[kept.held.id], frozenset("abc")).settings["teams"]["team-7"]["quota"] == 1003
 
 
@@ -951,7 +1010,7 @@
     peers, stage = fleet["a"][0], Stage()
     old, port = peers.acting, stage.port()
     port.beside = True
-    new = Acting(
+    new = ConfigVersionService(
         loop, Log("new", loop.now), peers.settings, "a", old.life + 1, 9, port, lambda to, data: None
     )
     new.load()
@@ -977,7 +1036,9 @@
 
 def test_a_second_process_by_mistake_does_not_act(fleet, loop, until, capsys):
     peers, stage = fleet["a"][0], Stage()
-    twin = Acting(loop, Log("twin", loop.now), peers.settings, "a", 9, 9, stage.port(), lambda to, data: None)
+    twin = ConfigVersionService(
+        loop, Log("twin", loop.now), peers.settings, "a", 9, 9, stage.port(), lambda to, data: None
+    )
     twin.load()
     twin.begin()
     assert not twin.may_take() and "code=locked" in capsys.readouterr().err
@@ -1006,7 +1067,7 @@
         "f", a.settings.members | {"d": address}, 20.0, str(tmp_path / "d"), tuple("abc"), 300.0, True, 3000.0
     )
     stage = Stage()
-    fleet["d"] = Peers(loop, Log("d", loop.now), joining, "d", 4, stage.port()), stage
+    fleet["d"] = MembershipService(loop, Log("d", loop.now), joining, "d", 4, stage.port()), stage
     fleet["d"][0].acting.load()
     fleet["d"][0].acting.begin()
     until(lambda: stage.serving and fleet["d"][0].acting.machine.acting == 1)
@@ -1017,7 +1078,7 @@
     assert a.machine.heard(loop.now(), LETTER) == []
 
 
-LETTER = Letter(1, "f", "d", Claim(0, 1, 0), LetterKind.PING, 1, "")
+LETTER = Datagram(1, "f", "d", MemberState(0, 1, 0), LetterKind.PING, 1, "")
 
 
 def test_check_tries_the_ledgers_folder(single):
@@ -1032,10 +1093,10 @@
 
 
 def test_who_sent_keyed_work_and_on_what_is_told(folder, tmp_path):
-    state = Folder(Disk(tmp_path / "state"), "n")
+    state = StateDirectory(Disk(tmp_path / "state"), "n")
     (tmp_path / "state").mkdir()
     state.snapshot([], 0.0)
-    state.append([form.frame(form.Sent("key-1", "pod-3", "here", 1, 1200.0, 9e15))], True)
+    state.append([form.frame(form.AttemptSent("key-1", "pod-3", "here", 1, 1200.0, 9e15))], True)
     state.close()
     words = ["audit", str(folder), "--store", str(tmp_path / "state"), "--unit"]
     told = CliRunner().invoke(command.group, [*words, "key-1"]).output
@@ -1088,7 +1149,7 @@
 
 def test_a_strict_node_that_starts_with_a_version_it_cannot_use_is_out_from_the_start():
     data = write(content())
-    kept = Kept(begun=True, held=Held(1, digest(data)), contents={digest(data): data})
+    kept = RecoveredLog(begun=True, held=VersionHeld(1, digest(data)), contents={digest(data): data})
     machine = versions("d", kept, check=lambda c: "key: what was expected")
     assert machine.stand(0.0) == (False, False, "unfit")
 
@@ -1096,7 +1157,7 @@
 def test_that_a_node_was_brought_back_outlives_a_new_file(folder):
     _, ledger = loaded(folder)
     ledger.renew()
-    ledger.append([encode(Handed(False, "", 99.0))], True)
+    ledger.append([encode(OperatorOverride(False, "", 99.0))], True)
     ledger.renew()
     ledger.renew()
     ledger.close()
@@ -1105,5 +1166,5 @@
 
 
 def test_acts_before_an_interval_that_was_written_and_after_the_last_mark_are_told_as_unknown():
-    found = spans(interval(1, 1000.0), Mark(7, [(1, 3, 2, 1, 0)], 1500.0, 0.0), interval(2, 2000.0))
+    found = spans(interval(1, 1000.0), ActionCounts(7, [(1, 3, 2, 1, 0)], 1500.0, 0.0), interval(2, 2000.0))
     assert found.lives["n"][0].unknown == (1500.0, inf)
--- a/tests/test_wire_samples.py
+++ b/tests/test_wire_samples.py
@@ -58,7 +58,7 @@
 
 
 def test_lines_of_the_handover_are_read_as_what_was_written():
-    row = handover_codec.Sent("k", "e1", "here", 5, 1000.5, 2000.5)
+    row = handover_codec.AttemptSent("k", "e1", "here", 5, 1000.5, 2000.5)
     hosts = [{"host": "e1", "dial": "127.0.0.1:1"}, {"host": "e2", "dial": "127.0.0.1:2"}]
     read = [
         item for data in kept("handover") for line in data.splitlines() for item in handover_codec.read(line)
@@ -66,12 +66,12 @@
     assert read == [
         handover_codec.Hello("n1", 17, False, None),
         handover_codec.Hello("n1", 17, True, 1.5),
-        handover_codec.Proof(41, wire_samples.DIGEST, 42.5),
+        handover_codec.VersionProof(41, wire_samples.DIGEST, 42.5),
         row,
-        handover_codec.Never("k", "e1", 1000.5),
-        handover_codec.Listed(43, hosts),
+        handover_codec.AttemptNeverRan("k", "e1", 1000.5),
+        handover_codec.ListPart(43, hosts),
         row,
         row,
-        handover_codec.Whole(),
-        handover_codec.Over(),
+        handover_codec.SnapshotEnd(),
+        handover_codec.Goodbye(),
     ]
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -15,26 +15,32 @@
 
 def letters():
     """Return a datagram of membership of each kind, with what it claims of other members."""
-    claim = membership_codec.Claim(incarnation=3, life=1234567, standing=membership_codec.Standing.SUSPECT)
+    claim = membership_codec.MemberState(
+        incarnation=3, life=1234567, standing=membership_codec.MemberStatus.SUSPECT
+    )
     rumours = [
-        membership_codec.Rumour(name="n2", claim=claim, by="n3"),
-        membership_codec.Rumour(
+        membership_codec.GossipEntry(name="n2", claim=claim, by="n3"),
+        membership_codec.GossipEntry(
             name="n4",
-            claim=membership_codec.Claim(incarnation=5, life=6, standing=membership_codec.Standing.LEFT),
+            claim=membership_codec.MemberState(
+                incarnation=5, life=6, standing=membership_codec.MemberStatus.LEFT
+            ),
         ),
-        membership_codec.Rumour(
+        membership_codec.GossipEntry(
             name="n5",
-            claim=membership_codec.Claim(incarnation=7, life=8, standing=membership_codec.Standing.GONE),
+            claim=membership_codec.MemberState(
+                incarnation=7, life=8, standing=membership_codec.MemberStatus.GONE
+            ),
         ),
     ]
-    own = membership_codec.Claim(incarnation=1, life=99, standing=membership_codec.Standing.HERE)
+    own = membership_codec.MemberState(incarnation=1, life=99, standing=membership_codec.MemberStatus.HERE)
     for kind in (
-        membership_codec.Kind.PING,
-        membership_codec.Kind.ACK,
-        membership_codec.Kind.ASK,
-        membership_codec.Kind.NACK,
+        membership_codec.DatagramKind.PING,
+        membership_codec.DatagramKind.ACK,
+        membership_codec.DatagramKind.ASK,
+        membership_codec.DatagramKind.NACK,
     ):
-        yield membership_codec.Letter(
+        yield membership_codec.Datagram(
             version=membership_codec.VERSION,
             fleet="f",
             sender="n1",
@@ -49,8 +55,8 @@
 def notes():
     """Return a datagram of each kind on configuration versions."""
     says_all = [
-        messages.Ask(seq=11, number=12),
-        messages.Tell(
+        messages.StatusRequest(seq=11, number=12),
+        messages.StatusResponse(
             seq=21,
             number=22,
             id=DIGEST,
@@ -62,10 +68,10 @@
             votes=True,
             age_ms=26.5,
         ),
-        messages.Want(id=DIGEST, at=31, have=OTHER_DIGEST),
-        messages.Piece(id=DIGEST, size=400, at=41, data=b"piece", have=OTHER_DIGEST),
+        messages.FetchRequest(id=DIGEST, at=31, have=OTHER_DIGEST),
+        messages.Chunk(id=DIGEST, size=400, at=41, data=b"piece", have=OTHER_DIGEST),
         *(
-            messages.Vote(
+            messages.VoteMessage(
                 kind=kind,
                 number=51,
                 round=52,
@@ -79,47 +85,49 @@
         ),
     ]
     for said in says_all:
-        yield messages.Note(version=messages.VERSION, fleet="f", sender="n1", say=said)
+        yield messages.ReplicationDatagram(version=messages.VERSION, fleet="f", sender="n1", say=said)
 
 
 def handover_lines():
     """Return each kind of line that one process of a node writes to another."""
-    row = handover_codec.Sent(key="k", executor="e1", zone="here", cell=5, sent_ms=1000.5, until_ms=2000.5)
+    row = handover_codec.AttemptSent(
+        key="k", executor="e1", zone="here", cell=5, sent_ms=1000.5, until_ms=2000.5
+    )
     hosts = [{"host": "e1", "dial": "127.0.0.1:1"}, {"host": "e2", "dial": "127.0.0.1:2"}]
     yield handover_codec.hello("n1", 17)
     yield handover_codec.hello("n1", 17, fleet=True, epoch_ms=1.5)
-    yield handover_codec.proof(handover_codec.Proof(number=41, id=DIGEST, mono_ms=42.5))
+    yield handover_codec.proof(handover_codec.VersionProof(number=41, id=DIGEST, mono_ms=42.5))
     yield handover_codec.sent([row])
-    yield handover_codec.never(handover_codec.Never(key="k", executor="e1", sent_ms=1000.5))
+    yield handover_codec.never(handover_codec.AttemptNeverRan(key="k", executor="e1", sent_ms=1000.5))
     yield b"".join(handover_codec.snapshot(43, hosts, [row, row]))
     yield handover_codec.OVER
 
 
 def state_records():
     """Return each record of a state folder's files."""
-    sent = files.Sent(key="k", executor="e1", zone="here", cell=5, sent_ms=11.5, until_ms=12.5)
+    sent = files.AttemptSent(key="k", executor="e1", zone="here", cell=5, sent_ms=11.5, until_ms=12.5)
     yield files.Head(
         kind="journal", version=files.VERSION, node="n1", number=7, created_ms=13.5, boot="b", zero_ms=14.5
     )
-    yield files.Listed(version=21, rows=[{"host": "e1"}], heard_ms=22.5)
-    yield files.Heard(heard_ms=31.5)
+    yield files.ListStored(version=21, rows=[{"host": "e1"}], heard_ms=22.5)
+    yield files.ListConfirmed(heard_ms=31.5)
     yield sent
-    yield files.Batch(rows=[sent, sent])
-    yield files.NeverRan(key="k", executor="e1", sent_ms=41.5)
-    yield files.Turned(departures=51.5, lived_ms=52.5)
-    yield files.Lost(since_ms=61.5)
-    yield files.Whole(records=71)
+    yield files.AttemptBatch(rows=[sent, sent])
+    yield files.AttemptNeverRan(key="k", executor="e1", sent_ms=41.5)
+    yield files.TurnoverNoted(departures=51.5, lived_ms=52.5)
+    yield files.HistoryLost(since_ms=61.5)
+    yield files.SnapshotEnd(records=71)
 
 
 def ledger_records():
     """Return each record of a ledger."""
-    yield audit_log.Begun(wall_ms=1.5)
-    yield audit_log.Opened(inode=2)
-    yield audit_log.Written(wall_ms=3.5)
-    yield audit_log.Life(
+    yield audit_log.FirstLifeBegun(wall_ms=1.5)
+    yield audit_log.FileOpened(inode=2)
+    yield audit_log.BatchWritten(wall_ms=3.5)
+    yield audit_log.ProcessStarted(
         life=4, program="p", boot="b", wall_ms=5.5, mono_ms=6.5, lease_ms=7.5, beside=True, zero_ms=8.5
     )
-    yield audit_log.Acting(
+    yield audit_log.IntervalBegun(
         life=11,
         interval=12,
         program="p",
@@ -133,15 +141,15 @@
         wall_ms=15.5,
         mono_ms=16.5,
     )
-    yield audit_log.Mark(life=21, rows=[(22, 23, 24, 25, 26)], wall_ms=27.5, mono_ms=28.5)
-    yield audit_log.Ended(life=31, wall_ms=32.5, mono_ms=33.5)
-    yield audit_log.Promises(
+    yield audit_log.ActionCounts(life=21, rows=[(22, 23, 24, 25, 26)], wall_ms=27.5, mono_ms=28.5)
+    yield audit_log.ProcessEnded(life=31, wall_ms=32.5, mono_ms=33.5)
+    yield audit_log.AcceptorPromise(
         number=41, round=42, place="n1/43", accepted_round=44, accepted_place="n2/45", value=DIGEST
     )
-    yield audit_log.Stored(id=DIGEST, data=b"content")
-    yield audit_log.Held(number=51, id=DIGEST, wall_ms=52.5)
-    yield audit_log.Barred(number=61)
-    yield audit_log.Handed(out=True, why="a reason", wall_ms=71.5)
+    yield audit_log.ContentStored(id=DIGEST, data=b"content")
+    yield audit_log.VersionHeld(number=51, id=DIGEST, wall_ms=52.5)
+    yield audit_log.VotesBarred(number=61)
+    yield audit_log.OperatorOverride(out=True, why="a reason", wall_ms=71.5)
 
 
 def contents():
