--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -6,12 +6,13 @@
 
 import pytest
 
+from marlseam.cluster.audit_log import RecoveredLog
 from marlseam.cluster.checking.membership_schedules import MembershipSimulation, ScheduleDraws
 from marlseam.cluster.checking.search import wander
 from marlseam.cluster.membership import Membership
 from marlseam.cluster.quota.demand import DemandEstimator
 from marlseam.cluster.quota.leasing import QuotaLeasing, QuotaState
-from marlseam.cluster.replication.replica import ConfigReplica, RecoveredLog, ReplicationSettings
+from marlseam.cluster.replication.replica import ConfigReplica, ReplicationSettings
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.types import ListUpdateKind
 from marlseam.experiment.fleet import Fault, Fleet, Rig
@@ -38,7 +39,7 @@
         "a/1",
         seed,
         0.0,
-        Kept(begun=True),
+        RecoveredLog(begun=True),
     )
 
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -15,6 +15,7 @@
 import pytest
 from click.testing import CliRunner
 from conftest import OPTIONS
+from effects_digest import plain
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -141,10 +142,10 @@
     monkeypatch.setattr(replication_schedules, "ScheduleDraws", Draws)
 
 
-@pytest.mark.parametrize(("seed", "mark"), [(1287, 3088115518), (2130, 3829650978)])
+@pytest.mark.parametrize(("seed", "mark"), [(1287, 1045893244), (2130, 938371654)])
 def test_the_schedules_that_once_broke_a_bound_break_none(seed, mark, linear):
     strikes = replication_schedules.schedule(7, seed)
-    assert crc32(repr(strikes).encode()) == mark  # two contents of a number; all without a proof
+    assert crc32(plain(strikes).encode()) == mark  # two contents of a number; all without a proof
     assert replication_schedules.play(7, seed, strikes, rows=0).broken == []
 
 
