--- a/marlseam/__main__.py
+++ b/marlseam/__main__.py
@@ -61,7 +61,7 @@
 
 @click.group(cls=Commands)
 def main() -> None:
-    """Push jobs to workers by forward probing."""
+    """Dispatch requests to servers by forward probing."""
 
 
 @main.command()
@@ -88,7 +88,7 @@
         importlib.import_module("marlseam.store.check").test_ledger(config.fleet, config.name)
     deployment = config.deployment
     print(f"{config.name} listens on {config.listen[0]}:{config.listen[1]}", end=", ")
-    print(f"{len(deployment.types)} project types, {len(deployment.kinds)} kinds: good")
+    print(f"{len(deployment.types)} request classes, {len(deployment.kinds)} kinds: good")
 
 
 @main.command()
--- a/marlseam/configuration/__init__.py
+++ b/marlseam/configuration/__init__.py
@@ -1,37 +1,33 @@
-"""The one place where configuration is read, checked and given its defaults."""
+"""The one place where configuration is read, checked and given its defaults; errors name the key."""
 
-from marlseam.configuration.loader import (
-    FOLDER,
-    SOCKET,
+from marlseam.configuration.addresses import address_from, member_address
+from marlseam.configuration.deployment import Deployment, deployment_from
+from marlseam.configuration.errors import ConfigError
+from marlseam.configuration.loader import FOLDER_VARIABLE as FOLDER
+from marlseam.configuration.loader import SOCKET_VARIABLE as SOCKET
+from marlseam.configuration.loader import Config, load, with_settings
+from marlseam.configuration.operator_settings import (
     ClusterSettings,
-    Config,
-    ConfigError,
-    Deployment,
     ShadowSettings,
     StoreSettings,
-    address_from,
-    deployment_from,
-    finite,
-    load,
-    member_address,
-    own_settings,
-    with_settings,
+    operator_settings,
 )
+from marlseam.configuration.table import finite
 
 __all__ = [
     "FOLDER",
     "SOCKET",
+    "ClusterSettings",
     "Config",
     "ConfigError",
     "Deployment",
-    "ClusterSettings",
-    "StoreSettings",
     "ShadowSettings",
+    "StoreSettings",
     "address_from",
     "deployment_from",
     "finite",
     "load",
     "member_address",
-    "own_settings",
+    "operator_settings",
     "with_settings",
 ]
--- /dev/null
+++ b/marlseam/configuration/operator_settings.py
@@ -0,0 +1,228 @@
+"""The operator's own settings: a TOML file with a table for each subsystem, which is off without its table.
+
+The tables are called `store`, `watch` (the shadow policy) and `fleet` (the cluster); these names and the keys
+in them are the operators' and are mapped to the terms of the code here alone.
+"""
+
+import tomllib
+from collections.abc import Mapping
+from dataclasses import dataclass, replace
+from pathlib import Path
+from typing import Any, NamedTuple
+
+from marlseam.configuration.addresses import member_address
+from marlseam.configuration.deployment import LIVE_WEIGHTS, REPORTS_IN_RESPONSES, WEIGHT_BY_SIZE
+from marlseam.configuration.errors import REQUIRED, ConfigError
+from marlseam.configuration.table import ConfigTable
+from marlseam.decisions.types import Settings
+
+SETTINGS_VARIABLE = "MARLSEAM_SETTINGS"
+MAX_MEMBERS = 1000  # of a cluster
+MAX_NAME_CHARACTERS = 64  # of a member's name
+MIN_PERIOD_MS = 20.0  # in which each member pings one other
+DEFAULT_PERIOD_MS = 1000.0
+DEFAULT_LEASE_PERIODS = 15.0
+MIN_LEASE_PERIODS = 6.0
+DEFAULT_SERVE_LEASES = 100.0  # for how long nodes serve on without a proof, in leases
+VERSION_KEYS = ("folder", "voters", "lease_ms", "past_lease", "serve_ms", "local")
+KNOWN_KEYS = {
+    "store": ("folder", "sync", "journal_mb", "wait_ms", "keys"),
+    "watch": ("reports", "weights", "fetch_price", "worth_by", "every_s"),
+    "fleet": ("name", "members", "period_ms", "trusted", *VERSION_KEYS),
+}
+
+
+@dataclass(frozen=True)
+class StoreSettings:
+    """Where and how a node keeps its state.
+
+    Attributes:
+        folder: the state directory.
+        sync: `durable`: records are on the disk before a request goes out; `written`: they are with the
+            system, which outlives a killed node but not the machine.
+        journal_mb: size at which the journal is replaced by a snapshot.
+        wait_ms: how long a request waits for the disk.
+        keys: idempotency keys on record at most; a request with a further one is rejected.
+    """
+
+    folder: str
+    sync: str
+    journal_mb: float
+    wait_ms: float
+    keys: int = 100000
+
+
+@dataclass(frozen=True)
+class ShadowSettings:
+    """What the shadow policy holds to be otherwise than the node's settings; None: as the node's.
+
+    Attributes:
+        reports_in_responses, live_weights, fetch_cost, weight_by_size: as in `Settings`.
+        every_s: how often the counts are logged.
+    """
+
+    reports_in_responses: bool | None
+    live_weights: bool | None
+    fetch_cost: float | None
+    weight_by_size: bool | None
+    every_s: float
+
+    def change(self, settings: Settings) -> Settings:
+        """Return a node's settings with those of the shadow policy in their place."""
+        names = ("reports_in_responses", "live_weights", "fetch_cost", "weight_by_size")
+        found = {name: getattr(self, name) for name in names}
+        return replace(settings, **{name: value for name, value in found.items() if value is not None})
+
+
+@dataclass(frozen=True)
+class ClusterSettings:
+    """Which nodes may belong to one cluster, and how it agrees on configuration versions.
+
+    Attributes:
+        name: of the cluster.
+        members: address by name.
+        period_ms: in which each member pings one other.
+        folder: of this node's ledger; None: membership alone, without versions.
+        voters: names of the members that vote on version 1.
+        lease_ms: for how long a proof is good that the version acted on is in force.
+        strict: whether a node without such a proof leaves service; else it serves on, and its actions are
+            marked.
+        serve_ms: for how long it serves on.
+        local: whether a changed file of the node's own is let in at SIGHUP.
+        trusted: whether the network is.
+    """
+
+    name: str
+    members: dict[str, tuple[str, int]]
+    period_ms: float
+    folder: str | None = None
+    voters: tuple[str, ...] = ()
+    lease_ms: float = 0.0
+    strict: bool = False
+    serve_ms: float = 0.0
+    local: bool = False
+    trusted: bool = False
+
+
+class OperatorSettings(NamedTuple):
+    """The settings of each subsystem; None where it is off."""
+
+    store: StoreSettings | None = None
+    shadow: ShadowSettings | None = None
+    cluster: ClusterSettings | None = None
+
+
+def operator_settings(path: str | None) -> OperatorSettings:
+    """Read the operator's own settings; without a path all subsystems are off.
+
+    Raises ConfigError where the file cannot be read, or with the key that is at fault.
+    """
+    if path is None:
+        return OperatorSettings()
+    try:
+        values = tomllib.loads(Path(path).read_text(encoding="utf-8"))
+    except (OSError, ValueError) as error:
+        raise ConfigError(SETTINGS_VARIABLE, path, f"a readable TOML file ({error})") from None
+    for name, table in values.items():
+        if name not in KNOWN_KEYS:
+            raise ConfigError(name, table, "one of " + ", ".join(KNOWN_KEYS))
+        for key in ConfigTable(table, name).values:
+            if key not in KNOWN_KEYS[name]:
+                raise ConfigError(f"{name}.{key}", table[key], "one of " + ", ".join(KNOWN_KEYS[name]))
+    return OperatorSettings(store_settings(values), shadow_settings(values), cluster_settings(values))
+
+
+def store_settings(values: Mapping[str, Any]) -> StoreSettings | None:
+    """Read where and how a node keeps its state."""
+    if "store" not in values:
+        return None
+    store = ConfigTable(values["store"], "store")
+    return StoreSettings(
+        folder=store.text("folder"),
+        sync=store.word("sync", {"durable": "durable", "written": "written"}, "durable"),
+        journal_mb=store.number("journal_mb", 8.0, least=0.01),
+        wait_ms=store.number("wait_ms", 200.0),
+        keys=int(store.number("keys", 100000, least=1.0)),
+    )
+
+
+def shadow_settings(values: Mapping[str, Any]) -> ShadowSettings | None:
+    """Read what the shadow policy holds to be otherwise: one setting at least."""
+    if "watch" not in values:
+        return None
+    watch = ConfigTable(values["watch"], "watch")
+    if not set(watch.values) - {"every_s"}:
+        raise ConfigError("watch", watch.values, "one at least of reports, weights, fetch_price, worth_by")
+
+    def word(key: str, meanings: Mapping[str, bool], default: str) -> bool | None:
+        return watch.word(key, meanings, default) if key in watch.values else None
+
+    return ShadowSettings(
+        reports_in_responses=word("reports", REPORTS_IN_RESPONSES, "probe"),
+        live_weights=word("weights", LIVE_WEIGHTS, "none"),
+        fetch_cost=watch.number("fetch_price") if "fetch_price" in watch.values else None,
+        weight_by_size=word("worth_by", WEIGHT_BY_SIZE, "request"),
+        every_s=watch.number("every_s", 60.0, least=1.0),
+    )
+
+
+def cluster_settings(values: Mapping[str, Any]) -> ClusterSettings | None:
+    """Read who belongs to a cluster, and how it agrees on versions."""
+    if "fleet" not in values:
+        return None
+    cluster = ConfigTable(values["fleet"], "fleet")
+    trusted = cluster.flag("trusted")
+    members = cluster_members(cluster.table("members"), trusted)
+    period_ms = cluster.number("period_ms", DEFAULT_PERIOD_MS, least=MIN_PERIOD_MS)
+    settings = ClusterSettings(
+        name=cluster.text("name"), members=members, period_ms=period_ms, trusted=trusted
+    )
+    return with_versions(cluster, settings)
+
+
+def cluster_members(table: ConfigTable, trusted: bool) -> dict[str, tuple[str, int]]:
+    """Read the members of a cluster: names, each with an address of its own."""
+    if not 1 <= len(table.values) <= MAX_MEMBERS:
+        raise ConfigError("fleet.members", len(table.values), f"1 to {MAX_MEMBERS} names")
+    found: dict[str, tuple[str, int]] = {}
+    for name, value in table.values.items():
+        key = table.path(name)
+        if not 1 <= len(name) <= MAX_NAME_CHARACTERS:
+            raise ConfigError(key, name, f"a name of 1 to {MAX_NAME_CHARACTERS} characters")
+        address = member_address(key, value, trusted)
+        if address in found.values():
+            raise ConfigError(key, value, "an address of its own")
+        found[name] = address
+    return found
+
+
+def with_versions(cluster: ConfigTable, settings: ClusterSettings) -> ClusterSettings:
+    """Read how a cluster has versions: with a folder for each node's ledger and voters, or not at all."""
+    given = [key for key in VERSION_KEYS if key in cluster.values]
+    if not given:
+        return settings
+    for key in ("folder", "voters"):
+        if key not in given:
+            raise ConfigError(cluster.path(key), REQUIRED, f"it together with {given[0]}")
+    voters = cluster.get("voters", [])
+    if not isinstance(voters, list) or not all(isinstance(name, str) for name in voters):
+        raise ConfigError(cluster.path("voters"), voters, "a list of members' names")
+    # Imported here: a node of a cluster without versions needs nothing of it.
+    from marlseam.cluster.replication.content import voters_fit
+
+    wrong = voters_fit(voters, frozenset(settings.members))
+    if wrong:
+        raise ConfigError(cluster.path("voters"), voters, f"3, 5 or 7 different members, or all ({wrong})")
+    period_ms = settings.period_ms
+    lease_ms = cluster.number(
+        "lease_ms", DEFAULT_LEASE_PERIODS * period_ms, least=MIN_LEASE_PERIODS * period_ms
+    )
+    return replace(
+        settings,
+        folder=cluster.text("folder"),
+        voters=tuple(voters),
+        lease_ms=lease_ms,
+        strict=cluster.word("past_lease", {"serve": False, "strict": True}, "serve"),
+        serve_ms=cluster.number("serve_ms", DEFAULT_SERVE_LEASES * lease_ms, least=lease_ms),
+        local=cluster.word("local", {"refuse": False, "allow": True}, "refuse"),
+    )
--- /dev/null
+++ b/marlseam/configuration/table.py
@@ -0,0 +1,111 @@
+"""Objects of a configuration, read entry by entry; one of the wrong kind raises ConfigError with its key."""
+
+from collections.abc import Iterable, Mapping
+from enum import Enum
+from math import isfinite
+from typing import Any
+
+from marlseam.configuration.errors import REQUIRED, ConfigError
+
+
+class ConfigTable:
+    """One object of a configuration.
+
+    Attributes:
+        values: the object as it was read.
+        key: its own full key; "" for the outermost.
+    """
+
+    def __init__(self, values: object, key: str) -> None:
+        if not isinstance(values, Mapping):
+            raise ConfigError(key or "configuration", values, "an object")
+        self.values, self.key = values, key
+
+    def path(self, name: str) -> str:
+        """Return an entry's full key."""
+        return f"{self.key}.{name}" if self.key else name
+
+    def get(self, name: str, default: object) -> Any:  # noqa: ANN401
+        """Return an entry, or its default where it is absent or null."""
+        value = self.values.get(name)
+        return default if value is None else value
+
+    def table(self, name: str, default: object = REQUIRED) -> "ConfigTable":
+        """Return an entry that is an object."""
+        return ConfigTable(self.get(name, default), self.path(name))
+
+    def tables(self, name: str) -> list["ConfigTable"]:
+        """Return an entry that is a list of objects; an absent one counts as empty."""
+        rows = self.get(name, [])
+        if not isinstance(rows, list):
+            raise ConfigError(self.path(name), rows, "a list")
+        return [ConfigTable(row, f"{self.path(name)}[{i}]") for i, row in enumerate(rows)]
+
+    def number(self, name: str, default: object = REQUIRED, least: float = 0.0) -> float:
+        """Return an entry that is a finite number of at least some size."""
+        value = self.get(name, default)
+        found = finite(value)
+        if found is None or found < least:
+            raise ConfigError(self.path(name), value, f"a number of at least {least:g}")
+        return found
+
+    def milliseconds(self, name: str, default_ms: object = REQUIRED, least_us: float = 0.0) -> float:
+        """Return an entry in microseconds as milliseconds."""
+        default = default_ms * 1000.0 if isinstance(default_ms, float) else default_ms
+        return self.number(name, default, least_us) / 1000.0
+
+    def flag(self, name: str) -> bool:
+        """Return an entry that is true or false; an absent one counts as false."""
+        value = self.get(name, False)
+        if not isinstance(value, bool):
+            raise ConfigError(self.path(name), value, "true or false")
+        return value
+
+    def text(self, name: str, default: object = REQUIRED) -> str:
+        """Return an entry that is a text and not empty."""
+        value = self.get(name, default)
+        if not isinstance(value, str) or not value:
+            raise ConfigError(self.path(name), value, "a text")
+        return value
+
+    def word(self, name: str, meanings: Mapping[str, Any] | type[Enum], default: object) -> Any:  # noqa: ANN401
+        """Return what a word means; of an enum the members are meant by their values."""
+        table = meanings if isinstance(meanings, Mapping) else {str(row.value): row for row in meanings}
+        value = self.get(name, default) or default
+        if not isinstance(value, str) or value not in table:
+            raise ConfigError(self.path(name), value, "one of " + ", ".join(table))
+        return table[value]
+
+    def indexed_names(self, name: str, before: Mapping[str, int]) -> dict[str, int]:
+        """Return a list of names as dense indices; a name that had an index `before` keeps it."""
+        rows = self.get(name, [])
+        if not isinstance(rows, list) or not all(isinstance(row, str) for row in rows):
+            raise ConfigError(self.path(name), rows, "a list of names")
+        return indexed(rows, before)
+
+    def numbers(self, name: str) -> list[float]:
+        """Return a list of finite numbers; an absent one counts as empty."""
+        rows = self.get(name, [])
+        found = [finite(row) for row in rows] if isinstance(rows, list) else [None]
+        numbers = [number for number in found if number is not None]
+        if len(numbers) < len(found):
+            raise ConfigError(self.path(name), rows, "a list of numbers")
+        return numbers
+
+
+def finite(value: object) -> float | None:
+    """Return a finite number, else None. Guards against whole numbers that no float holds."""
+    if isinstance(value, bool) or not isinstance(value, int | float):
+        return None
+    try:
+        return float(value) if isfinite(value) else None
+    except OverflowError:
+        return None
+
+
+def indexed(names: Iterable[str], before: Mapping[str, int]) -> dict[str, int]:
+    """Return dense indices of names; one that had an index keeps it, so that figures under it stay true."""
+    found = dict(before)
+    for name in names:
+        found.setdefault(name, len(found))
+    return found
--- a/marlseam/simhost/__main__.py
+++ b/marlseam/simhost/__main__.py
@@ -3,6 +3,7 @@
 import gc
 import sys
 import traceback
+from collections.abc import Iterator
 
 from marlseam.simhost import wire
 from marlseam.simhost.instance import Instance
@@ -22,13 +23,27 @@
         elif node in nodes:
             nodes[node].clock = clock
             nodes[node].on(name, values, parsed)
-    except wire.Malformed:
+    except wire.MalformedLineError:
         raise
     except Exception as error:  # noqa: BLE001
         traceback.print_exc()
         out.append(f"give_in {node} {type(error).__name__}: {error}".replace("\n", " "))
 
 
+def with_entries(events: list[str]) -> Iterator[tuple[str, list[str]]]:
+    """Yield each event's line of a batch with the list entries that follow it."""
+    i = 0
+    while i < len(events):
+        line = events[i]
+        i += 1
+        count = wire.whole(wire.parse(line)[1], "members") if line.startswith("directory_update ") else 0
+        entries = events[i : i + count]
+        if len(entries) < count or any(not entry.startswith(wire.ENTRY + " ") for entry in entries):
+            raise wire.MalformedLineError(f"{count} entries should follow", line)
+        i += count
+        yield line, entries
+
+
 def main() -> int:
     """Answer batches until the input ends."""
     gc.freeze()
@@ -37,24 +52,15 @@
     line = ""
     try:
         for clock, events in wire.batches(iter(sys.stdin.readline, "")):
-            i = 0
-            while i < len(events):
-                line = events[i]
-                i += 1
-                entries: list[str] = []
-                if line.startswith("directory_update "):
-                    count = wire.whole(wire.parse(line)[1], "members")
-                    entries = events[i : i + count]
-                    if len(entries) < count or any(not e.startswith(wire.ENTRY + " ") for e in entries):
-                        raise wire.Malformed(f"{count} entries should follow")
-                    i += count
+            for line, entries in with_entries(events):
                 handle(line, entries, clock, nodes, out)
             out.append(wire.ACK)
             sys.stdout.write("\n".join(out) + "\n")
             sys.stdout.flush()
             out.clear()
-    except wire.Malformed as error:
-        print(f"marlseam: cannot read this line: {line}\nmarlseam: {error}", file=sys.stderr)
+    except wire.MalformedLineError as error:
+        shown = error.line or line
+        print(f"marlseam: cannot read this line: {shown}\nmarlseam: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/marlseam/simhost/instance.py
+++ b/marlseam/simhost/instance.py
@@ -1,7 +1,7 @@
 """One simulated node: the wire's events become the reducer's, and its effects the wire's actions."""
 
 from base64 import b64encode
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from typing import Any
 
 from marlseam import core
@@ -9,10 +9,21 @@
 from marlseam.core import Effect, EndpointEntry, Event, Reducer
 from marlseam.decisions.types import LoadReport, Request
 from marlseam.simhost import wire
+from marlseam.simhost.wire import Fields, MalformedLineError
+
+STARTED, PROGRESSED = "1", "2"  # kinds of the wire's event `change`
 
 
 class Instance:
-    """Carries events into one node's reducer and writes out the actions that it asks for."""
+    """Carries events into one node's reducer and writes out the actions that it asks for.
+
+    Attributes:
+        name: of the node.
+        clock: ms of the event in hand, as the batch tells it.
+        out: lines for the simulator, to which actions are added.
+        deployment: the settings that the node was given.
+        core: its reducer.
+    """
 
     def __init__(self, name: str, seed: int, options: dict[str, Any], clock: float, out: list[str]) -> None:
         self.name, self.clock, self.out = name, clock, out
@@ -28,87 +39,115 @@
             if line:
                 self.out.append(line)
 
-    def on(self, name: str, values: dict[str, str | None], entries: list[dict[str, str | None]]) -> None:
+    def on(self, name: str, values: Fields, entries: list[Fields]) -> None:
         """Turn one event of the wire into the reducer's, and play it."""
-        if name == "due":
-            event = core.TimerFired(wire.whole(values, "mark"))
-        elif name == "arrival":
-            event = core.RequestArrived(self.request(values))
-        elif name == "directory_update":
-            update_kind = wire.word(wire.LISTINGS, values, "scope")
-            event = core.EndpointListUpdate(update_kind, [self.entry(e) for e in entries])
-        elif name == "sampled":
-            outcome = wire.word(wire.OUTCOMES, values, "verdict")
-            lag = wire.number(values, "lagUs", 0.0) / 1000.0
-            event = core.ProbeEnded(wire.need(values, "executor"), outcome, lag, self.report(values))
-        elif name == "left":
-            event = core.ClientLeft(wire.need(values, "opId"))
-        elif name == "mail":
-            event = core.GossipReceived(wire.whole(values, "neighbour"), wire.message(values))
+        if name == "directory_update":
+            event: Event | None = self.list_updated(values, entries)
+        elif name in EVENTS:
+            event = EVENTS[name](self, values)
         else:
-            event = self.allocation_event(name, values)
+            event = self.attempt_event(name, values)
         if event is not None:
             self.reduce(event)
 
-    def allocation_event(self, name: str, values: dict[str, str | None]) -> Event | None:
-        """Read what happened to an attempt."""
+    def timer_fired(self, values: Fields) -> Event:
+        """Read that a timer is due."""
+        return core.TimerFired(wire.whole(values, "mark"))
+
+    def request_arrived(self, values: Fields) -> Event:
+        """Read that a client has sent a request."""
+        return core.RequestArrived(self.request(values))
+
+    def list_updated(self, values: Fields, entries: list[Fields]) -> Event:
+        """Read an update of the endpoint list."""
+        kind = wire.word(wire.LISTINGS, values, "scope")
+        return core.EndpointListUpdate(kind, [self.entry(entry) for entry in entries])
+
+    def probe_ended(self, values: Fields) -> Event:
+        """Read the end of a probe."""
+        outcome = wire.word(wire.OUTCOMES, values, "verdict")
+        lag_ms = wire.number(values, "lagUs", 0.0) / 1000.0
+        return core.ProbeEnded(wire.need(values, "executor"), outcome, lag_ms, self.report(values))
+
+    def client_left(self, values: Fields) -> Event:
+        """Read that a client has gone."""
+        return core.ClientLeft(wire.need(values, "opId"))
+
+    def gossip_received(self, values: Fields) -> Event:
+        """Read another node's message."""
+        return core.GossipReceived(wire.whole(values, "neighbour"), wire.message(values))
+
+    def attempt_event(self, name: str, values: Fields) -> Event | None:
+        """Read what happened to an attempt; None for what the reducer need not know."""
         request_id, attempt_index = wire.need(values, "opId"), wire.whole(values, "attempt")
         if name == "settled":
             outcome = wire.word(wire.OUTCOMES, values, "verdict")
-            return core.AttemptEnded(
-                request_id, attempt_index, outcome, values["finished"] == "1", self.report(values)
-            )
+            is_final = values["finished"] == "1"
+            return core.AttemptEnded(request_id, attempt_index, outcome, is_final, self.report(values))
         if name == "accepted":
             return core.ResponseStreaming(request_id, attempt_index)
-        if wire.need(values, "kind") == "1":
+        if wire.need(values, "kind") == STARTED:
             return core.AttemptStarted(request_id, attempt_index)
-        return (
-            core.AttemptProgressed(request_id, attempt_index, wire.number(values, "x", 0.0))
-            if values["kind"] == "2"
-            else None
-        )
+        if values["kind"] == PROGRESSED:
+            return core.AttemptProgressed(request_id, attempt_index, wire.number(values, "x", 0.0))
+        return None
 
-    def report(self, values: dict[str, str | None]) -> LoadReport | None:
+    def report(self, values: Fields) -> LoadReport | None:
         """Read the load report that came along."""
         return wire.report(self.deployment.report_names, values["pressure"])
 
-    def request(self, values: dict[str, str | None]) -> Request:
+    def request(self, values: Fields) -> Request:
         """Read a request."""
-        kind = wire.need(values, "qos")
-        if kind not in self.deployment.types:
-            raise wire.Malformed(f"qos cannot be {kind!r}")
-        type = self.deployment.types[kind]
+        name = wire.need(values, "qos")
+        if name not in self.deployment.types:
+            raise MalformedLineError(f"qos cannot be {name!r}")
+        class_index = self.deployment.types[name]
+        deadline_ms = self.deployment.settings.request_classes[class_index].deadline_ms
         return Request(
             request_id=wire.need(values, "opId"),
-            class_index=type,
-            deadline_at_ms=wire.ms(values, "expiresUs")
-            or self.clock + self.deployment.settings.request_classes[type].deadline_ms,
+            class_index=class_index,
+            deadline_at_ms=wire.milliseconds(values, "expiresUs") or self.clock + deadline_ms,
             slots=wire.number(values, "needs", 1.0) or 1.0,
-            run_hint_ms=wire.ms(values, "workHintUs"),
+            run_hint_ms=wire.milliseconds(values, "workHintUs"),
             resource_key=values["pathKey"],
         )
 
-    def entry(self, values: dict[str, str | None]) -> EndpointEntry:
+    def entry(self, values: Fields) -> EndpointEntry:
         """Read one entry of a list."""
         return EndpointEntry(
             server=wire.need(values, "executor"),
             state=wire.word(wire.STATES, values, "availability"),
-            kind=self.deployment.kinds.get(values["familyType"], -1),
-            zone=self.deployment.zones.get(values["dc"], -1),
+            kind=index_of(self.deployment.kinds, values["familyType"]),
+            zone=index_of(self.deployment.zones, values["dc"]),
             cell=int(wire.number(values, "cohort", -1)),
-            process_started_ms=wire.ms(values, "bornUs"),
+            process_started_ms=wire.milliseconds(values, "bornUs"),
             weight=wire.number(values, "weight", 0.0) or None,
         )
 
 
-def us(ms: float) -> int:
+def index_of(indices: Mapping[str, int], name: str | None) -> int:
+    """Return the index of a name, -1 where it is absent or not known."""
+    return -1 if name is None else indices.get(name, -1)
+
+
+EVENTS: dict[str, Callable[[Instance, Fields], Event]] = {
+    "due": Instance.timer_fired,
+    "arrival": Instance.request_arrived,
+    "sampled": Instance.probe_ended,
+    "left": Instance.client_left,
+    "mail": Instance.gossip_received,
+}
+
+
+def microseconds(ms: float) -> int:
     """Return milliseconds as the wire's whole microseconds."""
     return int(ms * 1000.0)
 
 
 def forward(name: str, effect: core.SendAttempt) -> str:
-    """Write a sending; below 1 its time limit would mean another thing."""
-    return f"forward {name} {effect.request_id} {effect.server} {max(1, us(effect.time_left_ms))}"
+    """Write that an attempt is sent; a time left below 1 would mean another thing."""
+    left_us = max(1, microseconds(effect.time_left_ms))
+    return f"forward {name} {effect.request_id} {effect.server} {left_us}"
 
 
 def cancel(name: str, effect: core.CancelAttempt) -> str:
@@ -116,15 +155,25 @@
     return f"stop_attempt {name} {effect.request_id} {effect.attempt_index}" if effect.begun else ""
 
 
-# `Complete` has no action: the simulator passes results on by itself.
+def reject(name: str, effect: core.Reject) -> str:
+    """Write that a request is rejected, and when a retry may come."""
+    return f"bounce {name} {effect.request_id} {microseconds(effect.retry_after_ms)}"
+
+
+def set_timer(name: str, effect: core.SetTimer) -> str:
+    """Write that a timer is wanted."""
+    return f"wake_me {name} {effect.timer_id} {max(0, microseconds(effect.delay_ms))}"
+
+
+# `Respond` has no action: the simulator passes results on by itself.
 ACTIONS: dict[type[Effect], Callable[[str, Any], str]] = {
     core.SendAttempt: forward,
     core.CancelAttempt: cancel,
-    core.Reject: lambda name, effect: f"bounce {name} {effect.request_id} {us(effect.retry_after_ms)}",
+    core.Reject: reject,
     core.Fail: lambda name, effect: f"finish_error {name} {effect.request_id}",
     core.Probe: lambda name, effect: f"inspect {name} {effect.server}",
-    core.SetTimer: lambda name, effect: f"wake_me {name} {effect.timer_id} {max(0, us(effect.delay_ms))}",
-    core.WatchEndpoints: lambda name, effect: f"watch {name} 1",
+    core.SetTimer: set_timer,
+    core.WatchEndpoints: lambda name, _: f"watch {name} 1",
     core.Gossip: lambda name, effect: f"notify {name} all {b64encode(effect.message).decode()}",
     core.Log: lambda name, effect: f"print {name} {effect.text}",
 }
--- a/marlseam/simhost/wire.py
+++ b/marlseam/simhost/wire.py
@@ -57,16 +57,27 @@
 STATES = {"0": EndpointState.GONE, "1": EndpointState.READY, "2": EndpointState.DRAINING}
 
 
-class Malformed(Exception):
-    """A line that the wire's description does not allow."""
+Fields = dict[str, str | None]  # of a line, by name; None for one that is absent or `-`
 
 
-def parse(line: str) -> tuple[str, dict[str, str | None]]:
+class MalformedLineError(Exception):
+    """A line that the wire's description does not allow.
+
+    Attributes:
+        line: the line, where it is another than the one in hand.
+    """
+
+    def __init__(self, text: str, line: str = "") -> None:
+        super().__init__(text)
+        self.line = line
+
+
+def parse(line: str) -> tuple[str, Fields]:
     """Take one line apart into its name and its fields; a field that is absent or `-` is None."""
     name, _, rest = line.partition(" ")
     fields = FIELDS.get(name)
     if fields is None:
-        raise Malformed(f"no event is called {name!r}")
+        raise MalformedLineError(f"no event is called {name!r}")
     parts = rest.split(" ", len(fields) - 1) if name in TEXT_LAST else rest.split(" ")
     if rest == "":
         parts = []
@@ -75,45 +86,45 @@
     }
 
 
-def need(values: dict[str, str | None], field: str) -> str:
+def need(values: Fields, field: str) -> str:
     """Return a field that may not be absent."""
     value = values.get(field)
     if value is None:
-        raise Malformed(f"{field} is missing")
+        raise MalformedLineError(f"{field} is missing")
     return value
 
 
-def number(values: dict[str, str | None], field: str, default: float | None = None) -> float:
+def number(values: Fields, field: str, default: float | None = None) -> float:
     """Return a field as a number; an absent one counts as the default, where there is one."""
     value = values.get(field)
     if value is None:
         if default is None:
-            raise Malformed(f"{field} is missing")
+            raise MalformedLineError(f"{field} is missing")
         return default
     try:
         return float(value)
     except ValueError:
-        raise Malformed(f"{field} is no number: {value!r}") from None
+        raise MalformedLineError(f"{field} is no number: {value!r}") from None
 
 
-def whole(values: dict[str, str | None], field: str) -> int:
+def whole(values: Fields, field: str) -> int:
     """Return a field as a whole number of any size."""
     value = need(values, field)
     try:
         return int(value)
     except ValueError:
-        raise Malformed(f"{field} is no whole number: {value!r}") from None
+        raise MalformedLineError(f"{field} is no whole number: {value!r}") from None
 
 
-def word(table: dict[str, Any], values: dict[str, str | None], field: str) -> Any:  # noqa: ANN401
+def word(table: dict[str, Any], values: Fields, field: str) -> Any:  # noqa: ANN401
     """Return what a table says a word means."""
     value = need(values, field)
     if value not in table:
-        raise Malformed(f"{field} cannot be {value!r}")
+        raise MalformedLineError(f"{field} cannot be {value!r}")
     return table[value]
 
 
-def ms(values: dict[str, str | None], field: str) -> float | None:
+def milliseconds(values: Fields, field: str) -> float | None:
     """Return a time in milliseconds, or None where it is absent or zero."""
     value = number(values, field, 0.0)
     return value / 1000.0 if value else None
@@ -130,26 +141,26 @@
             try:
                 found[names[name]] = float(value)
             except ValueError:
-                raise Malformed(f"the load report holds no number: {pair!r}") from None
+                raise MalformedLineError(f"the load report holds no number: {pair!r}") from None
     return LoadReport(**found)
 
 
-def message(values: dict[str, str | None]) -> bytes:
+def message(values: Fields) -> bytes:
     """Read another node's message."""
     try:
         return b64decode(values.get("msg") or "", validate=True)
     except ValueError:
-        raise Malformed(f"msg is no base64: {values['msg']!r}") from None
+        raise MalformedLineError(f"msg is no base64: {values['msg']!r}") from None
 
 
-def options_of(values: dict[str, str | None]) -> dict[str, Any]:
+def options_of(values: Fields) -> dict[str, Any]:
     """Read the settings' JSON text."""
     try:
         options = json.loads(need(values, "options"))
     except json.JSONDecodeError as e:
-        raise Malformed(f"options is no JSON: {e}") from None
+        raise MalformedLineError(f"options is no JSON: {e}") from None
     if not isinstance(options, dict):
-        raise Malformed("options is no JSON object")
+        raise MalformedLineError("options is no JSON object")
     return options
 
 
@@ -161,7 +172,7 @@
             continue
         name, _, clock = head.partition(" ")
         if name != BEGIN or not clock.isdigit():
-            raise Malformed(f"{head!r}: a batch begins with {BEGIN} and its clock")
+            raise MalformedLineError(f"{head!r}: a batch begins with {BEGIN} and its clock")
         events: list[str] = []
         for event in lines:
             event = event.rstrip("\n")
@@ -170,5 +181,5 @@
             if event:
                 events.append(event)
         else:
-            raise Malformed("the input ended inside a batch")
+            raise MalformedLineError("the input ended inside a batch")
         yield int(clock) / 1000.0, events
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 import pytest
 from hypothesis import settings as hypothesis_settings
 
-from marlseam.configuration import Config, ConfigError, Deployment, deployment_from, load, own_settings
+from marlseam.configuration import Config, ConfigError, Deployment, deployment_from, load, operator_settings
 from marlseam.core import Event
 from marlseam.counters import Counters
 from marlseam.decisions.dispatcher import Dispatcher as Decider
@@ -263,7 +263,7 @@
         path = tmp_path / "own.toml"
         path.write_text(text)
         with pytest.raises(ConfigError) as error:
-            own_settings(str(path))
+            operator_settings(str(path))
         return error.value.key
 
     return read
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -72,7 +72,7 @@
     ["arrival node_3 c:1 odd - - 6000000", "due node_3 odd", "settled node_3 c:1 0 e odd 1 1", "odd x"],
 )
 def test_a_line_that_the_wire_does_not_allow_is_malformed(instance, line):
-    with pytest.raises(wire.Malformed, match="."):
+    with pytest.raises(wire.MalformedLineError, match="."):
         play(instance, line)
 
 
@@ -87,7 +87,7 @@
 
 
 def test_a_message_that_is_no_base64_is_malformed(instance):
-    with pytest.raises(wire.Malformed, match="msg"):
+    with pytest.raises(wire.MalformedLineError, match="msg"):
         play(instance, "mail node_3 1 a*b")
 
 
