--- a/marlseam/configuration/deployment.py
+++ b/marlseam/configuration/deployment.py
@@ -57,6 +57,16 @@
     marks_retry: bool = False
 
 
+class Sections(NamedTuple):
+    """The objects of a deployment's settings: limits on attempts, rules, costs, what is told of servers."""
+
+    top: ConfigTable
+    limits: ConfigTable
+    rules: ConfigTable
+    costs: ConfigTable
+    info: ConfigTable
+
+
 class RequestClasses(NamedTuple):
     """The request classes of a deployment."""
 
@@ -83,15 +93,45 @@
     holds them, have to say how requests are answered: nothing stands in for that. Raises ConfigError.
     """
     top = ConfigTable(options, key)
-    limits, rules = top.table("ceilings", {}), top.table("guarantees", {})
-    costs, info = top.table("penalties", {}), top.table("familyInfo", {})
+    sections = Sections(
+        top,
+        limits=top.table("ceilings", {}),
+        rules=top.table("guarantees", {}),
+        costs=top.table("penalties", {}),
+        info=top.table("familyInfo", {}),
+    )
     zones = top.indexed_names("dcs", before.zones if before else {})
     kinds = top.indexed_names("kinds", before.kinds if before else {})
-    classes = request_classes(top, info, before, whole)
-    times = list_times(top, rules)
-    settings = Settings(
-        request_classes=classes.classes,
-        kind_count=len(kinds),
+    classes = request_classes(top, sections.info, before, whole)
+    times = list_times(top, sections.rules)
+    return Deployment(
+        settings=settings_from(sections, zones, len(kinds), classes.classes, times, whole),
+        zones=zones,
+        kinds=kinds,
+        types={name: classes.index_of[name] for name in classes.offered},
+        all_types=classes.index_of,
+        report_names=report_names(sections.info),
+        keepalive_ms=sections.limits.milliseconds("keepaliveUs", 10000.0),
+        connect_ms=sections.limits.milliseconds("connectTimeoutUs", 250.0),
+        pushed=not times.is_subscribed,
+        grace_ms=times.grace_ms,
+        marks_retry=top.table("clients", {}).flag("marksRetry"),
+    )
+
+
+def settings_from(
+    sections: Sections,
+    zones: Mapping[str, int],
+    kind_count: int,
+    classes: tuple[RequestClass, ...],
+    times: ListTimes,
+    whole: bool,
+) -> Settings:
+    """Return what decisions are made by."""
+    top, limits, rules, costs, info = sections
+    return Settings(
+        request_classes=classes,
+        kind_count=kind_count,
         zone=zones.get(top.text("zone", "none"), -1),
         node_count=max(1, int(top.number("fleetSize", 1))),
         tick_ms=top.milliseconds("tickUs", 1.0),
@@ -111,19 +151,6 @@
         key_gap_ms=rules.milliseconds("turnGapUs", 0.0),
         only_draining_excludes=rules.flag("drainBindsAlone"),
     )
-    return Deployment(
-        settings=settings,
-        zones=zones,
-        kinds=kinds,
-        types={name: classes.index_of[name] for name in classes.offered},
-        all_types=classes.index_of,
-        report_names=report_names(info),
-        keepalive_ms=limits.milliseconds("keepaliveUs", 10000.0),
-        connect_ms=limits.milliseconds("connectTimeoutUs", 250.0),
-        pushed=not times.is_subscribed,
-        grace_ms=times.grace_ms,
-        marks_retry=top.table("clients", {}).flag("marksRetry"),
-    )
 
 
 def request_classes(
--- a/marlseam/configuration/loader.py
+++ b/marlseam/configuration/loader.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from marlseam.configuration.addresses import address_from
 from marlseam.configuration.deployment import Deployment, deployment_from, require_request_classes
@@ -76,57 +76,83 @@
     settings_path: str | None = None
 
 
+class Sources(NamedTuple):
+    """What a configuration is made of, read and checked for what is missing.
+
+    Attributes:
+        path: of the node's file.
+        top: the file's outermost object.
+        seed: of the node's random source.
+        operator: the operator's own settings.
+        operator_path: where they stand; None where there are none.
+        in_file, in_force: as in Config.
+    """
+
+    path: str
+    top: ConfigTable
+    seed: int
+    operator: OperatorSettings
+    operator_path: str | None
+    in_file: dict[str, Any]
+    in_force: dict[str, Any]
+
+
 def load(
     path: str | None,
     env: Mapping[str, str] = os.environ,
     before: Config | None = None,
     own: str | None = None,
 ) -> Config:
-    """Read a node's configuration from its file; at the start the environment's variables go before it.
+    """Return a node's configuration; `before` is the one in force, `own` the path of the operator's settings.
 
-    `before` is the configuration in force, if there is one: the file then has the last word. What it newly
-    says holds, and the rest stays as it was; the environment cannot follow a change, and would keep a node at
-    an address that is no more. `own` is the path of the operator's own settings, else a variable names it.
-    Raises ConfigError.
+    At the start variables of the environment go before the file. Later the file has the last word (see
+    `values_in_force`). Raises ConfigError.
     """
-    path = path or env.get(FILE_VARIABLE)
-    top = ConfigTable(read_file(path), "")
-    limits, seed = top.table("limits", {}), seed_from(top)
-    own = own or env.get(SETTINGS_VARIABLE) or (before.settings_path if before else None)
-    operator = operator_settings(own)
-    settings = top.table("settings")
-    if before is not None:
-        require_keys(top.values, before.shape)
-    require_request_classes(settings.values)
-    in_file = {"name": top.text("name", "node")} | {
-        key: top.get(key, None) for key in ("listen", "discovery", "admin")
-    }
-    in_force = values_in_force(in_file, env, before)
-    require_membership(operator, in_force["name"])
+    sources = read_sources(path, env, before, own)
+    top, operator, in_force = sources.top, sources.operator, sources.in_force
+    limits, settings = top.table("limits", {}), top.table("settings").values
     return Config(
-        path=str(path),
-        in_file=in_file,
+        path=sources.path,
+        in_file=sources.in_file,
         in_force=in_force,
         name=in_force["name"],
         listen=address(in_force, "listen", env),
         discovery=address(in_force, "discovery", env),
-        seed=seed,
+        seed=sources.seed,
         memory_mb=limits.number("memory_mb", 192.0, least=1.0),
         sockets=int(limits.number("sockets", 1024.0, least=1.0)),
         known=dict(top.table("known", {}).values),
-        deployment=deployment_from(settings.values, before=before.deployment if before else None, whole=True),
+        deployment=deployment_from(settings, before=before.deployment if before else None, whole=True),
         shape=shape_of(top.values),
-        settings=dict(settings.values) if operator.cluster is not None else {},
+        settings=dict(settings) if operator.cluster is not None else {},
         admin=address(in_force, "admin", env) if in_force["admin"] else None,
         socket_fd=before.socket_fd if before is not None else descriptor(env.get(SOCKET_VARIABLE)),
         folder=before.folder if before is not None else env.get(FOLDER_VARIABLE),
         store=operator.store,
         watch=operator.shadow,
         fleet=operator.cluster,
-        settings_path=own,
+        settings_path=sources.operator_path,
     )
 
 
+def read_sources(path: str | None, env: Mapping[str, str], before: Config | None, own: str | None) -> Sources:
+    """Read the node's file and the operator's settings; raises ConfigError."""
+    path = path or env.get(FILE_VARIABLE)
+    top = ConfigTable(read_file(path), "")
+    top.table("limits", {})
+    seed = seed_from(top)
+    operator_path = own or env.get(SETTINGS_VARIABLE) or (before.settings_path if before else None)
+    operator = operator_settings(operator_path)
+    settings = top.table("settings")
+    if before is not None:
+        require_keys(top.values, before.shape)
+    require_request_classes(settings.values)
+    in_file = values_in_file(top)
+    in_force = values_in_force(in_file, env, before)
+    require_membership(operator, in_force["name"])
+    return Sources(str(path), top, seed, operator, operator_path, in_file, in_force)
+
+
 def with_settings(config: Config, settings: Mapping[str, Any]) -> Config:
     """Return a configuration with a cluster's settings in place of its file's, all but the zone."""
     whole = {**settings, **{key: config.settings[key] for key in ("zone",) if key in config.settings}}
@@ -154,10 +180,21 @@
         raise ConfigError("seed", seed, "a hexadecimal number") from None
 
 
+def values_in_file(top: ConfigTable) -> dict[str, Any]:
+    """Return what a file says where the environment may go before it."""
+    return {"name": top.text("name", "node")} | {
+        key: top.get(key, None) for key in ("listen", "discovery", "admin")
+    }
+
+
 def values_in_force(
     in_file: Mapping[str, Any], env: Mapping[str, str], before: Config | None
 ) -> dict[str, Any]:
-    """Return what holds of the entries that the environment may go before."""
+    """Return what holds of the entries that the environment may go before.
+
+    In service, what the file newly says holds, and the rest stays as it was: the environment cannot follow a
+    change, and would keep a node at an address that is no more.
+    """
     if before is None:
         return {key: env.get(variable) or in_file[key] for key, variable in VARIABLES.items()}
     return {
--- a/marlseam/simhost/wire.py
+++ b/marlseam/simhost/wire.py
@@ -3,7 +3,7 @@
 import json
 from base64 import b64decode
 from collections.abc import Iterator
-from typing import Any
+from typing import Any, NamedTuple
 
 from marlseam.decisions.types import EndpointState, ListUpdateKind, LoadReport, Outcome
 
@@ -72,18 +72,33 @@
         self.line = line
 
 
-def parse(line: str) -> tuple[str, Fields]:
+class ParsedLine(NamedTuple):
+    """One event: its name and its fields."""
+
+    name: str
+    fields: Fields
+
+
+class Batch(NamedTuple):
+    """Events that happen at one time: the clock in ms, and their lines."""
+
+    clock_ms: float
+    events: list[str]
+
+
+def parse(line: str) -> ParsedLine:
     """Take one line apart into its name and its fields; a field that is absent or `-` is None."""
-    name, _, rest = line.partition(" ")
+    name, _, fields_text = line.partition(" ")
     fields = FIELDS.get(name)
     if fields is None:
         raise MalformedLineError(f"no event is called {name!r}")
-    parts = rest.split(" ", len(fields) - 1) if name in TEXT_LAST else rest.split(" ")
-    if rest == "":
+    parts = fields_text.split(" ", len(fields) - 1) if name in TEXT_LAST else fields_text.split(" ")
+    if fields_text == "":
         parts = []
-    return name, {
-        field: None if i >= len(parts) or parts[i] == "-" else parts[i] for i, field in enumerate(fields)
-    }
+    return ParsedLine(
+        name,
+        {field: None if i >= len(parts) or parts[i] == "-" else parts[i] for i, field in enumerate(fields)},
+    )
 
 
 def need(values: Fields, field: str) -> str:
@@ -164,7 +179,7 @@
     return options
 
 
-def batches(lines: Iterator[str]) -> Iterator[tuple[float, list[str]]]:
+def batches(lines: Iterator[str]) -> Iterator[Batch]:
     """Yield each batch's clock in milliseconds and its event lines."""
     for line in lines:
         head = line.rstrip("\n")
@@ -182,4 +197,4 @@
                 events.append(event)
         else:
             raise MalformedLineError("the input ended inside a batch")
-        yield int(clock) / 1000.0, events
+        yield Batch(int(clock) / 1000.0, events)
