--- a/marlseam/cli/state.py
+++ b/marlseam/cli/state.py
@@ -7,15 +7,17 @@
 import click
 import msgspec
 
-from marlseam.store.file_format import AttemptSent, HistoryLost, ListStored, TurnoverNoted
+from marlseam.store.disk import Disk
+from marlseam.store.errors import Finding, code_of
+from marlseam.store.file_format import AttemptSent, DepartureRateStored, HistoryLost, ListStored
 from marlseam.store.node_state import NodeState
-from marlseam.store.state_directory import Disk, Finding, StateDirectory, code_of, first_life
+from marlseam.store.state_directory import StateDirectory, create_state
 
 FOLDER = click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
 
 # The names that operators are shown of each record and its fields, whatever these are called in the code.
 EXPORTED: dict[type, tuple[str, tuple[str, ...]]] = {
-    TurnoverNoted: ("turned", ("departures", "lived_ms")),
+    DepartureRateStored: ("turned", ("departures", "lived_ms")),
     ListStored: ("listed", ("version", "rows", "heard_ms")),
     HistoryLost: ("lost", ("since_ms",)),
     AttemptSent: ("sent", ("key", "executor", "zone", "cell", "sent_ms", "until_ms")),
@@ -45,7 +47,7 @@
     Without this an empty folder counts as one whose content is lost. Ends with 1 where there is a state.
     """
     try:
-        first_life(folder, node)
+        create_state(folder, node)
     except FileExistsError:
         raise click.ClickException(f"{folder}: there is a state already") from None
     except OSError as error:
@@ -62,7 +64,7 @@
     if state.listed is None:
         click.echo("no list of executors")
     else:
-        age = (now - state.listed.heard_ms) / 1000.0
+        age = (now - state.listed.confirmed_ms) / 1000.0
         click.echo(
             f"{len(state.listed.rows)} executors, version {state.listed.version}, confirmed {age:.0f} s ago"
         )
--- a/marlseam/standin/disk.py
+++ b/marlseam/standin/disk.py
@@ -1,7 +1,7 @@
-"""A disk that is slow, hangs, fails or keeps its lock, behind the calls of a real node's helper.
+"""A disk that is slow, hangs, fails or keeps its lock, behind the calls of a real node's writer process.
 
-python -m marlseam.standin.disk serve ...    a node whose helper writes to such a disk
-python -m marlseam.standin.disk FOLDER ...   that helper, with the words of marlseam.store.writer_process
+python -m marlseam.standin.disk serve ...    a node whose writer process writes to such a disk
+python -m marlseam.standin.disk FOLDER ...   that process, with the arguments of marlseam.store.writer_process
 
 MARLSEAM_DISK holds the faults as JSON (`Faults`). A call that hangs, and a lock that is held on, end once the
 file that MARLSEAM_DISK_OVER names is there, so that an experiment leaves no process behind.
@@ -17,7 +17,8 @@
 import msgspec
 
 from marlseam.store import writer_process
-from marlseam.store.writer_process import NodeBoundDisk, NodeGoneError
+from marlseam.store.errors import NodeGoneError
+from marlseam.store.writer_process import NodeBoundDisk
 from marlseam.world.model import NotNegative, Strict
 
 FAULTS, OVER = "MARLSEAM_DISK", "MARLSEAM_DISK_OVER"
@@ -26,7 +27,7 @@
 
 
 class Faults(Strict):
-    """What is wrong with a disk, and for how long a dead node's helper keeps the lock."""
+    """What is wrong with a disk, and for how long a dead node's writer process keeps the lock."""
 
     sync_s: NotNegative = 0.0  # that each sync takes
     hangs_after: int = 0  # syncs after which one never ends; 0: none does
@@ -83,17 +84,17 @@
         self.slow()
         super().sync_folder()
 
-    def look(self) -> None:
-        """Raise Gone where the node has ended, once the lock was held for so long."""
+    def check_node(self) -> None:
+        """Raise NodeGoneError where the node has ended, once the lock was held for so long."""
         try:
-            super().look()
+            super().check_node()
         except NodeGoneError:
             wait(time.monotonic() + self.faults.linger_s)
             raise
 
 
 def main() -> None:
-    """Run a node, or its helper, by the words given."""
+    """Run a node, or its writer process, by the arguments given."""
     if sys.argv[1:2] == ["serve"]:
         from marlseam.__main__ import main as marlseam
         from marlseam.store.state_store import StateStore
@@ -101,7 +102,7 @@
         StateStore.helper = "marlseam.standin.disk"
         marlseam()
         return
-    writer_process.main(disk=Faulty)
+    writer_process.main(disk_type=Faulty)
 
 
 if __name__ == "__main__":
--- a/marlseam/store/check.py
+++ b/marlseam/store/check.py
@@ -1,69 +1,94 @@
-"""Whether a folder serves: tried as a node would use it, and left as it was."""
+"""Whether a directory can be used: tried as a node would use it, and left as it was."""
 
-import os
 import time
 from collections.abc import Callable
+from contextlib import ExitStack
 from pathlib import Path
+from typing import NamedTuple
 
 from marlseam.configuration import ClusterSettings, ConfigError, StoreSettings
+from marlseam.store.disk import Disk, directory_lock
+from marlseam.store.errors import Finding, code_of
 from marlseam.store.ledger_writer import LedgerWriter
-from marlseam.store.state_directory import Disk, Finding, StateDirectory, code_of, lock
+from marlseam.store.state_directory import StateDirectory
 
-TRIAL = "trial"
+TRIAL_FILE = "trial"
 
 
-def tried(path: Path, key: str, read: Callable[[Disk], tuple[str, list[Finding]]]) -> None:
-    """Lock a folder, write and sync a file in it, and read it; print what `read` tells and what is wrong.
+class DirectorySummary(NamedTuple):
+    """What a directory holds, in a line that begins with its kind, and what is wrong with its files."""
 
-    Raise ConfigError with the key where it does not serve.
+    text: str
+    findings: list[Finding]
+
+
+def check_directory(path: Path, key: str, summarize: Callable[[Disk], DirectorySummary]) -> None:
+    """Lock a directory, write and sync a file in it, and read it; print its summary and findings.
+
+    Raises ConfigError with the setting's key where it cannot be used.
     """
-    try:
-        held = lock(path)
-    except OSError as error:
-        expected = f"a folder that this node alone may write ({code_of(error)}: {error.strerror})"
-        raise ConfigError(key, str(path), expected) from None
-    disk = Disk(path)
-    try:
-        fd = disk.open(TRIAL)
+    with ExitStack() as stack:
+        try:
+            stack.enter_context(directory_lock(path))
+        except OSError as error:
+            raise _unusable(path, key, "a folder that this node alone may write", error) from None
+        disk = Disk(path)
         try:
-            began = time.perf_counter()
-            disk.write(fd, b"marlseam")
-            disk.sync(fd)
-            took = (time.perf_counter() - began) * 1000.0
-        finally:
-            disk.close(fd)
-            disk.remove(TRIAL)
-        told, findings = read(disk)
-    except OSError as error:
-        expected = f"a folder that can be written ({code_of(error)}: {error.strerror})"
-        raise ConfigError(key, str(path), expected) from None
+            sync_ms = _time_sync(disk)
+            summary = summarize(disk)
+        except OSError as error:
+            raise _unusable(path, key, "a folder that can be written", error) from None
+    print(f"{summary.text}, a sync takes {sync_ms:.1f} ms")
+    kind = summary.text.split()[0]
+    for finding in summary.findings:
+        print(f"{kind} file {finding.name or path} code={finding.code}: {finding.text}")
+
+
+def _unusable(path: Path, key: str, expected: str, error: OSError) -> ConfigError:
+    """Return the error for a directory that a system call failed on."""
+    return ConfigError(key, str(path), f"{expected} ({code_of(error)}: {error.strerror})")
+
+
+def _time_sync(disk: Disk) -> float:
+    """Write and sync a file, and remove it; return how long that took until it was durable, in ms."""
+    fd = disk.open(TRIAL_FILE)
+    try:
+        began = time.perf_counter()
+        disk.write(fd, b"marlseam")
+        disk.sync(fd)
+        return (time.perf_counter() - began) * 1000.0
     finally:
-        os.close(held)
-    print(f"{told}, a sync takes {took:.1f} ms")
-    for finding in findings:
-        print(f"{told.split()[0]} file {finding.name or path} code={finding.code}: {finding.text}")
+        disk.close(fd)
+        disk.remove(TRIAL_FILE)
 
 
-def test(settings: StoreSettings, node: str) -> None:
-    """Try a state folder; raise ConfigError with what is wrong."""
+def check_state(settings: StoreSettings, node: str) -> None:
+    """Check a node's state directory; raises ConfigError with what is wrong."""
 
-    def read(disk: Disk) -> tuple[str, list[Finding]]:
-        folder = StateDirectory(disk, node)
-        state = folder.load(time.time() * 1000.0)
+    def summarize(disk: Disk) -> DirectorySummary:
+        directory = StateDirectory(disk, node)
+        state = directory.load(time.time() * 1000.0)
         listed = len(state.listed.rows) if state.listed else 0
-        return f"state in {disk.path}: {listed} executors, {len(state.sent)} keys", folder.findings
+        text = f"state in {disk.path}: {listed} executors, {len(state.sent)} keys"
+        return DirectorySummary(text, directory.findings)
 
-    tried(Path(settings.folder), "store.folder", read)
+    check_directory(Path(settings.folder), "store.folder", summarize)
 
 
-def test_ledger(settings: ClusterSettings, node: str) -> None:
-    """Try a ledger's folder; raise ConfigError with what is wrong."""
+def check_ledger(settings: ClusterSettings, node: str) -> None:
+    """Check a ledger's directory; raises ConfigError with what is wrong."""
 
-    def read(disk: Disk) -> tuple[str, list[Finding]]:
+    def summarize(disk: Disk) -> DirectorySummary:
         ledger = LedgerWriter(disk, node)
-        kept = ledger.load()
-        number = kept.held.number if kept.held is not None else 0
-        votes = "votes" if kept.bar is not None else "does not vote at first"
-        return f"ledger in {disk.path}: version {number}, {votes}", ledger.findings
+        recovered = ledger.load()
+        number = recovered.held.number if recovered.held is not None else 0
+        votes = "votes" if recovered.bar is not None else "does not vote at first"
+        return DirectorySummary(f"ledger in {disk.path}: version {number}, {votes}", ledger.findings)
+
+    if settings.folder is None:
+        raise ConfigError("fleet.folder", "", "a folder")
+    check_directory(Path(settings.folder), "fleet.folder", summarize)
+
 
-    tried(Path(settings.folder), "fleet.folder", read)
+# Names that other packages still use.
+test, test_ledger = check_state, check_ledger
--- /dev/null
+++ b/marlseam/store/disk.py
@@ -0,0 +1,113 @@
+"""The system calls on a directory of the store, and its lock."""
+
+import errno
+import fcntl
+import os
+from collections.abc import Iterator
+from contextlib import contextmanager
+from pathlib import Path
+from typing import NamedTuple
+
+LOCK_FILE = "lock"
+
+
+class FileIdentity(NamedTuple):
+    """What the file system knows of a file.
+
+    Attributes:
+        inode: the file's number in its file system.
+        changed_ms: when its content or its inode was last changed (Unix ms).
+    """
+
+    inode: int
+    changed_ms: float
+
+
+class Disk:
+    """The system calls that a directory makes; tests put one in its place that fails.
+
+    Each method raises OSError as the system call does.
+    """
+
+    def __init__(self, path: Path) -> None:
+        self.path = path
+
+    def names(self) -> list[str]:
+        """Return the names in the directory."""
+        return os.listdir(self.path)
+
+    def read(self, name: str) -> bytes:
+        """Return a file's bytes."""
+        return (self.path / name).read_bytes()
+
+    def open(self, name: str) -> int:
+        """Open a file to append to, created if there is none; return its descriptor."""
+        return os.open(self.path / name, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
+
+    def write(self, fd: int, data: bytes) -> int:
+        """Append some of the bytes; return how many."""
+        return os.write(fd, data)
+
+    def sync(self, fd: int) -> None:
+        """Flush a file's bytes to the disk."""
+        os.fdatasync(fd)
+
+    def close(self, fd: int) -> None:
+        """Close a file."""
+        os.close(fd)
+
+    def identity(self, name: str) -> FileIdentity:
+        """Return a file's inode number and the time of its last change."""
+        found = os.stat(self.path / name)
+        return FileIdentity(found.st_ino, found.st_ctime_ns / 1e6)
+
+    def rename(self, old: str, new: str) -> None:
+        """Rename a file."""
+        os.rename(self.path / old, self.path / new)
+
+    def remove(self, name: str) -> None:
+        """Remove a file."""
+        os.unlink(self.path / name)
+
+    def sync_folder(self) -> None:
+        """Flush the directory's names to the disk."""
+        fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
+        try:
+            os.fsync(fd)
+        finally:
+            os.close(fd)
+
+
+def write_all(disk: Disk, fd: int, data: bytes) -> None:
+    """Append all of the bytes to a file; raise OSError where the disk takes no more."""
+    view = memoryview(data)
+    while view:
+        count = disk.write(fd, bytes(view))
+        if not count:
+            raise OSError(errno.ENOSPC, "nothing was written")
+        view = view[count:]
+
+
+def lock_directory(path: Path) -> int:
+    """Lock a directory, created if there is none, and return the lock's descriptor: closing it unlocks.
+
+    Raises OSError, with EAGAIN where another process has the lock.
+    """
+    path.mkdir(parents=True, exist_ok=True, mode=0o700)
+    fd = os.open(path / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
+    try:
+        fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+    except OSError:
+        os.close(fd)
+        raise
+    return fd
+
+
+@contextmanager
+def directory_lock(path: Path) -> Iterator[None]:
+    """Hold a directory's lock for the length of a block; raises OSError as `lock_directory` does."""
+    fd = lock_directory(path)
+    try:
+        yield
+    finally:
+        os.close(fd)
--- a/marlseam/store/file_format.py
+++ b/marlseam/store/file_format.py
@@ -1,29 +1,40 @@
-"""The files' format, pure: a magic, then frames, each a length, a CRC-32 and a payload in MessagePack.
+"""The codec of the store's files, pure: a magic number, then frames.
 
-The first frame is a `Head` that names the kind of file, the format's version, the node and the file's number.
-A frame whose length or checksum does not fit ends what can be read of its file: what lies behind it is never
-used. docs/design/state.md has the layout byte by byte.
+A frame is a length, a CRC-32 and a payload in MessagePack. The first frame is a `FileHeader`. A frame whose
+length or checksum does not match ends what can be read of its file: the bytes behind it are never used.
+docs/design/state.md has the layout byte by byte. A record is stored under its tag and by the order of its
+fields, so that neither may change; the names of types and fields are free.
 """
 
 import struct
 import zlib
 from collections.abc import Generator
-from typing import NamedTuple
+from typing import Any, NamedTuple
 
 import msgspec
 
-MAGIC = b"MARLSEAM"
-VERSION, READ = 2, (1, 2)  # written, and read; 1 knew no start of the machine and nothing lost
-FRAME = struct.Struct(">II")
-BATCH = 1000  # sendings in one frame
-PAYLOAD_MOST = 16 << 20  # bytes; a longer length is no length
-CUT_MOST = 4096  # bytes of a frame that a crash has cut short; a longer rest counts as damaged
-
+from marlseam.store.errors import UnusableFileError
 
-class Head(msgspec.Struct, tag="head", array_like=True):
-    """What a file is: its kind (snapshot or journal), its node, its number, when it was begun (Unix ms).
-
-    And on which start of the machine, with what the writer's Unix time was at that start.
+MAGIC = b"MARLSEAM"
+FORMAT_VERSION = 2
+READABLE_VERSIONS = (1, 2)  # 1 has neither the start of the machine nor lost history
+FRAME_HEADER = struct.Struct(">II")  # the payload's length in bytes, its CRC-32
+MAX_PAYLOAD_BYTES = 16 << 20  # a longer length is damaged
+MAX_TORN_BYTES = 4096  # of a frame whose writing a crash cut short; a longer rest counts as damaged
+MAX_ATTEMPTS_PER_BATCH = 1000
+
+
+class FileHeader(msgspec.Struct, tag="head", array_like=True):
+    """What a file is.
+
+    Attributes:
+        kind: `snapshot`, `journal` or `ledger`.
+        version: of the format.
+        node: the name of the node whose file it is.
+        number: the file's, which counts up.
+        created_ms: when it was begun (Unix ms).
+        boot: the start of the machine on which it was begun, empty where not known.
+        zero_ms: the writer's Unix time at that start, in ms.
     """
 
     kind: str
@@ -36,46 +47,71 @@
 
 
 class ListStored(msgspec.Struct, tag="list", array_like=True):
-    """Discovery's list as discovery wrote it, and when it was last true (Unix ms)."""
+    """The endpoint list as discovery wrote it.
+
+    Attributes:
+        version: of the list.
+        rows: its entries.
+        confirmed_ms: when discovery last confirmed it (Unix ms).
+    """
 
     version: int
-    rows: list[dict]
-    heard_ms: float
+    rows: list[dict[str, Any]]
+    confirmed_ms: float
+
+    @property
+    def heard_ms(self) -> float:
+        """Return `confirmed_ms`, under the name that other packages still use."""
+        return self.confirmed_ms
 
 
 class ListConfirmed(msgspec.Struct, tag="heard", array_like=True):
-    """Discovery has confirmed the list as it is (Unix ms)."""
+    """Discovery has confirmed the stored list as it is (Unix ms)."""
 
-    heard_ms: float
+    confirmed_ms: float
 
 
 class AttemptSent(msgspec.Struct, tag="sent", array_like=True, gc=False):
-    """A request under a key is about to be sent: it may have run from now on (times in Unix ms)."""
+    """A keyed request is about to be sent: it may have run from now on.
+
+    Attributes:
+        key: the idempotency key.
+        server: the name of the server that it is sent to.
+        zone: the server's zone, by name.
+        cell: the server's cell in that zone.
+        sent_ms: when (Unix ms).
+        until_ms: when the server forgets the key (Unix ms).
+    """
 
     key: str
-    executor: str
+    server: str
     zone: str
     cell: int
     sent_ms: float
     until_ms: float
 
+    @property
+    def executor(self) -> str:
+        """Return `server`, under the name that other packages still use."""
+        return self.server
+
 
 class AttemptBatch(msgspec.Struct, tag="batch", array_like=True):
-    """Many sendings in one frame, as a snapshot holds them: read several times as fast as one by one."""
+    """Many attempts in one frame, as a snapshot holds them: read several times as fast as one by one."""
 
     rows: list[AttemptSent]
 
 
 class AttemptNeverRan(msgspec.Struct, tag="never", array_like=True):
-    """A sending provably never ran."""
+    """An attempt, known by key, server and time (Unix ms), provably never ran."""
 
     key: str
-    executor: str
+    server: str
     sent_ms: float
 
 
-class TurnoverNoted(msgspec.Struct, tag="turnover", array_like=True):
-    """What is known of how often servers leave."""
+class DepartureRateStored(msgspec.Struct, tag="turnover", array_like=True):
+    """How often servers leave: departures seen, and the time of all servers together, in ms."""
 
     departures: float
     lived_ms: float
@@ -88,156 +124,186 @@
 
 
 class SnapshotEnd(msgspec.Struct, tag="whole", array_like=True):
-    """A snapshot's last frame: how many records it holds. One without it is not whole."""
+    """A snapshot's last frame: how many frames lie between it and the header. One without it is not whole."""
 
     records: int
 
 
 StateRecord = (
-    Head
+    FileHeader
     | ListStored
     | ListConfirmed
     | AttemptSent
     | AttemptBatch
     | AttemptNeverRan
-    | TurnoverNoted
+    | DepartureRateStored
     | HistoryLost
     | SnapshotEnd
 )
-ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(StateRecord)
+ENCODER = msgspec.msgpack.Encoder()
+DECODER: msgspec.msgpack.Decoder[StateRecord] = msgspec.msgpack.Decoder(StateRecord)
 
 
-def framed(payload: bytes) -> bytes:
-    """Return a payload as a frame."""
-    return FRAME.pack(len(payload), zlib.crc32(payload, len(payload))) + payload
+class FramePayload(NamedTuple):
+    """One whole frame's payload, and the offset in the file at which the frame ends, in bytes."""
 
+    end: int
+    payload: bytes
 
-def frame(entry: StateRecord) -> bytes:
-    """Return an entry as bytes of a file."""
-    return framed(ENCODER.encode(entry))
 
+class FileContents(NamedTuple):
+    """What a file holds.
 
-def frames(entries: list[StateRecord]) -> list[bytes]:
-    """Return entries as frames, with sendings in batches."""
-    sent = [entry for entry in entries if type(entry) is AttemptSent]
-    batches = [AttemptBatch(sent[i : i + BATCH]) for i in range(0, len(sent), BATCH)]
-    return [frame(entry) for entry in entries if type(entry) is not AttemptSent] + [
-        frame(batch) for batch in batches
-    ]
+    Attributes:
+        header: its first frame.
+        records: what follows, as far as it can be read.
+        unread_bytes: how many bytes at its end cannot be read.
+        is_cut_short: whether these are one frame whose writing a crash cut short, which was never reported
+            as durable. Other bytes that cannot be read may have been records.
+    """
 
+    header: FileHeader
+    records: list[StateRecord]
+    unread_bytes: int
+    is_cut_short: bool
 
-def begin(head: Head) -> bytes:
-    """Return the first bytes of a file."""
-    return MAGIC + frame(head)
 
+# Writing.
 
-def snapshot(head: Head, frames: list[bytes]) -> bytes:
-    """Return a whole snapshot that holds some frames."""
-    return begin(head) + b"".join(frames) + frame(SnapshotEnd(len(frames)))
 
+def encode_frame(payload: bytes) -> bytes:
+    """Return a payload as a frame."""
+    return FRAME_HEADER.pack(len(payload), zlib.crc32(payload, len(payload))) + payload
 
-class UnusableFileError(Exception):
-    """A file that cannot be used, with its code: foreign, version, torn."""
 
-    def __init__(self, code: str, text: str) -> None:
-        super().__init__(text)
-        self.code = code
+def encode_record(record: StateRecord) -> bytes:
+    """Return a record as a frame."""
+    return encode_frame(ENCODER.encode(record))
 
 
-class Contents(NamedTuple):
-    """What a file holds: its head, its entries, how many bytes at its end are left out, and what these are.
+def encode_records(records: list[StateRecord]) -> list[bytes]:
+    """Return records as frames, attempts last and in batches."""
+    attempts = [record for record in records if type(record) is AttemptSent]
+    others = [record for record in records if type(record) is not AttemptSent]
+    batches = [
+        AttemptBatch(attempts[start : start + MAX_ATTEMPTS_PER_BATCH])
+        for start in range(0, len(attempts), MAX_ATTEMPTS_PER_BATCH)
+    ]
+    return [encode_record(record) for record in (*others, *batches)]
+
+
+def encode_header(header: FileHeader) -> bytes:
+    """Return the first bytes of a file: the magic number and the header's frame."""
+    return MAGIC + encode_record(header)
+
+
+def encode_snapshot(header: FileHeader, frames: list[bytes]) -> bytes:
+    """Return a whole snapshot that holds some frames."""
+    return encode_header(header) + b"".join(frames) + encode_record(SnapshotEnd(len(frames)))
 
-    `cut` where the file ends in the middle of a frame, as a crash leaves it: what was not written whole was
-    never said to be kept. Other bytes that cannot be read may have been entries.
-    """
 
-    head: Head
-    entries: list[StateRecord]
-    left: int
-    cut: bool
+# Reading.
 
 
-def cut_short(rest: bytes) -> bool:
-    """Return whether some last bytes are a frame whose writing was cut short, and nothing else.
+def is_cut_short(tail: bytes) -> bool:
+    """Return whether a file's last bytes are one frame whose writing was cut short, and nothing else.
 
-    Guards against a damaged length, which makes a whole frame, and all behind it, look like the end of one.
+    Guards against a damaged length, which makes a whole frame, and all behind it, look like the end of one:
+    bytes in which any whole frame can be found are damage, not a cut.
     """
-    if len(rest) < FRAME.size:
+    if len(tail) < FRAME_HEADER.size:
         return True
-    body = len(rest) - FRAME.size
-    if len(rest) > CUT_MOST or FRAME.unpack_from(rest)[0] <= body:
+    body_bytes = len(tail) - FRAME_HEADER.size
+    if len(tail) > MAX_TORN_BYTES or FRAME_HEADER.unpack_from(tail)[0] <= body_bytes:
         return False
-    for at in range(body + 1):
-        length, check = FRAME.unpack_from(rest, at)
-        inside = body - at
-        # No frame is empty: eight zero bytes of an entry are not one. They made ordinary cuts count as lost.
-        lengths = range(1, inside + 1) if at == 0 else [length] if 0 < length <= inside else []
-        if any(zlib.crc32(rest[at + FRAME.size : at + FRAME.size + n], n) == check for n in lengths):
-            return False
-    return True
-
-
-def begun(data: bytes) -> bool:
-    """Return whether a file has more than the beginning of a head: a crash leaves less, with nothing kept."""
+    return not any(_has_frame_at(tail, offset) for offset in range(body_bytes + 1))
+
+
+def _has_frame_at(tail: bytes, offset: int) -> bool:
+    """Return whether a whole frame begins at an offset; at 0 with any length, as that one is in doubt."""
+    length, checksum = FRAME_HEADER.unpack_from(tail, offset)
+    start = offset + FRAME_HEADER.size
+    bytes_left = len(tail) - start
+    if offset == 0:
+        lengths = range(1, bytes_left + 1)
+    elif 0 < length <= bytes_left:
+        lengths = range(length, length + 1)
+    else:
+        # Guards an ordinary cut against counting as damage: eight zero bytes of a record look like the header
+        # of an empty frame, but no frame is empty.
+        return False
+    return any(zlib.crc32(tail[start : start + size], size) == checksum for size in lengths)
+
+
+def has_begun(data: bytes) -> bool:
+    """Return whether a file has more than a part of its header, which a crash leaves without any record."""
     if len(data) <= len(MAGIC):
         return not MAGIC.startswith(data)
-    return not (data.startswith(MAGIC) and cut_short(data[len(MAGIC) :]))
+    return not (data.startswith(MAGIC) and is_cut_short(data[len(MAGIC) :]))
 
 
-def payloads(data: bytes) -> Generator[tuple[int, bytes], None, None]:
-    """Yield where each whole frame behind the magic ends, and what it holds, up to the first that is not
-    whole.
+def iterate_payloads(data: bytes) -> Generator[FramePayload, None, None]:
+    """Yield the payload of each frame, up to the first frame that is not whole.
 
-    Raises Unusable where there is no magic.
+    Raises UnusableFileError where there is no magic number.
     """
     if not data.startswith(MAGIC):
         raise UnusableFileError("foreign", "no file of marlseam's")
-    at = len(MAGIC)
-    while at + FRAME.size <= len(data):
-        length, check = FRAME.unpack_from(data, at)
-        payload = data[at + FRAME.size : at + FRAME.size + length] if length <= PAYLOAD_MOST else b""
-        if length > PAYLOAD_MOST or len(payload) < length or zlib.crc32(payload, length) != check:
+    offset = len(MAGIC)
+    while offset + FRAME_HEADER.size <= len(data):
+        length, checksum = FRAME_HEADER.unpack_from(data, offset)
+        if length > MAX_PAYLOAD_BYTES:
             return
-        at += FRAME.size + len(payload)
-        yield at, payload
+        start = offset + FRAME_HEADER.size
+        payload = data[start : start + length]
+        if len(payload) < length or zlib.crc32(payload, length) != checksum:
+            return
+        offset = start + length
+        yield FramePayload(offset, payload)
 
 
-def headed(first: object, kind: str, node: str | None) -> Head:
-    """Return a file's head; raises Unusable for another kind, version or node's file.
+def check_header(first: object, kind: str, node: str | None) -> FileHeader:
+    """Return a file's first record as its header; a `node` of None allows any node's file.
 
-    Or one without a head.
+    Raises UnusableFileError for a file without a header, or of another kind, version or node.
     """
-    if not isinstance(first, Head):
+    if not isinstance(first, FileHeader):
         raise UnusableFileError("torn", "its head cannot be read")
-    if first.version not in READ:
-        raise UnusableFileError("version", f"format {first.version}, this program reads {READ}")
+    if first.version not in READABLE_VERSIONS:
+        raise UnusableFileError("version", f"format {first.version}, this program reads {READABLE_VERSIONS}")
     if first.kind != kind or (node is not None and first.node != node):
         raise UnusableFileError("foreign", f"a {first.kind} of node {first.node}")
     return first
 
 
-def read(data: bytes, kind: str, node: str | None) -> Generator[None, None, Contents]:
-    """Return what a file holds, frame by frame.
+def read_file(data: bytes, kind: str, node: str | None) -> Generator[None, None, FileContents]:
+    """Return what a file holds, read frame by frame: each step of the generator is one frame.
 
-    Raises Unusable for another kind, version or node's file, or one without a head.
+    Raises UnusableFileError as `check_header` does.
     """
-    entries: list[StateRecord] = []
+    records: list[StateRecord] = []
     end = len(MAGIC)
-    for at, payload in payloads(data):
+    for frame in iterate_payloads(data):
         try:
-            entries.append(DECODER.decode(payload))
+            records.append(DECODER.decode(frame.payload))
         except msgspec.MsgspecError:
             break
-        end = at
+        end = frame.end
         yield
-    head = headed(entries[0] if entries else None, kind, node)
-    return Contents(head, entries[1:], len(data) - end, cut_short(data[end:]))
+    header = check_header(records[0] if records else None, kind, node)
+    return FileContents(header, records[1:], len(data) - end, is_cut_short(data[end:]))
 
 
-def read_snapshot(data: bytes, node: str | None) -> Generator[None, None, Contents]:
-    """Return what a snapshot holds; one that is not whole raises Unusable."""
-    found = yield from read(data, "snapshot", node)
-    entries = found.entries
-    if found.left or not entries or entries[-1] != SnapshotEnd(len(entries) - 1):
+def read_snapshot(data: bytes, node: str | None) -> Generator[None, None, FileContents]:
+    """Return what a snapshot holds; raises UnusableFileError also for one that is not whole."""
+    contents = yield from read_file(data, "snapshot", node)
+    records = contents.records
+    if contents.unread_bytes or not records or records[-1] != SnapshotEnd(len(records) - 1):
         raise UnusableFileError("torn", "it is not whole")
-    return found._replace(entries=entries[:-1])
+    return contents._replace(records=records[:-1])
+
+
+# Names that other packages still use.
+TurnoverNoted = DepartureRateStored
+frame = encode_record
+payloads = iterate_payloads
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -1,143 +1,177 @@
-"""The node's side of what it has a helper process write, and what it knows to be durable.
+"""The node's side of its writer process, and what it knows to be durable.
 
-Where the disk does not serve, `serves` says so beforehand, `durable` to what waits. The log says why with a
-code, and all is tried again with back-off.
+Where the disk cannot be used, `is_available` says so beforehand and `wait_durable` to a task that waits. The
+log gives the reason with a code, and all is tried again with backoff.
 """
 
 import contextlib
 import errno
-import json
 import os
 import socket
 import subprocess
 import sys
 import time
-from collections import deque
 from math import inf
 from pathlib import Path
 
 from marlseam.net.connection import Steps
 from marlseam.net.log import Log
 from marlseam.net.loop import READ, WRITE, Coroutine, Loop, Task, sleep
-from marlseam.store.state_directory import code_of, era, lock
-from marlseam.store.writer_process import APPEND, COMPACT, END, HEAD
-
-LOCK_S = 0.5  # how long a start waits for the lock, which the last life's helper holds until it has ended
-LOOK_MS = 50.0  # between looks at a lock that another process has
-BACK_MS, BACK_MOST_MS = 1000.0, 60000.0  # between tries of a disk that failed
-AHEAD_MOST = 8 << 20  # bytes that may wait for the helper before the disk counts as slow
-
-
-class DurabilityWait:
-    """One that waits for a record, and whether that is kept once it is known."""
-
-    def __init__(self, number: int, task: Task) -> None:
-        self.number, self.task, self.kept = number, task, False
-        self.over = False
-
-    def end(self, kept: bool) -> None:
-        """Let it go on."""
-        self.kept, self.over = kept, True
-        self.task.wake()
+from marlseam.store.clock_era import current_era
+from marlseam.store.disk import lock_directory
+from marlseam.store.durability import DurabilityWaits
+from marlseam.store.errors import code_of
+from marlseam.store.writer_channel import (
+    APPEND,
+    COMPACT,
+    END,
+    Answer,
+    Message,
+    WriteFailed,
+    Written,
+    decode_answer,
+    encode_message,
+)
+
+MAX_LOCK_WAIT_S = 0.5  # at a start, for the lock that the last process's writer holds until it has ended
+LOCK_RETRY_S = 0.01  # between tries in that time
+LOCK_POLL_MS = 50.0  # between tries of a lock that another process has, while the loop runs
+MIN_RETRY_DELAY_MS = 1000.0  # between tries of a disk that failed
+MAX_RETRY_DELAY_MS = 60000.0
+MAX_OUTGOING_BYTES = 8 << 20  # that may wait for the writer process before the disk counts as slow
+MAX_RECEIVE_BYTES = 65536
+MAX_CLOSE_SEND_S = 1.0  # for the last messages, as the node ends
+MAX_CLOSE_WAIT_S = 2.0  # for the writer process to end after them
+BYTES_PER_MB = 1 << 20
 
 
 class LogWriterClient:
-    """Keeps a helper that writes to a folder."""
-
-    helper = "marlseam.store.writer_process"  # the module that is run; stand-ins for a disk set another
-    what = "state"  # as staff are told of it
-    back_most_ms = BACK_MOST_MS
+    """Runs a writer process for a directory, sends it records and tells what became durable.
+
+    Attributes:
+        helper: the module that is run; stand-ins for a disk set another.
+        what: the name of what is written, in log lines.
+        back_most_ms: the longest delay between tries of a disk that failed.
+        era: the scale of the times in the directory.
+        known: whether what the directory holds was read.
+        sent: how many messages were sent, over all writer processes.
+        done: how many of these were answered; those of a process that ended count as answered.
+        done_before: how many of these earlier writer processes had.
+        unanswered_since_ms: since when messages have waited for an answer (ms on the loop's clock).
+        works: whether records are sent on. From the process's start, not from its first answer: it compacts
+            what is there before them. Guards what is sent in a node's first moments against being on no
+            record.
+        is_compacting: whether a file that has grown too large is being replaced.
+        is_success_logged: whether the log has said that records become durable, since the last failure.
+        told_lost: whether the log has said that something in the directory is lost.
+        retry_delay_ms: the delay before the next try of a disk that failed.
+        code: why records do not become durable, empty where they do.
+        lock: the descriptor of the directory's lock, None while this process does not have it.
+    """
+
+    helper = "marlseam.store.writer_process"
+    what = "state"
+    back_most_ms = MAX_RETRY_DELAY_MS
 
     def __init__(
         self, loop: Loop, log: Log, path: Path, node: str, sync: str, file_mb: float, wait_ms: float
     ) -> None:
-        """Make one: `sync` as in the settings, `file_mb` at which a file is begun anew.
+        """Open nothing yet.
 
-        `wait_ms` the patience.
+        `sync` is as in the settings, `file_mb` the size at which a file is begun anew, and `wait_ms` for how
+        long a record may take to become durable.
         """
         self.loop, self.log, self.path, self.node = loop, log, path, node
         self.sync, self.file_mb, self.wait_ms = sync, file_mb, wait_ms
-        self.era = era(loop.clock.to_unix(loop.now()))
-        self.known = False  # whether what the folder holds was read
-        self.sent = self.done = self.base = 0  # messages to helpers, carried out, and before the present one
-        self.behind_ms = 0.0  # since when some wait to be carried out
-        # Whether entries go to the helper: from its start on, as it compacts what is there before them.
-        # Guards what is sent in a node's first moments against being on no record.
-        self.works = self.compacting = False
-        self.told = self.told_lost = False  # staff, that it is kept, and that some is lost
-        self.waiting: deque[DurabilityWait] = deque()
-        self.out = bytearray()
+        self.era = current_era(loop.clock.to_unix(loop.now()))
+        self.known = False
+        self.sent = self.done = self.done_before = 0
+        self.unanswered_since_ms = 0.0
+        self.works = self.is_compacting = False
+        self.is_success_logged = self.told_lost = False
+        self.waits = DurabilityWaits()
+        self.outgoing = bytearray()
         self.channel: socket.socket | None = None
-        self.process: subprocess.Popen | None = None
-        self.back_ms, self.code = BACK_MS, ""
-        self.writer: Task | None = None
+        self.process: subprocess.Popen[bytes] | None = None
+        self.retry_delay_ms, self.code = MIN_RETRY_DELAY_MS, ""
+        self.send_task: Task | None = None
         self.lock: int | None = None
-        self.task: Task | None = None
+        self.supervise_task: Task | None = None
+
+    # The directory.
 
     def take_lock(self, within_s: float | None = None) -> None:
-        """Take the folder's lock before the loop runs, waiting a moment for it; raises OSError."""
-        end = time.monotonic() + (LOCK_S if within_s is None else within_s)
+        """Take the directory's lock before the loop runs; raises OSError where it is not free in time.
+
+        `within_s` is how long to wait for it; None takes MAX_LOCK_WAIT_S.
+        """
+        end = time.monotonic() + (MAX_LOCK_WAIT_S if within_s is None else within_s)
         while self.lock is None:
             try:
-                self.lock = lock(self.path)
+                self.lock = lock_directory(self.path)
             except OSError as error:
                 if error.errno != errno.EAGAIN or time.monotonic() >= end:
                     raise
-                time.sleep(0.01)  # nothing else waits
+                time.sleep(LOCK_RETRY_S)  # nothing else waits
 
     def read(self) -> Coroutine:
-        """Read what is there, before anything is written."""
+        """Read what is there, before anything is written, and set `known`; raises OSError."""
         raise NotImplementedError
 
     def begin(self) -> None:
-        """Read what is not read yet, start the helper, and have it compact what the last life left."""
-        self.task = self.loop.spawn(self.follow())
+        """Read what is not read yet, start the writer process, and have it compact what is there."""
+        self.supervise_task = self.loop.spawn(self.supervise())
 
     def leave(self) -> None:
         """Write no more here, while the node goes on: what is under way is on the disk or is not."""
-        if self.task is not None:
-            self.task.cancel()
-        self.stop()
+        if self.supervise_task is not None:
+            self.supervise_task.cancel()
+        self.stop_process()
         if self.lock is not None:
             os.close(self.lock)
             self.lock = None
 
-    def follow(self) -> Coroutine:
-        """Keep a helper for as long as the node runs; one that ends is followed by another, with back-off."""
-        descriptors = self.loop.descriptors
+    # The writer process.
+
+    def supervise(self) -> Coroutine:
+        """Keep a writer process for as long as the node runs; one that ends is followed by another."""
         while True:
             try:
-                if self.lock is None:
-                    self.lock = descriptors.opened(lambda: lock(self.path), own=True)
-                if not self.known:
-                    yield from self.read()
-                descriptors.opened(self.start, own=True)
+                channel = yield from self.open()
             except OSError as error:
-                self.fail(code_of(error), error.strerror or str(error))
+                self.fail_by(error)
                 if self.lock is None and error.errno == errno.EAGAIN:
-                    yield from sleep(self.loop.now() + LOOK_MS)
+                    yield from sleep(self.loop.now() + LOCK_POLL_MS)
                     continue
             else:
-                # By the helper itself: writing 100,000 keys anew here held the loop for 0.8 s. And all that
-                # has let something out is in the folder, so no snapshot stands for what was not read.
-                self.message(COMPACT, b"")
-                yield from self.answers()
-                self.stop()
-            yield from sleep(self.loop.now() + self.back_ms)
-            self.back_ms = min(2.0 * self.back_ms, self.back_most_ms)
-
-    # The helper.
-
-    def start(self) -> None:
-        """Start a helper that holds the lock with us."""
+                # By the process itself: to write 100,000 keys anew here would hold the loop for 0.8 s. And
+                # all that has let a request out is in the directory: no snapshot replaces what was not read.
+                self.compact()
+                yield from self.receive_answers(channel)
+                self.stop_process()
+            yield from sleep(self.loop.now() + self.retry_delay_ms)
+            self.increase_retry_delay()
+
+    def open(self) -> Steps:
+        """Lock the directory, read it, and start a writer process; return the channel to it."""
+        descriptors = self.loop.descriptors
+        if self.lock is None:
+            self.lock = descriptors.opened(lambda: lock_directory(self.path), own=True)
+        lock_fd = self.lock
+        if not self.known:
+            yield from self.read()
+        return descriptors.opened(lambda: self.start_process(lock_fd), own=True)
+
+    def start_process(self, lock_fd: int) -> socket.socket:
+        """Start a writer process that holds the lock with this one; return the channel to it."""
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        words = [str(self.path), self.node, self.sync, str(theirs.fileno()), str(self.lock)]
-        words += [self.era.boot, repr(self.era.zero_ms)]
+        arguments = [str(self.path), self.node, self.sync, str(theirs.fileno()), str(lock_fd)]
+        arguments += [self.era.boot, repr(self.era.zero_ms)]
         try:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", self.helper, *words],
-                pass_fds=(theirs.fileno(), self.lock),
+                [sys.executable, "-m", self.helper, *arguments],
+                pass_fds=(theirs.fileno(), lock_fd),
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.DEVNULL,
             )
@@ -146,74 +180,82 @@
             raise
         finally:
             theirs.close()
-        self.channel, self.writer, self.works = ours, None, True
-        self.base = self.done = self.sent
-        self.out.clear()
+        self.channel, self.send_task, self.works = ours, None, True
+        self.done_before = self.done = self.sent
+        self.outgoing.clear()
+        return ours
 
-    def stop(self) -> None:
-        """Close the channel to a helper, which then ends; what waited for it is not kept."""
+    def stop_process(self) -> None:
+        """Close the channel to a writer process, which then ends; what waited for it is not durable."""
         if self.channel is not None:
             self.loop.close(self.channel)
             self.channel = None
         if self.process is not None:
             self.process.poll()
         self.works = False
-        self.release(inf, False)
+        self.waits.resolve_up_to(inf, False)
 
     def close(self) -> None:
-        """Have the helper write all, and end it, as the node ends."""
+        """Have the writer process write all, and end it, as the node ends."""
         if self.channel is None:
             return
         with contextlib.suppress(OSError):
             self.channel.setblocking(True)
-            self.channel.settimeout(1.0)
-            self.channel.sendall(bytes(self.out) + HEAD.pack(END, 0))
-        with contextlib.suppress(subprocess.TimeoutExpired):
-            self.process.wait(2.0)
+            self.channel.settimeout(MAX_CLOSE_SEND_S)
+            self.channel.sendall(bytes(self.outgoing) + encode_message(Message(END)))
+        if self.process is not None:
+            with contextlib.suppress(subprocess.TimeoutExpired):
+                self.process.wait(MAX_CLOSE_WAIT_S)
         self.loop.close(self.channel)
         self.channel = None
 
-    # Entries.
+    # Messages to it.
 
     def compact(self) -> None:
-        """Have the helper write what the folder holds anew."""
+        """Have the writer process begin a new file with what the directory holds."""
         self.message(COMPACT, b"")
 
-    def message(self, what: int, payload: bytes) -> int:
-        """Send a message on, with all others of this turn of the loop."""
-        if self.channel is None or (what == APPEND and not self.works):
+    def message(self, command: int, payload: bytes) -> int:
+        """Send a message on, with all others of this turn of the loop.
+
+        Return its number, under which `wait_durable` knows it; 0 where it is not sent.
+        """
+        if self.channel is None or (command == APPEND and not self.works):
             return 0
         if self.sent == self.done:
-            self.behind_ms = self.loop.now()
+            self.unanswered_since_ms = self.loop.now()
         self.sent += 1
-        self.out += HEAD.pack(what, len(payload)) + payload
-        if len(self.out) > AHEAD_MOST:
-            self.fail("slow", f"{len(self.out) >> 20} MB wait to be written")
-            self.channel.shutdown(socket.SHUT_RDWR)  # which whoever reads the answers sees
+        self.outgoing += encode_message(Message(command, payload))
+        if len(self.outgoing) > MAX_OUTGOING_BYTES:
+            self.mark_unavailable("slow", f"{len(self.outgoing) >> 20} MB wait to be written")
+            self.channel.shutdown(socket.SHUT_RDWR)  # which `receive_answers` sees
             return 0
-        if self.writer is None or self.writer.done:
-            self.writer = self.loop.spawn(self.write(self.channel))
+        if self.send_task is None or self.send_task.done:
+            self.send_task = self.loop.spawn(self.send_outgoing(self.channel))
         return self.sent
 
-    def write(self, channel: socket.socket) -> Coroutine:
-        """Write to the helper what waits."""
+    def send_outgoing(self, channel: socket.socket) -> Coroutine:
+        """Send what waits, at the end of this turn of the loop."""
         yield from sleep(self.loop.now())
         if channel is not self.channel:
-            return  # guards against a helper that ended in this very turn
+            return  # guards against a writer process that ended in this very turn
         try:
-            del self.out[: channel.send(self.out)]
+            del self.outgoing[: channel.send(self.outgoing)]
         except BlockingIOError:
             pass
         except OSError:
             return
-        if not self.out:
-            return
+        if self.outgoing:
+            yield from self.send_rest(channel)
+
+    def send_rest(self, channel: socket.socket) -> Coroutine:
+        """Send what the channel did not take at once, as it takes more."""
         # A copy of the descriptor: the loop knows one task a socket, and another reads the answers.
         copy = self.loop.descriptors.opened(channel.dup, own=True)
         try:
-            while self.out and channel is self.channel:
+            while self.outgoing and channel is self.channel:
                 try:
-                    del self.out[: copy.send(self.out)]
+                    del self.outgoing[: copy.send(self.outgoing)]
                 except BlockingIOError:
                     yield (copy.fileno(), WRITE, inf)
         except OSError:
@@ -221,44 +263,15 @@
         finally:
             self.loop.close(copy)
 
-    # What is kept.
+    # Its answers.
 
-    def serves(self) -> bool:
-        """Return whether a record handed in now should become durable in time, as far as is known."""
-        late = self.sent > self.done and self.loop.now() - self.behind_ms > self.wait_ms
-        return self.works and not late
-
-    def durable(self, number: int) -> Steps:
-        """Wait until what was appended under a number is where it should be; return whether it is.
-
-        False once the store's patience is over: it may still be written, as what may have run and did not.
-        """
-        if not number or not self.works:
-            return False
-        until = self.loop.now() + self.wait_ms
-        mine = DurabilityWait(number, self.loop.current)
-        self.waiting.append(mine)
-        while not mine.over and self.loop.now() < until:
-            yield from sleep(until)
-        if not mine.over:
-            mine.over = True
-            self.say("slow", f"not written in {self.wait_ms:.0f} ms")
-        return mine.kept
-
-    def release(self, number: float, kept: bool) -> None:
-        """Let go on what waited for messages up to a number."""
-        while self.waiting and self.waiting[0].number <= number:
-            waiting = self.waiting.popleft()
-            if not waiting.over:
-                waiting.end(kept)
-
-    def answers(self) -> Coroutine:
-        """Take in the helper's answers until it ends."""
-        rest, channel = b"", self.channel
+    def receive_answers(self, channel: socket.socket) -> Coroutine:
+        """Take in the writer process's answers until it ends."""
+        rest = b""
         while True:
             yield (channel.fileno(), READ, inf)
             try:
-                data = channel.recv(65536)
+                data = channel.recv(MAX_RECEIVE_BYTES)
             except BlockingIOError:
                 continue
             except OSError:
@@ -267,40 +280,90 @@
                 break
             *lines, rest = (rest + data).split(b"\n")
             for line in lines:
-                self.answer(json.loads(line))
+                self.handle_answer(decode_answer(line))
         if self.works:
-            self.fail("helper", "the writing process ended")
+            self.mark_unavailable("helper", "the writing process ended")
 
-    def answer(self, row: dict) -> None:
+    def handle_answer(self, answer: Answer) -> None:
         """Take in one answer."""
-        self.done, self.behind_ms = self.base + row["done"], self.loop.now()
-        if "failed" in row:
-            self.fail(row["failed"], row["text"])
-            self.loop.at(self.loop.now() + self.back_ms, self.compact)
-            self.back_ms = min(2.0 * self.back_ms, self.back_most_ms)
-            return
-        self.release(self.done, True)
-        if not self.told:
+        self.done = self.done_before + answer.done_count
+        self.unanswered_since_ms = self.loop.now()
+        if isinstance(answer, WriteFailed):
+            self.handle_failure(answer)
+        else:
+            self.handle_written(answer)
+
+    def handle_failure(self, answer: WriteFailed) -> None:
+        """Note that the disk failed, and try it again after a delay."""
+        self.mark_unavailable(answer.code, answer.text)
+        self.loop.at(self.loop.now() + self.retry_delay_ms, self.compact)
+        self.increase_retry_delay()
+
+    def handle_written(self, answer: Written) -> None:
+        """Let go on what waited, and begin a new file where this one has grown too large."""
+        self.waits.resolve_up_to(self.done, True)
+        if not self.is_success_logged:
             self.log.line(f"{self.what} is kept in {self.path}")
-        self.works, self.told, self.back_ms, self.code = True, True, BACK_MS, ""
-        for text in row.get("lost", ()):
+        self.works, self.is_success_logged = True, True
+        self.retry_delay_ms, self.code = MIN_RETRY_DELAY_MS, ""
+        for text in answer.losses or ():
             if not self.told_lost:
                 self.told_lost = True
                 self.log.line(f"{self.what} file {self.path} code=lost: {text}")
-        if row["size"] <= self.file_mb * (1 << 20):
-            self.compacting = False
-        elif not self.compacting:
-            self.compacting = True
+        if answer.file_bytes <= self.file_mb * BYTES_PER_MB:
+            self.is_compacting = False
+        elif not self.is_compacting:
+            self.is_compacting = True
             self.compact()
 
-    def say(self, code: str, text: str) -> None:
-        """Say why state is not kept, once for each cause."""
+    # What is durable.
+
+    def is_available(self) -> bool:
+        """Return whether a record sent now should become durable in time, as far as is known."""
+        waited_ms = self.loop.now() - self.unanswered_since_ms
+        is_late = self.sent > self.done and waited_ms > self.wait_ms
+        return self.works and not is_late
+
+    def wait_durable(self, number: int) -> Steps:
+        """Wait until the message of a number is durable; return whether it is.
+
+        False after `wait_ms`, though it may still be written: as an attempt that may have run and did not.
+        """
+        if not number or not self.works:
+            return False
+        until_ms = self.loop.now() + self.wait_ms
+        task = self.loop.current
+        assert task is not None  # the loop runs this as a part of a task
+        wait = self.waits.add(number, task)
+        while not wait.is_over and self.loop.now() < until_ms:
+            yield from sleep(until_ms)
+        if not wait.is_over:
+            wait.give_up()
+            self.log_failure("slow", f"not written in {self.wait_ms:.0f} ms")
+        return wait.is_durable
+
+    def log_failure(self, code: str, text: str) -> None:
+        """Log why records do not become durable, once for each cause in a row."""
         if code != self.code:
             self.log.line(f"{self.what} is not kept code={code}: {text}")
-        self.code, self.told = code, False
+        self.code, self.is_success_logged = code, False
 
-    def fail(self, code: str, text: str) -> None:
-        """Note that the store does not serve: nothing that waits for it is kept."""
-        self.say(code, text)
+    def mark_unavailable(self, code: str, text: str) -> None:
+        """Note that nothing can be written: what waits for it is not durable."""
+        self.log_failure(code, text)
         self.works = False
-        self.release(inf, False)
+        self.waits.resolve_up_to(inf, False)
+
+    def fail_by(self, error: OSError) -> None:
+        """Note that nothing can be written, because of a system call that failed."""
+        self.mark_unavailable(code_of(error), error.strerror or str(error))
+
+    def increase_retry_delay(self) -> None:
+        """Double the delay before the next try, up to its bound."""
+        self.retry_delay_ms = min(2.0 * self.retry_delay_ms, self.back_most_ms)
+
+    # Names that other packages still use.
+    serves, durable, fail = is_available, wait_durable, mark_unavailable
+
+
+LOCK_S = MAX_LOCK_WAIT_S  # the name that other packages still use
--- a/marlseam/store/node_state.py
+++ b/marlseam/store/node_state.py
@@ -1,7 +1,4 @@
-"""What the files hold, in memory.
-
-Made by applying entries in their order, and written back as a snapshot's.
-"""
+"""What a state directory holds, in memory: made of its records in their order, written back as a snapshot."""
 
 from collections.abc import Generator
 from dataclasses import dataclass, field
@@ -9,102 +6,128 @@
 from msgspec.structs import replace
 
 from marlseam.store.file_format import (
-    BATCH,
     AttemptBatch,
     AttemptNeverRan,
     AttemptSent,
+    DepartureRateStored,
     HistoryLost,
     ListConfirmed,
     ListStored,
     StateRecord,
-    TurnoverNoted,
 )
 
-Steps = Generator[None, None, None]  # long work, in pieces that a caller may spread over turns
-STEP_MS = 20.0  # by which a clock must have been set to count as set
-AGES_AGO = 0.0  # Unix ms of a sending whose age is not known: no pod is relied on to know it still
+Steps = Generator[None, None, None]  # long work in steps, which a caller may spread over turns of its loop
+KEYS_PER_STEP = 1000
+MIN_CLOCK_CHANGE_MS = 20.0  # by which a clock must differ to count as set
+UNKNOWN_SENT_MS = 0.0  # Unix ms of an attempt whose age is not known: no server is relied on to know its key
 
 
 @dataclass
 class NodeState:
-    """A node's durable state. Times in Unix ms."""
+    """A node's durable state. Times in Unix ms.
+
+    Attributes:
+        listed: the endpoint list stored last, None for none.
+        turnover: how often servers leave.
+        sent: by idempotency key, the attempts that may have run, oldest first.
+        lost_ms: what may have run before then is not known; None where all is known.
+    """
 
     listed: ListStored | None = None
-    turnover: TurnoverNoted = field(default_factory=lambda: TurnoverNoted(0.0, 0.0))
+    turnover: DepartureRateStored = field(default_factory=lambda: DepartureRateStored(0.0, 0.0))
     sent: dict[str, list[AttemptSent]] = field(default_factory=dict)
-    lost_ms: float | None = None  # what may have run before then is not known
+    lost_ms: float | None = None
 
-    def apply(self, entry: StateRecord) -> None:
-        """Take in an entry."""
-        match entry:
+    def apply(self, record: StateRecord) -> None:
+        """Change the state as a record says."""
+        match record:
+            case AttemptSent():
+                self._add_attempts([record])
+            case AttemptBatch():
+                self._add_attempts(record.rows)
+            case AttemptNeverRan():
+                self._remove_attempt(record)
             case ListStored():
-                self.listed = entry
+                self.listed = record
             case ListConfirmed():
                 if self.listed is not None:
-                    self.listed = ListStored(self.listed.version, self.listed.rows, entry.heard_ms)
-            case TurnoverNoted():
-                self.turnover = entry
+                    self.listed = replace(self.listed, confirmed_ms=record.confirmed_ms)
+            case DepartureRateStored():
+                self.turnover = record
             case HistoryLost():
-                self.lost_ms = entry.since_ms
-            case AttemptSent():
-                rows = self.sent.setdefault(entry.key, [])
-                rows.append(entry)
-            case AttemptBatch():
-                sent = self.sent
-                for row in entry.rows:
-                    if row.key in sent:
-                        sent[row.key].append(row)
-                    else:
-                        sent[row.key] = [row]
-            case AttemptNeverRan():
-                rows = self.sent.get(entry.key, [])
-                rows[:] = [r for r in rows if (r.executor, r.sent_ms) != (entry.executor, entry.sent_ms)]
-                if not rows:
-                    self.sent.pop(entry.key, None)
+                self.lost_ms = record.since_ms
+
+    def _add_attempts(self, attempts: list[AttemptSent]) -> None:
+        """Note attempts, each as its key's latest."""
+        by_key = self.sent
+        for attempt in attempts:
+            if attempt.key in by_key:
+                by_key[attempt.key].append(attempt)
+            else:
+                by_key[attempt.key] = [attempt]
+
+    def _remove_attempt(self, never: AttemptNeverRan) -> None:
+        """Forget an attempt that never ran, and its key where no other attempt is left."""
+        attempts = self.sent.get(never.key, [])
+        attempts[:] = [
+            attempt
+            for attempt in attempts
+            if (attempt.server, attempt.sent_ms) != (never.server, never.sent_ms)
+        ]
+        if not attempts:
+            self.sent.pop(never.key, None)
 
     def expire(self, now_ms: float) -> Steps:
-        """Drop keys that every pod has forgotten; a key's last sending is remembered longest."""
-        gone = []
-        for i, (key, rows) in enumerate(self.sent.items()):
-            if rows[-1].until_ms <= now_ms:
-                gone.append(key)
-            if i % BATCH == 0:
+        """Drop the keys that every server has forgotten; a key's last attempt is remembered longest."""
+        expired = []
+        for position, (key, attempts) in enumerate(self.sent.items()):
+            if attempts[-1].until_ms <= now_ms:
+                expired.append(key)
+            if position % KEYS_PER_STEP == 0:
                 yield
-        for key in gone:
+        for key in expired:
             del self.sent[key]
 
-    def shift_to(self, old_ms: float, new_ms: float) -> Steps:
-        """Bring times onto another scale, whose zero is another: a clock was set meanwhile."""
-        ms = new_ms - old_ms
-        if abs(ms) < STEP_MS:
+    def shift_to(self, old_zero_ms: float, new_zero_ms: float) -> Steps:
+        """Move all times from one scale to another, both given by their zero: a clock was set meanwhile."""
+        shift_ms = new_zero_ms - old_zero_ms
+        if abs(shift_ms) < MIN_CLOCK_CHANGE_MS:
             return
-        for i, rows in enumerate(self.sent.values()):
-            rows[:] = [replace(r, sent_ms=r.sent_ms + ms, until_ms=r.until_ms + ms) for r in rows]
-            if i % BATCH == 0:
+        for position, attempts in enumerate(self.sent.values()):
+            attempts[:] = [
+                replace(attempt, sent_ms=attempt.sent_ms + shift_ms, until_ms=attempt.until_ms + shift_ms)
+                for attempt in attempts
+            ]
+            if position % KEYS_PER_STEP == 0:
                 yield
         if self.listed is not None:
-            self.listed = ListStored(self.listed.version, self.listed.rows, self.listed.heard_ms + ms)
+            self.listed = replace(self.listed, confirmed_ms=self.listed.confirmed_ms + shift_ms)
         if self.lost_ms is not None:
-            self.lost_ms += ms
+            self.lost_ms += shift_ms
 
     def doubt_times(self, now_ms: float) -> Steps:
-        """Take times as unknown, each the way that no pod's memory is thought longer, or over too early.
+        """Take times as unknown, each so that no server's memory is thought longer, or over too early.
 
         Guards against a clock that was set while the machine was down: nothing can tell.
         """
-        for i, rows in enumerate(self.sent.values()):
-            untils = [max(r.until_ms, now_ms + r.until_ms - r.sent_ms) for r in rows]
-            rows[:] = [replace(r, sent_ms=AGES_AGO, until_ms=u) for r, u in zip(rows, untils, strict=True)]
-            if i % BATCH == 0:
+        for position, attempts in enumerate(self.sent.values()):
+            attempts[:] = [_without_known_age(attempt, now_ms) for attempt in attempts]
+            if position % KEYS_PER_STEP == 0:
                 yield
         if self.lost_ms is not None:
             self.lost_ms = now_ms
 
     def entries(self) -> list[StateRecord]:
-        """Return what a snapshot holds."""
-        found: list[StateRecord] = [self.turnover]
+        """Return the records that a snapshot holds."""
+        records: list[StateRecord] = [self.turnover]
         if self.listed is not None:
-            found.append(self.listed)
+            records.append(self.listed)
         if self.lost_ms is not None:
-            found.append(HistoryLost(self.lost_ms))
-        return found + [row for rows in self.sent.values() for row in rows]
+            records.append(HistoryLost(self.lost_ms))
+        return records + [attempt for attempts in self.sent.values() for attempt in attempts]
+
+
+def _without_known_age(attempt: AttemptSent, now_ms: float) -> AttemptSent:
+    """Return an attempt as one of unknown age, kept for as long as a server can remember its key."""
+    until_ms = max(attempt.until_ms, now_ms + attempt.until_ms - attempt.sent_ms)
+    return replace(attempt, sent_ms=UNKNOWN_SENT_MS, until_ms=until_ms)
--- a/marlseam/store/state_store.py
+++ b/marlseam/store/state_store.py
@@ -1,28 +1,48 @@
-"""The node's store: reads it, at the start or as soon as it can be had, and has entries written.
+"""The node's store: reads the state directory, at the start or as soon as it can, and has records written.
 
-Where the disk does not serve, what needs a record is not sent (`scribe`).
+Where the disk cannot be used, what needs a record is not sent (`log_writer_client`).
 """
 
 import gc
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 from pathlib import Path
 
 from marlseam.configuration import StoreSettings
 from marlseam.net.connection import Steps
 from marlseam.net.log import Log
 from marlseam.net.loop import Coroutine, Loop, sleep
-from marlseam.store import file_format as form
-from marlseam.store.file_format import StateRecord
+from marlseam.store.clock_era import unix_ms
+from marlseam.store.disk import Disk
+from marlseam.store.file_format import StateRecord, encode_record
 from marlseam.store.log_writer_client import LogWriterClient
 from marlseam.store.node_state import NodeState
-from marlseam.store.state_directory import Disk, StateDirectory, code_of, unix_ms
-from marlseam.store.writer_process import APPEND
+from marlseam.store.state_directory import StateDirectory
+from marlseam.store.writer_channel import APPEND
 
-PIECE_MS = 5.0  # of a turn that reading may take
+MAX_READ_MS_PER_TURN = 5.0  # that reading may take of a turn of the loop
+
+
+@contextmanager
+def collection_paused() -> Iterator[None]:
+    """Pause garbage collection for a block that creates many objects which stay for long.
+
+    Guards the loop: each collection would look at all the keys read so far, 58 ms with 100,000 of them.
+    """
+    gc.disable()
+    try:
+        yield
+    finally:
+        gc.enable()
+        gc.freeze()
 
 
 class StateStore(LogWriterClient):
-    """A node's durable state; `take_in` is what the node does with what a later reading finds."""
+    """A node's durable state.
+
+    Attributes:
+        take_in: what the node does with a state that is read while the loop runs.
+    """
 
     def __init__(
         self, loop: Loop, log: Log, settings: StoreSettings, node: str, take_in: Callable[[NodeState], Steps]
@@ -33,51 +53,55 @@
 
     # Reading.
 
-    def folder(self) -> StateDirectory:
-        """Return the folder as this process reads it."""
+    def directory(self) -> StateDirectory:
+        """Return the state directory as this process reads it."""
         return StateDirectory(Disk(self.path), self.node, self.era, machine=self.sync == "durable")
 
     def load(self) -> NodeState | None:
-        """Read what the last life left, before the loop runs; None where that cannot be yet."""
+        """Read what the last process left, before the loop runs; None where that cannot be yet."""
         try:
             self.take_lock()
-            folder = self.folder()
-            state = folder.load(unix_ms(self.era))
+            directory = self.directory()
+            state = directory.load(unix_ms(self.era))
         except OSError as error:
-            self.fail(code_of(error), error.strerror or str(error))
+            self.fail_by(error)
             return None
-        self.found(folder)
+        self.note_read(directory)
         return state
 
-    def found(self, folder: StateDirectory) -> None:
-        """Note that what the folder holds was read."""
+    def note_read(self, directory: StateDirectory) -> None:
+        """Note that the directory was read, and log what is wrong with its files."""
         self.known = True
-        for finding in folder.findings:
+        for finding in directory.findings:
             self.log.line(f"state file {finding.name or self.path} code={finding.code}: {finding.text}")
             self.told_lost = self.told_lost or finding.code == "lost"
 
     def read(self) -> Coroutine:
-        """Read in pieces, while the node serves, and have it taken in before anything is written."""
-        folder, state, began = self.folder(), NodeState(), self.loop.now()
-        # Each collection would look at all the keys read so far, in one turn: 58 ms with 100,000 of them.
-        gc.disable()
-        try:
-            steps = folder.read(unix_ms(self.era))
-            while True:
-                try:
-                    next(steps)
-                except StopIteration as end:
-                    state = end.value
-                    break
-                if self.loop.now() - began > PIECE_MS:
-                    yield from sleep(self.loop.now())
-                    began = self.loop.now()
-            self.found(folder)
+        """Read in steps, while the node serves, and have it taken in before anything is written."""
+        directory = self.directory()
+        with collection_paused():
+            state = yield from self.read_in_turns(directory)
+            self.note_read(directory)
             yield from self.take_in(state)
-        finally:
-            gc.enable()
-            gc.freeze()  # they stay for long
 
-    def append(self, *entries: StateRecord) -> int:
-        """Hand entries to the helper; return the number under which they become durable, 0 for never."""
-        return self.message(APPEND, b"".join(form.frame(entry) for entry in entries))
+    def read_in_turns(self, directory: StateDirectory) -> Steps:
+        """Return the state, read in steps that give way to the loop's other tasks."""
+        began_ms = self.loop.now()
+        steps = directory.read(unix_ms(self.era))
+        while True:
+            try:
+                next(steps)
+            except StopIteration as end:
+                return end.value
+            if self.loop.now() - began_ms > MAX_READ_MS_PER_TURN:
+                yield from sleep(self.loop.now())
+                began_ms = self.loop.now()
+
+    # Writing.
+
+    def append(self, *records: StateRecord) -> int:
+        """Hand records to the writer process.
+
+        Return the number under which they become durable, 0 where they never do.
+        """
+        return self.message(APPEND, b"".join(encode_record(record) for record in records))
--- /dev/null
+++ b/marlseam/store/writer_channel.py
@@ -0,0 +1,103 @@
+"""The messages between a node and its writer process, on a Unix stream; pure.
+
+The node sends frames: one byte (A append, C compact what the directory holds, E end), four bytes of length,
+a payload, which is the frames to append as they go into the journal. The writer process answers in lines of
+JSON:
+
+    {"done": N, "size": BYTES}                      N messages are carried out, the open file has BYTES
+    {"done": N, "size": BYTES, "lost": [TEXT]}      likewise, after a compaction, and what it found to be lost
+    {"failed": CODE, "text": TEXT, "done": N}       the disk failed: appends are dropped until a compaction
+"""
+
+import json
+import struct
+from typing import Any, NamedTuple
+
+MESSAGE_HEADER = struct.Struct(">BI")  # the command, the payload's length in bytes
+APPEND, COMPACT, END = ord("A"), ord("C"), ord("E")
+
+
+class Message(NamedTuple):
+    """One message to the writer process: its command, and for APPEND the frames to append."""
+
+    command: int
+    payload: bytes = b""
+
+
+class Written(NamedTuple):
+    """An answer: all messages so far are carried out.
+
+    Attributes:
+        done_count: how many messages this process has carried out.
+        file_bytes: the size of the open file.
+        losses: after a compaction, a text for each loss found in the directory; None after appends.
+    """
+
+    done_count: int
+    file_bytes: int
+    losses: list[str] | None = None
+
+
+class WriteFailed(NamedTuple):
+    """An answer: a disk call failed.
+
+    Attributes:
+        done_count: how many messages this process has taken, the failed one included.
+        code: the reason code of the failure.
+        text: what the system says of it.
+    """
+
+    done_count: int
+    code: str
+    text: str
+
+
+Answer = Written | WriteFailed
+
+
+class MessageBuffer:
+    """Bytes that came from the node, cut into messages."""
+
+    def __init__(self) -> None:
+        self._rest = b""
+
+    def feed(self, data: bytes) -> None:
+        """Take in bytes."""
+        self._rest += data
+
+    def next_message(self) -> Message | None:
+        """Return the next whole message and remove it; None where none is whole."""
+        if len(self._rest) < MESSAGE_HEADER.size:
+            return None
+        command, length = MESSAGE_HEADER.unpack_from(self._rest)
+        end = MESSAGE_HEADER.size + length
+        if len(self._rest) < end:
+            return None
+        payload = self._rest[MESSAGE_HEADER.size : end]
+        self._rest = self._rest[end:]
+        return Message(command, payload)
+
+
+def encode_message(message: Message) -> bytes:
+    """Return a message as bytes of the channel."""
+    return MESSAGE_HEADER.pack(message.command, len(message.payload)) + message.payload
+
+
+def encode_answer(answer: Answer) -> bytes:
+    """Return an answer as a line."""
+    fields: dict[str, Any]
+    if isinstance(answer, WriteFailed):
+        fields = {"failed": answer.code, "text": answer.text, "done": answer.done_count}
+    else:
+        fields = {"done": answer.done_count, "size": answer.file_bytes}
+        if answer.losses is not None:
+            fields["lost"] = answer.losses
+    return json.dumps(fields).encode() + b"\n"
+
+
+def decode_answer(line: bytes) -> Answer:
+    """Return what a line says; the writer process is this program, so that any line is well formed."""
+    fields = json.loads(line)
+    if "failed" in fields:
+        return WriteFailed(fields["done"], fields["failed"], fields["text"])
+    return Written(fields["done"], fields["size"], fields.get("lost"))
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -21,16 +21,25 @@
 from marlseam.net.log import Log
 from marlseam.net.node import Node
 from marlseam.store import file_format as form
-from marlseam.store.file_format import AttemptNeverRan, AttemptSent, ListConfirmed, ListStored, TurnoverNoted
+from marlseam.store.clock_era import ClockEra
+from marlseam.store.disk import Disk, lock_directory
+from marlseam.store.file_format import (
+    AttemptNeverRan,
+    AttemptSent,
+    DepartureRateStored,
+    ListConfirmed,
+    ListStored,
+)
 from marlseam.store.node_state import NodeState
-from marlseam.store.state_directory import ClockEra, Disk, StateDirectory, first_life, lock
+from marlseam.store.state_directory import StateDirectory, create_state
 from marlseam.store.state_store import StateStore
+from marlseam.store.writer_channel import WriteFailed, Written
 
 NOW = 1_000_000.0
 ERA = ClockEra("this boot", 500_000.0)
 
 
-class Crashed(Exception):
+class CrashError(Exception):
     """The machine went down."""
 
 
@@ -62,7 +71,7 @@
 
     def open(self, name):
         if not self.spend():
-            raise Crashed
+            raise CrashError
         self.seen.setdefault(name, [])
         fd = len(self.fds) + 1
         self.fds[fd] = [self.seen[name], 0 if not self.seen[name] else len(b"".join(self.seen[name]))]
@@ -72,12 +81,12 @@
         took = self.spend(len(data))
         self.fds[fd][0].append(data[:took])
         if took < len(data):
-            raise Crashed
+            raise CrashError
         return took
 
     def sync(self, fd):
         if not self.spend():
-            raise Crashed
+            raise CrashError
         self.fds[fd][1] = len(b"".join(self.fds[fd][0]))
 
     def close(self, fd):
@@ -85,17 +94,17 @@
 
     def rename(self, old, new):
         if not self.spend():
-            raise Crashed
+            raise CrashError
         self.seen[new] = self.seen.pop(old)
 
     def remove(self, name):
         if not self.spend():
-            raise Crashed
+            raise CrashError
         self.seen.pop(name, None)
 
     def sync_folder(self):
         if not self.spend():
-            raise Crashed
+            raise CrashError
         self.kept = dict(self.seen)
 
     def after_crash(self, torn=True):
@@ -113,15 +122,15 @@
 
 
 def frames(*entries):
-    return form.frames(list(entries))
+    return form.encode_records(list(entries))
 
 
 def sent(key, at=1.0, executor="e", until=NOW * 2):
     return AttemptSent(key, executor, "z", 3, at, until)
 
 
-def head(kind="snapshot", version=form.VERSION, node="n", number=1):
-    return form.Head(kind, version, node, number, NOW, *ERA)
+def head(kind="snapshot", version=form.FORMAT_VERSION, node="n", number=1):
+    return form.FileHeader(kind, version, node, number, NOW, *ERA)
 
 
 def loaded(disk, node="n"):
@@ -135,7 +144,7 @@
     st.builds(lambda key, at: AttemptNeverRan(key, "e", float(at)), KEYS, st.integers(1, 5)),
     st.builds(lambda v: ListStored(v, [{"host": f"h{v}"}], float(v)), st.integers(1, 9)),
     st.builds(lambda t: ListConfirmed(float(t)), st.integers(10, 20)),
-    st.builds(lambda d: TurnoverNoted(float(d), 1.0), st.integers(0, 5)),
+    st.builds(lambda d: DepartureRateStored(float(d), 1.0), st.integers(0, 5)),
 )
 STEPS = st.lists(st.one_of(ENTRIES, st.just("snapshot")), max_size=25)
 
@@ -155,9 +164,9 @@
             else:
                 model.apply(step)
                 states.append(model.entries())
-                folder.append([form.frame(step)], True)
+                folder.append([form.encode_record(step)], True)
                 states[:] = states[-1:]
-    except Crashed:
+    except CrashError:
         pass
     return [plain(entries) for entries in states]
 
@@ -234,10 +243,10 @@
     ("data", "code"),
     [
         (b"PK\3\4 something else", "foreign"),
-        (form.snapshot(head(node="other"), []), "foreign"),
-        (form.begin(head("journal")), "foreign"),
-        (form.snapshot(head(version=99), []), "version"),
-        (form.snapshot(head(), [])[:-1], "torn"),
+        (form.encode_snapshot(head(node="other"), []), "foreign"),
+        (form.encode_header(head("journal")), "foreign"),
+        (form.encode_snapshot(head(version=99), []), "version"),
+        (form.encode_snapshot(head(), [])[:-1], "torn"),
         (b"", "foreign"),
     ],
 )
@@ -247,7 +256,7 @@
     state, folder = loaded(disk)
     assert state.lost_ms == NOW and [f.code for f in folder.findings] == [code, "lost"]
     assert list(disk.seen) == ["snapshot-0000000001"]  # a crash now must not make it a first life
-    folder.snapshot(form.frames(state.entries()), NOW)
+    folder.snapshot(form.encode_records(state.entries()), NOW)
     assert "bad-snapshot-0000000001" in disk.seen
     again, later = loaded(disk)
     assert again.lost_ms == pytest.approx(NOW) and not later.findings
@@ -275,10 +284,10 @@
         disk.seen["journal-0000000001"] = [change(data)]
         return loaded(disk)[0]
 
-    for cut in range(1, len(form.frame(sent("b", 2.0)))):
+    for cut in range(1, len(form.encode_record(sent("b", 2.0)))):
         state = ended(lambda data, cut=cut: data[:-cut])
         assert state.lost_ms is None and set(state.sent) == {"a"}
-    zeros = form.frame(TurnoverNoted(0.0, 1.0))  # holds eight zero bytes
+    zeros = form.encode_record(DepartureRateStored(0.0, 1.0))  # holds eight zero bytes
     assert ended(lambda data: data + zeros[:-1]).lost_ms is None
     assert ended(lambda data: data + bytes(4096)).lost_ms is not None
     assert ended(lambda data: data[:-1] + b"x").lost_ms is not None
@@ -297,11 +306,11 @@
 
 def test_a_first_life_is_told_from_a_folder_that_lost_all(tmp_path):
     assert loaded(FaultyDisk())[0].lost_ms == NOW
-    first_life(tmp_path / "new", "n")
+    create_state(tmp_path / "new", "n")
     state = StateDirectory(Disk(tmp_path / "new"), "n").load(time.time() * 1000.0)
     assert state.lost_ms is None and not state.sent
     with pytest.raises(FileExistsError):
-        first_life(tmp_path / "new", "n")
+        create_state(tmp_path / "new", "n")
 
 
 @pytest.mark.parametrize("step", [-3600e3, 3600e3])
@@ -333,7 +342,7 @@
 def keeper(loop, tmp_path):
     """Return a maker of keepers on one folder, with what each took in late; all are closed at the end."""
     made = []
-    first_life(tmp_path / "state", "n")
+    create_state(tmp_path / "state", "n")
 
     def build(path=tmp_path / "state", **options):
         values = {"sync": "durable", "journal_mb": 8.0, "wait_ms": 5000.0} | options
@@ -361,7 +370,9 @@
 
     def begin(part, key, seen):
         def wait():
-            seen.append((key, (yield from part.durable(part.append(sent(key, until=time.time() * 2000.0))))))
+            number = part.append(sent(key, until=time.time() * 2000.0))
+            is_durable = yield from part.wait_durable(number)
+            seen.append((key, is_durable))
 
         loop.spawn(wait())
         return seen
@@ -388,7 +399,7 @@
     first = keeper()
     folder = StateDirectory(Disk(first.path), "n")
     folder.number = 1
-    folder.snapshot(form.frames([sent("old", until=time.time() * 2000.0)]), 0.0)
+    folder.snapshot(form.encode_records([sent("old", until=time.time() * 2000.0)]), 0.0)
     folder.close()
     first.load()
     first.begin()
@@ -401,7 +412,7 @@
 def test_a_locked_folder_is_read_as_soon_as_it_is_free_and_only_then_written(
     keeper, loop, until, waits, capsys, monkeypatch
 ):
-    monkeypatch.setattr("marlseam.store.log_writer_client.LOCK_S", 0.02)
+    monkeypatch.setattr("marlseam.store.log_writer_client.MAX_LOCK_WAIT_S", 0.02)
     first, second = keeper(), keeper()
     first.load()
     first.begin()
@@ -411,26 +422,26 @@
     assert second.load() is None
     second.begin()
     assert "code=locked" in capsys.readouterr().err
-    assert not second.serves() and waits(second, "b", []) == [("b", False)]
+    assert not second.is_available() and waits(second, "b", []) == [("b", False)]
     first.process.kill()
     first.process.wait()
     os.close(first.lock)
     first.lock = None
-    until(lambda: second.told)
+    until(lambda: second.is_success_logged)
     assert set(second.taken[0].sent) == {"a"} and on_disk(second) == {"a"}
-    until(lambda: second.serves())
+    until(lambda: second.is_available())
 
 
 def test_a_node_that_is_killed_leaves_a_free_lock_and_an_unfinished_snapshot_behind(keeper, until, waits):
     first = keeper()
     first.load()
     first.begin()
-    until(lambda: first.told)
+    until(lambda: first.is_success_logged)
     first.process.send_signal(signal.SIGSTOP)
     for i in range(50):
         waits(first, f"k{i}", [])
     first.compact()
-    until(lambda: not first.out)
+    until(lambda: not first.outgoing)
     first.channel.close()  # as the system does for a killed node
     first.channel = None
     first.process.send_signal(signal.SIGCONT)
@@ -443,19 +454,19 @@
 def test_a_disk_that_fails_is_told_once_keeps_nothing_and_is_tried_again(
     keeper, loop, until, waits, capsys, monkeypatch
 ):
-    monkeypatch.setattr("marlseam.store.log_writer_client.BACK_MS", 10.0)
+    monkeypatch.setattr("marlseam.store.log_writer_client.MIN_RETRY_DELAY_MS", 10.0)
     part = keeper()
     part.load()
     part.begin()
-    until(lambda: part.told)
+    until(lambda: part.is_success_logged)
     seen = waits(part, "a", [])
-    part.answer({"failed": "full", "text": "No space left on device", "done": part.done - part.base + 1})
-    part.answer({"done": part.done - part.base, "size": 0})  # read together with the way back
+    part.handle_answer(WriteFailed(part.done - part.done_before + 1, "full", "No space left on device"))
+    part.handle_answer(Written(part.done - part.done_before, 0))  # read together with the way back
     until(lambda: seen)
     assert seen == [("a", False)]  # the old code let it go out
-    part.fail("full", "No space left on device")
-    assert not part.serves() and part.append(sent("b")) == 0
-    until(lambda: part.serves())
+    part.mark_unavailable("full", "No space left on device")
+    assert not part.is_available() and part.append(sent("b")) == 0
+    until(lambda: part.is_available())
     err = capsys.readouterr().err
     assert err.count("code=full") == 2 and err.count("state is kept") == 3
 
@@ -466,12 +477,12 @@
         raise OSError(number, "refused")
 
     monkeypatch.setattr("marlseam.store.log_writer_client.subprocess.Popen", refused)
-    monkeypatch.setattr("marlseam.store.log_writer_client.BACK_MS", 10.0)
+    monkeypatch.setattr("marlseam.store.log_writer_client.MIN_RETRY_DELAY_MS", 10.0)
     part = keeper()
     part.load()
     part.begin()
-    until(lambda: part.back_ms > 40.0)  # it was tried more than once
-    assert not part.serves() and part.append(sent("a")) == 0
+    until(lambda: part.retry_delay_ms > 40.0)  # it was tried more than once
+    assert not part.is_available() and part.append(sent("a")) == 0
     assert capsys.readouterr().err.count("code=unsupported") == 1
 
 
@@ -484,53 +495,54 @@
     part.process.send_signal(signal.SIGSTOP)  # a disk that hangs
     seen = waits(part, "a", [])
     until(lambda: seen)
-    assert seen == [("a", False)] and not part.serves()  # the old code let it go out unrecorded
+    assert seen == [("a", False)] and not part.is_available()  # the old code let it go out unrecorded
     part.process.send_signal(signal.SIGCONT)
     until(lambda: part.done == part.sent)  # also where the first message alone was answered before
-    assert part.serves()
+    assert part.is_available()
     assert "code=slow" in capsys.readouterr().err and on_disk(part) == {"a"}
 
 
 def test_a_helper_that_ends_is_followed_by_another_and_what_waited_is_not_kept(
     keeper, until, waits, monkeypatch
 ):
-    monkeypatch.setattr("marlseam.store.log_writer_client.BACK_MS", 10.0)
+    monkeypatch.setattr("marlseam.store.log_writer_client.MIN_RETRY_DELAY_MS", 10.0)
     part = keeper()
     part.load()
     part.begin()
-    until(lambda: part.told)
+    until(lambda: part.is_success_logged)
     seen = waits(part, "a", [])
     until(lambda: seen)
     before = part.process
     before.send_signal(signal.SIGSTOP)
     waits(part, "b", seen)
     before.kill()
-    until(lambda: part.process is not before and part.told)
-    assert part.serves() and seen == [("a", True), ("b", False)]
+    until(lambda: part.process is not before and part.is_success_logged)
+    assert part.is_available() and seen == [("a", True), ("b", False)]
     assert on_disk(part) == {"a"}  # the new one compacts what the folder holds, not what a node remembers
 
 
 def test_a_long_reading_gives_way_in_every_turn(keeper, loop, until, monkeypatch):
-    monkeypatch.setattr("marlseam.store.state_store.PIECE_MS", 0.0)
+    monkeypatch.setattr("marlseam.store.state_store.MAX_READ_MS_PER_TURN", 0.0)
     part = keeper()
     folder, far = StateDirectory(Disk(part.path), "n"), time.time() * 2000.0
     folder.number = 1
-    folder.snapshot(form.frames([sent(f"k{i}", until=far) for i in range(10 * form.BATCH)]), 0.0)
+    attempts = [sent(f"k{i}", until=far) for i in range(10 * form.MAX_ATTEMPTS_PER_BATCH)]
+    folder.snapshot(form.encode_records(attempts), 0.0)
     folder.close()
     turns = []
     part.begin()
     while not part.known:
         turns.append(loop.now())
         loop.turn()
-    until(lambda: part.told)
-    assert len(turns) > 10 and len(part.taken[0].sent) == 10 * form.BATCH
+    until(lambda: part.is_success_logged)
+    assert len(turns) > 10 and len(part.taken[0].sent) == 10 * form.MAX_ATTEMPTS_PER_BATCH
 
 
 @pytest.mark.parametrize(
     ("number", "code"), [(errno.ENOSPC, "full"), (errno.EROFS, "read-only"), (errno.ENOENT, "vanished")]
 )
 def test_each_failure_has_its_code(number, code):
-    from marlseam.store.state_directory import code_of
+    from marlseam.store.errors import code_of
 
     disk = FaultyDisk()
     folder = StateDirectory(disk, "n")
@@ -572,7 +584,7 @@
 def decided(node, key, marked):
     """Take a payment and return the effects that are asked for at once, and its attempts."""
     request = Request(key, 2, node.loop.now() + 5000.0, idempotency_key=key, may_be_retry=marked)
-    request = replace(request, is_recordable=node.memory.keeper.serves())
+    request = replace(request, is_recordable=node.memory.keeper.is_available())
     effects = node.core.reduce(node.loop.now(), core.RequestArrived(request))
     return [type(e) for e in effects if type(e) in (core.SendAttempt, core.Reject, core.Fail)]
 
@@ -606,13 +618,13 @@
 def test_a_node_whose_folder_another_has_sends_no_keyed_work_until_it_has_read_it(
     live, tmp_path, started, monkeypatch
 ):
-    monkeypatch.setattr("marlseam.store.log_writer_client.LOCK_S", 0.02)
+    monkeypatch.setattr("marlseam.store.log_writer_client.MAX_LOCK_WAIT_S", 0.02)
     path, far = tmp_path / "state", time.time() * 1000.0 + 20000.0
-    first_life(path, "node")
+    create_state(path, "node")
     other = live() if started else None  # two processes started on one folder at once
-    held = lock(path) if not started else None
+    held = lock_directory(path) if not started else None
     node = live()
-    assert node.ready() and not node.memory.keeper.serves()
+    assert node.ready() and not node.memory.keeper.is_available()
     for _ in range(3):
         assert decided(node, "old", True) == [core.Fail] and decided(node, "new", False) == [core.Reject]
         node.loop.turn()
@@ -625,10 +637,10 @@
     else:
         folder = StateDirectory(Disk(path), "node")
         folder.number = 1
-        folder.snapshot(form.frames([sent("old", far - 1000.0, "gone", far)]), 0.0)
+        folder.snapshot(form.encode_records([sent("old", far - 1000.0, "gone", far)]), 0.0)
         folder.close()
         os.close(held)
-    turned(node, node.memory.keeper.serves)
+    turned(node, node.memory.keeper.is_available)
     # The retry is bound to the pod that may have run it, which is gone; what is new goes out.
     assert decided(node, "old", True) == [] and not node.core.untold
     assert "old" in on_disk(node.memory.keeper)
@@ -640,7 +652,7 @@
     for _ in range(2):
         node = live()  # on a folder that nobody began
         assert node.core.untold  # in its second life by what the first has put on record
-        turned(node, node.memory.keeper.serves)
+        turned(node, node.memory.keeper.is_available)
         assert decided(node, "old", True) == [core.Fail]
         ends = max(node.core.untold.values()) + 30000.0
         assert (
@@ -696,9 +708,9 @@
 def test_check_tries_the_folder(tmp_path, capsys):
     from marlseam.store import check
 
-    check.test(StoreSettings(str(tmp_path / "s"), "durable", 8.0, 100.0), "n")
+    check.check_state(StoreSettings(str(tmp_path / "s"), "durable", 8.0, 100.0), "n")
     assert "a sync takes" in capsys.readouterr().out and os.listdir(tmp_path / "s") == ["lock"]
-    held = lock(tmp_path / "s")
+    held = lock_directory(tmp_path / "s")
     with pytest.raises(ConfigError, match="locked"):
-        check.test(StoreSettings(str(tmp_path / "s"), "durable", 8.0, 100.0), "n")
+        check.check_state(StoreSettings(str(tmp_path / "s"), "durable", 8.0, 100.0), "n")
     os.close(held)
--- a/tests/test_wire_samples.py
+++ b/tests/test_wire_samples.py
@@ -49,7 +49,7 @@
 
 def test_records_of_the_state_are_read_as_what_was_written():
     for record, data in zip(wire_samples.state_records(), kept("state"), strict=True):
-        assert files.DECODER.decode(data[files.FRAME.size :]) == record
+        assert files.DECODER.decode(data[files.FRAME_HEADER.size :]) == record
 
 
 def test_records_of_the_ledger_are_read_as_what_was_written():
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -105,16 +105,22 @@
 
 def state_records():
     """Return each record of a state folder's files."""
-    sent = files.AttemptSent(key="k", executor="e1", zone="here", cell=5, sent_ms=11.5, until_ms=12.5)
-    yield files.Head(
-        kind="journal", version=files.VERSION, node="n1", number=7, created_ms=13.5, boot="b", zero_ms=14.5
+    sent = files.AttemptSent(key="k", server="e1", zone="here", cell=5, sent_ms=11.5, until_ms=12.5)
+    yield files.FileHeader(
+        kind="journal",
+        version=files.FORMAT_VERSION,
+        node="n1",
+        number=7,
+        created_ms=13.5,
+        boot="b",
+        zero_ms=14.5,
     )
-    yield files.ListStored(version=21, rows=[{"host": "e1"}], heard_ms=22.5)
-    yield files.ListConfirmed(heard_ms=31.5)
+    yield files.ListStored(version=21, rows=[{"host": "e1"}], confirmed_ms=22.5)
+    yield files.ListConfirmed(confirmed_ms=31.5)
     yield sent
     yield files.AttemptBatch(rows=[sent, sent])
-    yield files.AttemptNeverRan(key="k", executor="e1", sent_ms=41.5)
-    yield files.TurnoverNoted(departures=51.5, lived_ms=52.5)
+    yield files.AttemptNeverRan(key="k", server="e1", sent_ms=41.5)
+    yield files.DepartureRateStored(departures=51.5, lived_ms=52.5)
     yield files.HistoryLost(since_ms=61.5)
     yield files.SnapshotEnd(records=71)
 
