--- a/marlseam/cli/state.py
+++ b/marlseam/cli/state.py
@@ -73,8 +73,8 @@
     click.echo(f"{len(state.sent)} keys that may have run, the last forgotten in {left:.0f} s")
     if state.lost_ms is not None:
         click.echo(f"what may have run before {(now - state.lost_ms) / 1000.0:.0f} s ago is not known")
-    hours = state.turnover.lived_ms / 3.6e6
-    click.echo(f"{state.turnover.departures:.0f} departures in {hours:.1f} executor hours")
+    hours = state.departure_rate.lived_ms / 3.6e6
+    click.echo(f"{state.departure_rate.departures:.0f} departures in {hours:.1f} executor hours")
     for finding in findings:
         click.echo(f"{finding.name or folder} code={finding.code}: {finding.text}")
 
--- a/marlseam/recovery/__init__.py
+++ b/marlseam/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What a node takes up again after a restart, and how far it trusts that. Pure: no clock, no disk."""
+"""What a node starts from after a restart or a handover, and how far it trusts it. Pure: no clock, no I/O."""
--- a/marlseam/recovery/saved_list.py
+++ b/marlseam/recovery/saved_list.py
@@ -1,67 +1,89 @@
-"""Which saved list a node starts from, and how much doubt each entry carries.
+"""Which saved endpoint list a node starts from, and how much doubt each entry carries.
 
-Doubt is the chance that an entry is no longer who it says, in [0, 1]. It grows with the list's age by the
-fleet's known turnover: of servers that leave at a constant rate, a share of 1 - exp(-age / life) has left
-after some age. Evidence ends it: a word that came from the server under its own name, or the live list.
-An answered probe says that somebody is there, and no more.
+Doubt is the chance that an entry's address no longer belongs to the server that the entry names, in [0, 1].
+It grows with the list's age by the known rate of departures: of servers that leave at a constant rate, a
+share of 1 - exp(-age / mean lifetime) has left after some age. Evidence ends it: a message that came from the
+server under its own name, or the live list. An answered probe says that somebody is there, and no more.
 """
 
 from dataclasses import dataclass
 from math import exp
+from typing import Any
 
-LIFE_MS = 24.0 * 3600.0 * 1000.0  # a server's mean life where none is known
-PRIOR = 3.0  # departures that this guess counts for
-SURE = 0.001  # doubt under which an entry counts as told by discovery itself
-ANSWERED = 0.5  # what an answered probe leaves of a doubt
+DEFAULT_LIFETIME_MS = 24.0 * 3600.0 * 1000.0  # a server's mean lifetime where none is known
+DEFAULT_LIFETIME_DEPARTURES = 3.0  # how many observed departures this default counts for
+MAX_DOUBT_OF_CERTAIN_ENTRY = 0.001  # up to this an entry counts as told by discovery itself
+DOUBT_SHARE_AFTER_ANSWER = 0.5  # what an answered probe leaves of a doubt
+MAX_CLOCK_DIFFERENCE_MS = 1000.0  # by which a list may seem to come from the future
 
 
 @dataclass(frozen=True)
 class SavedList:
-    """A list as it can be had at a start.
+    """An endpoint list as it can be had at a start.
 
-    Version, entries as the roster wrote them, when it was last true (Unix ms).
+    Attributes:
+        version: of the list.
+        rows: its entries, as discovery wrote them.
+        confirmed_ms: when discovery last confirmed it (Unix ms); None where the list tells no time.
     """
 
     version: int
-    rows: list
-    heard_ms: float | None  # unknown for a list that tells no time
+    rows: list[dict[str, Any]]
+    confirmed_ms: float | None
+
+    @property
+    def heard_ms(self) -> float | None:
+        """Return `confirmed_ms`, under the name that other packages still use."""
+        return self.confirmed_ms
 
 
 @dataclass
-class Turnover:
+class DepartureRate:
     """How often servers leave, as a node has seen it.
 
-    Departures, and the time of all executors together, in ms.
+    Attributes:
+        departures: how many servers have left.
+        lived_ms: the time that all servers together were there, in ms.
     """
 
     departures: float = 0.0
     lived_ms: float = 0.0
 
-    def life_ms(self) -> float:
-        """Return a server's mean life, from what was seen and a guess that counts for some departures."""
-        return (self.lived_ms + PRIOR * LIFE_MS) / (self.departures + PRIOR)
+    def mean_lifetime_ms(self) -> float:
+        """Return a server's mean lifetime: what was seen, averaged with a weighted default."""
+        lived_ms = self.lived_ms + DEFAULT_LIFETIME_DEPARTURES * DEFAULT_LIFETIME_MS
+        return lived_ms / (self.departures + DEFAULT_LIFETIME_DEPARTURES)
 
 
-def age(saved: SavedList, now_unix_ms: float) -> float | None:
+def list_age_ms(saved: SavedList, now_unix_ms: float) -> float | None:
     """Return a list's age in ms.
 
-    None where it is unknown, as for one from the future: a clock was set back.
+    None where it is unknown, as for a list from the future: a clock was set back.
     """
-    if saved.heard_ms is None or saved.heard_ms > now_unix_ms + 1000.0:
+    if saved.confirmed_ms is None or saved.confirmed_ms > now_unix_ms + MAX_CLOCK_DIFFERENCE_MS:
         return None
-    return max(0.0, now_unix_ms - saved.heard_ms)
+    return max(0.0, now_unix_ms - saved.confirmed_ms)
 
 
-def doubt(age_ms: float | None, turnover: Turnover) -> float:
-    """Return the doubt in an entry of a list of some age; full where the age is unknown."""
-    return 1.0 if age_ms is None else 1.0 - exp(-age_ms / turnover.life_ms())
+def entry_doubt(age_ms: float | None, rate: DepartureRate) -> float:
+    """Return the doubt in an entry of a list of some age; 1 where the age is unknown (None)."""
+    return 1.0 if age_ms is None else 1.0 - exp(-age_ms / rate.mean_lifetime_ms())
 
 
-def choose(file: SavedList | None, known: SavedList | None) -> SavedList | None:
-    """Return the list to start from: the newer version; of equals the file's, as its age is known.
+def choose_list(stored: SavedList | None, configured: SavedList | None) -> SavedList | None:
+    """Return the list to start from, None for none: the newer version of the stored and the configured one.
 
-    The live roster is no candidate here: once it answers, its list replaces any other.
+    Of equals the stored one, as its age is known; a list without entries counts as none. The live list is no
+    candidate here: once discovery answers, its list replaces any other.
     """
-    if file is None or not file.rows:
-        return known
-    return known if known is not None and known.rows and known.version > file.version else file
+    if stored is None or not stored.rows:
+        return configured
+    if configured is not None and configured.rows and configured.version > stored.version:
+        return configured
+    return stored
+
+
+# Names that other packages still use.
+SURE, ANSWERED = MAX_DOUBT_OF_CERTAIN_ENTRY, DOUBT_SHARE_AFTER_ANSWER
+Turnover = DepartureRate
+age, doubt, choose = list_age_ms, entry_doubt, choose_list
--- a/marlseam/standin/disk.py
+++ b/marlseam/standin/disk.py
@@ -63,10 +63,10 @@
         self.bad()
         return super().open(name)
 
-    def write(self, fd: int, data: bytes) -> int:
+    def write(self, descriptor: int, data: bytes) -> int:
         """Append some of the bytes."""
         self.bad()
-        return super().write(fd, data)
+        return super().write(descriptor, data)
 
     def slow(self) -> None:
         """Take the time that a sync takes."""
@@ -74,10 +74,10 @@
         hangs = 0 < self.faults.hangs_after < self.syncs
         wait(float("inf") if hangs else time.monotonic() + self.faults.sync_s)
 
-    def sync(self, fd: int) -> None:
+    def sync(self, descriptor: int) -> None:
         """Have a file's bytes on the disk."""
         self.slow()
-        super().sync(fd)
+        super().sync(descriptor)
 
     def sync_folder(self) -> None:
         """Have the folder's names on the disk."""
--- a/marlseam/store/check.py
+++ b/marlseam/store/check.py
@@ -51,14 +51,14 @@
 
 def _time_sync(disk: Disk) -> float:
     """Write and sync a file, and remove it; return how long that took until it was durable, in ms."""
-    fd = disk.open(TRIAL_FILE)
+    descriptor = disk.open(TRIAL_FILE)
     try:
         began = time.perf_counter()
-        disk.write(fd, b"marlseam")
-        disk.sync(fd)
+        disk.write(descriptor, b"marlseam")
+        disk.sync(descriptor)
         return (time.perf_counter() - began) * 1000.0
     finally:
-        disk.close(fd)
+        disk.close(descriptor)
         disk.remove(TRIAL_FILE)
 
 
@@ -66,6 +66,7 @@
     """Check a node's state directory; raises ConfigError with what is wrong."""
 
     def summarize(disk: Disk) -> DirectorySummary:
+        """Summarize the state."""
         directory = StateDirectory(disk, node)
         state = directory.load(time.time() * 1000.0)
         listed = len(state.listed.rows) if state.listed else 0
@@ -79,6 +80,7 @@
     """Check a ledger's directory; raises ConfigError with what is wrong."""
 
     def summarize(disk: Disk) -> DirectorySummary:
+        """Summarize the ledger."""
         ledger = LedgerWriter(disk, node)
         recovered = ledger.load()
         number = recovered.held.number if recovered.held is not None else 0
--- a/marlseam/store/disk.py
+++ b/marlseam/store/disk.py
@@ -44,17 +44,17 @@
         """Open a file to append to, created if there is none; return its descriptor."""
         return os.open(self.path / name, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
 
-    def write(self, fd: int, data: bytes) -> int:
+    def write(self, descriptor: int, data: bytes) -> int:
         """Append some of the bytes; return how many."""
-        return os.write(fd, data)
+        return os.write(descriptor, data)
 
-    def sync(self, fd: int) -> None:
+    def sync(self, descriptor: int) -> None:
         """Flush a file's bytes to the disk."""
-        os.fdatasync(fd)
+        os.fdatasync(descriptor)
 
-    def close(self, fd: int) -> None:
+    def close(self, descriptor: int) -> None:
         """Close a file."""
-        os.close(fd)
+        os.close(descriptor)
 
     def identity(self, name: str) -> FileIdentity:
         """Return a file's inode number and the time of its last change."""
@@ -71,18 +71,18 @@
 
     def sync_folder(self) -> None:
         """Flush the directory's names to the disk."""
-        fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
+        descriptor = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(fd)
+            os.fsync(descriptor)
         finally:
-            os.close(fd)
+            os.close(descriptor)
 
 
-def write_all(disk: Disk, fd: int, data: bytes) -> None:
+def write_all(disk: Disk, descriptor: int, data: bytes) -> None:
     """Append all of the bytes to a file; raise OSError where the disk takes no more."""
     view = memoryview(data)
     while view:
-        count = disk.write(fd, bytes(view))
+        count = disk.write(descriptor, bytes(view))
         if not count:
             raise OSError(errno.ENOSPC, "nothing was written")
         view = view[count:]
@@ -94,20 +94,20 @@
     Raises OSError, with EAGAIN where another process has the lock.
     """
     path.mkdir(parents=True, exist_ok=True, mode=0o700)
-    fd = os.open(path / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
+    descriptor = os.open(path / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
     try:
-        fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
-        os.close(fd)
+        os.close(descriptor)
         raise
-    return fd
+    return descriptor
 
 
 @contextmanager
 def directory_lock(path: Path) -> Iterator[None]:
     """Hold a directory's lock for the length of a block; raises OSError as `lock_directory` does."""
-    fd = lock_directory(path)
+    descriptor = lock_directory(path)
     try:
         yield
     finally:
-        os.close(fd)
+        os.close(descriptor)
--- a/marlseam/store/durability.py
+++ b/marlseam/store/durability.py
@@ -32,19 +32,19 @@
         self.is_over = True
 
 
-class DurabilityWaits:
+class DurabilityWaitQueue:
     """The tasks that wait, in the order of their messages."""
 
     def __init__(self) -> None:
-        self._waits: deque[DurabilityWait] = deque()
+        self._queue: deque[DurabilityWait] = deque()
 
     def add(self, number: int, task: Task) -> DurabilityWait:
         """Return the wait of a task for a message, whose number is no lower than any waited for before."""
         wait = DurabilityWait(number, task)
-        self._waits.append(wait)
+        self._queue.append(wait)
         return wait
 
     def resolve_up_to(self, number: float, is_durable: bool) -> None:
         """Decide all waits for messages up to a number, that one included."""
-        while self._waits and self._waits[0].number <= number:
-            self._waits.popleft().resolve(is_durable)
+        while self._queue and self._queue[0].number <= number:
+            self._queue.popleft().resolve(is_durable)
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -19,7 +19,7 @@
 from marlseam.net.loop import READ, WRITE, Coroutine, Loop, Task, sleep
 from marlseam.store.clock_era import current_era
 from marlseam.store.disk import lock_directory
-from marlseam.store.durability import DurabilityWaits
+from marlseam.store.durability import DurabilityWaitQueue
 from marlseam.store.errors import code_of
 from marlseam.store.writer_channel import (
     APPEND,
@@ -89,7 +89,7 @@
         self.unanswered_since_ms = 0.0
         self.works = self.is_compacting = False
         self.is_success_logged = self.told_lost = False
-        self.waits = DurabilityWaits()
+        self.wait_queue = DurabilityWaitQueue()
         self.outgoing = bytearray()
         self.channel: socket.socket | None = None
         self.process: subprocess.Popen[bytes] | None = None
@@ -193,7 +193,7 @@
         if self.process is not None:
             self.process.poll()
         self.works = False
-        self.waits.resolve_up_to(inf, False)
+        self.wait_queue.resolve_up_to(inf, False)
 
     def close(self) -> None:
         """Have the writer process write all, and end it, as the node ends."""
@@ -246,9 +246,9 @@
         except OSError:
             return
         if self.outgoing:
-            yield from self.send_rest(channel)
+            yield from self.send_remainder(channel)
 
-    def send_rest(self, channel: socket.socket) -> Coroutine:
+    def send_remainder(self, channel: socket.socket) -> Coroutine:
         """Send what the channel did not take at once, as it takes more."""
         # A copy of the descriptor: the loop knows one task a socket, and another reads the answers.
         copy = self.loop.descriptors.opened(channel.dup, own=True)
@@ -267,7 +267,7 @@
 
     def receive_answers(self, channel: socket.socket) -> Coroutine:
         """Take in the writer process's answers until it ends."""
-        rest = b""
+        partial_line = b""
         while True:
             yield (channel.fileno(), READ, inf)
             try:
@@ -278,7 +278,7 @@
                 data = b""
             if not data:
                 break
-            *lines, rest = (rest + data).split(b"\n")
+            *lines, partial_line = (partial_line + data).split(b"\n")
             for line in lines:
                 self.handle_answer(decode_answer(line))
         if self.works:
@@ -301,7 +301,7 @@
 
     def handle_written(self, answer: Written) -> None:
         """Let go on what waited, and begin a new file where this one has grown too large."""
-        self.waits.resolve_up_to(self.done, True)
+        self.wait_queue.resolve_up_to(self.done, True)
         if not self.is_success_logged:
             self.log.line(f"{self.what} is kept in {self.path}")
         self.works, self.is_success_logged = True, True
@@ -334,7 +334,7 @@
         until_ms = self.loop.now() + self.wait_ms
         task = self.loop.current
         assert task is not None  # the loop runs this as a part of a task
-        wait = self.waits.add(number, task)
+        wait = self.wait_queue.add(number, task)
         while not wait.is_over and self.loop.now() < until_ms:
             yield from sleep(until_ms)
         if not wait.is_over:
@@ -352,7 +352,7 @@
         """Note that nothing can be written: what waits for it is not durable."""
         self.log_failure(code, text)
         self.works = False
-        self.waits.resolve_up_to(inf, False)
+        self.wait_queue.resolve_up_to(inf, False)
 
     def fail_by(self, error: OSError) -> None:
         """Note that nothing can be written, because of a system call that failed."""
--- a/marlseam/store/node_state.py
+++ b/marlseam/store/node_state.py
@@ -28,16 +28,21 @@
 
     Attributes:
         listed: the endpoint list stored last, None for none.
-        turnover: how often servers leave.
+        departure_rate: how often servers leave.
         sent: by idempotency key, the attempts that may have run, oldest first.
         lost_ms: what may have run before then is not known; None where all is known.
     """
 
     listed: ListStored | None = None
-    turnover: DepartureRateStored = field(default_factory=lambda: DepartureRateStored(0.0, 0.0))
+    departure_rate: DepartureRateStored = field(default_factory=lambda: DepartureRateStored(0.0, 0.0))
     sent: dict[str, list[AttemptSent]] = field(default_factory=dict)
     lost_ms: float | None = None
 
+    @property
+    def turnover(self) -> DepartureRateStored:
+        """Return `departure_rate`, under the name that other packages still use."""
+        return self.departure_rate
+
     def apply(self, record: StateRecord) -> None:
         """Change the state as a record says."""
         match record:
@@ -53,7 +58,7 @@
                 if self.listed is not None:
                     self.listed = replace(self.listed, confirmed_ms=record.confirmed_ms)
             case DepartureRateStored():
-                self.turnover = record
+                self.departure_rate = record
             case HistoryLost():
                 self.lost_ms = record.since_ms
 
@@ -119,7 +124,7 @@
 
     def entries(self) -> list[StateRecord]:
         """Return the records that a snapshot holds."""
-        records: list[StateRecord] = [self.turnover]
+        records: list[StateRecord] = [self.departure_rate]
         if self.listed is not None:
             records.append(self.listed)
         if self.lost_ms is not None:
--- a/marlseam/store/writer_channel.py
+++ b/marlseam/store/writer_channel.py
@@ -59,22 +59,22 @@
     """Bytes that came from the node, cut into messages."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._unparsed = b""
 
     def feed(self, data: bytes) -> None:
         """Take in bytes."""
-        self._rest += data
+        self._unparsed += data
 
     def next_message(self) -> Message | None:
         """Return the next whole message and remove it; None where none is whole."""
-        if len(self._rest) < MESSAGE_HEADER.size:
+        if len(self._unparsed) < MESSAGE_HEADER.size:
             return None
-        command, length = MESSAGE_HEADER.unpack_from(self._rest)
+        command, length = MESSAGE_HEADER.unpack_from(self._unparsed)
         end = MESSAGE_HEADER.size + length
-        if len(self._rest) < end:
+        if len(self._unparsed) < end:
             return None
-        payload = self._rest[MESSAGE_HEADER.size : end]
-        self._rest = self._rest[end:]
+        payload = self._unparsed[MESSAGE_HEADER.size : end]
+        self._unparsed = self._unparsed[end:]
         return Message(command, payload)
 
 
--- a/marlseam/store/writer_process.py
+++ b/marlseam/store/writer_process.py
@@ -58,10 +58,10 @@
         self.check_node()
         return super().open(name)
 
-    def sync(self, fd: int) -> None:
+    def sync(self, descriptor: int) -> None:
         """Flush a file's bytes to the disk."""
         self.check_node()
-        super().sync(fd)
+        super().sync(descriptor)
 
     def rename(self, old: str, new: str) -> None:
         """Rename a file."""
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,7 +12,7 @@
 from marlseam.core.idempotency import AttemptRecord, IdempotencyRecords
 from marlseam.decisions.types import EndpointState, ListUpdateKind, Outcome, Request
 from marlseam.recovery import saved_list
-from marlseam.recovery.saved_list import LIFE_MS, SavedList, Turnover
+from marlseam.recovery.saved_list import DEFAULT_LIFETIME_MS, DepartureRate, SavedList
 
 
 def saved(version, rows=("r",), heard=0.0):
@@ -33,18 +33,19 @@
     ],
 )
 def test_the_newer_list_is_chosen_and_an_empty_one_never(file, known, chosen):
-    found = saved_list.choose(file, known)
+    found = saved_list.choose_list(file, known)
     assert (found and found.version) == chosen
 
 
 def test_doubt_grows_with_age_and_turnover_and_is_full_where_the_age_is_unknown():
-    calm, busy = Turnover(), Turnover(1000.0, 1000.0 * LIFE_MS / 24.0)
+    calm, busy = DepartureRate(), DepartureRate(1000.0, 1000.0 * DEFAULT_LIFETIME_MS / 24.0)
     day = 24.0 * 3600e3
-    assert saved_list.doubt(0.0, calm) == 0.0 < saved_list.doubt(1000.0, calm) < saved_list.SURE
-    assert saved_list.doubt(day, calm) == pytest.approx(1.0 - exp(-1.0))
-    assert saved_list.doubt(day, busy) > 0.99 and saved_list.doubt(None, calm) == 1.0
-    assert saved_list.age(saved(1, heard=5000.0), 1000.0) is None  # the clock was set back
-    assert saved_list.age(saved(1, heard=500.0), 1000.0) == 500.0
+    assert saved_list.entry_doubt(0.0, calm) == 0.0
+    assert 0.0 < saved_list.entry_doubt(1000.0, calm) < saved_list.MAX_DOUBT_OF_CERTAIN_ENTRY
+    assert saved_list.entry_doubt(day, calm) == pytest.approx(1.0 - exp(-1.0))
+    assert saved_list.entry_doubt(day, busy) > 0.99 and saved_list.entry_doubt(None, calm) == 1.0
+    assert saved_list.list_age_ms(saved(1, heard=5000.0), 1000.0) is None  # the clock was set back
+    assert saved_list.list_age_ms(saved(1, heard=500.0), 1000.0) == 500.0
 
 
 # Receipts against a plain model.
--- a/tests/test_wire_samples.py
+++ b/tests/test_wire_samples.py
@@ -61,7 +61,10 @@
     row = handover_codec.AttemptSent("k", "e1", "here", 5, 1000.5, 2000.5)
     hosts = [{"host": "e1", "dial": "127.0.0.1:1"}, {"host": "e2", "dial": "127.0.0.1:2"}]
     read = [
-        item for data in kept("handover") for line in data.splitlines() for item in handover_codec.read(line)
+        item
+        for data in kept("handover")
+        for line in data.splitlines()
+        for item in handover_codec.parse_line(line)
     ]
     assert read == [
         handover_codec.Hello("n1", 17, False, None),
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -91,16 +91,16 @@
 def handover_lines():
     """Return each kind of line that one process of a node writes to another."""
     row = handover_codec.AttemptSent(
-        key="k", executor="e1", zone="here", cell=5, sent_ms=1000.5, until_ms=2000.5
+        key="k", server="e1", zone="here", cell=5, sent_ms=1000.5, until_ms=2000.5
     )
     hosts = [{"host": "e1", "dial": "127.0.0.1:1"}, {"host": "e2", "dial": "127.0.0.1:2"}]
-    yield handover_codec.hello("n1", 17)
-    yield handover_codec.hello("n1", 17, fleet=True, epoch_ms=1.5)
-    yield handover_codec.proof(handover_codec.VersionProof(number=41, id=DIGEST, mono_ms=42.5))
-    yield handover_codec.sent([row])
-    yield handover_codec.never(handover_codec.AttemptNeverRan(key="k", executor="e1", sent_ms=1000.5))
-    yield b"".join(handover_codec.snapshot(43, hosts, [row, row]))
-    yield handover_codec.OVER
+    yield handover_codec.encode_hello("n1", 17)
+    yield handover_codec.encode_hello("n1", 17, fleet=True, epoch_ms=1.5)
+    yield handover_codec.encode_proof(handover_codec.VersionProof(number=41, id=DIGEST, mono_ms=42.5))
+    yield handover_codec.encode_sent([row])
+    yield handover_codec.encode_never(handover_codec.AttemptNeverRan(key="k", server="e1", sent_ms=1000.5))
+    yield b"".join(handover_codec.encode_snapshot(43, hosts, [row, row]))
+    yield handover_codec.GOODBYE_LINE
 
 
 def state_records():
