--- a/marlseam/recovery/saved_list.py
+++ b/marlseam/recovery/saved_list.py
@@ -12,7 +12,7 @@
 
 DEFAULT_LIFETIME_MS = 24.0 * 3600.0 * 1000.0  # a server's mean lifetime where none is known
 DEFAULT_LIFETIME_DEPARTURES = 3.0  # how many observed departures this default counts for
-MAX_DOUBT_OF_CERTAIN_ENTRY = 0.001  # up to this an entry counts as told by discovery itself
+MAX_CERTAIN_DOUBT = 0.001  # up to this an entry counts as told by discovery itself
 DOUBT_SHARE_AFTER_ANSWER = 0.5  # what an answered probe leaves of a doubt
 MAX_CLOCK_DIFFERENCE_MS = 1000.0  # by which a list may seem to come from the future
 
@@ -84,6 +84,6 @@
 
 
 # Names that other packages still use.
-SURE, ANSWERED = MAX_DOUBT_OF_CERTAIN_ENTRY, DOUBT_SHARE_AFTER_ANSWER
+SURE, ANSWERED = MAX_CERTAIN_DOUBT, DOUBT_SHARE_AFTER_ANSWER
 Turnover = DepartureRate
 age, doubt, choose = list_age_ms, entry_doubt, choose_list
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -58,9 +58,9 @@
         done: how many of these were answered; those of a process that ended count as answered.
         done_before: how many of these earlier writer processes had.
         unanswered_since_ms: since when messages have waited for an answer (ms on the loop's clock).
-        works: whether records are sent on. From the process's start, not from its first answer: it compacts
-            what is there before them. Guards what is sent in a node's first moments against being on no
-            record.
+        works: whether records are sent on. From the process's start, not from its first answer: it
+            compacts what is there before them. Guards what is sent in a node's first moments against being
+            on no record.
         is_compacting: whether a file that has grown too large is being replaced.
         is_success_logged: whether the log has said that records become durable, since the last failure.
         told_lost: whether the log has said that something in the directory is lost.
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -41,7 +41,7 @@
     calm, busy = DepartureRate(), DepartureRate(1000.0, 1000.0 * DEFAULT_LIFETIME_MS / 24.0)
     day = 24.0 * 3600e3
     assert saved_list.entry_doubt(0.0, calm) == 0.0
-    assert 0.0 < saved_list.entry_doubt(1000.0, calm) < saved_list.MAX_DOUBT_OF_CERTAIN_ENTRY
+    assert 0.0 < saved_list.entry_doubt(1000.0, calm) < saved_list.MAX_CERTAIN_DOUBT
     assert saved_list.entry_doubt(day, calm) == pytest.approx(1.0 - exp(-1.0))
     assert saved_list.entry_doubt(day, busy) > 0.99 and saved_list.entry_doubt(None, calm) == 1.0
     assert saved_list.list_age_ms(saved(1, heard=5000.0), 1000.0) is None  # the clock was set back
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -190,7 +190,7 @@
     found = {f"letter {i}": membership_codec.write(letter) for i, letter in enumerate(letters())}
     found |= {f"note {i}": messages.write(note) for i, note in enumerate(notes())}
     found |= {f"handover {i}": line for i, line in enumerate(handover_lines())}
-    found |= {f"state {i}": files.frame(record) for i, record in enumerate(state_records())}
+    found |= {f"state {i}": files.encode_record(record) for i, record in enumerate(state_records())}
     found |= {f"ledger {i}": audit_log.encode(record) for i, record in enumerate(ledger_records())}
     found |= {f"content {i}": data for i, data in enumerate(contents())}
     return found
