--- a/marlseam/cli/state.py
+++ b/marlseam/cli/state.py
@@ -62,11 +62,11 @@
     state, findings = read(folder)
     now = time.time() * 1000.0
     if state.listed is None:
-        click.echo("no list of executors")
+        click.echo("no list of servers")
     else:
         age = (now - state.listed.confirmed_ms) / 1000.0
         click.echo(
-            f"{len(state.listed.rows)} executors, version {state.listed.version}, confirmed {age:.0f} s ago"
+            f"{len(state.listed.rows)} servers, version {state.listed.version}, confirmed {age:.0f} s ago"
         )
     last = max((row.until_ms for rows in state.sent.values() for row in rows), default=now)
     left = max(0.0, last - now) / 1000.0
@@ -74,7 +74,7 @@
     if state.lost_ms is not None:
         click.echo(f"what may have run before {(now - state.lost_ms) / 1000.0:.0f} s ago is not known")
     hours = state.departure_rate.lived_ms / 3.6e6
-    click.echo(f"{state.departure_rate.departures:.0f} departures in {hours:.1f} executor hours")
+    click.echo(f"{state.departure_rate.departures:.0f} departures in {hours:.1f} server hours")
     for finding in findings:
         click.echo(f"{finding.name or folder} code={finding.code}: {finding.text}")
 
--- a/marlseam/store/check.py
+++ b/marlseam/store/check.py
@@ -70,7 +70,7 @@
         directory = StateDirectory(disk, node)
         state = directory.load(time.time() * 1000.0)
         listed = len(state.listed.rows) if state.listed else 0
-        text = f"state in {disk.path}: {listed} executors, {len(state.sent)} keys"
+        text = f"state in {disk.path}: {listed} servers, {len(state.sent)} keys"
         return DirectorySummary(text, directory.findings)
 
     check_directory(Path(settings.folder), "store.folder", summarize)
--- a/marlseam/store/file_format.py
+++ b/marlseam/store/file_format.py
@@ -248,7 +248,7 @@
     Raises UnusableFileError where there is no magic number.
     """
     if not data.startswith(MAGIC):
-        raise UnusableFileError("foreign", "no file of marlseam's")
+        raise UnusableFileError("foreign", "not a file of marlseam")
     offset = len(MAGIC)
     while offset + FRAME_HEADER.size <= len(data):
         length, checksum = FRAME_HEADER.unpack_from(data, offset)
@@ -268,7 +268,7 @@
     Raises UnusableFileError for a file without a header, or of another kind, version or node.
     """
     if not isinstance(first, FileHeader):
-        raise UnusableFileError("torn", "its head cannot be read")
+        raise UnusableFileError("torn", "its header cannot be read")
     if first.version not in READABLE_VERSIONS:
         raise UnusableFileError("version", f"format {first.version}, this program reads {READABLE_VERSIONS}")
     if first.kind != kind or (node is not None and first.node != node):
--- a/marlseam/store/ledger_writer.py
+++ b/marlseam/store/ledger_writer.py
@@ -86,10 +86,10 @@
         try:
             before, entry = unlinked(linked_record)
         except ValueError as error:
-            self.note("damaged", f"a record that is none: {error}")
+            self.note("damaged", f"a record that cannot be read: {error}")
             return False
         if self.entries and before != self.last:
-            self.note("chain", "a record does not stand behind the one before it")
+            self.note("chain", "a record is not chained to the one before it")
             return False
         if not self.entries:
             self.before = before
@@ -163,7 +163,7 @@
             if file is None:
                 continue
             if files and file.entries and file.before != files[-1].last:
-                file.note("chain", "does not stand behind the file before it")
+                file.note("chain", "is not chained to the file before it")
             self.findings += file.findings
             files.append(file)
         for number, following in zip(numbers, numbers[1:], strict=False):
@@ -208,7 +208,7 @@
         if self.findings:
             return f"{self.findings[0].name} {self.findings[0].code}"
         if not recovered.begun:
-            return "its begin is not known"
+            return "its beginning is not known"
         newest = files[-1]
         inode, changed_ms = self.disk.identity(file_name(newest.number))
         noted_inode = next((entry.inode for entry in newest.entries if type(entry) is FileOpened), None)
--- a/marlseam/store/state_reader.py
+++ b/marlseam/store/state_reader.py
@@ -111,7 +111,7 @@
             yield from self._apply(contents)
             if not contents.unread_bytes:
                 continue
-            text = f"{contents.unread_bytes} bytes at its end left out"
+            text = f"{contents.unread_bytes} bytes at its end not read"
             self.findings.append(Finding(name, "torn", text))
             if not contents.is_cut_short or number != last:
                 # Guards the records behind a damaged byte: only a crash while writing explains itself.
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -221,7 +221,7 @@
     good = {form.ENCODER.encode(step) for step in steps if step != "snapshot"}
     found = {form.ENCODER.encode(row) for rows in state.sent.values() for row in rows}
     assert found <= good or state.lost_ms is not None
-    # The old code passed over what stood behind the bit, and served on as if it had never been sent.
+    # Guards against passing over what stands behind the bit, and serving on as if it had never been sent.
     assert state.lost_ms is not None or set("abcd") <= set(state.sent)
     assert all(finding.code in ("torn", "foreign", "version", "clock", "lost") for finding in folder.findings)
 
@@ -231,11 +231,13 @@
     folder = StateDirectory(disk, "n", ERA)
     for i in range(6):
         folder.snapshot(frames(sent(f"k{i}")), NOW)
-    assert len(folder.files("snapshot")) == 2 and len(folder.files("journal")) == 2
+    assert len(folder.files("snapshot")) == 2
+    assert len(folder.files("journal")) == 2
     newest = f"snapshot-{folder.number:010d}"
     disk.seen[newest] = [b"MARLSEAM nonsense"]
     state, again = loaded(disk)
-    assert set(state.sent) == {"k4"} and [finding.code for finding in again.findings] == ["torn"]
+    assert set(state.sent) == {"k4"}
+    assert [finding.code for finding in again.findings] == ["torn"]
     assert state.lost_ms is None  # the snapshot before it and that one's journal hold all
 
 
@@ -250,25 +252,27 @@
         (b"", "foreign"),
     ],
 )
-def test_a_file_that_cannot_be_used_is_told_and_set_aside_only_once_what_it_lost_is_on_record(data, code):
+def test_an_unusable_file_is_reported_and_renamed_only_once_a_snapshot_notes_the_loss(data, code):
     disk = FaultyDisk()
     disk.seen["snapshot-0000000001"] = [data]
     state, folder = loaded(disk)
-    assert state.lost_ms == NOW and [f.code for f in folder.findings] == [code, "lost"]
+    assert state.lost_ms == NOW
+    assert [f.code for f in folder.findings] == [code, "lost"]
     assert list(disk.seen) == ["snapshot-0000000001"]  # a crash now must not make it a first life
     folder.snapshot(form.encode_records(state.entries()), NOW)
     assert "bad-snapshot-0000000001" in disk.seen
     again, later = loaded(disk)
-    assert again.lost_ms == pytest.approx(NOW) and not later.findings
+    assert again.lost_ms == pytest.approx(NOW)
+    assert not later.findings
 
 
-def test_a_clock_that_was_set_back_is_told():
+def test_a_clock_that_was_set_back_is_reported():
     disk = FaultyDisk()
     StateDirectory(disk, "n", ERA).snapshot(frames(), NOW + 3600e3)
     assert [finding.code for finding in loaded(disk)[1].findings] == ["clock"]
 
 
-def test_keys_die_with_their_pods_memory():
+def test_keys_expire_when_servers_have_forgotten_them():
     state = NodeState()
     state.apply(sent("a", until=5.0))
     state.apply(sent("b", until=9.0))
@@ -286,7 +290,8 @@
 
     for cut in range(1, len(form.encode_record(sent("b", 2.0)))):
         state = ended(lambda data, cut=cut: data[:-cut])
-        assert state.lost_ms is None and set(state.sent) == {"a"}
+        assert state.lost_ms is None
+        assert set(state.sent) == {"a"}
     zeros = form.encode_record(DepartureRateStored(0.0, 1.0))  # holds eight zero bytes
     assert ended(lambda data: data + zeros[:-1]).lost_ms is None
     assert ended(lambda data: data + bytes(4096)).lost_ms is not None
@@ -304,11 +309,12 @@
     assert loaded(disk)[0].lost_ms is not None
 
 
-def test_a_first_life_is_told_from_a_folder_that_lost_all(tmp_path):
+def test_a_new_nodes_directory_differs_from_one_that_lost_all(tmp_path):
     assert loaded(FaultyDisk())[0].lost_ms == NOW
     create_state(tmp_path / "new", "n")
     state = StateDirectory(Disk(tmp_path / "new"), "n").load(time.time() * 1000.0)
-    assert state.lost_ms is None and not state.sent
+    assert state.lost_ms is None
+    assert not state.sent
     with pytest.raises(FileExistsError):
         create_state(tmp_path / "new", "n")
 
@@ -324,7 +330,8 @@
     assert "a" not in later.load(NOW + 600.0 + step).sent
     # Another start: how long ago it was is not known, so the pod is not relied on, nor the key let go.
     (row,) = StateDirectory(disk, "n", ClockEra("another boot", 0.0)).load(NOW + step).sent["a"]
-    assert row.sent_ms == 0.0 and row.until_ms >= NOW + step + 1000.0
+    assert row.sent_ms == 0.0
+    assert row.until_ms >= NOW + step + 1000.0
 
 
 def test_what_was_only_written_is_lost_with_the_machine():
@@ -335,12 +342,12 @@
     assert StateDirectory(disk, "n", ClockEra("another boot", 0.0)).load(NOW).lost_ms is None
 
 
-# The node's side, with a real helper on a real folder.
+# The node's side, with a real writer process on a real directory.
 
 
 @pytest.fixture
-def keeper(loop, tmp_path):
-    """Return a maker of keepers on one folder, with what each took in late; all are closed at the end."""
+def make_store(loop, tmp_path):
+    """Return a maker of stores on one directory, with what each took in late; all are closed at the end."""
     made = []
     create_state(tmp_path / "state", "n")
 
@@ -348,30 +355,30 @@
         values = {"sync": "durable", "journal_mb": 8.0, "wait_ms": 5000.0} | options
 
         def take_in(state):
-            keeper.taken.append(state)
+            store.taken.append(state)
             return
             yield
 
-        keeper = StateStore(loop, Log("n", loop.now), StoreSettings(str(path), **values), "n", take_in)
-        keeper.taken = []
-        made.append(keeper)
-        return keeper
+        store = StateStore(loop, Log("n", loop.now), StoreSettings(str(path), **values), "n", take_in)
+        store.taken = []
+        made.append(store)
+        return store
 
     yield build
-    for keeper in made:
-        keeper.close()
-        if keeper.lock is not None:
-            os.close(keeper.lock)
+    for store in made:
+        store.close()
+        if store.lock is not None:
+            os.close(store.lock)
 
 
 @pytest.fixture
-def waits(loop):
+def wait_for(loop):
     """Return a function that waits for a record of a key as a sending does, and a list of what came of it."""
 
-    def begin(part, key, seen):
+    def begin(store, key, seen):
         def wait():
-            number = part.append(sent(key, until=time.time() * 2000.0))
-            is_durable = yield from part.wait_durable(number)
+            number = store.append(sent(key, until=time.time() * 2000.0))
+            is_durable = yield from store.wait_durable(number)
             seen.append((key, is_durable))
 
         loop.spawn(wait())
@@ -380,162 +387,177 @@
     return begin
 
 
-def on_disk(part):
-    return set(StateDirectory(Disk(part.path), None).load(0.0).sent)
+def on_disk(store):
+    return set(StateDirectory(Disk(store.path), None).load(0.0).sent)
 
 
-def test_what_is_durable_is_there_after_the_process_is_killed(keeper, until, waits):
-    first = keeper()
-    assert first.load().entries() == NodeState().entries()
-    first.begin()
-    seen = waits(first, "a", [])
+def test_what_is_durable_is_there_after_the_process_is_killed(make_store, until, wait_for):
+    first_store = make_store()
+    assert first_store.load().entries() == NodeState().entries()
+    first_store.begin()
+    seen = wait_for(first_store, "a", [])
     until(lambda: seen)
-    first.process.kill()  # as the whole node would be
-    first.process.wait()
-    assert seen == [("a", True)] and "a" in on_disk(first)
+    first_store.process.kill()  # as the whole node would be
+    first_store.process.wait()
+    assert seen == [("a", True)]
+    assert "a" in on_disk(first_store)
 
 
-def test_entries_of_a_nodes_first_moments_go_behind_what_was_there(keeper, until):
-    first = keeper()
-    folder = StateDirectory(Disk(first.path), "n")
+def test_records_of_a_nodes_first_moments_follow_what_was_there(make_store, until):
+    first_store = make_store()
+    folder = StateDirectory(Disk(first_store.path), "n")
     folder.number = 1
     folder.snapshot(form.encode_records([sent("old", until=time.time() * 2000.0)]), 0.0)
     folder.close()
-    first.load()
-    first.begin()
-    number = first.append(sent("new", until=time.time() * 2000.0))
-    until(lambda: first.done >= number)
-    first.close()
-    assert on_disk(first) == {"old", "new"}
+    first_store.load()
+    first_store.begin()
+    number = first_store.append(sent("new", until=time.time() * 2000.0))
+    until(lambda: first_store.done >= number)
+    first_store.close()
+    assert on_disk(first_store) == {"old", "new"}
 
 
 def test_a_locked_folder_is_read_as_soon_as_it_is_free_and_only_then_written(
-    keeper, loop, until, waits, capsys, monkeypatch
+    make_store, until, wait_for, capsys, monkeypatch
 ):
     monkeypatch.setattr("marlseam.store.log_writer_client.MAX_LOCK_WAIT_S", 0.02)
-    first, second = keeper(), keeper()
-    first.load()
-    first.begin()
-    seen = waits(first, "a", [])
+    first_store, second_store = make_store(), make_store()
+    first_store.load()
+    first_store.begin()
+    seen = wait_for(first_store, "a", [])
     until(lambda: seen)
-    # The old code took an empty state here, and wrote it over the true one once the lock was free.
-    assert second.load() is None
-    second.begin()
+    # Guards against taking an empty state here, and writing it over the true one once the lock is free.
+    assert second_store.load() is None
+    second_store.begin()
     assert "code=locked" in capsys.readouterr().err
-    assert not second.is_available() and waits(second, "b", []) == [("b", False)]
-    first.process.kill()
-    first.process.wait()
-    os.close(first.lock)
-    first.lock = None
-    until(lambda: second.is_success_logged)
-    assert set(second.taken[0].sent) == {"a"} and on_disk(second) == {"a"}
-    until(lambda: second.is_available())
-
-
-def test_a_node_that_is_killed_leaves_a_free_lock_and_an_unfinished_snapshot_behind(keeper, until, waits):
-    first = keeper()
-    first.load()
-    first.begin()
-    until(lambda: first.is_success_logged)
-    first.process.send_signal(signal.SIGSTOP)
+    assert not second_store.is_available()
+    assert wait_for(second_store, "b", []) == [("b", False)]
+    first_store.process.kill()
+    first_store.process.wait()
+    os.close(first_store.lock)
+    first_store.lock = None
+    until(lambda: second_store.is_success_logged)
+    assert set(second_store.taken[0].sent) == {"a"}
+    assert on_disk(second_store) == {"a"}
+    until(lambda: second_store.is_available())
+
+
+def test_a_node_that_is_killed_leaves_a_free_lock_and_an_unfinished_snapshot_behind(
+    make_store, until, wait_for
+):
+    first_store = make_store()
+    first_store.load()
+    first_store.begin()
+    until(lambda: first_store.is_success_logged)
+    first_store.process.send_signal(signal.SIGSTOP)
     for i in range(50):
-        waits(first, f"k{i}", [])
-    first.compact()
-    until(lambda: not first.outgoing)
-    first.channel.close()  # as the system does for a killed node
-    first.channel = None
-    first.process.send_signal(signal.SIGCONT)
-    assert first.process.wait(20.0) == 0
+        wait_for(first_store, f"k{i}", [])
+    first_store.compact()
+    until(lambda: not first_store.outgoing)
+    first_store.channel.close()  # as the system does for a killed node
+    first_store.channel = None
+    first_store.process.send_signal(signal.SIGCONT)
+    assert first_store.process.wait(20.0) == 0
     # None of that was said to be kept, so nothing of it went out, and no sync was spent on it.
-    folder = StateDirectory(Disk(first.path), "n")
-    assert folder.files("snapshot") == [1, 2] and folder.load(0.0).lost_ms is None
+    folder = StateDirectory(Disk(first_store.path), "n")
+    assert folder.files("snapshot") == [1, 2]
+    assert folder.load(0.0).lost_ms is None
 
 
-def test_a_disk_that_fails_is_told_once_keeps_nothing_and_is_tried_again(
-    keeper, loop, until, waits, capsys, monkeypatch
+def test_a_disk_that_fails_is_logged_once_makes_nothing_durable_and_is_tried_again(
+    make_store, until, wait_for, capsys, monkeypatch
 ):
     monkeypatch.setattr("marlseam.store.log_writer_client.MIN_RETRY_DELAY_MS", 10.0)
-    part = keeper()
-    part.load()
-    part.begin()
-    until(lambda: part.is_success_logged)
-    seen = waits(part, "a", [])
-    part.handle_answer(WriteFailed(part.done - part.done_before + 1, "full", "No space left on device"))
-    part.handle_answer(Written(part.done - part.done_before, 0))  # read together with the way back
+    store = make_store()
+    store.load()
+    store.begin()
+    until(lambda: store.is_success_logged)
+    seen = wait_for(store, "a", [])
+    store.handle_answer(WriteFailed(store.done - store.done_before + 1, "full", "No space left on device"))
+    store.handle_answer(Written(store.done - store.done_before, 0))  # read together with the way back
     until(lambda: seen)
-    assert seen == [("a", False)]  # the old code let it go out
-    part.mark_unavailable("full", "No space left on device")
-    assert not part.is_available() and part.append(sent("b")) == 0
-    until(lambda: part.is_available())
+    assert seen == [("a", False)]  # it must not be sent
+    store.mark_unavailable("full", "No space left on device")
+    assert not store.is_available()
+    assert store.append(sent("b")) == 0
+    until(lambda: store.is_available())
     err = capsys.readouterr().err
-    assert err.count("code=full") == 2 and err.count("state is kept") == 3
+    assert err.count("code=full") == 2
+    assert err.count("state is kept") == 3
 
 
 @pytest.mark.parametrize("number", [errno.ENOSYS, errno.EINVAL])
-def test_where_no_process_may_be_started_nothing_is_kept(keeper, until, capsys, monkeypatch, number):
-    def refused(*words, **named):
+def test_where_no_process_may_be_started_nothing_becomes_durable(
+    make_store, until, capsys, monkeypatch, number
+):
+    def refused(*_arguments, **_options):
         raise OSError(number, "refused")
 
     monkeypatch.setattr("marlseam.store.log_writer_client.subprocess.Popen", refused)
     monkeypatch.setattr("marlseam.store.log_writer_client.MIN_RETRY_DELAY_MS", 10.0)
-    part = keeper()
-    part.load()
-    part.begin()
-    until(lambda: part.retry_delay_ms > 40.0)  # it was tried more than once
-    assert not part.is_available() and part.append(sent("a")) == 0
+    store = make_store()
+    store.load()
+    store.begin()
+    until(lambda: store.retry_delay_ms > 40.0)  # it was tried more than once
+    assert not store.is_available()
+    assert store.append(sent("a")) == 0
     assert capsys.readouterr().err.count("code=unsupported") == 1
 
 
-def test_a_slow_disk_holds_nothing_longer_than_its_patience_and_lets_nothing_out(
-    keeper, loop, until, waits, capsys
+def test_a_slow_disk_delays_nothing_past_the_wait_limit_and_lets_nothing_out(
+    make_store, until, wait_for, capsys
 ):
-    part = keeper(wait_ms=1.0)
-    part.load()
-    part.begin()
-    part.process.send_signal(signal.SIGSTOP)  # a disk that hangs
-    seen = waits(part, "a", [])
+    store = make_store(wait_ms=1.0)
+    store.load()
+    store.begin()
+    store.process.send_signal(signal.SIGSTOP)  # a disk that hangs
+    seen = wait_for(store, "a", [])
     until(lambda: seen)
-    assert seen == [("a", False)] and not part.is_available()  # the old code let it go out unrecorded
-    part.process.send_signal(signal.SIGCONT)
-    until(lambda: part.done == part.sent)  # also where the first message alone was answered before
-    assert part.is_available()
-    assert "code=slow" in capsys.readouterr().err and on_disk(part) == {"a"}
+    assert seen == [("a", False)]
+    assert not store.is_available()
+    store.process.send_signal(signal.SIGCONT)
+    until(lambda: store.done == store.sent)  # also where the first message alone was answered before
+    assert store.is_available()
+    assert "code=slow" in capsys.readouterr().err
+    assert on_disk(store) == {"a"}
 
 
-def test_a_helper_that_ends_is_followed_by_another_and_what_waited_is_not_kept(
-    keeper, until, waits, monkeypatch
+def test_a_writer_process_that_ends_is_replaced_and_what_waited_is_not_durable(
+    make_store, until, wait_for, monkeypatch
 ):
     monkeypatch.setattr("marlseam.store.log_writer_client.MIN_RETRY_DELAY_MS", 10.0)
-    part = keeper()
-    part.load()
-    part.begin()
-    until(lambda: part.is_success_logged)
-    seen = waits(part, "a", [])
+    store = make_store()
+    store.load()
+    store.begin()
+    until(lambda: store.is_success_logged)
+    seen = wait_for(store, "a", [])
     until(lambda: seen)
-    before = part.process
+    before = store.process
     before.send_signal(signal.SIGSTOP)
-    waits(part, "b", seen)
+    wait_for(store, "b", seen)
     before.kill()
-    until(lambda: part.process is not before and part.is_success_logged)
-    assert part.is_available() and seen == [("a", True), ("b", False)]
-    assert on_disk(part) == {"a"}  # the new one compacts what the folder holds, not what a node remembers
+    until(lambda: store.process is not before and store.is_success_logged)
+    assert store.is_available()
+    assert seen == [("a", True), ("b", False)]
+    assert on_disk(store) == {"a"}  # the new one compacts what the folder holds, not what a node remembers
 
 
-def test_a_long_reading_gives_way_in_every_turn(keeper, loop, until, monkeypatch):
+def test_a_long_read_yields_to_the_loop_in_every_turn(make_store, loop, until, monkeypatch):
     monkeypatch.setattr("marlseam.store.state_store.MAX_READ_MS_PER_TURN", 0.0)
-    part = keeper()
-    folder, far = StateDirectory(Disk(part.path), "n"), time.time() * 2000.0
+    store = make_store()
+    folder, far = StateDirectory(Disk(store.path), "n"), time.time() * 2000.0
     folder.number = 1
     attempts = [sent(f"k{i}", until=far) for i in range(10 * form.MAX_ATTEMPTS_PER_BATCH)]
     folder.snapshot(form.encode_records(attempts), 0.0)
     folder.close()
     turns = []
-    part.begin()
-    while not part.known:
+    store.begin()
+    while not store.known:
         turns.append(loop.now())
         loop.turn()
-    until(lambda: part.is_success_logged)
-    assert len(turns) > 10 and len(part.taken[0].sent) == 10 * form.MAX_ATTEMPTS_PER_BATCH
+    until(lambda: store.is_success_logged)
+    assert len(turns) > 10
+    assert len(store.taken[0].sent) == 10 * form.MAX_ATTEMPTS_PER_BATCH
 
 
 @pytest.mark.parametrize(
@@ -548,12 +570,12 @@
     folder = StateDirectory(disk, "n")
     folder.snapshot(frames(), NOW)
     disk.error = number
-    with pytest.raises(OSError) as error:
+    with pytest.raises(OSError, match=os.strerror(number)) as error:
         folder.append([b"x"], True)
     assert code_of(error.value) == code
 
 
-# A whole node on its folder.
+# A whole node on its directory.
 
 
 @pytest.fixture
@@ -597,10 +619,10 @@
         node.loop.turn()
 
 
-def test_clients_are_let_in_only_once_the_memory_was_sought(live, tmp_path, monkeypatch):
+def test_clients_are_accepted_only_once_the_state_was_read(live, tmp_path, monkeypatch):
     seen = []
 
-    def load(keeper):
+    def load(_store):
         port = json.loads((tmp_path / "node.json").read_text())["listen"].rpartition(":")[2]
         with socket.socket() as sock:
             seen.append(sock.connect_ex(("127.0.0.1", int(port))))
@@ -609,13 +631,14 @@
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
     monkeypatch.setattr(StateStore, "load", load)
-    # The old code let them in before, and counted their time from when it was done with its memory.
+    # Guards against accepting them before, and counting their time from the end of reading.
     node = live(f"127.0.0.1:{port}")
-    assert seen == [errno.ECONNREFUSED] and node.ready()
+    assert seen == [errno.ECONNREFUSED]
+    assert node.ready()
 
 
 @pytest.mark.parametrize("started", [0, 1])
-def test_a_node_whose_folder_another_has_sends_no_keyed_work_until_it_has_read_it(
+def test_a_node_whose_directory_is_locked_sends_no_keyed_request_until_it_has_read_it(
     live, tmp_path, started, monkeypatch
 ):
     monkeypatch.setattr("marlseam.store.log_writer_client.MAX_LOCK_WAIT_S", 0.02)
@@ -624,9 +647,11 @@
     other = live() if started else None  # two processes started on one folder at once
     held = lock_directory(path) if not started else None
     node = live()
-    assert node.ready() and not node.memory.keeper.is_available()
+    assert node.ready()
+    assert not node.memory.keeper.is_available()
     for _ in range(3):
-        assert decided(node, "old", True) == [core.Fail] and decided(node, "new", False) == [core.Reject]
+        assert decided(node, "old", True) == [core.Fail]
+        assert decided(node, "new", False) == [core.Reject]
         node.loop.turn()
     if other is not None:
         number = other.memory.keeper.append(sent("old", far - 1000.0, "gone", far))
@@ -642,28 +667,26 @@
         os.close(held)
     turned(node, node.memory.keeper.is_available)
     # The retry is bound to the pod that may have run it, which is gone; what is new goes out.
-    assert decided(node, "old", True) == [] and not node.core.untold
+    assert decided(node, "old", True) == []
+    assert not node.core.untold
     assert "old" in on_disk(node.memory.keeper)
 
 
-def test_a_node_that_lost_its_memory_says_so_until_pods_have_forgotten_and_in_its_next_life_too(
-    live, tmp_path, capsys
-):
+def test_a_node_that_lost_its_state_says_so_until_servers_have_forgotten_and_after_a_restart(live):
     for _ in range(2):
         node = live()  # on a folder that nobody began
         assert node.core.untold  # in its second life by what the first has put on record
         turned(node, node.memory.keeper.is_available)
         assert decided(node, "old", True) == [core.Fail]
         ends = max(node.core.untold.values()) + 30000.0
-        assert (
-            node.core.reduce(ends + 1.0, core.HistoryAvailable("none")) == [] and not node.core.untold_still()
-        )
+        assert node.core.reduce(ends + 1.0, core.HistoryAvailable("none")) == []
+        assert not node.core.untold_still()
         node.memory.keeper.close()
         os.close(node.memory.keeper.lock)
         node.memory.keeper.lock = None
 
 
-# Settings and staff's commands.
+# Settings and operators' commands.
 
 
 @pytest.mark.parametrize(
@@ -681,7 +704,7 @@
     assert at_fault(text) == key
 
 
-def test_staff_see_what_a_folder_holds(tmp_path):
+def test_operators_see_what_a_directory_holds(tmp_path):
     folder = StateDirectory(Disk(tmp_path), "n")
     now = time.time() * 1000.0
     folder.snapshot(frames(ListStored(4, [{"host": "h"}], now), sent("a", until=now + 9e5)), now)
@@ -690,26 +713,33 @@
     def run(command):
         return CliRunner().invoke(main, ["state", command, str(tmp_path)])
 
-    assert "1 executors, version 4" in run("show").output and "1 keys" in run("show").output
+    assert "1 servers, version 4" in run("show").output
+    assert "1 keys" in run("show").output
     assert run("verify").exit_code == 0
     rows = [json.loads(line) for line in run("export").output.splitlines()]
     assert {row["entry"] for row in rows} == {"turned", "listed", "sent"}
-    assert run("begin").exit_code == 2 and "known" not in run("show").output
+    assert run("begin").exit_code == 2
+    assert "known" not in run("show").output
     (tmp_path / "journal-0000000001").write_bytes(b"odd")
-    assert run("verify").exit_code == 1 and "code=foreign" in run("verify").output
-    assert (tmp_path / "journal-0000000001").exists() and "is not known" in run("show").output
+    assert run("verify").exit_code == 1
+    assert "code=foreign" in run("verify").output
+    assert (tmp_path / "journal-0000000001").exists()
+    assert "is not known" in run("show").output
     again = CliRunner().invoke(main, ["state", "begin", str(tmp_path), "n"])
-    assert again.exit_code == 1 and "there is a state" in again.output
+    assert again.exit_code == 1
+    assert "there is a state" in again.output
     first = CliRunner().invoke(main, ["state", "begin", str(tmp_path / "new"), "n"])
-    assert first.exit_code == 0 and (tmp_path / "new" / "snapshot-0000000001").exists()
+    assert first.exit_code == 0
+    assert (tmp_path / "new" / "snapshot-0000000001").exists()
     assert CliRunner().invoke(main, ["state", "show", str(tmp_path / "none")]).exit_code == 1
 
 
-def test_check_tries_the_folder(tmp_path, capsys):
+def test_check_tries_the_directory(tmp_path, capsys):
     from marlseam.store import check
 
     check.check_state(StoreSettings(str(tmp_path / "s"), "durable", 8.0, 100.0), "n")
-    assert "a sync takes" in capsys.readouterr().out and os.listdir(tmp_path / "s") == ["lock"]
+    assert "a sync takes" in capsys.readouterr().out
+    assert os.listdir(tmp_path / "s") == ["lock"]
     held = lock_directory(tmp_path / "s")
     with pytest.raises(ConfigError, match="locked"):
         check.check_state(StoreSettings(str(tmp_path / "s"), "durable", 8.0, 100.0), "n")
