--- a/marlseam/store/ledger_writer.py
+++ b/marlseam/store/ledger_writer.py
@@ -132,14 +132,14 @@
     """
 
     def __init__(
-        self, disk: Disk, node: str | None, era: ClockEra | None = None, machine: bool = True
+        self, disk: Disk, node: str | None, era: ClockEra | None = None, outlives_machine: bool = True
     ) -> None:
         """Open nothing yet.
 
         `node` is whose files these are, None to read any node's. `era` of None takes the present one.
-        `machine` is as in `StateDirectory`; a ledger is always synced.
+        `outlives_machine` is as in `StateDirectory`; a ledger is always synced.
         """
-        self.disk, self.node, self.machine = disk, node, machine
+        self.disk, self.node, self.outlives_machine = disk, node, outlives_machine
         self.era = era or current_era()
         self.number, self.last = 0, START
         self.fd: int | None = None  # of the open file
@@ -153,11 +153,11 @@
         matches = (FILE_NAME.match(name) for name in self.disk.names())
         return sorted(int(match[1]) for match in matches if match)
 
-    def files(self, least: int = 0) -> list[LedgerFile]:
-        """Return what the files from a number on hold, in order; `findings` has what is wrong with them."""
+    def files(self, first_number: int = 0) -> list[LedgerFile]:
+        """Return what the files from a number on hold, in order; `findings` says what is wrong with them."""
         self.findings = []
         files: list[LedgerFile] = []
-        numbers = [number for number in self.numbers() if number >= least]
+        numbers = [number for number in self.numbers() if number >= first_number]
         for number in numbers:
             file = self._read_file(number, number == numbers[-1])
             if file is None:
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -74,15 +74,15 @@
     back_most_ms = MAX_RETRY_DELAY_MS
 
     def __init__(
-        self, loop: Loop, log: Log, path: Path, node: str, sync: str, file_mb: float, wait_ms: float
+        self, loop: Loop, log: Log, path: Path, node: str, sync: str, max_file_mb: float, max_wait_ms: float
     ) -> None:
         """Open nothing yet.
 
-        `sync` is as in the settings, `file_mb` the size at which a file is begun anew, and `wait_ms` for how
-        long a record may take to become durable.
+        `sync` is as in the settings, `max_file_mb` the size at which a file is begun anew, and `max_wait_ms`
+        for how long a record may take to become durable.
         """
         self.loop, self.log, self.path, self.node = loop, log, path, node
-        self.sync, self.file_mb, self.wait_ms = sync, file_mb, wait_ms
+        self.sync, self.max_file_mb, self.max_wait_ms = sync, max_file_mb, max_wait_ms
         self.era = current_era(loop.clock.to_unix(loop.now()))
         self.known = False
         self.sent = self.done = self.done_before = 0
@@ -310,7 +310,7 @@
             if not self.told_lost:
                 self.told_lost = True
                 self.log.line(f"{self.what} file {self.path} code=lost: {text}")
-        if answer.file_bytes <= self.file_mb * BYTES_PER_MB:
+        if answer.file_bytes <= self.max_file_mb * BYTES_PER_MB:
             self.is_compacting = False
         elif not self.is_compacting:
             self.is_compacting = True
@@ -321,17 +321,17 @@
     def is_available(self) -> bool:
         """Return whether a record sent now should become durable in time, as far as is known."""
         waited_ms = self.loop.now() - self.unanswered_since_ms
-        is_late = self.sent > self.done and waited_ms > self.wait_ms
+        is_late = self.sent > self.done and waited_ms > self.max_wait_ms
         return self.works and not is_late
 
     def wait_durable(self, number: int) -> Steps:
         """Wait until the message of a number is durable; return whether it is.
 
-        False after `wait_ms`, though it may still be written: as an attempt that may have run and did not.
+        False after `max_wait_ms`, though it may still be written, as an attempt that may have run.
         """
         if not number or not self.works:
             return False
-        until_ms = self.loop.now() + self.wait_ms
+        until_ms = self.loop.now() + self.max_wait_ms
         task = self.loop.current
         assert task is not None  # the loop runs this as a part of a task
         wait = self.wait_queue.add(number, task)
@@ -339,7 +339,7 @@
             yield from sleep(until_ms)
         if not wait.is_over:
             wait.give_up()
-            self.log_failure("slow", f"not written in {self.wait_ms:.0f} ms")
+            self.log_failure("slow", f"not written in {self.max_wait_ms:.0f} ms")
         return wait.is_durable
 
     def log_failure(self, code: str, text: str) -> None:
--- a/marlseam/store/state_directory.py
+++ b/marlseam/store/state_directory.py
@@ -50,26 +50,31 @@
         size: of the open journal, in bytes.
         findings: what the last reading found wrong.
         unusable: the names of files that the last reading could not use.
-        of: the node whose files were read, empty where none was.
+        owner: the node whose files were read, empty where none was.
     """
 
     def __init__(
-        self, disk: Disk, node: str | None, era: ClockEra | None = None, machine: bool = True
+        self, disk: Disk, node: str | None, era: ClockEra | None = None, outlives_machine: bool = True
     ) -> None:
         """Open nothing yet.
 
         `node` is whose files these are, None to read any node's. `era` of None takes the present one.
-        `machine` says whether what was written is there after the machine has been started anew, as it was
-        synced.
+        `outlives_machine` says whether what was written is there after the machine has been started anew, as
+        it was synced.
         """
-        self.disk, self.node, self.machine = disk, node, machine
+        self.disk, self.node, self.outlives_machine = disk, node, outlives_machine
         self.era = era or current_era()
         self.number = 0
         self.fd: int | None = None  # of the open journal
         self.size = 0
         self.findings: list[Finding] = []
         self.unusable: set[str] = set()
-        self.of = ""
+        self.owner = ""
+
+    @property
+    def of(self) -> str:
+        """Return `owner`, under the name that other packages still use."""
+        return self.owner
 
     def files(self, kind: str) -> list[int]:
         """Return the numbers of the files of a kind, in order."""
@@ -89,10 +94,10 @@
 
     def read(self, now_ms: float) -> Generator[None, None, NodeState]:
         """Return the state, read in steps; raises OSError where it cannot be read."""
-        reader = StateReader(self.disk, self.node, self.era, self.machine)
+        reader = StateReader(self.disk, self.node, self.era, self.outlives_machine)
         self.findings, self.unusable = reader.findings, reader.unusable
         state = yield from reader.read(now_ms)
-        self.number, self.of = reader.last_number, reader.owner or self.of
+        self.number, self.owner = reader.last_number, reader.owner or self.owner
         return state
 
     # Writing.
--- a/marlseam/store/state_store.py
+++ b/marlseam/store/state_store.py
@@ -55,7 +55,7 @@
 
     def directory(self) -> StateDirectory:
         """Return the state directory as this process reads it."""
-        return StateDirectory(Disk(self.path), self.node, self.era, machine=self.sync == "durable")
+        return StateDirectory(Disk(self.path), self.node, self.era, outlives_machine=self.sync == "durable")
 
     def load(self) -> NodeState | None:
         """Read what the last process left, before the loop runs; None where that cannot be yet."""
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -337,9 +337,10 @@
 def test_what_was_only_written_is_lost_with_the_machine():
     disk = FaultyDisk()
     play([sent("a")], disk)
-    assert StateDirectory(disk, "n", ERA, machine=False).load(NOW).lost_ms is None
-    assert StateDirectory(disk, "n", ClockEra("another boot", 0.0), machine=False).load(NOW).lost_ms == NOW
-    assert StateDirectory(disk, "n", ClockEra("another boot", 0.0)).load(NOW).lost_ms is None
+    assert StateDirectory(disk, "n", ERA, outlives_machine=False).load(NOW).lost_ms is None
+    later = ClockEra("another boot", 0.0)
+    assert StateDirectory(disk, "n", later, outlives_machine=False).load(NOW).lost_ms == NOW
+    assert StateDirectory(disk, "n", later).load(NOW).lost_ms is None
 
 
 # The node's side, with a real writer process on a real directory.
