--- a/marlseam/store/node_state.py
+++ b/marlseam/store/node_state.py
@@ -47,7 +47,7 @@
         """Change the state as a record says."""
         match record:
             case AttemptSent():
-                self._add_attempts([record])
+                self.sent.setdefault(record.key, []).append(record)
             case AttemptBatch():
                 self._add_attempts(record.rows)
             case AttemptNeverRan():
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -129,13 +129,13 @@
     return AttemptSent(key, executor, "z", 3, at, until)
 
 
-def head(kind="snapshot", version=form.FORMAT_VERSION, node="n", number=1):
+def header(kind="snapshot", version=form.FORMAT_VERSION, node="n", number=1):
     return form.FileHeader(kind, version, node, number, NOW, *ERA)
 
 
 def loaded(disk, node="n"):
-    folder = StateDirectory(disk, node, ERA)
-    return folder.load(NOW), folder
+    directory = StateDirectory(disk, node, ERA)
+    return directory.load(NOW), directory
 
 
 KEYS = st.sampled_from("abcde")
@@ -154,17 +154,17 @@
 
     Return the states that may be found after a crash: the durable one and all later.
     """
-    folder, model = StateDirectory(disk, "n", ERA), NodeState()
+    directory, model = StateDirectory(disk, "n", ERA), NodeState()
     states = [model.entries()]
-    folder.snapshot(frames(*model.entries()), NOW)
+    directory.snapshot(frames(*model.entries()), NOW)
     try:
         for step in steps:
             if step == "snapshot":
-                folder.snapshot(frames(*model.entries()), NOW)
+                directory.snapshot(frames(*model.entries()), NOW)
             else:
                 model.apply(step)
                 states.append(model.entries())
-                folder.append([form.encode_record(step)], True)
+                directory.append([form.encode_record(step)], True)
                 states[:] = states[-1:]
     except CrashError:
         pass
@@ -217,23 +217,25 @@
     data = bytearray(disk.read(name))
     data[place // len(names) % len(data)] ^= 1 << bit
     disk.seen[name] = [bytes(data)]
-    state, folder = loaded(disk)
+    state, directory = loaded(disk)
     good = {form.ENCODER.encode(step) for step in steps if step != "snapshot"}
     found = {form.ENCODER.encode(row) for rows in state.sent.values() for row in rows}
     assert found <= good or state.lost_ms is not None
     # Guards against passing over what stands behind the bit, and serving on as if it had never been sent.
     assert state.lost_ms is not None or set("abcd") <= set(state.sent)
-    assert all(finding.code in ("torn", "foreign", "version", "clock", "lost") for finding in folder.findings)
+    assert all(
+        finding.code in ("torn", "foreign", "version", "clock", "lost") for finding in directory.findings
+    )
 
 
 def test_files_are_compacted_and_the_last_good_snapshot_is_kept():
     disk = FaultyDisk()
-    folder = StateDirectory(disk, "n", ERA)
+    directory = StateDirectory(disk, "n", ERA)
     for i in range(6):
-        folder.snapshot(frames(sent(f"k{i}")), NOW)
-    assert len(folder.files("snapshot")) == 2
-    assert len(folder.files("journal")) == 2
-    newest = f"snapshot-{folder.number:010d}"
+        directory.snapshot(frames(sent(f"k{i}")), NOW)
+    assert len(directory.files("snapshot")) == 2
+    assert len(directory.files("journal")) == 2
+    newest = f"snapshot-{directory.number:010d}"
     disk.seen[newest] = [b"MARLSEAM nonsense"]
     state, again = loaded(disk)
     assert set(state.sent) == {"k4"}
@@ -245,21 +247,21 @@
     ("data", "code"),
     [
         (b"PK\3\4 something else", "foreign"),
-        (form.encode_snapshot(head(node="other"), []), "foreign"),
-        (form.encode_header(head("journal")), "foreign"),
-        (form.encode_snapshot(head(version=99), []), "version"),
-        (form.encode_snapshot(head(), [])[:-1], "torn"),
+        (form.encode_snapshot(header(node="other"), []), "foreign"),
+        (form.encode_header(header("journal")), "foreign"),
+        (form.encode_snapshot(header(version=99), []), "version"),
+        (form.encode_snapshot(header(), [])[:-1], "torn"),
         (b"", "foreign"),
     ],
 )
 def test_an_unusable_file_is_reported_and_renamed_only_once_a_snapshot_notes_the_loss(data, code):
     disk = FaultyDisk()
     disk.seen["snapshot-0000000001"] = [data]
-    state, folder = loaded(disk)
+    state, directory = loaded(disk)
     assert state.lost_ms == NOW
-    assert [f.code for f in folder.findings] == [code, "lost"]
+    assert [f.code for f in directory.findings] == [code, "lost"]
     assert list(disk.seen) == ["snapshot-0000000001"]  # a crash now must not make it a first life
-    folder.snapshot(form.encode_records(state.entries()), NOW)
+    directory.snapshot(form.encode_records(state.entries()), NOW)
     assert "bad-snapshot-0000000001" in disk.seen
     again, later = loaded(disk)
     assert again.lost_ms == pytest.approx(NOW)
@@ -406,10 +408,10 @@
 
 def test_records_of_a_nodes_first_moments_follow_what_was_there(make_store, until):
     first_store = make_store()
-    folder = StateDirectory(Disk(first_store.path), "n")
-    folder.number = 1
-    folder.snapshot(form.encode_records([sent("old", until=time.time() * 2000.0)]), 0.0)
-    folder.close()
+    directory = StateDirectory(Disk(first_store.path), "n")
+    directory.number = 1
+    directory.snapshot(form.encode_records([sent("old", until=time.time() * 2000.0)]), 0.0)
+    directory.close()
     first_store.load()
     first_store.begin()
     number = first_store.append(sent("new", until=time.time() * 2000.0))
@@ -460,9 +462,9 @@
     first_store.process.send_signal(signal.SIGCONT)
     assert first_store.process.wait(20.0) == 0
     # None of that was said to be kept, so nothing of it went out, and no sync was spent on it.
-    folder = StateDirectory(Disk(first_store.path), "n")
-    assert folder.files("snapshot") == [1, 2]
-    assert folder.load(0.0).lost_ms is None
+    directory = StateDirectory(Disk(first_store.path), "n")
+    assert directory.files("snapshot") == [1, 2]
+    assert directory.load(0.0).lost_ms is None
 
 
 def test_a_disk_that_fails_is_logged_once_makes_nothing_durable_and_is_tried_again(
@@ -546,11 +548,11 @@
 def test_a_long_read_yields_to_the_loop_in_every_turn(make_store, loop, until, monkeypatch):
     monkeypatch.setattr("marlseam.store.state_store.MAX_READ_MS_PER_TURN", 0.0)
     store = make_store()
-    folder, far = StateDirectory(Disk(store.path), "n"), time.time() * 2000.0
-    folder.number = 1
+    directory, far = StateDirectory(Disk(store.path), "n"), time.time() * 2000.0
+    directory.number = 1
     attempts = [sent(f"k{i}", until=far) for i in range(10 * form.MAX_ATTEMPTS_PER_BATCH)]
-    folder.snapshot(form.encode_records(attempts), 0.0)
-    folder.close()
+    directory.snapshot(form.encode_records(attempts), 0.0)
+    directory.close()
     turns = []
     store.begin()
     while not store.known:
@@ -568,11 +570,11 @@
     from marlseam.store.errors import code_of
 
     disk = FaultyDisk()
-    folder = StateDirectory(disk, "n")
-    folder.snapshot(frames(), NOW)
+    directory = StateDirectory(disk, "n")
+    directory.snapshot(frames(), NOW)
     disk.error = number
     with pytest.raises(OSError, match=os.strerror(number)) as error:
-        folder.append([b"x"], True)
+        directory.append([b"x"], True)
     assert code_of(error.value) == code
 
 
@@ -661,10 +663,10 @@
         os.close(other.memory.keeper.lock)
         other.memory.keeper.lock = None
     else:
-        folder = StateDirectory(Disk(path), "node")
-        folder.number = 1
-        folder.snapshot(form.encode_records([sent("old", far - 1000.0, "gone", far)]), 0.0)
-        folder.close()
+        directory = StateDirectory(Disk(path), "node")
+        directory.number = 1
+        directory.snapshot(form.encode_records([sent("old", far - 1000.0, "gone", far)]), 0.0)
+        directory.close()
         os.close(held)
     turned(node, node.memory.keeper.is_available)
     # The retry is bound to the pod that may have run it, which is gone; what is new goes out.
@@ -706,10 +708,10 @@
 
 
 def test_operators_see_what_a_directory_holds(tmp_path):
-    folder = StateDirectory(Disk(tmp_path), "n")
+    directory = StateDirectory(Disk(tmp_path), "n")
     now = time.time() * 1000.0
-    folder.snapshot(frames(ListStored(4, [{"host": "h"}], now), sent("a", until=now + 9e5)), now)
-    folder.close()
+    directory.snapshot(frames(ListStored(4, [{"host": "h"}], now), sent("a", until=now + 9e5)), now)
+    directory.close()
 
     def run(command):
         return CliRunner().invoke(main, ["state", command, str(tmp_path)])
