--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -91,30 +91,36 @@
 def handover_lines():
     """Return each kind of line that one process of a node writes to another."""
     row = handover_codec.AttemptSent(
-        key="k", executor="e1", zone="here", cell=5, sent_ms=1000.5, until_ms=2000.5
+        key="k", server="e1", zone="here", cell=5, sent_ms=1000.5, until_ms=2000.5
     )
     hosts = [{"host": "e1", "dial": "127.0.0.1:1"}, {"host": "e2", "dial": "127.0.0.1:2"}]
-    yield handover_codec.hello("n1", 17)
-    yield handover_codec.hello("n1", 17, fleet=True, epoch_ms=1.5)
-    yield handover_codec.proof(handover_codec.VersionProof(number=41, id=DIGEST, mono_ms=42.5))
-    yield handover_codec.sent([row])
-    yield handover_codec.never(handover_codec.AttemptNeverRan(key="k", executor="e1", sent_ms=1000.5))
-    yield b"".join(handover_codec.snapshot(43, hosts, [row, row]))
-    yield handover_codec.OVER
+    yield handover_codec.encode_hello("n1", 17)
+    yield handover_codec.encode_hello("n1", 17, fleet=True, epoch_ms=1.5)
+    yield handover_codec.encode_proof(handover_codec.VersionProof(number=41, id=DIGEST, mono_ms=42.5))
+    yield handover_codec.encode_sent([row])
+    yield handover_codec.encode_never(handover_codec.AttemptNeverRan(key="k", server="e1", sent_ms=1000.5))
+    yield b"".join(handover_codec.encode_snapshot(43, hosts, [row, row]))
+    yield handover_codec.GOODBYE_LINE
 
 
 def state_records():
     """Return each record of a state folder's files."""
-    sent = files.AttemptSent(key="k", executor="e1", zone="here", cell=5, sent_ms=11.5, until_ms=12.5)
-    yield files.Head(
-        kind="journal", version=files.VERSION, node="n1", number=7, created_ms=13.5, boot="b", zero_ms=14.5
+    sent = files.AttemptSent(key="k", server="e1", zone="here", cell=5, sent_ms=11.5, until_ms=12.5)
+    yield files.FileHeader(
+        kind="journal",
+        version=files.FORMAT_VERSION,
+        node="n1",
+        number=7,
+        created_ms=13.5,
+        boot="b",
+        zero_ms=14.5,
     )
-    yield files.ListStored(version=21, rows=[{"host": "e1"}], heard_ms=22.5)
-    yield files.ListConfirmed(heard_ms=31.5)
+    yield files.ListStored(version=21, rows=[{"host": "e1"}], confirmed_ms=22.5)
+    yield files.ListConfirmed(confirmed_ms=31.5)
     yield sent
     yield files.AttemptBatch(rows=[sent, sent])
-    yield files.AttemptNeverRan(key="k", executor="e1", sent_ms=41.5)
-    yield files.TurnoverNoted(departures=51.5, lived_ms=52.5)
+    yield files.AttemptNeverRan(key="k", server="e1", sent_ms=41.5)
+    yield files.DepartureRateStored(departures=51.5, lived_ms=52.5)
     yield files.HistoryLost(since_ms=61.5)
     yield files.SnapshotEnd(records=71)
 
@@ -184,7 +190,7 @@
     found = {f"letter {i}": membership_codec.write(letter) for i, letter in enumerate(letters())}
     found |= {f"note {i}": messages.write(note) for i, note in enumerate(notes())}
     found |= {f"handover {i}": line for i, line in enumerate(handover_lines())}
-    found |= {f"state {i}": files.frame(record) for i, record in enumerate(state_records())}
+    found |= {f"state {i}": files.encode_record(record) for i, record in enumerate(state_records())}
     found |= {f"ledger {i}": audit_log.encode(record) for i, record in enumerate(ledger_records())}
     found |= {f"content {i}": data for i, data in enumerate(contents())}
     return found
