--- a/marlseam/cluster/audit_log.py
+++ b/marlseam/cluster/audit_log.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from marlseam.cluster.replication.paxos import NONE, AcceptorState
+from marlseam.cluster.replication.paxos import NO_BALLOT, AcceptorState
 
 CHAIN = 16  # bytes of a digest in the chain
 START = b"\0" * CHAIN
@@ -196,7 +196,7 @@
             case ProcessEnded():
                 self.ended = True
             case AcceptorPromise():
-                accepted = (entry.accepted_round, entry.accepted_place) if entry.value else NONE
+                accepted = (entry.accepted_round, entry.accepted_place) if entry.value else NO_BALLOT
                 self.promises[entry.number] = AcceptorState((entry.round, entry.place), accepted, entry.value)
             case ContentStored():
                 self.contents[entry.id] = entry.data
--- a/marlseam/cluster/checking/explore_paxos.py
+++ b/marlseam/cluster/checking/explore_paxos.py
@@ -16,7 +16,7 @@
 from marlseam.cluster.checking import search
 from marlseam.cluster.checking.search import Explored
 from marlseam.cluster.replication.paxos import (
-    NONE,
+    NO_BALLOT,
     Accept,
     Accepted,
     Acceptor,
@@ -82,7 +82,7 @@
 
     def clear(self, voter: Voter) -> bool:
         """Return whether a voter says that it has accepted nothing."""
-        return self.may_vote(voter) and voter.process.accepted == NONE
+        return self.may_vote(voter) and voter.process.accepted == NO_BALLOT
 
     def proves(self, by: set[str]) -> bool:
         """Return whether those that have accepted nothing prove that nothing was chosen."""
@@ -117,7 +117,12 @@
         electorate = self.electorate(place)
         held = operator.round, operator.open
         return Proposer(
-            self.place(place, operator), NUMBER, operator.value, electorate, *held, asked=operator.asked
+            self.place(place, operator),
+            NUMBER,
+            operator.value,
+            electorate,
+            *held,
+            requested_value=operator.asked,
         )
 
     def on_disk(self, voter: Voter, new: AcceptorState) -> AcceptorState:
@@ -149,7 +154,7 @@
         for message in state.said if rules.may_vote(voter) else ():
             if type(message) in (Prepare, Accept):
                 machine = rules.acceptor(rules.voters[i], voter.process)
-                new, answer = machine.heard(message)
+                new, answer = machine.handle(message)
                 if new is None and answer in state.said:
                     continue
                 after = voter if new is None else Voter(rules.on_disk(voter, new), new, voter.whole)
@@ -178,7 +183,7 @@
         if operator.round < rules.rounds:
             asks = operator._replace(value=rules.content(place, operator), open=True, asked=None)
             machine = rules.proposer(place, asks)
-            message = machine.begin()
+            message = machine.begin_round()
             begun = asks._replace(round=machine.round)
             yield f"{place} begins {machine.round}", put(begun, message)
         if operator.open and operator.asked is None:
@@ -187,9 +192,9 @@
             for some in combinations(sorted(heard), rules.enough(rules.electorate(place))):
                 machine, message = rules.proposer(place, operator), None
                 for promise in some:
-                    message = machine.heard(promise) or message
+                    message = machine.handle(promise) or message
                 if message is not None:
-                    asked = operator._replace(asked=machine.asked)
+                    asked = operator._replace(asked=machine.requested_value)
                     yield f"{place} asks for {message.value}", put(asked, message)
         if state.crashes < rules.crashes and operator.round:
             yield (
--- a/marlseam/cluster/checking/replication_schedules.py
+++ b/marlseam/cluster/checking/replication_schedules.py
@@ -31,14 +31,10 @@
 from marlseam.cluster.membership_codec import InvalidMessageError
 from marlseam.cluster.replication import messages
 from marlseam.cluster.replication.content import FORMAT, Content, digest, read, write
+from marlseam.cluster.replication.effects import ApplyContent, Persist, SendMessage
 from marlseam.cluster.replication.paxos import majority
-from marlseam.cluster.replication.replica import (
-    ApplyContent,
-    ConfigReplica,
-    Persist,
-    ReplicationSettings,
-    SendMessage,
-)
+from marlseam.cluster.replication.replica import ConfigReplica
+from marlseam.cluster.replication.settings import ReplicationSettings
 from marlseam.random_source import number
 
 FLEET = "trial"
@@ -127,16 +123,16 @@
             if not seat.live:
                 return
             if type(effect) is SendMessage:
-                kind = messages.kind_of(effect.say)
+                kind = messages.kind_of(effect.message)
                 strike = self.struck(seat, True, kind)
                 if strike is not None:
                     self.strike(strike, seat)
                 if seat.live:
                     note = messages.ReplicationDatagram(
-                        messages.VERSION, FLEET, seat.name, self.twisted(effect.say)
+                        messages.VERSION, FLEET, seat.name, self.twisted(effect.message)
                     )
                     held = strike.for_ms if strike is not None and strike.fault == "hold" else 0.0
-                    self.send(seat, effect.name, messages.write(note), held)
+                    self.send(seat, effect.recipient, messages.write(note), held)
             elif type(effect) is Persist:
                 disk = self.disks[seat.name]
                 # In order, as the node's scribe writes.
@@ -159,11 +155,11 @@
             note = messages.read(data, FLEET, self.names)
         except InvalidMessageError:
             return
-        strike = self.struck(seat, False, messages.kind_of(note.say))
+        strike = self.struck(seat, False, messages.kind_of(note.message))
         if strike is not None:
             self.strike(strike, seat)
         if seat.live and seat.stopped_until <= self.now:
-            self.act(seat, seat.machine.heard(self.local(seat), note.sender, note.say))
+            self.act(seat, seat.machine.receive(self.local(seat), note.sender, note.message))
 
     def keep(self, seat: SimulatedMember, keep: Persist) -> None:
         """Have something on a disk: of a process that was killed meanwhile it may be there or not."""
@@ -171,13 +167,13 @@
         if self.seats.get(seat.name) is not seat:
             return  # its folder is another life's by now
         if disk.full_until > self.now:
-            seat.machine.disk = "full"
+            seat.machine.disk_fault = "full"
             if seat.live:
-                seat.machine.unkept(keep.token)
+                seat.machine.persist_failed(keep.token)
             return
         if seat.live or self.chance() < 0.5:
-            disk.entries = [*disk.entries, *keep.entries]
-            self.written(seat.name, keep.entries)
+            disk.entries = [*disk.entries, *keep.records]
+            self.written(seat.name, keep.records)
         if seat.stopped_until > self.now:
             self.at(seat.stopped_until, self.go_on, seat, keep.token)
         else:
@@ -186,8 +182,8 @@
     def go_on(self, seat: SimulatedMember, token: int) -> None:
         """Tell a process that something is durable."""
         if seat.live:
-            seat.machine.disk = ""
-            self.act(seat, seat.machine.kept(self.local(seat), token))
+            seat.machine.disk_fault = ""
+            self.act(seat, seat.machine.persisted(self.local(seat), token))
             self.plan(seat)
 
     def strike(self, strike: InjectedFault, seat: SimulatedMember) -> None:
@@ -218,7 +214,7 @@
     def serves(self, name: str) -> None:
         """A disk takes more again."""
         if self.disks[name].full_until <= self.now:
-            self.seats[name].machine.disk = ""
+            self.seats[name].machine.disk_fault = ""
 
     # What the checker sees.
 
@@ -246,7 +242,7 @@
         if held[0] != id:
             self.wrong.append(f"version {number} has two contents at {self.now:.0f}")
         for seat in self.seats.values():
-            data = seat.machine.contents.get(id)
+            data = seat.machine.store.contents.get(id)
             if data is not None:
                 voters = read(data, self.names).voters
                 self.electorates.setdefault(number + 1, frozenset(voters))
@@ -257,21 +253,21 @@
         for seat in self.seats.values():
             if not seat.live or seat.stopped_until > self.now:
                 continue
-            held = seat.machine.contents.get(seat.machine.id)
-            if held is not None and digest(held) != seat.machine.id:
+            held = seat.machine.store.contents.get(seat.machine.content_id)
+            if held is not None and digest(held) != seat.machine.content_id:
                 self.wrong.append(f"{seat.name} holds something else than version {seat.machine.number}")
-            came = seat.machine.came
+            came = seat.machine.store.transfer_counts
             if not self.twists and came["changes"] + came["digest"]:
                 self.wrong.append(
                     f"{seat.name} was sent what is not what it asked for, and nothing was twisted"
                 )
-            if seat.machine.links_bytes > len(held or b""):
+            if seat.machine.store.delta_links_bytes > len(held or b""):
                 self.wrong.append(f"{seat.name} keeps more changes than they are worth")
-            stood = seat.machine.stand(self.local(seat))
+            stood = seat.machine.serving.evaluate(self.local(seat))
             self.looks += 1
-            self.unproved += stood.acts and not stood.proved
-            after = seat.machine.acting + 1
-            if stood.acts and stood.proved and after <= newest and after in self.by_number:
+            self.unproved += stood.is_serving and not stood.is_proven
+            after = seat.machine.applied_number + 1
+            if stood.is_serving and stood.is_proven and after <= newest and after in self.by_number:
                 age = self.now - self.by_number[after][1]
                 self.worst = max(self.worst, age)
                 if age > self.terms.lease_ms:
@@ -295,8 +291,10 @@
         if self.rows:
             rows = {f"t{i:02d}": {"quota": i, "urgent": i % 4 == 0} for i in range(self.rows)}
             settings["teams"] = rows | {f"t{mark % self.rows:02d}": {"quota": 1000 + mark, "urgent": True}}
-        content = Content(FORMAT, machine.number + 1, machine.id, voters, f"{name} {mark}", name, settings)
-        self.act(seat, machine.publish(self.local(seat), content, write(content)))
+        content = Content(
+            FORMAT, machine.number + 1, machine.content_id, voters, f"{name} {mark}", name, settings
+        )
+        self.act(seat, machine.publish(self.local(seat), write(content)))
         self.plan(seat)
 
     def alike(self) -> list[str]:
@@ -304,9 +302,9 @@
         newest = max(self.by_number, default=0)
         found = []
         for seat in self.seats.values():
-            stood = seat.machine.stand(self.local(seat))
-            if seat.machine.acting != newest or not (stood.acts and stood.proved):
-                found.append(f"{seat.name} is at {seat.machine.acting} of {newest}, {stood}")
+            stood = seat.machine.serving.evaluate(self.local(seat))
+            if seat.machine.applied_number != newest or not (stood.is_serving and stood.is_proven):
+                found.append(f"{seat.name} is at {seat.machine.applied_number} of {newest}, {stood}")
         return found
 
 
--- a/marlseam/cluster/replication/messages.py
+++ b/marlseam/cluster/replication/messages.py
@@ -1,7 +1,7 @@
-"""What members say of versions: one datagram a note, MessagePack behind a byte of its own, bounded in size.
+"""Messages of replication: one a datagram, MessagePack behind a prefix byte, bounded in size.
 
-A note from another fleet, of another version, from a name that the settings do not hold or out of bounds is
-no note: `read` raises Odd with a code, and nothing of it is kept.
+A message of another cluster or protocol version, from an unknown member or out of bounds is rejected as a
+whole: `read` raises InvalidMessageError with a code.
 """
 
 import enum
@@ -15,28 +15,35 @@
     InvalidMessageError,
 )
 
-DATAGRAM_PREFIX = b"V"  # which no letter of `words` begins with
+DATAGRAM_PREFIX = b"V"  # with which no datagram of membership begins
 VERSION = 1
-DIGEST_CHARACTERS = 64  # hexadecimal figures of a content's digest
-MAX_PROPOSER_CHARACTERS = 2 * MAX_NAME_CHARACTERS + 48  # of a proposer's place in a ballot
-CHUNK_BYTES = 1024  # bytes of a content in one note
-MAX_CONTENT_BYTES = 256 << 10  # bytes of a content
-MAX_REASON_CHARACTERS = 160  # characters of a reason
+DIGEST_CHARACTERS = 64  # of a content's id, in hexadecimal
+MAX_PROPOSER_CHARACTERS = 2 * MAX_NAME_CHARACTERS + 48  # of a ballot's place
+CHUNK_BYTES = 1024  # of a content in one message
+MAX_CONTENT_BYTES = 256 << 10
+MAX_REASON_CHARACTERS = 160
 
 
 class StatusRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
-    """What do you hold? I hold this number, and have voted as far as `top`."""
+    """Asks what the recipient holds; `number` is what the sender holds, `seq` its quorum read, 0 for none."""
 
     seq: int
     number: int
 
 
 class StatusResponse(msgspec.Struct, array_like=True, frozen=True, tag="tell"):
-    """What I hold and act on, and how fresh that is.
+    """What the sender holds and acts on, and how fresh that is.
+
+    Attributes:
+        seq: of the request answered; 0 where the status is pushed.
+        number, id: the version held, and its content's id.
+        acting: the version acted on.
+        serving, code: whether the sender serves, and what is wrong.
+        accepted: the highest number for which it has accepted any content; 0 for none.
+        top: the highest number of which it has promised anything; 0 for none.
+        votes: whether it votes on the next version, its memory of votes being whole.
+        age_ms: so long ago no number above `number` was chosen; -1 where that is not known.
 
-    `accepted` is the highest number for which I have accepted any content, `top` the highest of which I have
-    promised anything, both 0 for none; `votes` whether my memory of that is whole. `age_ms`: so long ago no
-    number above `number` was chosen; -1: I cannot say.
     """
 
     seq: int
@@ -52,9 +59,13 @@
 
 
 class VoteMessage(msgspec.Struct, array_like=True, frozen=True, tag="vote"):
-    """A message of agreement.
+    """A message of agreement: `kind`, and the fields of the message of that name in `paxos`.
+
+    Attributes:
+        round, place: the ballot.
+        other_round, other_place: the ballot accepted (of a promise) or promised (of a refusal).
+        why: of a refusal: what is wrong with the content.
 
-    `kind` and the fields of `agree`'s message of that name, as far as it has them.
     """
 
     kind: str
@@ -64,13 +75,13 @@
     other_round: int = 0
     other_place: str = ""
     value: str = ""
-    why: str = ""  # of a refusal: what is wrong with the content
+    why: str = ""
 
 
 class FetchRequest(msgspec.Struct, array_like=True, frozen=True, tag="want"):
-    """Give me a content, from some byte on; or the changes to it from one that I hold, where these are fewer.
+    """Asks for a content from byte `at` on; or for deltas to it from content `have`, where they are smaller.
 
-    A program that knows no `have` leaves it out or reads past it, and gives the whole.
+    A program that knows no `have` leaves it out or reads past it, and sends the whole.
     """
 
     id: str
@@ -79,7 +90,7 @@
 
 
 class Chunk(msgspec.Struct, array_like=True, frozen=True, tag="piece"):
-    """A part of a content, and the size of all of it; or of the changes that lead to it from `have`."""
+    """Bytes from `at` on of a content of `size` bytes, or of deltas that lead to it from content `have`."""
 
     id: str
     size: int
@@ -93,7 +104,7 @@
 
 
 class MessageKind(enum.IntEnum):
-    """What a note is called, where steps are counted; other numbers than those of letters."""
+    """Kinds of messages by which counts and fault schedules tell them apart; membership has other numbers."""
 
     ASK = 11
     TELL = 12
@@ -107,81 +118,119 @@
 
 
 class ReplicationDatagram(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram: from whom, of which life, and what it says."""
+    """One datagram: the protocol's version, the cluster's name, the sending member, and its message."""
 
     version: int
     fleet: str
     sender: str
-    say: ReplicationMessage
+    message: ReplicationMessage
 
+    @property
+    def say(self) -> ReplicationMessage:
+        """The message, by its former name."""
+        return self.message
 
-DECODER, ENCODER = msgspec.msgpack.Decoder(ReplicationDatagram), msgspec.msgpack.Encoder()
 
+DECODER: msgspec.msgpack.Decoder[ReplicationDatagram] = msgspec.msgpack.Decoder(ReplicationDatagram)
+ENCODER = msgspec.msgpack.Encoder()
 
-KINDS = {
+KINDS_BY_TYPE = {
     StatusRequest: MessageKind.ASK,
     StatusResponse: MessageKind.TELL,
     FetchRequest: MessageKind.WANT,
     Chunk: MessageKind.PIECE,
 }
-VOTE_KINDS = {kind: MessageKind[kind.upper()] for kind in VOTES}
-
-
-def kind_of(say: ReplicationMessage) -> MessageKind:
-    """Return what a note is called."""
-    return VOTE_KINDS[say.kind] if type(say) is VoteMessage else KINDS[type(say)]
-
-
-def write(note: ReplicationDatagram) -> bytes:
-    """Return a note's bytes."""
-    return DATAGRAM_PREFIX + ENCODER.encode(note)
-
-
-def fits(say: ReplicationMessage) -> bool:
-    """Return whether what is said is in bounds."""
-    if type(say) is StatusRequest:
-        return 0 <= say.seq <= MAX_NUMBER and 0 <= say.number <= MAX_NUMBER
-    if type(say) is StatusResponse:
-        numbers = say.seq, say.number, say.acting, say.accepted, say.top
-        whole = all(0 <= n <= MAX_NUMBER for n in numbers) and len(say.id) in (0, DIGEST_CHARACTERS)
-        return whole and len(say.code) <= MAX_NAME_CHARACTERS and -1.0 <= say.age_ms <= MAX_NUMBER
-    if type(say) is VoteMessage:
-        numbers = say.number, say.round, say.other_round
-        whole = (
-            say.kind in VOTES
-            and all(0 <= n <= MAX_NUMBER for n in numbers)
-            and len(say.value) in (0, DIGEST_CHARACTERS)
-        )
-        return (
-            whole
-            and max(len(say.place), len(say.other_place)) <= MAX_PROPOSER_CHARACTERS
-            and len(say.why) <= MAX_REASON_CHARACTERS
-        )
-    if len(say.have) not in (0, DIGEST_CHARACTERS):
+KINDS_BY_VOTE = {
+    "prepare": MessageKind.PREPARE,
+    "promise": MessageKind.PROMISE,
+    "accept": MessageKind.ACCEPT,
+    "accepted": MessageKind.ACCEPTED,
+    "refused": MessageKind.REFUSED,
+}
+
+
+def kind_of(message: ReplicationMessage) -> MessageKind:
+    """Return a message's kind."""
+    if isinstance(message, VoteMessage):
+        return KINDS_BY_VOTE[message.kind]
+    return KINDS_BY_TYPE[type(message)]
+
+
+def write(datagram: ReplicationDatagram) -> bytes:
+    """Return a datagram's bytes."""
+    return DATAGRAM_PREFIX + ENCODER.encode(datagram)
+
+
+def are_numbers(*numbers: int) -> bool:
+    """Return whether all are in the bounds of a version's or a round's number."""
+    return all(0 <= number <= MAX_NUMBER for number in numbers)
+
+
+def is_id_or_none(text: str) -> bool:
+    """Return whether a text has the length of a content's id, or is empty."""
+    return len(text) in (0, DIGEST_CHARACTERS)
+
+
+def is_in_bounds(message: ReplicationMessage) -> bool:
+    """Return whether all fields of a message are in bounds."""
+    match message:
+        case StatusRequest():
+            return are_numbers(message.seq, message.number)
+        case StatusResponse():
+            return is_status_in_bounds(message)
+        case VoteMessage():
+            return is_vote_in_bounds(message)
+    if not is_id_or_none(message.have) or len(message.id) != DIGEST_CHARACTERS:
         return False
-    if type(say) is FetchRequest:
-        return len(say.id) == DIGEST_CHARACTERS and 0 <= say.at < MAX_CONTENT_BYTES
-    inside = 0 <= say.at <= say.size <= MAX_CONTENT_BYTES and say.at + len(say.data) <= say.size
-    return len(say.id) == DIGEST_CHARACTERS and inside and 0 < len(say.data) <= CHUNK_BYTES
+    if isinstance(message, FetchRequest):
+        return 0 <= message.at < MAX_CONTENT_BYTES
+    return is_chunk_in_bounds(message)
+
+
+def is_status_in_bounds(status: StatusResponse) -> bool:
+    """Return whether all fields of a status are in bounds."""
+    return (
+        are_numbers(status.seq, status.number, status.acting, status.accepted, status.top)
+        and is_id_or_none(status.id)
+        and len(status.code) <= MAX_NAME_CHARACTERS
+        and -1.0 <= status.age_ms <= MAX_NUMBER
+    )
+
+
+def is_vote_in_bounds(vote: VoteMessage) -> bool:
+    """Return whether all fields of a vote are in bounds, and its kind is known."""
+    return (
+        vote.kind in KINDS_BY_VOTE
+        and are_numbers(vote.number, vote.round, vote.other_round)
+        and is_id_or_none(vote.value)
+        and max(len(vote.place), len(vote.other_place)) <= MAX_PROPOSER_CHARACTERS
+        and len(vote.why) <= MAX_REASON_CHARACTERS
+    )
+
+
+def is_chunk_in_bounds(chunk: Chunk) -> bool:
+    """Return whether a chunk has data, and lies in its content."""
+    is_inside = 0 <= chunk.at <= chunk.size <= MAX_CONTENT_BYTES and chunk.at + len(chunk.data) <= chunk.size
+    return is_inside and 0 < len(chunk.data) <= CHUNK_BYTES
 
 
 def read(data: bytes, fleet: str, names: frozenset[str]) -> ReplicationDatagram:
-    """Return a note of the fleet's.
+    """Return a datagram of a cluster whose members have some names.
 
-    Raises Odd with a code: too-large, bad-message, version, foreign, unknown, bounds.
+    Raises InvalidMessageError with a code: too-large, bad-message, version, foreign, unknown, bounds.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
         raise InvalidMessageError("too-large")
     try:
-        note = DECODER.decode(data[len(DATAGRAM_PREFIX) :])
+        datagram = DECODER.decode(data[len(DATAGRAM_PREFIX) :])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         raise InvalidMessageError("bad-message") from None
-    if note.version != VERSION:
+    if datagram.version != VERSION:
         raise InvalidMessageError("version")
-    if note.fleet != fleet:
+    if datagram.fleet != fleet:
         raise InvalidMessageError("foreign")
-    if note.sender not in names:
+    if datagram.sender not in names:
         raise InvalidMessageError("unknown")
-    if not fits(note.say):
+    if not is_in_bounds(datagram.message):
         raise InvalidMessageError("bounds")
-    return note
+    return datagram
--- a/marlseam/experiment/size_changes.py
+++ b/marlseam/experiment/size_changes.py
@@ -30,14 +30,10 @@
 )
 from marlseam.cluster.checking.replication_schedules import DISK_MS, LEASE_PERIODS
 from marlseam.cluster.replication import messages
-from marlseam.cluster.replication.content import FORMAT, Content, Meaning, digest, read, write
-from marlseam.cluster.replication.replica import (
-    ApplyContent,
-    ConfigReplica,
-    Persist,
-    ReplicationSettings,
-    SendMessage,
-)
+from marlseam.cluster.replication.content import FORMAT, Content, SettingsDigester, digest, read, write
+from marlseam.cluster.replication.effects import ApplyContent, Persist, SendMessage
+from marlseam.cluster.replication.replica import ConfigReplica
+from marlseam.cluster.replication.settings import ReplicationSettings
 from marlseam.configuration import ConfigError, Deployment, deployment_from
 from marlseam.experiment import file, size, slope
 from marlseam.experiment.file import Experiment
@@ -165,7 +161,7 @@
         self.ids: dict[int, str] = {}
         self.came: dict[str, Counter[str]] = {}  # in which form contents came to a node, at its last change
         self.deployments: dict[str, Deployment] = {}
-        self.meanings = {name: Meaning() for name in names}
+        self.meanings = {name: SettingsDigester() for name in names}
         self.waits: list[dict[str, Any]] = []  # settings to be published by n0
         self.asked_at: dict[int, float] = {}
         self.called = False  # whether the operator is about to publish the next
@@ -206,11 +202,11 @@
         began = time.thread_time_ns()
         for effect in call(*words):
             if type(effect) is SendMessage:
-                note = messages.ReplicationDatagram(messages.VERSION, FLEET, name, effect.say)
-                out.append((effect.name, messages.write(note)))
-                self.kinds[messages.kind_of(effect.say).name.lower()] += 1
+                note = messages.ReplicationDatagram(messages.VERSION, FLEET, name, effect.message)
+                out.append((effect.recipient, messages.write(note)))
+                self.kinds[messages.kind_of(effect.message).name.lower()] += 1
             elif type(effect) is Persist:
-                for entry in effect.entries:
+                for entry in effect.records:
                     encode(entry)
                 keeps.append(effect)
             elif type(effect) is ApplyContent:
@@ -232,7 +228,7 @@
             self.disk[name] = max(self.disk[name], self.now) + took
             self.charged_disk[name] = max(self.charged_disk[name], over) + took
             self.at(self.disk[name], self.go_on, seat, keep.token, self.charged_disk[name])
-            for entry in keep.entries:
+            for entry in keep.records:
                 if type(entry) is VersionHeld:
                     self.two_contents += self.ids.setdefault(entry.number, entry.id) != entry.id
         for apply in applies:
@@ -247,18 +243,18 @@
     def act_on(self, name: str, content: Content) -> None:
         """Act on a content, as a node does."""
         self.deployments[name] = self.deployment(name, content.settings)
-        self.meanings[name].of(content.settings)
+        self.meanings[name].digest(content.settings)
 
     def took_in(self, seat: SimulatedMember, apply: ApplyContent) -> int:
         """Return how many values a node took in for a change: those of a whole content, or the edits."""
         whole = values(apply.content.settings) + len(apply.content.members)
-        came, before = seat.machine.came, self.came.get(seat.name, Counter())
+        came, before = seat.machine.store.transfer_counts, self.came.get(seat.name, Counter())
         self.came[seat.name] = came.copy()
         return whole * (came["whole"] - before["whole"]) + came["edits"] - before["edits"]
 
     def go_on(self, seat: SimulatedMember, token: int, charged: float) -> None:
         """Tell a node that something is durable."""
-        self.work(seat, charged, seat.machine.kept, self.local(seat), token)
+        self.work(seat, charged, seat.machine.persisted, self.local(seat), token)
         self.plan(seat)
 
     def tick(self, seat: SimulatedMember) -> None:
@@ -274,7 +270,7 @@
 
         def hear() -> list[Any]:
             note = messages.read(data, FLEET, self.names)
-            return seat.machine.heard(self.local(seat), note.sender, note.say)
+            return seat.machine.receive(self.local(seat), note.sender, note.message)
 
         self.work(seat, charged, hear)
         self.plan(seat)
@@ -292,7 +288,7 @@
         self.called = False
         seat = self.seats["n0"]
         machine = seat.machine
-        busy = machine.publication is not None or machine.learning is not None
+        busy = machine.publisher.publication is not None or machine.pending_version is not None
         if not self.waits or busy or machine.number < max(self.asked_at, default=0):
             return
         body = json.dumps(self.waits.pop(0)).encode()
@@ -302,10 +298,10 @@
         def publish() -> list[Any]:
             given = json.loads(body)
             voters, why = sorted(self.voters), f"change {number}"
-            content = Content(FORMAT, number, machine.id, voters, why, "n0", given, self.listed)
+            content = Content(FORMAT, number, machine.content_id, voters, why, "n0", given, self.listed)
             data = write(content)
             self.deployment("n0", read(data, machine.members).settings)
-            return machine.publish(self.local(seat), content, data)
+            return machine.publish(self.local(seat), data)
 
         self.work(seat, self.now, publish)
         self.plan(seat)
@@ -316,7 +312,7 @@
         while self.now < end:
             self.run(self.now + 100.0)
             newest = max(self.asked_at)
-            if not self.waits and all(s.machine.acting >= newest for s in self.seats.values()):
+            if not self.waits and all(s.machine.applied_number >= newest for s in self.seats.values()):
                 break
 
     def last_s(self, number: int) -> float:
@@ -394,9 +390,11 @@
         return (spell[what] - quiet[what] * spell["seconds"]) / max(1, changes)
 
     span = paced["seconds"]
-    missed = any(seat.machine.acting != newest for seat in world.seats.values())
+    missed = any(seat.machine.applied_number != newest for seat in world.seats.values())
     found = {
-        "content_bytes": float(len(world.seats["n0"].machine.contents[world.seats["n0"].machine.id])),
+        "content_bytes": float(
+            len(world.seats["n0"].machine.store.contents[world.seats["n0"].machine.content_id])
+        ),
         "idle_bytes_s": quiet["bytes"],
         "bytes_s": paced["bytes"] / span,
         "bytes_change": each(paced, "bytes", table.changes),
@@ -434,8 +432,8 @@
         kept = RecoveredLog(begun=True, held=VersionHeld(1, digest(data)), contents={digest(data): data})
         terms = ReplicationSettings(frozenset(names[:3]), PERIOD_MS, LEASE_PERIODS * PERIOD_MS, False, 0.0)
         machine = ConfigReplica(names[0], frozenset(names), terms, "n0/1", 0, 0.0, kept)
-        meanings = Meaning()
-        meanings.of(machine.content.settings)
+        meanings = SettingsDigester()
+        meanings.digest(machine.content.settings)
         deployment = deployment_from(machine.content.settings, whole=True)
         found = (tracemalloc.get_traced_memory()[0] - before) / 2.0**20
         del deployment, meanings
--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -33,23 +33,17 @@
     FORMAT,
     Content,
     InvalidContentError,
-    Meaning,
-    meaning,
+    SettingsDigester,
+    is_single_step,
     read,
-    stepwise,
+    settings_digest,
     voters_fit,
     write,
 )
-from marlseam.cluster.replication.replica import (
-    ApplyContent,
-    ConfigReplica,
-    Effect,
-    Persist,
-    ReplicationSettings,
-    SendMessage,
-    ServingStatus,
-)
-from marlseam.cluster.replication.replica import LogLine as Said
+from marlseam.cluster.replication.effects import ApplyContent, Effect, LogLine, Persist, SendMessage
+from marlseam.cluster.replication.replica import ConfigReplica
+from marlseam.cluster.replication.serving import ServingStatus
+from marlseam.cluster.replication.settings import ReplicationSettings
 from marlseam.configuration import ClusterSettings, ConfigError, member_address
 from marlseam.net.log import Log
 from marlseam.net.loop import Coroutine, Loop
@@ -138,7 +132,7 @@
         self.flying: deque[tuple[int, tuple[int, ...]]] = deque()  # marks likewise, and of which intervals
         self.listed = -1  # the list that the last look saw
         self.noted: object = None  # the settings in force, and the digest of their meaning
-        self.meant, self.meanings = "", Meaning()
+        self.meant, self.meanings = "", SettingsDigester()
         self.shared: tuple[Content | None, str] = (None, "")  # the version held, and its settings' digest
         self.grouped: Mapping[str, str] = {}  # members that the node was last told of
         self.pages = LedgerClient(loop, log, Path(settings.folder), name, self.take_in)
@@ -163,11 +157,11 @@
                 self.pages.fail(code_of(error), error.strerror or str(error))
                 return None
         machine = self.machine
-        return self.held() if machine.acting else None
+        return self.held() if machine.applied_number else None
 
     def held(self) -> Content:
         """Return the content of the version held; raises Unfit."""
-        return self.machine.content or self.machine.content_of(self.machine.id)
+        return self.machine.content or self.machine.read_content(self.machine.content_id)
 
     def go_beside(self) -> bool:
         """Write beside the ledger while an old process of this node has it; return whether that can be."""
@@ -201,7 +195,7 @@
         """Go on in the node's ledger, which the old process has left; from here on this one may vote."""
         machine, old = self.machine, self.pages
         self.pages, self.main = self.main, None
-        machine.recall(kept)
+        machine.take_over_memory(kept)
         old.leave()
         self.log.line("fleet: has the ledger now")
         now = self.loop.now()
@@ -235,13 +229,13 @@
         self.machine = ConfigReplica(
             self.name, frozenset(fleet.members), terms, place, self.seed, now, kept, self.wrong
         )
-        if self.machine.unfit:
-            self.log.line(f"fleet code=unfit: version {self.machine.number}: {self.machine.unfit}")
-        self.machine.beside = self.beside
+        if self.machine.unusable_reason:
+            self.log.line(f"fleet code=unfit: version {self.machine.number}: {self.machine.unusable_reason}")
+        self.machine.voter.memory_is_elsewhere = self.beside
         if kept.bar is None and not self.beside:
             self.log.line("fleet code=lost: votes on nothing until it is known what it may have promised")
         self.unsaid.append((0, self.lived(now)))
-        if self.machine.acting:
+        if self.machine.applied_number:
             content = self.held()
             self.group(content.members)
             if self.ready:
@@ -254,7 +248,7 @@
         if self.main is not None:
             self.main.begin()
         self.look()
-        self.port.serve(self.stood.acts)
+        self.port.serve(self.stood.is_serving)
         self.tick()
 
     def close(self) -> None:
@@ -275,9 +269,9 @@
     def prove(self) -> None:
         """Tell other processes of this node when the version held was in force."""
         machine = self.machine
-        if machine is not None and machine.proof_ms > -inf:
+        if machine is not None and machine.lease.proof_ms > -inf:
             since = 1000.0 * self.loop.clock.zero
-            self.port.prove(machine.number, machine.id, machine.proof_ms + since)
+            self.port.prove(machine.number, machine.content_id, machine.lease.proof_ms + since)
 
     def proved(self, number: int, id: str, mono_ms: float) -> None:
         """Take over a proof from another process of this node, and what it holds if that is later."""
@@ -285,11 +279,11 @@
         if machine is None:
             return
         if number > machine.number:
-            machine.contents |= self.elsewhere(RecoveredLog()).contents
-            if id in machine.contents:
-                self.act(machine.learn(now, number, id))
+            machine.store.contents |= self.elsewhere(RecoveredLog()).contents
+            if id in machine.store.contents:
+                self.act(machine.hold_durably(now, number, id))
         elif mono_ms - 1000.0 * self.loop.clock.zero <= now:
-            machine.proof_ms = max(machine.proof_ms, mono_ms - 1000.0 * self.loop.clock.zero)
+            machine.lease.proof_ms = max(machine.lease.proof_ms, mono_ms - 1000.0 * self.loop.clock.zero)
             self.until_ms = 0.0
             self.look()
 
@@ -309,8 +303,8 @@
         """Take in a note; raises Odd."""
         note = messages.read(data, self.settings.name, names)
         if self.machine is not None and note.sender != self.name:
-            self.act(self.machine.heard(self.loop.now(), note.sender, note.say))
-            if not self.stood.proved:
+            self.act(self.machine.receive(self.loop.now(), note.sender, note.message))
+            if not self.stood.is_proven:
                 self.until_ms = 0.0
 
     def tick(self) -> None:
@@ -331,10 +325,10 @@
         for effect in effects:
             if type(effect) is SendMessage:
                 self.send(
-                    effect.name,
+                    effect.recipient,
                     messages.write(
                         messages.ReplicationDatagram(
-                            messages.VERSION, self.settings.name, self.name, effect.say
+                            messages.VERSION, self.settings.name, self.name, effect.message
                         )
                     ),
                 )
@@ -343,9 +337,10 @@
             elif type(effect) is ApplyContent:
                 self.port.apply(effect.content.settings)
                 self.group(effect.content.members)
-                self.log.line(f"acts on version {effect.number}, {effect.id[:12]}: {effect.content.why}")
+                named = f"version {effect.number}, {effect.content_id[:12]}"
+                self.log.line(f"acts on {named}: {effect.content.why}")
                 self.until_ms = 0.0
-            elif type(effect) is Said:
+            elif type(effect) is LogLine:
                 self.log.line(effect.text)
 
     def group(self, members: Mapping[str, str]) -> None:
@@ -357,18 +352,18 @@
     def keep(self, keep: Persist) -> Coroutine:
         """Have entries durable, and tell the machine."""
         number = 0
-        for entry in keep.entries:
+        for entry in keep.records:
             if type(entry) is VersionHeld:
                 entry = VersionHeld(entry.number, entry.id, self.wall())  # noqa: PLW2901 - the machine knows no such time
             number = self.write(entry)
         if (yield from self.pages.durable(number)):
-            self.act(self.machine.kept(self.loop.now(), keep.token))
+            self.act(self.machine.persisted(self.loop.now(), keep.token))
             self.until_ms = (
                 0.0  # a word of an operator's, or a version that cannot be used, holds from here on
             )
             self.look()
         else:
-            self.machine.unkept(keep.token)
+            self.machine.persist_failed(keep.token)
 
     # What acts stand on.
 
@@ -384,21 +379,21 @@
         if machine is None or (same and now < self.until_ms):
             return self.stood
         if now >= self.until_ms:
-            machine.disk = "" if self.pages.serves() else self.pages.code or "slow"
-            before, self.stood = self.stood, machine.stand(now)
-            self.until_ms = min(machine.until(now), now + MARK_MS)
-            if before.acts != self.stood.acts and self.ready:
-                if not self.stood.acts:
+            machine.disk_fault = "" if self.pages.serves() else self.pages.code or "slow"
+            before, self.stood = self.stood, machine.serving.evaluate(now)
+            self.until_ms = min(machine.serving.next_change_ms(now), now + MARK_MS)
+            if before.is_serving != self.stood.is_serving and self.ready:
+                if not self.stood.is_serving:
                     self.log.line(f"fleet code={self.stood.code}: out of service")
-                self.port.serve(self.stood.acts)
+                self.port.serve(self.stood.is_serving)
         held, stood, listed = self.interval, self.stood, port.listed()
         settings, self.listed = port.settings(), listed
         if self.noted is not settings:
-            self.noted, self.meant = settings, self.meanings.of(settings)
+            self.noted, self.meant = settings, self.meanings.digest(settings)
         if (
             held is None
-            or (held.number, held.meaning, held.listed) != (machine.acting, self.meant, listed)
-            or (held.proved, held.serving, held.code) != (stood.proved, stood.acts, stood.code)
+            or (held.number, held.meaning, held.listed) != (machine.applied_number, self.meant, listed)
+            or (held.proved, held.serving, held.code) != (stood.is_proven, stood.is_serving, stood.code)
         ):
             self.begin_interval(now, listed)
         return stood
@@ -407,17 +402,17 @@
         """Begin an interval."""
         machine, stood = self.machine, self.stood
         number = self.interval.interval + 1 if self.interval is not None else 1
-        id = machine.id if machine.acting == machine.number else ""
+        id = machine.content_id if machine.applied_number == machine.number else ""
         self.interval = Interval(
             self.life,
             number,
             __version__,
-            machine.acting,
+            machine.applied_number,
             id,
             self.meant,
             listed,
-            stood.proved,
-            stood.acts,
+            stood.is_proven,
+            stood.is_serving,
             stood.code,
             self.wall(),
             now,
@@ -426,17 +421,17 @@
         self.spans[number] = self.interval
         for table in (self.counts, self.spans):
             table.pop(number - INTERVALS_MOST, None)
-        self.stamp = f"{self.name}/{self.life}/{number}/{machine.acting}/{int(stood.proved)}"
+        self.stamp = f"{self.name}/{self.life}/{number}/{machine.applied_number}/{int(stood.is_proven)}"
         self.unsaid.append((0, self.interval))
         self.rewrite()
 
     def published(self) -> bool:
         """Return whether this node acts on a version of the fleet's."""
-        return self.machine is not None and self.machine.acting > 0
+        return self.machine is not None and self.machine.applied_number > 0
 
     def refused(self, settings: Mapping[str, Any]) -> None:
         """Say it where a file of the node's own means something else than the fleet's version."""
-        if meaning(settings) != self.meant:
+        if settings_digest(settings) != self.meant:
             self.log.line("fleet code=local-refused: the file's settings are not the version's, these stay")
 
     def order(self) -> "StampedAttempt":
@@ -538,7 +533,9 @@
             return 400, f"{wrong}\n"
         number, held = machine.number + 1, self.members()
         names = sorted(voters or machine.voters)
-        content = Content(FORMAT, number, machine.id, names, why, self.name, settings, members or held)
+        content = Content(
+            FORMAT, number, machine.content_id, names, why, self.name, settings, members or held
+        )
         if machine.number and self.same(content):
             return 409, f"version {machine.number} says the same\n"
         try:
@@ -548,11 +545,11 @@
             wrong = str(error)
         if wrong:
             return 400, f"{wrong}\n"
-        busy = machine.busy()
+        busy = machine.publisher.busy_reason()
         if busy:
             return 409, f"version {number}: {busy}\n"
-        self.act(machine.publish(self.loop.now(), content, data))
-        return 202, f"version {number}: {machine.result}\n"
+        self.act(machine.publish(self.loop.now(), data))
+        return 202, f"version {number}: {machine.publisher.result}\n"
 
     def members(self) -> dict[str, str]:
         """Return the members that the version held names, if it names any."""
@@ -563,9 +560,9 @@
 
     def step_wrong(self, voters: frozenset[str], members: frozenset[str]) -> str:
         """Return what is wrong with voters and members after the present ones, or nothing."""
-        if not stepwise(self.machine.voters, voters, 2):
+        if not is_single_step(self.machine.voters, voters, 2):
             return f"voters {sorted(voters)}: two more or less, or one in another's place, were expected"
-        if not stepwise(self.machine.members, members, 1):
+        if not is_single_step(self.machine.members, members, 1):
             return f"members {sorted(members)}: one more, less, or in another's place was expected"
         return voters_fit(sorted(voters), members)
 
@@ -575,7 +572,10 @@
             held = self.held()
         except InvalidContentError:
             return False
-        alike = meaning(held.settings) == meaning(content.settings) and held.members == content.members
+        alike = (
+            settings_digest(held.settings) == settings_digest(content.settings)
+            and held.members == content.members
+        )
         return alike and set(held.voters) == set(content.voters)
 
     def by_hand(self, why: str | None) -> tuple[int, str]:
@@ -586,7 +586,7 @@
             return 400, f"why in up to {messages.MAX_REASON_CHARACTERS} characters was expected\n"
         if not self.pages.serves():
             return 503, f"the ledger cannot be written: {self.pages.code}\n"
-        self.act([self.machine.by_hand(why, self.wall())])
+        self.act([self.machine.override_by_operator(why, self.wall())])
         return 202, f"{self.name} is to be {'out' if why is not None else 'in'}\n"
 
     def status(self) -> dict[str, Any]:
@@ -594,32 +594,34 @@
         now, machine, held = self.loop.now(), self.machine, self.interval
         if machine is None or held is None:
             return {"code": self.stood.code}
-        stood, age = self.look(), now - machine.proof_ms
+        stood, age = self.look(), now - machine.lease.proof_ms
         acts = map(sum, zip(*self.counts.values(), strict=True))
-        open_id = machine.publication.id if machine.publication is not None else ""
+        open_id = (
+            machine.publisher.publication.content_id if machine.publisher.publication is not None else ""
+        )
         return {
             "version": machine.number,
-            "id": machine.id,
-            "acting": machine.acting,
+            "id": machine.content_id,
+            "acting": machine.applied_number,
             "meaning": held.meaning,
             "listed": held.listed,
             "interval": held.interval,
             "since_ms": round(now - held.mono_ms),
-            "serving": stood.acts,
-            "proved": stood.proved,
+            "serving": stood.is_serving,
+            "proved": stood.is_proven,
             "code": stood.code,
             "proof_age_ms": round(age) if age < now + 1e12 else None,
-            "lease_ms": round(machine.lease_ms()),
+            "lease_ms": round(machine.lease.duration_ms()),
             "members": self.members(),
             "voters": sorted(machine.voters),
-            "votes": machine.votes(machine.number + 1),
-            "unfit": machine.unfit,
-            "hand": machine.hand,
-            "disk": machine.disk,
-            "local": bool(machine.acting) and held.meaning != self.shared_meaning(),
-            "contents": dict(machine.came),
+            "votes": machine.voter.may_vote(machine.number + 1),
+            "unfit": machine.unusable_reason,
+            "hand": machine.operator_override,
+            "disk": machine.disk_fault,
+            "local": bool(machine.applied_number) and held.meaning != self.shared_meaning(),
+            "contents": dict(machine.store.transfer_counts),
             "ledger": str(self.pages.path),
-            "publication": machine.result,
+            "publication": machine.publisher.result,
             "agreeing": open_id,
             "acts": dict(zip(ACTS, acts, strict=True)),
             "peers": {
@@ -642,7 +644,7 @@
         except InvalidContentError:
             return ""
         if self.shared[0] is not held:
-            self.shared = held, meaning(held.settings)
+            self.shared = held, settings_digest(held.settings)
         return self.shared[1]
 
 
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -4,7 +4,7 @@
 
 from marlseam.cluster.checking.explore_paxos import NUMBER, Rules, after, contents, explore, wander
 from marlseam.cluster.replication.paxos import (
-    NONE,
+    NO_BALLOT,
     Accept,
     Accepted,
     Acceptor,
@@ -40,7 +40,7 @@
     """Planted: what a voter accepted is not on its disk, its promise is."""
 
     def on_disk(self, voter, new):
-        return new._replace(accepted=NONE, value="")
+        return new._replace(accepted=NO_BALLOT, value="")
 
 
 class SpeaksFirst(Rules):
@@ -59,14 +59,19 @@
         held = operator.round, operator.open
         electorate = self.electorate(place)
         return self.kind(
-            self.place(place, operator), NUMBER, operator.value, electorate, *held, asked=operator.asked
+            self.place(place, operator),
+            NUMBER,
+            operator.value,
+            electorate,
+            *held,
+            requested_value=operator.asked,
         )
 
 
 class HalfIsEnough(Proposers):
     """Planted: half of the voters count as a majority."""
 
-    kind = changed(enough=lambda self: len(self.voters) // 2)
+    kind = changed(quorum_size=lambda self: len(self.voters) // 2)
 
     def enough(self, electorate):
         return len(electorate) // 2
@@ -85,21 +90,23 @@
     """Planted: what was accepted before is not looked at."""
 
     kind = changed(
-        heard=lambda self, m: Proposer.heard(self, m._replace(accepted=NONE) if type(m) is Promise else m)
+        handle=lambda self, m: Proposer.handle(
+            self, m._replace(accepted=NO_BALLOT) if type(m) is Promise else m
+        )
     )
 
 
 def earliest(self, message):
-    if type(message) is Promise and message.accepted > NONE:
+    if type(message) is Promise and message.accepted > NO_BALLOT:
         other = {"1.0": "2.0", "2.0": "1.0"}[message.accepted[1]]
         message = message._replace(accepted=(9 - message.accepted[0], other))
-    return Proposer.heard(self, message)
+    return Proposer.handle(self, message)
 
 
 class EarliestGoesFirst(Proposers):
     """Planted: of what was accepted before, the earliest is taken."""
 
-    kind = changed(heard=earliest)
+    kind = changed(handle=earliest)
 
 
 class SameRoundAgain(Rules):
@@ -149,9 +156,9 @@
 
     def acceptor(self, name, held):
         class Lax(Acceptor):
-            def heard(self, message):
+            def handle(self, message):
                 if type(message) is Prepare:
-                    return super().heard(message)
+                    return super().handle(message)
                 new = AcceptorState(max(message.ballot, held.ballot), message.ballot, message.value)
                 return new, Accepted(message.number, message.ballot, name, message.value)
 
@@ -190,27 +197,30 @@
 
 def test_what_is_said_again_or_late_changes_nothing():
     voter = Acceptor("a", {})
-    new, answer = voter.heard(Prepare(2, (2, "1")))
-    voter.keep(2, new)
-    assert voter.heard(Prepare(2, (2, "1"))) == (None, answer)
-    assert voter.heard(Accept(2, (1, "2"), "y")) == (None, Refused(2, (1, "2"), (2, "1")))
-    new, _ = voter.heard(Accept(2, (2, "1"), "x"))
-    voter.keep(2, new)
-    assert voter.heard(Prepare(3, (1, "2")))[0] == AcceptorState((1, "2"))  # each number for itself
+    new, answer = voter.handle(Prepare(2, (2, "1")))
+    voter.record(2, new)
+    assert voter.handle(Prepare(2, (2, "1"))) == (None, answer)
+    assert voter.handle(Accept(2, (1, "2"), "y")) == (None, Refused(2, (1, "2"), (2, "1")))
+    new, _ = voter.handle(Accept(2, (2, "1"), "x"))
+    voter.record(2, new)
+    assert voter.handle(Prepare(3, (1, "2")))[0] == AcceptorState((1, "2"))  # each number for itself
 
 
 def test_an_operator_hears_only_voters_of_its_version_in_its_own_round():
     operator = Proposer("1", 2, "x", frozenset("abc"))
-    assert operator.heard(Promise(2, (0, "1"), "a", NONE, "")) is None  # nothing has begun
-    operator.begin()
+    assert operator.handle(Promise(2, (0, "1"), "a", NO_BALLOT, "")) is None  # nothing has begun
+    operator.begin_round()
     for number, place, voter in ((2, "1", "z"), (3, "1", "a"), (2, "2", "a")):
-        assert operator.heard(Promise(number, (1, place), voter, NONE, "")) is None and not operator.promises
-    assert operator.heard(Refused(2, (1, "1"), (4, "2"))) == Prepare(2, (5, "1"))
-    operator.heard(Promise(2, (5, "1"), "a", (3, "2"), "y"))
-    assert operator.heard(Promise(2, (5, "1"), "b", (1, "1"), "x")) == Accept(2, (5, "1"), "y")
+        assert (
+            operator.handle(Promise(number, (1, place), voter, NO_BALLOT, "")) is None
+            and not operator.promises
+        )
+    assert operator.handle(Refused(2, (1, "1"), (4, "2"))) == Prepare(2, (5, "1"))
+    operator.handle(Promise(2, (5, "1"), "a", (3, "2"), "y"))
+    assert operator.handle(Promise(2, (5, "1"), "b", (1, "1"), "x")) == Accept(2, (5, "1"), "y")
     for voter in "ab":
-        operator.heard(Accepted(2, (5, "1"), voter, "y"))
-    assert operator.chosen == "y" and operator.heard(Accepted(2, (5, "1"), "c", "y")) is None
+        operator.handle(Accepted(2, (5, "1"), voter, "y"))
+    assert operator.chosen == "y" and operator.handle(Accepted(2, (5, "1"), "c", "y")) is None
 
 
 def test_two_contents_are_seen_where_a_majority_took_each():
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -13,16 +13,26 @@
 from marlseam.cluster.audit_log import ContentStored, RecoveredLog
 from marlseam.cluster.checking import replication_schedules
 from marlseam.cluster.replication import delta, messages
-from marlseam.cluster.replication.content import FORMAT, Content, Meaning, digest, meaning, read, write
-from marlseam.cluster.replication.messages import Chunk, FetchRequest, StatusResponse, VoteMessage
-from marlseam.cluster.replication.replica import (
-    STALLED,
-    WINDOW,
-    ConfigReplica,
-    Persist,
-    ReplicationSettings,
-    SendMessage,
+from marlseam.cluster.replication.content import (
+    FORMAT,
+    Content,
+    SettingsDigester,
+    digest,
+    read,
+    settings_digest,
+    write,
+)
+from marlseam.cluster.replication.content_store import ContentStore
+from marlseam.cluster.replication.effects import Persist, SendMessage
+from marlseam.cluster.replication.fetch import (
+    MAX_STALLED_PERIODS,
+    WINDOW_CHUNKS,
+    ContentFetcher,
+    FetchProgress,
 )
+from marlseam.cluster.replication.messages import Chunk, FetchRequest, StatusResponse, VoteMessage
+from marlseam.cluster.replication.replica import ConfigReplica
+from marlseam.cluster.replication.settings import ReplicationSettings
 from marlseam.experiment import file, measures, plays
 from marlseam.experiment.size_changes import changed, counted, one_size, teams
 from marlseam.random_source import RandomSource
@@ -72,19 +82,20 @@
 
 def written(some):
     data = write(some)
-    return data, delta.document(data)
+    return data, delta.decode_document(data)
 
 
 @given(SETTINGS, SETTINGS, st.dictionaries(TEXTS.filter(bool), TEXTS, max_size=3))
 def test_a_change_makes_exactly_the_one_content_out_of_the_other(one, two, members):
     before, base = written(content(settings=one))
     after, document = written(content(2, digest(before), settings=two, members=members, why="x"))
-    found, shared = delta.change(base, after, document)
+    computed = delta.compute_change(base, after, document)
+    found, shared = computed.data, computed.document
     assert shared == document
     link = delta.DeltaLink(digest(before), found)
-    chained = delta.follow(base, digest(before), delta.chain([link]), digest(after))
+    chained = delta.apply_chain(base, digest(before), delta.encode_chain([link]), digest(after))
     assert chained.data == after and chained.document == document
-    assert base == delta.document(before)  # not changed in place
+    assert base == delta.decode_document(before)  # not changed in place
 
 
 def versions_of(settings):
@@ -94,7 +105,11 @@
         before = digest(datas[-1]) if datas else ""
         data, document = written(content(number, before, settings=some))
         if datas:
-            links.append(delta.DeltaLink(before, delta.change(delta.document(datas[-1]), data, document)[0]))
+            links.append(
+                delta.DeltaLink(
+                    before, delta.compute_change(delta.decode_document(datas[-1]), data, document).data
+                )
+            )
         datas.append(data)
     return datas, links
 
@@ -103,9 +118,9 @@
 def test_a_chain_that_was_tampered_with_leads_nowhere_or_where_it_should(settings, data):
     datas, links = versions_of(settings)
     start, goal = digest(datas[0]), digest(datas[-1])
-    raw = bytearray(delta.chain(links))
+    raw = bytearray(delta.encode_chain(links))
     kind = data.draw(st.sampled_from(["flip", "cut", "drop", "swap", "twice", "other base", "other goal"]))
-    base = delta.document(datas[0])
+    base = delta.decode_document(datas[0])
     if kind == "flip":
         raw[data.draw(st.integers(0, len(raw) - 1))] ^= data.draw(st.integers(1, 255))
     elif kind == "cut":
@@ -117,13 +132,13 @@
             "twice": [*links[: at + 1], *links[at:]],
             "swap": links[::-1],
         }[kind]
-        raw = bytearray(delta.chain(some))
+        raw = bytearray(delta.encode_chain(some))
     elif kind == "other base":
-        base = delta.document(datas[-1])
+        base = delta.decode_document(datas[-1])
     else:
         goal = digest(b"another")
     try:
-        found = delta.follow(base, start, bytes(raw), goal)
+        found = delta.apply_chain(base, start, bytes(raw), goal)
     except delta.DeltaError:
         return
     assert found.data == datas[-1]
@@ -153,7 +168,7 @@
     _, base = written(content(settings={"a": {"b": 1}, "list": [1, 2, 3]}))
     kept = json.dumps(base)
     with pytest.raises(delta.DeltaError):
-        delta.applied(base, "i", delta.Change("i", [edit]))
+        delta.apply_change(base, "i", delta.Change("i", [edit]))
     assert json.dumps(base) == kept
 
 
@@ -162,16 +177,17 @@
     edit = delta.Put(["settings", "y"], "y" * messages.MAX_CONTENT_BYTES)
     raw = delta.ENCODER.encode([delta.Change("0" * 64, [edit])])
     with pytest.raises(delta.DeltaError, match="too large"):
-        delta.follow(base, digest(data), raw, "0" * 64)
+        delta.apply_chain(base, digest(data), raw, "0" * 64)
 
 
 def test_what_is_not_edited_is_the_same_object_and_one_quota_is_two_edits():
     before, base = written(content(settings={"teams": teams(300), "kinds": ["a", "b"]}))
     changed_settings = changed({"teams": teams(300), "kinds": ["a", "b"]}, 1, 1)
     after, document = written(content(2, digest(before), settings=changed_settings, why="x"))
-    raw, found = delta.change(base, after, document)
+    computed = delta.compute_change(base, after, document)
+    raw, found = computed.data, computed.document
     assert len(raw) < 200 < len(after) / 50
-    assert found == delta.applied(base, digest(before), delta.CHANGE.decode(raw))
+    assert found == delta.apply_change(base, digest(before), delta.CHANGE.decode(raw))
     kept = [
         name for name, row in found["settings"]["teams"].items() if row is base["settings"]["teams"][name]
     ]
@@ -180,10 +196,10 @@
 
 @given(SETTINGS, SETTINGS)
 def test_the_digest_of_meaning_is_the_same_where_only_what_changed_is_read(one, two):
-    following = Meaning()
-    assert following.of(one) == meaning(one)
-    assert following.of(one | two) == meaning(one | two)
-    assert following.of(two) == meaning(two)
+    following = SettingsDigester()
+    assert following.digest(one) == settings_digest(one)
+    assert following.digest(one | two) == settings_digest(one | two)
+    assert following.digest(two) == settings_digest(two)
 
 
 # One machine.
@@ -202,7 +218,7 @@
     said = []
     for effect in effects:
         if type(effect) is Persist:
-            said += settle(machine, machine.kept(now, effect.token), now)
+            said += settle(machine, machine.persisted(now, effect.token), now)
         else:
             said.append(effect)
     return said
@@ -211,9 +227,9 @@
 def hold(machine, data, number):
     """Have a machine take a content in as a whole."""
     id = digest(data)
-    machine.contents[id] = data
-    machine.compare(id)
-    settle(machine, machine.learn(0.0, number, id))
+    machine.store.contents[id] = data
+    machine.store.add_delta_from_predecessor(id)
+    settle(machine, machine.hold_durably(number, id))
 
 
 def told(number, id):
@@ -243,84 +259,97 @@
 def exchange(source, reader, effects, meddle=lambda say: [say]):
     """Have a source answer what a reader wants until nothing more is said; return pieces and their bytes."""
     count = size = 0
-    wants = [e.say for e in effects if type(e) is SendMessage and type(e.say) is FetchRequest]
+    wants = [e.message for e in effects if type(e) is SendMessage and type(e.message) is FetchRequest]
     while wants:
-        pieces = [e.say for want in wants for e in source.pieces("d", want)]
+        pieces = [e.message for want in wants for e in source.fetcher.send_chunks("d", want)]
         wants = []
         for piece in pieces:
             count, size = count + 1, size + len(piece.data)
             for heard in meddle(piece):
-                said = settle(reader, reader.piece(0.0, "b", heard))
-                wants += [e.say for e in said if type(e) is SendMessage and type(e.say) is FetchRequest]
+                said = settle(reader, reader.receive_chunk(0.0, "b", heard))
+                wants += [
+                    e.message for e in said if type(e) is SendMessage and type(e.message) is FetchRequest
+                ]
     return count, size
 
 
 def test_a_reader_that_fell_behind_is_sent_the_changes_from_its_place():
     source, reader, datas = source_and_reader()
-    count, size = exchange(source, reader, reader.told(0.0, "b", told(6, digest(datas[-1]))))
-    assert reader.number == 6 and reader.contents[reader.id] == datas[-1]
-    assert (count, reader.came["chains"], reader.came["whole"]) == (1, 1, 0) and size < 1024 < len(datas[-1])
+    count, size = exchange(source, reader, reader.receive_status(0.0, "b", told(6, digest(datas[-1]))))
+    assert reader.number == 6 and reader.store.contents[reader.content_id] == datas[-1]
+    assert (count, reader.store.transfer_counts["chains"], reader.store.transfer_counts["whole"]) == (
+        1,
+        1,
+        0,
+    ) and size < 1024 < len(datas[-1])
     assert reader.content.settings == read(datas[-1], NAMES).settings
     # And it can pass on what it was sent.
-    assert reader.chain(digest(datas[0]), digest(datas[-1])) == source.chain(
+    assert reader.store.delta_chain(digest(datas[0]), digest(datas[-1])) == source.store.delta_chain(
         digest(datas[0]), digest(datas[-1])
     )
 
 
 def test_whichever_is_smaller_is_sent_and_the_whole_where_the_place_is_too_old():
     source, reader, datas = source_and_reader(count=60, rows=20)
-    count, size = exchange(source, reader, reader.told(0.0, "b", told(60, digest(datas[-1]))))
-    assert reader.number == 60 and reader.came["whole"] == 1 and size == len(datas[-1])
-    assert source.links_bytes <= len(datas[-1]) and len(source.links) < 59
+    count, size = exchange(source, reader, reader.receive_status(0.0, "b", told(60, digest(datas[-1]))))
+    assert reader.number == 60 and reader.store.transfer_counts["whole"] == 1 and size == len(datas[-1])
+    assert source.store.delta_links_bytes <= len(datas[-1]) and len(source.store.delta_links) < 59
     late = versions("e")
-    exchange(source, late, late.told(0.0, "b", told(60, digest(datas[-1]))))
-    assert late.number == 60 and late.came["whole"] == 1
+    exchange(source, late, late.receive_status(0.0, "b", told(60, digest(datas[-1]))))
+    assert late.number == 60 and late.store.transfer_counts["whole"] == 1
 
 
 def test_one_that_was_sent_the_whole_passes_on_the_change():
     source, reader, datas = source_and_reader(count=3, place=2)
-    source.links.clear()
-    exchange(source, reader, reader.told(0.0, "b", told(3, digest(datas[-1]))))
-    assert reader.came["whole"] == 1 and reader.chain(digest(datas[1]), digest(datas[2])) is not None
+    source.store.delta_links.clear()
+    exchange(source, reader, reader.receive_status(0.0, "b", told(3, digest(datas[-1]))))
+    assert (
+        reader.store.transfer_counts["whole"] == 1
+        and reader.store.delta_chain(digest(datas[1]), digest(datas[2])) is not None
+    )
 
 
 def test_wrong_changes_are_found_out_and_the_whole_is_asked_for():
     source, reader, datas = source_and_reader()
-    links = source.links
+    links = source.store.delta_links
     last = links[digest(datas[-1])]
     links[digest(datas[-1])] = delta.DeltaLink(last.before, last.data.replace(b"1005", b"1006"))
-    effects = reader.told(0.0, "b", told(6, digest(datas[-1])))
-    (piece,) = [e.say for e in source.pieces("d", effects[0].say)]
-    log, again = reader.piece(0.0, "b", piece)
-    assert "code=changes" in log.text and again.say == FetchRequest(digest(datas[-1]), 0, "")
-    assert reader.number == 1 and reader.came["changes"] == 1 and reader.came["edits"] == 0
+    effects = reader.receive_status(0.0, "b", told(6, digest(datas[-1])))
+    (piece,) = [e.message for e in source.fetcher.send_chunks("d", effects[0].message)]
+    log, again = reader.receive_chunk(0.0, "b", piece)
+    assert "code=changes" in log.text and again.message == FetchRequest(digest(datas[-1]), 0, "")
+    assert (
+        reader.number == 1
+        and reader.store.transfer_counts["changes"] == 1
+        and reader.store.transfer_counts["edits"] == 0
+    )
     exchange(source, reader, [again])
-    assert reader.number == 6 and reader.contents[reader.id] == datas[-1]
+    assert reader.number == 6 and reader.store.contents[reader.content_id] == datas[-1]
 
 
 def test_changes_from_a_place_that_was_left_meanwhile_are_asked_for_anew():
     source, reader, datas = source_and_reader(count=6, place=1)
-    effects = reader.told(0.0, "b", told(6, digest(datas[-1])))
-    pieces = [e.say for e in source.pieces("d", effects[0].say)]
+    effects = reader.receive_status(0.0, "b", told(6, digest(datas[-1])))
+    pieces = [e.message for e in source.fetcher.send_chunks("d", effects[0].message)]
     hold(reader, datas[1], 2)
-    (again,) = reader.piece(0.0, "b", pieces[0])
-    assert again.say.have == digest(datas[1]) and reader.came["gone"] == 1
+    (again,) = reader.receive_chunk(0.0, "b", pieces[0])
+    assert again.message.have == digest(datas[1]) and reader.store.transfer_counts["gone"] == 1
     exchange(source, reader, [again])
-    assert reader.number == 6 and reader.came["chains"] == 1
+    assert reader.number == 6 and reader.store.transfer_counts["chains"] == 1
 
 
 def test_a_voter_takes_a_candidate_as_changes_and_accepts_it_only_as_a_durable_whole():
     source, voter, datas = source_and_reader(count=3, place=3)
     data = write(content(4, digest(datas[-1]), settings=changed({"teams": teams(60)}, 9, 9)))
-    source.publish(0.0, read(data, NAMES), data)
+    source.publish(0.0, data)
     voter.voters |= {"d"}
-    effects = voter.heard(0.0, "b", VoteMessage("accept", 4, 1, "b/1", value=digest(data)))
-    assert effects[0].say == FetchRequest(digest(data), 0, digest(datas[-1]))
-    (piece,) = [e.say for e in source.pieces("d", effects[0].say)]
-    (keep,) = voter.piece(0.0, "b", piece)
-    stored = [e for e in keep.entries if type(e) is ContentStored]
-    assert stored == [ContentStored(digest(data), data)] and voter.came["chains"] == 1
-    assert [e.say.kind for e in voter.kept(0.0, keep.token)] == ["accepted"]
+    effects = voter.receive(0.0, "b", VoteMessage("accept", 4, 1, "b/1", value=digest(data)))
+    assert effects[0].message == FetchRequest(digest(data), 0, digest(datas[-1]))
+    (piece,) = [e.message for e in source.fetcher.send_chunks("d", effects[0].message)]
+    (keep,) = voter.receive_chunk(0.0, "b", piece)
+    stored = [e for e in keep.records if type(e) is ContentStored]
+    assert stored == [ContentStored(digest(data), data)] and voter.store.transfer_counts["chains"] == 1
+    assert [e.message.kind for e in voter.persisted(0.0, keep.token)] == ["accepted"]
 
 
 MEDDLING = st.lists(
@@ -332,7 +361,7 @@
 def test_whatever_becomes_of_pieces_a_gap_is_filled_and_nothing_is_guessed(fates, place, chained):
     source, reader, datas = source_and_reader(count=6, place=place, rows=150)
     if not chained:
-        source.links.clear()
+        source.store.delta_links.clear()
     goal, late, fates = digest(datas[-1]), [], list(fates)
 
     def meddle(piece):
@@ -350,49 +379,51 @@
             fate, [bent.get(fate, piece)]
         ) + after
 
-    effects, now = reader.told(0.0, "b", told(6, goal)), 0.0
+    effects, now = reader.receive_status(0.0, "b", told(6, goal)), 0.0
     for _ in range(100):
         exchange(source, reader, effects, meddle)
         assert reader.number in (place, 6)
-        for fetch in reader.fetches.values():
-            assert len(fetch.ahead) <= WINDOW and len(fetch.data) <= max(map(len, datas))
+        for fetch in reader.fetcher.fetches.values():
+            assert len(fetch.ahead) <= WINDOW_CHUNKS and len(fetch.received) <= max(map(len, datas))
         if reader.number == 6:
             break
         now += 2000.0
-        effects = [e for e in reader.tick(now) if type(getattr(e, "say", None)) is FetchRequest]
-    assert reader.number == 6 and reader.contents[reader.id] == datas[-1]
+        effects = [e for e in reader.tick(now) if type(getattr(e, "message", None)) is FetchRequest]
+    assert reader.number == 6 and reader.store.contents[reader.content_id] == datas[-1]
 
 
 @pytest.mark.parametrize("chained", [True, False])
 def test_a_long_way_of_pieces_gets_through_though_a_fifth_is_lost(chained):
     source, reader, datas = source_and_reader(count=101 if chained else 6, rows=600)
     if not chained:
-        source.links.clear()
+        source.store.delta_links.clear()
     goal, lost, now = digest(datas[-1]), RandomSource("lost"), 0.0
-    effects = reader.told(0.0, "b", told(len(datas), goal))
+    effects = reader.receive_status(0.0, "b", told(len(datas), goal))
     periods = 0
     while reader.number < len(datas) and periods < 60:
         periods += 1
         if lost() >= 0.2:
             exchange(source, reader, effects, lambda piece: [] if lost() < 0.2 else [piece])
         now += 2000.0
-        effects = [e for e in reader.tick(now) if type(getattr(e, "say", None)) is FetchRequest]
-    assert reader.contents[reader.id] == datas[-1]
-    assert (reader.came["chains"], reader.came["whole"]) == ((1, 0) if chained else (0, 1))
+        effects = [e for e in reader.tick(now) if type(getattr(e, "message", None)) is FetchRequest]
+    assert reader.store.contents[reader.content_id] == datas[-1]
+    assert (reader.store.transfer_counts["chains"], reader.store.transfer_counts["whole"]) == (
+        (1, 0) if chained else (0, 1)
+    )
 
 
 def test_pieces_that_overtake_each_other_are_put_in_order():
     source, reader, datas = source_and_reader(place=1, rows=100)
-    source.links.clear()
-    effects = reader.told(0.0, "b", told(6, digest(datas[-1])))
-    wants = [e.say for e in effects if type(e) is SendMessage and type(e.say) is FetchRequest]
+    source.store.delta_links.clear()
+    effects = reader.receive_status(0.0, "b", told(6, digest(datas[-1])))
+    wants = [e.message for e in effects if type(e) is SendMessage and type(e.message) is FetchRequest]
     rounds = 0
     while wants:
         rounds += 1
-        pieces = [e.say for want in wants for e in source.pieces("d", want)][::-1]
-        said = [e for piece in pieces for e in settle(reader, reader.piece(0.0, "b", piece))]
-        wants = [e.say for e in said if type(e) is SendMessage and type(e.say) is FetchRequest]
-    assert reader.number == 6 and rounds == -(-len(datas[-1]) // (WINDOW * messages.CHUNK_BYTES))
+        pieces = [e.message for want in wants for e in source.fetcher.send_chunks("d", want)][::-1]
+        said = [e for piece in pieces for e in settle(reader, reader.receive_chunk(0.0, "b", piece))]
+        wants = [e.message for e in said if type(e) is SendMessage and type(e.message) is FetchRequest]
+    assert reader.number == 6 and rounds == -(-len(datas[-1]) // (WINDOW_CHUNKS * messages.CHUNK_BYTES))
 
 
 @pytest.mark.parametrize(
@@ -407,22 +438,26 @@
 )
 def test_a_piece_that_fits_nothing_is_counted_and_changes_nothing(piece, code):
     _, reader, datas = source_and_reader()
-    reader.told(0.0, "b", told(6, digest(datas[-1])))
-    before = dict(reader.contents), {id: fetch.want() for id, fetch in reader.fetches.items()}
-    assert reader.piece(0.0, "e", piece(digest(datas[-1]), reader.id)) == []
-    assert (dict(reader.contents), {id: f.want() for id, f in reader.fetches.items()}) == before
-    assert reader.came[code] == 1 and not any(f.ahead for f in reader.fetches.values())
+    reader.receive_status(0.0, "b", told(6, digest(datas[-1])))
+    fetches = reader.fetcher.fetches
+    before = dict(reader.store.contents), {id: fetch.next_request() for id, fetch in fetches.items()}
+    assert reader.receive_chunk(0.0, "e", piece(digest(datas[-1]), reader.content_id)) == []
+    after = dict(reader.store.contents), {id: fetch.next_request() for id, fetch in fetches.items()}
+    assert after == before
+    assert reader.store.transfer_counts[code] == 1 and not any(
+        f.ahead for f in reader.fetcher.fetches.values()
+    )
 
 
 def test_one_that_said_a_size_that_is_not_so_holds_a_fetch_up_for_a_stated_time():
     source, reader, datas = source_and_reader(rows=100)
-    source.links.clear()
-    reader.told(0.0, "b", told(6, digest(datas[-1])))
-    reader.piece(0.0, "e", Chunk(digest(datas[-1]), 99999, 0, b"x" * 1024))
+    source.store.delta_links.clear()
+    reader.receive_status(0.0, "b", told(6, digest(datas[-1])))
+    reader.receive_chunk(0.0, "e", Chunk(digest(datas[-1]), 99999, 0, b"x" * 1024))
     now = 0.0
-    for _ in range(STALLED + 1):
+    for _ in range(MAX_STALLED_PERIODS + 1):
         now += 2000.0
-        effects = [e for e in reader.tick(now) if type(getattr(e, "say", None)) is FetchRequest]
+        effects = [e for e in reader.tick(now) if type(getattr(e, "message", None)) is FetchRequest]
         exchange(source, reader, effects)
     assert reader.number == 6
 
@@ -452,22 +487,23 @@
 class Older(ConfigReplica):
     """A program from before: it reads and says what that did, and knows the whole alone."""
 
-    def heard(self, now, sender, say):
+    def receive(self, now, sender, say):
         old = OLD.decode(msgspec.msgpack.encode(say))  # as its codec reads it
         say = msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=messages.ReplicationMessage)
         assert getattr(say, "have", "") == ""
-        return [self.in_old_words(effect) for effect in super().heard(now, sender, say)]
+        return [self.in_old_words(effect) for effect in super().receive(now, sender, say)]
 
     def tick(self, now):
         return [self.in_old_words(effect) for effect in super().tick(now)]
 
     def in_old_words(self, effect):
-        if type(effect) is not SendMessage or type(effect.say) is not FetchRequest:
+        if type(effect) is not SendMessage or type(effect.message) is not FetchRequest:
             return effect
         say = msgspec.msgpack.decode(
-            msgspec.msgpack.encode(OldWant(effect.say.id, effect.say.at)), type=messages.ReplicationMessage
+            msgspec.msgpack.encode(OldWant(effect.message.id, effect.message.at)),
+            type=messages.ReplicationMessage,
         )
-        return SendMessage(effect.name, say)
+        return SendMessage(effect.recipient, say)
 
 
 def mixed(name, *words):
@@ -487,7 +523,7 @@
         world.publish("n1", mark)
         world.run(world.now + 6000.0)
     assert world.alike() == [] and world.wrong == [] and len(world.by_number) == 8
-    came = {name: seat.machine.came for name, seat in world.seats.items()}
+    came = {name: seat.machine.store.transfer_counts for name, seat in world.seats.items()}
     assert all(came[name]["whole"] == 8 and not came[name]["chains"] for name in ("n0", "n3", "n5"))
     # From one that is older they get the whole; else, past the first, changes.
     assert all(came[name]["chains"] >= 3 for name in ("n2", "n4", "n6"))
@@ -502,51 +538,82 @@
     assert found.broken == []
 
 
-class Unchecked(ConfigReplica):
-    """Planted: what changes lead to is not held against the id."""
+class UncheckedStore(ContentStore):
+    """Does not compare what deltas lead to with the id asked for."""
 
-    def followed(self, have, data, id):
-        document, before = self.document(have), have
+    def apply_delta_chain(self, base_id, chain, content_id):
+        document, before = self.document(base_id), base_id
         try:
-            for one in delta.CHAIN.decode(data):
-                document, before = delta.applied(document, before, one), one.id
+            for change in delta.CHAIN.decode(chain):
+                document, before = delta.apply_change(document, before, change), change.id
         except msgspec.MsgspecError as error:
             raise delta.DeltaError(str(error)) from None
-        return delta.whole(document)
+        return delta.encode_document(document)
+
+
+class Unchecked(ConfigReplica):
+    """Planted: what deltas lead to is not held against the id."""
+
+    store_type = UncheckedStore
+
+
+class LastDeltaStore(ContentStore):
+    """Gives the last delta alone, whatever the base."""
+
+    def delta_chain(self, base_id, content_id):
+        link = self.delta_links.get(content_id)
+        return delta.encode_chain([link]) if link is not None else None
 
 
 class LastAlone(ConfigReplica):
-    """Planted: the last change alone is sent, wherever the reader is."""
+    """Planted: the last delta alone is sent, wherever the reader is."""
+
+    store_type = LastDeltaStore
 
-    def chain(self, have, id):
-        link = self.links.get(id)
-        return delta.chain([link]) if link is not None else None
+
+class DeltasOnlyFetcher(ContentFetcher):
+    """Discards a whole content where it asked for deltas."""
+
+    def receive_chunk(self, sender, chunk):
+        fetch = self.fetches.get(chunk.id)
+        if fetch and fetch.base_id and not chunk.have:
+            return FetchProgress([])
+        return super().receive_chunk(sender, chunk)
 
 
 class Stubborn(ConfigReplica):
-    """Planted: one that asked for changes takes no whole."""
+    """Planted: one that asked for deltas takes no whole."""
 
-    def piece(self, now, sender, piece):
-        fetch = self.fetches.get(piece.id)
-        return [] if fetch and fetch.have and not piece.have else super().piece(now, sender, piece)
+    fetcher_type = DeltasOnlyFetcher
 
 
-class Hoards(ConfigReplica):
-    """Planted: changes are kept for ever."""
+class UntrimmedStore(ContentStore):
+    """Keeps all deltas."""
 
-    def trim(self):
+    def trim_delta_links(self):
         pass
 
 
+class Hoards(ConfigReplica):
+    """Planted: deltas are kept for ever."""
+
+    store_type = UntrimmedStore
+
+
+class UnorderedFetcher(ContentFetcher):
+    """Takes each chunk for the next one."""
+
+    def receive_chunk(self, sender, chunk):
+        fetch = self.fetches.get(chunk.id)
+        at = len(fetch.received) if fetch else 0
+        misplaced = msgspec.structs.replace(chunk, at=min(at, chunk.size - len(chunk.data)))
+        return super().receive_chunk(sender, misplaced)
+
+
 class AsTheyCome(ConfigReplica):
-    """Planted: pieces are put together as they come."""
+    """Planted: chunks are put together as they come."""
 
-    def piece(self, now, sender, piece):
-        fetch = self.fetches.get(piece.id)
-        at = len(fetch.data) if fetch else 0
-        return super().piece(
-            now, sender, msgspec.structs.replace(piece, at=min(at, piece.size - len(piece.data)))
-        )
+    fetcher_type = UnorderedFetcher
 
 
 PLANTED = [
@@ -565,13 +632,19 @@
     assert replication_schedules.play(7, seed, strikes, twists=twists, rows=rows).broken == []
 
 
-class ForgetsIts(ConfigReplica):
-    """Planted: no change is found for what is published, so all are sent the whole."""
+class WithoutOwnDeltas(ContentStore):
+    """Computes no delta."""
 
-    def compare(self, id):
+    def add_delta_from_predecessor(self, content_id):
         pass
 
 
+class ForgetsIts(ConfigReplica):
+    """Planted: no delta is computed for what is published, so all are sent the whole."""
+
+    store_type = WithoutOwnDeltas
+
+
 def test_that_nobody_passes_on_changes_is_found_by_the_counts():
     experiment = file.load(SHORT)
     table = msgspec.structs.replace(experiment.tables["size_changes"], burst=0)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -46,10 +46,11 @@
     Content,
     InvalidContentError,
     digest,
-    meaning,
     read,
+    settings_digest,
     write,
 )
+from marlseam.cluster.replication.effects import ApplyContent, Persist, SendMessage
 from marlseam.cluster.replication.messages import (
     Chunk,
     FetchRequest,
@@ -58,13 +59,11 @@
     StatusResponse,
     VoteMessage,
 )
-from marlseam.cluster.replication.replica import (
-    ApplyContent,
-    ConfigReplica,
-    Persist,
-    ReplicationSettings,
-    SendMessage,
-)
+from marlseam.cluster.replication.publication import Publisher
+from marlseam.cluster.replication.quorum_lease import QuorumLease
+from marlseam.cluster.replication.replica import ConfigReplica
+from marlseam.cluster.replication.settings import ReplicationSettings
+from marlseam.cluster.replication.voting import Voter
 from marlseam.configuration import ClusterSettings, ConfigError, load
 from marlseam.experiment.versions import up_after
 from marlseam.net.config_service import ConfigServicePort, ConfigVersionService
@@ -108,9 +107,9 @@
 def held(machine, some, now=0.0):
     """Have a machine hold a content."""
     data = write(some)
-    machine.contents[digest(data)] = data
-    keep = machine.learn(now, some.number, digest(data))[-1]
-    return machine.kept(now, keep.token)
+    machine.store.contents[digest(data)] = data
+    keep = machine.hold_durably(some.number, digest(data))[-1]
+    return machine.persisted(now, keep.token)
 
 
 # The search in virtual time, and defects that it finds.
@@ -162,75 +161,101 @@
     assert world.alike() == [] and world.wrong == [] and len(world.by_number) == 1
 
 
-class SpeaksFirst(ConfigReplica):
-    """Planted: a voter speaks before its disk has it."""
+class HastyVoter(Voter):
+    """Answers before its promise is durable."""
 
-    def asked_to_vote(self, now, sender, vote):
-        effects = super().asked_to_vote(now, sender, vote)
+    def receive_request(self, now, sender, vote):
+        effects = super().receive_request(now, sender, vote)
         if effects and type(effects[-1]) is Persist:
-            effects += self.pending[effects[-1].token](now)
+            effects += self.replica.continuations[effects[-1].token](now)
         return effects
 
 
+class SpeaksFirst(ConfigReplica):
+    """Planted: a voter answers before its disk has it."""
+
+    voter_type = HastyVoter
+
+
 class FromTheAnswer(ConfigReplica):
-    """Planted: a proof counts from when it came, not from when it was asked for."""
+    """Planted: a proof counts from when the response came, not from when it was asked for."""
 
-    def told(self, now, sender, say):
-        if say.seq in self.sent:
-            self.sent[say.seq] = self.asked[say.seq].at_ms = now
-        return super().told(now, sender, say)
+    def receive_status(self, now, sender, status):
+        read = self.lease.reads.get(status.seq)
+        if read is not None:
+            read.at_ms = now
+        return super().receive_status(now, sender, status)
 
 
 class NoAge(ConfigReplica):
     """Planted: another's proof is taken for one of this moment."""
 
-    def told(self, now, sender, say):
-        return super().told(now, sender, msgspec.structs.replace(say, age_ms=min(say.age_ms, 0.0)))
+    def receive_status(self, now, sender, status):
+        ageless = msgspec.structs.replace(status, age_ms=min(status.age_ms, 0.0))
+        return super().receive_status(now, sender, ageless)
+
+
+class OneVoterLease(QuorumLease):
+    """Takes one voter for a quorum."""
+
+    def renew(self, read):
+        if read.clear:
+            self.extend(read.at_ms)
 
 
 class OneProves(ConfigReplica):
     """Planted: one voter's word is a proof."""
 
-    def weigh(self, round):
-        if round.clear:
-            self.proof_ms = max(self.proof_ms, round.at_ms)
+    lease_type = OneVoterLease
 
 
 class AcceptedIsClear(ConfigReplica):
     """Planted: a voter that has accepted something counts as clear."""
 
-    def told(self, now, sender, say):
-        return super().told(now, sender, msgspec.structs.replace(say, accepted=0))
+    def receive_status(self, now, sender, status):
+        return super().receive_status(now, sender, msgspec.structs.replace(status, accepted=0))
 
 
 class FirstVoters(ConfigReplica):
     """Planted: the voters of the settings go on, whatever versions name."""
 
-    def take(self, number, id):
-        effects = super().take(number, id)
-        self.voters = self.terms.voters
+    def hold(self, number, content_id):
+        effects = super().hold(number, content_id)
+        self.voters = self.settings.voters
         return effects
 
 
+class EndlessLease(QuorumLease):
+    """Never expires."""
+
+    def is_proven(self, now):
+        return self.replica.applied_number == self.replica.number
+
+
 class NoLease(ConfigReplica):
     """Planted: what was in force once is for ever."""
 
-    def proved(self, now):
-        return self.acting == self.number
+    lease_type = EndlessLease
+
+
+class OwnOnlyPublisher(Publisher):
+    """Proposes nothing that another member left accepted."""
+
+    def progress(self, now):
+        return super().progress(now) if self.publication is not None else []
 
 
 class NeverFinishes(ConfigReplica):
     """Planted: what another left half done stays so."""
 
-    def push_on(self, now):
-        return super().push_on(now) if self.publication is not None else []
+    publisher_type = OwnOnlyPublisher
 
 
 class AsksOnce(ConfigReplica):
     """Planted: a content that did not come is not asked for again."""
 
     def tick(self, now):
-        return [e for e in super().tick(now) if type(getattr(e, "say", None)) is not FetchRequest]
+        return [e for e in super().tick(now) if type(getattr(e, "message", None)) is not FetchRequest]
 
 
 LATE = [
@@ -275,41 +300,41 @@
 def test_a_content_that_is_not_what_its_id_says_is_not_taken():
     machine = versions("d")
     good = write(content())
-    machine.told(0.0, "b", told(0, number=1, id=digest(good)))
-    effects = machine.piece(0.0, "b", Chunk(digest(good), len(good), 0, b"x" * len(good)))
+    machine.receive_status(0.0, "b", told(0, number=1, id=digest(good)))
+    effects = machine.receive_chunk(0.0, "b", Chunk(digest(good), len(good), 0, b"x" * len(good)))
     assert "code=digest" in effects[0].text and machine.number == 0
-    effects = machine.piece(0.0, "b", Chunk(digest(good), len(good), 0, good))
+    effects = machine.receive_chunk(0.0, "b", Chunk(digest(good), len(good), 0, good))
     assert type(effects[0]) is Persist and machine.number == 0  # not before it is durable
-    assert type(machine.kept(1.0, effects[0].token)[0]) is ApplyContent and machine.acting == 1
+    assert type(machine.persisted(1.0, effects[0].token)[0]) is ApplyContent and machine.applied_number == 1
 
 
 def test_a_voter_refuses_a_content_that_its_own_check_refuses_and_no_number_is_used_up():
     voter, operator = versions("b", check=lambda c: "aimUs: -1, expected a number"), versions("a")
     data = write(content())
-    operator.publish(0.0, content(), data)
+    operator.publish(0.0, data)
     accept = VoteMessage("accept", 1, 1, "a/1", value=digest(data))
-    voter.contents[digest(data)] = data
-    (refusal,) = [e.say for e in voter.asked_to_vote(0.0, "a", accept)]
+    voter.store.contents[digest(data)] = data
+    (refusal,) = [e.message for e in voter.voter.receive_request(0.0, "a", accept)]
     assert refusal.kind == "refused" and "aimUs" in refusal.why
     for name in "bc":
-        operator.answered(0.0, name, refusal)
-    assert operator.result.startswith("refused by most voters") and operator.number == 0
-    assert voter.acceptor.kept == {}
+        operator.publisher.receive_vote(0.0, name, refusal)
+    assert operator.publisher.result.startswith("refused by most voters") and operator.number == 0
+    assert voter.voter.acceptor.promises == {}
 
 
 @pytest.mark.parametrize("strict", [True, False])
 def test_without_a_proof_it_leaves_or_serves_on_marked_and_for_a_stated_time(strict):
     machine = versions("d", strict=strict)
     machine.tick(0.0)
-    machine.told(5.0, "b", told(1, age_ms=0.0))
-    assert machine.stand(10.0) == (True, True, "")
-    late = machine.stand(LEASE + 1.0)
+    machine.receive_status(5.0, "b", told(1, age_ms=0.0))
+    assert machine.serving.evaluate(10.0) == (True, True, "")
+    late = machine.serving.evaluate(LEASE + 1.0)
     assert late == ((False, False, "unproved") if strict else (True, False, "unproved"))
-    assert not machine.stand(10.0 * LEASE + 1.0).acts
+    assert not machine.serving.evaluate(10.0 * LEASE + 1.0).is_serving
 
 
 def test_those_without_voters_leave_one_after_another():
-    ends = sorted(versions(name).lease_ms() for name in NAMES)
+    ends = sorted(versions(name).lease.duration_ms() for name in NAMES)
     assert (
         ends[0] >= 0.49 * LEASE
         and ends[-1] < LEASE
@@ -321,63 +346,74 @@
     for serving, code in ((3, "unfit"), (0, "unfit")):
         machine = versions("d", strict=False, check=lambda c: "key: what was expected")
         machine.tick(0.0)
-        machine.told(0.0, "b", told(1, age_ms=0.0))
-        assert machine.stand(1.0).acts
+        machine.receive_status(0.0, "b", told(1, age_ms=0.0))
+        assert machine.serving.evaluate(1.0).is_serving
         held(machine, content(), 2.0)
         for i, name in enumerate("abcef"):
-            machine.told(3.0, name, told(0, number=1, id=machine.id, acting=int(i < serving), serving=True))
-        stood = machine.stand(4.0)
-        assert (stood.acts, stood.proved, stood.code) == (serving == 0, False, code) and machine.acting == 0
+            machine.receive_status(
+                3.0, name, told(0, number=1, id=machine.content_id, acting=int(i < serving), serving=True)
+            )
+        stood = machine.serving.evaluate(4.0)
+        assert (stood.is_serving, stood.is_proven, stood.code) == (
+            serving == 0,
+            False,
+            code,
+        ) and machine.applied_number == 0
 
 
 def test_it_comes_back_only_when_it_was_well_for_a_while():
     machine = versions("d")
     machine.tick(0.0)
-    machine.told(0.0, "b", told(1, age_ms=0.0))
-    machine.stand(1.0)
-    machine.disk = "full"
-    assert machine.stand(2.0).code == "disk"
-    machine.disk = ""
-    assert not machine.stand(3.0).acts and machine.stand(2100.0).acts
+    machine.receive_status(0.0, "b", told(1, age_ms=0.0))
+    machine.serving.evaluate(1.0)
+    machine.disk_fault = "full"
+    assert machine.serving.evaluate(2.0).code == "disk"
+    machine.disk_fault = ""
+    assert not machine.serving.evaluate(3.0).is_serving and machine.serving.evaluate(2100.0).is_serving
 
 
 def test_an_operators_word_holds_once_durable_and_across_restarts():
     machine = versions("d")
-    keep = machine.by_hand("sick", 5.0)
-    assert machine.hand is None
-    machine.kept(0.0, keep.token)
-    assert machine.stand(1.0).code == "hand"
+    keep = machine.override_by_operator("sick", 5.0)
+    assert machine.operator_override is None
+    machine.persisted(0.0, keep.token)
+    assert machine.serving.evaluate(1.0).code == "hand"
     kept = RecoveredLog()
-    for entry in (*keep.entries, OperatorOverride(True, "sick", 5.0)):
+    for entry in (*keep.records, OperatorOverride(True, "sick", 5.0)):
         kept.take(entry)
-    assert versions("d", kept).stand(0.0).code == "hand"
+    assert versions("d", kept).serving.evaluate(0.0).code == "hand"
 
 
 def test_a_voter_without_its_memory_votes_only_past_what_it_may_have_promised():
     machine = versions("a", RecoveredLog(bar=None))
-    assert not machine.votes(1) and machine.asked_to_vote(0.0, "b", VoteMessage("prepare", 1, 1, "b/1")) == []
-    assert not machine.tell(0.0, "b", 1)[0].say.votes
+    assert (
+        not machine.voter.may_vote(1)
+        and machine.voter.receive_request(0.0, "b", VoteMessage("prepare", 1, 1, "b/1")) == []
+    )
+    assert not machine.send_status(0.0, "b", 1)[0].message.votes
     machine.tick(0.0)
-    machine.told(1.0, "b", told(1, top=4))
-    assert machine.bar is None
-    keep = machine.told(1.0, "c", told(1, top=3))[-1]
-    assert keep.entries == (VotesBarred(5),)
-    machine.kept(2.0, keep.token)
-    assert machine.bar == 5 and not machine.votes(5) and machine.votes(6)
+    machine.receive_status(1.0, "b", told(1, top=4))
+    assert machine.voter.votes_barred_up_to is None
+    keep = machine.receive_status(1.0, "c", told(1, top=3))[-1]
+    assert keep.records == (VotesBarred(5),)
+    machine.persisted(2.0, keep.token)
+    assert (
+        machine.voter.votes_barred_up_to == 5 and not machine.voter.may_vote(5) and machine.voter.may_vote(6)
+    )
 
 
 def test_a_refused_round_says_nothing_more_until_the_next_has_begun():
     # Said again under the later ballot that refused it, its content was chosen beside another's.
     operator = versions("d", voters="abc")
     data = write(content())
-    operator.publish(0.0, content(), data)
+    operator.publish(0.0, data)
     for name in "ab":
-        operator.answered(0.0, name, VoteMessage("promise", 1, 1, "d/1"))
-    operator.answered(0.0, "c", VoteMessage("refused", 1, 1, "d/1", 5, "z/1"))
+        operator.publisher.receive_vote(0.0, name, VoteMessage("promise", 1, 1, "d/1"))
+    operator.publisher.receive_vote(0.0, "c", VoteMessage("refused", 1, 1, "d/1", 5, "z/1"))
     operator.tick(1.0)
-    said = [e.say for e in operator.push_on(2.0) if type(e) is SendMessage]
+    said = [e.message for e in operator.publisher.progress(2.0) if type(e) is SendMessage]
     assert not [vote for vote in said if type(vote) is VoteMessage]
-    after = [e.say for e in operator.push_on(10000.0) if type(e) is SendMessage]
+    after = [e.message for e in operator.publisher.progress(10000.0) if type(e) is SendMessage]
     assert {(vote.kind, vote.round) for vote in after} == {("prepare", 6)}
 
 
@@ -385,24 +421,31 @@
     # It was put to the vote for the same number again: beaten by the one before it, or open for 40 periods:
     # voters vote no more on a number that they hold.
     operator, data = versions("d"), write(content())
-    operator.publish(0.0, content(), data)
+    operator.publish(0.0, data)
     for kind in ("promise", "accepted"):
         for name in "ab":
             vote = VoteMessage(kind, 1, 1, "d/1", value=digest(data) if kind == "accepted" else "")
-            effects = operator.answered(0.0, name, vote)
+            effects = operator.publisher.receive_vote(0.0, name, vote)
     keep = next(effect for effect in effects if type(effect) is Persist)
     assert (
-        operator.publication is None and operator.number == 0 and operator.result.startswith("version 1 is")
+        operator.publisher.publication is None
+        and operator.number == 0
+        and operator.publisher.result.startswith("version 1 is")
     )
     following = content(settings={"x": 2})
-    assert operator.publish(1.0, following, write(following)) == []
-    assert operator.busy() == "busy: version 1 is being written here" and operator.publication is None
-    assert operator.result.startswith("version 1 is")  # which whoever published it still waits to read
-    operator.kept(2.0, keep.token)
-    following = content(2, operator.id)
-    operator.publish(3.0, following, write(following))
-    assert operator.result == "open" and operator.publication.proposer.number == 2
-    assert operator.busy() == "busy: a publication is under way here"
+    assert operator.publish(1.0, write(following)) == []
+    assert (
+        operator.publisher.busy_reason() == "busy: version 1 is being written here"
+        and operator.publisher.publication is None
+    )
+    assert operator.publisher.result.startswith(
+        "version 1 is"
+    )  # which whoever published it still waits to read
+    operator.persisted(2.0, keep.token)
+    following = content(2, operator.content_id)
+    operator.publish(3.0, write(following))
+    assert operator.publisher.result == "open" and operator.publisher.publication.proposer.number == 2
+    assert operator.publisher.busy_reason() == "busy: a publication is under way here"
 
 
 @pytest.mark.parametrize(
@@ -411,25 +454,27 @@
 def test_a_publication_whose_number_another_agreed_on_is_over_at_once(mine, number, result):
     # Its voters vote on that number no more: it stood in the way of the next for 40 periods.
     operator, data = versions("a"), write(content())
-    operator.publish(0.0, content(), data)
+    operator.publish(0.0, data)
     other = data if mine else write(content(number, settings={"x": 9}))
-    operator.contents[digest(other)] = other
-    keep = operator.told(1.0, "b", told(0, number=number, id=digest(other)))[-1]
-    assert operator.result == "open"
-    operator.kept(2.0, keep.token)
-    assert operator.publication is None and operator.result.startswith(result)
-    following = content(number + 1, operator.id)
-    operator.publish(3.0, following, write(following))
-    assert operator.result == "open" and operator.publication.proposer.number == number + 1
+    operator.store.contents[digest(other)] = other
+    keep = operator.receive_status(1.0, "b", told(0, number=number, id=digest(other)))[-1]
+    assert operator.publisher.result == "open"
+    operator.persisted(2.0, keep.token)
+    assert operator.publisher.publication is None and operator.publisher.result.startswith(result)
+    following = content(number + 1, operator.content_id)
+    operator.publish(3.0, write(following))
+    assert (
+        operator.publisher.result == "open" and operator.publisher.publication.proposer.number == number + 1
+    )
 
 
 def test_a_repeat_is_answered_only_once_the_first_is_on_the_disk():
     machine = versions("b")
     prepare = VoteMessage("prepare", 1, 1, "a/1")
-    (keep,) = machine.asked_to_vote(0.0, "a", prepare)
-    assert machine.asked_to_vote(0.0, "a", prepare) == []
-    assert [type(e) for e in machine.kept(1.0, keep.token)] == [SendMessage]
-    assert [type(e) for e in machine.asked_to_vote(1.0, "a", prepare)] == [SendMessage]
+    (keep,) = machine.voter.receive_request(0.0, "a", prepare)
+    assert machine.voter.receive_request(0.0, "a", prepare) == []
+    assert [type(e) for e in machine.persisted(1.0, keep.token)] == [SendMessage]
+    assert [type(e) for e in machine.voter.receive_request(1.0, "a", prepare)] == [SendMessage]
 
 
 # What comes from the wire.
@@ -461,7 +506,7 @@
     ),
     st.builds(
         VoteMessage,
-        st.sampled_from(messages.VOTES),
+        st.sampled_from(list(messages.KINDS_BY_VOTE)),
         NUMBERS,
         NUMBERS,
         PLACES,
@@ -478,23 +523,27 @@
 @given(st.lists(st.tuples(st.sampled_from("bcg"), SAYS, st.booleans()), max_size=60))
 def test_whatever_members_say_no_content_is_made_up_and_memory_is_bounded(notes):
     machine, now = versions("a"), 0.0
-    machine.publish(0.0, content(), write(content()))
+    machine.publish(0.0, write(content()))
     for sender, say, durable in notes:
         now += 100.0
-        effects = machine.heard(now, sender, say) + machine.tick(now)
+        effects = machine.receive(now, sender, say) + machine.tick(now)
         for effect in effects:
             if type(effect) is Persist and durable:
-                effects += machine.kept(now, effect.token)
+                effects += machine.persisted(now, effect.token)
         assert not [e for e in effects if type(e) is ApplyContent]  # no content of theirs is whole
-        machine.stand(now)
-    assert len(machine.contents) <= 10 and len(machine.fetches) <= 3 and len(machine.accepts) <= 3
+        machine.serving.evaluate(now)
+    assert (
+        len(machine.store.contents) <= 10
+        and len(machine.fetcher.fetches) <= 3
+        and len(machine.voter.awaiting_content) <= 3
+    )
 
 
 def test_questions_about_contents_that_do_not_come_are_bounded():
     machine = versions("b")
     for i in range(40):
-        machine.heard(0.0, "a", VoteMessage("accept", 1, i, "a/1", value=digest(b"%d" % i)))
-    assert len(machine.accepts) == len(machine.fetches) == 3
+        machine.receive(0.0, "a", VoteMessage("accept", 1, i, "a/1", value=digest(b"%d" % i)))
+    assert len(machine.voter.awaiting_content) == len(machine.fetcher.fetches) == 3
 
 
 @pytest.mark.parametrize(
@@ -520,8 +569,8 @@
 
 def test_the_digest_of_meaning_is_of_what_counts():
     one = {"b": 1, "a": [{"x": 2.0}], "zone": "z", "_why": "this"}
-    assert meaning(one) == meaning({"a": [{"x": 2, "//": "that"}], "b": 1.0, "zone": "y"})
-    assert meaning(one) != meaning({"b": 1, "a": [{"x": 3}]})
+    assert settings_digest(one) == settings_digest({"a": [{"x": 2, "//": "that"}], "b": 1.0, "zone": "y"})
+    assert settings_digest(one) != settings_digest({"b": 1, "a": [{"x": 3}]})
 
 
 @pytest.mark.parametrize(
@@ -817,8 +866,8 @@
     changed = dict(OPTIONS) | {"note": 1}
     status, text = first.publish(json.dumps({"settings": changed, "why": "try"}).encode())
     assert status == 202, text
-    until(lambda: all(peers.acting.machine.acting == 1 for peers, _ in fleet.values()))
-    assert all(meaning(stage.settings) == meaning(changed) for _, stage in fleet.values())
+    until(lambda: all(peers.acting.machine.applied_number == 1 for peers, _ in fleet.values()))
+    assert all(settings_digest(stage.settings) == settings_digest(changed) for _, stage in fleet.values())
     assert first.publish(json.dumps({"settings": changed, "why": "again"}).encode())[0] == 409
     said = json.loads(fleet["b"][0].status())["acting"]
     assert (said["acting"], said["serving"], said["local"]) == (1, True, False)
@@ -853,8 +902,8 @@
     def publish(number, teams):
         body = {"settings": OPTIONS | {"teams": teams}, "why": f"change {number}"}
         assert first.publish(json.dumps(body).encode())[0] == 202
-        until(lambda: all(peers.acting.machine.acting == number for peers, _ in fleet.values()))
-        until(lambda: not first.machine.publication)
+        until(lambda: all(peers.acting.machine.applied_number == number for peers, _ in fleet.values()))
+        until(lambda: not first.machine.publisher.publication)
 
     publish(1, rows)
     for number in (2, 3):
@@ -863,9 +912,9 @@
     for name in "bc":
         assert told[name]["contents"]["whole"] == 1 and told[name]["contents"]["chains"] == 2
         machine = fleet[name][0].acting.machine
-        assert digest(machine.contents[machine.id]) == machine.id
+        assert digest(machine.store.contents[machine.content_id]) == machine.content_id
         assert fleet[name][1].settings["teams"]["team-7"]["quota"] == 1003
-        assert told[name]["meaning"] == meaning(fleet[name][1].settings)
+        assert told[name]["meaning"] == settings_digest(fleet[name][1].settings)
     # What is on the disk is the whole, and a restart begins with it.
     kept = LedgerWriter(Disk(tmp_path / "b"), "b").load()
     assert read(kept.contents[kept.held.id], frozenset("abc")).settings["teams"]["team-7"]["quota"] == 1003
@@ -894,7 +943,7 @@
 )
 def test_what_cannot_be_published_is_refused_at_once(fleet, body, what):
     status, text = fleet["a"][0].acting.publish(body)
-    assert status == 400 and what in text and fleet["a"][0].acting.machine.publication is None
+    assert status == 400 and what in text and fleet["a"][0].acting.machine.publisher.publication is None
     fleet["a"][1].fault = "settings.dcs: 3, expected a list of names"
     status, text = fleet["a"][0].acting.publish(b'{"settings": {}, "why": "w"}')
     assert status == 400 and "settings.dcs" in text
@@ -979,7 +1028,7 @@
 ):
     start, stop, path = single
     node = start()
-    turned(node, lambda: node.acting.stood.acts)
+    turned(node, lambda: node.acting.stood.is_serving)
     settings = json.loads(json.dumps(OPTIONS))
     settings["requestClasses"][0]["aimUs"] = 777000.0
     node.acting.publish(json.dumps({"settings": settings, "why": "slower"}).encode())
@@ -991,16 +1040,16 @@
     node = start()
     assert (
         node.config.deployment.settings.request_classes[0].latency_objective_ms == 777.0
-        and node.acting.machine.acting == 1
+        and node.acting.machine.applied_number == 1
     )
 
 
 def test_a_node_that_is_shut_out_stays_out_whatever_another_door_says(single):
     start, _, _ = single
     node = start()
-    turned(node, lambda: node.acting.stood.acts)
+    turned(node, lambda: node.acting.stood.is_serving)
     node.acting.by_hand("sick")
-    turned(node, lambda: not node.acting.stood.acts)
+    turned(node, lambda: not node.acting.stood.is_serving)
     assert not node.ready() and node.outs == {"fleet"}
     assert node.enter_service("operator")[1].startswith("still out of service by fleet")
 
@@ -1016,16 +1065,16 @@
     )
     new.load()
     new.begin()
-    assert new.beside and not new.stood.acts
-    new.proved(0, "", 1000.0 * loop.clock.zero + old.machine.proof_ms)
-    assert new.stood.acts and not new.machine.votes(1)
+    assert new.beside and not new.stood.is_serving
+    new.proved(0, "", 1000.0 * loop.clock.zero + old.machine.lease.proof_ms)
+    assert new.stood.is_serving and not new.machine.voter.may_vote(1)
     for acting in (old, new, new):
         acting.count(0)
     until(lambda: not new.flying and not new.dirty)
     old.close()
     os.close(old.pages.lock)
     until(lambda: new.main is None)
-    assert new.machine.votes(1)
+    assert new.machine.voter.may_vote(1)
     new.count(0)
     until(lambda: new.pages.serves() and not new.unsaid)
     new.close()
@@ -1071,8 +1120,8 @@
     fleet["d"] = MembershipService(loop, Log("d", loop.now), joining, "d", 4, stage.port()), stage
     fleet["d"][0].acting.load()
     fleet["d"][0].acting.begin()
-    until(lambda: stage.serving and fleet["d"][0].acting.machine.acting == 1)
-    until(lambda: not a.acting.machine.publication)
+    until(lambda: stage.serving and fleet["d"][0].acting.machine.applied_number == 1)
+    until(lambda: not a.acting.machine.publisher.publication)
     assert publish(members={n: x for n, x in members.items() if n != "d"}, why="too many")[0] == 202
     until(lambda: all("d" not in peers.machine.members for n, (peers, _) in fleet.items() if n != "d"))
     until(lambda: fleet["d"][0].acting.stood.code == "removed" and not stage.serving)
@@ -1110,11 +1159,11 @@
     own = path.with_name("own.toml")
     own.write_text(own.read_text().replace('voters = ["n"]', 'voters = ["n"]\nlocal = "allow"'))
     node = start()
-    turned(node, lambda: node.acting.stood.acts)
+    turned(node, lambda: node.acting.stood.is_serving)
     settings = json.loads(json.dumps(OPTIONS))
     settings["requestClasses"][0]["aimUs"] = 777000.0
     node.acting.publish(json.dumps({"settings": settings, "why": "slower"}).encode())
-    turned(node, lambda: node.acting.machine.acting == 1)
+    turned(node, lambda: node.acting.machine.applied_number == 1)
     before = node.acting.interval.interval
     node.reload()
     node.acting.look()
@@ -1138,21 +1187,25 @@
     # They may have no say any more: what they did not accept others may have.
     machine = versions("a")
     data = write(content(format=FORMAT + 1))
-    machine.contents[digest(data)] = data
-    keep = machine.learn(0.0, 1, digest(data))[-1]
-    machine.kept(0.0, keep.token)
-    assert machine.number == 1 and machine.unfit and not machine.votes(2)
+    machine.store.contents[digest(data)] = data
+    keep = machine.hold_durably(1, digest(data))[-1]
+    machine.persisted(0.0, keep.token)
+    assert machine.number == 1 and machine.unusable_reason and not machine.voter.may_vote(2)
     machine.tick(machine.next_ms)
     for name in "bc":
-        machine.told(machine.next_ms, name, told(machine.seq, number=1, id=machine.id, accepted=1))
-    assert machine.proof_ms == -inf
+        machine.receive_status(
+            machine.next_ms,
+            name,
+            told(machine.lease.last_sequence, number=1, id=machine.content_id, accepted=1),
+        )
+    assert machine.lease.proof_ms == -inf
 
 
 def test_a_strict_node_that_starts_with_a_version_it_cannot_use_is_out_from_the_start():
     data = write(content())
     kept = RecoveredLog(begun=True, held=VersionHeld(1, digest(data)), contents={digest(data): data})
     machine = versions("d", kept, check=lambda c: "key: what was expected")
-    assert machine.stand(0.0) == (False, False, "unfit")
+    assert machine.serving.evaluate(0.0) == (False, False, "unfit")
 
 
 def test_that_a_node_was_brought_back_outlives_a_new_file(folder):
--- a/tests/test_wire_samples.py
+++ b/tests/test_wire_samples.py
@@ -43,7 +43,7 @@
 
 
 def test_notes_are_counted_under_the_same_numbers():
-    kinds = [int(messages.kind_of(note.say)) for note in wire_samples.notes()]
+    kinds = [int(messages.kind_of(note.message)) for note in wire_samples.notes()]
     assert kinds == [11, 12, 18, 19, 13, 14, 15, 16, 17]
 
 
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -81,11 +81,11 @@
                 value=DIGEST,
                 why="a reason",
             )
-            for kind in messages.VOTES
+            for kind in messages.KINDS_BY_VOTE
         ),
     ]
     for said in says_all:
-        yield messages.ReplicationDatagram(version=messages.VERSION, fleet="f", sender="n1", say=said)
+        yield messages.ReplicationDatagram(version=messages.VERSION, fleet="f", sender="n1", message=said)
 
 
 def handover_lines():
