--- /dev/null
+++ b/marlseam/net/node_ledger.py
@@ -0,0 +1,103 @@
+"""The ledger of a node, which two processes of it may want at once, as in an upgrade.
+
+The later process writes to a ledger beside the main one until the earlier has left that; only then may it
+vote, as only the main ledger has the node's memory of votes.
+"""
+
+import contextlib
+import errno
+from collections.abc import Callable
+from pathlib import Path
+
+from marlseam.cluster.audit_log import RecoveredLog
+from marlseam.net.ledger_client import LedgerClient
+from marlseam.net.log import Log
+from marlseam.net.loop import Loop
+from marlseam.store.ledger_writer import BESIDE, LedgerWriter
+from marlseam.store.log_writer_client import LOCK_S
+from marlseam.store.state_directory import Disk
+
+OnRecovered = Callable[[RecoveredLog], None]
+
+
+class NodeLedger:
+    """Where a process writes.
+
+    Attributes:
+        current: the ledger that it writes to.
+        main: the node's ledger, while another process of the node has it; else None.
+        on_recovered: called with what was read, before anything is written.
+        on_moved: called with what the main ledger holds, once this process writes there.
+
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        log: Log,
+        folder: Path,
+        name: str,
+        on_recovered: OnRecovered,
+        on_moved: OnRecovered,
+    ) -> None:
+        """Make one for a member's ledger in a folder; nothing is read yet."""
+        self.loop, self.log, self.folder, self.name = loop, log, folder, name
+        self.on_recovered, self.on_moved = on_recovered, on_moved
+        self.current = LedgerClient(loop, log, folder, name, on_recovered)
+        self.main: LedgerClient | None = None
+
+    def load(self, may_write_beside: bool) -> bool:
+        """Read the ledger; return whether it could be had at once.
+
+        Where another process has it, read and write beside it if that is allowed.
+        """
+        error = self.current.try_load(0.0 if may_write_beside else LOCK_S)
+        if error is None:
+            return True
+        if error.errno == errno.EAGAIN and may_write_beside and self.write_beside_main():
+            return True
+        self.current.report(error)
+        return False
+
+    def write_beside_main(self) -> bool:
+        """Write beside the main ledger, which an old process of this node has; return whether that can be."""
+        self.main = LedgerClient(self.loop, self.log, self.folder, self.name, self.move_to_main)
+        self.current = LedgerClient(self.loop, self.log, self.folder / BESIDE, self.name, self.on_recovered)
+        try:
+            self.current.take_lock()
+            self.current.load(report_findings=False)
+            self.current.told_lost = True  # it never had a memory of votes
+        except OSError:
+            return False
+        self.log.line("fleet: another process has the ledger, writes beside it until that has ended")
+        return True
+
+    def start(self) -> None:
+        """Begin to write, and to wait for the main ledger where another process has it."""
+        self.current.begin()
+        if self.main is not None:
+            self.main.begin()
+
+    def move_to_main(self, recovered: RecoveredLog) -> None:
+        """Go on in the main ledger, which the old process has left."""
+        if self.main is None:
+            return
+        beside, self.current, self.main = self.current, self.main, None
+        self.on_moved(recovered)
+        beside.leave()
+        self.log.line("fleet: has the ledger now")
+
+    def merge_other(self, recovered: RecoveredLog) -> RecoveredLog:
+        """Add what this node's other ledger holds: the later version, the later override by an operator."""
+        other = self.main.path if self.main is not None else self.current.path / BESIDE
+        if not other.exists():
+            return recovered
+        with contextlib.suppress(OSError):
+            found = LedgerWriter(Disk(other), self.name).load()
+            held = recovered.held
+            if found.held is not None and (held is None or found.held.number > held.number):
+                recovered.held = found.held
+                recovered.contents |= found.contents
+            if found.handed_ms > recovered.handed_ms:
+                recovered.hand, recovered.handed_ms = found.hand, found.handed_ms
+        return recovered
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -66,6 +66,7 @@
 from marlseam.cluster.replication.voting import Voter
 from marlseam.configuration import ClusterSettings, ConfigError, load
 from marlseam.experiment.versions import up_after
+from marlseam.net.action_ledger import Action
 from marlseam.net.config_service import ConfigServicePort, ConfigVersionService
 from marlseam.net.log import Log
 from marlseam.net.membership_service import MembershipService
@@ -848,25 +849,25 @@
         stage = Stage()
         found[name] = MembershipService(loop, Log(name, loop.now), settings, name, i, stage.port()), stage
         found[name][0].acting.load()
-        found[name][0].acting.begin()
+        found[name][0].acting.start()
     yield found
     for peers, _ in found.values():
         peers.close()
-        os.close(peers.acting.pages.lock)
+        os.close(peers.acting.ledger.lock)
 
 
 def test_three_nodes_agree_on_a_version_act_on_it_and_say_so_in_their_ledgers(fleet, until, tmp_path):
     until(lambda: all(stage.serving for _, stage in fleet.values()))
     first = fleet["a"][0].acting
-    assert first.may_take()
-    first.count(0)
-    order = first.order()
-    assert order.goes() == first.stamp != ""
-    order.went()
+    assert first.may_accept()
+    first.actions.count(Action.TAKEN)
+    order = first.stamp_attempt()
+    assert order.stamp_if_serving() == first.actions.stamp != ""
+    order.record_sent()
     changed = dict(OPTIONS) | {"note": 1}
     status, text = first.publish(json.dumps({"settings": changed, "why": "try"}).encode())
     assert status == 202, text
-    until(lambda: all(peers.acting.machine.applied_number == 1 for peers, _ in fleet.values()))
+    until(lambda: all(peers.acting.replica.applied_number == 1 for peers, _ in fleet.values()))
     assert all(settings_digest(stage.settings) == settings_digest(changed) for _, stage in fleet.values())
     assert first.publish(json.dumps({"settings": changed, "why": "again"}).encode())[0] == 409
     said = json.loads(fleet["b"][0].status())["acting"]
@@ -902,8 +903,8 @@
     def publish(number, teams):
         body = {"settings": OPTIONS | {"teams": teams}, "why": f"change {number}"}
         assert first.publish(json.dumps(body).encode())[0] == 202
-        until(lambda: all(peers.acting.machine.applied_number == number for peers, _ in fleet.values()))
-        until(lambda: not first.machine.publisher.publication)
+        until(lambda: all(peers.acting.replica.applied_number == number for peers, _ in fleet.values()))
+        until(lambda: not first.replica.publisher.publication)
 
     publish(1, rows)
     for number in (2, 3):
@@ -911,7 +912,7 @@
     told = {name: json.loads(peers.status())["acting"] for name, (peers, _) in fleet.items()}
     for name in "bc":
         assert told[name]["contents"]["whole"] == 1 and told[name]["contents"]["chains"] == 2
-        machine = fleet[name][0].acting.machine
+        machine = fleet[name][0].acting.replica
         assert digest(machine.store.contents[machine.content_id]) == machine.content_id
         assert fleet[name][1].settings["teams"]["team-7"]["quota"] == 1003
         assert told[name]["meaning"] == settings_digest(fleet[name][1].settings)
@@ -924,10 +925,14 @@
     until(lambda: all(stage.serving for _, stage in fleet.values()))
     acting, stage = fleet["a"][0].acting, fleet["a"][1]
     for name in "bc":
-        fleet[name][0].acting.machine.next_ms = inf
+        fleet[name][0].acting.replica.next_ms = inf
         fleet[name][0].send = fleet[name][0].acting.send = lambda to, data: None
-    until(lambda: not acting.may_take())
-    assert acting.order().goes() == "" and stage.serving is False and acting.stood.code == "unproved"
+    until(lambda: not acting.may_accept())
+    assert (
+        acting.stamp_attempt().stamp_if_serving() == ""
+        and stage.serving is False
+        and acting.serving_status.code == "unproved"
+    )
 
 
 @pytest.mark.parametrize(
@@ -943,7 +948,7 @@
 )
 def test_what_cannot_be_published_is_refused_at_once(fleet, body, what):
     status, text = fleet["a"][0].acting.publish(body)
-    assert status == 400 and what in text and fleet["a"][0].acting.machine.publisher.publication is None
+    assert status == 400 and what in text and fleet["a"][0].acting.replica.publisher.publication is None
     fleet["a"][1].fault = "settings.dcs: 3, expected a list of names"
     status, text = fleet["a"][0].acting.publish(b'{"settings": {}, "why": "w"}')
     assert status == 400 and "settings.dcs" in text
@@ -952,10 +957,10 @@
 def test_an_operators_word_shuts_a_node_out_and_back(fleet, until):
     acting, stage = fleet["a"][0].acting, fleet["a"][1]
     until(lambda: stage.serving)
-    assert acting.by_hand("sick")[0] == 202 and acting.by_hand("")[0] == 400
+    assert acting.override_by_operator("sick")[0] == 202 and acting.override_by_operator("")[0] == 400
     until(lambda: stage.serving is False)
     assert acting.status()["code"] == "hand"
-    acting.by_hand(None)
+    acting.override_by_operator(None)
     until(lambda: stage.serving)
 
 
@@ -1008,7 +1013,7 @@
         node.busy = True
         node.peers.close()
         node.loop.finish()
-        os.close(node.acting.pages.lock)
+        os.close(node.acting.ledger.lock)
 
     yield start, stop, path
     for node in made[-1:]:
@@ -1028,7 +1033,7 @@
 ):
     start, stop, path = single
     node = start()
-    turned(node, lambda: node.acting.stood.is_serving)
+    turned(node, lambda: node.acting.serving_status.is_serving)
     settings = json.loads(json.dumps(OPTIONS))
     settings["requestClasses"][0]["aimUs"] = 777000.0
     node.acting.publish(json.dumps({"settings": settings, "why": "slower"}).encode())
@@ -1040,16 +1045,16 @@
     node = start()
     assert (
         node.config.deployment.settings.request_classes[0].latency_objective_ms == 777.0
-        and node.acting.machine.applied_number == 1
+        and node.acting.replica.applied_number == 1
     )
 
 
 def test_a_node_that_is_shut_out_stays_out_whatever_another_door_says(single):
     start, _, _ = single
     node = start()
-    turned(node, lambda: node.acting.stood.is_serving)
-    node.acting.by_hand("sick")
-    turned(node, lambda: not node.acting.stood.is_serving)
+    turned(node, lambda: node.acting.serving_status.is_serving)
+    node.acting.override_by_operator("sick")
+    turned(node, lambda: not node.acting.serving_status.is_serving)
     assert not node.ready() and node.outs == {"fleet"}
     assert node.enter_service("operator")[1].startswith("still out of service by fleet")
 
@@ -1061,24 +1066,24 @@
     old, port = peers.acting, stage.port()
     port.beside = True
     new = ConfigVersionService(
-        loop, Log("new", loop.now), peers.settings, "a", old.life + 1, 9, port, lambda to, data: None
+        loop, Log("new", loop.now), peers.settings, "a", old.incarnation + 1, 9, port, lambda to, data: None
     )
     new.load()
-    new.begin()
-    assert new.beside and not new.stood.is_serving
-    new.proved(0, "", 1000.0 * loop.clock.zero + old.machine.lease.proof_ms)
-    assert new.stood.is_serving and not new.machine.voter.may_vote(1)
+    new.start()
+    assert new.is_beside and not new.serving_status.is_serving
+    new.receive_proof(0, "", 1000.0 * loop.clock.zero + old.replica.lease.proof_ms)
+    assert new.serving_status.is_serving and not new.replica.voter.may_vote(1)
     for acting in (old, new, new):
-        acting.count(0)
-    until(lambda: not new.flying and not new.dirty)
+        acting.actions.count(Action.TAKEN)
+    until(lambda: not new.actions.pending_counts and not new.actions.changed_intervals)
     old.close()
-    os.close(old.pages.lock)
-    until(lambda: new.main is None)
-    assert new.machine.voter.may_vote(1)
-    new.count(0)
-    until(lambda: new.pages.serves() and not new.unsaid)
+    os.close(old.ledger.lock)
+    until(lambda: new.node_ledger.main is None)
+    assert new.replica.voter.may_vote(1)
+    new.actions.count(Action.TAKEN)
+    until(lambda: new.ledger.serves() and not new.actions.pending_records)
     new.close()
-    old.pages.lock, new.pages.lock = new.pages.lock, None
+    old.ledger.lock, new.ledger.lock = new.ledger.lock, None
     found = ledgers.read([tmp_path / "a"], 50.0)
     assert found.wrong == [] and [lived.ended for lived in found.lives["a"]] == [True, True]
     assert [sum(s.acts[0] for s in lived.spans.values()) for lived in found.lives["a"]] == [1, 3]
@@ -1090,9 +1095,9 @@
         loop, Log("twin", loop.now), peers.settings, "a", 9, 9, stage.port(), lambda to, data: None
     )
     twin.load()
-    twin.begin()
-    assert not twin.may_take() and "code=locked" in capsys.readouterr().err
-    twin.pages.leave()
+    twin.start()
+    assert not twin.may_accept() and "code=locked" in capsys.readouterr().err
+    twin.ledger.leave()
 
 
 def test_members_come_and_go_by_publishing_one_at_a_time(fleet, loop, until, tmp_path):
@@ -1119,12 +1124,12 @@
     stage = Stage()
     fleet["d"] = MembershipService(loop, Log("d", loop.now), joining, "d", 4, stage.port()), stage
     fleet["d"][0].acting.load()
-    fleet["d"][0].acting.begin()
-    until(lambda: stage.serving and fleet["d"][0].acting.machine.applied_number == 1)
-    until(lambda: not a.acting.machine.publisher.publication)
+    fleet["d"][0].acting.start()
+    until(lambda: stage.serving and fleet["d"][0].acting.replica.applied_number == 1)
+    until(lambda: not a.acting.replica.publisher.publication)
     assert publish(members={n: x for n, x in members.items() if n != "d"}, why="too many")[0] == 202
     until(lambda: all("d" not in peers.machine.members for n, (peers, _) in fleet.items() if n != "d"))
-    until(lambda: fleet["d"][0].acting.stood.code == "removed" and not stage.serving)
+    until(lambda: fleet["d"][0].acting.serving_status.code == "removed" and not stage.serving)
     assert a.machine.heard(loop.now(), LETTER) == []
 
 
@@ -1159,15 +1164,15 @@
     own = path.with_name("own.toml")
     own.write_text(own.read_text().replace('voters = ["n"]', 'voters = ["n"]\nlocal = "allow"'))
     node = start()
-    turned(node, lambda: node.acting.stood.is_serving)
+    turned(node, lambda: node.acting.serving_status.is_serving)
     settings = json.loads(json.dumps(OPTIONS))
     settings["requestClasses"][0]["aimUs"] = 777000.0
     node.acting.publish(json.dumps({"settings": settings, "why": "slower"}).encode())
-    turned(node, lambda: node.acting.machine.applied_number == 1)
-    before = node.acting.interval.interval
+    turned(node, lambda: node.acting.replica.applied_number == 1)
+    before = node.acting.actions.interval.interval
     node.reload()
-    node.acting.look()
-    assert node.acting.status()["local"] and node.acting.interval.interval == before + 1
+    node.acting.refresh()
+    assert node.acting.status()["local"] and node.acting.actions.interval.interval == before + 1
 
 
 @pytest.mark.parametrize(
