--- a/marlseam/cluster/audit_log.py
+++ b/marlseam/cluster/audit_log.py
@@ -1,48 +1,57 @@
-"""What a node of a fleet writes down of itself, append-only and chained by digest; pure.
+"""What a node writes down of itself in its ledger, append-only and chained by digest; pure.
 
-Each record is an entry behind the digest of the record before it, over all files, so that none can be left
-out, changed or put in another's place unseen. An act (a taking, an attempt, an answer, a refusal) lies
-in one interval of one life: from one `Acting` to the next. `Mark` counts acts by interval, as a whole: a
-later one of the same interval stands for the earlier ones. What came after a killed life's last mark is not
-known.
+Each record stands behind the digest of the record before it, over all files, so that none can be left out,
+changed or put in another's place unseen. An action (a request accepted, an attempt sent, a response, a
+rejection) lies in one interval of one process: from one `IntervalBegun` to the next. `ActionCounts` counts
+actions by interval, as a whole: later counts of an interval replace earlier ones. What came after the last
+counts of a process that was killed is not known.
+
+Times in `wall_ms` are Unix ms, those in `mono_ms` are ms of the process's own clock.
 """
 
 import hashlib
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import msgspec
 
 from marlseam.cluster.replication.paxos import NO_BALLOT, AcceptorState
 
-CHAIN = 16  # bytes of a digest in the chain
-START = b"\0" * CHAIN
-ACTS = ("taken", "sent", "answered", "refused")
+DIGEST_BYTES = 16  # of a digest in the chain
+START = b"\0" * DIGEST_BYTES  # what the first record stands behind
+ACTS = ("taken", "sent", "answered", "refused")  # what is counted, as operators read it
 
 
 class FirstLifeBegun(msgspec.Struct, tag="begun", array_like=True, frozen=True):
-    """A first life's memory: whatever is not in it has not happened (Unix ms)."""
+    """A node's first ledger: whatever is not in it has not happened."""
 
     wall_ms: float
 
 
 class FileOpened(msgspec.Struct, tag="opened", array_like=True, frozen=True):
-    """A file begins, with this number in its file system."""
+    """A file begins, with this number in its file system: a copy of it has another."""
 
     inode: int
 
 
 class BatchWritten(msgspec.Struct, tag="written", array_like=True, frozen=True):
-    """What came together was written at this Unix time."""
+    """The records up to here were written together."""
 
     wall_ms: float
 
 
 class ProcessStarted(msgspec.Struct, tag="life", array_like=True, frozen=True):
-    """A process begins: its number, program, start of the machine, Unix time and its own clock, in ms.
+    """A process begins.
+
+    Attributes:
+        life: its incarnation.
+        program: the program's version.
+        boot: the start of the machine that it runs on.
+        lease_ms: for how long after a newer version was chosen it may act on an older one as proven.
+        beside: whether another process of the node may go on, as in an upgrade.
+        zero_ms: the Unix time of the machine's start: it makes times of one machine comparable.
 
-    And for how long after a newer version was chosen it may act on an older one as proved; `beside` another
-    process of the node, as in an upgrade.
     """
 
     life: int
@@ -52,15 +61,22 @@
     mono_ms: float
     lease_ms: float
     beside: bool = False
-    zero_ms: float = 0.0  # its Unix time at that start: it makes times of one machine comparable
+    zero_ms: float = 0.0
 
 
 class IntervalBegun(msgspec.Struct, tag="acting", array_like=True, frozen=True):
-    """From here on acts stand on this: an interval begins.
+    """An interval begins: from here on actions stand on this.
+
+    Attributes:
+        life, program: as of `ProcessStarted`.
+        interval: its number in the process, from 1 on.
+        number, id: the version acted on, and its content's id ("" where a later one is held).
+        meaning: the digest of the settings in force, another than the version's where a file of the node's
+            own was let in.
+        listed: the number of the endpoint list.
+        proved: whether the version is proven to be in force.
+        serving, code: whether the node serves, and what is wrong.
 
-    `number` and `id` of the fleet's version, `meaning` of the settings in force (another than the version's
-    where a file of the node's own was let in), the roster's list, whether the version is proved to be in
-    force, whether the node is in service, and why it is not or what else is amiss.
     """
 
     life: int
@@ -78,7 +94,7 @@
 
 
 class ActionCounts(msgspec.Struct, tag="mark", array_like=True, frozen=True):
-    """Acts so far of some intervals: (interval, taken, sent, answered, refused)."""
+    """Counts of some intervals so far: (interval, taken, sent, answered, refused)."""
 
     life: int
     rows: list[tuple[int, int, int, int, int]]
@@ -87,7 +103,7 @@
 
 
 class ProcessEnded(msgspec.Struct, tag="ended", array_like=True, frozen=True):
-    """A life ended by itself: its marks are whole."""
+    """A process ended by itself: its counts are complete."""
 
     life: int
     wall_ms: float
@@ -95,7 +111,7 @@
 
 
 class AcceptorPromise(msgspec.Struct, tag="promised", array_like=True, frozen=True):
-    """What was promised, and accepted, for a number."""
+    """The acceptor's state for a number; `value` is "" where nothing was accepted."""
 
     number: int
     round: int
@@ -106,14 +122,14 @@
 
 
 class ContentStored(msgspec.Struct, tag="stored", array_like=True, frozen=True):
-    """A content."""
+    """A content's bytes, by its id."""
 
     id: str
     data: bytes
 
 
 class VersionHeld(msgspec.Struct, tag="held", array_like=True, frozen=True):
-    """A number and its content are held (Unix ms, 0 where not told)."""
+    """A version and its content are held; `wall_ms` is 0 where not told."""
 
     number: int
     id: str
@@ -121,13 +137,13 @@
 
 
 class VotesBarred(msgspec.Struct, tag="barred", array_like=True, frozen=True):
-    """No vote on numbers up to this: memory of them was lost. -1: it is not known up to which."""
+    """No vote on numbers up to this, as memory of them was lost; -1 where it is not known up to which."""
 
     number: int
 
 
 class OperatorOverride(msgspec.Struct, tag="handed", array_like=True, frozen=True):
-    """An operator shut the node out or brought it back."""
+    """An operator shut the node out of service, or brought it back."""
 
     out: bool
     why: str
@@ -148,101 +164,184 @@
     | VotesBarred
     | OperatorOverride
 )
-ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(LogRecord)
+ENCODER = msgspec.msgpack.Encoder()
+DECODER: msgspec.msgpack.Decoder[LogRecord] = msgspec.msgpack.Decoder(LogRecord)
 encode = ENCODER.encode
 
 
-def linked(before: bytes, entry: bytes) -> tuple[bytes, bytes]:
-    """Return an entry's record behind the digest of the one before, and its own digest."""
-    record = before + entry
-    return record, hashlib.sha256(record).digest()[:CHAIN]
+class InvalidRecordError(ValueError):
+    """Bytes that are no record; the text says why."""
+
+
+class ChainedRecord(NamedTuple):
+    """A record's bytes behind the digest of the one before, and its own digest."""
+
+    data: bytes
+    digest: bytes
+
+
+class ParsedRecord(NamedTuple):
+    """The digest that a record stands behind, and the record."""
+
+    before: bytes
+    record: LogRecord
 
 
-def unlinked(record: bytes) -> tuple[bytes, LogRecord]:
-    """Return the digest that a record stands behind, and its entry; raises ValueError."""
-    if len(record) <= CHAIN:
-        raise ValueError("too short")
+def chain_record(before: bytes, encoded: bytes) -> ChainedRecord:
+    """Return an encoded record behind the digest of the one before."""
+    data = before + encoded
+    return ChainedRecord(data, hashlib.sha256(data).digest()[:DIGEST_BYTES])
+
+
+def parse_record(data: bytes) -> ParsedRecord:
+    """Return a chained record; raises InvalidRecordError."""
+    if len(data) <= DIGEST_BYTES:
+        raise InvalidRecordError("too short")
     try:
-        return record[:CHAIN], DECODER.decode(record[CHAIN:])
+        return ParsedRecord(data[:DIGEST_BYTES], DECODER.decode(data[DIGEST_BYTES:]))
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise ValueError(str(error)) from None
+        raise InvalidRecordError(str(error)) from None
 
 
 @dataclass
 class RecoveredLog:
-    """What entries add up to: what a node begins with."""
+    """What a ledger's records add up to: what a node begins with.
+
+    Attributes:
+        held: the version held.
+        contents: the bytes of contents, by id.
+        promises: the acceptor's state, by version number.
+        votes_barred_up_to: votes on no number up to it; None: on none until it is known.
+        operator_override: why an operator shut the node out; None where none did.
+        override_ms: when an operator last shut it out or brought it back, 0 for never.
+        process: the last process.
+        interval: its last interval.
+        ended: whether the last process ended by itself, or there was none.
+        begun: whether the ledger goes back to the node's first.
+        wall_ms: when the last record that tells it was written.
+
+    """
 
     held: VersionHeld | None = None
     contents: dict[str, bytes] = field(default_factory=dict)
     promises: dict[int, AcceptorState] = field(default_factory=dict)
-    bar: int | None = 0  # None: it is not known on which numbers it may not vote
-    hand: str | None = None
-    handed_ms: float = 0.0
-    life: ProcessStarted | None = None
-    acting: IntervalBegun | None = None
+    votes_barred_up_to: int | None = 0
+    operator_override: str | None = None
+    override_ms: float = 0.0
+    process: ProcessStarted | None = None
+    interval: IntervalBegun | None = None
     ended: bool = True
     begun: bool = False
-    wall_ms: float = 0.0  # when the last entry that tells it was written
+    wall_ms: float = 0.0
 
-    def take(self, entry: LogRecord) -> None:
-        """Take in an entry."""
-        match entry:
+    def apply(self, record: LogRecord) -> None:
+        """Take in the next record."""
+        match record:
             case FirstLifeBegun():
                 self.begun = True
             case ProcessStarted():
-                self.life, self.acting, self.ended = entry, None, False
+                self.process, self.interval, self.ended = record, None, False
             case IntervalBegun():
-                self.acting = entry
+                self.interval = record
             case ProcessEnded():
                 self.ended = True
+            case _:
+                self.apply_vote_record(record)
+        self.wall_ms = getattr(record, "wall_ms", 0.0) or self.wall_ms
+        self.prune()
+
+    def apply_vote_record(self, record: LogRecord) -> None:
+        """Take in a record of what the node holds and voted, or of an operator's override."""
+        match record:
             case AcceptorPromise():
-                accepted = (entry.accepted_round, entry.accepted_place) if entry.value else NO_BALLOT
-                self.promises[entry.number] = AcceptorState((entry.round, entry.place), accepted, entry.value)
+                accepted = (record.accepted_round, record.accepted_place) if record.value else NO_BALLOT
+                ballot = record.round, record.place
+                self.promises[record.number] = AcceptorState(ballot, accepted, record.value)
             case ContentStored():
-                self.contents[entry.id] = entry.data
+                self.contents[record.id] = record.data
             case VersionHeld():
-                if self.held is None or entry.number > self.held.number:
-                    self.held = entry
+                if self.held is None or record.number > self.held.number:
+                    self.held = record
             case VotesBarred():
-                self.bar = None if entry.number < 0 else entry.number
+                self.votes_barred_up_to = None if record.number < 0 else record.number
             case OperatorOverride():
-                self.hand, self.handed_ms = entry.why if entry.out else None, entry.wall_ms
-        self.wall_ms = getattr(entry, "wall_ms", 0.0) or self.wall_ms
-        self.prune()
+                self.operator_override = record.why if record.out else None
+                self.override_ms = record.wall_ms
 
     def prune(self) -> None:
-        """Let go of what nothing needs any more."""
-        least = self.held.number if self.held is not None else 0
-        for number in [n for n in self.promises if n <= least]:
+        """Drop what nothing needs any more."""
+        held_number = self.held.number if self.held is not None else 0
+        for number in [number for number in self.promises if number <= held_number]:
             del self.promises[number]
         if len(self.contents) > len(self.promises) + 2:
-            wanted = {p.value for p in self.promises.values()} | {self.held.id if self.held else ""}
-            last = next(reversed(self.contents))
-            self.contents = {id: d for id, d in self.contents.items() if id in wanted or id == last}
+            wanted = {state.value for state in self.promises.values()}
+            wanted |= {self.held.id if self.held else "", next(reversed(self.contents))}
+            self.contents = {key: data for key, data in self.contents.items() if key in wanted}
 
-    def entries(self) -> Iterator[LogRecord]:
-        """Yield entries that add up to this: what a new file begins with."""
+    def records(self) -> Iterator[LogRecord]:
+        """Yield records that add up to this: what a new file begins with."""
         if self.begun:
             yield FirstLifeBegun(self.wall_ms)
-        for id, data in self.contents.items():
-            yield ContentStored(id, data)
+        for content_id, data in self.contents.items():
+            yield ContentStored(content_id, data)
         if self.held is not None:
             yield self.held
-        for number, p in self.promises.items():
-            yield AcceptorPromise(number, *p.ballot, *p.accepted, p.value)
-        yield VotesBarred(-1 if self.bar is None else self.bar)
-        if self.handed_ms:
-            # Also that it was brought back: an older word in the ledger beside this one is not the last.
-            yield OperatorOverride(self.hand is not None, self.hand or "", self.handed_ms)
-        if self.life is not None and not self.ended:
-            yield self.life
-            if self.acting is not None:
-                yield self.acting
-
-
-def added_up(entries: Iterable[LogRecord]) -> RecoveredLog:
-    """Return what entries add up to."""
-    kept = RecoveredLog()
-    for entry in entries:
-        kept.take(entry)
-    return kept
+        for number, state in self.promises.items():
+            yield AcceptorPromise(number, *state.ballot, *state.accepted, state.value)
+        yield VotesBarred(-1 if self.votes_barred_up_to is None else self.votes_barred_up_to)
+        if self.override_ms:
+            # Also that it was brought back: an older override in the ledger beside this one is not the last.
+            why = self.operator_override
+            yield OperatorOverride(why is not None, why or "", self.override_ms)
+        if self.process is not None and not self.ended:
+            yield self.process
+            if self.interval is not None:
+                yield self.interval
+
+    # Names from before, for callers that have not followed yet.
+
+    take = apply
+    entries = records
+
+    @property
+    def bar(self) -> int | None:
+        """What is `votes_barred_up_to`."""
+        return self.votes_barred_up_to
+
+    @bar.setter
+    def bar(self, number: int | None) -> None:
+        self.votes_barred_up_to = number
+
+    @property
+    def hand(self) -> str | None:
+        """What is `operator_override`."""
+        return self.operator_override
+
+    @property
+    def handed_ms(self) -> float:
+        """What is `override_ms`."""
+        return self.override_ms
+
+    @property
+    def life(self) -> ProcessStarted | None:
+        """What is `process`."""
+        return self.process
+
+    @property
+    def acting(self) -> IntervalBegun | None:
+        """What is `interval`."""
+        return self.interval
+
+
+def recover_log(records: Iterable[LogRecord]) -> RecoveredLog:
+    """Return what records add up to."""
+    recovered = RecoveredLog()
+    for record in records:
+        recovered.apply(record)
+    return recovered
+
+
+# Names from before, for callers that have not followed yet.
+added_up = recover_log
+linked = chain_record
+unlinked = parse_record
--- a/marlseam/cluster/checking/replication_schedules.py
+++ b/marlseam/cluster/checking/replication_schedules.py
@@ -17,7 +17,7 @@
     LogRecord,
     VersionHeld,
     VotesBarred,
-    added_up,
+    recover_log,
 )
 from marlseam.cluster.checking.membership_schedules import (
     DRIFT,
@@ -112,7 +112,7 @@
 
     def make(self, name: str, seed: int) -> ConfigReplica:
         """Return a process's machine, with what its disk holds."""
-        kept = added_up(self.disks.setdefault(name, Disk()).entries)
+        kept = recover_log(self.disks.setdefault(name, Disk()).entries)
         machine = self.kind(name, self.names, self.terms, f"{name}/{self.lives}", seed, 0.0, kept)
         machine.next_ms = PERIOD_MS * self.chance()
         return machine
--- a/marlseam/cluster/replication/replica.py
+++ b/marlseam/cluster/replication/replica.py
@@ -110,7 +110,7 @@
         self.content: Content | None = None
         self.applied_number, self.unusable_reason = 0, ""
         self.pending_version: PendingVersion | None = None
-        self.operator_override = recovered.hand
+        self.operator_override = recovered.operator_override
         self.disk_fault = ""
         self.peers: dict[str, PeerStatus] = {}
         self.next_ms = now
--- a/marlseam/cluster/replication/voting.py
+++ b/marlseam/cluster/replication/voting.py
@@ -86,7 +86,7 @@
         self.replica = replica
         self.acceptor = Acceptor(replica.name, dict(recovered.promises))
         self.durable_promises = dict(recovered.promises)
-        self.votes_barred_up_to = recovered.bar
+        self.votes_barred_up_to = recovered.votes_barred_up_to
         self.memory_is_elsewhere = False
         self.awaiting_content: dict[str, AwaitingRequest] = {}
 
@@ -95,7 +95,7 @@
         for number, promise in recovered.promises.items():
             if number > self.replica.number:
                 self.acceptor.promises[number] = self.durable_promises[number] = promise
-        self.votes_barred_up_to, self.memory_is_elsewhere = recovered.bar, False
+        self.votes_barred_up_to, self.memory_is_elsewhere = recovered.votes_barred_up_to, False
 
     def may_vote(self, number: int) -> bool:
         """Return whether this node is a voter on a number and its memory of votes on it is whole."""
--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -128,7 +128,7 @@
         if replica.unusable_reason:
             self.log.line(f"fleet code=unfit: version {replica.number}: {replica.unusable_reason}")
         replica.voter.memory_is_elsewhere = self.is_beside
-        if recovered.bar is None and not self.is_beside:
+        if recovered.votes_barred_up_to is None and not self.is_beside:
             self.log.line("fleet code=lost: votes on nothing until it is known what it may have promised")
         self.actions.begin_process(now, self.is_beside)
         if replica.applied_number:
--- a/marlseam/net/node_ledger.py
+++ b/marlseam/net/node_ledger.py
@@ -98,6 +98,9 @@
             if found.held is not None and (held is None or found.held.number > held.number):
                 recovered.held = found.held
                 recovered.contents |= found.contents
-            if found.handed_ms > recovered.handed_ms:
-                recovered.hand, recovered.handed_ms = found.hand, found.handed_ms
+            if found.override_ms > recovered.override_ms:
+                recovered.operator_override, recovered.override_ms = (
+                    found.operator_override,
+                    found.override_ms,
+                )
         return recovered
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -381,12 +381,12 @@
     assert machine.serving.evaluate(1.0).code == "hand"
     kept = RecoveredLog()
     for entry in (*keep.records, OperatorOverride(True, "sick", 5.0)):
-        kept.take(entry)
+        kept.apply(entry)
     assert versions("d", kept).serving.evaluate(0.0).code == "hand"
 
 
 def test_a_voter_without_its_memory_votes_only_past_what_it_may_have_promised():
-    machine = versions("a", RecoveredLog(bar=None))
+    machine = versions("a", RecoveredLog(votes_barred_up_to=None))
     assert (
         not machine.voter.may_vote(1)
         and machine.voter.receive_request(0.0, "b", VoteMessage("prepare", 1, 1, "b/1")) == []
@@ -630,7 +630,7 @@
     for _ in range(3):
         kept, ledger = loaded(folder)
         assert (
-            kept.bar == 0 and kept.hand == "w" and kept.promises[3].ballot == (2, "p") and not ledger.findings
+            kept.votes_barred_up_to == 0 and kept.operator_override == "w" and kept.promises[3].ballot == (2, "p") and not ledger.findings
         )
         ledger.renew()
         ledger.close()
@@ -644,7 +644,7 @@
             file.truncate(size)
         kept, ledger = loaded(folder)
         assert not [f for f in ledger.findings if f.code in ("chain", "damaged")] and kept.begun
-        assert kept.bar == 0 or [f.code for f in ledger.findings] == ["lost"]
+        assert kept.votes_barred_up_to == 0 or [f.code for f in ledger.findings] == ["lost"]
 
 
 def test_a_changed_byte_breaks_the_chain_and_its_node_does_not_vote(folder):
@@ -653,7 +653,7 @@
     data[len(data) // 2] ^= 1
     path.write_bytes(data)
     kept, ledger = loaded(folder)
-    assert kept.bar is None and {"damaged", "lost"} <= {f.code for f in ledger.findings}
+    assert kept.votes_barred_up_to is None and {"damaged", "lost"} <= {f.code for f in ledger.findings}
 
 
 def test_a_record_left_out_is_seen(folder):
@@ -671,8 +671,8 @@
     copy.write_bytes(data)
     copy.rename(path)
     kept, ledger = loaded(folder)
-    assert kept.bar is None and "copy" in ledger.findings[-1].text
-    assert loaded(tmp_path)[0].bar is None  # no first life was begun there
+    assert kept.votes_barred_up_to is None and "copy" in ledger.findings[-1].text
+    assert loaded(tmp_path)[0].votes_barred_up_to is None  # no first life was begun there
     assert stat.st_ino != path.stat().st_ino
 
 
@@ -682,7 +682,7 @@
         Disk, "identity", lambda disk, name: (real(disk, name)[0], real(disk, name)[1] + 60000.0)
     )
     kept, ledger = loaded(folder)
-    assert kept.bar is None and "changed by another" in ledger.findings[-1].text
+    assert kept.votes_barred_up_to is None and "changed by another" in ledger.findings[-1].text
 
 
 def test_a_full_disk_leaves_no_file_behind_that_hides_the_last_good_one(folder):
@@ -696,7 +696,7 @@
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, (soft, hard))
     kept, ledger = loaded(folder)
-    assert kept.bar == 0 and kept.hand == "w" and ledger.renew() == []
+    assert kept.votes_barred_up_to == 0 and kept.operator_override == "w" and ledger.renew() == []
     ledger.close()
 
 
@@ -706,7 +706,7 @@
     for _ in range(6):
         ledger.renew()
     ledger.close()
-    assert len(list(folder.glob("ledger-*"))) == 3 and loaded(folder)[0].hand == "w"
+    assert len(list(folder.glob("ledger-*"))) == 3 and loaded(folder)[0].operator_override == "w"
     found = ledgers.read([folder], 10.0)
     assert found.wrong == []
 
@@ -1221,7 +1221,7 @@
     ledger.renew()
     ledger.close()
     kept, _ = loaded(folder)
-    assert kept.hand is None and kept.handed_ms == 99.0
+    assert kept.operator_override is None and kept.override_ms == 99.0
 
 
 def test_acts_before_an_interval_that_was_written_and_after_the_last_mark_are_told_as_unknown():
