--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -6,65 +6,100 @@
 from collections.abc import Iterable
 from html import escape
 from pathlib import Path
+from typing import Any, NamedTuple
 
 import click
 
 from marlseam.cli.door import ask
 from marlseam.cli.tables import table
 from marlseam.cluster import audit as auditing
-from marlseam.store import ledger_audit as ledgers
+from marlseam.cluster.audit_log import ACTS, IntervalBegun
+from marlseam.store import ledger_audit
 from marlseam.store.state_directory import Disk, StateDirectory, code_of
 
+Row = dict[str, Any]  # an interval, by the keys of `auditing.rows`
+
 FOLDER = click.Path(path_type=Path, file_okay=False, exists=True)
 PAGE = """<!doctype html><meta charset=utf-8><title>Audit of the fleet</title>
 <style>body{{font:14px sans-serif}}</style><h1>Who acted on what</h1>
 <p>{first} to {last} (UTC). {key}. Pale: out of service; dashed: not proved to be in force.</p>
 <svg width="1110" height="{height}">{bars}</svg><h2>Findings</h2><ul>{findings}</ul>
 """
+COLOURS = ("#9aa5b1", "#2f6f9f", "#c9622e", "#4f8a3c", "#8a4f8f", "#b59a2a", "#3c8a86", "#a83e52")
+LABEL_PX, TIMELINE_PX, ROW_PX = 100, 1000.0, 24  # widths of names and of the time shown, height of a node
+MAX_SHOWN_MS = 1e15  # Unix time; what is later never comes
+BASIS_HEADINGS = ("program", "version", "list", "proved", "service", "code")
+HEADINGS = ("node", "life", "interval", "from (UTC)", *BASIS_HEADINGS)
 
 
-def clock(ms: float | None) -> str:
+def time_text(unix_ms: float | None) -> str:
     """Return a Unix time for people."""
-    if ms is None or ms > 1e15:
+    if unix_ms is None or unix_ms > MAX_SHOWN_MS:
         return "-"
-    return time.strftime("%m-%d %H:%M:%S", time.gmtime(ms / 1000.0)) + f".{int(ms % 1000.0):03d}"
+    return time.strftime("%m-%d %H:%M:%S", time.gmtime(unix_ms / 1000.0)) + f".{int(unix_ms % 1000.0):03d}"
 
 
-COLOURS = ("#9aa5b1", "#2f6f9f", "#c9622e", "#4f8a3c", "#8a4f8f", "#b59a2a", "#3c8a86", "#a83e52")
+def colour_of(version: int) -> str:
+    """Return the colour of a version."""
+    return COLOURS[version % len(COLOURS)]
+
+
+# The timeline.
 
 
-def timeline(rows: list[dict], wrong: list[str]) -> str:
-    """Return a page with each node's time by version; what is not proved is hatched, out of service pale."""
-    first = min(row["from_ms"] for row in rows)
-    last = max(row["to_ms"] or row["from_ms"] for row in rows)
-    scale = 1000.0 / max(1.0, last - first)
+class Bar(NamedTuple):
+    """Where an interval is drawn, in pixels."""
+
+    left: float
+    top: int
+    width: float
+
+    def rectangle(self, row: Row) -> str:
+        """Return the interval's rectangle; pale where the node is out of service."""
+        text = f"{row['node']} life {row['life']} interval {row['interval']}: version {row['number']}, list "
+        text += f"{row['listed']}, {row['sent']} sent, {row['code'] or 'well'}, {time_text(row['from_ms'])}"
+        opacity = 1.0 if row["serving"] else 0.3
+        return (
+            f'<rect x="{self.left:.1f}" y="{self.top + 2}" width="{self.width:.1f}" height="18" '
+            f'fill="{colour_of(row["number"])}" opacity="{opacity}"><title>{escape(text)}</title></rect>'
+        )
+
+    def dashes(self) -> str:
+        """Return the line that marks an interval whose version is not proven."""
+        return (
+            f'<line x1="{self.left:.1f}" x2="{self.left + self.width:.1f}" y1="{self.top + 11}" '
+            f'y2="{self.top + 11}" stroke="#fff" stroke-dasharray="3 3"/>'
+        )
+
+
+def timeline(rows: list[Row], findings: list[str]) -> str:
+    """Return a page with each node's time by version; what is not proven is dashed, out of service pale."""
+    first_ms = min(row["from_ms"] for row in rows)
+    last_ms = max(row["to_ms"] or row["from_ms"] for row in rows)
+    scale = TIMELINE_PX / max(1.0, last_ms - first_ms)
     names = sorted({row["node"] for row in rows})
-    bars = []
+    shapes = [f'<text x="0" y="{ROW_PX * i + 16}">{escape(name)}</text>' for i, name in enumerate(names)]
     for row in rows:
-        x, y = (row["from_ms"] - first) * scale, 24 * names.index(row["node"])
-        width = max(1.0, ((row["to_ms"] or last) - row["from_ms"]) * scale)
-        told = f"{row['node']} life {row['life']} interval {row['interval']}: version {row['number']}, list "
-        told += f"{row['listed']}, {row['sent']} sent, {row['code'] or 'well'}, {clock(row['from_ms'])}"
-        fill, pale = COLOURS[row["number"] % len(COLOURS)], 1.0 if row["serving"] else 0.3
-        bars.append(
-            f'<rect x="{100 + x:.1f}" y="{y + 2}" width="{width:.1f}" height="18" fill="{fill}" '
-            f'opacity="{pale}"><title>{escape(told)}</title></rect>'
-        )
+        left = LABEL_PX + (row["from_ms"] - first_ms) * scale
+        width = max(1.0, ((row["to_ms"] or last_ms) - row["from_ms"]) * scale)
+        bar = Bar(left, ROW_PX * names.index(row["node"]), width)
+        shapes.append(bar.rectangle(row))
         if not row["proved"]:
-            bars.append(
-                f'<line x1="{100 + x:.1f}" x2="{100 + x + width:.1f}" y1="{y + 11}" y2="{y + 11}" '
-                'stroke="#fff" stroke-dasharray="3 3"/>'
-            )
-    labels = [f'<text x="0" y="{24 * i + 16}">{escape(name)}</text>' for i, name in enumerate(names)]
+            shapes.append(bar.dashes())
     versions = sorted({row["number"] for row in rows})
-    key = " ".join(f'<b style="color:{COLOURS[v % len(COLOURS)]}">version {v}</b>' for v in versions)
-    findings = "".join(f"<li>{escape(text)}</li>" for text in wrong) or "<li>nothing is wrong</li>"
-    height, bars = 24 * len(names) + 10, "".join(labels + bars)
     return PAGE.format(
-        first=clock(first), last=clock(last), key=key, height=height, bars=bars, findings=findings
+        first=time_text(first_ms),
+        last=time_text(last_ms),
+        key=" ".join(f'<b style="color:{colour_of(number)}">version {number}</b>' for number in versions),
+        height=ROW_PX * len(names) + 10,
+        bars="".join(shapes),
+        findings="".join(f"<li>{escape(text)}</li>" for text in findings) or "<li>nothing is wrong</li>",
     )
 
 
+# The command.
+
+
 @click.command()
 @click.argument("folders", nargs=-1, type=FOLDER)
 @click.option("--at", "address", help="A node's operators' door: its own ledger, on this machine.")
@@ -79,7 +114,7 @@
 @click.option(
     "--error-ms", default=100.0, show_default=True, help="By which the machines' clocks may differ."
 )
-def audit(
+def audit(  # noqa: PLR0913 - one parameter an option
     folders: tuple[Path, ...],
     address: str | None,
     node: str | None,
@@ -95,62 +130,81 @@
     Ends with 1 and a list where an act stood on a version past the bound, a chain is broken, an interval is
     missing, or two processes acted under one name.
     """
-    if address is not None:
-        told = ask(address).get("acting", {}).get("ledger")
-        if told is None or not Path(told).is_dir():
-            raise click.ClickException(f"{address}: a node with a ledger on this machine was expected")
-        folders = (*folders, Path(told))
-    if not folders:
-        raise click.ClickException("folders of ledgers, or --at, were expected")
-    try:
-        found = ledgers.read(folders, error_ms)
-    except OSError as error:
-        raise click.ClickException(f"{error.filename}: {code_of(error)}: {error.strerror}") from None
+    found = read_ledgers(folders, address, error_ms)
     since_ms = 1000.0 * (time.time() - since_s) if since_s is not None else 0.0
     rows = auditing.rows(found, since_ms, node)
     if raw:
         for row in rows:
             click.echo(json.dumps(row))
     elif unit is not None:
-        unit_told(found, unit, stores)
+        print_attempts(found, unit, stores)
     elif rows:
-        head = "node,life,interval,from (UTC),program,version,list,proved,service,code"
-        shown = [[*head.split(","), *auditing.ACTS]]
-        for row in rows:
-            on = [row["program"], f"{row['number']} {row['meaning'][:8]}", str(row["listed"])]
-            how = ["yes" if row["proved"] else "no", "in" if row["serving"] else "out", row["code"]]
-            which = [row["node"], str(row["life"]), str(row["interval"]), clock(row["from_ms"])]
-            shown.append([*which, *on, *how, *(str(row[key]) for key in auditing.ACTS)])
-        click.echo(table(shown))
-    for name, lives in found.lives.items():
-        for lived in lives if not raw and node in (None, name) else ():
-            if lived.unknown is not None:
-                a, b = lived.unknown
-                killed = f"{name}: life {lived.life.life} was killed"
-                click.echo(f"{killed}, its acts after {clock(a)} are not known, to {clock(b)} at most")
+        click.echo(table([[*HEADINGS, *ACTS], *map(table_row, rows)]))
+    if not raw:
+        print_unknown(found, node)
     if html is not None and rows:
-        html.write_text(timeline(rows, found.wrong), encoding="utf-8")
-    for text in found.wrong:
+        html.write_text(timeline(rows, found.findings), encoding="utf-8")
+    for text in found.findings:
         click.echo(f"WRONG {text}", err=raw)
-    sys.exit(1 if found.wrong else 0)
+    sys.exit(1 if found.findings else 0)
 
 
-def unit_told(found: auditing.Audit, unit: str, stores: Iterable[Path]) -> None:
-    """Print who sent a work unit under a key, and on what each sending stood."""
+def read_ledgers(folders: tuple[Path, ...], address: str | None, error_ms: float) -> auditing.Audit:
+    """Return the audit of some folders, and of the ledger of the node at an address."""
+    if address is not None:
+        folder = ask(address).get("acting", {}).get("ledger")
+        if folder is None or not Path(folder).is_dir():
+            raise click.ClickException(f"{address}: a node with a ledger on this machine was expected")
+        folders = (*folders, Path(folder))
+    if not folders:
+        raise click.ClickException("folders of ledgers, or --at, were expected")
+    try:
+        return ledger_audit.read(folders, error_ms)
+    except OSError as error:
+        raise click.ClickException(f"{error.filename}: {code_of(error)}: {error.strerror}") from None
+
+
+def table_row(row: Row) -> list[str]:
+    """Return an interval as a row of the table."""
+    return [
+        row["node"],
+        str(row["life"]),
+        str(row["interval"]),
+        time_text(row["from_ms"]),
+        row["program"],
+        f"{row['number']} {row['meaning'][:8]}",
+        str(row["listed"]),
+        "yes" if row["proved"] else "no",
+        "in" if row["serving"] else "out",
+        row["code"],
+        *(str(row[name]) for name in ACTS),
+    ]
+
+
+def print_unknown(found: auditing.Audit, node: str | None) -> None:
+    """Print which processes were killed, and when their actions are not known."""
+    for name, processes in found.processes.items():
+        for process in processes if node in (None, name) else ():
+            if process.unknown is not None:
+                first, last = map(time_text, process.unknown)
+                killed = f"{name}: life {process.started.life} was killed"
+                click.echo(f"{killed}, its acts after {first} are not known, to {last} at most")
+
+
+def print_attempts(found: auditing.Audit, key: str, stores: Iterable[Path]) -> None:
+    """Print who sent a request with an idempotency key, and on what each attempt stood."""
     rows = [["node", "sent (UTC)", "to", "version", "list", "proved", "interval"]]
     for path in stores:
         folder = StateDirectory(Disk(path), None)
         state = folder.load(0.0)
-        for sent in state.sent.get(unit, ()):
-            span = auditing.at(found, folder.of or "", sent.sent_ms)
-            on = ["not known"] * 4
-            if span is not None:
-                a = span.acting
-                on = [
-                    f"{a.number} {a.meaning[:8]}",
-                    str(a.listed),
-                    "yes" if a.proved else "no",
-                    str(a.interval),
-                ]
-            rows.append([folder.of or "?", clock(sent.sent_ms), sent.executor, *on])
-    click.echo(table(rows) if len(rows) > 1 else f"nothing was sent under {unit}, as far as is kept")
+        for sent in state.sent.get(key, ()):
+            interval = auditing.interval_at(found, folder.of or "", sent.sent_ms)
+            basis = basis_cells(interval.begun) if interval is not None else ["not known"] * 4
+            rows.append([folder.of or "?", time_text(sent.sent_ms), sent.executor, *basis])
+    click.echo(table(rows) if len(rows) > 1 else f"nothing was sent under {key}, as far as is kept")
+
+
+def basis_cells(begun: IntervalBegun) -> list[str]:
+    """Return what the attempts of an interval stood on, as cells of the table."""
+    version = f"{begun.number} {begun.meaning[:8]}"
+    return [version, str(begun.listed), "yes" if begun.proved else "no", str(begun.interval)]
--- a/marlseam/cluster/audit.py
+++ b/marlseam/cluster/audit.py
@@ -6,7 +6,9 @@
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
+from itertools import pairwise
 from math import inf
+from typing import Any, NamedTuple
 
 from msgspec.structs import replace
 
@@ -21,202 +23,300 @@
     VersionHeld,
 )
 
-TOLD = ("life", "interval", "program", "number", "id", "meaning", "listed", "proved", "serving", "code")
+ROW_FIELDS = ("life", "interval", "program", "number", "id", "meaning", "listed", "proved", "serving", "code")
+SENT = ACTS.index("sent")
+
+Counts = tuple[int, ...]
+
+
+class CountMark(NamedTuple):
+    """The counts of an interval as they were written at some time."""
+
+    at_ms: float
+    counts: Counts
+
+
+class UnknownPeriod(NamedTuple):
+    """From when to when actions of a process that was killed may be missing; inf where it has no end."""
+
+    from_ms: float
+    to_ms: float
 
 
 @dataclass
-class Span:
-    """One interval of a life: what acts stood on, from when to when, and how many there were."""
+class Interval:
+    """One interval of a process.
+
+    Attributes:
+        begun: what its actions stood on, and since when.
+        ended_ms: when the next began; None where it lasted to the process's end.
+        counts: its actions, by ACTS.
+        marks: the counts as they grew.
+
+    """
+
+    begun: IntervalBegun
+    ended_ms: float | None = None
+    counts: Counts = (0, 0, 0, 0)
+    marks: list[CountMark] = field(default_factory=list)
 
-    acting: IntervalBegun
-    until_ms: float | None = None  # None: to the life's end
-    acts: tuple[int, ...] = (0, 0, 0, 0)
-    marks: list[tuple[float, tuple[int, ...]]] = field(default_factory=list)
+    def sent_after(self, at_ms: float) -> int:
+        """Return how many attempts provably were sent after a time."""
+        sent, last_sent, last_ms = 0, 0, self.begun.wall_ms
+        for mark in sorted(self.marks):
+            if last_ms >= at_ms:
+                sent += mark.counts[SENT] - last_sent
+            last_sent, last_ms = mark.counts[SENT], mark.at_ms
+        return sent
 
 
 @dataclass
-class Lived:
-    """One process of a node: its intervals, when it was last heard of, and whether it ended by itself."""
+class Process:
+    """One process of a node.
 
-    life: ProcessStarted
-    spans: dict[int, Span] = field(default_factory=dict)
-    last_ms: float = 0.0
-    marked_ms: float = 0.0  # as of when its acts are known
+    Attributes:
+        started: its incarnation, program and machine.
+        shift_ms: from its wall clock onto its machine's scale of time, whatever that clock was set to.
+        last_ms: when it was last heard of.
+        counted_ms: as of when its actions are known.
+        intervals: by number.
+        ended: whether it ended by itself.
+        is_complete: whether its first interval is in what is kept.
+        unknown: when its actions may be missing.
+
+    """
+
+    started: ProcessStarted
+    shift_ms: float
+    last_ms: float
+    counted_ms: float
+    intervals: dict[int, Interval] = field(default_factory=dict)
     ended: bool = False
-    whole: bool = True  # whether its first interval is in what is kept
-    unknown: tuple[float, float] | None = None  # from when to when acts may be missing
-    shift_ms: float = 0.0  # onto its machine's scale of time, whatever its wall clock was set to
+    is_complete: bool = True
+    unknown: UnknownPeriod | None = None
+
+    def sorted_intervals(self) -> list[Interval]:
+        """Return the intervals in their order."""
+        return [self.intervals[number] for number in sorted(self.intervals)]
 
 
 @dataclass
 class Audit:
-    """What ledgers say together."""
+    """What ledgers say together.
+
+    Attributes:
+        processes: by node, in the order of their start.
+        first_held_ms: when each content of a version was first held anywhere, by number and id.
+        findings: what is wrong.
+        boot_zero_ms: the Unix time that times of a machine count from, by the machine's start.
 
-    lives: dict[str, list[Lived]] = field(default_factory=dict)  # by node, in order
-    held: dict[int, dict[str, float]] = field(default_factory=dict)  # by number and id: first held, anywhere
-    wrong: list[str] = field(default_factory=list)
-    zeros: dict[str, float] = field(
-        default_factory=dict
-    )  # by start of a machine: the Unix time it counts from
+    """
+
+    processes: dict[str, list[Process]] = field(default_factory=dict)
+    first_held_ms: dict[int, dict[str, float]] = field(default_factory=dict)
+    findings: list[str] = field(default_factory=list)
+    boot_zero_ms: dict[str, float] = field(default_factory=dict)
 
 
 def read(
     ledgers: Mapping[str, list[list[LogRecord]]], running: Iterable[str] = (), error_ms: float = 100.0
 ) -> Audit:
-    """Return the audit of nodes' ledgers, each a list of chains of entries.
+    """Return the audit of nodes' ledgers, each a list of chains of records.
 
-    Of `running` ones the end is open.
+    The last process of a `running` node has not ended; clocks of machines differ by up to `error_ms`.
     """
     audit = Audit()
     for node, chains in sorted(ledgers.items()):
-        audit.lives[node] = lives_of(audit, node, chains)
-        close(audit, node, node in running)
-    judge(audit, error_ms)
+        reader = NodeReader(audit, node)
+        for records in chains:
+            reader.read_chain(records)
+        audit.processes[node] = sorted(reader.processes.values(), key=lambda process: process.started.wall_ms)
+        close_intervals(audit, node, node in running)
+    find_two_contents(audit)
+    held_since_ms = {number: min(ids.values()) for number, ids in audit.first_held_ms.items()}
+    for node in audit.processes:
+        find_overlapping_processes(audit, node, error_ms)
+        find_stale_actions(audit, node, held_since_ms, error_ms)
     return audit
 
 
-def lives_of(audit: Audit, node: str, chains: list[list[LogRecord]]) -> list[Lived]:
-    """Return a node's processes, in the order of their begin."""
-    found: dict[int, Lived] = {}
-    told: set[tuple[int, str]] = set()
-    for entries in chains:
-        lived, headed, before = None, False, dict[tuple[int, int], tuple[int, ...]]()
-        for entry in entries:
-            if type(entry) is ProcessStarted:
-                known = entry.life in found  # also from another chain: it moved on when the node was its own
-                shift = audit.zeros.setdefault(entry.boot, entry.zero_ms) - entry.zero_ms
-                began = replace(entry, wall_ms=entry.wall_ms + shift)
-                lived = found.setdefault(
-                    entry.life, Lived(began, last_ms=began.wall_ms, marked_ms=began.wall_ms, shift_ms=shift)
-                )
-                # What stands in a file's first batch is told again: a life may have begun in a file that is
-                # gone.
-                lived.whole = lived.whole if known else headed
-            elif type(entry) is VersionHeld and entry.wall_ms:
-                if (entry.number, entry.id) not in told:
-                    # Told once: later files begin with it again, and not on their own life's scale.
-                    told.add((entry.number, entry.id))
-                    ids = audit.held.setdefault(entry.number, {})
-                    at_ms = entry.wall_ms + (lived.shift_ms if lived is not None else 0.0)
-                    ids[entry.id] = min(ids.get(entry.id, inf), at_ms)
-            elif lived is not None:
-                note(audit, node, found, before, entry)
-            headed = headed or type(entry) is BatchWritten
-    return sorted(found.values(), key=lambda lived: lived.life.wall_ms)
-
-
-def note(
-    audit: Audit,
-    node: str,
-    found: dict[int, Lived],
-    before: dict[tuple[int, int], tuple[int, ...]],
-    entry: LogRecord,
-) -> None:
-    """Take in what a process wrote of its acts; `before` are the acts so far, in this chain."""
-    lived = found.get(getattr(entry, "life", -1))
-    if lived is None:
-        return
-    entry = replace(entry, wall_ms=entry.wall_ms + lived.shift_ms)
-    lived.last_ms = max(lived.last_ms, entry.wall_ms)
-    if type(entry) is IntervalBegun:
-        held = lived.spans.setdefault(entry.interval, Span(entry))
-        if held.acting != entry:
-            audit.wrong.append(f"{node}: two intervals {entry.interval} of life {entry.life}")
-    elif type(entry) is ActionCounts:
-        lived.marked_ms = max(lived.marked_ms, entry.wall_ms)
-        for number, *acts in entry.rows:
-            span = lived.spans.get(number)
-            if span is None:
-                audit.wrong.append(
-                    f"{node}: acts in interval {number} of life {entry.life}, which is missing"
-                )
+class NodeReader:
+    """Reads the chains of one node; `processes` are by incarnation."""
+
+    def __init__(self, audit: Audit, node: str) -> None:
+        """Begin without any record."""
+        self.audit, self.node = audit, node
+        self.processes: dict[int, Process] = {}
+        self.held: set[tuple[int, str]] = set()  # versions whose first time was taken
+        self.chain_counts: dict[tuple[int, int], Counts] = {}  # so far in this chain, by process and interval
+
+    def read_chain(self, records: list[LogRecord]) -> None:
+        """Take in one chain."""
+        process: Process | None = None
+        is_past_first_batch = False
+        self.chain_counts = {}
+        for record in records:
+            if isinstance(record, ProcessStarted):
+                process = self.read_start(record, is_past_first_batch)
+            elif isinstance(record, VersionHeld):
+                self.read_held(record, process)
+            elif isinstance(record, IntervalBegun | ActionCounts | ProcessEnded) and process is not None:
+                self.read_action_record(record)
+            is_past_first_batch = is_past_first_batch or isinstance(record, BatchWritten)
+
+    def read_start(self, record: ProcessStarted, is_past_first_batch: bool) -> Process:
+        """Take in that a process started."""
+        # Also from another chain: it moved on when the node's ledger was its own.
+        is_known = record.life in self.processes
+        shift_ms = self.audit.boot_zero_ms.setdefault(record.boot, record.zero_ms) - record.zero_ms
+        started = replace(record, wall_ms=record.wall_ms + shift_ms)
+        process = self.processes.setdefault(
+            record.life, Process(started, shift_ms, last_ms=started.wall_ms, counted_ms=started.wall_ms)
+        )
+        # What stands in a file's first batch is told again: a process may have begun in a file that is gone.
+        process.is_complete = process.is_complete if is_known else is_past_first_batch
+        return process
+
+    def read_held(self, record: VersionHeld, process: Process | None) -> None:
+        """Take in when a version was first held here."""
+        version = record.number, record.id
+        if not record.wall_ms or version in self.held:
+            return
+        # Told once: later files begin with it again, and not on their own process's scale.
+        self.held.add(version)
+        at_ms = record.wall_ms + (process.shift_ms if process is not None else 0.0)
+        first_ms = self.audit.first_held_ms.setdefault(record.number, {})
+        first_ms[record.id] = min(first_ms.get(record.id, inf), at_ms)
+
+    def read_action_record(self, record: IntervalBegun | ActionCounts | ProcessEnded) -> None:
+        """Take in what a process wrote of its actions."""
+        process = self.processes.get(record.life)
+        if process is None:
+            return
+        shifted = replace(record, wall_ms=record.wall_ms + process.shift_ms)
+        process.last_ms = max(process.last_ms, shifted.wall_ms)
+        match shifted:
+            case IntervalBegun():
+                self.read_interval(shifted, process)
+            case ActionCounts():
+                self.read_counts(shifted, process)
+            case ProcessEnded():
+                process.ended = True
+
+    def read_interval(self, record: IntervalBegun, process: Process) -> None:
+        """Take in that an interval began."""
+        interval = process.intervals.setdefault(record.interval, Interval(record))
+        if interval.begun != record:
+            self.report(f"two intervals {record.interval} of life {record.life}")
+
+    def read_counts(self, record: ActionCounts, process: Process) -> None:
+        """Take in the counts of some intervals."""
+        process.counted_ms = max(process.counted_ms, record.wall_ms)
+        for number, *row in record.rows:
+            interval, counts = process.intervals.get(number), tuple(row)
+            if interval is None:
+                self.report(f"acts in interval {number} of life {record.life}, which is missing")
                 continue
             # In one chain they only grow; another chain's may come later here and be earlier.
-            if any(a < b for a, b in zip(acts, before.get((entry.life, number), ()), strict=False)):
-                audit.wrong.append(
-                    f"{node}: fewer acts in interval {number} of life {entry.life} than before"
-                )
-            before[entry.life, number] = tuple(acts)
-            span.acts = tuple(map(max, acts, span.acts))
-            span.marks.append((entry.wall_ms, tuple(acts)))
-    elif type(entry) is ProcessEnded:
-        lived.ended = True
+            earlier = self.chain_counts.get((record.life, number), ())
+            if any(count < before for count, before in zip(counts, earlier, strict=False)):
+                self.report(f"fewer acts in interval {number} of life {record.life} than before")
+            self.chain_counts[record.life, number] = counts
+            interval.counts = tuple(map(max, counts, interval.counts))
+            interval.marks.append(CountMark(record.wall_ms, counts))
 
+    def report(self, text: str) -> None:
+        """Note something that is wrong."""
+        self.audit.findings.append(f"{self.node}: {text}")
 
-def close(audit: Audit, node: str, running: bool) -> None:
+
+def close_intervals(audit: Audit, node: str, is_running: bool) -> None:
     """End intervals where the next begins, and tell what is missing or unknown."""
-    lives = audit.lives[node]
-    for i, lived in enumerate(lives):
-        numbers = sorted(lived.spans)
-        for a, b in zip(numbers, numbers[1:], strict=False):
-            lived.spans[a].until_ms = lived.spans[b].acting.wall_ms
-        first = numbers[0] if numbers and not lived.whole else 1
-        missing = sorted(set(range(first, max(numbers, default=0) + 1)) - set(numbers))
-        if missing:
-            audit.wrong.append(f"{node}: intervals {missing} of life {lived.life.life} are missing")
-        if not lived.ended and not (running and i == len(lives) - 1):
-            following = lives[i + 1].life.wall_ms if i + 1 < len(lives) else inf
-            # Since the last mark, not the last record: an interval may have begun after acts that were not
-            # marked.
-            lived.unknown = lived.marked_ms, following
-
-
-def judge(audit: Audit, error_ms: float) -> None:
-    """Note what must not be: two contents, acts past the bound, two processes under one name."""
-    for number, ids in sorted(audit.held.items()):
+    processes = audit.processes[node]
+    for i, process in enumerate(processes):
+        for interval, following in pairwise(process.sorted_intervals()):
+            interval.ended_ms = following.begun.wall_ms
+        find_missing_intervals(audit, node, process)
+        is_last = i == len(processes) - 1
+        if not process.ended and not (is_running and is_last):
+            next_start_ms = inf if is_last else processes[i + 1].started.wall_ms
+            # Since the last counts, not the last record: an interval may have begun after actions that were
+            # not counted.
+            process.unknown = UnknownPeriod(process.counted_ms, next_start_ms)
+
+
+def find_missing_intervals(audit: Audit, node: str, process: Process) -> None:
+    """Report intervals that a process must have had and that are not in its ledger."""
+    numbers = process.intervals.keys()
+    first = min(numbers) if numbers and not process.is_complete else 1
+    missing = sorted(set(range(first, max(numbers, default=0) + 1)) - numbers)
+    if missing:
+        audit.findings.append(f"{node}: intervals {missing} of life {process.started.life} are missing")
+
+
+def find_two_contents(audit: Audit) -> None:
+    """Report versions that were held with more than one content."""
+    for number, ids in sorted(audit.first_held_ms.items()):
         if len(ids) > 1:
-            audit.wrong.append(f"version {number} has {len(ids)} contents: {', '.join(sorted(ids))}")
-    since = {number: min(ids.values()) for number, ids in audit.held.items()}
-    for node, lives in audit.lives.items():
-        for a, b in zip(lives, lives[1:], strict=False):
-            if a.last_ms > b.life.wall_ms + error_ms and not b.life.beside:
-                audit.wrong.append(f"{node}: life {b.life.life} began before {a.life.life} was over")
-        for lived in lives:
-            for span in lived.spans.values():
-                after = min((at for number, at in since.items() if number > span.acting.number), default=inf)
-                count = acts_after(span, after + lived.life.lease_ms + error_ms)
-                if count and span.acting.proved:
-                    audit.wrong.append(
-                        f"{node}: {count} acts on version {span.acting.number}, as proved, in interval "
-                        f"{span.acting.interval} of life {lived.life.life}, past {lived.life.lease_ms:.0f} ms"
-                    )
-
-
-def acts_after(span: Span, at_ms: float) -> int:
-    """Return how many attempts provably went out after a time."""
-    count, before, before_ms = 0, 0, span.acting.wall_ms
-    for marked_ms, acts in sorted(span.marks):
-        if before_ms >= at_ms:
-            count += acts[1] - before
-        before, before_ms = acts[1], marked_ms
-    return count
-
-
-def at(audit: Audit, node: str, when_ms: float) -> Span | None:
+            audit.findings.append(f"version {number} has {len(ids)} contents: {', '.join(sorted(ids))}")
+
+
+def find_overlapping_processes(audit: Audit, node: str, error_ms: float) -> None:
+    """Report processes of one name of which the later was not to run beside the earlier."""
+    for earlier, later in pairwise(audit.processes[node]):
+        if earlier.last_ms > later.started.wall_ms + error_ms and not later.started.beside:
+            overlap = f"life {later.started.life} began before {earlier.started.life} was over"
+            audit.findings.append(f"{node}: {overlap}")
+
+
+def find_stale_actions(audit: Audit, node: str, held_since_ms: Mapping[int, float], error_ms: float) -> None:
+    """Report attempts sent on a version, as proven, later than a lease after the next one was held."""
+    for process in audit.processes[node]:
+        lease_ms = process.started.lease_ms
+        for interval in process.intervals.values():
+            begun = interval.begun
+            newer_ms = min((at for number, at in held_since_ms.items() if number > begun.number), default=inf)
+            count = interval.sent_after(newer_ms + lease_ms + error_ms)
+            if count and begun.proved:
+                audit.findings.append(
+                    f"{node}: {count} acts on version {begun.number}, as proved, in interval "
+                    f"{begun.interval} of life {process.started.life}, past {lease_ms:.0f} ms"
+                )
+
+
+def interval_at(audit: Audit, node: str, at_ms: float) -> Interval | None:
     """Return the interval of a node that some time lies in."""
-    for lived in audit.lives.get(node, ()):
-        for span in lived.spans.values():
-            until = span.until_ms if span.until_ms is not None else lived.last_ms if lived.ended else inf
-            if span.acting.wall_ms <= when_ms < until:
-                return span
+    for process in audit.processes.get(node, ()):
+        open_end_ms = process.last_ms if process.ended else inf
+        for interval in process.intervals.values():
+            ended_ms = interval.ended_ms if interval.ended_ms is not None else open_end_ms
+            if interval.begun.wall_ms <= at_ms < ended_ms:
+                return interval
     return None
 
 
-def rows(audit: Audit, since_ms: float = 0.0, node: str | None = None) -> list[dict]:
-    """Return each interval as a row, by node and time."""
+def rows(audit: Audit, since_ms: float = 0.0, node: str | None = None) -> list[dict[str, Any]]:
+    """Return each interval as a row, by node and time; the keys are those that operators' programs read."""
     found = []
-    for name, lives in audit.lives.items():
-        for lived in lives if node in (None, name) else ():
-            spans = [lived.spans[number] for number in sorted(lived.spans)]
-            for span in spans:
-                acting, last = span.acting, span is spans[-1]
-                until = span.until_ms if not last else lived.last_ms
-                if until is not None and until < since_ms:
-                    continue
-                told = {name: getattr(acting, name) for name in TOLD}
-                found.append(
-                    {"node": name, **told, "from_ms": acting.wall_ms, "to_ms": until}
-                    | dict(zip(ACTS, span.acts, strict=True))
-                    | {"unknown_after": lived.unknown is not None and last}
-                )
+    for name, processes in audit.processes.items():
+        for process in processes if node in (None, name) else ():
+            found += process_rows(name, process, since_ms)
     return sorted(found, key=lambda row: (row["node"], row["from_ms"], row["interval"]))
+
+
+def process_rows(node: str, process: Process, since_ms: float) -> list[dict[str, Any]]:
+    """Return the intervals of a process that lasted beyond a time, as rows."""
+    found = []
+    intervals = process.sorted_intervals()
+    for interval in intervals:
+        is_last = interval is intervals[-1]
+        ended_ms = process.last_ms if is_last else interval.ended_ms
+        if ended_ms is not None and ended_ms < since_ms:
+            continue
+        row: dict[str, Any] = {"node": node}
+        row |= {name: getattr(interval.begun, name) for name in ROW_FIELDS}
+        row |= {"from_ms": interval.begun.wall_ms, "to_ms": ended_ms}
+        row |= zip(ACTS, interval.counts, strict=True)
+        row["unknown_after"] = process.unknown is not None and is_last
+        found.append(row)
+    return found
--- a/marlseam/experiment/versions.py
+++ b/marlseam/experiment/versions.py
@@ -11,7 +11,7 @@
 from msgspec.structs import replace
 
 from marlseam import records
-from marlseam.cluster.audit import Audit
+from marlseam.cluster.audit import SENT, Audit
 from marlseam.experiment import file, plays
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.fleet import Fleet, Rig, run
@@ -63,17 +63,18 @@
 
     def since(self) -> dict[int, float]:
         """Return when each number was first held, in ms of the run."""
-        return {n: min(ids.values()) - self.zero for n, ids in self.audit.held.items()}
+        return {n: min(ids.values()) - self.zero for n, ids in self.audit.first_held_ms.items()}
 
     def compared(self) -> dict[str, float]:
         """Return differences between both, and the acts that are told as unknown."""
         told, unknown_from = {}, {}
-        for name, lives in self.audit.lives.items():
-            for lived in lives:
-                if lived.unknown is not None:
-                    unknown_from[name, lived.life.life] = lived.unknown[0] - self.zero - ERROR_MS
-                for number, span in lived.spans.items():
-                    told[name, lived.life.life, number] = span.acts[1]
+        for name, processes in self.audit.processes.items():
+            for process in processes:
+                life = process.started.life
+                if process.unknown is not None:
+                    unknown_from[name, life] = process.unknown.from_ms - self.zero - ERROR_MS
+                for number, interval in process.intervals.items():
+                    told[name, life, number] = interval.counts[SENT]
         differences = unknown = 0
         for key in told.keys() | self.times.keys():
             seen, said = len(self.times.get(key, ())), told.get(key, 0)
@@ -89,10 +90,10 @@
             "differences": float(differences + self.bare),
             "unknown": float(unknown),
             "unknown_share": unknown / max(1, total),
-            "numbers": float(len(self.audit.held)),
-            "audit_wrong": float(len(self.audit.wrong)),
-            "two_contents": float(sum(len(ids) > 1 for ids in self.audit.held.values())),
-            "lives": float(sum(map(len, self.audit.lives.values()))),
+            "numbers": float(len(self.audit.first_held_ms)),
+            "audit_wrong": float(len(self.audit.findings)),
+            "two_contents": float(sum(len(ids) > 1 for ids in self.audit.first_held_ms.values())),
+            "lives": float(sum(map(len, self.audit.processes.values()))),
         }
 
     def stale(self) -> dict[str, float]:
@@ -138,7 +139,7 @@
         f"came_{what}": float(sum(told.get(what, 0) for told in rig.contents.values()))
         for what in ("whole", "chains", "edits", "changes", "digest")
     }
-    for text in truth.audit.wrong:
+    for text in truth.audit.findings:
         say(f"WRONG {text}")
     return rig, truth, played, figures
 
--- a/marlseam/store/ledger_audit.py
+++ b/marlseam/store/ledger_audit.py
@@ -1,4 +1,4 @@
-"""Ledgers' folders as an audit reads them."""
+"""Reads ledgers' folders for an audit."""
 
 import fcntl
 import os
@@ -11,7 +11,7 @@
 from marlseam.store.state_directory import Disk
 
 
-def writing(folder: Path) -> bool:
+def is_being_written(folder: Path) -> bool:
     """Return whether a process has a ledger's lock."""
     try:
         fd = os.open(folder / "lock", os.O_RDWR)
@@ -27,24 +27,29 @@
 
 
 def read(folders: Iterable[Path], error_ms: float) -> audit.Audit:
-    """Return the audit of ledgers' folders, with what is wrong with their files; raises OSError."""
+    """Return the audit of ledgers' folders, with what is wrong with their files; raises OSError.
+
+    A process that began beside another one wrote to a folder in the node's own, which is read with it.
+    """
     ledgers: dict[str, list[list[LogRecord]]] = {}
-    running, wrong = [], []
+    running_nodes: list[str] = []
+    findings: list[str] = []
     for folder in (path for each in folders for path in (each, each / BESIDE)):
-        if folder.name == BESIDE and not folder.exists():
+        is_beside = folder.name == BESIDE
+        if is_beside and not folder.exists():
             continue
         ledger = LedgerWriter(Disk(folder), None)
-        live = writing(folder)
+        is_running = is_being_written(folder)
         files = ledger.files()
-        wrong += [f"{folder}: {f.name} code={f.code}: {f.text}" for f in ledger.findings]
-        if not files and folder.name == BESIDE:
-            continue  # a process that ended before it wrote
+        findings += [f"{folder}: {found.name} code={found.code}: {found.text}" for found in ledger.findings]
         if not files:
-            wrong.append(f"{folder}: no ledger is there")
+            if not is_beside:  # beside, a process ended before it wrote
+                findings.append(f"{folder}: no ledger is there")
             continue
-        if live:
-            running.append(files[-1].node)
-        ledgers.setdefault(files[-1].node, []).append([entry for file in files for entry in file.entries])
-    found = audit.read(ledgers, running, error_ms)
-    found.wrong = wrong + found.wrong
-    return found
+        node = files[-1].node
+        if is_running:
+            running_nodes.append(node)
+        ledgers.setdefault(node, []).append([record for file in files for record in file.entries])
+    result = audit.read(ledgers, running_nodes, error_ms)
+    result.findings = findings + result.findings
+    return result
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -630,7 +630,10 @@
     for _ in range(3):
         kept, ledger = loaded(folder)
         assert (
-            kept.votes_barred_up_to == 0 and kept.operator_override == "w" and kept.promises[3].ballot == (2, "p") and not ledger.findings
+            kept.votes_barred_up_to == 0
+            and kept.operator_override == "w"
+            and kept.promises[3].ballot == (2, "p")
+            and not ledger.findings
         )
         ledger.renew()
         ledger.close()
@@ -708,7 +711,7 @@
     ledger.close()
     assert len(list(folder.glob("ledger-*"))) == 3 and loaded(folder)[0].operator_override == "w"
     found = ledgers.read([folder], 10.0)
-    assert found.wrong == []
+    assert found.findings == []
 
 
 # The audit.
@@ -726,9 +729,10 @@
     )
     rows = audit.rows(found)
     assert [(r["taken"], r["sent"], r["unknown_after"]) for r in rows] == [(3, 2, False), (1, 1, True)]
-    assert found.lives["n"][0].unknown == (2500.0, inf) and not found.wrong
-    assert spans(interval(1, 1000.0), ProcessEnded(7, 3000.0, 0.0)).lives["n"][0].unknown is None
-    assert audit.at(found, "n", 1500.0).acting.interval == 1 and audit.at(found, "n", 500.0) is None
+    assert found.processes["n"][0].unknown == (2500.0, inf) and not found.findings
+    assert spans(interval(1, 1000.0), ProcessEnded(7, 3000.0, 0.0)).processes["n"][0].unknown is None
+    assert audit.interval_at(found, "n", 1500.0).begun.interval == 1
+    assert audit.interval_at(found, "n", 500.0) is None
 
 
 @pytest.mark.parametrize(
@@ -770,7 +774,7 @@
     ],
 )
 def test_what_must_not_be_is_told(entries, what):
-    assert any(what in text for text in spans(*entries).wrong)
+    assert any(what in text for text in spans(*entries).findings)
 
 
 def test_acts_within_the_bound_or_marked_unproved_are_not_past_it():
@@ -779,12 +783,12 @@
         ActionCounts(7, [(1, 1, 1, 1, 1)], late - 500.0, 0.0),
         ActionCounts(7, [(1, 9, 9, 9, 9)], late + 5.0, 0.0),
     ]
-    assert not spans(interval(1, 1000.0), VersionHeld(1, "x", 2000.0), *marks).wrong
+    assert not spans(interval(1, 1000.0), VersionHeld(1, "x", 2000.0), *marks).findings
     marks = [
         ActionCounts(7, [(1, 1, 1, 1, 1)], late + 50.0, 0.0),
         ActionCounts(7, [(1, 9, 9, 9, 9)], late + 99.0, 0.0),
     ]
-    assert not spans(interval(1, 1000.0, proved=False), VersionHeld(1, "x", 2000.0), *marks).wrong
+    assert not spans(interval(1, 1000.0, proved=False), VersionHeld(1, "x", 2000.0), *marks).findings
 
 
 def test_the_audit_command_prints_a_table_and_a_page_and_ends_with_1_where_something_is_wrong(
@@ -875,7 +879,7 @@
     for peers, _ in fleet.values():
         peers.acting.close()
     found = ledgers.read([tmp_path / name for name in "abc"], 50.0)
-    assert found.wrong == [] and list(found.held) == [1] and len(found.held[1]) == 1
+    assert found.findings == [] and list(found.first_held_ms) == [1] and len(found.first_held_ms[1]) == 1
     assert sum(row["sent"] for row in audit.rows(found, node="a")) == 1
 
 
@@ -1085,8 +1089,9 @@
     new.close()
     old.ledger.lock, new.ledger.lock = new.ledger.lock, None
     found = ledgers.read([tmp_path / "a"], 50.0)
-    assert found.wrong == [] and [lived.ended for lived in found.lives["a"]] == [True, True]
-    assert [sum(s.acts[0] for s in lived.spans.values()) for lived in found.lives["a"]] == [1, 3]
+    assert found.findings == [] and [process.ended for process in found.processes["a"]] == [True, True]
+    taken = [sum(row.counts[0] for row in process.intervals.values()) for process in found.processes["a"]]
+    assert taken == [1, 3]
 
 
 def test_a_second_process_by_mistake_does_not_act(fleet, loop, until, capsys):
@@ -1226,4 +1231,4 @@
 
 def test_acts_before_an_interval_that_was_written_and_after_the_last_mark_are_told_as_unknown():
     found = spans(interval(1, 1000.0), ActionCounts(7, [(1, 3, 2, 1, 0)], 1500.0, 0.0), interval(2, 2000.0))
-    assert found.lives["n"][0].unknown == (1500.0, inf)
+    assert found.processes["n"][0].unknown == (1500.0, inf)
