--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -187,7 +187,7 @@
         for process in processes if node in (None, name) else ():
             if process.unknown is not None:
                 first, last = map(time_text, process.unknown)
-                killed = f"{name}: life {process.started.life} was killed"
+                killed = f"{name}: life {process.started.process_number} was killed"
                 click.echo(f"{killed}, its acts after {first} are not known, to {last} at most")
 
 
@@ -206,5 +206,5 @@
 
 def basis_cells(begun: IntervalBegun) -> list[str]:
     """Return what the attempts of an interval stood on, as cells of the table."""
-    version = f"{begun.number} {begun.meaning[:8]}"
-    return [version, str(begun.listed), "yes" if begun.proved else "no", str(begun.interval)]
+    version = f"{begun.number} {begun.settings_digest[:8]}"
+    return [version, str(begun.endpoint_list_version), "yes" if begun.proved else "no", str(begun.interval)]
--- a/marlseam/cluster/audit.py
+++ b/marlseam/cluster/audit.py
@@ -23,7 +23,18 @@
     VersionHeld,
 )
 
-ROW_FIELDS = ("life", "interval", "program", "number", "id", "meaning", "listed", "proved", "serving", "code")
+FIELDS_BY_KEY = {
+    "life": "process_number",
+    "interval": "interval",
+    "program": "program",
+    "number": "number",
+    "id": "id",
+    "meaning": "settings_digest",
+    "listed": "endpoint_list_version",
+    "proved": "proved",
+    "serving": "serving",
+    "code": "code",
+}  # of a row: the keys that operators' programs read, and fields of IntervalBegun
 SENT = ACTS.index("sent")
 
 Counts = tuple[int, ...]
@@ -167,11 +178,12 @@
     def read_start(self, record: ProcessStarted, is_past_first_batch: bool) -> Process:
         """Take in that a process started."""
         # Also from another chain: it moved on when the node's ledger was its own.
-        is_known = record.life in self.processes
+        is_known = record.process_number in self.processes
         shift_ms = self.audit.boot_zero_ms.setdefault(record.boot, record.zero_ms) - record.zero_ms
         started = replace(record, wall_ms=record.wall_ms + shift_ms)
         process = self.processes.setdefault(
-            record.life, Process(started, shift_ms, last_ms=started.wall_ms, counted_ms=started.wall_ms)
+            record.process_number,
+            Process(started, shift_ms, last_ms=started.wall_ms, counted_ms=started.wall_ms),
         )
         # What stands in a file's first batch is told again: a process may have begun in a file that is gone.
         process.is_complete = process.is_complete if is_known else is_past_first_batch
@@ -190,7 +202,7 @@
 
     def read_action_record(self, record: IntervalBegun | ActionCounts | ProcessEnded) -> None:
         """Take in what a process wrote of its actions."""
-        process = self.processes.get(record.life)
+        process = self.processes.get(record.process_number)
         if process is None:
             return
         shifted = replace(record, wall_ms=record.wall_ms + process.shift_ms)
@@ -207,7 +219,7 @@
         """Take in that an interval began."""
         interval = process.intervals.setdefault(record.interval, Interval(record))
         if interval.begun != record:
-            self.report(f"two intervals {record.interval} of life {record.life}")
+            self.report(f"two intervals {record.interval} of life {record.process_number}")
 
     def read_counts(self, record: ActionCounts, process: Process) -> None:
         """Take in the counts of some intervals."""
@@ -215,13 +227,13 @@
         for number, *row in record.rows:
             interval, counts = process.intervals.get(number), tuple(row)
             if interval is None:
-                self.report(f"acts in interval {number} of life {record.life}, which is missing")
+                self.report(f"acts in interval {number} of life {record.process_number}, which is missing")
                 continue
             # In one chain they only grow; another chain's may come later here and be earlier.
-            earlier = self.chain_counts.get((record.life, number), ())
+            earlier = self.chain_counts.get((record.process_number, number), ())
             if any(count < before for count, before in zip(counts, earlier, strict=False)):
-                self.report(f"fewer acts in interval {number} of life {record.life} than before")
-            self.chain_counts[record.life, number] = counts
+                self.report(f"fewer acts in interval {number} of life {record.process_number} than before")
+            self.chain_counts[record.process_number, number] = counts
             interval.counts = tuple(map(max, counts, interval.counts))
             interval.marks.append(CountMark(record.wall_ms, counts))
 
@@ -251,7 +263,9 @@
     first = min(numbers) if numbers and not process.is_complete else 1
     missing = sorted(set(range(first, max(numbers, default=0) + 1)) - numbers)
     if missing:
-        audit.findings.append(f"{node}: intervals {missing} of life {process.started.life} are missing")
+        audit.findings.append(
+            f"{node}: intervals {missing} of life {process.started.process_number} are missing"
+        )
 
 
 def find_two_contents(audit: Audit) -> None:
@@ -265,7 +279,9 @@
     """Report processes of one name of which the later was not to run beside the earlier."""
     for earlier, later in pairwise(audit.processes[node]):
         if earlier.last_ms > later.started.wall_ms + error_ms and not later.started.beside:
-            overlap = f"life {later.started.life} began before {earlier.started.life} was over"
+            overlap = (
+                f"life {later.started.process_number} began before {earlier.started.process_number} was over"
+            )
             audit.findings.append(f"{node}: {overlap}")
 
 
@@ -280,7 +296,7 @@
             if count and begun.proved:
                 audit.findings.append(
                     f"{node}: {count} acts on version {begun.number}, as proved, in interval "
-                    f"{begun.interval} of life {process.started.life}, past {lease_ms:.0f} ms"
+                    f"{begun.interval} of life {process.started.process_number}, past {lease_ms:.0f} ms"
                 )
 
 
@@ -314,7 +330,7 @@
         if ended_ms is not None and ended_ms < since_ms:
             continue
         row: dict[str, Any] = {"node": node}
-        row |= {name: getattr(interval.begun, name) for name in ROW_FIELDS}
+        row |= {key: getattr(interval.begun, name) for key, name in FIELDS_BY_KEY.items()}
         row |= {"from_ms": interval.begun.wall_ms, "to_ms": ended_ms}
         row |= zip(ACTS, interval.counts, strict=True)
         row["unknown_after"] = process.unknown is not None and is_last
--- a/marlseam/cluster/audit_log.py
+++ b/marlseam/cluster/audit_log.py
@@ -23,7 +23,7 @@
 ACTS = ("taken", "sent", "answered", "refused")  # what is counted, as operators read it
 
 
-class FirstLifeBegun(msgspec.Struct, tag="begun", array_like=True, frozen=True):
+class LedgerBegun(msgspec.Struct, tag="begun", array_like=True, frozen=True):
     """A node's first ledger: whatever is not in it has not happened."""
 
     wall_ms: float
@@ -45,7 +45,7 @@
     """A process begins.
 
     Attributes:
-        life: its incarnation.
+        process_number: its own among the node's processes, as in membership.
         program: the program's version.
         boot: the start of the machine that it runs on.
         lease_ms: for how long after a newer version was chosen it may act on an older one as proven.
@@ -54,7 +54,7 @@
 
     """
 
-    life: int
+    process_number: int
     program: str
     boot: str
     wall_ms: float
@@ -68,24 +68,24 @@
     """An interval begins: from here on actions stand on this.
 
     Attributes:
-        life, program: as of `ProcessStarted`.
+        process_number, program: as of `ProcessStarted`.
         interval: its number in the process, from 1 on.
         number, id: the version acted on, and its content's id ("" where a later one is held).
-        meaning: the digest of the settings in force, another than the version's where a file of the node's
-            own was let in.
-        listed: the number of the endpoint list.
+        settings_digest: of the settings in force, another than the version's where a file of the node's own
+            was let in.
+        endpoint_list_version: the version of the endpoint list.
         proved: whether the version is proven to be in force.
         serving, code: whether the node serves, and what is wrong.
 
     """
 
-    life: int
+    process_number: int
     interval: int
     program: str
     number: int
     id: str
-    meaning: str
-    listed: int
+    settings_digest: str
+    endpoint_list_version: int
     proved: bool
     serving: bool
     code: str
@@ -96,7 +96,7 @@
 class ActionCounts(msgspec.Struct, tag="mark", array_like=True, frozen=True):
     """Counts of some intervals so far: (interval, taken, sent, answered, refused)."""
 
-    life: int
+    process_number: int
     rows: list[tuple[int, int, int, int, int]]
     wall_ms: float
     mono_ms: float
@@ -105,7 +105,7 @@
 class ProcessEnded(msgspec.Struct, tag="ended", array_like=True, frozen=True):
     """A process ended by itself: its counts are complete."""
 
-    life: int
+    process_number: int
     wall_ms: float
     mono_ms: float
 
@@ -151,7 +151,7 @@
 
 
 LogRecord = (
-    FirstLifeBegun
+    LedgerBegun
     | FileOpened
     | BatchWritten
     | ProcessStarted
@@ -237,7 +237,7 @@
     def apply(self, record: LogRecord) -> None:
         """Take in the next record."""
         match record:
-            case FirstLifeBegun():
+            case LedgerBegun():
                 self.begun = True
             case ProcessStarted():
                 self.process, self.interval, self.ended = record, None, False
@@ -281,7 +281,7 @@
     def records(self) -> Iterator[LogRecord]:
         """Yield records that add up to this: what a new file begins with."""
         if self.begun:
-            yield FirstLifeBegun(self.wall_ms)
+            yield LedgerBegun(self.wall_ms)
         for content_id, data in self.contents.items():
             yield ContentStored(content_id, data)
         if self.held is not None:
--- a/marlseam/cluster/checking/explore_paxos.py
+++ b/marlseam/cluster/checking/explore_paxos.py
@@ -1,14 +1,16 @@
-"""Every interleaving of agreement and its proof, small: three voters, two operators, one node that asks.
+"""Explores every interleaving of agreement and of quorum reads in a small size.
 
-With crashes, a voter's memory lost or set back, loss, repeats, any delay.
+Three voters, two operators that publish, and one node that asks whether anything was chosen; with crashes, a
+voter's memory lost or set back, messages lost, repeated or late.
 
-What was said once may come at any time, any number of times or never, so the network is the set of all that
-was ever said. A state is what disks and processes hold, and that set; each is looked at once, up to a depth.
-A step is one process's: hear one message, begin a round, take some majority's promises, crash, restart, ask
-the voters whether anything is accepted, answer that. Broken is a state in which two contents are chosen, or
-in which the one that asks holds as proved that nothing was when it asked, and something was.
+What was sent once may come at any time, any number of times or never, so the network is the set of all that
+was ever sent. A state is what disks and processes hold, and that set; each is visited once, up to a depth. A
+step is one process's: hear one message, begin a round, take some majority's promises, crash, restart, ask the
+voters whether anything is accepted, answer that. A state is broken if two contents are chosen, or if the node
+that asked takes as proven that nothing was chosen then, and something was.
 """
 
+import enum
 from collections.abc import Callable, Iterator
 from itertools import combinations
 from typing import NamedTuple
@@ -32,42 +34,56 @@
 NUMBER = 2  # the number that is agreed on
 
 
+class ProofRequest(enum.IntEnum):
+    """Whether a node has asked if anything is accepted, and whether anything was chosen then."""
+
+    NONE = 0
+    BEFORE_CHOICE = 1
+    AFTER_CHOICE = 2
+
+
 class Voter(NamedTuple):
-    """What a voter's disk holds, and what its process does."""
+    """A voter: its state on disk and in its process, and whether it knows its memory to be whole."""
 
     disk: AcceptorState = AcceptorState()
     process: AcceptorState = AcceptorState()
-    whole: bool = True  # whether its memory is, as far as it knows
+    has_memory: bool = True
 
 
 class Clear(NamedTuple):
-    """A voter has accepted nothing, it says to the node that asked."""
+    """A voter's answer to the node that asked: it has accepted nothing."""
 
     voter: str
 
 
 class Operator(NamedTuple):
-    """One that publishes: its process's round, what it likes, if it has begun, what it asked, its life."""
+    """One that publishes.
+
+    round: the last that its process has begun; `is_open` while responses to it count.
+    value: the content that it wants.
+    requested: the content that it has asked to accept in this round.
+    restarts: how often its process began anew.
+    """
 
     round: int = 0
     value: str = ""
-    open: bool = False
-    asked: str | None = None
-    lives: int = 0
+    is_open: bool = False
+    requested: str | None = None
+    restarts: int = 0
 
 
 class State(NamedTuple):
-    """All of it."""
+    """The state of all processes, and all messages that were ever sent."""
 
     voters: tuple[Voter, ...]
     operators: tuple[Operator, ...]
-    said: frozenset[Message | Clear]
+    sent: frozenset[Message | Clear]
     crashes: int = 0
-    asked: int = 0  # 1: a node has asked whether anything is accepted; 2: when something was chosen
+    asked: ProofRequest = ProofRequest.NONE
 
 
 class Rules:
-    """The machines as they are; a planted defect overrides one of these."""
+    """The rules as they are; a planted defect overrides one of these methods."""
 
     voters = ("a", "b", "c")
     rounds, crashes = 2, 1
@@ -78,173 +94,218 @@
 
     def may_vote(self, voter: Voter) -> bool:
         """Return whether a voter takes part."""
-        return voter.whole
+        return voter.has_memory
 
-    def clear(self, voter: Voter) -> bool:
+    def is_clear(self, voter: Voter) -> bool:
         """Return whether a voter says that it has accepted nothing."""
         return self.may_vote(voter) and voter.process.accepted == NO_BALLOT
 
-    def proves(self, by: set[str]) -> bool:
+    def is_proof(self, voters: set[str]) -> bool:
         """Return whether those that have accepted nothing prove that nothing was chosen."""
-        return any(len(by & e) >= self.enough(e) for e in (self.electorate(1), self.electorate(2)))
+        return any(self.has_quorum(voters, self.electorate(place)) for place in (1, 2))
 
-    def claims(self, state: State) -> bool:
+    def is_proof_false(self, state: State) -> bool:
         """Return whether a proof, where there is one, says what is not so.
 
         It holds as of when it was asked.
         """
-        return state.asked == 2
+        return state.asked is ProofRequest.AFTER_CHOICE
 
-    def electorate(self, place: int) -> frozenset[str]:
+    def electorate(self, _place: int) -> frozenset[str]:
         """Return the voters as an operator knows them."""
         return frozenset(self.voters)
 
-    def carries(self, by: set[str]) -> bool:
-        """Return whether those that took one content under one ballot have chosen it for some operator."""
-        electorates = {self.electorate(1), self.electorate(2)}
-        return any(len(by & electorate) >= self.enough(electorate) for electorate in electorates)
+    def is_choice(self, voters: set[str]) -> bool:
+        """Return whether those that accepted a content under one ballot have chosen it for some operator."""
+        return any(self.has_quorum(voters, self.electorate(place)) for place in (1, 2))
+
+    def has_quorum(self, voters: set[str], electorate: frozenset[str]) -> bool:
+        """Return whether some voters are a quorum of an electorate."""
+        return len(voters & electorate) >= self.quorum_size(electorate)
 
-    def enough(self, electorate: frozenset[str]) -> int:
-        """Return how many voters choose."""
+    def quorum_size(self, electorate: frozenset[str]) -> int:
+        """Return the size of a quorum."""
         return majority(electorate)
 
     def acceptor(self, name: str, held: AcceptorState) -> Acceptor:
-        """Return a voter's machine."""
+        """Return a voter's acceptor."""
         return Acceptor(name, {NUMBER: held})
 
     def proposer(self, place: int, operator: Operator) -> Proposer:
-        """Return an operator's machine in its present round."""
+        """Return an operator's proposer in its present round."""
         electorate = self.electorate(place)
-        held = operator.round, operator.open
+        held = operator.round, operator.is_open
         return Proposer(
-            self.place(place, operator),
+            self.ballot_place(place, operator),
             NUMBER,
             operator.value,
             electorate,
             *held,
-            requested_value=operator.asked,
+            requested_value=operator.requested,
         )
 
-    def on_disk(self, voter: Voter, new: AcceptorState) -> AcceptorState:
-        """Return what a voter's disk holds before it speaks."""
+    def durable_state(self, _voter: Voter, new: AcceptorState) -> AcceptorState:
+        """Return what a voter's disk holds before it answers."""
         return new
 
-    def place(self, place: int, operator: Operator) -> str:
-        """Return an operator's place in ballots: another in each life."""
-        return f"{place}.{operator.lives}"
+    def ballot_place(self, place: int, operator: Operator) -> str:
+        """Return an operator's place in ballots: another after each restart."""
+        return f"{place}.{operator.restarts}"
 
-    def content(self, place: int, operator: Operator) -> str:
-        """Return what an operator asks for: another thing in each round and life."""
-        return f"{'xy'[place - 1]}{operator.round + 1}.{operator.lives}"
+    def wanted_content(self, place: int, operator: Operator) -> str:
+        """Return the content that an operator asks for: another in each round, and after each restart."""
+        return f"{'xy'[place - 1]}{operator.round + 1}.{operator.restarts}"
 
 
-def beginning(rules: Rules) -> State:
-    """Return the state in which nothing has been said."""
+def initial_state(rules: Rules) -> State:
+    """Return the state in which nothing was sent."""
     return State(tuple(Voter() for _ in rules.voters), (Operator(), Operator()), frozenset())
 
 
 def steps(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
     """Yield each next step with its name."""
     if not state.asked:
-        yield "a node asks", state._replace(asked=2 if contents(state, rules) else 1)
-    for i, voter in enumerate(state.voters):
-        name = rules.voters[i]
-        if state.asked and Clear(name) not in state.said and rules.clear(voter):
-            yield f"{name} is clear", state._replace(said=state.said | {Clear(name)})
-        for message in state.said if rules.may_vote(voter) else ():
-            if type(message) in (Prepare, Accept):
-                machine = rules.acceptor(rules.voters[i], voter.process)
-                new, answer = machine.handle(message)
-                if new is None and answer in state.said:
-                    continue
-                after = voter if new is None else Voter(rules.on_disk(voter, new), new, voter.whole)
-                yield (
-                    f"{rules.voters[i]} hears {message}",
-                    state._replace(
-                        voters=(*state.voters[:i], after, *state.voters[i + 1 :]), said=state.said | {answer}
-                    ),
-                )
-        if state.crashes < rules.crashes and voter.process != voter.disk:
-            after = Voter(voter.disk, voter.disk, voter.whole)
-            voters = (*state.voters[:i], after, *state.voters[i + 1 :])
-            yield f"{rules.voters[i]} restarts", state._replace(voters=voters, crashes=state.crashes + 1)
-        if state.crashes < rules.crashes and voter.disk != AcceptorState():
-            after = Voter(whole=not rules.knows_loss())
-            voters = (*state.voters[:i], after, *state.voters[i + 1 :])
-            yield f"{name} loses its folder", state._replace(voters=voters, crashes=state.crashes + 1)
-    for i, operator in enumerate(state.operators):
-        place = i + 1
-
-        def put(new: Operator, *messages: Message, i: int = i, crash: int = 0) -> State:
-            operators = (*state.operators[:i], new, *state.operators[i + 1 :])
-            said, crashes = state.said | set(messages), state.crashes + crash
-            return State(state.voters, operators, said, crashes, state.asked)
-
-        if operator.round < rules.rounds:
-            asks = operator._replace(value=rules.content(place, operator), open=True, asked=None)
-            machine = rules.proposer(place, asks)
-            message = machine.begin_round()
-            begun = asks._replace(round=machine.round)
-            yield f"{place} begins {machine.round}", put(begun, message)
-        if operator.open and operator.asked is None:
-            machine_of = rules.proposer(place, operator)
-            heard = [m for m in state.said if type(m) is Promise and m.ballot == machine_of.ballot]
-            for some in combinations(sorted(heard), rules.enough(rules.electorate(place))):
-                machine, message = rules.proposer(place, operator), None
-                for promise in some:
-                    message = machine.handle(promise) or message
-                if message is not None:
-                    asked = operator._replace(asked=machine.requested_value)
-                    yield f"{place} asks for {message.value}", put(asked, message)
-        if state.crashes < rules.crashes and operator.round:
-            yield (
-                f"{place} restarts",
-                put(Operator(lives=operator.lives + 1), crash=1),
-            )
-
-
-def contents(state: State, rules: Rules) -> set[str]:
-    """Return what a majority has said that it took under one ballot, as any that hears them holds it."""
-    took: dict[tuple[Ballot, str], set[str]] = {}
-    for message in state.said:
-        if type(message) is Accepted:
-            took.setdefault((message.ballot, message.value), set()).add(message.voter)
-    return {value for (_, value), by in took.items() if rules.carries(by)}
-
-
-def broken(state: State, rules: Rules) -> bool:
-    """Return whether two contents are chosen, or what is taken as proved is not so."""
-    if len(contents(state, rules)) > 1:
+        yield (
+            "a node asks",
+            state._replace(
+                asked=ProofRequest.AFTER_CHOICE
+                if chosen_contents(state, rules)
+                else ProofRequest.BEFORE_CHOICE
+            ),
+        )
+    for index in range(len(state.voters)):
+        yield from voter_steps(state, rules, index)
+    for index in range(len(state.operators)):
+        yield from operator_steps(state, rules, index)
+
+
+def with_voter(state: State, index: int, voter: Voter) -> tuple[Voter, ...]:
+    """Return the voters with one of them in another state."""
+    return (*state.voters[:index], voter, *state.voters[index + 1 :])
+
+
+def voter_steps(state: State, rules: Rules, index: int) -> Iterator[tuple[str, State]]:
+    """Yield each next step of a voter: answer that it is clear, hear a request, restart, lose its memory."""
+    name, voter = rules.voters[index], state.voters[index]
+    if state.asked and Clear(name) not in state.sent and rules.is_clear(voter):
+        yield f"{name} is clear", state._replace(sent=state.sent | {Clear(name)})
+    for message in state.sent if rules.may_vote(voter) else ():
+        if isinstance(message, Prepare | Accept):
+            yield from request_steps(state, rules, index, message)
+    if state.crashes >= rules.crashes:
+        return
+    if voter.process != voter.disk:
+        restarted = Voter(voter.disk, voter.disk, voter.has_memory)
+        yield f"{name} restarts", crashed(state, index, restarted)
+    if voter.disk != AcceptorState():
+        yield f"{name} loses its folder", crashed(state, index, Voter(has_memory=not rules.knows_loss()))
+
+
+def crashed(state: State, index: int, voter: Voter) -> State:
+    """Return the state after a crash of a voter."""
+    return state._replace(voters=with_voter(state, index, voter), crashes=state.crashes + 1)
+
+
+def request_steps(
+    state: State, rules: Rules, index: int, request: Prepare | Accept
+) -> Iterator[tuple[str, State]]:
+    """Yield the step in which a voter hears a request, if that changes anything."""
+    name, voter = rules.voters[index], state.voters[index]
+    new, response = rules.acceptor(name, voter.process).handle(request)
+    if new is None and response in state.sent:
+        return
+    state_after = voter if new is None else Voter(rules.durable_state(voter, new), new, voter.has_memory)
+    voters = with_voter(state, index, state_after)
+    yield f"{name} hears {request}", state._replace(voters=voters, sent=state.sent | {response})
+
+
+def with_operator(state: State, index: int, operator: Operator, message: Message | None) -> State:
+    """Return the state with an operator in another one, which may have said something."""
+    operators = (*state.operators[:index], operator, *state.operators[index + 1 :])
+    sent = state.sent if message is None else state.sent | {message}
+    return state._replace(operators=operators, sent=sent)
+
+
+def operator_steps(state: State, rules: Rules, index: int) -> Iterator[tuple[str, State]]:
+    """Yield each next step of an operator: begin a round, ask for a content, restart."""
+    place, operator = index + 1, state.operators[index]
+    if operator.round < rules.rounds:
+        wish = operator._replace(value=rules.wanted_content(place, operator), is_open=True, requested=None)
+        proposer = rules.proposer(place, wish)
+        message = proposer.begin_round()
+        begun = wish._replace(round=proposer.round)
+        yield f"{place} begins {proposer.round}", with_operator(state, index, begun, message)
+    if operator.is_open and operator.requested is None:
+        yield from accept_steps(state, rules, index)
+    if state.crashes < rules.crashes and operator.round:
+        restarted = with_operator(state, index, Operator(restarts=operator.restarts + 1), None)
+        yield f"{place} restarts", restarted._replace(crashes=state.crashes + 1)
+
+
+def accept_steps(state: State, rules: Rules, index: int) -> Iterator[tuple[str, State]]:
+    """Yield each step in which an operator takes some majority's promises and asks for a content."""
+    place, operator = index + 1, state.operators[index]
+    ballot = rules.proposer(place, operator).ballot
+    promises = [m for m in state.sent if isinstance(m, Promise) and m.ballot == ballot]
+    for quorum in combinations(sorted(promises), rules.quorum_size(rules.electorate(place))):
+        proposer = rules.proposer(place, operator)
+        message: Prepare | Accept | None = None
+        for promise in quorum:
+            message = proposer.handle(promise) or message
+        if isinstance(message, Accept):
+            asked = operator._replace(requested=proposer.requested_value)
+            yield f"{place} asks for {message.value}", with_operator(state, index, asked, message)
+
+
+def chosen_contents(state: State, rules: Rules) -> set[str]:
+    """Return the contents that a majority has answered to have accepted under one ballot."""
+    accepted_by: dict[tuple[Ballot, str], set[str]] = {}
+    for message in state.sent:
+        if isinstance(message, Accepted):
+            accepted_by.setdefault((message.ballot, message.value), set()).add(message.voter)
+    return {value for (_, value), voters in accepted_by.items() if rules.is_choice(voters)}
+
+
+def is_broken(state: State, rules: Rules) -> bool:
+    """Return whether two contents are chosen, or what is taken as proven is false."""
+    if len(chosen_contents(state, rules)) > 1:
         return True
-    clear = {message.voter for message in state.said if type(message) is Clear}
-    return rules.proves(clear) and rules.claims(state)
+    clear = {message.voter for message in state.sent if isinstance(message, Clear)}
+    return rules.is_proof(clear) and rules.is_proof_false(state)
 
 
 def explore(
     depth: int,
     rules: Rules | None = None,
-    states_most: int = 10_000_000,
+    max_states: int = 10_000_000,
     tell: Callable[[int, int], None] | None = None,
 ) -> Explored:
-    """Look at each state up to a depth, nearest first."""
+    """Visit each state up to a depth, nearest first; `tell` is called with each depth and count of states."""
     rules = rules or Rules()
     return search.explore(
-        beginning(rules), lambda s: steps(s, rules), lambda s: broken(s, rules), depth, states_most, tell
+        initial_state(rules),
+        lambda s: steps(s, rules),
+        lambda s: is_broken(s, rules),
+        depth,
+        max_states,
+        tell,
     )
 
 
-def after(path: list[str], rules: Rules) -> State:
+def state_after(path: list[str], rules: Rules) -> State:
     """Return the state that some steps lead to, each named by its beginning.
 
     Raises StopIteration where there is no such step.
     """
-    state = beginning(rules)
+    state = initial_state(rules)
     for name in path:
-        state = next(new for told, new in steps(state, rules) if told.startswith(name))
+        state = next(new for step, new in steps(state, rules) if step.startswith(name))
     return state
 
 
-def wander(walks: int, length: int, rules: Rules, first: State | None = None, seed: int = 1) -> list[str]:
-    """Go ways of chance; return one that leads to a broken state, or none."""
-    begin = first or beginning(rules)
-    return search.wander(begin, lambda s: steps(s, rules), lambda s: broken(s, rules), walks, length, seed)
+def random_walks(
+    walks: int, length: int, rules: Rules, first: State | None = None, seed: int = 1
+) -> list[str]:
+    """Take random steps; return a walk that leads to a broken state, or none."""
+    begin = first or initial_state(rules)
+    return search.wander(begin, lambda s: steps(s, rules), lambda s: is_broken(s, rules), walks, length, seed)
--- a/marlseam/cluster/checking/replication_schedules.py
+++ b/marlseam/cluster/checking/replication_schedules.py
@@ -13,7 +13,7 @@
 
 from marlseam.cluster.audit_log import (
     AcceptorPromise,
-    FirstLifeBegun,
+    LedgerBegun,
     LogRecord,
     VersionHeld,
     VotesBarred,
@@ -59,7 +59,7 @@
 class Disk:
     """What a name's folder holds, and whether it takes more."""
 
-    entries: list[LogRecord] = field(default_factory=lambda: [FirstLifeBegun(0.0)])
+    entries: list[LogRecord] = field(default_factory=lambda: [LedgerBegun(0.0)])
     full_until: float = 0.0
     busy_until: float = 0.0
 
--- a/marlseam/experiment/versions.py
+++ b/marlseam/experiment/versions.py
@@ -70,7 +70,7 @@
         told, unknown_from = {}, {}
         for name, processes in self.audit.processes.items():
             for process in processes:
-                life = process.started.life
+                life = process.started.process_number
                 if process.unknown is not None:
                     unknown_from[name, life] = process.unknown.from_ms - self.zero - ERROR_MS
                 for number, interval in process.intervals.items():
--- a/marlseam/net/action_ledger.py
+++ b/marlseam/net/action_ledger.py
@@ -42,21 +42,21 @@
     number: the version acted on.
     content_id: its content's id; "" where a later version is held.
     settings_digest: of the settings in force, which may be a file's of the node's own.
-    listed: the number of the endpoint list.
+    endpoint_list_version: of the endpoint list in force.
     status: whether the node serves, and whether the version is proven.
     """
 
     number: int
     content_id: str
     settings_digest: str
-    listed: int
+    endpoint_list_version: int
     status: ServingStatus
 
     def is_of(self, interval: IntervalBegun) -> bool:
         """Return whether an interval goes on with this basis."""
         status = ServingStatus(interval.serving, interval.proved, interval.code)
-        basis = interval.number, interval.meaning, interval.listed, status
-        return basis == (self.number, self.settings_digest, self.listed, self.status)
+        basis = interval.number, interval.settings_digest, interval.endpoint_list_version, status
+        return basis == (self.number, self.settings_digest, self.endpoint_list_version, self.status)
 
 
 class PendingRecord(NamedTuple):
@@ -89,10 +89,10 @@
 
     """
 
-    def __init__(self, node_ledger: NodeLedger, name: str, incarnation: int, lease_ms: float) -> None:
-        """Begin without an interval, for one incarnation of a member."""
+    def __init__(self, node_ledger: NodeLedger, name: str, process_number: int, lease_ms: float) -> None:
+        """Begin without an interval, for one process of a member."""
         self.node_ledger, self.name = node_ledger, name
-        self.incarnation, self.lease_ms = incarnation, lease_ms
+        self.process_number, self.lease_ms = process_number, lease_ms
         self.started_ms, self.is_beside = node_ledger.loop.now(), False
         self.interval: IntervalBegun | None = None
         self.stamp = ""
@@ -114,7 +114,7 @@
         """Return the record of this process."""
         ran_ms = now - self.started_ms
         return ProcessStarted(
-            self.incarnation,
+            self.process_number,
             __version__,
             self.ledger.era.boot,
             self.ledger.wall_ms() - ran_ms,
@@ -143,13 +143,13 @@
         number = self.interval.interval + 1 if self.interval is not None else 1
         status = basis.status
         self.interval = IntervalBegun(
-            self.incarnation,
+            self.process_number,
             number,
             __version__,
             basis.number,
             basis.content_id,
             basis.settings_digest,
-            basis.listed,
+            basis.endpoint_list_version,
             status.is_proven,
             status.is_serving,
             status.code,
@@ -160,7 +160,7 @@
         self.intervals[number] = self.interval
         self.counts.pop(number - MAX_OPEN_INTERVALS, None)
         self.intervals.pop(number - MAX_OPEN_INTERVALS, None)
-        self.stamp = f"{self.name}/{self.incarnation}/{number}/{basis.number}/{int(status.is_proven)}"
+        self.stamp = f"{self.name}/{self.process_number}/{number}/{basis.number}/{int(status.is_proven)}"
         self.pending_records.append(PendingRecord(0, self.interval))
         self.write_records()
 
@@ -206,7 +206,7 @@
         rows = [self.row_of(number) for number in self.changed_intervals if number in self.counts]
         if not rows or any(not row.number for row in self.pending_records):
             return
-        counts = ActionCounts(self.incarnation, rows, self.ledger.wall_ms(), self.ledger.loop.now())
+        counts = ActionCounts(self.process_number, rows, self.ledger.wall_ms(), self.ledger.loop.now())
         number = self.ledger.append(counts)
         if number:
             self.pending_counts.append(PendingCounts(number, tuple(self.changed_intervals)))
@@ -231,5 +231,5 @@
         """Hand over the last counts, as the node ends."""
         self.write_counts()
         if self.interval is not None:
-            ended = ProcessEnded(self.incarnation, self.ledger.wall_ms(), self.ledger.loop.now())
+            ended = ProcessEnded(self.process_number, self.ledger.wall_ms(), self.ledger.loop.now())
             self.ledger.append(ended)
--- a/marlseam/net/config_requests.py
+++ b/marlseam/net/config_requests.py
@@ -220,8 +220,8 @@
             "version": replica.number,
             "id": replica.content_id,
             "acting": replica.applied_number,
-            "meaning": interval.meaning,
-            "listed": interval.listed,
+            "meaning": interval.settings_digest,
+            "listed": interval.endpoint_list_version,
             "interval": interval.interval,
             "since_ms": round(now - interval.mono_ms),
             "serving": status.is_serving,
@@ -247,7 +247,8 @@
         service = self.service
         publication = replica.publisher.publication
         return {
-            "local": bool(replica.applied_number) and interval.meaning != service.held_settings_digest(),
+            "local": bool(replica.applied_number)
+            and interval.settings_digest != service.held_settings_digest(),
             "contents": dict(replica.store.transfer_counts),
             "ledger": str(service.ledger.path),
             "publication": replica.publisher.result,
--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -66,7 +66,7 @@
         log: Log,
         settings: ClusterSettings,
         name: str,
-        incarnation: int,
+        process_number: int,
         seed: int,
         port: ConfigServicePort,
         send: Callable[[str, bytes], None],
@@ -74,11 +74,11 @@
     ) -> None:
         """Make one for a member; `on_members` is called with the members that a version names."""
         self.loop, self.log, self.settings, self.name = loop, log, settings, name
-        self.incarnation, self.seed, self.port = incarnation, seed, port
+        self.process_number, self.seed, self.port = process_number, seed, port
         self.send, self.on_members = send, on_members
         self.replica: ConfigReplica | None = None
         self.serving_status, self.valid_until_ms = ServingStatus(False, False, "locked"), 0.0
-        self.last_listed = -1  # as of the last refresh
+        self.last_list_version = -1  # as of the last refresh
         self.last_settings: object = None  # likewise; and their digest
         self.last_settings_digest, self.digester = "", SettingsDigester()
         self.held_digest: tuple[Content | None, str] = (None, "")  # of the settings of the version held
@@ -87,7 +87,7 @@
             raise ConfigError("fleet.folder", None, "a folder for the ledger")
         folder = Path(settings.folder)
         self.node_ledger = NodeLedger(loop, log, folder, name, self.recover, self.take_over_ledger)
-        self.actions = ActionLedger(self.node_ledger, name, incarnation, settings.lease_ms)
+        self.actions = ActionLedger(self.node_ledger, name, process_number, settings.lease_ms)
         self.requests = ConfigRequests(self)
         self.timer = loop.at(loop.now(), lambda: None)
         self.is_beside = self.is_started = False
@@ -143,7 +143,7 @@
         settings = ReplicationSettings(
             frozenset(cluster.voters), cluster.period_ms, cluster.lease_ms, cluster.strict, cluster.serve_ms
         )
-        proposer_id = f"{self.name}/{self.incarnation}/{os.urandom(PROPOSER_RANDOM_BYTES).hex()}"
+        proposer_id = f"{self.name}/{self.process_number}/{os.urandom(PROPOSER_RANDOM_BYTES).hex()}"
         members = frozenset(cluster.members)
         return ConfigReplica(
             self.name, members, settings, proposer_id, self.seed, now, recovered, self.content_fault
@@ -295,7 +295,7 @@
         """Return whether this node may serve; begin an interval where what actions stand on has changed."""
         now, replica = self.loop.now(), self.replica
         # The usual case, several times a request: nothing has changed.
-        is_same = self.port.settings() is self.last_settings and self.port.listed() == self.last_listed
+        is_same = self.port.settings() is self.last_settings and self.port.listed() == self.last_list_version
         if replica is None or (is_same and now < self.valid_until_ms):
             return self.serving_status
         if now >= self.valid_until_ms:
@@ -319,12 +319,14 @@
 
     def action_basis(self, replica: ConfigReplica) -> ActionBasis:
         """Return what actions stand on at this moment."""
-        status, listed = self.serving_status, self.port.listed()
-        settings, self.last_listed = self.port.settings(), listed
+        status, list_version = self.serving_status, self.port.listed()
+        settings, self.last_list_version = self.port.settings(), list_version
         if self.last_settings is not settings:
             self.last_settings, self.last_settings_digest = settings, self.digester.digest(settings)
         content_id = replica.content_id if replica.applied_number == replica.number else ""
-        return ActionBasis(replica.applied_number, content_id, self.last_settings_digest, listed, status)
+        return ActionBasis(
+            replica.applied_number, content_id, self.last_settings_digest, list_version, status
+        )
 
     def held_settings_digest(self) -> str:
         """Return the digest of the settings of the version held; "" where it cannot be read."""
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -2,7 +2,14 @@
 
 import pytest
 
-from marlseam.cluster.checking.explore_paxos import NUMBER, Rules, after, contents, explore, wander
+from marlseam.cluster.checking.explore_paxos import (
+    NUMBER,
+    Rules,
+    chosen_contents,
+    explore,
+    random_walks,
+    state_after,
+)
 from marlseam.cluster.replication.paxos import (
     NO_BALLOT,
     Accept,
@@ -22,7 +29,7 @@
 
 
 def test_far_ways_of_chance_find_none_either():
-    assert wander(150, 24, Rules()) == []
+    assert random_walks(150, 24, Rules()) == []
 
 
 def changed(**named):
@@ -32,21 +39,21 @@
 class ForgetsPromise(Rules):
     """Planted: a voter's promise is not on its disk, what it accepted is."""
 
-    def on_disk(self, voter, new):
+    def durable_state(self, voter, new):
         return new if new.accepted > voter.disk.accepted else voter.disk
 
 
 class ForgetsAccepted(Rules):
     """Planted: what a voter accepted is not on its disk, its promise is."""
 
-    def on_disk(self, voter, new):
+    def durable_state(self, voter, new):
         return new._replace(accepted=NO_BALLOT, value="")
 
 
 class SpeaksFirst(Rules):
     """Planted: a voter speaks before its disk has it."""
 
-    def on_disk(self, voter, new):
+    def durable_state(self, voter, new):
         return voter.process
 
 
@@ -56,15 +63,15 @@
     kind = Proposer
 
     def proposer(self, place, operator):
-        held = operator.round, operator.open
+        held = operator.round, operator.is_open
         electorate = self.electorate(place)
         return self.kind(
-            self.place(place, operator),
+            self.ballot_place(place, operator),
             NUMBER,
             operator.value,
             electorate,
             *held,
-            requested_value=operator.asked,
+            requested_value=operator.requested,
         )
 
 
@@ -73,7 +80,7 @@
 
     kind = changed(quorum_size=lambda self: len(self.voters) // 2)
 
-    def enough(self, electorate):
+    def quorum_size(self, electorate):
         return len(electorate) // 2
 
 
@@ -112,7 +119,7 @@
 class SameRoundAgain(Rules):
     """Planted: an operator that restarts begins its rounds anew."""
 
-    def place(self, place, operator):
+    def ballot_place(self, place, operator):
         return f"{place}.0"
 
 
@@ -133,22 +140,22 @@
 class FromTheAnswer(Rules):
     """Planted: a proof holds as of when the answers came."""
 
-    def claims(self, state):
-        return bool(contents(state, self))
+    def is_proof_false(self, state):
+        return bool(chosen_contents(state, self))
 
 
 class ClearByDisk(Rules):
     """Planted: a voter that has promised and not accepted in this life says it is clear."""
 
-    def clear(self, voter):
-        return voter.whole
+    def is_clear(self, voter):
+        return voter.has_memory
 
 
 class ProvedByOne(Rules):
     """Planted: one voter's word is a proof."""
 
-    def proves(self, by):
-        return bool(by)
+    def is_proof(self, voters):
+        return bool(voters)
 
 
 class TakesAnything(Rules):
@@ -191,8 +198,8 @@
     ids=lambda value: getattr(value, "__name__", ""),
 )
 def test_a_planted_defect_is_found(rules, path):
-    assert wander(6000, 16, rules(), after(path, rules()))
-    assert wander(60, 16, Rules(), after(path, Rules())) == []
+    assert random_walks(6000, 16, rules(), state_after(path, rules()))
+    assert random_walks(60, 16, Rules(), state_after(path, Rules())) == []
 
 
 def test_what_is_said_again_or_late_changes_nothing():
@@ -224,7 +231,7 @@
 
 
 def test_two_contents_are_seen_where_a_majority_took_each():
-    state = after(FAR, Rules())
-    assert contents(state, Rules()) == {"y1.0"}
-    both = state.said | {Accepted(2, (2, "1"), voter, "x2.0") for voter in "ab"}
-    assert contents(state._replace(said=both), Rules()) == {"y1.0", "x2.0"}
+    state = state_after(FAR, Rules())
+    assert chosen_contents(state, Rules()) == {"y1.0"}
+    both = state.sent | {Accepted(2, (2, "1"), voter, "x2.0") for voter in "ab"}
+    assert chosen_contents(state._replace(sent=both), Rules()) == {"y1.0", "x2.0"}
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -26,7 +26,7 @@
     AcceptorPromise,
     ActionCounts,
     BatchWritten,
-    FirstLifeBegun,
+    LedgerBegun,
     OperatorOverride,
     ProcessEnded,
     ProcessStarted,
@@ -593,8 +593,8 @@
 LIFE = ProcessStarted(7, "0.1", "boot", 1000.0, 0.0, LEASE)
 
 
-def interval(number, at_ms, version=0, proved=True, life=7):
-    return Interval(life, number, "0.1", version, "", "m", 3, proved, True, "", at_ms, at_ms)
+def interval(number, at_ms, version=0, proved=True, process_number=7):
+    return Interval(process_number, number, "0.1", version, "", "m", 3, proved, True, "", at_ms, at_ms)
 
 
 @pytest.fixture
@@ -718,7 +718,7 @@
 
 
 def spans(*entries):
-    return audit.read({"n": [[FirstLifeBegun(0.0), LIFE, *entries]]}, error_ms=10.0)
+    return audit.read({"n": [[LedgerBegun(0.0), LIFE, *entries]]}, error_ms=10.0)
 
 
 def test_each_act_lies_in_one_interval_and_what_is_not_known_is_told():
@@ -743,7 +743,7 @@
             [
                 BatchWritten(900.0),
                 ProcessStarted(8, "0.1", "boot", 1e6, 0.0, LEASE),
-                interval(2, 1e6, life=8),
+                interval(2, 1e6, process_number=8),
             ],
             "intervals [1]",
         ),
@@ -1070,7 +1070,14 @@
     old, port = peers.acting, stage.port()
     port.beside = True
     new = ConfigVersionService(
-        loop, Log("new", loop.now), peers.settings, "a", old.incarnation + 1, 9, port, lambda to, data: None
+        loop,
+        Log("new", loop.now),
+        peers.settings,
+        "a",
+        old.process_number + 1,
+        9,
+        port,
+        lambda to, data: None,
     )
     new.load()
     new.start()
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -121,28 +121,35 @@
 
 def ledger_records():
     """Return each record of a ledger."""
-    yield audit_log.FirstLifeBegun(wall_ms=1.5)
+    yield audit_log.LedgerBegun(wall_ms=1.5)
     yield audit_log.FileOpened(inode=2)
     yield audit_log.BatchWritten(wall_ms=3.5)
     yield audit_log.ProcessStarted(
-        life=4, program="p", boot="b", wall_ms=5.5, mono_ms=6.5, lease_ms=7.5, beside=True, zero_ms=8.5
+        process_number=4,
+        program="p",
+        boot="b",
+        wall_ms=5.5,
+        mono_ms=6.5,
+        lease_ms=7.5,
+        beside=True,
+        zero_ms=8.5,
     )
     yield audit_log.IntervalBegun(
-        life=11,
+        process_number=11,
         interval=12,
         program="p",
         number=13,
         id=DIGEST,
-        meaning=OTHER_DIGEST,
-        listed=14,
+        settings_digest=OTHER_DIGEST,
+        endpoint_list_version=14,
         proved=True,
         serving=False,
         code="c",
         wall_ms=15.5,
         mono_ms=16.5,
     )
-    yield audit_log.ActionCounts(life=21, rows=[(22, 23, 24, 25, 26)], wall_ms=27.5, mono_ms=28.5)
-    yield audit_log.ProcessEnded(life=31, wall_ms=32.5, mono_ms=33.5)
+    yield audit_log.ActionCounts(process_number=21, rows=[(22, 23, 24, 25, 26)], wall_ms=27.5, mono_ms=28.5)
+    yield audit_log.ProcessEnded(process_number=31, wall_ms=32.5, mono_ms=33.5)
     yield audit_log.AcceptorPromise(
         number=41, round=42, place="n1/43", accepted_round=44, accepted_place="n2/45", value=DIGEST
     )
