--- a/marlseam/cluster/checking/replication_schedules.py
+++ b/marlseam/cluster/checking/replication_schedules.py
@@ -1,24 +1,16 @@
-"""Versions of a fleet in virtual time, under faults of a seeded schedule, held against their bounds.
+"""Versions of a cluster in virtual time, under faults of a seeded schedule, checked against their bounds.
 
-The world is `hunt`'s; here its members agree on versions, spread and prove them, with disks that take time,
-fail, and are lost or set back. What is wrong is told by a checker that sees all disks, and when a majority
-of the voters had accepted a content on theirs.
+The simulation is that of `membership_schedules`; here its members agree on versions, spread and prove them,
+with disks that take time, fail, and are lost or set back.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any, NamedTuple
+from typing import Any, cast
 
 import msgspec
 
-from marlseam.cluster.audit_log import (
-    AcceptorPromise,
-    LedgerBegun,
-    LogRecord,
-    VersionHeld,
-    VotesBarred,
-    recover_log,
-)
+from marlseam.cluster.audit_log import LedgerBegun, LogRecord, VotesBarred, recover_log
 from marlseam.cluster.checking.membership_schedules import (
     DRIFT,
     PERIOD_MS,
@@ -28,54 +20,74 @@
     SimulatedMember,
     drawn,
 )
+from marlseam.cluster.checking.replication_checker import ReplicationChecker, ReplicationVerdict
 from marlseam.cluster.membership_codec import InvalidMessageError
 from marlseam.cluster.replication import messages
-from marlseam.cluster.replication.content import FORMAT, Content, digest, read, write
-from marlseam.cluster.replication.effects import ApplyContent, Persist, SendMessage
-from marlseam.cluster.replication.paxos import majority
+from marlseam.cluster.replication.content import FORMAT, Content, write
+from marlseam.cluster.replication.effects import ApplyContent, Effect, Persist, SendMessage
 from marlseam.cluster.replication.replica import ConfigReplica
 from marlseam.cluster.replication.settings import ReplicationSettings
 from marlseam.random_source import number
 
-FLEET = "trial"
+CLUSTER = "trial"
 LEASE_PERIODS = 15.0
-DISK_MS = 20.0  # at most, for a writing
-LOOK_MS = 100.0  # between looks at whether each node may act
+SERVE_LEASES = 100.0  # for which one that is not strict serves on without a proof
+MAX_DISK_MS = 20.0  # for a write
+CHECK_PERIOD_MS = 100.0  # between checks of all replicas
 HEAL_PERIODS = 20.0
-ROWS = 40  # of a content's settings: so many that changes are fewer bytes, and the whole several pieces
+CONTENT_ROWS = 40  # of a content's settings: deltas are fewer bytes, and the whole several chunks
+RESTART_MS = 1.0  # of a process whose disk was lost
+VOTER_CHANGE_EVERY = 20  # publications
+PUBLICATIONS, PUBLISHERS = 6, 2  # of a run, and members that publish each of them at once
 FAULTS = ("kill", "restart", "stop", "cut", "deaf", "mute", "pair", "hold", "full", "old", "lost", "halves")
 
+ReplicaFactory = Callable[..., ConfigReplica]
+
 
 def heal_ms(period_ms: float) -> float:
     """Return within what time, after the last fault, all that can act on the newest version.
 
-    A publication left half done is finished within two rounds of at most 8 periods each; who lags hears of it
-    in the next period, and a content comes at one piece's window a period at the slowest.
+    A publication left half done is finished within two rounds of at most 8 periods each; a member that lags
+    hears of it in the next period, and a content comes at one window of chunks a period at the slowest.
     """
     return HEAL_PERIODS * period_ms
 
 
 @dataclass
 class Disk:
-    """What a name's folder holds, and whether it takes more."""
+    """What a member's folder holds, and whether it takes more.
+
+    Attributes:
+        records: in the order of their writing.
+        full_until: until when it is full, in ms.
+        busy_until: until when writes are under way, in ms.
+
+    """
 
-    entries: list[LogRecord] = field(default_factory=lambda: [LedgerBegun(0.0)])
+    records: list[LogRecord] = field(default_factory=lambda: [LedgerBegun(0.0)])
     full_until: float = 0.0
     busy_until: float = 0.0
 
 
-class ReplicationVerdict(NamedTuple):
-    """What a run showed: breaches, how near it came to each bound, how many numbers were chosen."""
-
-    broken: list[str]
-    nearest: dict[str, float]
-    chosen: int
+def replica_of(seat: SimulatedMember) -> ConfigReplica:
+    """Return the replica of a process of this simulation."""
+    return cast(ConfigReplica, seat.machine)
 
 
 class ReplicationSimulation(MembershipSimulation):
-    """Members of a fleet with versions."""
+    """Members of a cluster with versions.
+
+    Attributes:
+        disks: by member.
+        checker: sees all disks and replicas.
+        applied_at_ms: when each member began to act on a number, by both.
+        without_memory: members whose disks were lost or set back.
+        corrupted_share: of chunks, which come with one byte changed.
+        content_rows: of the settings that are published; 0 for contents smaller than deltas to them.
+
+    """
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - the faults and sizes that a run may vary
         self,
         nodes: int,
         seed: int,
@@ -85,274 +97,297 @@
         loss: float = 0.0,
         doubles: float = 0.0,
         drift: float = DRIFT,
-        machine: Callable[..., ConfigReplica] = ConfigReplica,
+        machine: ReplicaFactory = ConfigReplica,
         lease_periods: float = LEASE_PERIODS,
         twists: float = 0.0,
-        rows: int = ROWS,
+        rows: int = CONTENT_ROWS,
     ) -> None:
+        """Make a cluster of some members, `machine` makes the replica of each."""
+        lease_ms = lease_periods * PERIOD_MS
+        names = frozenset(f"n{i}" for i in range(nodes))
+        first_voters = frozenset(f"n{i}" for i in range(min(voters, nodes)))
         self.disks: dict[str, Disk] = {}
-        self.rows = rows  # of the contents' settings: none for contents that are smaller than changes to them
-        self.twists = twists  # share of the pieces of contents that come otherwise than they were sent
-        self.voters = frozenset(f"n{i}" for i in range(min(voters, nodes)))
-        lease = lease_periods * PERIOD_MS
-        self.terms = ReplicationSettings(self.voters, PERIOD_MS, lease, strict, 100.0 * lease)
-        self.kind = machine
-        self.by_number: dict[int, tuple[str, float]] = {}  # what was chosen, and when
-        self.electorates = {1: self.voters}  # who votes on a number
-        self.took: dict[tuple[int, tuple[int, str], str], set[str]] = {}
-        self.acting_at: dict[tuple[str, int], float] = {}
-        self.worst = 0.0  # the longest that any acted on a version after a newer was chosen
-        self.unproved = self.looks = 0
-        self.wrong: list[str] = []
-        self.forgot: set[str] = set()  # names whose memory was lost or set back
+        self.content_rows, self.corrupted_share, self.replica_factory = rows, twists, machine
+        self.settings = ReplicationSettings(
+            first_voters, PERIOD_MS, lease_ms, strict, SERVE_LEASES * lease_ms
+        )
+        self.checker = ReplicationChecker(names, first_voters, lease_ms, bool(twists))
+        self.applied_at_ms: dict[tuple[str, int], float] = {}
+        self.without_memory: set[str] = set()
         super().__init__(nodes, seed, strikes, loss, doubles, drift)
-        self.at(LOOK_MS, self.look)
+        self.at(CHECK_PERIOD_MS, self.check)
 
-    # The world's steps, for these machines.
+    # The simulation's steps, for replicas.
 
     def make(self, name: str, seed: int) -> ConfigReplica:
-        """Return a process's machine, with what its disk holds."""
-        kept = recover_log(self.disks.setdefault(name, Disk()).entries)
-        machine = self.kind(name, self.names, self.terms, f"{name}/{self.lives}", seed, 0.0, kept)
-        machine.next_ms = PERIOD_MS * self.chance()
-        return machine
+        """Return a process's replica, with what its disk holds."""
+        recovered = recover_log(self.disks.setdefault(name, Disk()).records)
+        replica = self.replica_factory(
+            name, self.names, self.settings, f"{name}/{self.lives}", seed, 0.0, recovered
+        )
+        replica.next_ms = PERIOD_MS * self.chance()
+        return replica
+
+    def replicas(self) -> list[ConfigReplica]:
+        """Return all replicas, also those of processes that are down."""
+        return [replica_of(seat) for seat in self.seats.values()]
 
-    def act(self, seat: SimulatedMember, effects: list[Any]) -> None:
+    def act(self, seat: SimulatedMember, effects: list[Effect]) -> None:
         """Carry out what a process asks for."""
         for effect in effects:
             if not seat.live:
                 return
-            if type(effect) is SendMessage:
-                kind = messages.kind_of(effect.message)
-                strike = self.struck(seat, True, kind)
-                if strike is not None:
-                    self.strike(strike, seat)
-                if seat.live:
-                    note = messages.ReplicationDatagram(
-                        messages.VERSION, FLEET, seat.name, self.twisted(effect.message)
-                    )
-                    held = strike.for_ms if strike is not None and strike.fault == "hold" else 0.0
-                    self.send(seat, effect.recipient, messages.write(note), held)
-            elif type(effect) is Persist:
-                disk = self.disks[seat.name]
-                # In order, as the node's scribe writes.
-                disk.busy_until = max(disk.busy_until, self.now + DISK_MS * self.chance())
-                self.at(disk.busy_until, self.keep, seat, effect)
-            elif type(effect) is ApplyContent:
-                self.acting_at.setdefault((seat.name, effect.number), self.now)
-
-    def twisted(self, say: messages.ReplicationMessage) -> messages.ReplicationMessage:
-        """Return what is said, or a piece with one byte changed."""
-        if not self.twists or type(say) is not messages.Chunk or self.chance() >= self.twists:
-            return say
-        at = int(self.chance() * len(say.data))
-        data = say.data[:at] + bytes([say.data[at] ^ 1]) + say.data[at + 1 :]
-        return msgspec.structs.replace(say, data=data)
+            match effect:
+                case SendMessage():
+                    self.send_message(seat, effect)
+                case Persist():
+                    self.begin_write(seat, effect)
+                case ApplyContent():
+                    self.applied_at_ms.setdefault((seat.name, effect.number), self.now)
+
+    def send_message(self, seat: SimulatedMember, effect: SendMessage) -> None:
+        """Send a message, unless a fault strikes at this step."""
+        strike = self.struck(seat, True, messages.kind_of(effect.message))
+        if strike is not None:
+            self.strike(strike, seat)
+        if seat.live:
+            message = self.maybe_corrupted(effect.message)
+            datagram = messages.ReplicationDatagram(messages.VERSION, CLUSTER, seat.name, message)
+            held_ms = strike.for_ms if strike is not None and strike.fault == "hold" else 0.0
+            self.send(seat, effect.recipient, messages.write(datagram), held_ms)
+
+    def maybe_corrupted(self, message: messages.ReplicationMessage) -> messages.ReplicationMessage:
+        """Return a message, or a chunk with one byte changed."""
+        if not self.corrupted_share or not isinstance(message, messages.Chunk):
+            return message
+        if self.chance() >= self.corrupted_share:
+            return message
+        at = int(self.chance() * len(message.data))
+        data = message.data[:at] + bytes([message.data[at] ^ 1]) + message.data[at + 1 :]
+        return msgspec.structs.replace(message, data=data)
 
     def hear(self, seat: SimulatedMember, data: bytes) -> None:
-        """Hand a note to a process."""
+        """Hand a datagram to a process."""
         try:
-            note = messages.read(data, FLEET, self.names)
+            datagram = messages.read(data, CLUSTER, self.names)
         except InvalidMessageError:
             return
-        strike = self.struck(seat, False, messages.kind_of(note.message))
+        strike = self.struck(seat, False, messages.kind_of(datagram.message))
         if strike is not None:
             self.strike(strike, seat)
         if seat.live and seat.stopped_until <= self.now:
-            self.act(seat, seat.machine.receive(self.local(seat), note.sender, note.message))
+            effects = replica_of(seat).receive(self.local(seat), datagram.sender, datagram.message)
+            self.act(seat, effects)
+
+    # Disks.
 
-    def keep(self, seat: SimulatedMember, keep: Persist) -> None:
-        """Have something on a disk: of a process that was killed meanwhile it may be there or not."""
+    def begin_write(self, seat: SimulatedMember, effect: Persist) -> None:
+        """Begin to write, behind what is being written."""
+        disk = self.disks[seat.name]
+        # In order, as the node's writer process does.
+        disk.busy_until = max(disk.busy_until, self.now + MAX_DISK_MS * self.chance())
+        self.at(disk.busy_until, self.end_write, seat, effect)
+
+    def end_write(self, seat: SimulatedMember, effect: Persist) -> None:
+        """Have records on a disk: those of a process that was killed meanwhile may be there or not."""
         disk = self.disks[seat.name]
         if self.seats.get(seat.name) is not seat:
-            return  # its folder is another life's by now
+            return  # its folder is another process's by now
         if disk.full_until > self.now:
-            seat.machine.disk_fault = "full"
+            replica_of(seat).disk_fault = "full"
             if seat.live:
-                seat.machine.persist_failed(keep.token)
+                replica_of(seat).persist_failed(effect.token)
             return
         if seat.live or self.chance() < 0.5:
-            disk.entries = [*disk.entries, *keep.records]
-            self.written(seat.name, keep.records)
+            disk.records = [*disk.records, *effect.records]
+            self.written(seat.name, effect.records)
         if seat.stopped_until > self.now:
-            self.at(seat.stopped_until, self.go_on, seat, keep.token)
+            self.at(seat.stopped_until, self.confirm_write, seat, effect.token)
         else:
-            self.go_on(seat, keep.token)
+            self.confirm_write(seat, effect.token)
 
-    def go_on(self, seat: SimulatedMember, token: int) -> None:
+    def written(self, name: str, records: tuple[LogRecord, ...]) -> None:
+        """Have the checker see what a disk holds now."""
+        self.checker.records_written(self.now, name, records, self.replicas())
+
+    def confirm_write(self, seat: SimulatedMember, token: int) -> None:
         """Tell a process that something is durable."""
         if seat.live:
-            seat.machine.disk_fault = ""
-            self.act(seat, seat.machine.persisted(self.local(seat), token))
+            replica_of(seat).disk_fault = ""
+            self.act(seat, replica_of(seat).persisted(self.local(seat), token))
             self.plan(seat)
 
+    # Faults.
+
     def strike(self, strike: InjectedFault, seat: SimulatedMember) -> None:
-        """Let a fault strike."""
-        until, name = self.now + strike.for_ms, seat.name
+        """Inject a fault."""
         if strike.fault == "full":
-            self.touched.append((self.now, until))
-            self.disks[name].full_until = until
-            self.at(until, self.serves, name)
+            self.fill_disk(seat.name, self.now + strike.for_ms)
         elif strike.fault in ("old", "lost"):
-            self.touched.append((self.now, self.now + 1.0))
-            seat.live = False
-            self.forgot.add(name)
-            entries = self.disks[name].entries
-            # Found out at the start (store/ledger.py): the memory of votes is known not to be whole.
-            kept = entries[: len(entries) // 2] if strike.fault == "old" else []
-            self.disks[name].entries = [*kept, VotesBarred(-1)]
-            self.at(self.now + 1.0, self.again, name, seat)
+            self.lose_disk(seat, is_set_back=strike.fault == "old")
         elif strike.fault == "halves":
-            self.touched.append((self.now, until))
-            order = sorted(self.names, key=lambda n: number(b"%d:%s" % (self.seed, n.encode())))
-            for a in order[: len(order) // 2]:
-                for b in order[len(order) // 2 :]:
-                    self.cuts += [(a, b, until), (b, a, until)]
+            self.cut_in_halves(self.now + strike.for_ms)
         else:
             super().strike(strike, seat)
 
-    def serves(self, name: str) -> None:
-        """A disk takes more again."""
+    def fill_disk(self, name: str, until: float) -> None:
+        """Have a disk take no more for a while."""
+        self.touched.append((self.now, until))
+        self.disks[name].full_until = until
+        self.at(until, self.empty_disk, name)
+
+    def empty_disk(self, name: str) -> None:
+        """Have a disk take more again."""
         if self.disks[name].full_until <= self.now:
-            self.seats[name].machine.disk_fault = ""
-
-    # What the checker sees.
-
-    def written(self, name: str, entries: tuple[LogRecord, ...]) -> None:
-        """See what a disk holds now.
-
-        Whether a majority has accepted a content, and that nobody holds another.
-        """
-        for entry in entries:
-            if type(entry) is AcceptorPromise and entry.value:
-                ballot = entry.accepted_round, entry.accepted_place
-                took = self.took.setdefault((entry.number, ballot, entry.value), set())
-                took.add(name)
-                electorate = self.electorates.get(entry.number, frozenset())
-                if electorate and len(took & electorate) >= majority(electorate):
-                    self.choose(entry.number, entry.value)
-            elif type(entry) is VersionHeld:
-                if entry.number not in self.by_number:
-                    self.wrong.append(f"version {entry.number} is held, no majority of its voters took it")
-                self.choose(entry.number, entry.id)
-
-    def choose(self, number: int, id: str) -> None:
-        """Note that a number has a content."""
-        held = self.by_number.setdefault(number, (id, self.now))
-        if held[0] != id:
-            self.wrong.append(f"version {number} has two contents at {self.now:.0f}")
-        for seat in self.seats.values():
-            data = seat.machine.store.contents.get(id)
-            if data is not None:
-                voters = read(data, self.names).voters
-                self.electorates.setdefault(number + 1, frozenset(voters))
-
-    def look(self) -> None:
-        """See for how long each acts on a version after a newer one was chosen."""
-        newest = max(self.by_number, default=0)
+            replica_of(self.seats[name]).disk_fault = ""
+
+    def lose_disk(self, seat: SimulatedMember, is_set_back: bool) -> None:
+        """Kill a process and lose what its disk holds, or set that back to an earlier state."""
+        self.touched.append((self.now, self.now + RESTART_MS))
+        seat.live = False
+        self.without_memory.add(seat.name)
+        records = self.disks[seat.name].records
+        # Found out at the start (store/ledger_writer.py): the memory of votes is known not to be whole.
+        left = records[: len(records) // 2] if is_set_back else []
+        self.disks[seat.name].records = [*left, VotesBarred(-1)]
+        self.at(self.now + RESTART_MS, self.again, seat.name, seat)
+
+    def cut_in_halves(self, until: float) -> None:
+        """Cut a random half of the members off from the other half."""
+        self.touched.append((self.now, until))
+        order = sorted(self.names, key=lambda name: number(b"%d:%s" % (self.seed, name.encode())))
+        half = len(order) // 2
+        for name in order[:half]:
+            for other in order[half:]:
+                self.cuts += [(name, other, until), (other, name, until)]
+
+    # Checks and publications.
+
+    def is_running(self, seat: SimulatedMember) -> bool:
+        """Return whether a process is neither down nor stopped."""
+        return seat.live and seat.stopped_until <= self.now
+
+    def check(self) -> None:
+        """Check all replicas that run."""
         for seat in self.seats.values():
-            if not seat.live or seat.stopped_until > self.now:
-                continue
-            held = seat.machine.store.contents.get(seat.machine.content_id)
-            if held is not None and digest(held) != seat.machine.content_id:
-                self.wrong.append(f"{seat.name} holds something else than version {seat.machine.number}")
-            came = seat.machine.store.transfer_counts
-            if not self.twists and came["changes"] + came["digest"]:
-                self.wrong.append(
-                    f"{seat.name} was sent what is not what it asked for, and nothing was twisted"
-                )
-            if seat.machine.store.delta_links_bytes > len(held or b""):
-                self.wrong.append(f"{seat.name} keeps more changes than they are worth")
-            stood = seat.machine.serving.evaluate(self.local(seat))
-            self.looks += 1
-            self.unproved += stood.is_serving and not stood.is_proven
-            after = seat.machine.applied_number + 1
-            if stood.is_serving and stood.is_proven and after <= newest and after in self.by_number:
-                age = self.now - self.by_number[after][1]
-                self.worst = max(self.worst, age)
-                if age > self.terms.lease_ms:
-                    self.wrong.append(
-                        f"{seat.name} acts on {after - 1} {age:.0f} ms after {after} was chosen"
-                    )
-        self.at(self.now + LOOK_MS, self.look)
+            if self.is_running(seat):
+                self.checker.check_replica(self.now, self.local(seat), replica_of(seat))
+        self.at(self.now + CHECK_PERIOD_MS, self.check)
+
+    def stale_replicas(self) -> list[str]:
+        """Return which members do not act on the newest version as proven."""
+        return self.checker.stale_replicas(
+            (self.local(seat), replica_of(seat)) for seat in self.seats.values()
+        )
 
     def publish(self, name: str, mark: int) -> None:
-        """Have a node publish."""
+        """Have a member publish settings that carry a mark."""
         seat = self.seats[name]
-        if not seat.live or seat.stopped_until > self.now:
+        if not self.is_running(seat):
             return
-        machine = seat.machine
-        # Now and then a voter's place goes to another member.
-        others = sorted(self.names - machine.voters)
-        voters = sorted(machine.voters)
-        if mark % 20 == 10 and others:
-            voters[0] = others[mark % len(others)]
-        settings: dict[str, Any] = {"x": mark}
-        if self.rows:
-            rows = {f"t{i:02d}": {"quota": i, "urgent": i % 4 == 0} for i in range(self.rows)}
-            settings["teams"] = rows | {f"t{mark % self.rows:02d}": {"quota": 1000 + mark, "urgent": True}}
+        replica = replica_of(seat)
         content = Content(
-            FORMAT, machine.number + 1, machine.content_id, voters, f"{name} {mark}", name, settings
+            FORMAT,
+            replica.number + 1,
+            replica.content_id,
+            self.voters_of(replica, mark),
+            f"{name} {mark}",
+            name,
+            self.settings_of(mark),
         )
-        self.act(seat, machine.publish(self.local(seat), write(content)))
+        self.act(seat, replica.publish(self.local(seat), write(content)))
         self.plan(seat)
 
-    def alike(self) -> list[str]:
-        """Return who does not act on the newest version, proved."""
-        newest = max(self.by_number, default=0)
-        found = []
-        for seat in self.seats.values():
-            stood = seat.machine.serving.evaluate(self.local(seat))
-            if seat.machine.applied_number != newest or not (stood.is_serving and stood.is_proven):
-                found.append(f"{seat.name} is at {seat.machine.applied_number} of {newest}, {stood}")
-        return found
+    def voters_of(self, replica: ConfigReplica, mark: int) -> list[str]:
+        """Return the next voters: now and then a voter's place goes to another member."""
+        others = sorted(self.names - replica.voters)
+        voters = sorted(replica.voters)
+        if mark % VOTER_CHANGE_EVERY == VOTER_CHANGE_EVERY // 2 and others:
+            voters[0] = others[mark % len(others)]
+        return voters
+
+    def settings_of(self, mark: int) -> dict[str, Any]:
+        """Return settings that carry a mark, in one of their rows if they have any."""
+        settings: dict[str, Any] = {"x": mark}
+        if self.content_rows:
+            rows = {f"t{i:02d}": {"quota": i, "urgent": i % 4 == 0} for i in range(self.content_rows)}
+            marked = {f"t{mark % self.content_rows:02d}": {"quota": 1000 + mark, "urgent": True}}
+            settings["teams"] = rows | marked
+        return settings
+
+    # Names from before, for callers that have not followed yet.
+
+    @property
+    def acting_at(self) -> dict[tuple[str, int], float]:
+        """What is `applied_at_ms`."""
+        return self.applied_at_ms
+
+    @property
+    def wrong(self) -> list[str]:
+        """What is `checker.findings`."""
+        return self.checker.findings
 
 
-def notes(draws: ScheduleDraws) -> tuple[messages.MessageKind, int]:
-    """Return a step of versions: those of agreement often, early ones of them."""
+def draw_step(draws: ScheduleDraws) -> tuple[messages.MessageKind, int]:
+    """Return a kind of message and its count, at which a fault strikes: often early ones of agreement."""
     kind = messages.MessageKind(11 + draws(9)) if draws(3) else messages.MessageKind(13 + draws(4))
     return kind, 10 + draws(60) if kind < messages.MessageKind.PREPARE else 1 + draws(3)
 
 
 def schedule(nodes: int, seed: int, most: int = 4) -> list[InjectedFault]:
-    """Return a schedule of chance."""
-    return drawn(ScheduleDraws("trial", seed), nodes, notes, FAULTS, 45, most)
+    """Return a random schedule of at most so many faults."""
+    return drawn(ScheduleDraws("trial", seed), nodes, draw_step, FAULTS, 45, most)
 
 
 def play(
     nodes: int,
     seed: int,
     strikes: list[InjectedFault],
-    machine: Callable[..., ConfigReplica] = ConfigReplica,
+    machine: ReplicaFactory = ConfigReplica,
     strict: bool = True,
-    rows: int = ROWS,
+    rows: int = CONTENT_ROWS,
     twists: float = 0.0,
 ) -> ReplicationVerdict:
     """Play a schedule with publications by two at a time, wait until its last fault is over, and judge."""
-    more = {"machine": machine, "rows": rows, "twists": twists}
-    world = ReplicationSimulation(nodes, seed, strikes, strict=strict, doubles=0.02, **more)
-    world.run(3.0 * PERIOD_MS)
-    for i in range(6):
-        world.run((4.0 + 8.0 * i) * PERIOD_MS)
-        for j in range(2):
-            world.publish(f"n{number(b'%d:%d:%d' % (seed, i, j)) % nodes}", 10 * i + j)
-    world.run(60.0 * PERIOD_MS)
-    end = world.last(strikes)
-    world.run(end)
-    heal = heal_ms(PERIOD_MS) * (1.0 + 2.0 * DRIFT)
-    step, wrong = end, world.alike()
-    while wrong and step < end + heal:
-        step += PERIOD_MS / 2.0
-        world.run(step)
-        wrong = world.alike()
-    broken, nearest = world.wrong[:3], {"stale": world.worst / world.terms.lease_ms}
-    if all(len(world.forgot & voters) < majority(voters) for voters in world.electorates.values()):
-        # Where most voters have lost their memory nobody may vote again: a fleet of another name begins.
-        broken += [f"{heal:.0f} ms after all healed {what}" for what in wrong[:3]]
-        nearest["alike after a heal"] = (step - end) / heal
-    if not strikes and len(world.by_number) < 6:
-        broken.append(f"{len(world.by_number)} of 6 publications were chosen with no fault there")
-    return ReplicationVerdict(broken, nearest, len(world.by_number))
+    simulation = ReplicationSimulation(
+        nodes, seed, strikes, strict=strict, doubles=0.02, machine=machine, rows=rows, twists=twists
+    )
+    publish_all(simulation, nodes, seed)
+    ended_ms = simulation.last(strikes)
+    simulation.run(ended_ms)
+    bound_ms = heal_ms(PERIOD_MS) * (1.0 + 2.0 * DRIFT)
+    stale = run_until_healed(simulation, ended_ms + bound_ms)
+    checker = simulation.checker
+    broken = checker.findings[:3]
+    nearest = {"stale": checker.max_stale_ms / simulation.settings.lease_ms}
+    if checker.may_vote_again(simulation.without_memory):
+        # Where most voters have lost their memory nobody may vote again: a cluster of another name begins.
+        broken += [f"{bound_ms:.0f} ms after all healed {text}" for text in stale[:3]]
+        nearest["alike after a heal"] = (simulation.now - ended_ms) / bound_ms
+    if not strikes and len(checker.chosen) < PUBLICATIONS:
+        broken.append(f"{len(checker.chosen)} of {PUBLICATIONS} publications were chosen with no fault there")
+    return ReplicationVerdict(broken, nearest, len(checker.chosen))
+
+
+def publish_all(simulation: ReplicationSimulation, nodes: int, seed: int) -> None:
+    """Play the time of the publications, each by some members at once."""
+    simulation.run(3.0 * PERIOD_MS)
+    for i in range(PUBLICATIONS):
+        simulation.run((4.0 + 8.0 * i) * PERIOD_MS)
+        for j in range(PUBLISHERS):
+            publisher = number(b"%d:%d:%d" % (seed, i, j)) % nodes
+            simulation.publish(f"n{publisher}", 10 * i + j)
+    simulation.run(60.0 * PERIOD_MS)
+
+
+def run_until_healed(simulation: ReplicationSimulation, limit_ms: float) -> list[str]:
+    """Play until all act on the newest version as proven, or past a limit; return which do not."""
+    stale, step_ms = simulation.stale_replicas(), simulation.now
+    while stale and step_ms < limit_ms:
+        step_ms += PERIOD_MS / 2.0
+        simulation.run(step_ms)
+        stale = simulation.stale_replicas()
+    return stale
 
 
 def hunted(nodes: int, seed: int) -> ReplicationVerdict:
--- a/marlseam/experiment/size_changes.py
+++ b/marlseam/experiment/size_changes.py
@@ -28,7 +28,7 @@
     MembershipSimulation,
     SimulatedMember,
 )
-from marlseam.cluster.checking.replication_schedules import DISK_MS, LEASE_PERIODS
+from marlseam.cluster.checking.replication_schedules import LEASE_PERIODS, MAX_DISK_MS
 from marlseam.cluster.replication import messages
 from marlseam.cluster.replication.content import FORMAT, Content, SettingsDigester, digest, read, write
 from marlseam.cluster.replication.effects import ApplyContent, Persist, SendMessage
@@ -76,7 +76,7 @@
 
     least_ms: float = 0.3
     spread_ms: float = 2.0
-    disk_ms: float = DISK_MS
+    disk_ms: float = MAX_DISK_MS
     operator_ms: float = 20.0
     disorder: bool = False  # whether what one node says to another may overtake what it said before
 
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -522,7 +522,7 @@
     for mark in range(1, 9):
         world.publish("n1", mark)
         world.run(world.now + 6000.0)
-    assert world.alike() == [] and world.wrong == [] and len(world.by_number) == 8
+    assert world.stale_replicas() == [] and world.checker.findings == [] and len(world.checker.chosen) == 8
     came = {name: seat.machine.store.transfer_counts for name, seat in world.seats.items()}
     assert all(came[name]["whole"] == 8 and not came[name]["chains"] for name in ("n0", "n3", "n5"))
     # From one that is older they get the whole; else, past the first, changes.
@@ -617,10 +617,10 @@
 
 
 PLANTED = [
-    (Unchecked, 2, 0.1, replication_schedules.ROWS),
-    (LastAlone, 2, 0.0, replication_schedules.ROWS),
-    (Stubborn, 128, 0.0, replication_schedules.ROWS),
-    (Hoards, 1, 0.0, replication_schedules.ROWS),
+    (Unchecked, 2, 0.1, replication_schedules.CONTENT_ROWS),
+    (LastAlone, 2, 0.0, replication_schedules.CONTENT_ROWS),
+    (Stubborn, 128, 0.0, replication_schedules.CONTENT_ROWS),
+    (Hoards, 1, 0.0, replication_schedules.CONTENT_ROWS),
     (AsTheyCome, 1, 0.0, 150),
 ]
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -116,7 +116,7 @@
 # The search in virtual time, and defects that it finds.
 
 
-@pytest.mark.parametrize("rows", [0, replication_schedules.ROWS])
+@pytest.mark.parametrize("rows", [0, replication_schedules.CONTENT_ROWS])
 @pytest.mark.parametrize("seed", [1, 81, 1287, 2130, 8759])
 def test_no_schedule_breaks_a_bound(seed, rows):
     # What 1287 and 2130 were with the chance of before is played below.
@@ -159,7 +159,7 @@
     world.run(5000.0)
     world.publish("n7", 1)
     world.run(20000.0)
-    assert world.alike() == [] and world.wrong == [] and len(world.by_number) == 1
+    assert world.stale_replicas() == [] and world.checker.findings == [] and len(world.checker.chosen) == 1
 
 
 class HastyVoter(Voter):
