--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -28,7 +28,7 @@
     assert found.way == [] and found.depth == 8 and found.states > 10000
 
 
-def test_far_ways_of_chance_find_none_either():
+def test_long_random_walks_find_no_broken_state():
     assert random_walks(150, 24, Rules()) == []
 
 
@@ -202,7 +202,7 @@
     assert random_walks(60, 16, Rules(), state_after(path, Rules())) == []
 
 
-def test_what_is_said_again_or_late_changes_nothing():
+def test_a_repeated_or_late_request_changes_no_state():
     voter = Acceptor("a", {})
     new, answer = voter.handle(Prepare(2, (2, "1")))
     voter.record(2, new)
@@ -213,7 +213,7 @@
     assert voter.handle(Prepare(3, (1, "2")))[0] == AcceptorState((1, "2"))  # each number for itself
 
 
-def test_an_operator_hears_only_voters_of_its_version_in_its_own_round():
+def test_a_proposer_counts_only_voters_of_its_number_in_its_own_round():
     operator = Proposer("1", 2, "x", frozenset("abc"))
     assert operator.handle(Promise(2, (0, "1"), "a", NO_BALLOT, "")) is None  # nothing has begun
     operator.begin_round()
@@ -230,7 +230,7 @@
     assert operator.chosen == "y" and operator.handle(Accepted(2, (5, "1"), "c", "y")) is None
 
 
-def test_two_contents_are_seen_where_a_majority_took_each():
+def test_two_contents_are_detected_where_a_majority_accepted_each():
     state = state_after(FAR, Rules())
     assert chosen_contents(state, Rules()) == {"y1.0"}
     both = state.sent | {Accepted(2, (2, "1"), voter, "x2.0") for voter in "ab"}
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -40,7 +40,7 @@
 SHORT = Path(__file__).parent.parent / "experiments" / "size-changes-short.toml"
 
 
-def test_the_short_form_holds_and_gives_the_same_counts_on_two_runs(tmp_path):
+def test_the_short_experiment_holds_and_gives_the_same_counts_twice(tmp_path):
     measures.register()
     experiment = file.load(SHORT)
     code, missed = plays.run(experiment, tmp_path / "one", lambda text: None)
@@ -50,7 +50,7 @@
     assert counts[0] == counts[1] and len(counts[0]) > 30
 
 
-def test_what_asks_for_more_than_is_allowed_is_refused_with_what_would_fit(tmp_path):
+def test_an_experiment_that_needs_too_much_is_refused_with_what_would_fit(tmp_path):
     path = tmp_path / "big.toml"
     path.write_text(SHORT.read_text().replace("nodes = 12", "nodes = 60000"))
     result = CliRunner().invoke(main, ["experiment", "run", str(path), "--out", str(tmp_path / "out")])
@@ -64,7 +64,7 @@
     assert sum(before["teams"][name] != after["teams"][name] for name in before["teams"]) == 1
 
 
-# Differences of documents.
+# Deltas of documents.
 
 TEXTS = st.text('abz_é"\\', max_size=4)
 VALUES = st.recursive(
@@ -86,7 +86,7 @@
 
 
 @given(SETTINGS, SETTINGS, st.dictionaries(TEXTS.filter(bool), TEXTS, max_size=3))
-def test_a_change_makes_exactly_the_one_content_out_of_the_other(one, two, members):
+def test_a_delta_makes_exactly_one_content_out_of_the_other(one, two, members):
     before, base = written(content(settings=one))
     after, document = written(content(2, digest(before), settings=two, members=members, why="x"))
     computed = delta.compute_change(base, after, document)
@@ -115,7 +115,7 @@
 
 
 @given(st.lists(SETTINGS, min_size=2, max_size=5), st.data())
-def test_a_chain_that_was_tampered_with_leads_nowhere_or_where_it_should(settings, data):
+def test_a_tampered_chain_raises_or_leads_to_the_content_asked_for(settings, data):
     datas, links = versions_of(settings)
     start, goal = digest(datas[0]), digest(datas[-1])
     raw = bytearray(delta.encode_chain(links))
@@ -164,7 +164,7 @@
         delta.Put(["settings", 0], 1),
     ],
 )
-def test_an_edit_that_fits_nothing_is_wrong_and_changes_nothing(edit):
+def test_an_edit_without_a_place_raises_and_changes_nothing(edit):
     _, base = written(content(settings={"a": {"b": 1}, "list": [1, 2, 3]}))
     kept = json.dumps(base)
     with pytest.raises(delta.DeltaError):
@@ -172,7 +172,7 @@
     assert json.dumps(base) == kept
 
 
-def test_a_chain_that_grows_past_a_contents_size_is_wrong():
+def test_a_chain_that_grows_beyond_the_maximum_content_size_raises():
     data, base = written(content())
     edit = delta.Put(["settings", "y"], "y" * messages.MAX_CONTENT_BYTES)
     raw = delta.ENCODER.encode([delta.Change("0" * 64, [edit])])
@@ -195,44 +195,44 @@
 
 
 @given(SETTINGS, SETTINGS)
-def test_the_digest_of_meaning_is_the_same_where_only_what_changed_is_read(one, two):
+def test_the_incremental_settings_digest_equals_the_full_one(one, two):
     following = SettingsDigester()
     assert following.digest(one) == settings_digest(one)
     assert following.digest(one | two) == settings_digest(one | two)
     assert following.digest(two) == settings_digest(two)
 
 
-# One machine.
+# One replica.
 
 NAMES = frozenset("abcdefg")
 LEASE = 15000.0
 
 
-def versions(name="a", **more):
+def make_replica(name="a", **more):
     terms = ReplicationSettings(frozenset("abc"), 1000.0, LEASE, True, 10.0 * LEASE)
     return ConfigReplica(name, NAMES, terms, f"{name}/1", 7, 0.0, RecoveredLog(begun=True), **more)
 
 
-def settle(machine, effects, now=0.0):
-    """Have all durable that is to be kept, and return what is said."""
+def settle(replica, effects, now=0.0):
+    """Make all durable that is to be persisted, and return the other effects."""
     said = []
     for effect in effects:
         if type(effect) is Persist:
-            said += settle(machine, machine.persisted(now, effect.token), now)
+            said += settle(replica, replica.persisted(now, effect.token), now)
         else:
             said.append(effect)
     return said
 
 
-def hold(machine, data, number):
-    """Have a machine take a content in as a whole."""
+def hold(replica, data, number):
+    """Have a replica take a content in as a whole."""
     id = digest(data)
-    machine.store.contents[id] = data
-    machine.store.add_delta_from_predecessor(id)
-    settle(machine, machine.hold_durably(number, id))
+    replica.store.contents[id] = data
+    replica.store.add_delta_from_predecessor(id)
+    settle(replica, replica.hold_durably(number, id))
 
 
-def told(number, id):
+def status_response(number, id):
     return StatusResponse(0, number, id, number, True, "", number, number, True, -1.0)
 
 
@@ -246,9 +246,9 @@
 
 
 def source_and_reader(count=6, place=1, rows=60):
-    """Return a machine that holds some contents' last, one that holds an earlier one, and the contents."""
+    """Return a replica that holds some contents' last, one that holds an earlier one, and the contents."""
     datas = some_contents(count, rows)
-    source, reader = versions("b"), versions("d")
+    source, reader = make_replica("b"), make_replica("d")
     for number, data in enumerate(datas, 1):
         hold(source, data, number)
         if number <= place:
@@ -257,7 +257,7 @@
 
 
 def exchange(source, reader, effects, meddle=lambda say: [say]):
-    """Have a source answer what a reader wants until nothing more is said; return pieces and their bytes."""
+    """Have a source answer a reader's requests until there are none; return the count and bytes of chunks."""
     count = size = 0
     wants = [e.message for e in effects if type(e) is SendMessage and type(e.message) is FetchRequest]
     while wants:
@@ -273,9 +273,11 @@
     return count, size
 
 
-def test_a_reader_that_fell_behind_is_sent_the_changes_from_its_place():
+def test_a_reader_that_lags_receives_the_deltas_from_its_version():
     source, reader, datas = source_and_reader()
-    count, size = exchange(source, reader, reader.receive_status(0.0, "b", told(6, digest(datas[-1]))))
+    count, size = exchange(
+        source, reader, reader.receive_status(0.0, "b", status_response(6, digest(datas[-1])))
+    )
     assert reader.number == 6 and reader.store.contents[reader.content_id] == datas[-1]
     assert (count, reader.store.transfer_counts["chains"], reader.store.transfer_counts["whole"]) == (
         1,
@@ -289,32 +291,34 @@
     )
 
 
-def test_whichever_is_smaller_is_sent_and_the_whole_where_the_place_is_too_old():
+def test_the_smaller_of_deltas_and_whole_is_sent():
     source, reader, datas = source_and_reader(count=60, rows=20)
-    count, size = exchange(source, reader, reader.receive_status(0.0, "b", told(60, digest(datas[-1]))))
+    count, size = exchange(
+        source, reader, reader.receive_status(0.0, "b", status_response(60, digest(datas[-1])))
+    )
     assert reader.number == 60 and reader.store.transfer_counts["whole"] == 1 and size == len(datas[-1])
     assert source.store.delta_links_bytes <= len(datas[-1]) and len(source.store.delta_links) < 59
-    late = versions("e")
-    exchange(source, late, late.receive_status(0.0, "b", told(60, digest(datas[-1]))))
+    late = make_replica("e")
+    exchange(source, late, late.receive_status(0.0, "b", status_response(60, digest(datas[-1]))))
     assert late.number == 60 and late.store.transfer_counts["whole"] == 1
 
 
-def test_one_that_was_sent_the_whole_passes_on_the_change():
+def test_a_replica_that_received_the_whole_can_send_the_delta():
     source, reader, datas = source_and_reader(count=3, place=2)
     source.store.delta_links.clear()
-    exchange(source, reader, reader.receive_status(0.0, "b", told(3, digest(datas[-1]))))
+    exchange(source, reader, reader.receive_status(0.0, "b", status_response(3, digest(datas[-1]))))
     assert (
         reader.store.transfer_counts["whole"] == 1
         and reader.store.delta_chain(digest(datas[1]), digest(datas[2])) is not None
     )
 
 
-def test_wrong_changes_are_found_out_and_the_whole_is_asked_for():
+def test_wrong_deltas_are_detected_and_the_whole_is_requested():
     source, reader, datas = source_and_reader()
     links = source.store.delta_links
     last = links[digest(datas[-1])]
     links[digest(datas[-1])] = delta.DeltaLink(last.before, last.data.replace(b"1005", b"1006"))
-    effects = reader.receive_status(0.0, "b", told(6, digest(datas[-1])))
+    effects = reader.receive_status(0.0, "b", status_response(6, digest(datas[-1])))
     (piece,) = [e.message for e in source.fetcher.send_chunks("d", effects[0].message)]
     log, again = reader.receive_chunk(0.0, "b", piece)
     assert "code=changes" in log.text and again.message == FetchRequest(digest(datas[-1]), 0, "")
@@ -327,9 +331,9 @@
     assert reader.number == 6 and reader.store.contents[reader.content_id] == datas[-1]
 
 
-def test_changes_from_a_place_that_was_left_meanwhile_are_asked_for_anew():
+def test_deltas_to_a_content_that_was_dropped_are_requested_anew():
     source, reader, datas = source_and_reader(count=6, place=1)
-    effects = reader.receive_status(0.0, "b", told(6, digest(datas[-1])))
+    effects = reader.receive_status(0.0, "b", status_response(6, digest(datas[-1])))
     pieces = [e.message for e in source.fetcher.send_chunks("d", effects[0].message)]
     hold(reader, datas[1], 2)
     (again,) = reader.receive_chunk(0.0, "b", pieces[0])
@@ -338,7 +342,7 @@
     assert reader.number == 6 and reader.store.transfer_counts["chains"] == 1
 
 
-def test_a_voter_takes_a_candidate_as_changes_and_accepts_it_only_as_a_durable_whole():
+def test_a_voter_receives_a_candidate_as_deltas_and_accepts_it_once_the_whole_is_durable():
     source, voter, datas = source_and_reader(count=3, place=3)
     data = write(content(4, digest(datas[-1]), settings=changed({"teams": teams(60)}, 9, 9)))
     source.publish(0.0, data)
@@ -358,7 +362,7 @@
 
 
 @given(MEDDLING, st.integers(1, 5), st.booleans())
-def test_whatever_becomes_of_pieces_a_gap_is_filled_and_nothing_is_guessed(fates, place, chained):
+def test_whatever_becomes_of_chunks_the_fetch_completes_with_the_right_content(fates, place, chained):
     source, reader, datas = source_and_reader(count=6, place=place, rows=150)
     if not chained:
         source.store.delta_links.clear()
@@ -379,7 +383,7 @@
             fate, [bent.get(fate, piece)]
         ) + after
 
-    effects, now = reader.receive_status(0.0, "b", told(6, goal)), 0.0
+    effects, now = reader.receive_status(0.0, "b", status_response(6, goal)), 0.0
     for _ in range(100):
         exchange(source, reader, effects, meddle)
         assert reader.number in (place, 6)
@@ -393,12 +397,12 @@
 
 
 @pytest.mark.parametrize("chained", [True, False])
-def test_a_long_way_of_pieces_gets_through_though_a_fifth_is_lost(chained):
+def test_a_long_fetch_completes_though_a_fifth_of_the_chunks_is_lost(chained):
     source, reader, datas = source_and_reader(count=101 if chained else 6, rows=600)
     if not chained:
         source.store.delta_links.clear()
     goal, lost, now = digest(datas[-1]), RandomSource("lost"), 0.0
-    effects = reader.receive_status(0.0, "b", told(len(datas), goal))
+    effects = reader.receive_status(0.0, "b", status_response(len(datas), goal))
     periods = 0
     while reader.number < len(datas) and periods < 60:
         periods += 1
@@ -412,10 +416,10 @@
     )
 
 
-def test_pieces_that_overtake_each_other_are_put_in_order():
+def test_chunks_that_overtake_each_other_are_put_in_order():
     source, reader, datas = source_and_reader(place=1, rows=100)
     source.store.delta_links.clear()
-    effects = reader.receive_status(0.0, "b", told(6, digest(datas[-1])))
+    effects = reader.receive_status(0.0, "b", status_response(6, digest(datas[-1])))
     wants = [e.message for e in effects if type(e) is SendMessage and type(e.message) is FetchRequest]
     rounds = 0
     while wants:
@@ -436,9 +440,9 @@
         (lambda id, have: Chunk(id, 5000, 1024, b"x" * 10), "out-of-turn"),
     ],
 )
-def test_a_piece_that_fits_nothing_is_counted_and_changes_nothing(piece, code):
+def test_a_discarded_chunk_is_counted_and_changes_nothing(piece, code):
     _, reader, datas = source_and_reader()
-    reader.receive_status(0.0, "b", told(6, digest(datas[-1])))
+    reader.receive_status(0.0, "b", status_response(6, digest(datas[-1])))
     fetches = reader.fetcher.fetches
     before = dict(reader.store.contents), {id: fetch.next_request() for id, fetch in fetches.items()}
     assert reader.receive_chunk(0.0, "e", piece(digest(datas[-1]), reader.content_id)) == []
@@ -449,10 +453,10 @@
     )
 
 
-def test_one_that_said_a_size_that_is_not_so_holds_a_fetch_up_for_a_stated_time():
+def test_a_wrong_size_delays_a_fetch_by_at_most_the_stalled_periods():
     source, reader, datas = source_and_reader(rows=100)
     source.store.delta_links.clear()
-    reader.receive_status(0.0, "b", told(6, digest(datas[-1])))
+    reader.receive_status(0.0, "b", status_response(6, digest(datas[-1])))
     reader.receive_chunk(0.0, "e", Chunk(digest(datas[-1]), 99999, 0, b"x" * 1024))
     now = 0.0
     for _ in range(MAX_STALLED_PERIODS + 1):
@@ -462,18 +466,18 @@
     assert reader.number == 6
 
 
-# A fleet in which some run a program that knows no changes.
+# A cluster in which some run a program that knows no deltas.
 
 
 class OldWant(msgspec.Struct, array_like=True, frozen=True, tag="want"):
-    """As it was."""
+    """As it was before deltas."""
 
     id: str
     at: int
 
 
 class OldPiece(msgspec.Struct, array_like=True, frozen=True, tag="piece"):
-    """As it was."""
+    """As it was before deltas."""
 
     id: str
     size: int
@@ -485,18 +489,18 @@
 
 
 class Older(ConfigReplica):
-    """A program from before: it reads and says what that did, and knows the whole alone."""
+    """A program that knows no deltas: it reads and sends what that did."""
 
     def receive(self, now, sender, say):
         old = OLD.decode(msgspec.msgpack.encode(say))  # as its codec reads it
         say = msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=messages.ReplicationMessage)
         assert getattr(say, "have", "") == ""
-        return [self.in_old_words(effect) for effect in super().receive(now, sender, say)]
+        return [self.in_old_form(effect) for effect in super().receive(now, sender, say)]
 
     def tick(self, now):
-        return [self.in_old_words(effect) for effect in super().tick(now)]
+        return [self.in_old_form(effect) for effect in super().tick(now)]
 
-    def in_old_words(self, effect):
+    def in_old_form(self, effect):
         if type(effect) is not SendMessage or type(effect.message) is not FetchRequest:
             return effect
         say = msgspec.msgpack.decode(
@@ -511,12 +515,12 @@
 
 
 @pytest.mark.parametrize("seed", [0, 3, 17, 42, 81])
-def test_a_mixed_fleet_goes_on_with_whole_contents_where_a_side_knows_no_changes(seed):
+def test_a_mixed_cluster_sends_whole_contents_to_programs_that_know_no_deltas(seed):
     strikes = replication_schedules.schedule(7, seed) if seed else []
     assert replication_schedules.play(7, seed, strikes, mixed).broken == []
 
 
-def test_in_a_mixed_fleet_those_that_know_changes_are_sent_them_and_no_whole_spreads():
+def test_in_a_mixed_cluster_programs_that_know_deltas_receive_them():
     world = replication_schedules.ReplicationSimulation(7, 1, [], machine=mixed)
     world.run(5000.0)
     for mark in range(1, 9):
@@ -525,7 +529,7 @@
     assert world.stale_replicas() == [] and world.checker.findings == [] and len(world.checker.chosen) == 8
     came = {name: seat.machine.store.transfer_counts for name, seat in world.seats.items()}
     assert all(came[name]["whole"] == 8 and not came[name]["chains"] for name in ("n0", "n3", "n5"))
-    # From one that is older they get the whole; else, past the first, changes.
+    # An older program sends them the whole; others, past the first version, deltas.
     assert all(came[name]["chains"] >= 3 for name in ("n2", "n4", "n6"))
 
 
@@ -533,7 +537,7 @@
 
 
 @pytest.mark.parametrize("seed", [2, 9, 33, 145])
-def test_pieces_that_come_otherwise_than_they_were_sent_break_no_bound(seed):
+def test_corrupted_chunks_break_no_bound(seed):
     found = replication_schedules.play(7, seed, replication_schedules.schedule(7, seed), twists=0.1)
     assert found.broken == []
 
@@ -625,10 +629,10 @@
 ]
 
 
-@pytest.mark.parametrize(("machine", "seed", "twists", "rows"), PLANTED)
-def test_a_planted_defect_is_found(machine, seed, twists, rows):
+@pytest.mark.parametrize(("replica_type", "seed", "twists", "rows"), PLANTED)
+def test_a_planted_defect_is_found(replica_type, seed, twists, rows):
     strikes = replication_schedules.schedule(7, seed)
-    assert replication_schedules.play(7, seed, strikes, machine, twists=twists, rows=rows).broken
+    assert replication_schedules.play(7, seed, strikes, replica_type, twists=twists, rows=rows).broken
     assert replication_schedules.play(7, seed, strikes, twists=twists, rows=rows).broken == []
 
 
@@ -645,11 +649,11 @@
     store_type = WithoutOwnDeltas
 
 
-def test_that_nobody_passes_on_changes_is_found_by_the_counts():
+def test_the_counts_show_that_nobody_sends_deltas():
     experiment = file.load(SHORT)
     table = msgspec.structs.replace(experiment.tables["size_changes"], burst=0)
     bytes_change = [
-        one_size(1, table, 160, 12, machine=machine)["bytes_change"]
-        for machine in (ConfigReplica, ForgetsIts)
+        one_size(1, table, 160, 12, machine=replica)["bytes_change"]
+        for replica in (ConfigReplica, ForgetsIts)
     ]
     assert bytes_change[0] < 3000 < 10000 < bytes_change[1]
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -85,12 +85,12 @@
     return Content(number=number, before=before, voters=list(voters), **values)
 
 
-def versions(name="a", kept=None, strict=True, voters="abc", **more):
+def make_replica(name="a", kept=None, strict=True, voters="abc", **more):
     terms = ReplicationSettings(frozenset(voters), 1000.0, LEASE, strict, 10.0 * LEASE)
     return ConfigReplica(name, NAMES, terms, f"{name}/1", 7, 0.0, kept or RecoveredLog(begun=True), **more)
 
 
-def told(seq, **more):
+def status_response(seq, **more):
     values = {
         "number": 0,
         "id": "",
@@ -105,12 +105,12 @@
     return StatusResponse(seq, **values)
 
 
-def held(machine, some, now=0.0):
-    """Have a machine hold a content."""
+def held(replica, some, now=0.0):
+    """Have a replica hold a content."""
     data = write(some)
-    machine.store.contents[digest(data)] = data
-    keep = machine.hold_durably(some.number, digest(data))[-1]
-    return machine.persisted(now, keep.token)
+    replica.store.contents[digest(data)] = data
+    keep = replica.hold_durably(some.number, digest(data))[-1]
+    return replica.persisted(now, keep.token)
 
 
 # The search in virtual time, and defects that it finds.
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("rows", [0, replication_schedules.CONTENT_ROWS])
 @pytest.mark.parametrize("seed", [1, 81, 1287, 2130, 8759])
 def test_no_schedule_breaks_a_bound(seed, rows):
-    # What 1287 and 2130 were with the chance of before is played below.
+    # 1287 and 2130 drew other schedules with an earlier random source: these are played below.
     assert (
         replication_schedules.play(7, seed, replication_schedules.schedule(7, seed), rows=rows).broken == []
     )
@@ -127,7 +127,7 @@
 
 @pytest.fixture
 def linear(monkeypatch):
-    """Have chance be CRC-32 alone, as it was when these schedules broke bounds."""
+    """Draw by CRC-32 alone, as the random source did when these schedules broke bounds."""
 
     class Draws:
         def __init__(self, prefix, seed):
@@ -143,18 +143,18 @@
 
 
 @pytest.mark.parametrize(("seed", "mark"), [(1287, 1045893244), (2130, 938371654)])
-def test_the_schedules_that_once_broke_a_bound_break_none(seed, mark, linear):
+def test_schedules_found_by_earlier_searches_break_no_bound(seed, mark, linear):
     strikes = replication_schedules.schedule(7, seed)
     assert crc32(plain(strikes).encode()) == mark  # two contents of a number; all without a proof
     assert replication_schedules.play(7, seed, strikes, rows=0).broken == []
 
 
-def test_without_faults_all_publications_are_chosen_and_acted_on():
+def test_without_faults_all_publications_are_chosen_and_applied():
     found = replication_schedules.play(7, 0, [])
     assert found.broken == [] and found.chosen == 6
 
 
-def test_with_loss_all_still_come_to_act_on_the_newest():
+def test_with_message_loss_all_members_apply_the_newest_version():
     world = replication_schedules.ReplicationSimulation(30, 5, [], loss=0.2)
     world.run(5000.0)
     world.publish("n7", 1)
@@ -268,7 +268,7 @@
 
 
 @pytest.mark.parametrize(
-    ("machine", "seed"),
+    ("replica_type", "seed"),
     [
         (SpeaksFirst, 1),
         (NoAge, 22),
@@ -281,36 +281,36 @@
         (FromTheAnswer, LATE),
     ],
 )
-def test_a_planted_defect_is_found(machine, seed):
+def test_a_planted_defect_is_found(replica_type, seed):
     strikes = replication_schedules.schedule(7, seed) if isinstance(seed, int) else seed
     number = seed if isinstance(seed, int) else 9
-    assert replication_schedules.play(7, number, strikes, machine, rows=0).broken
+    assert replication_schedules.play(7, number, strikes, replica_type, rows=0).broken
     assert replication_schedules.play(7, number, strikes, rows=0).broken == []
 
 
-@pytest.mark.parametrize(("machine", "seed"), [(NoLease, 18), (NeverFinishes, 57), (FirstVoters, 3)])
-def test_a_planted_defect_is_found_where_changes_are_passed_on_too(machine, seed):
+@pytest.mark.parametrize(("replica_type", "seed"), [(NoLease, 18), (NeverFinishes, 57), (FirstVoters, 3)])
+def test_a_planted_defect_is_found_where_deltas_are_sent_too(replica_type, seed):
     strikes = replication_schedules.schedule(7, seed)
-    assert replication_schedules.play(7, seed, strikes, machine).broken
+    assert replication_schedules.play(7, seed, strikes, replica_type).broken
     assert replication_schedules.play(7, seed, strikes).broken == []
 
 
-# One machine.
+# One replica_type.
 
 
-def test_a_content_that_is_not_what_its_id_says_is_not_taken():
-    machine = versions("d")
+def test_a_content_whose_digest_is_not_its_id_is_discarded():
+    replica = make_replica("d")
     good = write(content())
-    machine.receive_status(0.0, "b", told(0, number=1, id=digest(good)))
-    effects = machine.receive_chunk(0.0, "b", Chunk(digest(good), len(good), 0, b"x" * len(good)))
-    assert "code=digest" in effects[0].text and machine.number == 0
-    effects = machine.receive_chunk(0.0, "b", Chunk(digest(good), len(good), 0, good))
-    assert type(effects[0]) is Persist and machine.number == 0  # not before it is durable
-    assert type(machine.persisted(1.0, effects[0].token)[0]) is ApplyContent and machine.applied_number == 1
+    replica.receive_status(0.0, "b", status_response(0, number=1, id=digest(good)))
+    effects = replica.receive_chunk(0.0, "b", Chunk(digest(good), len(good), 0, b"x" * len(good)))
+    assert "code=digest" in effects[0].text and replica.number == 0
+    effects = replica.receive_chunk(0.0, "b", Chunk(digest(good), len(good), 0, good))
+    assert type(effects[0]) is Persist and replica.number == 0  # not before it is durable
+    assert type(replica.persisted(1.0, effects[0].token)[0]) is ApplyContent and replica.applied_number == 1
 
 
-def test_a_voter_refuses_a_content_that_its_own_check_refuses_and_no_number_is_used_up():
-    voter, operator = versions("b", check=lambda c: "aimUs: -1, expected a number"), versions("a")
+def test_a_voter_refuses_a_content_that_fails_its_check_and_no_number_is_used_up():
+    voter, operator = make_replica("b", check=lambda c: "aimUs: -1, expected a number"), make_replica("a")
     data = write(content())
     operator.publish(0.0, data)
     accept = VoteMessage("accept", 1, 1, "a/1", value=digest(data))
@@ -324,18 +324,18 @@
 
 
 @pytest.mark.parametrize("strict", [True, False])
-def test_without_a_proof_it_leaves_or_serves_on_marked_and_for_a_stated_time(strict):
-    machine = versions("d", strict=strict)
-    machine.tick(0.0)
-    machine.receive_status(5.0, "b", told(1, age_ms=0.0))
-    assert machine.serving.evaluate(10.0) == (True, True, "")
-    late = machine.serving.evaluate(LEASE + 1.0)
+def test_without_a_proof_a_strict_node_leaves_service_and_another_serves_on_unproven_for_a_time(strict):
+    replica = make_replica("d", strict=strict)
+    replica.tick(0.0)
+    replica.receive_status(5.0, "b", status_response(1, age_ms=0.0))
+    assert replica.serving.evaluate(10.0) == (True, True, "")
+    late = replica.serving.evaluate(LEASE + 1.0)
     assert late == ((False, False, "unproved") if strict else (True, False, "unproved"))
-    assert not machine.serving.evaluate(10.0 * LEASE + 1.0).is_serving
+    assert not replica.serving.evaluate(10.0 * LEASE + 1.0).is_serving
 
 
-def test_those_without_voters_leave_one_after_another():
-    ends = sorted(versions(name).lease.duration_ms() for name in NAMES)
+def test_leases_of_members_end_one_after_another():
+    ends = sorted(make_replica(name).lease.duration_ms() for name in NAMES)
     assert (
         ends[0] >= 0.49 * LEASE
         and ends[-1] < LEASE
@@ -343,69 +343,71 @@
     )
 
 
-def test_one_that_cannot_use_a_version_leaves_unless_most_cannot():
+def test_a_node_that_cannot_use_a_version_leaves_service_unless_most_cannot():
     for serving, code in ((3, "unfit"), (0, "unfit")):
-        machine = versions("d", strict=False, check=lambda c: "key: what was expected")
-        machine.tick(0.0)
-        machine.receive_status(0.0, "b", told(1, age_ms=0.0))
-        assert machine.serving.evaluate(1.0).is_serving
-        held(machine, content(), 2.0)
+        replica = make_replica("d", strict=False, check=lambda c: "key: what was expected")
+        replica.tick(0.0)
+        replica.receive_status(0.0, "b", status_response(1, age_ms=0.0))
+        assert replica.serving.evaluate(1.0).is_serving
+        held(replica, content(), 2.0)
         for i, name in enumerate("abcef"):
-            machine.receive_status(
-                3.0, name, told(0, number=1, id=machine.content_id, acting=int(i < serving), serving=True)
+            replica.receive_status(
+                3.0,
+                name,
+                status_response(0, number=1, id=replica.content_id, acting=int(i < serving), serving=True),
             )
-        stood = machine.serving.evaluate(4.0)
+        stood = replica.serving.evaluate(4.0)
         assert (stood.is_serving, stood.is_proven, stood.code) == (
             serving == 0,
             False,
             code,
-        ) and machine.applied_number == 0
-
-
-def test_it_comes_back_only_when_it_was_well_for_a_while():
-    machine = versions("d")
-    machine.tick(0.0)
-    machine.receive_status(0.0, "b", told(1, age_ms=0.0))
-    machine.serving.evaluate(1.0)
-    machine.disk_fault = "full"
-    assert machine.serving.evaluate(2.0).code == "disk"
-    machine.disk_fault = ""
-    assert not machine.serving.evaluate(3.0).is_serving and machine.serving.evaluate(2100.0).is_serving
-
-
-def test_an_operators_word_holds_once_durable_and_across_restarts():
-    machine = versions("d")
-    keep = machine.override_by_operator("sick", 5.0)
-    assert machine.operator_override is None
-    machine.persisted(0.0, keep.token)
-    assert machine.serving.evaluate(1.0).code == "hand"
+        ) and replica.applied_number == 0
+
+
+def test_a_node_serves_again_only_after_a_while_without_fault():
+    replica = make_replica("d")
+    replica.tick(0.0)
+    replica.receive_status(0.0, "b", status_response(1, age_ms=0.0))
+    replica.serving.evaluate(1.0)
+    replica.disk_fault = "full"
+    assert replica.serving.evaluate(2.0).code == "disk"
+    replica.disk_fault = ""
+    assert not replica.serving.evaluate(3.0).is_serving and replica.serving.evaluate(2100.0).is_serving
+
+
+def test_an_operators_override_holds_once_durable_and_across_restarts():
+    replica = make_replica("d")
+    keep = replica.override_by_operator("sick", 5.0)
+    assert replica.operator_override is None
+    replica.persisted(0.0, keep.token)
+    assert replica.serving.evaluate(1.0).code == "hand"
     kept = RecoveredLog()
     for entry in (*keep.records, OperatorOverride(True, "sick", 5.0)):
         kept.apply(entry)
-    assert versions("d", kept).serving.evaluate(0.0).code == "hand"
+    assert make_replica("d", kept).serving.evaluate(0.0).code == "hand"
 
 
-def test_a_voter_without_its_memory_votes_only_past_what_it_may_have_promised():
-    machine = versions("a", RecoveredLog(votes_barred_up_to=None))
+def test_a_voter_without_its_memory_votes_only_above_what_it_may_have_promised():
+    replica = make_replica("a", RecoveredLog(votes_barred_up_to=None))
     assert (
-        not machine.voter.may_vote(1)
-        and machine.voter.receive_request(0.0, "b", VoteMessage("prepare", 1, 1, "b/1")) == []
+        not replica.voter.may_vote(1)
+        and replica.voter.receive_request(0.0, "b", VoteMessage("prepare", 1, 1, "b/1")) == []
     )
-    assert not machine.send_status(0.0, "b", 1)[0].message.votes
-    machine.tick(0.0)
-    machine.receive_status(1.0, "b", told(1, top=4))
-    assert machine.voter.votes_barred_up_to is None
-    keep = machine.receive_status(1.0, "c", told(1, top=3))[-1]
+    assert not replica.send_status(0.0, "b", 1)[0].message.votes
+    replica.tick(0.0)
+    replica.receive_status(1.0, "b", status_response(1, top=4))
+    assert replica.voter.votes_barred_up_to is None
+    keep = replica.receive_status(1.0, "c", status_response(1, top=3))[-1]
     assert keep.records == (VotesBarred(5),)
-    machine.persisted(2.0, keep.token)
+    replica.persisted(2.0, keep.token)
     assert (
-        machine.voter.votes_barred_up_to == 5 and not machine.voter.may_vote(5) and machine.voter.may_vote(6)
+        replica.voter.votes_barred_up_to == 5 and not replica.voter.may_vote(5) and replica.voter.may_vote(6)
     )
 
 
-def test_a_refused_round_says_nothing_more_until_the_next_has_begun():
-    # Said again under the later ballot that refused it, its content was chosen beside another's.
-    operator = versions("d", voters="abc")
+def test_a_refused_round_sends_nothing_until_the_next_begins():
+    # Guards against a content that is sent again under the later ballot, and chosen beside another.
+    operator = make_replica("d", voters="abc")
     data = write(content())
     operator.publish(0.0, data)
     for name in "ab":
@@ -418,10 +420,9 @@
     assert {(vote.kind, vote.round) for vote in after} == {("prepare", 6)}
 
 
-def test_what_is_published_while_a_chosen_number_is_being_written_waits_for_it():
-    # It was put to the vote for the same number again: beaten by the one before it, or open for 40 periods:
-    # voters vote no more on a number that they hold.
-    operator, data = versions("d"), write(content())
+def test_publishing_is_refused_as_busy_while_a_chosen_version_is_being_written():
+    # Guards against a second publication for the same number, which voters that hold it do not vote on.
+    operator, data = make_replica("d"), write(content())
     operator.publish(0.0, data)
     for kind in ("promise", "accepted"):
         for name in "ab":
@@ -452,13 +453,13 @@
 @pytest.mark.parametrize(
     ("mine", "number", "result"), [(True, 1, "version 1 is"), (False, 1, "beaten"), (False, 2, "not known")]
 )
-def test_a_publication_whose_number_another_agreed_on_is_over_at_once(mine, number, result):
-    # Its voters vote on that number no more: it stood in the way of the next for 40 periods.
-    operator, data = versions("a"), write(content())
+def test_a_publication_ends_as_soon_as_its_number_is_held(mine, number, result):
+    # Guards against a publication that blocks the next one: voters vote on its number no more.
+    operator, data = make_replica("a"), write(content())
     operator.publish(0.0, data)
     other = data if mine else write(content(number, settings={"x": 9}))
     operator.store.contents[digest(other)] = other
-    keep = operator.receive_status(1.0, "b", told(0, number=number, id=digest(other)))[-1]
+    keep = operator.receive_status(1.0, "b", status_response(0, number=number, id=digest(other)))[-1]
     assert operator.publisher.result == "open"
     operator.persisted(2.0, keep.token)
     assert operator.publisher.publication is None and operator.publisher.result.startswith(result)
@@ -469,20 +470,20 @@
     )
 
 
-def test_a_repeat_is_answered_only_once_the_first_is_on_the_disk():
-    machine = versions("b")
+def test_a_repeated_request_is_answered_only_once_the_promise_is_durable():
+    replica = make_replica("b")
     prepare = VoteMessage("prepare", 1, 1, "a/1")
-    (keep,) = machine.voter.receive_request(0.0, "a", prepare)
-    assert machine.voter.receive_request(0.0, "a", prepare) == []
-    assert [type(e) for e in machine.persisted(1.0, keep.token)] == [SendMessage]
-    assert [type(e) for e in machine.voter.receive_request(1.0, "a", prepare)] == [SendMessage]
+    (keep,) = replica.voter.receive_request(0.0, "a", prepare)
+    assert replica.voter.receive_request(0.0, "a", prepare) == []
+    assert [type(e) for e in replica.persisted(1.0, keep.token)] == [SendMessage]
+    assert [type(e) for e in replica.voter.receive_request(1.0, "a", prepare)] == [SendMessage]
 
 
-# What comes from the wire.
+# Messages from the network.
 
 
 @given(st.binary(max_size=400))
-def test_no_bytes_break_the_reader_of_notes(data):
+def test_arbitrary_bytes_raise_invalid_message_error(data):
     with pytest.raises(InvalidMessageError):
         messages.read(messages.DATAGRAM_PREFIX + data, "f", NAMES)
 
@@ -522,29 +523,29 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("bcg"), SAYS, st.booleans()), max_size=60))
-def test_whatever_members_say_no_content_is_made_up_and_memory_is_bounded(notes):
-    machine, now = versions("a"), 0.0
-    machine.publish(0.0, write(content()))
+def test_arbitrary_messages_apply_no_content_and_memory_is_bounded(notes):
+    replica, now = make_replica("a"), 0.0
+    replica.publish(0.0, write(content()))
     for sender, say, durable in notes:
         now += 100.0
-        effects = machine.receive(now, sender, say) + machine.tick(now)
+        effects = replica.receive(now, sender, say) + replica.tick(now)
         for effect in effects:
             if type(effect) is Persist and durable:
-                effects += machine.persisted(now, effect.token)
+                effects += replica.persisted(now, effect.token)
         assert not [e for e in effects if type(e) is ApplyContent]  # no content of theirs is whole
-        machine.serving.evaluate(now)
+        replica.serving.evaluate(now)
     assert (
-        len(machine.store.contents) <= 10
-        and len(machine.fetcher.fetches) <= 3
-        and len(machine.voter.awaiting_content) <= 3
+        len(replica.store.contents) <= 10
+        and len(replica.fetcher.fetches) <= 3
+        and len(replica.voter.awaiting_content) <= 3
     )
 
 
-def test_questions_about_contents_that_do_not_come_are_bounded():
-    machine = versions("b")
+def test_accept_requests_that_wait_for_contents_are_bounded():
+    replica = make_replica("b")
     for i in range(40):
-        machine.receive(0.0, "a", VoteMessage("accept", 1, i, "a/1", value=digest(b"%d" % i)))
-    assert len(machine.voter.awaiting_content) == len(machine.fetcher.fetches) == 3
+        replica.receive(0.0, "a", VoteMessage("accept", 1, i, "a/1", value=digest(b"%d" % i)))
+    assert len(replica.voter.awaiting_content) == len(replica.fetcher.fetches) == 3
 
 
 @pytest.mark.parametrize(
@@ -554,21 +555,21 @@
         (FetchRequest("0" * 64, -1), "bounds"),
         (Chunk("0" * 64, 5, 4, b"22"), "bounds"),
         (Chunk("0" * 64, 5, 5, b""), "bounds"),
-        (told(-1), "bounds"),
-        (told(1, code="c" * 65), "bounds"),
+        (status_response(-1), "bounds"),
+        (status_response(1, code="c" * 65), "bounds"),
         (VoteMessage("vote", 1, 1, ""), "bounds"),
         (VoteMessage("accept", 1, 1, "", value="short"), "bounds"),
         (VoteMessage("prepare", 1, 1, "p" * 999), "bounds"),
-        (told(1, age_ms=inf), "bounds"),
+        (status_response(1, age_ms=inf), "bounds"),
     ],
 )
-def test_what_is_out_of_bounds_is_no_note(say, code):
+def test_a_message_out_of_bounds_is_rejected_with_a_code(say, code):
     with pytest.raises(InvalidMessageError) as odd:
         messages.read(messages.write(ReplicationDatagram(messages.VERSION, "f", "a", say)), "f", NAMES)
     assert odd.value.code == code
 
 
-def test_the_digest_of_meaning_is_of_what_counts():
+def test_the_settings_digest_ignores_comments_order_and_notation():
     one = {"b": 1, "a": [{"x": 2.0}], "zone": "z", "_why": "this"}
     assert settings_digest(one) == settings_digest({"a": [{"x": 2, "//": "that"}], "b": 1.0, "zone": "y"})
     assert settings_digest(one) != settings_digest({"b": 1, "a": [{"x": 3}]})
@@ -626,7 +627,7 @@
     return ledger.load(), ledger
 
 
-def test_what_was_written_adds_up_again_over_files(folder):
+def test_a_ledger_recovers_what_was_written_over_several_files(folder):
     for _ in range(3):
         kept, ledger = loaded(folder)
         assert (
@@ -639,7 +640,7 @@
         ledger.close()
 
 
-def test_a_ledger_cut_at_any_byte_is_read_up_to_there_and_what_was_durable_is_there(folder):
+def test_a_ledger_truncated_at_any_byte_is_read_up_to_there(folder):
     path = max(folder.glob("ledger-*"))
     whole = path.read_bytes()
     for size in range(len(whole) - 1, 0, -7):
@@ -659,7 +660,7 @@
     assert kept.votes_barred_up_to is None and {"damaged", "lost"} <= {f.code for f in ledger.findings}
 
 
-def test_a_record_left_out_is_seen(folder):
+def test_a_record_left_out_breaks_the_chain(folder):
     path = max(folder.glob("ledger-*"))
     data = path.read_bytes()
     ends = [end for end, _ in form.payloads(data)]
@@ -667,7 +668,7 @@
     assert "chain" in {f.code for f in loaded(folder)[1].findings}
 
 
-def test_a_folder_that_was_set_back_or_is_empty_or_changed_is_known_for_it(folder, tmp_path):
+def test_a_folder_that_was_set_back_emptied_or_copied_is_detected(folder, tmp_path):
     path = max(folder.glob("ledger-*"))
     data, stat = path.read_bytes(), path.stat()
     copy = path.with_name("copy")
@@ -679,7 +680,7 @@
     assert stat.st_ino != path.stat().st_ino
 
 
-def test_a_file_written_over_in_place_is_known_by_its_time(folder, monkeypatch):
+def test_a_file_overwritten_in_place_is_detected_by_its_time(folder, monkeypatch):
     real = Disk.identity
     monkeypatch.setattr(
         Disk, "identity", lambda disk, name: (real(disk, name)[0], real(disk, name)[1] + 60000.0)
@@ -721,7 +722,7 @@
     return audit.read({"n": [[LedgerBegun(0.0), LIFE, *entries]]}, error_ms=10.0)
 
 
-def test_each_act_lies_in_one_interval_and_what_is_not_known_is_told():
+def test_each_action_lies_in_one_interval_and_unknown_periods_are_reported():
     found = spans(
         interval(1, 1000.0),
         interval(2, 2000.0),
@@ -773,11 +774,11 @@
         ),
     ],
 )
-def test_what_must_not_be_is_told(entries, what):
+def test_an_audit_reports_what_is_wrong(entries, what):
     assert any(what in text for text in spans(*entries).findings)
 
 
-def test_acts_within_the_bound_or_marked_unproved_are_not_past_it():
+def test_actions_within_the_lease_or_unproven_are_not_reported_as_stale():
     late = 2000.0 + LEASE
     marks = [
         ActionCounts(7, [(1, 1, 1, 1, 1)], late - 500.0, 0.0),
@@ -807,7 +808,7 @@
     assert CliRunner().invoke(command.group, ["audit"]).exit_code == 1
 
 
-def test_a_first_life_is_begun_once(tmp_path):
+def test_a_ledger_is_begun_once(tmp_path):
     words = ["begin", str(tmp_path / "l"), "n"]
     assert CliRunner().invoke(command.group, words).exit_code == 0
     again = CliRunner().invoke(command.group, words)
@@ -818,7 +819,7 @@
 
 
 class Stage:
-    """What a node would do, noted."""
+    """A node's side of the port, which notes what it is told."""
 
     def __init__(self):
         self.settings, self.serving, self.fault = dict(OPTIONS), None, ""
@@ -860,7 +861,7 @@
         os.close(peers.acting.ledger.lock)
 
 
-def test_three_nodes_agree_on_a_version_act_on_it_and_say_so_in_their_ledgers(fleet, until, tmp_path):
+def test_three_nodes_agree_on_a_version_apply_it_and_record_it_in_their_ledgers(fleet, until, tmp_path):
     until(lambda: all(stage.serving for _, stage in fleet.values()))
     first = fleet["a"][0].acting
     assert first.may_accept()
@@ -892,7 +893,7 @@
     return {key: keys_of(inner) for key, inner in value.items()}
 
 
-def test_what_operators_are_told_of_a_fleet_has_the_same_keys(fleet, until):
+def test_the_status_for_operators_has_the_keys_of_earlier_programs(fleet, until):
     until(lambda: all(stage.serving for _, stage in fleet.values()))
     kept = json.loads((Path(__file__).parent / "data" / "fleet-status.json").read_text())
     told = json.loads(fleet["a"][0].status())
@@ -900,7 +901,7 @@
     assert keys_of(told) == kept
 
 
-def test_nodes_on_sockets_are_sent_a_version_as_changes_and_hold_the_whole(fleet, until, tmp_path):
+def test_nodes_on_sockets_receive_a_version_as_deltas_and_store_the_whole(fleet, until, tmp_path):
     until(lambda: all(stage.serving for _, stage in fleet.values()))
     first, rows = fleet["a"][0].acting, {f"team-{i}": {"quota": i, "urgent": False} for i in range(200)}
 
@@ -916,8 +917,8 @@
     told = {name: json.loads(peers.status())["acting"] for name, (peers, _) in fleet.items()}
     for name in "bc":
         assert told[name]["contents"]["whole"] == 1 and told[name]["contents"]["chains"] == 2
-        machine = fleet[name][0].acting.replica
-        assert digest(machine.store.contents[machine.content_id]) == machine.content_id
+        replica = fleet[name][0].acting.replica
+        assert digest(replica.store.contents[replica.content_id]) == replica.content_id
         assert fleet[name][1].settings["teams"]["team-7"]["quota"] == 1003
         assert told[name]["meaning"] == settings_digest(fleet[name][1].settings)
     # What is on the disk is the whole, and a restart begins with it.
@@ -925,7 +926,7 @@
     assert read(kept.contents[kept.held.id], frozenset("abc")).settings["teams"]["team-7"]["quota"] == 1003
 
 
-def test_one_whose_proof_is_over_takes_and_sends_nothing(fleet, until):
+def test_a_node_whose_lease_has_ended_accepts_and_sends_nothing(fleet, until):
     until(lambda: all(stage.serving for _, stage in fleet.values()))
     acting, stage = fleet["a"][0].acting, fleet["a"][1]
     for name in "bc":
@@ -950,7 +951,7 @@
         (b'{"settings": {}, "why": "w", "voters": ["a", "z", "b"]}', "members"),
     ],
 )
-def test_what_cannot_be_published_is_refused_at_once(fleet, body, what):
+def test_a_request_that_cannot_be_published_is_rejected_at_once(fleet, body, what):
     status, text = fleet["a"][0].acting.publish(body)
     assert status == 400 and what in text and fleet["a"][0].acting.replica.publisher.publication is None
     fleet["a"][1].fault = "settings.dcs: 3, expected a list of names"
@@ -958,7 +959,7 @@
     assert status == 400 and "settings.dcs" in text
 
 
-def test_an_operators_word_shuts_a_node_out_and_back(fleet, until):
+def test_an_operators_override_shuts_a_node_out_and_brings_it_back(fleet, until):
     acting, stage = fleet["a"][0].acting, fleet["a"][1]
     until(lambda: stage.serving)
     assert acting.override_by_operator("sick")[0] == 202 and acting.override_by_operator("")[0] == 400
@@ -1032,9 +1033,7 @@
     assert done()
 
 
-def test_a_node_acts_on_what_was_published_after_a_restart_too_and_a_file_of_its_own_is_refused(
-    single, capsys
-):
+def test_a_node_applies_a_published_version_after_a_restart_and_refuses_a_local_file(single, capsys):
     start, stop, path = single
     node = start()
     turned(node, lambda: node.acting.serving_status.is_serving)
@@ -1053,7 +1052,7 @@
     )
 
 
-def test_a_node_that_is_shut_out_stays_out_whatever_another_door_says(single):
+def test_a_node_shut_out_by_an_override_cannot_be_put_in_service_otherwise(single):
     start, _, _ = single
     node = start()
     turned(node, lambda: node.acting.serving_status.is_serving)
@@ -1063,8 +1062,10 @@
     assert node.enter_service("operator")[1].startswith("still out of service by fleet")
 
 
-def test_a_later_process_of_a_node_acts_at_once_and_takes_over_ledger_and_votes(fleet, loop, until, tmp_path):
-    # Both acted, and the audit shows both: what each did, and no act twice or missing.
+def test_a_later_process_of_a_node_serves_at_once_and_takes_over_ledger_and_votes(
+    fleet, loop, until, tmp_path
+):
+    # Both act, and the audit shows the actions of each, none twice or missing.
     until(lambda: all(stage.serving for _, stage in fleet.values()))
     peers, stage = fleet["a"][0], Stage()
     old, port = peers.acting, stage.port()
@@ -1101,7 +1102,7 @@
     assert taken == [1, 3]
 
 
-def test_a_second_process_by_mistake_does_not_act(fleet, loop, until, capsys):
+def test_a_second_process_started_by_mistake_does_not_serve(fleet, loop, until, capsys):
     peers, stage = fleet["a"][0], Stage()
     twin = ConfigVersionService(
         loop, Log("twin", loop.now), peers.settings, "a", 9, 9, stage.port(), lambda to, data: None
@@ -1159,7 +1160,7 @@
     assert bad.returncode == 2 and "fleet.folder" in bad.stderr
 
 
-def test_who_sent_keyed_work_and_on_what_is_told(folder, tmp_path):
+def test_the_audit_tells_which_node_sent_a_keyed_request_and_on_which_version(folder, tmp_path):
     state = StateDirectory(Disk(tmp_path / "state"), "n")
     (tmp_path / "state").mkdir()
     state.snapshot([], 0.0)
@@ -1171,7 +1172,7 @@
     assert "nothing was sent under other" in CliRunner().invoke(command.group, [*words, "other"]).output
 
 
-def test_a_file_of_its_own_is_let_in_where_settings_say_so_and_shows(single):
+def test_a_local_file_is_applied_where_settings_allow_it_and_shows_in_the_status(single):
     start, _, path = single
     own = path.with_name("own.toml")
     own.write_text(own.read_text().replace('voters = ["n"]', 'voters = ["n"]\nlocal = "allow"'))
@@ -1195,37 +1196,37 @@
         ([(1.0, "1"), (4.0, "disk")], inf),
     ],
 )
-def test_how_soon_a_straggler_is_up_is_told_from_its_log(acted, took):
+def test_the_time_until_a_straggler_serves_is_taken_from_its_log(acted, took):
     rig = SimpleNamespace(acted=[(t, "n", what) for t, what in acted])
     assert up_after(rig, "n", 10.0, {1: 0.5, 2: 4.5, 3: 19.0}) == took
 
 
-def test_one_that_cannot_read_a_version_proves_nothing_by_the_voters_of_an_earlier_one():
-    # They may have no say any more: what they did not accept others may have.
-    machine = versions("a")
+def test_a_replica_that_cannot_read_a_version_takes_no_proof_from_earlier_voters():
+    # Earlier voters may not vote any more: what they did not accept others may have.
+    replica = make_replica("a")
     data = write(content(format=FORMAT + 1))
-    machine.store.contents[digest(data)] = data
-    keep = machine.hold_durably(1, digest(data))[-1]
-    machine.persisted(0.0, keep.token)
-    assert machine.number == 1 and machine.unusable_reason and not machine.voter.may_vote(2)
-    machine.tick(machine.next_ms)
+    replica.store.contents[digest(data)] = data
+    keep = replica.hold_durably(1, digest(data))[-1]
+    replica.persisted(0.0, keep.token)
+    assert replica.number == 1 and replica.unusable_reason and not replica.voter.may_vote(2)
+    replica.tick(replica.next_ms)
     for name in "bc":
-        machine.receive_status(
-            machine.next_ms,
+        replica.receive_status(
+            replica.next_ms,
             name,
-            told(machine.lease.last_sequence, number=1, id=machine.content_id, accepted=1),
+            status_response(replica.lease.last_sequence, number=1, id=replica.content_id, accepted=1),
         )
-    assert machine.lease.proof_ms == -inf
+    assert replica.lease.proof_ms == -inf
 
 
-def test_a_strict_node_that_starts_with_a_version_it_cannot_use_is_out_from_the_start():
+def test_a_strict_node_that_starts_with_an_unusable_version_never_serves():
     data = write(content())
     kept = RecoveredLog(begun=True, held=VersionHeld(1, digest(data)), contents={digest(data): data})
-    machine = versions("d", kept, check=lambda c: "key: what was expected")
-    assert machine.serving.evaluate(0.0) == (False, False, "unfit")
+    replica = make_replica("d", kept, check=lambda c: "key: what was expected")
+    assert replica.serving.evaluate(0.0) == (False, False, "unfit")
 
 
-def test_that_a_node_was_brought_back_outlives_a_new_file(folder):
+def test_the_end_of_an_override_survives_a_new_ledger_file(folder):
     _, ledger = loaded(folder)
     ledger.renew()
     ledger.append([encode(OperatorOverride(False, "", 99.0))], True)
@@ -1236,6 +1237,6 @@
     assert kept.operator_override is None and kept.override_ms == 99.0
 
 
-def test_acts_before_an_interval_that_was_written_and_after_the_last_mark_are_told_as_unknown():
+def test_actions_after_the_last_counts_are_reported_as_unknown_though_an_interval_began_later():
     found = spans(interval(1, 1000.0), ActionCounts(7, [(1, 3, 2, 1, 0)], 1500.0, 0.0), interval(2, 2000.0))
     assert found.processes["n"][0].unknown == (1500.0, inf)
