--- a/marlseam/experiment/versions.py
+++ b/marlseam/experiment/versions.py
@@ -1,16 +1,15 @@
-"""Versions of a fleet on real nodes.
-
-What executors saw, held against what the ledgers say, while faults strike.
-"""
+"""Versions of a cluster on real nodes: what servers saw compared with what ledgers say, under faults."""
 
 import time
 from collections import defaultdict
 from math import inf
 from pathlib import Path
+from typing import NamedTuple
 
 from msgspec.structs import replace
 
 from marlseam import records
+from marlseam.cluster.action_stamp import ActionStamp
 from marlseam.cluster.audit import SENT, Audit
 from marlseam.experiment import file, plays
 from marlseam.experiment.file import Experiment
@@ -23,71 +22,107 @@
 
 ERROR_MS = 20.0  # one machine: by which a node's clock, read at its start, may be off
 NONE_OF = ("two_contents", "audit_wrong", "past_bound", "rules_broken")  # none is expected anywhere
-ON_ITS_WAY_MS = 300.0  # at most from a look at what an allocation stands on until its executor notes it
+MAX_TRANSIT_MS = 300.0  # from the stamp of an attempt until its server records it
 
 
-def alike(rig: Rig) -> list[str]:
-    """Return which nodes do not act on the newest version, proved, but those that cannot."""
-    said = {name: rig.ask(name) for name in rig.names}
-    wrong = [f"{name} says nothing" for name, told in said.items() if told is None]
+def lagging_nodes(rig: Rig) -> list[str]:
+    """Return which nodes do not act on the newest version as proven, but those that cannot."""
+    answers = {name: rig.ask(name) for name in rig.names}
+    lagging = [f"{name} says nothing" for name, answer in answers.items() if answer is None]
     if any(row[2] == "asked" for row in rig.published):
-        wrong.append("a publication is under way")
-    acting = {name: told.get("acting", {}) for name, told in said.items() if told is not None}
-    newest = max((a.get("version", 0) for a in acting.values()), default=0)
-    rig.contents = {name: a.get("contents", {}) for name, a in acting.items()}
-    for name, a in acting.items():
-        well = a.get("acting") == newest and a["serving"] and a["proved"]
-        out = name in rig.table.older and a.get("code") == "unfit" and not a["serving"]
-        if not (well or out):
-            wrong.append(f"{name} acts on {a.get('acting')} of {newest}, {a.get('code')}")
-    return wrong
-
-
-class Truth:
-    """What executors saw, and what the ledgers say of the same."""
-
-    def __init__(self, rig: Rig, out: Path, all_records: list[records.Record], zero_unix_ms: float) -> None:
+        lagging.append("a publication is under way")
+    statuses = {name: answer.get("acting", {}) for name, answer in answers.items() if answer is not None}
+    newest = max((status.get("version", 0) for status in statuses.values()), default=0)
+    rig.contents = {name: status.get("contents", {}) for name, status in statuses.items()}
+    for name, status in statuses.items():
+        is_current = status.get("acting") == newest and status["serving"] and status["proved"]
+        is_unable = name in rig.table.older and status.get("code") == "unfit" and not status["serving"]
+        if not (is_current or is_unable):
+            lagging.append(f"{name} acts on {status.get('acting')} of {newest}, {status.get('code')}")
+    return lagging
+
+
+class AttemptSeen(NamedTuple):
+    """An attempt that a server took, in ms of the run, and the stamp that it carried."""
+
+    at_ms: float
+    stamp: ActionStamp
+
+
+IntervalKey = tuple[str, int, int]  # node, process, interval
+
+
+class LedgerComparison:
+    """What servers saw, compared with what the ledgers say.
+
+    Attributes:
+        audit: what the ledgers say.
+        zero_ms: the Unix time of the run's begin.
+        attempts: what servers took.
+        times: of the same, by interval.
+        without_stamp: how many attempts carried none.
+
+    """
+
+    def __init__(self, rig: Rig, all_records: list[records.Record], zero_ms: float) -> None:
+        """Read the ledgers of a run, and its records."""
         self.audit: Audit = ledgers.read([rig.ledger(name) for name in rig.names], ERROR_MS)
-        self.zero, self.rig = zero_unix_ms, rig
-        self.times: dict[tuple[str, int, int], list[float]] = defaultdict(list)  # of what executors took
-        self.took: list[tuple[float, str, int, bool]] = []
-        self.bare = 0
+        self.zero_ms, self.rig = zero_ms, rig
+        self.attempts: list[AttemptSeen] = []
+        self.times: dict[IntervalKey, list[float]] = defaultdict(list)
+        self.without_stamp = 0
         for record in all_records:
-            if type(record) is records.Took:
-                if not record.acting:
-                    self.bare += 1
-                    continue
-                name, life, interval, number, proved = record.acting.split("/")
-                self.times[name, int(life), int(interval)].append(record.t)
-                self.took.append((record.t, name, int(number), proved == "1"))
-
-    def since(self) -> dict[int, float]:
+            if isinstance(record, records.Took):
+                self.note_taken(record)
+
+    def note_taken(self, record: records.Took) -> None:
+        """Take in that a server took an attempt."""
+        if not record.acting:
+            self.without_stamp += 1
+            return
+        stamp = ActionStamp.parse(record.acting)
+        self.times[stamp.node, stamp.process_number, stamp.interval].append(record.t)
+        self.attempts.append(AttemptSeen(record.t, stamp))
+
+    def first_held_ms(self) -> dict[int, float]:
         """Return when each number was first held, in ms of the run."""
-        return {n: min(ids.values()) - self.zero for n, ids in self.audit.first_held_ms.items()}
-
-    def compared(self) -> dict[str, float]:
-        """Return differences between both, and the acts that are told as unknown."""
-        told, unknown_from = {}, {}
-        for name, processes in self.audit.processes.items():
-            for process in processes:
-                life = process.started.process_number
-                if process.unknown is not None:
-                    unknown_from[name, life] = process.unknown.from_ms - self.zero - ERROR_MS
-                for number, interval in process.intervals.items():
-                    told[name, life, number] = interval.counts[SENT]
+        return {n: min(ids.values()) - self.zero_ms for n, ids in self.audit.first_held_ms.items()}
+
+    def counts_in_ledgers(self) -> dict[IntervalKey, int]:
+        """Return the attempts sent in each interval, by the ledgers."""
+        return {
+            (node, process.started.process_number, number): interval.counts[SENT]
+            for node, processes in self.audit.processes.items()
+            for process in processes
+            for number, interval in process.intervals.items()
+        }
+
+    def unknown_since_ms(self) -> dict[tuple[str, int], float]:
+        """Return since when the actions of killed processes may be missing, in ms of the run."""
+        return {
+            (node, process.started.process_number): process.unknown.from_ms - self.zero_ms - ERROR_MS
+            for node, processes in self.audit.processes.items()
+            for process in processes
+            if process.unknown is not None
+        }
+
+    def differences(self) -> dict[str, float]:
+        """Return differences between both, and the attempts that the ledgers declare as unknown."""
+        counted, unknown_since_ms = self.counts_in_ledgers(), self.unknown_since_ms()
         differences = unknown = 0
-        for key in told.keys() | self.times.keys():
-            seen, said = len(self.times.get(key, ())), told.get(key, 0)
+        for key in counted.keys() | self.times.keys():
+            seen, in_ledger = len(self.times.get(key, ())), counted.get(key, 0)
             known = seen
-            if seen > said and key[:2] in unknown_from:
-                # Only what came after the last mark of a killed life may be missing there.
-                known = max(said, sum(t <= unknown_from[key[:2]] for t in self.times[key]))
+            if seen > in_ledger and key[:2] in unknown_since_ms:
+                # Only what came after the last counts of a killed process may be missing there.
+                since_ms = unknown_since_ms[key[:2]]
+                known = max(in_ledger, sum(at_ms <= since_ms for at_ms in self.times[key]))
             unknown += seen - known
-            differences += abs(known - said)
-        total = len(self.took)
+            differences += abs(known - in_ledger)
+        total = len(self.attempts)
         return {
             "allocations": float(total),
-            "differences": float(differences + self.bare),
+            "differences": float(differences + self.without_stamp),
             "unknown": float(unknown),
             "unknown_share": unknown / max(1, total),
             "numbers": float(len(self.audit.first_held_ms)),
@@ -96,22 +131,22 @@
             "lives": float(sum(map(len, self.audit.processes.values()))),
         }
 
-    def stale(self) -> dict[str, float]:
-        """Return allocations past the bound, and how near the others came to it."""
-        since, lease = self.since(), self.rig.table.lease_ms
-        bound = lease + ON_ITS_WAY_MS
-        past = nearest = unproved = 0.0
-        for t, _, number, proved in self.took:
-            after = min((at for n, at in since.items() if n > number), default=inf)
-            if not proved:
-                unproved += 1
-            elif t > after:
-                nearest = max(nearest, (t - after) / bound)
-                past += t - after > bound
+    def staleness(self) -> dict[str, float]:
+        """Return attempts past the bound, and how near the others came to it."""
+        first_held_ms, lease_ms = self.first_held_ms(), self.rig.table.lease_ms
+        bound_ms = lease_ms + MAX_TRANSIT_MS
+        past = nearest = unproven = 0.0
+        for attempt in self.attempts:
+            newer_ms = min((at for n, at in first_held_ms.items() if n > attempt.stamp.number), default=inf)
+            if not attempt.stamp.is_proven:
+                unproven += 1
+            elif attempt.at_ms > newer_ms:
+                nearest = max(nearest, (attempt.at_ms - newer_ms) / bound_ms)
+                past += attempt.at_ms - newer_ms > bound_ms
         return {
             "past_bound": past,
             "nearest_stale": nearest,
-            "unproved_share": unproved / max(1, len(self.took)),
+            "unproved_share": unproven / max(1, len(self.attempts)),
         }
 
 
@@ -123,14 +158,14 @@
 
 def under_faults(
     experiment: Experiment, table: Fleet, seed: int, out: Path, say: Say
-) -> tuple[Rig, Truth, Played, dict[str, float]]:
-    """Play one day; return the rig, the truth, and what rules and versions came to."""
-    rig, healed = run(experiment.day, seed, table, out, say, alike)
+) -> tuple[Rig, LedgerComparison, Played, dict[str, float]]:
+    """Play one day; return the rig, the comparison, the play, and its figures."""
+    rig, healed = run(experiment.day, seed, table, out, say, lagging_nodes)
     zero = 1000.0 * (time.time() - time.monotonic() + rig.driver.zero)
     found, wrong = records.read_folder(out / "records")
     played = plays.judged(found, wrong, driver="sockets")
-    truth = Truth(rig, out, found, zero)
-    figures = played.figures | truth.compared() | truth.stale()
+    comparison = LedgerComparison(rig, found, zero)
+    figures = played.figures | comparison.differences() | comparison.staleness()
     figures |= {
         "faults": float(len(rig.spells)),
         "not_struck": float(len(rig.strikes)),
@@ -139,9 +174,9 @@
         f"came_{what}": float(sum(told.get(what, 0) for told in rig.contents.values()))
         for what in ("whole", "chains", "edits", "changes", "digest")
     }
-    for text in truth.audit.findings:
+    for text in comparison.audit.findings:
         say(f"WRONG {text}")
-    return rig, truth, played, figures
+    return rig, comparison, played, figures
 
 
 class Audits(Fleet):
@@ -217,9 +252,9 @@
     plain = replace(table, faults=[fault for fault in table.faults if fault.fault == "publish"], older=[])
     seed = experiment.head.seed
     _, _, calm, _ = under_faults(experiment, plain, seed, out / "without", say)
-    rig, truth, played, figures = under_faults(experiment, table, seed, out / "with", say)
+    rig, comparison, played, figures = under_faults(experiment, table, seed, out / "with", say)
     rows = [["node", "what", "until, s", "then", "after, s"]]
-    slow, since = 0.0, truth.since()
+    slow, since = 0.0, comparison.first_held_ms()
     for name, what, _, until in rig.spells:
         took = up_after(rig, name, until, since)
         slow = max(slow, took)
--- a/marlseam/net/action_ledger.py
+++ b/marlseam/net/action_ledger.py
@@ -11,6 +11,7 @@
 from typing import NamedTuple
 
 from marlseam import __version__
+from marlseam.cluster.action_stamp import ActionStamp
 from marlseam.cluster.audit_log import (
     ACTS,
     ActionCounts,
@@ -160,7 +161,8 @@
         self.intervals[number] = self.interval
         self.counts.pop(number - MAX_OPEN_INTERVALS, None)
         self.intervals.pop(number - MAX_OPEN_INTERVALS, None)
-        self.stamp = f"{self.name}/{self.process_number}/{number}/{basis.number}/{int(status.is_proven)}"
+        stamp = ActionStamp(self.name, self.process_number, number, basis.number, status.is_proven)
+        self.stamp = stamp.text()
         self.pending_records.append(PendingRecord(0, self.interval))
         self.write_records()
 
