--- a/marlseam/cluster/replication/content.py
+++ b/marlseam/cluster/replication/content.py
@@ -61,8 +61,8 @@
 def normalized(value: object) -> object:
     """Return a value without comments, with keys in order and whole numbers as integers."""
     if isinstance(value, Mapping):
-        kept = (key for key in value if not key.startswith(COMMENT_PREFIXES))
-        return {key: normalized(value[key]) for key in sorted(kept)}
+        keys = (key for key in value if not key.startswith(COMMENT_PREFIXES))
+        return {key: normalized(value[key]) for key in sorted(keys)}
     if isinstance(value, list | tuple):
         return [normalized(row) for row in value]
     if isinstance(value, float) and value.is_integer():
--- a/marlseam/cluster/replication/delta.py
+++ b/marlseam/cluster/replication/delta.py
@@ -125,8 +125,10 @@
     """Return what makes one list out of another: edits where as many rows changed, else one splice."""
     shorter = min(len(before), len(after))
     head = next((i for i in range(shorter) if not is_written_alike(before[i], after[i])), shorter)
-    rest = shorter - head
-    tail = next((i for i in range(rest) if not is_written_alike(before[-1 - i], after[-1 - i])), rest)
+    remaining = shorter - head
+    tail = next(
+        (i for i in range(remaining) if not is_written_alike(before[-1 - i], after[-1 - i])), remaining
+    )
     old_rows, new_rows = before[head : len(before) - tail], after[head : len(after) - tail]
     if len(old_rows) != len(new_rows):
         return [Splice(list(path), head, len(old_rows), new_rows)]
@@ -200,7 +202,7 @@
     if is_last and isinstance(edit, Drop):
         if key not in value:
             raise DeltaError("a key that is not there")
-        return {kept: inner for kept, inner in value.items() if kept != key}
+        return {other: inner for other, inner in value.items() if other != key}
     if not is_last and key not in value:
         raise DeltaError("a path that leads nowhere")
     return set_key(value, key, apply_edit(value.get(key), path, depth + 1, edit))
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -350,10 +350,10 @@
     effects = voter.receive(0.0, "b", VoteMessage("accept", 4, 1, "b/1", value=digest(data)))
     assert effects[0].message == FetchRequest(digest(data), 0, digest(datas[-1]))
     (piece,) = [e.message for e in source.fetcher.send_chunks("d", effects[0].message)]
-    (keep,) = voter.receive_chunk(0.0, "b", piece)
-    stored = [e for e in keep.records if type(e) is ContentStored]
+    (persist,) = voter.receive_chunk(0.0, "b", piece)
+    stored = [e for e in persist.records if type(e) is ContentStored]
     assert stored == [ContentStored(digest(data), data)] and voter.store.transfer_counts["chains"] == 1
-    assert [e.message.kind for e in voter.persisted(0.0, keep.token)] == ["accepted"]
+    assert [e.message.kind for e in voter.persisted(0.0, persist.token)] == ["accepted"]
 
 
 MEDDLING = st.lists(
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -105,12 +105,12 @@
     return StatusResponse(seq, **values)
 
 
-def held(replica, some, now=0.0):
+def hold(replica, some, now=0.0):
     """Have a replica hold a content."""
     data = write(some)
     replica.store.contents[digest(data)] = data
-    keep = replica.hold_durably(some.number, digest(data))[-1]
-    return replica.persisted(now, keep.token)
+    persist = replica.hold_durably(some.number, digest(data))[-1]
+    return replica.persisted(now, persist.token)
 
 
 # The search in virtual time, and defects that it finds.
@@ -349,15 +349,15 @@
         replica.tick(0.0)
         replica.receive_status(0.0, "b", status_response(1, age_ms=0.0))
         assert replica.serving.evaluate(1.0).is_serving
-        held(replica, content(), 2.0)
+        hold(replica, content(), 2.0)
         for i, name in enumerate("abcef"):
             replica.receive_status(
                 3.0,
                 name,
                 status_response(0, number=1, id=replica.content_id, acting=int(i < serving), serving=True),
             )
-        stood = replica.serving.evaluate(4.0)
-        assert (stood.is_serving, stood.is_proven, stood.code) == (
+        serving_status = replica.serving.evaluate(4.0)
+        assert (serving_status.is_serving, serving_status.is_proven, serving_status.code) == (
             serving == 0,
             False,
             code,
@@ -377,12 +377,12 @@
 
 def test_an_operators_override_holds_once_durable_and_across_restarts():
     replica = make_replica("d")
-    keep = replica.override_by_operator("sick", 5.0)
+    persist = replica.override_by_operator("sick", 5.0)
     assert replica.operator_override is None
-    replica.persisted(0.0, keep.token)
+    replica.persisted(0.0, persist.token)
     assert replica.serving.evaluate(1.0).code == "hand"
     kept = RecoveredLog()
-    for entry in (*keep.records, OperatorOverride(True, "sick", 5.0)):
+    for entry in (*persist.records, OperatorOverride(True, "sick", 5.0)):
         kept.apply(entry)
     assert make_replica("d", kept).serving.evaluate(0.0).code == "hand"
 
@@ -397,9 +397,9 @@
     replica.tick(0.0)
     replica.receive_status(1.0, "b", status_response(1, top=4))
     assert replica.voter.votes_barred_up_to is None
-    keep = replica.receive_status(1.0, "c", status_response(1, top=3))[-1]
-    assert keep.records == (VotesBarred(5),)
-    replica.persisted(2.0, keep.token)
+    persist = replica.receive_status(1.0, "c", status_response(1, top=3))[-1]
+    assert persist.records == (VotesBarred(5),)
+    replica.persisted(2.0, persist.token)
     assert (
         replica.voter.votes_barred_up_to == 5 and not replica.voter.may_vote(5) and replica.voter.may_vote(6)
     )
@@ -428,7 +428,7 @@
         for name in "ab":
             vote = VoteMessage(kind, 1, 1, "d/1", value=digest(data) if kind == "accepted" else "")
             effects = operator.publisher.receive_vote(0.0, name, vote)
-    keep = next(effect for effect in effects if type(effect) is Persist)
+    persist = next(effect for effect in effects if type(effect) is Persist)
     assert (
         operator.publisher.publication is None
         and operator.number == 0
@@ -443,7 +443,7 @@
     assert operator.publisher.result.startswith(
         "version 1 is"
     )  # which whoever published it still waits to read
-    operator.persisted(2.0, keep.token)
+    operator.persisted(2.0, persist.token)
     following = content(2, operator.content_id)
     operator.publish(3.0, write(following))
     assert operator.publisher.result == "open" and operator.publisher.publication.proposer.number == 2
@@ -459,9 +459,9 @@
     operator.publish(0.0, data)
     other = data if mine else write(content(number, settings={"x": 9}))
     operator.store.contents[digest(other)] = other
-    keep = operator.receive_status(1.0, "b", status_response(0, number=number, id=digest(other)))[-1]
+    persist = operator.receive_status(1.0, "b", status_response(0, number=number, id=digest(other)))[-1]
     assert operator.publisher.result == "open"
-    operator.persisted(2.0, keep.token)
+    operator.persisted(2.0, persist.token)
     assert operator.publisher.publication is None and operator.publisher.result.startswith(result)
     following = content(number + 1, operator.content_id)
     operator.publish(3.0, write(following))
@@ -473,9 +473,9 @@
 def test_a_repeated_request_is_answered_only_once_the_promise_is_durable():
     replica = make_replica("b")
     prepare = VoteMessage("prepare", 1, 1, "a/1")
-    (keep,) = replica.voter.receive_request(0.0, "a", prepare)
+    (persist,) = replica.voter.receive_request(0.0, "a", prepare)
     assert replica.voter.receive_request(0.0, "a", prepare) == []
-    assert [type(e) for e in replica.persisted(1.0, keep.token)] == [SendMessage]
+    assert [type(e) for e in replica.persisted(1.0, persist.token)] == [SendMessage]
     assert [type(e) for e in replica.voter.receive_request(1.0, "a", prepare)] == [SendMessage]
 
 
@@ -491,7 +491,7 @@
 IDS = st.sampled_from([digest(b"%d" % i) for i in range(40)])
 NUMBERS = st.one_of(st.integers(0, 3), st.integers(0, 1 << 53))
 PLACES = st.sampled_from(["a/1", "b/1", ""])
-SAYS = st.one_of(
+MESSAGES = st.one_of(
     st.builds(messages.StatusRequest, NUMBERS, NUMBERS),
     st.builds(
         StatusResponse,
@@ -522,13 +522,13 @@
 )
 
 
-@given(st.lists(st.tuples(st.sampled_from("bcg"), SAYS, st.booleans()), max_size=60))
-def test_arbitrary_messages_apply_no_content_and_memory_is_bounded(notes):
+@given(st.lists(st.tuples(st.sampled_from("bcg"), MESSAGES, st.booleans()), max_size=60))
+def test_arbitrary_messages_apply_no_content_and_memory_is_bounded(received):
     replica, now = make_replica("a"), 0.0
     replica.publish(0.0, write(content()))
-    for sender, say, durable in notes:
+    for sender, message, durable in received:
         now += 100.0
-        effects = replica.receive(now, sender, say) + replica.tick(now)
+        effects = replica.receive(now, sender, message) + replica.tick(now)
         for effect in effects:
             if type(effect) is Persist and durable:
                 effects += replica.persisted(now, effect.token)
@@ -718,12 +718,12 @@
 # The audit.
 
 
-def spans(*entries):
+def audit_of(*entries):
     return audit.read({"n": [[LedgerBegun(0.0), LIFE, *entries]]}, error_ms=10.0)
 
 
 def test_each_action_lies_in_one_interval_and_unknown_periods_are_reported():
-    found = spans(
+    found = audit_of(
         interval(1, 1000.0),
         interval(2, 2000.0),
         ActionCounts(7, [(1, 3, 2, 1, 0), (2, 1, 1, 0, 0)], 2500.0, 0.0),
@@ -731,7 +731,7 @@
     rows = audit.rows(found)
     assert [(r["taken"], r["sent"], r["unknown_after"]) for r in rows] == [(3, 2, False), (1, 1, True)]
     assert found.processes["n"][0].unknown == (2500.0, inf) and not found.findings
-    assert spans(interval(1, 1000.0), ProcessEnded(7, 3000.0, 0.0)).processes["n"][0].unknown is None
+    assert audit_of(interval(1, 1000.0), ProcessEnded(7, 3000.0, 0.0)).processes["n"][0].unknown is None
     assert audit.interval_at(found, "n", 1500.0).begun.interval == 1
     assert audit.interval_at(found, "n", 500.0) is None
 
@@ -775,7 +775,7 @@
     ],
 )
 def test_an_audit_reports_what_is_wrong(entries, what):
-    assert any(what in text for text in spans(*entries).findings)
+    assert any(what in text for text in audit_of(*entries).findings)
 
 
 def test_actions_within_the_lease_or_unproven_are_not_reported_as_stale():
@@ -784,12 +784,12 @@
         ActionCounts(7, [(1, 1, 1, 1, 1)], late - 500.0, 0.0),
         ActionCounts(7, [(1, 9, 9, 9, 9)], late + 5.0, 0.0),
     ]
-    assert not spans(interval(1, 1000.0), VersionHeld(1, "x", 2000.0), *marks).findings
+    assert not audit_of(interval(1, 1000.0), VersionHeld(1, "x", 2000.0), *marks).findings
     marks = [
         ActionCounts(7, [(1, 1, 1, 1, 1)], late + 50.0, 0.0),
         ActionCounts(7, [(1, 9, 9, 9, 9)], late + 99.0, 0.0),
     ]
-    assert not spans(interval(1, 1000.0, proved=False), VersionHeld(1, "x", 2000.0), *marks).findings
+    assert not audit_of(interval(1, 1000.0, proved=False), VersionHeld(1, "x", 2000.0), *marks).findings
 
 
 def test_the_audit_command_prints_a_table_and_a_page_and_ends_with_1_where_something_is_wrong(
@@ -1206,8 +1206,8 @@
     replica = make_replica("a")
     data = write(content(format=FORMAT + 1))
     replica.store.contents[digest(data)] = data
-    keep = replica.hold_durably(1, digest(data))[-1]
-    replica.persisted(0.0, keep.token)
+    persist = replica.hold_durably(1, digest(data))[-1]
+    replica.persisted(0.0, persist.token)
     assert replica.number == 1 and replica.unusable_reason and not replica.voter.may_vote(2)
     replica.tick(replica.next_ms)
     for name in "bc":
@@ -1238,5 +1238,7 @@
 
 
 def test_actions_after_the_last_counts_are_reported_as_unknown_though_an_interval_began_later():
-    found = spans(interval(1, 1000.0), ActionCounts(7, [(1, 3, 2, 1, 0)], 1500.0, 0.0), interval(2, 2000.0))
+    found = audit_of(
+        interval(1, 1000.0), ActionCounts(7, [(1, 3, 2, 1, 0)], 1500.0, 0.0), interval(2, 2000.0)
+    )
     assert found.processes["n"][0].unknown == (1500.0, inf)
