--- a/marlseam/cluster/checking/membership_schedules.py
+++ b/marlseam/cluster/checking/membership_schedules.py
@@ -12,7 +12,13 @@
 from typing import Any, NamedTuple
 from zlib import crc32
 
-from marlseam.cluster.membership import HEALTH_MOST, DuplicateMember, MemberChanged, Membership, SendDatagram
+from marlseam.cluster.membership import (
+    MAX_LOCAL_HEALTH,
+    DuplicateMember,
+    MemberChanged,
+    Membership,
+    SendDatagram,
+)
 from marlseam.cluster.membership_codec import (
     Datagram,
     DatagramKind,
@@ -56,7 +62,7 @@
 
     Whoever was held as gone hears of it with the first answer that it gets, and then each in two turns.
     """
-    return (2.0 * (nodes - 1) + 3.0) * period_ms * (1.0 + HEALTH_MOST)
+    return (2.0 * (nodes - 1) + 3.0) * period_ms * (1.0 + MAX_LOCAL_HEALTH)
 
 
 @dataclass
@@ -163,13 +169,13 @@
         """Carry out what a process asks for."""
         for effect in effects:
             if type(effect) is SendDatagram:
-                strike = self.struck(seat, True, effect.letter.kind)
+                strike = self.struck(seat, True, effect.datagram.kind)
                 if strike is not None:
                     self.strike(strike, seat)
                 if seat.live:
                     held = strike.for_ms if strike is not None and strike.fault == "hold" else 0.0
-                    self.send(seat, effect.to, write(effect.letter), held)
-            elif type(effect) is MemberChanged and effect.claim.standing == MemberStatus.GONE:
+                    self.send(seat, effect.to, write(effect.datagram), held)
+            elif type(effect) is MemberChanged and effect.state.status == MemberStatus.DEAD:
                 self.gone_at.setdefault((seat.name, effect.name), []).append(self.now)
             elif type(effect) is DuplicateMember:
                 self.told_twins += 1
@@ -280,13 +286,13 @@
         wrong = []
         for seat in self.seats.values():
             for name, member in seat.machine.members.items():
-                own = self.seats[name].machine.own
+                own = self.seats[name].machine.own_state
                 if (
-                    member.claim is None
-                    or member.claim.standing != MemberStatus.HERE
-                    or member.claim.life != own.life
+                    member.state is None
+                    or member.state.status != MemberStatus.ALIVE
+                    or member.state.generation != own.generation
                 ):
-                    wrong.append(f"{seat.name} holds {name} as {member.claim}")
+                    wrong.append(f"{seat.name} holds {name} as {member.state}")
         return wrong
 
 
@@ -366,7 +372,7 @@
     world = MembershipSimulation(nodes, seed, strikes, doubles=0.02, machine=machine)
     # By the machine as it should be: one that is tried must not set its own bound.
     suspicion = Membership("fleet", "n0", world.names, 0, 0, PERIOD_MS, 0.0).suspicion_ms(0)
-    detect = detect_ms(nodes, suspicion, PERIOD_MS, HEALTH_MOST) * (1.0 + 2.0 * DRIFT)
+    detect = detect_ms(nodes, suspicion, PERIOD_MS, MAX_LOCAL_HEALTH) * (1.0 + 2.0 * DRIFT)
     lonely = detect_ms(nodes, suspicion, PERIOD_MS, 0) * (1.0 + 2.0 * DRIFT)
     world.run(SETTLE * PERIOD_MS)
     broken = [f"at the start {what}" for what in world.agree()] if world.calm(0.0, world.now) else []
--- a/marlseam/cluster/membership.py
+++ b/marlseam/cluster/membership.py
@@ -1,19 +1,21 @@
-"""Who of a fleet is there, as one of its members finds out; pure: no clock, no socket.
+"""Failure detection and membership of a cluster, as one member sees it; pure: no clock, no socket.
 
-SWIM (Das, Gupta, Motivala 2002): in each period one member, in a shuffled turn, is pinged; one that does not
-answer is asked for by others; then it is suspected, and counts as gone if it does not refute that in time.
-What is known travels with these letters. From Lifeguard (Dadgar, Phillips, Currey 2017): whoever misses
-answers looks at itself first and waits longer, a suspicion ends sooner the more members share it, and a
-member is told what is said of it. docs/design/fleet.md has what was kept and changed, and the bounds.
+SWIM (Das, Gupta, Motivala 2002): in each protocol period one member, in a shuffled order, is pinged. One that
+does not answer is probed through others (ping-req); then it is suspected, and held as dead if it does not
+refute that before the suspicion times out. What is known is piggybacked on these datagrams.
 
-Times in ms on the member's own clock. Who may belong is in the settings; who is there is found out.
+From Lifeguard (Dadgar, Phillips, Currey 2017): a member that misses answers doubts its own health first and
+waits longer (local health multiplier), a suspicion times out sooner the more members confirm it, and a
+suspected member is told so first. docs/design/fleet.md has what was kept and changed, and the bounds.
+
+Times are in ms on the member's own clock. Who may belong is configured; who is alive is found out.
 """
 
-from collections import deque
 from dataclasses import dataclass, field
-from math import ceil, inf, log, log2, log10
+from math import inf, log, log10
 from typing import NamedTuple
 
+from marlseam.cluster.dissemination import GossipQueue
 from marlseam.cluster.membership_codec import (
     MAX_GOSSIP_ENTRIES,
     MAX_NUMBER,
@@ -26,37 +28,38 @@
 )
 from marlseam.random_source import RandomSource
 
-HELPERS = 3  # members that are asked to ask
-DIRECT = 0.3  # of a period, after which they are asked
-NACK_AT = 0.25  # of a period, after which one that asks for another says that it has not heard
-LEAST = 2.0  # shortest suspicion, in periods and powers of ten of members
-MOST = 3.0  # longest, in the shortest
-SHARED = 3  # others that must share a suspicion for the shortest
-HEALTH_MOST = 3  # how much longer one waits that doubts itself, in its ordinary waits
-TELLINGS = 4.0  # how often a change is passed on, in powers of two of members
-OLD = 2  # rumours in a letter on members whose turn it is, changed or not: mends what loss has hidden
-LATE = 2.0  # periods between two looks from which a process must have been stopped
+INDIRECT_PROBES = 3  # members that are asked to probe one that does not answer
+INDIRECT_PROBE_AFTER_PERIODS = 0.3
+PROBE_TIMEOUT_PERIODS = 0.9
+NACK_AFTER_PERIODS = 0.25  # without an answer, after which an indirect probe is answered with a nack
+MIN_SUSPICION_PERIODS = 2.0  # and that for each power of ten of members
+MAX_SUSPICION_IN_MINIMA = 3.0
+SUSPICION_CONFIRMATIONS = 3  # by other members, from which on a suspicion is as short as it may be
+MAX_LOCAL_HEALTH = 3  # of the local health multiplier less one; 0 is healthy
+REFRESH_ENTRIES = 2  # members per datagram that are sent in turn, changed or not
+MAX_GAP_PERIODS = 2.0  # between two events; after a longer one the process itself was stopped
+NO_GENERATION = -1
 
 
 class SendDatagram(NamedTuple):
-    """Send a letter to a member."""
+    """Send a datagram to a member."""
 
     to: str
-    letter: Datagram
+    datagram: Datagram
 
 
 class MemberChanged(NamedTuple):
-    """A member's standing is another, or another process has taken its name."""
+    """A member has another status, or another process uses its name."""
 
     name: str
-    claim: MemberState
+    state: MemberState
 
 
 class DuplicateMember(NamedTuple):
-    """Two processes act under one name: a life that another had followed spoke again."""
+    """Two processes use one member's name: one whose name another had taken over was heard again."""
 
     name: str
-    life: int
+    generation: int
 
 
 Effect = SendDatagram | MemberChanged | DuplicateMember
@@ -64,326 +67,401 @@
 
 @dataclass(slots=True)
 class Member:
-    """What is held of one member."""
+    """What is held of one other member.
+
+    Attributes:
+        state: the greatest state heard, None if none was.
+        since_ms: when that state was taken over.
+        heard_ms: when its last datagram came, -inf if none did.
+        suspected_by: who suspects it, in the order heard; the values mean nothing.
+        suspicion_ends_ms: when its suspicion times out, inf if it is not suspected.
+        former_generation: of the process that used its name before, `NO_GENERATION` if none did.
+    """
+
+    state: MemberState | None = None
+    since_ms: float = 0.0
+    heard_ms: float = -inf
+    suspected_by: dict[str, None] = field(default_factory=dict)
+    suspicion_ends_ms: float = inf
+    former_generation: int = NO_GENERATION
+
+    @property
+    def is_alive(self) -> bool:
+        """Return whether the member counts as alive; a suspected one does."""
+        return self.state is not None and self.state.status <= MemberStatus.SUSPECT
 
-    claim: MemberState | None = None  # nothing heard of it yet
-    since_ms: float = 0.0  # when that claim came to hold
-    heard_ms: float = -inf  # its last letter
-    suspects: dict[str, None] = field(default_factory=dict)
-    ends_ms: float = inf  # of the suspicion
-    former: int = -1  # the life before this one
+    def state_as(self, status: MemberStatus) -> MemberState:
+        """Return the state that is held, with another status; some state has to be held."""
+        assert self.state is not None
+        return MemberState(self.state.incarnation, self.state.generation, status)
 
 
 @dataclass(slots=True)
 class PendingProbe:
-    """A ping that is out, for ourselves or for another."""
+    """A ping that has no answer yet, sent for this member itself or for another.
+
+    Attributes:
+        name: the member that was pinged.
+        times_out_ms: when the probe counts as missed.
+        indirect_ms: when others are asked to probe, inf once they are or if nobody is to be.
+        requester: the member that asked for this probe, empty if it is our own.
+        requester_sequence: the number under which it asked.
+        awaited_nacks: helpers that have not said yet that they have no answer either.
+    """
 
     name: str
-    due_ms: float  # when it counts as missed
-    ask_ms: float = inf  # when others are asked
-    asker: str = ""
-    asker_seq: int = 0
-    nacks: int = 0  # helpers that have not said yet that they heard nothing
+    times_out_ms: float
+    indirect_ms: float = inf
+    requester: str = ""
+    requester_sequence: int = 0
+    awaited_nacks: int = 0
 
 
 class Membership:
-    """One member's machine: `tick` when `next_ms` has come, `heard` for each letter; both return effects."""
+    """One member's state machine.
+
+    Call `tick` when `next_ms` has come and `receive` for each datagram; both return effects to carry out.
+
+    Attributes:
+        cluster, name: of the cluster, and of this member in it.
+        own_state: what this member says of itself.
+        members: what it holds of each other member that may belong, by name.
+        pending_probes: pings without an answer yet, by sequence number.
+        local_health: Lifeguard's doubt of itself, 0 to `MAX_LOCAL_HEALTH`; each step adds a period to waits.
+        gossip: the changes that are to be passed on.
+        suspected: names of the members whose suspicion has not timed out.
+        next_probe_ms: when the next protocol period begins.
+    """
 
     def __init__(
-        self, fleet: str, me: str, names: frozenset[str], life: int, seed: int, period_ms: float, now: float
+        self,
+        cluster: str,
+        name: str,
+        names: frozenset[str],
+        generation: int,
+        seed: int,
+        period_ms: float,
+        now_ms: float,
     ) -> None:
-        self.fleet, self.me, self.chance = fleet, me, RandomSource(f"{seed}:{me}")
-        self.period_ms, self.now, self.looked_ms = period_ms, now, now
-        self.own = MemberState(0, life, MemberStatus.HERE)
+        """Begin as a process of member `name`, whose generation differs from that of each earlier one."""
+        self.cluster, self.name = cluster, name
+        self.chance = RandomSource(f"{seed}:{name}")
+        self.period_ms, self.now_ms, self.last_event_ms = period_ms, now_ms, now_ms
+        self.own_state = MemberState(0, generation, MemberStatus.ALIVE)
         self.members: dict[str, Member] = {}
-        self.looks: dict[int, PendingProbe] = {}
-        self.seq = self.health = 0
-        self.news: dict[str, int] = {}  # members with news to pass on, and how often it was
-        self.telling: deque[str] = deque()  # the same, what was told least first
-        self.next_probe_ms = now
+        self.pending_probes: dict[int, PendingProbe] = {}
+        self.sequence = self.local_health = 0
+        self.gossip = GossipQueue()
+        self.next_probe_ms = now_ms
         self.effects: list[Effect] = []
         self.suspected: set[str] = set()
-        self.regroup(names)
+        self.set_members(names)
 
-    def regroup(self, names: frozenset[str]) -> None:
-        """Take in who may belong from now on; of others nothing is kept."""
+    def set_members(self, names: frozenset[str]) -> None:
+        """Take over who may belong from now on; nothing is kept of others."""
         for name in self.members.keys() - names:
             del self.members[name]
             self.suspected.discard(name)
-            if self.news.pop(name, None) is not None:
-                self.telling.remove(name)
+            self.gossip.discard(name)
             for member in self.members.values():
-                member.suspects.pop(name, None)
-        self.looks = {seq: look for seq, look in self.looks.items() if look.name in self.members}
-        for name in sorted(names - {self.me} - self.members.keys()):
-            self.members[name] = Member(since_ms=self.now)
+                member.suspected_by.pop(name, None)
+        self.pending_probes = {
+            sequence: probe for sequence, probe in self.pending_probes.items() if probe.name in self.members
+        }
+        for name in sorted(names - {self.name} - self.members.keys()):
+            self.members[name] = Member(since_ms=self.now_ms)
         self.names = sorted(self.members)
-        self.most = ceil(TELLINGS * log2(2.0 + len(self.members)))  # how often a change is passed on
-        # Orders of chance, made anew when one is used up: cost a letter does not grow with the fleet.
-        self.turn: list[str] = []  # of those that are there, to be pinged
-        self.turn_away: list[str] = []  # of those that are not
-        self.turn_old: list[str] = []  # of all that anything is held of, to be told of
+        self.gossip.resize(len(self.members))
+        # Shuffled orders, made anew when used up: the cost of a datagram does not grow with the cluster.
+        self.alive_probe_order: list[str] = []
+        self.dead_probe_order: list[str] = []
+        self.refresh_order: list[str] = []
 
-    # Figures.
+    # Queries.
 
     @property
     def next_ms(self) -> float:
         """When `tick` is due."""
-        ends = [self.members[name].ends_ms for name in self.suspected]
-        looks = [min(look.due_ms, look.ask_ms) for look in self.looks.values()]
-        return min([self.next_probe_ms, *ends, *looks])
+        suspicions = [self.members[name].suspicion_ends_ms for name in self.suspected]
+        probes = [min(probe.times_out_ms, probe.indirect_ms) for probe in self.pending_probes.values()]
+        return min([self.next_probe_ms, *suspicions, *probes])
 
-    def is_here(self, name: str) -> bool:
-        """Return whether a member counts as there."""
-        claim = self.members[name].claim
-        return claim is not None and claim.standing <= MemberStatus.SUSPECT
+    def is_alive(self, name: str) -> bool:
+        """Return whether a member counts as alive."""
+        return self.members[name].is_alive
 
-    def here(self) -> list[str]:
-        """Return the members that count as there, ourselves apart."""
-        return [name for name in self.names if self.is_here(name)]
+    def alive_members(self) -> list[str]:
+        """Return the other members that count as alive, by name."""
+        return [name for name in self.names if self.is_alive(name)]
 
-    def some(self, count: int, but: str = "") -> list[str]:
-        """Return up to so many members that are there, by chance; few looks, however many there are."""
+    def random_alive(self, count: int, excluded: str = "") -> list[str]:
+        """Return up to `count` random members that are alive; few draws, however many members there are."""
         found: dict[str, None] = {}
         for _ in range(4 * count if self.names else 0):
             name = self.names[int(self.chance() * len(self.names))]
-            if len(found) < count and name != but and self.is_here(name):
+            if len(found) < count and name != excluded and self.is_alive(name):
                 found[name] = None
         return list(found)
 
-    def suspicion_ms(self, shared: int) -> float:
-        """Return how long a suspicion lasts that so many others share."""
-        least = LEAST * max(1.0, log10(1.0 + len(self.members))) * self.period_ms
-        share = min(1.0, log(1.0 + shared) / log(1.0 + SHARED))
-        return max(least, MOST * least - (MOST - 1.0) * least * share)
+    def suspicion_ms(self, confirmations: int) -> float:
+        """Return the suspicion timeout with so many confirmations by other members."""
+        shortest = MIN_SUSPICION_PERIODS * max(1.0, log10(1.0 + len(self.members))) * self.period_ms
+        share = min(1.0, log(1.0 + confirmations) / log(1.0 + SUSPICION_CONFIRMATIONS))
+        longest = MAX_SUSPICION_IN_MINIMA * shortest
+        return max(shortest, longest - (MAX_SUSPICION_IN_MINIMA - 1.0) * shortest * share)
 
-    def wait_ms(self) -> float:
-        """Return a period as this member takes it, longer where it doubts itself."""
-        return self.period_ms * (1.0 + self.health)
+    def scaled_period_ms(self) -> float:
+        """Return the protocol period times the local health multiplier."""
+        return self.period_ms * (1.0 + self.local_health)
 
     def shuffled(self, names: list[str]) -> list[str]:
-        """Return names in an order of chance."""
+        """Return names in a random order."""
         return [name for _, name in sorted((self.chance(), name) for name in names)]
 
     # Events.
 
-    def tick(self, now: float) -> list[Effect]:
+    def tick(self, now_ms: float) -> list[Effect]:
         """Do what is due."""
-        self.begin(now)
-        for seq, look in list(self.looks.items()):
-            if look.ask_ms <= now:
-                look.ask_ms = inf
-                helpers = self.some(HELPERS, look.name)
-                look.nacks = len(helpers)
-                for helper in helpers:
-                    self.say(helper, DatagramKind.ASK, seq, look.name)
-            if look.due_ms <= now:
-                del self.looks[seq]
-                self.missed(look)
+        self.begin_event(now_ms)
+        self.advance_probes()
         for name in sorted(self.suspected):
             member = self.members[name]
-            if member.ends_ms <= now:
-                self.take(GossipEntry(name, self.held(member, MemberStatus.GONE)))
-        if self.next_probe_ms <= now:
-            self.next_probe_ms = now + self.wait_ms()
-            self.probe()
+            if member.suspicion_ends_ms <= now_ms:
+                self.merge(GossipEntry(name, member.state_as(MemberStatus.DEAD)))
+        if self.next_probe_ms <= now_ms:
+            self.next_probe_ms = now_ms + self.scaled_period_ms()
+            self.start_probes()
         return self.effects
 
-    def begin(self, now: float) -> None:
-        """Note the time. One that was stopped has no evidence against others: their time starts anew."""
-        gap, self.effects = now - self.looked_ms, []
-        if gap > LATE * self.wait_ms():
-            self.looks.clear()
-            self.health = min(HEALTH_MOST, self.health + 1)
-            for name in self.suspected:
-                self.members[name].ends_ms += gap
-        self.now = self.looked_ms = now
-
-    def probe(self) -> None:
-        """Ping the next in turn, and one of those that are not there, which may be again."""
-        self.turn, name = self.next_in(self.turn, True)
-        if name:
-            self.ping(name)
-        self.turn_away, name = self.next_in(self.turn_away, False)
-        if name:
-            self.say(name, DatagramKind.PING, 0)
-
-    def next_in(self, turn: list[str], here: bool) -> tuple[list[str], str]:
-        """Return the rest of an order and its next that is there, or is not; a new order after the last."""
-        for _ in range(2):
-            while turn:
-                name = turn.pop()
-                if self.is_here(name) is here:
-                    return turn, name
-            turn = self.shuffled([name for name in self.names if self.is_here(name) is here])
-        return turn, ""
-
-    def ping(self, name: str, asker: str = "", asker_seq: int = 0) -> None:
-        """Ping a member, for ourselves or for another."""
-        self.seq += 1
-        if asker:
-            look = PendingProbe(name, self.now + NACK_AT * self.period_ms, inf, asker, asker_seq)
-        else:
-            wait = self.wait_ms()
-            look = PendingProbe(name, self.now + 0.9 * wait, self.now + DIRECT * wait)
-        self.looks[self.seq] = look
-        self.say(name, DatagramKind.PING, self.seq)
-
-    def missed(self, look: PendingProbe) -> None:
-        """Take in that a ping has no answer."""
-        if look.asker:
-            if look.asker in self.members:
-                self.say(look.asker, DatagramKind.NACK, look.asker_seq, look.name)
-            return
-        # Helpers that say nothing either speak against our own way, not against the member.
-        self.health = min(HEALTH_MOST, self.health + min(1, look.nacks))
-        member = self.members[look.name]
-        if member.claim is not None and member.claim.standing <= MemberStatus.SUSPECT:
-            self.take(GossipEntry(look.name, self.held(member, MemberStatus.SUSPECT), self.me))
-
-    def held(self, member: Member, standing: MemberStatus) -> MemberState:
-        """Return the claim on a member with another standing."""
-        return MemberState(member.claim.incarnation, member.claim.life, standing)
-
-    def heard(self, now: float, letter: Datagram) -> list[Effect]:
-        """Take in a letter."""
-        self.begin(now)
-        if letter.sender == self.me:
-            # Another process under our name, or a letter of our own that came back.
-            self.claimed(letter.own)
+    def receive(self, now_ms: float, datagram: Datagram) -> list[Effect]:
+        """Handle a datagram."""
+        self.begin_event(now_ms)
+        if datagram.sender == self.name:
+            # Another process under our name, or a datagram of our own that came back.
+            self.refute(datagram.sender_state)
             return self.effects
-        member = self.members.get(letter.sender)
+        member = self.members.get(datagram.sender)
         if member is None:
             return self.effects  # it belonged, or is to: others know it already, or still
-        member.heard_ms = now
-        self.take(GossipEntry(letter.sender, letter.own))
-        for rumour in letter.rumours:
-            self.take(rumour)
-        if letter.kind == DatagramKind.PING:
-            self.say(letter.sender, DatagramKind.ACK, letter.seq, self.me)
-        elif letter.kind == DatagramKind.ASK and letter.about in self.members:
-            self.ping(letter.about, letter.sender, letter.seq)
-        elif letter.kind == DatagramKind.ACK:
-            look = self.looks.get(letter.seq)
-            if look is not None and look.name == letter.about:
-                del self.looks[letter.seq]
-                if look.asker in self.members:
-                    self.say(look.asker, DatagramKind.ACK, look.asker_seq, look.name)
-                elif not look.asker:
-                    self.health = max(0, self.health - 1)
-        elif letter.kind == DatagramKind.NACK:
-            look = self.looks.get(letter.seq)
-            if look is not None:
-                look.nacks = max(0, look.nacks - 1)
+        member.heard_ms = now_ms
+        self.merge(GossipEntry(datagram.sender, datagram.sender_state))
+        for entry in datagram.entries:
+            self.merge(entry)
+        if datagram.kind == DatagramKind.PING:
+            self.send(datagram.sender, DatagramKind.ACK, datagram.sequence, self.name)
+        elif datagram.kind == DatagramKind.ASK and datagram.subject in self.members:
+            self.ping(datagram.subject, datagram.sender, datagram.sequence)
+        elif datagram.kind == DatagramKind.ACK:
+            self.handle_ack(datagram)
+        elif datagram.kind == DatagramKind.NACK:
+            self.handle_nack(datagram)
         return self.effects
 
-    def leave(self, now: float) -> list[Effect]:
-        """Say goodbye."""
-        self.begin(now)
-        self.own = MemberState(self.own.incarnation, self.own.life, MemberStatus.LEFT)
-        for name in self.some(HELPERS + 1):
-            self.say(name, DatagramKind.PING, 0)
+    def leave(self, now_ms: float) -> list[Effect]:
+        """Announce to some members that this one leaves."""
+        self.begin_event(now_ms)
+        self.own_state = MemberState(self.own_state.incarnation, self.own_state.generation, MemberStatus.LEFT)
+        for name in self.random_alive(INDIRECT_PROBES + 1):
+            self.send(name, DatagramKind.PING, 0)
         return self.effects
 
-    # What is said.
+    def begin_event(self, now_ms: float) -> None:
+        """Note the time, and whether this process was stopped since the last event.
 
-    def claimed(self, claim: MemberState) -> None:
-        """Hear a claim on ourselves: one that is not ours, or no praise, is refuted by a new incarnation."""
-        if claim < self.own or self.own.standing == MemberStatus.LEFT:
+        Guards others against a process that was stopped: its missed answers are no evidence against them, so
+        its probes are dropped and suspicions last as much longer.
+        """
+        gap_ms, self.effects = now_ms - self.last_event_ms, []
+        if gap_ms > MAX_GAP_PERIODS * self.scaled_period_ms():
+            self.pending_probes.clear()
+            self.worsen_health()
+            for name in self.suspected:
+                self.members[name].suspicion_ends_ms += gap_ms
+        self.now_ms = self.last_event_ms = now_ms
+
+    # Probes.
+
+    def start_probes(self) -> None:
+        """Ping the next member in turn, and one of those that are dead or unheard: it may be back."""
+        name = self.next_in_order(self.alive_probe_order, alive=True)
+        if name:
+            self.ping(name)
+        name = self.next_in_order(self.dead_probe_order, alive=False)
+        if name:
+            self.send(name, DatagramKind.PING, 0)
+
+    def next_in_order(self, order: list[str], *, alive: bool) -> str:
+        """Take the next member out of an order that is alive, or is not, and return it; "" if there is none.
+
+        An order that is used up is refilled.
+        """
+        for _ in range(2):
+            while order:
+                name = order.pop()
+                if self.is_alive(name) is alive:
+                    return name
+            order += self.shuffled([name for name in self.names if self.is_alive(name) is alive])
+        return ""
+
+    def ping(self, name: str, requester: str = "", requester_sequence: int = 0) -> None:
+        """Ping a member, for this one or for a requester."""
+        self.sequence += 1
+        if requester:
+            times_out_ms = self.now_ms + NACK_AFTER_PERIODS * self.period_ms
+            probe = PendingProbe(name, times_out_ms, inf, requester, requester_sequence)
+        else:
+            period_ms = self.scaled_period_ms()
+            probe = PendingProbe(
+                name,
+                times_out_ms=self.now_ms + PROBE_TIMEOUT_PERIODS * period_ms,
+                indirect_ms=self.now_ms + INDIRECT_PROBE_AFTER_PERIODS * period_ms,
+            )
+        self.pending_probes[self.sequence] = probe
+        self.send(name, DatagramKind.PING, self.sequence)
+
+    def advance_probes(self) -> None:
+        """Probe indirectly where a direct answer is late, and end the probes that have timed out."""
+        for sequence, probe in list(self.pending_probes.items()):
+            if probe.indirect_ms <= self.now_ms:
+                probe.indirect_ms = inf
+                helpers = self.random_alive(INDIRECT_PROBES, probe.name)
+                probe.awaited_nacks = len(helpers)
+                for helper in helpers:
+                    self.send(helper, DatagramKind.ASK, sequence, probe.name)
+            if probe.times_out_ms <= self.now_ms:
+                del self.pending_probes[sequence]
+                self.handle_missed(probe)
+
+    def handle_missed(self, probe: PendingProbe) -> None:
+        """Suspect a member that has not answered, or tell the requester that it has not."""
+        if probe.requester:
+            if probe.requester in self.members:
+                self.send(probe.requester, DatagramKind.NACK, probe.requester_sequence, probe.name)
             return
-        if claim.life == self.own.life and claim.standing == MemberStatus.HERE:
+        # Helpers that send no nack either speak against this member's own network, not against the other.
+        if probe.awaited_nacks:
+            self.worsen_health()
+        member = self.members[probe.name]
+        if member.is_alive:
+            self.merge(GossipEntry(probe.name, member.state_as(MemberStatus.SUSPECT), self.name))
+
+    def handle_ack(self, datagram: Datagram) -> None:
+        """End the probe that an ack answers, and pass the ack on to its requester."""
+        probe = self.pending_probes.get(datagram.sequence)
+        if probe is None or probe.name != datagram.subject:
             return
-        if claim.life == self.own.life:
-            self.health = min(HEALTH_MOST, self.health + 1)  # others did not hear us: our own way may be bad
-        if claim.incarnation < MAX_NUMBER:
-            self.own = MemberState(claim.incarnation + 1, self.own.life, MemberStatus.HERE)
-
-    def take(self, rumour: GossipEntry) -> None:
-        """Take in a rumour."""
-        if rumour.name == self.me:
-            self.claimed(rumour.claim)
+        del self.pending_probes[datagram.sequence]
+        if probe.requester in self.members:
+            self.send(probe.requester, DatagramKind.ACK, probe.requester_sequence, probe.name)
+        elif not probe.requester:
+            self.local_health = max(0, self.local_health - 1)
+
+    def handle_nack(self, datagram: Datagram) -> None:
+        """Note that a helper was heard, though the probed member was not."""
+        probe = self.pending_probes.get(datagram.sequence)
+        if probe is not None:
+            probe.awaited_nacks = max(0, probe.awaited_nacks - 1)
+
+    def worsen_health(self) -> None:
+        """Doubt this member's own health one step more."""
+        self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
+
+    # Merging of states.
+
+    def refute(self, state: MemberState) -> None:
+        """Refute what others hold of this member, by a greater incarnation, where it is not so."""
+        if state < self.own_state or self.own_state.status == MemberStatus.LEFT:
             return
-        if rumour.name not in self.members:
+        if state.generation == self.own_state.generation:
+            if state.status == MemberStatus.ALIVE:
+                return
+            self.worsen_health()  # others did not hear us: our own network may be bad
+        if state.incarnation < MAX_NUMBER:
+            self.own_state = MemberState(state.incarnation + 1, self.own_state.generation, MemberStatus.ALIVE)
+
+    def merge(self, entry: GossipEntry) -> None:
+        """Take over a member's state where it overrides the one that is held."""
+        if entry.name == self.name:
+            self.refute(entry.state)
             return
-        member, claim = self.members[rumour.name], rumour.claim
-        if member.claim is not None and claim <= member.claim:
-            if claim == member.claim and claim.standing == MemberStatus.SUSPECT and rumour.by:
-                self.share(rumour.name, member, rumour.by)
+        member = self.members.get(entry.name)
+        if member is None:
             return
-        before, member.claim = member.claim, claim
-        member.since_ms = self.now
-        if before is not None and before.life != claim.life:
-            if claim.life == member.former:
-                self.effects.append(DuplicateMember(rumour.name, claim.life))
-            member.former = before.life
-        if before is None and claim.standing == MemberStatus.HERE:
-            self.tell_once(rumour.name)
+        if member.state is None or entry.state > member.state:
+            self.replace_state(member, entry)
+        elif (
+            entry.state == member.state and entry.state.status == MemberStatus.SUSPECT and entry.suspected_by
+        ):
+            self.confirm_suspicion(entry.name, member, entry.suspected_by)
+
+    def replace_state(self, member: Member, entry: GossipEntry) -> None:
+        """Hold a greater state of a member, pass it on, and begin or end its suspicion."""
+        before, state = member.state, entry.state
+        member.state, member.since_ms = state, self.now_ms
+        if before is not None and before.generation != state.generation:
+            if state.generation == member.former_generation:
+                self.effects.append(DuplicateMember(entry.name, state.generation))
+            member.former_generation = before.generation
+        if before is None and state.status == MemberStatus.ALIVE:
+            self.gossip.publish_once(entry.name)
         else:
-            self.tell(rumour.name)
-        self.suspected.discard(rumour.name)
-        member.suspects, member.ends_ms = {}, inf
-        if claim.standing == MemberStatus.SUSPECT:
-            self.suspected.add(rumour.name)
-            member.ends_ms = self.now + self.suspicion_ms(0)
-            self.share(rumour.name, member, rumour.by or self.me)
-        if before is None or (before.standing, before.life) != (claim.standing, claim.life):
-            self.effects.append(MemberChanged(rumour.name, claim))
-
-    def share(self, name: str, member: Member, by: str) -> None:
-        """Note who else suspects a member: the more do, the sooner it counts as gone."""
-        if by in member.suspects or len(member.suspects) > SHARED:
+            self.gossip.publish(entry.name)
+        self.suspected.discard(entry.name)
+        member.suspected_by, member.suspicion_ends_ms = {}, inf
+        if state.status == MemberStatus.SUSPECT:
+            self.suspected.add(entry.name)
+            member.suspicion_ends_ms = self.now_ms + self.suspicion_ms(0)
+            self.confirm_suspicion(entry.name, member, entry.suspected_by or self.name)
+        if before is None or (before.status, before.generation) != (state.status, state.generation):
+            self.effects.append(MemberChanged(entry.name, state))
+
+    def confirm_suspicion(self, name: str, member: Member, by: str) -> None:
+        """Note who suspects a member: the more do, the sooner the suspicion times out."""
+        if by in member.suspected_by or len(member.suspected_by) > SUSPICION_CONFIRMATIONS:
             return
-        member.suspects[by] = None
-        member.ends_ms = min(member.ends_ms, member.since_ms + self.suspicion_ms(len(member.suspects) - 1))
-        self.tell(name)
-
-    def tell(self, name: str) -> None:
-        """Pass news of a member on, before what was told already."""
-        if self.news.get(name) != 0:
-            if name in self.news:
-                self.telling.remove(name)  # news of news; guards the memory against one that comes and goes
-            self.news[name] = 0
-            self.telling.appendleft(name)
-
-    def tell_once(self, name: str) -> None:
-        """Pass on that one was found, after all else.
-
-        Guards a large fleet's start, and news of one that is gone, against letters full of who is there: each
-        tells that itself, and letters carry some in their turn.
-        """
-        self.news[name] = self.most - 1
-        self.telling.append(name)
-
-    def rumours(self, to: str) -> list[GossipEntry]:
-        """Return what a letter to someone carries: what is said of it, news, some in their turn."""
-        first = [to] if to in self.members and self.doubted(to) else []
-        fresh: dict[str, None] = {}
-        while self.telling and len(fresh) < MAX_GOSSIP_ENTRIES - OLD - 1:
-            fresh[self.telling.popleft()] = None
-        if not self.turn_old:
-            self.turn_old = self.shuffled([n for n, m in self.members.items() if m.claim is not None])
-        old = [self.turn_old.pop() for _ in range(min(OLD, len(self.turn_old)))]
-        for name in fresh:
-            self.news[name] += 1
-            if self.news[name] >= self.most:
-                del self.news[name]
-            else:
-                self.telling.append(name)
-        return [self.rumour(name) for name in dict.fromkeys([*first, *fresh, *old])]
-
-    def doubted(self, name: str) -> bool:
-        """Return whether something is said of a member that it would refute."""
-        claim = self.members[name].claim
-        return claim is not None and claim.standing != MemberStatus.HERE
-
-    def rumour(self, name: str) -> GossipEntry:
-        """Return what is held of a member, as it is told."""
+        member.suspected_by[by] = None
+        timeout_ms = self.suspicion_ms(len(member.suspected_by) - 1)
+        member.suspicion_ends_ms = min(member.suspicion_ends_ms, member.since_ms + timeout_ms)
+        self.gossip.publish(name)
+
+    # Sending.
+
+    def send(self, to: str, kind: DatagramKind, sequence: int, subject: str = "") -> None:
+        """Send a datagram, with gossip piggybacked."""
+        entries = self.piggyback(to)
+        datagram = Datagram(
+            VERSION, self.cluster, self.name, self.own_state, kind, sequence, subject, entries
+        )
+        self.effects.append(SendDatagram(to, datagram))
+
+    def piggyback(self, to: str) -> list[GossipEntry]:
+        """Return a datagram's gossip: what its receiver would refute, changes, some members in turn."""
+        first = [to] if to in self.members and self.would_refute(to) else []
+        changed = self.gossip.next_batch(MAX_GOSSIP_ENTRIES - REFRESH_ENTRIES - 1)
+        if not self.refresh_order:
+            heard = [name for name, member in self.members.items() if member.state is not None]
+            self.refresh_order = self.shuffled(heard)
+        refreshed = [self.refresh_order.pop() for _ in range(min(REFRESH_ENTRIES, len(self.refresh_order)))]
+        return [self.entry_of(name) for name in dict.fromkeys([*first, *changed, *refreshed])]
+
+    def would_refute(self, name: str) -> bool:
+        """Return whether a member is held as anything but alive."""
+        state = self.members[name].state
+        return state is not None and state.status != MemberStatus.ALIVE
+
+    def entry_of(self, name: str) -> GossipEntry:
+        """Return what is held of a member, as gossip; some state has to be held."""
         member = self.members[name]
-        by = self.me if self.me in member.suspects else next(iter(member.suspects), "")
-        return GossipEntry(name, member.claim, by if member.claim.standing == MemberStatus.SUSPECT else "")
-
-    def say(self, to: str, kind: DatagramKind, seq: int, about: str = "") -> None:
-        """Send a letter."""
-        rumours = self.rumours(to)
-        letter = Datagram(VERSION, self.fleet, self.me, self.own, kind, seq, about, rumours)
-        self.effects.append(SendDatagram(to, letter))
+        assert member.state is not None
+        if member.state.status != MemberStatus.SUSPECT:
+            return GossipEntry(name, member.state)
+        by = self.name if self.name in member.suspected_by else next(iter(member.suspected_by), "")
+        return GossipEntry(name, member.state, by)
+
+    # Former names, for callers that do not follow yet.
+
+    take = merge
+    heard = receive
+
+
+HEALTH_MOST = MAX_LOCAL_HEALTH
--- a/marlseam/cluster/membership_codec.py
+++ b/marlseam/cluster/membership_codec.py
@@ -1,7 +1,9 @@
-"""What members of a fleet say to one another: one datagram a letter, MessagePack, bounded in size.
+"""Membership datagrams: their types, the bounds of their values, and MessagePack encoding and decoding.
 
-A letter from another fleet, of another version, with names that the settings do not hold or values out of
-bounds is no letter: `read` raises Odd with a code, and nothing of it is kept.
+All structs are arrays on the wire: the order of their fields is the format, the names are not sent.
+
+A datagram of another cluster or version, with names that the settings do not hold, or with values out of
+bounds is invalid: `read` raises `InvalidMessageError`, and nothing of the datagram is used.
 """
 
 import enum
@@ -9,110 +11,164 @@
 import msgspec
 
 VERSION = 1
-MAX_DATAGRAM_BYTES = 1400  # bytes of a letter: one packet on common links
-MAX_GOSSIP_ENTRIES = 16  # in a letter
-MAX_NUMBER = (1 << 53) - 1  # incarnations, lives, sequence numbers
-MAX_NAME_CHARACTERS = 64  # characters
+MAX_DATAGRAM_BYTES = 1400  # fits into one packet on common links
+MAX_GOSSIP_ENTRIES = 16  # per datagram
+MAX_NUMBER = (1 << 53) - 1  # of incarnations, generations and sequence numbers
+MAX_NAME_CHARACTERS = 64
 
 
 class DatagramKind(enum.IntEnum):
-    """What a letter asks or tells."""
+    """What a datagram is for; the names are also the step names of fault schedules and experiment files."""
 
-    PING = 1  # are you there?
-    ACK = 2  # I am; or: the one that you asked me to ask is
-    ASK = 3  # ask this one for me, as I do not hear it
-    NACK = 4  # I was asked to ask, and have not heard either
+    PING = 1
+    ACK = 2  # answers a ping, directly or on behalf of the member that was probed indirectly
+    ASK = 3  # SWIM's ping-req: probe another member for the sender
+    NACK = 4  # Lifeguard's nack: the member that was probed indirectly has not answered yet
 
 
 class MemberStatus(enum.IntEnum):
-    """What is held of a member, the stronger word of one incarnation last."""
+    """What is held of a member; of one incarnation and generation the greater status overrides."""
 
-    HERE = 0
+    ALIVE = 0
     SUSPECT = 1
-    GONE = 2
+    DEAD = 2
     LEFT = 3
 
 
 class MemberState(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """What is said of a member. The greater claim holds: claims merge in any order, any number of times.
+    """The state of a member as one member holds it; of two states the greater one overrides the other.
+
+    The order is total, so merging is commutative, associative and idempotent. A higher incarnation, which
+    only the member itself begins, overrides all else; of two processes that begin the same incarnation the
+    greater generation overrides; of one process the greater status.
 
-    A higher incarnation, which only the member itself begins, goes before all; of two lives that begin the
-    same one the greater number holds, so that all agree; of one life the stronger word.
+    Attributes:
+        incarnation: raised by the member itself to refute what others hold of it.
+        generation: number of the process that uses the member's name, different after each restart.
+        status: a `MemberStatus`; a plain number, as unknown values have to be readable.
     """
 
     incarnation: int
-    life: int
-    standing: int
+    generation: int
+    status: int
 
 
 class GossipEntry(msgspec.Struct, array_like=True, frozen=True):
-    """A claim on a member and, where it is suspected, who suspects it."""
+    """A member's state, passed on by another member.
+
+    Attributes:
+        name: the member.
+        state: its state.
+        suspected_by: a member that suspects it, empty if the state is not `SUSPECT`.
+    """
 
     name: str
-    claim: MemberState
-    by: str = ""
+    state: MemberState
+    suspected_by: str = ""
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram: from whom and on what claim of its own, what about, and rumours."""
+    """One datagram between members.
+
+    Attributes:
+        version: of this format.
+        cluster: name of the cluster.
+        sender: name of the sending member.
+        sender_state: what the sender holds of itself.
+        kind: a `DatagramKind`; a plain number, as unknown values have to be readable.
+        sequence: matches answers to pings; 0 where no answer is awaited.
+        subject: the member that an indirect probe, an ack or a nack is about; empty for pings.
+        entries: gossip, piggybacked.
+    """
 
     version: int
-    fleet: str
+    cluster: str
     sender: str
-    own: MemberState
+    sender_state: MemberState
     kind: int
-    seq: int
-    about: str
-    rumours: list[GossipEntry] = []
+    sequence: int
+    subject: str
+    entries: list[GossipEntry] = []
+
+
+class InvalidMessageCode(enum.StrEnum):
+    """Why a datagram is invalid, as logged and counted."""
+
+    TOO_LARGE = "too-large"
+    BAD_MESSAGE = "bad-message"
+    VERSION = "version"
+    FOREIGN = "foreign"
+    UNKNOWN = "unknown"
+    BOUNDS = "bounds"
 
 
 class InvalidMessageError(Exception):
-    """No letter; its code says why."""
+    """Raised for data that is no valid datagram of the cluster.
+
+    Attributes:
+        code: why, as logged and counted (`InvalidMessageCode`).
+    """
 
     def __init__(self, code: str) -> None:
         super().__init__(code)
-        self.code = code
+        self.code = str(code)
 
 
-DECODER, ENCODER = msgspec.msgpack.Decoder(Datagram), msgspec.msgpack.Encoder()
+DECODER: msgspec.msgpack.Decoder[Datagram] = msgspec.msgpack.Decoder(Datagram)
+ENCODER = msgspec.msgpack.Encoder()
 
 
-def write(letter: Datagram) -> bytes:
-    """Return a letter's bytes, with as many of its rumours as fit."""
-    data = ENCODER.encode(letter)
-    while len(data) > MAX_DATAGRAM_BYTES and letter.rumours:
-        letter = msgspec.structs.replace(letter, rumours=letter.rumours[:-1])
-        data = ENCODER.encode(letter)
+def write(datagram: Datagram) -> bytes:
+    """Encode a datagram, dropping its last gossip entries until it fits into `MAX_DATAGRAM_BYTES`."""
+    data = ENCODER.encode(datagram)
+    while len(data) > MAX_DATAGRAM_BYTES and datagram.entries:
+        datagram = msgspec.structs.replace(datagram, entries=datagram.entries[:-1])
+        data = ENCODER.encode(datagram)
     return data
 
 
-def fits(claim: MemberState) -> bool:
-    """Return whether a claim's values are in bounds."""
-    numbers = 0 <= claim.incarnation <= MAX_NUMBER and 0 <= claim.life <= MAX_NUMBER
-    return numbers and MemberStatus.HERE <= claim.standing <= MemberStatus.LEFT
-
-
-def read(data: bytes, fleet: str, names: frozenset[str]) -> Datagram:
-    """Return a letter of the fleet's.
+def read(data: bytes, cluster: str, names: frozenset[str]) -> Datagram:
+    """Decode a datagram of the cluster whose members have these names.
 
-    Raises Odd with a code: too-large, bad-message, version, foreign, unknown, bounds.
+    Raises InvalidMessageError.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
-        raise InvalidMessageError("too-large")
+        raise InvalidMessageError(InvalidMessageCode.TOO_LARGE)
     try:
-        letter = DECODER.decode(data)
+        datagram = DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
-        raise InvalidMessageError("bad-message") from None
-    if letter.version != VERSION:
-        raise InvalidMessageError("version")
-    if letter.fleet != fleet:
-        raise InvalidMessageError("foreign")
-    said = [letter.sender, *(rumour.name for rumour in letter.rumours)]
-    by = [rumour.by for rumour in letter.rumours if rumour.by]
-    if not names.issuperset((*said, *by)) or (letter.about and letter.about not in names):
-        raise InvalidMessageError("unknown")
-    claims = [letter.own, *(rumour.claim for rumour in letter.rumours)]
-    known = DatagramKind.PING <= letter.kind <= DatagramKind.NACK and 0 <= letter.seq <= MAX_NUMBER
-    if not known or len(letter.rumours) > MAX_GOSSIP_ENTRIES or not all(fits(claim) for claim in claims):
-        raise InvalidMessageError("bounds")
-    return letter
+        raise InvalidMessageError(InvalidMessageCode.BAD_MESSAGE) from None
+    if datagram.version != VERSION:
+        raise InvalidMessageError(InvalidMessageCode.VERSION)
+    if datagram.cluster != cluster:
+        raise InvalidMessageError(InvalidMessageCode.FOREIGN)
+    if not names.issuperset(names_in(datagram)):
+        raise InvalidMessageError(InvalidMessageCode.UNKNOWN)
+    if not is_within_bounds(datagram):
+        raise InvalidMessageError(InvalidMessageCode.BOUNDS)
+    return datagram
+
+
+def names_in(datagram: Datagram) -> list[str]:
+    """Return all members' names that a datagram mentions."""
+    names = [datagram.sender, *(entry.name for entry in datagram.entries)]
+    names += [entry.suspected_by for entry in datagram.entries if entry.suspected_by]
+    if datagram.subject:
+        names.append(datagram.subject)
+    return names
+
+
+def is_within_bounds(datagram: Datagram) -> bool:
+    """Return whether all numbers of a datagram and its count of gossip entries are in bounds."""
+    if not DatagramKind.PING <= datagram.kind <= DatagramKind.NACK:
+        return False
+    if not 0 <= datagram.sequence <= MAX_NUMBER or len(datagram.entries) > MAX_GOSSIP_ENTRIES:
+        return False
+    states = [datagram.sender_state, *(entry.state for entry in datagram.entries)]
+    return all(is_state_within_bounds(state) for state in states)
+
+
+def is_state_within_bounds(state: MemberState) -> bool:
+    """Return whether all numbers of a state are in bounds."""
+    numbers = 0 <= state.incarnation <= MAX_NUMBER and 0 <= state.generation <= MAX_NUMBER
+    return numbers and MemberStatus.ALIVE <= state.status <= MemberStatus.LEFT
--- a/marlseam/experiment/size_members.py
+++ b/marlseam/experiment/size_members.py
@@ -72,7 +72,7 @@
         self.all = frozenset(self.names)
         self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.lives = dict.fromkeys(self.names, 1)
-        self.standing = dict.fromkeys(self.names, MemberStatus.HERE)
+        self.status = dict.fromkeys(self.names, MemberStatus.ALIVE)
         self.away = ""  # the puppet that has left, to be back with the next change
         self.news: dict[str, deque[GossipEntry]] = {}  # by member: what the next letter to it brings
         self.members: dict[str, Membership] = {}
@@ -83,10 +83,9 @@
         for i, name in enumerate(self.names[:: max(1, count // whole)][:whole]):
             machine = Membership("size", name, self.all, 1, crc32(b"%d:%d" % (seed, i)), PERIOD_MS, 0.0)
             for other in self.names:
-                machine.take(GossipEntry(other, MemberState(0, 1, MemberStatus.HERE)))
+                machine.merge(GossipEntry(other, MemberState(0, 1, MemberStatus.ALIVE)))
             # The start is over: who was found has been told.
-            machine.telling.clear()
-            machine.news.clear()
+            machine.gossip.clear()
             machine.next_probe_ms = PERIOD_MS * (i + 0.5) / whole
             self.members[name], self.clocks[name], self.news[name] = machine, size.Charged(), deque()
         for name, machine in self.members.items():
@@ -132,7 +131,7 @@
         """Have a letter come to a member."""
         machine, clock = self.members[name], self.clocks[name]
         spent = clock.cpu_ms
-        effects = clock.do(lambda: machine.heard(self.now, read(data, "size", self.all)))
+        effects = clock.do(lambda: machine.receive(self.now, read(data, "size", self.all)))
         self.heard += 1
         self.act(name, effects)
         self.heard_ms += clock.cpu_ms - spent
@@ -142,7 +141,7 @@
         machine, clock = self.members[name], self.clocks[name]
         for effect in effects:
             if type(effect) is Post:
-                data = clock.do(write, effect.letter)
+                data = clock.do(write, effect.datagram)
                 self.letters += 1
                 self.bytes += len(data)
                 self.most = max(self.most, len(data))
@@ -160,9 +159,9 @@
             self.hear(to, data)
             return
         letter = read(data, "size", self.all)
-        if self.standing[to] == MemberStatus.HERE and letter.kind in (DatagramKind.PING, DatagramKind.ASK):
-            about = to if letter.kind == DatagramKind.PING else letter.about
-            self.say(to, sender, DatagramKind.ACK, letter.seq, about)
+        if self.status[to] == MemberStatus.ALIVE and letter.kind in (DatagramKind.PING, DatagramKind.ASK):
+            about = to if letter.kind == DatagramKind.PING else letter.subject
+            self.say(to, sender, DatagramKind.ACK, letter.sequence, about)
 
     def say(self, puppet: str, to: str, kind: DatagramKind, seq: int, about: str = "") -> None:
         """Have a puppet write to a member, with news."""
@@ -171,20 +170,20 @@
         # Two in their turn, as each letter has them.
         for _ in range(2):
             other = self.names[int(self.chance() * len(self.names))]
-            rumours.append(GossipEntry(other, self.claim(other)))
-        letter = Datagram(VERSION, "size", puppet, self.claim(puppet), kind, seq, about, rumours)
+            rumours.append(GossipEntry(other, self.state(other)))
+        letter = Datagram(VERSION, "size", puppet, self.state(puppet), kind, seq, about, rumours)
         self.at(self.now + WAY_MS, self.hear, to, write(letter))
 
-    def claim(self, name: str) -> MemberState:
+    def state(self, name: str) -> MemberState:
         """Return what holds of a name."""
         if name in self.members:
-            return self.members[name].own
-        return MemberState(self.lives[name] - 1, self.lives[name], self.standing[name])
+            return self.members[name].own_state
+        return MemberState(self.lives[name] - 1, self.lives[name], self.status[name])
 
     def pinged(self, name: str) -> None:
         """Have a member be pinged by a puppet, as often as it is by members: once a period."""
         puppet = self.names[int(self.chance() * len(self.names))]
-        if puppet not in self.members and self.standing[puppet] == MemberStatus.HERE:
+        if puppet not in self.members and self.status[puppet] == MemberStatus.ALIVE:
             self.say(puppet, name, DatagramKind.PING, 1 + self.draws)
         self.at(self.now + PERIOD_MS, self.pinged, name)
 
@@ -197,18 +196,18 @@
         self.changes += 1
         if self.away:
             self.lives[name] += 1
-        self.standing[name] = MemberStatus.HERE if self.away else MemberStatus.LEFT
+        self.status[name] = MemberStatus.ALIVE if self.away else MemberStatus.LEFT
         self.away = "" if self.away else name
         for held in self.news.values():
-            held.append(GossipEntry(name, self.claim(name)))
+            held.append(GossipEntry(name, self.state(name)))
 
     def zone(self) -> None:
         """Have one in 21 go without a word, a thousand at full size; members hear that others miss them."""
         for name in self.names[len(self.names) // 2 :][: max(1, len(self.names) // 21)]:
-            if name not in self.members and self.standing[name] == MemberStatus.HERE:
-                self.standing[name] = MemberStatus.GONE
+            if name not in self.members and self.status[name] == MemberStatus.ALIVE:
+                self.status[name] = MemberStatus.DEAD
                 for held in self.news.values():
-                    held.append(GossipEntry(name, self.claim(name)))
+                    held.append(GossipEntry(name, self.state(name)))
 
 
 class Spent(NamedTuple):
@@ -278,7 +277,7 @@
         loop, Log("door", loop.now), ClusterSettings("size", members, PERIOD_MS), names[0], 1
     )
     for name in names:
-        peers.machine.take(GossipEntry(name, MemberState(0, 1, MemberStatus.HERE)))
+        peers.machine.merge(GossipEntry(name, MemberState(0, 1, MemberStatus.ALIVE)))
     text = clock.do(peers.status)
     peers.sock.close()
     loop.poll.close()
@@ -294,7 +293,7 @@
         before = tracemalloc.get_traced_memory()[0]
         machine = Membership("size", "n00000", names, 0, 0, PERIOD_MS, 0.0)
         for name in sorted(names):
-            machine.take(GossipEntry(name, MemberState(0, 1, MemberStatus.HERE)))
+            machine.merge(GossipEntry(name, MemberState(0, 1, MemberStatus.ALIVE)))
         return (tracemalloc.get_traced_memory()[0] - before) / 2.0**20
     finally:
         tracemalloc.stop()
--- a/marlseam/net/membership_service.py
+++ b/marlseam/net/membership_service.py
@@ -1,6 +1,8 @@
-"""A node's place among the members of its fleet: a datagram socket, the pure machine, what staff see.
+"""Membership of a node in its cluster: the datagram socket, timers, and what operators see.
 
-Versions and the ledger, where the settings have them, are `acting`'s.
+The decisions are those of `marlseam.cluster.membership`; this module carries out its effects on the event
+loop. Configuration versions and the audit log, where the settings have them, are the business of
+`config_service`, which shares the socket.
 """
 
 from __future__ import annotations
@@ -11,14 +13,23 @@
 import time
 from collections import Counter
 from collections.abc import Mapping
+from dataclasses import dataclass
 from math import inf
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from marlseam import __version__
-from marlseam.cluster.membership import Effect, MemberChanged, Membership, SendDatagram
+from marlseam.cluster.membership import (
+    NO_GENERATION,
+    Effect,
+    Member,
+    MemberChanged,
+    Membership,
+    SendDatagram,
+)
 from marlseam.cluster.membership_codec import (
     MAX_DATAGRAM_BYTES,
     InvalidMessageError,
+    MemberState,
     MemberStatus,
     read,
     write,
@@ -30,15 +41,55 @@
 if TYPE_CHECKING:
     from marlseam.net.config_service import ConfigServicePort, ConfigVersionService
 
-READS = 32  # letters read in one turn
-AGAIN_MS = 50.0  # between tries of an address that another process has
+MAX_READS_PER_TURN = 32  # datagrams read in one turn of the loop
+MAX_BIND_RETRY_MS = 50.0  # between tries of an address that another process has; at most a period
+ADDRESS_IN_USE = "in-use"  # among the codes of what was dropped: the address is another process's
+NOT_SENT = "unsent"  # the same: the system did not take a datagram
+
+# Statuses as operators, logs and `/control/fleet` call them.
+STATUS_WORDS = {
+    MemberStatus.ALIVE: "here",
+    MemberStatus.SUSPECT: "suspect",
+    MemberStatus.DEAD: "gone",
+    MemberStatus.LEFT: "left",
+}
+NOT_JOINED = "out"
+NOT_HEARD = "unheard"
+
+
+def status_word(state: MemberState) -> str:
+    """Return a state's status as operators call it."""
+    return STATUS_WORDS[MemberStatus(state.status)]
+
+
+@dataclass
+class Traffic:
+    """Datagrams and bytes that were sent and received, valid or not."""
+
+    sent: int = 0
+    received: int = 0
+    sent_bytes: int = 0
+    received_bytes: int = 0
 
 
 class MembershipService:
-    """Joins a member's machine to the loop; raises OSError where its address can never be had.
+    """Runs one member's `Membership` on the event loop.
 
     Where another process has the address (the old one in an upgrade, or a second one by mistake) this one is
     no member until it is free.
+
+    Attributes:
+        settings: the cluster's part of the node's settings.
+        name: this member's.
+        names: whose datagrams are read; a member that was removed is still told why it is.
+        addresses: of each name, host and port.
+        published_members: who belongs by the configuration version in force, None where it is by settings.
+        dropped: datagrams that were not taken or not sent, by code.
+        traffic: datagrams and bytes so far.
+        generation: of this process, in ms since 1970: it need only differ from those of earlier processes.
+        config_service: versions and audit log of the same cluster, None where it has none.
+        machine: the membership state machine.
+        sock: the datagram socket, None while this process is no member.
     """
 
     def __init__(
@@ -50,36 +101,82 @@
         seed: int,
         port: ConfigServicePort | None = None,
     ) -> None:
+        """Bind the member's address and begin, or wait for it.
+
+        Raises OSError where the address can never be had. `port` is what the node offers to configuration
+        versions, None for a cluster without them.
+        """
         self.loop, self.log, self.settings, self.name, self.seed = loop, log, settings, name, seed
-        self.names = frozenset(settings.members)  # that are read; one that belonged is told why it does not
+        self.names = frozenset(settings.members)
         self.addresses = dict(settings.members)
-        self.belong: frozenset[str] | None = None  # by a version; else as the settings have it
-        self.dropped: Counter[str] = Counter()  # what was no letter of ours, by code
-        self.sent = self.came = self.sent_bytes = self.came_bytes = 0
-        # A life's number need only differ from an earlier one's: incarnations order them.
-        self.life = int(time.time() * 1000.0)
-        self.acting: ConfigVersionService | None = None
-        if port is not None:
-            # Imported here: a node of a fleet without versions needs nothing of it.
-            from marlseam.net.config_service import ConfigVersionService
-
-            self.acting = ConfigVersionService(
-                loop, log, settings, name, self.life, seed, port, self.send, self.regroup
-            )
-        self.machine = self.machine_now()
+        self.published_members: frozenset[str] | None = None
+        self.dropped: Counter[str] = Counter()
+        self.traffic = Traffic()
+        self.generation = int(time.time() * 1000.0)
+        self.config_service = self.new_config_service(port) if port is not None else None
+        self.machine = self.new_machine()
         self.sock: socket.socket | None = None
-        self.closed, self.timer = False, loop.at(loop.now(), lambda: None)
+        self.closed = False
+        self.timer = loop.at(loop.now(), lambda: None)
         self.join()
 
-    def machine_now(self) -> Membership:
-        """Return a machine that begins now."""
-        now, period = self.loop.now(), self.settings.period_ms
-        return Membership(self.settings.name, self.name, self.names, self.life, self.seed, period, now)
+    @property
+    def acting(self) -> ConfigVersionService | None:
+        """Return the configuration versions' service, by its former name."""
+        return self.config_service
+
+    def new_config_service(self, port: ConfigServicePort) -> ConfigVersionService:
+        """Return the configuration versions' service, which sends through this one."""
+        # Imported here: a node of a cluster without versions needs nothing of it.
+        from marlseam.net.config_service import ConfigVersionService
+
+        return ConfigVersionService(
+            self.loop,
+            self.log,
+            self.settings,
+            self.name,
+            self.generation,
+            self.seed,
+            port,
+            self.send,
+            self.set_members,
+        )
+
+    def new_machine(self) -> Membership:
+        """Return a state machine that begins now."""
+        return Membership(
+            self.settings.name,
+            self.name,
+            self.names,
+            self.generation,
+            self.seed,
+            self.settings.period_ms,
+            self.loop.now(),
+        )
+
+    # Joining and leaving.
 
     def join(self) -> None:
-        """Take the address and begin, or try again after a period."""
+        """Bind the address and begin; while another process has it, try again later.
+
+        Raises OSError where the address can never be had.
+        """
         if self.closed:
             return
+        sock = self.bound_socket()
+        if sock is None:
+            self.retry_join()
+            return
+        self.sock, self.machine = sock, self.new_machine()
+        if self.published_members is not None:
+            self.machine.set_members(self.published_members)
+        self.loop.spawn(self.listen(sock))
+        self.tick()
+        if self.config_service is not None:
+            self.config_service.joined()
+
+    def bound_socket(self) -> socket.socket | None:
+        """Return a socket at the member's address, None while another process has it; raises OSError."""
         address = self.settings.members[self.name]
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         sock = self.loop.descriptors.opened(lambda: socket.socket(family, socket.SOCK_DGRAM), own=True)
@@ -90,161 +187,170 @@
             sock.close()
             if error.errno != errno.EADDRINUSE:
                 raise
-            if not self.dropped["in-use"]:
-                self.log.line(
-                    "fleet code=in-use: another process has this member's address; no member until then"
-                )
-            self.dropped["in-use"] += 1
-            self.loop.at(self.loop.now() + min(AGAIN_MS, self.settings.period_ms), self.join)
-            return
-        self.sock, self.machine = sock, self.machine_now()
-        if self.belong is not None:
-            self.machine.regroup(self.belong)
-        self.loop.spawn(self.listen())
-        self.tick()
-        if self.acting is not None:
-            self.acting.joined()
+            return None
+        return sock
 
-    def regroup(self, members: Mapping[str, str]) -> None:
-        """Take in who may belong by a version; an address of the node's own settings goes before it."""
+    def retry_join(self) -> None:
+        """Log once that the address is another process's, and plan the next try."""
+        if not self.dropped[ADDRESS_IN_USE]:
+            self.log.line(
+                f"fleet code={ADDRESS_IN_USE}: another process has this member's address; "
+                "no member until then"
+            )
+        self.dropped[ADDRESS_IN_USE] += 1
+        self.loop.at(self.loop.now() + min(MAX_BIND_RETRY_MS, self.settings.period_ms), self.join)
+
+    def set_members(self, members: Mapping[str, str]) -> None:
+        """Take over who belongs by a configuration version; the node's own settings' addresses go first."""
         for name, value in members.items():
             if name not in self.settings.members:
                 self.addresses[name] = member_address(f"members.{name}", value, self.settings.trusted)
         self.names |= members.keys()
-        self.belong = frozenset(members)
-        self.machine.regroup(self.belong)
+        self.published_members = frozenset(members)
+        self.machine.set_members(self.published_members)
         self.log.line(f"the fleet is of {len(members)} members")
 
-    def listen(self) -> Coroutine:
-        """Take in letters, some in each turn of the loop."""
+    def close(self) -> None:
+        """End the configuration versions' service, and leave."""
+        if self.config_service is not None:
+            self.config_service.close()
+        self.leave()
+
+    def leave(self) -> None:
+        """Announce that this member leaves, and free its address for a later process of the node."""
+        self.closed = True
+        if self.sock is not None:
+            self.apply_effects(self.machine.leave(self.loop.now()))
+            self.loop.drop(self.timer)
+            self.loop.close(self.sock)
+            self.sock = None
+
+    # Events.
+
+    def listen(self, sock: socket.socket) -> Coroutine:
+        """Handle datagrams as they come, a bounded number in each turn of the loop."""
         while True:
-            yield (self.sock.fileno(), READ, inf)
-            for _ in range(READS):
+            yield (sock.fileno(), READ, inf)
+            for _ in range(MAX_READS_PER_TURN):
                 try:
-                    data = self.sock.recv(MAX_DATAGRAM_BYTES + 1)
+                    data = sock.recv(MAX_DATAGRAM_BYTES + 1)
                 except OSError:
                     break  # nothing more, or a port on this machine where nobody listens
-                self.came, self.came_bytes = self.came + 1, self.came_bytes + len(data)
+                self.traffic.received += 1
+                self.traffic.received_bytes += len(data)
                 try:
-                    self.hear(data)
-                except InvalidMessageError as odd:
-                    self.drop(odd.code)
-            self.plan()
-
-    def hear(self, data: bytes) -> None:
-        """Take in a letter, or a note on versions; raises Odd."""
-        if self.acting is not None and data[:1] == self.acting.FIRST:
-            self.acting.hear(data, self.names)
+                    self.handle_datagram(data)
+                except InvalidMessageError as error:
+                    self.count_dropped(error.code)
+            self.schedule_tick()
+
+    def handle_datagram(self, data: bytes) -> None:
+        """Handle a datagram of membership or of configuration versions; raises InvalidMessageError."""
+        if self.config_service is not None and data[:1] == self.config_service.FIRST:
+            self.config_service.hear(data, self.names)
         else:
-            self.act(self.machine.heard(self.loop.now(), read(data, self.settings.name, self.names)))
+            datagram = read(data, self.settings.name, self.names)
+            self.apply_effects(self.machine.receive(self.loop.now(), datagram))
 
-    def drop(self, code: str) -> None:
-        """Count what is no letter of ours; the first of a kind is told."""
+    def count_dropped(self, code: str) -> None:
+        """Count an invalid datagram, and log the first of its code."""
         self.dropped[code] += 1
         if self.dropped[code] == 1:
-            self.log.line(f"fleet code={code}: a letter was left out, others like it are counted")
+            self.log.line(f"fleet code={code}: a datagram was dropped, others like it are counted")
 
     def tick(self) -> None:
         """Do what is due."""
-        self.act(self.machine.tick(self.loop.now()))
-        self.plan()
+        self.apply_effects(self.machine.tick(self.loop.now()))
+        self.schedule_tick()
 
-    def plan(self) -> None:
-        """Be woken when something is due."""
+    def schedule_tick(self) -> None:
+        """Set the timer to when something is due next."""
         self.loop.drop(self.timer)
         self.timer = self.loop.at(self.machine.next_ms, self.tick)
 
-    def act(self, effects: list[Effect]) -> None:
-        """Carry out what the machine asks for."""
+    # Effects.
+
+    def apply_effects(self, effects: list[Effect]) -> None:
+        """Carry out the state machine's effects."""
         for effect in effects:
-            if type(effect) is SendDatagram:
-                self.send(effect.to, write(effect.letter))
-            elif type(effect) is MemberChanged:
-                claim = effect.claim
-                standing = MemberStatus(claim.standing).name.lower()
+            if isinstance(effect, SendDatagram):
+                self.send(effect.to, write(effect.datagram))
+            elif isinstance(effect, MemberChanged):
+                state = effect.state
                 self.log.line(
-                    f"member {effect.name} {standing} life={claim.life} incarnation={claim.incarnation}"
+                    f"member {effect.name} {status_word(state)} life={state.generation} "
+                    f"incarnation={state.incarnation}"
                 )
             else:
                 self.log.line(
-                    f"fleet code=twin: {effect.name} life={effect.life} speaks after another took its name"
+                    f"fleet code=twin: {effect.name} life={effect.generation} "
+                    "was heard after another process took over its name"
                 )
 
     def send(self, to: str, data: bytes) -> None:
-        """Send a datagram; one that the system does not take is lost like any other."""
+        """Send a datagram; one that the system does not take is lost like any other, but counted."""
         if self.sock is None:
             return
         try:
             self.sock.sendto(data, self.addresses[to])
         except OSError:
-            self.dropped["unsent"] += 1
+            self.dropped[NOT_SENT] += 1
             return
-        self.sent, self.sent_bytes = self.sent + 1, self.sent_bytes + len(data)
+        self.traffic.sent += 1
+        self.traffic.sent_bytes += len(data)
+
+    # What operators see.
 
     def status(self) -> str:
-        """Return what is held of each member, as JSON; ages in ms."""
-        now, own = self.loop.now(), self.machine.own
-        standing = "here" if self.sock is not None else "out"
-        rows = [
-            {
-                "name": self.name,
-                "standing": standing,
-                "life": own.life,
-                "incarnation": own.incarnation,
-                "since_ms": round(now),
-                "heard_ms": 0,
-                "suspected_by": [],
-                "former_life": None,
-            }
-        ]
-        for name, member in self.machine.members.items():
-            claim = member.claim
-            heard = None if member.heard_ms == -inf else round(now - member.heard_ms)
-            rows.append(
-                {
-                    "name": name,
-                    "standing": "unheard" if claim is None else MemberStatus(claim.standing).name.lower(),
-                    "life": claim and claim.life,
-                    "incarnation": claim and claim.incarnation,
-                    "since_ms": round(now - member.since_ms),
-                    "heard_ms": heard,
-                    "suspected_by": sorted(member.suspects),
-                    "former_life": member.former if member.former >= 0 else None,
-                }
-            )
-        told = {
+        """Return what is held of each member, as a line of JSON; ages in ms."""
+        now_ms = self.loop.now()
+        rows = [self.own_row(now_ms)]
+        rows += [self.member_row(name, member, now_ms) for name, member in self.machine.members.items()]
+        members = self.published_members or self.settings.members
+        document = {
             "fleet": self.settings.name,
             "by": self.name,
             "program": __version__,
-            "health": self.machine.health,
+            "health": self.machine.local_health,
             "period_ms": self.settings.period_ms,
             "letters": {
-                "sent": self.sent,
-                "came": self.came,
-                "bytes_sent": self.sent_bytes,
-                "bytes_came": self.came_bytes,
+                "sent": self.traffic.sent,
+                "came": self.traffic.received,
+                "bytes_sent": self.traffic.sent_bytes,
+                "bytes_came": self.traffic.received_bytes,
                 "left_out": dict(self.dropped),
             },
             "members": sorted(rows, key=lambda row: row["name"]),
-            "addresses": {
-                name: "{}:{}".format(*self.addresses[name]) for name in (self.belong or self.settings.members)
-            },
+            "addresses": {name: "{}:{}".format(*self.addresses[name]) for name in members},
         }
-        if self.acting is not None:
-            told["acting"] = self.acting.status()
-        return json.dumps(told) + "\n"
+        if self.config_service is not None:
+            document["acting"] = self.config_service.status()
+        return json.dumps(document) + "\n"
 
-    def close(self) -> None:
-        """Say goodbye, and go."""
-        if self.acting is not None:
-            self.acting.close()
-        self.leave()
+    def own_row(self, now_ms: float) -> dict[str, Any]:
+        """Return this member's row of the status."""
+        own_state = self.machine.own_state
+        return {
+            "name": self.name,
+            "standing": NOT_JOINED if self.sock is None else STATUS_WORDS[MemberStatus.ALIVE],
+            "life": own_state.generation,
+            "incarnation": own_state.incarnation,
+            "since_ms": round(now_ms),
+            "heard_ms": 0,
+            "suspected_by": [],
+            "former_life": None,
+        }
 
-    def leave(self) -> None:
-        """Be no member any more: a later process of this node has the address."""
-        self.closed = True
-        if self.sock is not None:
-            self.act(self.machine.leave(self.loop.now()))
-            self.loop.drop(self.timer)
-            self.loop.close(self.sock)
-            self.sock = None
+    def member_row(self, name: str, member: Member, now_ms: float) -> dict[str, Any]:
+        """Return another member's row of the status."""
+        state, former = member.state, member.former_generation
+        return {
+            "name": name,
+            "standing": NOT_HEARD if state is None else status_word(state),
+            "life": None if state is None else state.generation,
+            "incarnation": None if state is None else state.incarnation,
+            "since_ms": round(now_ms - member.since_ms),
+            "heard_ms": None if member.heard_ms == -inf else round(now_ms - member.heard_ms),
+            "suspected_by": sorted(member.suspected_by),
+            "former_life": None if former == NO_GENERATION else former,
+        }
--- a/tests/test_fleet.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Members of a fleet: what they hold of one another under faults, and what they take from the wire."""
+"""Membership: merging, bounds under faults, the codec, the service on sockets, and its settings."""
 
 import json
 import socket
@@ -39,86 +39,90 @@
 from marlseam.records import Answered, Begin, End, Node, Quit, Took, Tried
 
 NAMES = frozenset({"a", "b", "c"})
-CLAIMS = st.builds(MemberState, st.integers(0, 3), st.integers(1, 2), st.integers(0, 3))
+STATES = st.builds(MemberState, st.integers(0, 3), st.integers(1, 2), st.integers(0, 3))
 
 
 def member(me="a", names=NAMES, now=0.0):
     return Membership("f", me, names, 1, 7, 1000.0, now)
 
 
-def letter(sender="b", own=(0, 9, 0), kind=DatagramKind.PING, seq=1, about="", rumours=()):
-    return Datagram(VERSION, "f", sender, MemberState(*own), kind, seq, about, list(rumours))
+def datagram(sender="b", state=(0, 9, 0), kind=DatagramKind.PING, entries=()):
+    return Datagram(VERSION, "f", sender, MemberState(*state), kind, 1, "", list(entries))
 
 
-# What is held, whatever comes in which order.
+# Merging of states.
 
 
 @given(
-    st.lists(st.builds(GossipEntry, st.sampled_from("bc"), CLAIMS, st.sampled_from(["", "c"])), max_size=12),
+    st.lists(st.builds(GossipEntry, st.sampled_from("bc"), STATES, st.sampled_from(["", "c"])), max_size=12),
     st.data(),
 )
-def test_rumours_merge_in_any_order_and_any_number_of_times(rumours, data):
-    twice = data.draw(st.permutations(rumours + data.draw(st.lists(st.sampled_from(rumours or [None])))))
+def test_entries_merge_in_any_order_and_any_number_of_times(entries, data):
+    repeated = data.draw(st.lists(st.sampled_from(entries or [None])))
+    reordered = data.draw(st.permutations(entries + repeated))
     one, two = member(), member()
-    for machine, said in ((one, rumours), (two, twice)):
-        for rumour in said:
-            if rumour is not None:
-                machine.take(rumour)
-    held = [{name: m.claim for name, m in machine.members.items()} for machine in (one, two)]
+    for machine, received in ((one, entries), (two, reordered)):
+        for entry in received:
+            if entry is not None:
+                machine.merge(entry)
+    held = [{name: m.state for name, m in machine.members.items()} for machine in (one, two)]
     assert held[0] == held[1]
 
 
-def test_a_member_refutes_what_is_said_of_it_and_comes_back():
+def test_a_member_refutes_its_death_and_is_alive_again():
     b = member("b")
-    b.heard(10.0, letter("a", rumours=[GossipEntry("b", MemberState(4, 1, MemberStatus.GONE))]))
-    assert b.own == MemberState(5, 1, MemberStatus.HERE)
+    b.receive(10.0, datagram("a", entries=[GossipEntry("b", MemberState(4, 1, MemberStatus.DEAD))]))
+    assert b.own_state == MemberState(5, 1, MemberStatus.ALIVE)
     a = member()
-    a.take(GossipEntry("b", MemberState(4, 1, MemberStatus.GONE)))
-    a.heard(20.0, letter(own=(5, 1, 0)))
-    assert a.here() == ["b"]
+    a.merge(GossipEntry("b", MemberState(4, 1, MemberStatus.DEAD)))
+    a.receive(20.0, datagram(state=(5, 1, 0)))
+    assert a.alive_members() == ["b"]
 
 
-def test_a_restart_is_one_member_with_another_life_and_a_second_process_is_told_of():
+def test_a_restart_is_one_member_of_another_generation_and_a_duplicate_is_reported():
     a = member()
-    a.heard(1.0, letter(own=(2, 9, 0)))
-    a.heard(2.0, letter(own=(0, 10, 0)))  # it has not heard yet what is held of its name
-    assert a.members["b"].claim == MemberState(2, 9, MemberStatus.HERE)
-    effects = a.heard(3.0, letter(own=(3, 10, 0)))
+    a.receive(1.0, datagram(state=(2, 9, 0)))
+    a.receive(2.0, datagram(state=(0, 10, 0)))  # it has not heard yet what is held of its name
+    assert a.members["b"].state == MemberState(2, 9, MemberStatus.ALIVE)
+    effects = a.receive(3.0, datagram(state=(3, 10, 0)))
     assert [type(e) for e in effects if type(e) in (MemberChanged, DuplicateMember)] == [MemberChanged]
-    effects = a.heard(4.0, letter(own=(4, 9, 0)))
+    effects = a.receive(4.0, datagram(state=(4, 9, 0)))
     assert DuplicateMember("b", 9) in effects
 
 
-def test_one_that_was_stopped_takes_its_own_silence_for_nobody_elses():
+def test_a_process_that_was_stopped_holds_its_own_silence_against_nobody():
     a = member()
-    a.heard(0.0, letter())
-    a.heard(0.0, letter("c"))
-    a.take(GossipEntry("b", MemberState(0, 9, MemberStatus.SUSPECT), "c"))
-    ends = a.members["b"].ends_ms
+    a.receive(0.0, datagram())
+    a.receive(0.0, datagram("c"))
+    a.merge(GossipEntry("b", MemberState(0, 9, MemberStatus.SUSPECT), "c"))
+    ends = a.members["b"].suspicion_ends_ms
     a.tick(ends + 60000.0)  # a minute late
-    assert a.members["b"].claim.standing == MemberStatus.SUSPECT and a.members["b"].ends_ms > ends + 50000.0
-    a.heard(ends + 60001.0, letter(own=(1, 9, 0)))
-    assert set(a.here()) == {"b", "c"}
+    assert (
+        a.members["b"].state.status == MemberStatus.SUSPECT
+        and a.members["b"].suspicion_ends_ms > ends + 50000.0
+    )
+    a.receive(ends + 60001.0, datagram(state=(1, 9, 0)))
+    assert set(a.alive_members()) == {"b", "c"}
 
 
-def test_a_letter_is_one_packet_however_many_names_there_are():
+def test_a_datagram_is_one_packet_however_many_names_there_are():
     names = frozenset(f"{i:064d}" for i in range(1000))
     me = min(names)
     machine = Membership("f", me, names, 1, 7, 1000.0, 0.0)
     for name in sorted(names - {me}):
-        machine.take(GossipEntry(name, MemberState(1 << 50, 1 << 50, MemberStatus.SUSPECT), me))
+        machine.merge(GossipEntry(name, MemberState(1 << 50, 1 << 50, MemberStatus.SUSPECT), me))
     effects = machine.tick(5000.0)
     assert effects and all(
-        len(write(e.letter)) <= MAX_DATAGRAM_BYTES for e in effects if hasattr(e, "letter")
+        len(write(e.datagram)) <= MAX_DATAGRAM_BYTES for e in effects if hasattr(e, "datagram")
     )
 
 
-def test_one_that_comes_and_goes_costs_no_memory():
+def test_a_member_whose_state_changes_again_and_again_costs_no_memory():
     a = member()
     for i in range(5000):
-        a.take(GossipEntry("b", MemberState(i, 9, i % 4)))
-        a.rumours("c")
-    assert len(a.telling) == len(a.news) <= 2 and len(a.members["b"].suspects) <= 1
+        a.merge(GossipEntry("b", MemberState(i, 9, i % 4)))
+        a.piggyback("c")
+    assert len(a.gossip.order) == len(a.gossip.send_counts) <= 2 and len(a.members["b"].suspected_by) <= 1
 
 
 # Bounds, and a checker that is known to check.
@@ -130,62 +134,62 @@
 
 
 class NoRefutation(Membership):
-    """Planted: says the same of itself whatever is said of it."""
+    """Planted: never raises its incarnation, whatever others hold of it."""
 
-    def claimed(self, claim):
+    def refute(self, state):
         pass
 
 
-class NoOtherLife(Membership):
-    """Planted: takes a claim on an earlier life of its name for its own."""
+class IgnoresOtherGenerations(Membership):
+    """Planted: does not refute states of other generations of its name."""
 
-    def claimed(self, claim):
-        if claim.life == self.own.life:
-            super().claimed(claim)
+    def refute(self, state):
+        if state.generation == self.own_state.generation:
+            super().refute(state)
 
 
-class NobodyBack(Membership):
-    """Planted: one that is gone is neither asked nor told."""
+class DeadNeverProbed(Membership):
+    """Planted: a dead member is neither probed nor told that it is held as dead."""
 
-    def say(self, to, kind, seq, about=""):
+    def send(self, to, kind, sequence, subject=""):
         member = self.members[to]
-        if member.claim is None or member.claim.standing != MemberStatus.GONE:
-            super().say(to, kind, seq, about)
+        if member.state is None or member.state.status != MemberStatus.DEAD:
+            super().send(to, kind, sequence, subject)
 
-    def doubted(self, name):
+    def would_refute(self, name):
         return False
 
 
-class GoneForGood(Membership):
-    """Planted: nothing ends what is held of one that is gone."""
+class DeathIsFinal(Membership):
+    """Planted: no state overrides a death."""
 
-    def take(self, rumour):
-        member = self.members.get(rumour.name)
-        if member is None or member.claim is None or member.claim.standing != MemberStatus.GONE:
-            super().take(rumour)
+    def merge(self, entry):
+        member = self.members.get(entry.name)
+        if member is None or member.state is None or member.state.status != MemberStatus.DEAD:
+            super().merge(entry)
 
 
-class OneLeftOut(Membership):
-    """Planted: the last by name is never in turn."""
+class LastNeverProbed(Membership):
+    """Planted: the last member by name is never pinged."""
 
-    def ping(self, name, asker="", asker_seq=0):
+    def ping(self, name, requester="", requester_sequence=0):
         if name != "n4":
-            super().ping(name, asker, asker_seq)
+            super().ping(name, requester, requester_sequence)
 
 
 class EndlessSuspicion(Membership):
-    """Planted: a suspicion has no end."""
+    """Planted: a suspicion never times out."""
 
-    def suspicion_ms(self, shared):
+    def suspicion_ms(self, confirmations):
         return float("inf")
 
 
 class ExcusedByNacks(Membership):
-    """Planted: where helpers hear nothing either, nothing is held against anybody."""
+    """Planted: a missed probe counts only where helpers sent no nack."""
 
-    def missed(self, look):
-        if look.asker or look.nacks:
-            super().missed(look)
+    def handle_missed(self, probe):
+        if probe.requester or probe.awaited_nacks:
+            super().handle_missed(probe)
 
 
 KILL = InjectedFault("n4", True, DatagramKind.PING, 8, "kill", "n0", 90000.0)
@@ -196,10 +200,10 @@
 )  # once it has refuted that it was gone
 PLANTED = [
     (NoRefutation, [CUT]),
-    (NoOtherLife, [SHORT, LATER]),
-    (NobodyBack, [CUT]),
-    (GoneForGood, [KILL]),
-    (OneLeftOut, [KILL]),
+    (IgnoresOtherGenerations, [SHORT, LATER]),
+    (DeadNeverProbed, [CUT]),
+    (DeathIsFinal, [KILL]),
+    (LastNeverProbed, [KILL]),
     (EndlessSuspicion, [KILL]),
     (ExcusedByNacks, [KILL]),
 ]
@@ -213,14 +217,14 @@
 
 def test_a_schedule_is_cut_down_to_what_breaks_the_bound():
     more = InjectedFault("n1", True, DatagramKind.ACK, 9, "hold", "n0", 2000.0)
-    assert membership_schedules.shrunk(5, 1, [more, SHORT, LATER], NoOtherLife) == [SHORT, LATER]
+    assert membership_schedules.shrunk(5, 1, [more, SHORT, LATER], IgnoresOtherGenerations) == [SHORT, LATER]
 
 
 # The wire.
 
 
 @given(st.binary(max_size=MAX_DATAGRAM_BYTES + 10))
-def test_no_datagram_does_more_than_be_left_out(data):
+def test_arbitrary_bytes_are_rejected(data):
     with pytest.raises(InvalidMessageError):
         read(data, "f", NAMES)
 
@@ -229,26 +233,26 @@
     ("change", "code"),
     [
         ({"version": 2}, "version"),
-        ({"fleet": "g"}, "foreign"),
+        ({"cluster": "g"}, "foreign"),
         ({"sender": "z"}, "unknown"),
-        ({"about": "z"}, "unknown"),
-        ({"rumours": [GossipEntry("z", MemberState(0, 1, 0))]}, "unknown"),
-        ({"rumours": [GossipEntry("b", MemberState(0, 1, 0), "z")]}, "unknown"),
+        ({"subject": "z"}, "unknown"),
+        ({"entries": [GossipEntry("z", MemberState(0, 1, 0))]}, "unknown"),
+        ({"entries": [GossipEntry("b", MemberState(0, 1, 0), "z")]}, "unknown"),
         ({"kind": 9}, "bounds"),
-        ({"own": MemberState(-1, 1, 0)}, "bounds"),
-        ({"own": MemberState(0, 1 << 60, 0)}, "bounds"),
-        ({"own": MemberState(0, 1, 7)}, "bounds"),
-        ({"seq": -1}, "bounds"),
-        ({"rumours": [GossipEntry("b", MemberState(0, 1, 0))] * (MAX_GOSSIP_ENTRIES + 1)}, "bounds"),
-        ({"fleet": "f" * MAX_DATAGRAM_BYTES}, "too-large"),
+        ({"sender_state": MemberState(-1, 1, 0)}, "bounds"),
+        ({"sender_state": MemberState(0, 1 << 60, 0)}, "bounds"),
+        ({"sender_state": MemberState(0, 1, 7)}, "bounds"),
+        ({"sequence": -1}, "bounds"),
+        ({"entries": [GossipEntry("b", MemberState(0, 1, 0))] * (MAX_GOSSIP_ENTRIES + 1)}, "bounds"),
+        ({"cluster": "f" * MAX_DATAGRAM_BYTES}, "too-large"),
     ],
 )
-def test_what_is_no_letter_of_the_fleets_has_a_code(change, code):
-    data = msgspec.msgpack.encode(msgspec.structs.replace(letter(), **change))
-    with pytest.raises(InvalidMessageError) as odd:
+def test_an_invalid_datagram_is_rejected_with_its_code(change, code):
+    data = msgspec.msgpack.encode(msgspec.structs.replace(datagram(), **change))
+    with pytest.raises(InvalidMessageError) as error:
         read(data, "f", NAMES)
-    assert odd.value.code == code
-    assert read(write(letter()), "f", NAMES) == letter()
+    assert error.value.code == code
+    assert read(write(datagram()), "f", NAMES) == datagram()
 
 
 @pytest.fixture
@@ -268,56 +272,56 @@
     }
 
 
-def test_members_find_each_other_and_hear_goodbye(peers, until, capsys):
-    until(lambda: all(len(p.machine.here()) == 2 for p in peers.values()))
+def test_members_find_each_other_and_notice_one_that_leaves(peers, until, capsys):
+    until(lambda: all(len(p.machine.alive_members()) == 2 for p in peers.values()))
     peers["c"].close()
-    until(lambda: all(peers[n].machine.members["c"].claim.standing == MemberStatus.LEFT for n in "ab"))
+    until(lambda: all(peers[n].machine.members["c"].state.status == MemberStatus.LEFT for n in "ab"))
     assert "member c left" in capsys.readouterr().err
     told = json.loads(peers["a"].status())
     assert [m["standing"] for m in told["members"]] == ["here", "here", "left"]
 
 
 def test_a_second_process_of_a_member_waits_until_the_first_has_left(peers, loop, until, capsys):
-    until(lambda: all(len(p.machine.here()) == 2 for p in peers.values()))
+    until(lambda: all(len(p.machine.alive_members()) == 2 for p in peers.values()))
     new = MembershipService(loop, Log("new", loop.now), peers["c"].settings, "c", 9)
     assert new.sock is None and "code=in-use" in capsys.readouterr().err
     assert json.loads(new.status())["members"][2]["standing"] == "out"
     peers["c"].close()
     until(lambda: new.sock is not None)
-    here = MemberStatus.HERE
-    life = new.machine.own.life
-    claims = [peers[n].machine.members["c"] for n in "ab"]
-    until(lambda: all(m.claim.life == life and m.claim.standing == here for m in claims))
+    alive = MemberStatus.ALIVE
+    generation = new.machine.own_state.generation
+    held = [peers[n].machine.members["c"] for n in "ab"]
+    until(lambda: all(m.state.generation == generation and m.state.status == alive for m in held))
 
 
-def test_odd_datagrams_are_counted_and_nothing_of_them_is_kept(peers, until, capsys):
+def test_invalid_datagrams_are_counted_and_nothing_of_them_is_kept(peers, until, capsys):
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for i in range(50):
             sock.sendto(b"odd %d" % i, peers["a"].settings.members["a"])
-        sock.sendto(write(msgspec.structs.replace(letter(), sender="z")), peers["a"].settings.members["a"])
+        sock.sendto(write(msgspec.structs.replace(datagram(), sender="z")), peers["a"].settings.members["a"])
         until(lambda: peers["a"].dropped["bad-message"] == 50 and peers["a"].dropped["unknown"])
     assert set(peers["a"].machine.members) == {"b", "c"}
     assert capsys.readouterr().err.count("code=bad-message") == 1
 
 
-def test_status_ends_with_1_where_one_is_not_here(peers, until, monkeypatch):
-    until(lambda: len(peers["a"].machine.here()) == 2)
+def test_status_exits_with_1_where_a_member_is_not_alive(peers, until, monkeypatch):
+    until(lambda: len(peers["a"].machine.alive_members()) == 2)
     monkeypatch.setattr(command, "ask", lambda address: json.loads(peers["a"].status()))
     good = CliRunner().invoke(command.group, ["status", "--at", "x"])
     assert good.exit_code == 0 and "as a holds it" in good.output
-    peers["a"].machine.take(GossipEntry("b", MemberState(9, 9, MemberStatus.GONE)))
+    peers["a"].machine.merge(GossipEntry("b", MemberState(9, 9, MemberStatus.DEAD)))
     bad = CliRunner().invoke(command.group, ["status", "--at", "x"])
     assert bad.exit_code == 1 and "gone" in bad.output
     raw = CliRunner().invoke(command.group, ["status", "--at", "x", "--json"])
     assert json.loads(raw.output)["fleet"] == "f"
 
 
-def test_a_door_that_does_not_answer_is_named():
+def test_an_address_that_does_not_answer_is_named():
     result = CliRunner().invoke(command.group, ["status", "--at", "127.0.0.1:1"])
     assert result.exit_code == 1 and "127.0.0.1:1" in result.output
 
 
-def test_hunt_prints_what_came_nearest():
+def test_hunt_prints_the_schedule_that_came_nearest_to_each_bound():
     result = CliRunner().invoke(command.group, ["hunt", "--seeds", "2", "--nodes", "4"])
     assert result.exit_code == 0 and "heal: nearest" in result.output and "0 break" in result.output
 
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -15,25 +15,27 @@
 
 def letters():
     """Return a datagram of membership of each kind, with what it claims of other members."""
-    claim = membership_codec.MemberState(
-        incarnation=3, life=1234567, standing=membership_codec.MemberStatus.SUSPECT
+    state = membership_codec.MemberState(
+        incarnation=3, generation=1234567, status=membership_codec.MemberStatus.SUSPECT
     )
-    rumours = [
-        membership_codec.GossipEntry(name="n2", claim=claim, by="n3"),
+    entries = [
+        membership_codec.GossipEntry(name="n2", state=state, suspected_by="n3"),
         membership_codec.GossipEntry(
             name="n4",
-            claim=membership_codec.MemberState(
-                incarnation=5, life=6, standing=membership_codec.MemberStatus.LEFT
+            state=membership_codec.MemberState(
+                incarnation=5, generation=6, status=membership_codec.MemberStatus.LEFT
             ),
         ),
         membership_codec.GossipEntry(
             name="n5",
-            claim=membership_codec.MemberState(
-                incarnation=7, life=8, standing=membership_codec.MemberStatus.GONE
+            state=membership_codec.MemberState(
+                incarnation=7, generation=8, status=membership_codec.MemberStatus.DEAD
             ),
         ),
     ]
-    own = membership_codec.MemberState(incarnation=1, life=99, standing=membership_codec.MemberStatus.HERE)
+    own = membership_codec.MemberState(
+        incarnation=1, generation=99, status=membership_codec.MemberStatus.ALIVE
+    )
     for kind in (
         membership_codec.DatagramKind.PING,
         membership_codec.DatagramKind.ACK,
@@ -42,13 +44,13 @@
     ):
         yield membership_codec.Datagram(
             version=membership_codec.VERSION,
-            fleet="f",
+            cluster="f",
             sender="n1",
-            own=own,
+            sender_state=own,
             kind=kind,
-            seq=41,
-            about="n2",
-            rumours=rumours,
+            sequence=41,
+            subject="n2",
+            entries=entries,
         )
 
 
