--- a/marlseam/cli/fleet.py
+++ b/marlseam/cli/fleet.py
@@ -1,6 +1,6 @@
-"""`marlseam fleet`: who of a fleet is there and acts on what, versions, the audit.
+"""`marlseam fleet`: membership and configuration versions of a cluster, its audit, and fault schedule search.
 
-Searches for what breaks bounds.
+Words printed here and keys of the nodes' JSON are those that operators know; see docs/operators/fleet.md.
 """
 
 import importlib
@@ -8,6 +8,8 @@
 import sys
 import time
 from pathlib import Path
+from types import ModuleType
+from typing import Any
 
 import click
 
@@ -17,7 +19,13 @@
 from marlseam.store.ledger_writer import first_life
 from marlseam.store.state_directory import code_of
 
-AGE_S = (60.0, 3600.0)
+MINUTE_S, HOUR_S = 60.0, 3600.0
+ACCEPTED = 202  # HTTP status of a request that is carried out later
+PUBLICATION_POLL_S = 0.1
+CHECKING = "marlseam.cluster.checking"
+FAULT_CODES = ("unfit", "hand", "disk")  # keys that say why a node is out of service
+MEMBER_COLUMNS = ["member", "standing", "since", "heard", "life", "incarnation", "suspected by"]
+PEER_COLUMNS = ["member", "version", "acts on", "service", "code", "votes", "told"]
 
 
 @click.group()
@@ -28,76 +36,88 @@
 group.add_command(audit)
 
 
-def aged(ms: float | None) -> str:
-    """Return an age for people."""
-    if ms is None:
+def format_age(age_ms: float | None) -> str:
+    """Return an age as people read it."""
+    if age_ms is None:
         return "never"
-    seconds = ms / 1000.0
-    if seconds < AGE_S[0]:
+    seconds = age_ms / 1000.0
+    if seconds < MINUTE_S:
         return f"{seconds:.1f} s"
-    return f"{seconds / 60.0:.0f} min" if seconds < AGE_S[1] else f"{seconds / 3600.0:.1f} h"
+    return f"{seconds / MINUTE_S:.0f} min" if seconds < HOUR_S else f"{seconds / HOUR_S:.1f} h"
 
 
 @group.command()
 @click.option("--at", "addresses", multiple=True, required=True, help="A node's operators' door; may repeat.")
 @click.option("--json", "raw", is_flag=True, help="Print what the nodes say, a line each.")
-def status(addresses: tuple[str, ...], raw: bool) -> None:
+def status(addresses: tuple[str, ...], *, raw: bool) -> None:
     """Say who is there, as one node holds it or several do; ends with 1 where any holds one as not here."""
-    told = [ask(address) for address in addresses]
-    if raw:
-        for row in told:
-            click.echo(json.dumps(row))
-    else:
-        for row in told:
-            rows = [["member", "standing", "since", "heard", "life", "incarnation", "suspected by"]]
-            for m in row["members"]:
-                life = "-" if m["life"] is None else str(m["life"])
-                if m["former_life"] is not None:
-                    life += f" (after {m['former_life']})"
-                incarnation = "-" if m["incarnation"] is None else str(m["incarnation"])
-                rows.append(
-                    [
-                        m["name"],
-                        m["standing"],
-                        aged(m["since_ms"]),
-                        aged(m["heard_ms"]),
-                        life,
-                        incarnation,
-                        ", ".join(m["suspected_by"]),
-                    ]
-                )
-            left_out = sum(row["letters"]["left_out"].values())
-            click.echo(
-                f"{row['fleet']} as {row['by']} holds it; doubts itself {row['health']}, "
-                f"{left_out} letters left out"
-            )
-            click.echo(table(rows))
-            if "acting" in row:
-                click.echo(acting_told(row["by"], row["acting"]))
-    if any(m["standing"] != "here" for row in told for m in row["members"]):
+    statuses = [ask(address) for address in addresses]
+    for node_status in statuses:
+        if raw:
+            click.echo(json.dumps(node_status))
+        else:
+            print_status(node_status)
+    if any(member["standing"] != "here" for status in statuses for member in status["members"]):
         sys.exit(1)
 
 
-def acting_told(by: str, acting: dict) -> str:
-    """Return what a node acts on, and what others last told it, for people."""
-    if "version" not in acting:
-        return f"versions: code={acting['code']}"
-    proof = (
-        f"in force {aged(acting['proof_age_ms'])} ago" if acting["proof_age_ms"] is not None else "not proved"
+def print_status(status: dict[str, Any]) -> None:
+    """Print one node's status."""
+    dropped = sum(status["letters"]["left_out"].values())
+    click.echo(
+        f"{status['fleet']} as {status['by']} holds it; doubts itself {status['health']}, "
+        f"{dropped} letters left out"
     )
-    what = f"\n{by} acts on version {acting['acting']} of {acting['version']} for {aged(acting['since_ms'])}"
-    what += f", {proof}"
-    if acting["local"]:
-        what += ", with a file of its own"
-    if not acting["serving"] or acting["code"]:
-        what += f"; {'in' if acting['serving'] else 'out of'} service code={acting['code']}"
-        what += "".join(f" ({acting[key]})" for key in ("unfit", "hand", "disk") if acting[key])
-    lines = [what + f"; voters {', '.join(acting['voters'])}"]
-    rows = [["member", "version", "acts on", "service", "code", "votes", "told"]]
-    for name, peer in acting["peers"].items():
-        held = [name, str(peer["version"]), str(peer["acting"]), "in" if peer["serving"] else "out"]
-        rows.append([*held, peer["code"], "yes" if peer["votes"] else "no", aged(peer["told_ms"])])
-    return "\n".join([*lines, table(rows)])
+    click.echo(table([MEMBER_COLUMNS, *(member_row(member) for member in status["members"])]))
+    if "acting" in status:
+        click.echo(versions_text(status["by"], status["acting"]))
+
+
+def member_row(member: dict[str, Any]) -> list[str]:
+    """Return a member's row of the table."""
+    generation = "-" if member["life"] is None else str(member["life"])
+    if member["former_life"] is not None:
+        generation += f" (after {member['former_life']})"
+    return [
+        member["name"],
+        member["standing"],
+        format_age(member["since_ms"]),
+        format_age(member["heard_ms"]),
+        generation,
+        "-" if member["incarnation"] is None else str(member["incarnation"]),
+        ", ".join(member["suspected_by"]),
+    ]
+
+
+def versions_text(node: str, versions: dict[str, Any]) -> str:
+    """Return what a node acts on, and what others last told it, as people read it."""
+    if "version" not in versions:
+        return f"versions: code={versions['code']}"
+    proof_age_ms = versions["proof_age_ms"]
+    proof = "not proved" if proof_age_ms is None else f"in force {format_age(proof_age_ms)} ago"
+    text = f"\n{node} acts on version {versions['acting']} of {versions['version']}"
+    text += f" for {format_age(versions['since_ms'])}, {proof}"
+    if versions["local"]:
+        text += ", with a file of its own"
+    if not versions["serving"] or versions["code"]:
+        text += f"; {'in' if versions['serving'] else 'out of'} service code={versions['code']}"
+        text += "".join(f" ({versions[key]})" for key in FAULT_CODES if versions[key])
+    text += f"; voters {', '.join(versions['voters'])}"
+    peers = [peer_row(name, peer) for name, peer in versions["peers"].items()]
+    return "\n".join([text, table([PEER_COLUMNS, *peers])])
+
+
+def peer_row(name: str, peer: dict[str, Any]) -> list[str]:
+    """Return another node's row of the table of versions."""
+    return [
+        name,
+        str(peer["version"]),
+        str(peer["acting"]),
+        "in" if peer["serving"] else "out",
+        peer["code"],
+        "yes" if peer["votes"] else "no",
+        format_age(peer["told_ms"]),
+    ]
 
 
 @group.command()
@@ -140,38 +160,49 @@
 
     Agreed on as the next version.
     """
-    try:
-        given = json.loads(file.read_text(encoding="utf-8"))
-        settings = given.get("settings", given)
-    except (OSError, ValueError, AttributeError) as error:
-        raise click.ClickException(f"{file}: a JSON object was expected ({error})") from None
-    body = {"settings": settings, "why": why, "voters": voters.split(",") if voters else None}
+    body: dict[str, Any] = {
+        "settings": settings_in(file),
+        "why": why,
+        "voters": voters.split(",") if voters else None,
+    }
     if added or removed:
         members = dict(ask(address)["addresses"])
         members |= dict(text.partition("=")[::2] for text in added)
         body["members"] = {name: at for name, at in members.items() if name not in removed}
-    status, text = call(address, "POST", "/control/fleet/publish", json.dumps(body).encode())
-    if status != 202:
-        raise click.ClickException(text.decode(errors="replace").strip() or f"{address}: {status}")
-    end = time.monotonic() + wait_s
-    while time.monotonic() < end:
+    post(address, "/control/fleet/publish", json.dumps(body).encode())
+    deadline_s = time.monotonic() + wait_s
+    while time.monotonic() < deadline_s:
         result = ask(address)["acting"]["publication"]
         if result != "open":
             click.echo(result)
             sys.exit(0 if result.startswith("version") else 1)
-        time.sleep(0.1)
+        time.sleep(PUBLICATION_POLL_S)
     raise click.ClickException(f"nothing came of it in {wait_s:g} s; `fleet status` goes on telling")
 
 
-def by_hand(node: str, address: str, path: str, why: str) -> None:
-    """Have a node shut out or brought back."""
-    told = ask(address)
-    if told["by"] != node:
-        raise click.ClickException(f"{address} is the door of {told['by']}, {node}'s was expected")
-    status, text = call(address, "POST", path, why.encode())
-    if status != 202:
-        raise click.ClickException(text.decode(errors="replace").strip() or f"{address}: {status}")
-    click.echo(text.decode().strip())
+def settings_in(file: Path) -> Any:  # noqa: ANN401
+    """Return the settings in a node's configuration, or in a file of settings alone."""
+    try:
+        given = json.loads(file.read_text(encoding="utf-8"))
+        return given.get("settings", given)
+    except (OSError, ValueError, AttributeError) as error:
+        raise click.ClickException(f"{file}: a JSON object was expected ({error})") from None
+
+
+def post(address: str, path: str, body: bytes) -> str:
+    """Send a command to a node; return its answer. Raises ClickException where it does not accept it."""
+    status, answer = call(address, "POST", path, body)
+    if status != ACCEPTED:
+        raise click.ClickException(answer.decode(errors="replace").strip() or f"{address}: {status}")
+    return answer.decode()
+
+
+def post_to_node(node: str, address: str, path: str, why: str) -> None:
+    """Send a command to a node, after a check that the address is its own, and print the answer."""
+    name = ask(address)["by"]
+    if name != node:
+        raise click.ClickException(f"{address} is the door of {name}, {node}'s was expected")
+    click.echo(post(address, path, why.encode()).strip())
 
 
 @group.command()
@@ -180,7 +211,7 @@
 @click.option("--why", required=True, help="Why, in up to 160 characters.")
 def out(node: str, address: str, why: str) -> None:
     """Shut NODE out of service, across restarts, until `fleet in`."""
-    by_hand(node, address, "/control/fleet/out", why)
+    post_to_node(node, address, "/control/fleet/out", why)
 
 
 @group.command("in")
@@ -188,7 +219,7 @@
 @click.option("--at", "address", required=True, help="That node's operators' door.")
 def back(node: str, address: str) -> None:
     """Bring NODE back that `fleet out` shut out."""
-    by_hand(node, address, "/control/fleet/in", "")
+    post_to_node(node, address, "/control/fleet/in", "")
 
 
 @group.command()
@@ -204,50 +235,64 @@
 
     Prints the schedule that came nearest to each bound, and a shortest one of each that breaks.
     """
-    from concurrent.futures import ProcessPoolExecutor
+    from marlseam.cluster.checking.fault_schedules import shrink
+
+    module = importlib.import_module(f"{CHECKING}.{of or 'membership_schedules'}")
+    nearest: dict[str, tuple[float, int]] = {}  # by bound: the largest share of it, and the seed
+    violations: list[tuple[int, str]] = []  # seeds, and the first violation of each
+    for seed, verdict in play_seeds(module, nodes, range(first, first + seeds)):
+        for bound, share in verdict.nearest.items():
+            nearest[bound] = max(nearest.get(bound, (0.0, seed)), (share, seed))
+        if verdict.broken:
+            violations.append((seed, verdict.broken[0]))
+    for bound, (share, seed) in sorted(nearest.items()):
+        click.echo(f"{bound}: nearest {share:.3f} of its bound, seed {seed}")
+        print_faults(module.schedule(nodes, seed))
+    for seed, violation in violations:
+        click.echo(f"BROKEN by seed {seed}: {violation}")
+        print_faults(shrink(nodes, seed, module.schedule(nodes, seed), play=module.play))
+    click.echo(f"{seeds} schedules of {nodes} members, {len(violations)} break a bound")
+    sys.exit(1 if violations else 0)
 
-    from marlseam.cluster.checking import membership_schedules as world
 
-    nearest: dict[str, tuple[float, int]] = {}
-    broken = []
-    kind = importlib.import_module(f"marlseam.cluster.checking.{of or 'membership_schedules'}")
+def play_seeds(module: ModuleType, nodes: int, seeds: range) -> list[tuple[int, Any]]:
+    """Play the schedules of seeds on all cores; return each seed with its verdict."""
+    from concurrent.futures import ProcessPoolExecutor
+
     with ProcessPoolExecutor() as pool:
-        for seed, found in zip(
-            range(first, first + seeds),
-            pool.map(kind.hunted, [nodes] * seeds, range(first, first + seeds), chunksize=4),
-            strict=True,
-        ):
-            for bound, share in found.nearest.items():
-                nearest[bound] = max(nearest.get(bound, (0.0, seed)), (share, seed))
-            if found.broken:
-                broken.append((seed, found))
-    for bound, (share, seed) in sorted(nearest.items()):
-        click.echo(f"{bound}: nearest {share:.3f} of its bound, seed {seed}")
-        for strike in kind.schedule(nodes, seed):
-            click.echo(f"  {world.told(strike)}")
-    for seed, found in broken:
-        click.echo(f"BROKEN by seed {seed}: {found.broken[0]}")
-        for strike in world.shrunk(nodes, seed, kind.schedule(nodes, seed), play=kind.play):
-            click.echo(f"  {world.told(strike)}")
-    click.echo(f"{seeds} schedules of {nodes} members, {len(broken)} break a bound")
-    sys.exit(1 if broken else 0)
+        verdicts = pool.map(module.hunted, [nodes] * len(seeds), seeds, chunksize=4)
+        return list(zip(seeds, verdicts, strict=True))
+
+
+def print_faults(faults: list[Any]) -> None:
+    """Print a schedule, a fault a line."""
+    from marlseam.cluster.checking.fault_schedules import describe_fault
+
+    for fault in faults:
+        click.echo(f"  {describe_fault(fault)}")
 
 
 @group.command()
 @click.option("--depth", default=10, show_default=True, type=click.IntRange(1, 40), help="Steps, at most.")
 @click.option("--lending", is_flag=True, help="Of a limit lent between three members, in place of agreement.")
-def explore(depth: int, lending: bool) -> None:
+def explore(depth: int, *, lending: bool) -> None:
     """Look at every interleaving of three voters, two operators and one that asks, or of lending.
 
     Ends with 1 if a number gets two contents, a proof says what is not so, or members may use more than their
     limit. A step is one process's. States grow threefold a step.
     """
-    from marlseam.cluster.checking import explore_leasing
-    from marlseam.cluster.checking import explore_paxos as agreement
+    from marlseam.cluster.checking import explore_leasing, explore_paxos
 
-    search = explore_leasing if lending else agreement
-    found = search.explore(depth, tell=lambda level, states: click.echo(f"{level} steps: {states} states"))
-    for name in found.way:
+    if lending:
+        found = explore_leasing.explore(depth, report=print_level)
+    else:
+        found = explore_paxos.explore(depth, tell=print_level)
+    for name in found.path:
         click.echo(f"  {name}")
-    click.echo(f"{found.states} states, all up to {found.depth} steps" + (": BROKEN" if found.way else ""))
-    sys.exit(1 if found.way else 0)
+    click.echo(f"{found.states} states, all up to {found.depth} steps" + (": BROKEN" if found.path else ""))
+    sys.exit(1 if found.path else 0)
+
+
+def print_level(depth: int, states: int) -> None:
+    """Print how far a search is."""
+    click.echo(f"{depth} steps: {states} states")
--- a/marlseam/cluster/checking/quota_schedules.py
+++ b/marlseam/cluster/checking/quota_schedules.py
@@ -1,6 +1,6 @@
-"""A limit shared by a fleet in virtual time: demand that moves, and faults of a schedule.
+"""A limit shared by a cluster in virtual time: demand that moves, under a seeded schedule of faults.
 
-The world is `hunt`'s. Its checker adds up what all that live may use at each moment, by their own clocks.
+The checker adds up what all processes that live may use at each moment, by their own clocks.
 """
 
 from collections.abc import Callable
@@ -8,181 +8,234 @@
 
 import msgspec
 
-from marlseam.cluster.checking.membership_schedules import (
+from marlseam.cluster.checking.fault_schedules import MAX_FAULTS, ScheduleDraws, draw_faults
+from marlseam.cluster.checking.simulation import (
     DRIFT,
     PERIOD_MS,
+    ClusterSimulation,
     InjectedFault,
-    MembershipSimulation,
-    ScheduleDraws,
     SimulatedMember,
-    drawn,
 )
-from marlseam.cluster.quota.demand import DemandEstimator, PersistQuotaState
-from marlseam.cluster.quota.leasing import GrantedLease, LeaseGrant, LeaseRequest, LeaseReturn, QuotaLeasing
+from marlseam.cluster.quota.demand import DemandEstimator, PersistQuotaState, SendLeaseMessage
+from marlseam.cluster.quota.leasing import (
+    GrantedLease,
+    LeaseGrant,
+    LeaseMessage,
+    LeaseRequest,
+    LeaseReturn,
+    QuotaLeasing,
+    SerialNumber,
+)
 from marlseam.cluster.replication.messages import MessageKind
 
 LEASE_PERIODS = 10.0
-DISK_MS = 20.0  # at most, for a record
-LOOK_MS = 100.0  # between looks at demand, use and the sum
-FORMS = {"borrow": LeaseRequest, "lend": LeaseGrant, "give": LeaseReturn}
-NAMES = {form: name for name, form in FORMS.items()}
-KINDS = {
-    "borrow": MessageKind.ASK,
-    "lend": MessageKind.TELL,
-    "give": MessageKind.WANT,
-}  # under which steps are counted
+MAX_DISK_MS = 20.0  # for a record
+SAMPLE_MS = 100.0  # between samples of demand, use and the sum
+DEMAND_SPELL_PERIODS = 20.0  # in which the demand stays on one member
+PLAYED_PERIODS = 60.0  # in which faults strike
+MAX_FAULT_PERIODS = 40
+MIN_USED_SHARE = 0.95  # of what is wanted and there, at the end
 FAULTS = ("kill", "restart", "stop", "cut", "deaf", "mute", "pair", "hold", "lost")
 
+FORMS: dict[str, Callable[..., LeaseMessage]] = {
+    "borrow": LeaseRequest,
+    "lend": LeaseGrant,
+    "give": LeaseReturn,
+}
+NAMES = {LeaseRequest: "borrow", LeaseGrant: "lend", LeaseReturn: "give"}
+# The kinds of messages under which steps are counted.
+KINDS = {"borrow": MessageKind.ASK, "lend": MessageKind.TELL, "give": MessageKind.WANT}
+
+
+class DemandSample(NamedTuple):
+    """What all members used and wanted at a time."""
+
+    at_ms: float
+    used: float
+    wanted: float
+
+
+class QuotaVerdict(NamedTuple):
+    """What a run showed.
+
+    Attributes:
+        violations: of the bounds, described.
+        nearest: how near the run came to the limit, and to leaving a twentieth unused.
+    """
+
+    violations: list[str]
+    nearest: dict[str, float]
+
+    @property
+    def broken(self) -> list[str]:
+        """Return the violations, by their former name."""
+        return self.violations
+
 
-class QuotaSimulation(MembershipSimulation):
-    """Members that share a limit; `demand` tells what one would use at a time."""
+class QuotaSimulation(ClusterSimulation):
+    """Members that share a limit.
+
+    Attributes:
+        limit: that all members share equally at first.
+        demand: what a member would use at a time.
+        rules: the lease rules; tests plant defects in them.
+        disks: each member's granted leases on record, None once the record was lost.
+        max_usable: the most that all members together might have used at any time.
+        samples: of use and demand.
+    """
 
     def __init__(
         self,
         nodes: int,
         seed: int,
-        strikes: list[InjectedFault],
+        faults: list[InjectedFault],
         limit: float,
         demand: Callable[[str, float], float],
-        loss: float = 0.0,
-        doubles: float = 0.0,
-        drift: float = DRIFT,
+        duplication: float = 0.0,
         rules: type[QuotaLeasing] = QuotaLeasing,
     ) -> None:
+        """Start the members; `demand` tells what one would use, by name and time in ms."""
         self.limit, self.demand = limit, demand
-        self.rules = rules(LEASE_PERIODS * PERIOD_MS, least=limit / nodes / 100.0)
+        self.rules = rules(LEASE_PERIODS * PERIOD_MS, min_lease=limit / nodes / 100.0)
         self.disks: dict[str, tuple[GrantedLease, ...] | None] = {}
-        self.most = 0.0  # that all together might use
-        self.samples: list[tuple[float, float, float]] = []  # when, what was used, what was wanted
-        super().__init__(nodes, seed, strikes, loss, doubles, drift)
-        self.at(LOOK_MS, self.look)
-
-    def make(self, name: str, seed: int) -> DemandEstimator:
-        """Return a process's machine, with the loans that its disk holds."""
-        first = name not in self.disks
-        memory = self.disks.setdefault(name, ())
-        own = self.limit / len(self.names)
-        held = self.rules.restarted(own, self.lives, 0.0, () if first else memory)
-        return DemandEstimator(name, self.names, self.rules, held, PERIOD_MS, seed, PERIOD_MS * self.chance())
-
-    def act(self, seat: SimulatedMember, effects: list[Any]) -> None:
-        """Carry out what a process asks for."""
+        self.max_usable = 0.0
+        self.samples: list[DemandSample] = []
+        super().__init__(nodes, seed, faults, duplication=duplication, drift=DRIFT)
+        self.at(SAMPLE_MS, self.sample)
+
+    def new_machine(self, name: str, seed: int) -> DemandEstimator:
+        """Return a process's state machine, with the leases that its disk holds."""
+        is_first = name not in self.disks
+        recorded = self.disks.setdefault(name, ())
+        share = self.limit / len(self.names)
+        state = self.rules.restarted(share, self.process_count, 0.0, () if is_first else recorded)
+        return DemandEstimator(
+            name, self.names, self.rules, state, PERIOD_MS, seed, PERIOD_MS * self.chance()
+        )
+
+    def apply_effects(self, process: SimulatedMember, effects: list[Any]) -> None:
+        """Send messages, and write to the disk."""
         for effect in effects:
-            if not seat.live:
+            if not process.live:
                 return
-            if type(effect) is PersistQuotaState:
-                self.at(self.now + DISK_MS * self.chance(), self.keep, seat, effect)
-                continue
-            name = NAMES[type(effect.message)]
-            strike = self.struck(seat, True, KINDS[name])
-            if strike is not None:
-                self.strike(strike, seat)
-            if seat.live:
-                data = msgspec.msgpack.encode((seat.name, name, tuple(effect.message)))
-                held = strike.for_ms if strike is not None and strike.fault == "hold" else 0.0
-                self.send(seat, effect.name, data, held)
-
-    def hear(self, seat: SimulatedMember, data: bytes) -> None:
-        """Hand a message to a process."""
-        sender, name, fields = msgspec.msgpack.decode(data)
-        strike = self.struck(seat, False, KINDS[name])
-        if strike is not None:
-            self.strike(strike, seat)
-        if seat.live and seat.stopped_until <= self.now:
-            fields = [tuple(field) if isinstance(field, list) else field for field in fields]
-            self.act(seat, seat.machine.heard(self.local(seat), sender, FORMS[name](*fields)))
-
-    def keep(self, seat: SimulatedMember, keep: PersistQuotaState) -> None:
-        """Have loans on record, and say them."""
-        if self.seats.get(seat.name) is not seat:
+            if isinstance(effect, PersistQuotaState):
+                self.at(self.now + MAX_DISK_MS * self.chance(), self.persist, process, effect)
+            else:
+                self.send_at_step(process, effect)
+
+    def send_at_step(self, process: SimulatedMember, effect: SendLeaseMessage) -> None:
+        """Send a message, after the fault that strikes at this step."""
+        name = NAMES[type(effect.message)]
+        fault = self.fault_at_step(process, True, KINDS[name])
+        if fault is not None:
+            self.inject(fault, process)
+        if process.live:
+            data = msgspec.msgpack.encode((process.name, name, tuple(effect.message)))
+            hold_ms = fault.for_ms if fault is not None and fault.fault == "hold" else 0.0
+            self.send(process, effect.name, data, hold_ms)
+
+    def deliver(self, process: SimulatedMember, data: bytes) -> None:
+        """Hand a message to a process, after the fault that strikes at this step."""
+        sender, name, values = msgspec.msgpack.decode(data)
+        fault = self.fault_at_step(process, False, KINDS[name])
+        if fault is not None:
+            self.inject(fault, process)
+        if process.live and process.stopped_until <= self.now:
+            fields = [SerialNumber(*value) if isinstance(value, list) else value for value in values]
+            message = FORMS[name](*fields)
+            self.apply_effects(process, process.machine.receive(self.local(process), sender, message))
+
+    def persist(self, process: SimulatedMember, effect: PersistQuotaState) -> None:
+        """Write leases to a disk; of a process that was killed meanwhile they may be there or not."""
+        if self.processes.get(process.name) is not process:
             return
-        if seat.live or self.chance() < 0.5:
-            known = {row.loan for row in keep.lent}
-            others = [row for row in self.disks[seat.name] or () if row.loan not in known]
-            self.disks[seat.name] = (*others, *keep.lent)
-        if seat.live and seat.stopped_until <= self.now:
-            self.act(seat, seat.machine.kept(self.local(seat), keep.new))
-        elif seat.live:
-            self.at(seat.stopped_until, self.keep, seat, keep)
-
-    def strike(self, strike: InjectedFault, seat: SimulatedMember) -> None:
-        """Let a fault strike."""
-        if strike.fault == "lost":
-            self.touched.append((self.now, self.now + 1.0))
-            seat.live = False
-            self.disks[seat.name] = None
-            self.at(self.now + 1.0, self.again, seat.name, seat)
+        if process.live or self.chance() < 0.5:
+            written = {lease.lease_id for lease in effect.granted}
+            before = self.disks[process.name] or ()
+            others = [lease for lease in before if lease.lease_id not in written]
+            self.disks[process.name] = (*others, *effect.granted)
+        if process.live and process.stopped_until <= self.now:
+            effects = process.machine.on_durable(self.local(process), effect.new_lease_ids)
+            self.apply_effects(process, effects)
+        elif process.live:
+            self.at(process.stopped_until, self.persist, process, effect)
+
+    def inject(self, fault: InjectedFault, process: SimulatedMember) -> None:
+        """Let a fault strike; `lost` is a restart without the record."""
+        if fault.fault == "lost":
+            self.fault_spans.append((self.now, self.now + 1.0))
+            process.live = False
+            self.disks[process.name] = None
+            self.at(self.now + 1.0, self.restart, process.name, process)
         else:
-            super().strike(strike, seat)
-
-    def look(self) -> None:
-        """See what each uses of what it wants, and that all together keep to the limit."""
-        may = used = wanted = 0.0
-        for seat in self.seats.values():
-            wanted += self.demand(seat.name, self.now)
-            if not seat.live:
+            super().inject(fault, process)
+
+    def sample(self) -> None:
+        """Note what each member uses of what it wants, and what all together may use."""
+        usable = used = wanted = 0.0
+        for process in self.processes.values():
+            demand = self.demand(process.name, self.now)
+            wanted += demand
+            if not process.live:
                 continue
-            # One that is stopped does nothing; what it may use is looked at all the same when it wakes.
-            may += seat.machine.usable(self.local(seat))
-            if seat.stopped_until <= self.now:
-                used += seat.machine.want(self.local(seat), self.demand(seat.name, self.now))
-        self.most = max(self.most, may)
-        self.samples.append((self.now, used, wanted))
-        self.at(self.now + LOOK_MS, self.look)
-
+            # One that is stopped does nothing; what it may use counts all the same, as it may wake.
+            usable += process.machine.usable(self.local(process))
+            if process.stopped_until <= self.now:
+                used += process.machine.set_demand(self.local(process), demand)
+        self.max_usable = max(self.max_usable, usable)
+        self.samples.append(DemandSample(self.now, used, wanted))
+        self.at(self.now + SAMPLE_MS, self.sample)
 
-class QuotaVerdict(NamedTuple):
-    """What a run showed: breaches, and how near it came to the limit and to leaving a twentieth unused."""
-
-    broken: list[str]
-    nearest: dict[str, float]
 
+def demand_on_one(limit: float, nodes: int, name: str, shares: float) -> Callable[[str, float], float]:
+    """Return a demand of so many members' shares on one member, and of a tenth of a share on each other."""
+    share = limit / nodes
+    return lambda member, _now: shares * share if member == name else 0.1 * share
 
-def one_rich(limit: float, nodes: int, on: str, share: float) -> Callable[[str, float], float]:
-    """Return a demand of so many nodes' parts on one, and a tenth of a part on each other."""
-    part = limit / nodes
-    return lambda name, now: share * part if name == on else 0.1 * part
 
-
-def messages(draws: ScheduleDraws) -> tuple[MessageKind, int]:
-    """Return a step of lending."""
+def draw_step(draws: ScheduleDraws) -> tuple[MessageKind, int]:
+    """Return a random step's kind and ordinal."""
     return list(KINDS.values())[draws(3)], 1 + draws(20)
 
 
-def schedule(nodes: int, seed: int, most: int = 4) -> list[InjectedFault]:
-    """Return a schedule of chance."""
-    return drawn(ScheduleDraws("skew", seed), nodes, messages, FAULTS, 40, most)
+def schedule(nodes: int, seed: int, max_faults: int = MAX_FAULTS) -> list[InjectedFault]:
+    """Return the random schedule of a seed."""
+    return draw_faults(ScheduleDraws("skew", seed), nodes, draw_step, FAULTS, MAX_FAULT_PERIODS, max_faults)
 
 
 def play(
-    nodes: int, seed: int, strikes: list[InjectedFault], rules: type[QuotaLeasing] = QuotaLeasing
+    nodes: int, seed: int, faults: list[InjectedFault], rules: type[QuotaLeasing] = QuotaLeasing
 ) -> QuotaVerdict:
-    """Play a schedule while the demand stands on one node after another.
-
-    Judge the sum, and its use at the end.
-    """
+    """Play a schedule while the demand moves between members; check the sum, and its use at the end."""
     limit = 10.0 * nodes
+    spell_ms = DEMAND_SPELL_PERIODS * PERIOD_MS
 
     def demand(name: str, now: float) -> float:
-        on = f"n{int(now // (20.0 * PERIOD_MS)) % nodes}"
-        return one_rich(limit, nodes, on, 0.6 * nodes)(name, now)
+        on = f"n{int(now // spell_ms) % nodes}"
+        return demand_on_one(limit, nodes, on, 0.6 * nodes)(name, now)
 
-    world = QuotaSimulation(nodes, seed, strikes, limit, demand, doubles=0.02, rules=rules)
-    world.run(60.0 * PERIOD_MS)
+    simulation = QuotaSimulation(nodes, seed, faults, limit, demand, duplication=0.02, rules=rules)
+    simulation.run(PLAYED_PERIODS * PERIOD_MS)
     # To the end of a spell of demand that began after all was well for a lease.
-    spell = 20.0 * PERIOD_MS
-    end = world.last(strikes) + LEASE_PERIODS * PERIOD_MS
-    world.run((end // spell + 2.0) * spell - LOOK_MS)
-    _, used, wanted = world.samples[-1]
-    broken = []
-    if world.most > limit * (1.0 + 1e-9):
-        broken.append(f"all might use {world.most:.2f} of {limit:g}")
-    if used < 0.95 * min(limit, wanted):
-        broken.append(f"{used:.2f} of {min(limit, wanted):.2f} wanted is used at the end")
-    unused = 1.0 - used / min(limit, wanted)
-    return QuotaVerdict(broken, {"the sum": world.most / limit, "unused at the end": unused / 0.05})
-
-
-def hunted(nodes: int, seed: int) -> QuotaVerdict:
+    end = simulation.stop_faults(faults) + LEASE_PERIODS * PERIOD_MS
+    simulation.run((end // spell_ms + 2.0) * spell_ms - SAMPLE_MS)
+    last = simulation.samples[-1]
+    available = min(limit, last.wanted)
+    violations = []
+    if simulation.max_usable > limit * (1.0 + 1e-9):
+        violations.append(f"all might use {simulation.max_usable:.2f} of {limit:g}")
+    if last.used < MIN_USED_SHARE * available:
+        violations.append(f"{last.used:.2f} of {available:.2f} wanted is used at the end")
+    unused = 1.0 - last.used / available
+    nearest = {"the sum": simulation.max_usable / limit, "unused at the end": unused / 0.05}
+    return QuotaVerdict(violations, nearest)
+
+
+def play_seed(nodes: int, seed: int) -> QuotaVerdict:
     """Play the schedule of a seed."""
     return play(nodes, seed, schedule(nodes, seed))
+
+
+# The former name, shared with `replication_schedules`.
+
+hunted = play_seed
--- a/marlseam/cluster/checking/search.py
+++ b/marlseam/cluster/checking/search.py
@@ -1,6 +1,7 @@
-"""Searches of all that can happen in a small size: nearest first, or on ways of chance; pure.
+"""Searches of the states that a small system can reach: all of them, nearest first, or random walks; pure.
 
-A state is hashable; `steps` yields each next one with the step's name, `broken` says whether one must not be.
+A state is hashable; `steps` yields each next state with the step's name, and `is_violation` tells whether a
+state must not be reached.
 """
 
 from collections.abc import Callable, Hashable, Iterator
@@ -10,68 +11,95 @@
 
 State = TypeVar("State", bound=Hashable)
 Steps = Callable[[State], Iterator[tuple[str, State]]]
+Predecessors = dict[State, tuple[State, str] | None]
+Progress = Callable[[int, int], None]
 
 
 class Explored(NamedTuple):
-    """How many states there were, to what depth all of them, and a way to a broken one, if there is one."""
+    """What a search found.
+
+    Attributes:
+        states: how many different states were reached.
+        depth: in how many steps all reachable states were looked at.
+        path: the names of the steps to a violation, empty if there is none.
+    """
 
     states: int
     depth: int
-    way: list[str]
+    path: list[str]
+
+    @property
+    def way(self) -> list[str]:
+        """Return the path, by its former name."""
+        return self.path
 
 
 def explore(
     first: State,
-    steps: Steps,
-    broken: Callable[[State], bool],
+    steps: Steps[State],
+    is_violation: Callable[[State], bool],
     depth: int,
-    states_most: int,
-    tell: Callable[[int, int], None] | None = None,
+    max_states: int,
+    report: Progress | None = None,
 ) -> Explored:
-    """Look at each state up to a depth, nearest first."""
-    came: dict[State, tuple[State, str] | None] = {first: None}
+    """Look at each state up to a depth, nearest first, until a violation or more than `max_states` states.
+
+    `report` is called after each level with its depth and the count of states.
+    """
+    predecessors: Predecessors[State] = {first: None}
     layer = [first]
     for level in range(1, depth + 1):
         following = []
         for state in layer:
-            for name, new in steps(state):
-                if new in came:
+            for name, reached in steps(state):
+                if reached in predecessors:
                     continue
-                came[new] = state, name
-                if broken(new):
-                    return Explored(len(came), level, way(came, new))
-                following.append(new)
-            if len(came) > states_most:
-                return Explored(len(came), level - 1, [])
+                predecessors[reached] = state, name
+                if is_violation(reached):
+                    return Explored(len(predecessors), level, path_to(predecessors, reached))
+                following.append(reached)
+            if len(predecessors) > max_states:
+                return Explored(len(predecessors), level - 1, [])
         layer = following
-        if tell is not None:
-            tell(level, len(came))
+        if report is not None:
+            report(level, len(predecessors))
         if not layer:
-            return Explored(len(came), level, [])
-    return Explored(len(came), depth, [])
+            return Explored(len(predecessors), level, [])
+    return Explored(len(predecessors), depth, [])
 
 
-def way(came: dict[State, tuple[State, str] | None], state: State) -> list[str]:
+def path_to(predecessors: Predecessors[State], state: State) -> list[str]:
     """Return the steps that lead to a state."""
-    found = []
-    while (before := came[state]) is not None:
+    path = []
+    while (before := predecessors[state]) is not None:
         state, name = before
-        found.append(name)
-    return found[::-1]
+        path.append(name)
+    return path[::-1]
 
 
-def wander(
-    first: State, steps: Steps, broken: Callable[[State], bool], walks: int, length: int, seed: int
+def random_walks(
+    first: State,
+    steps: Steps[State],
+    is_violation: Callable[[State], bool],
+    walks: int,
+    length: int,
+    seed: int,
 ) -> list[str]:
-    """Go ways of chance; return one that leads to a broken state, or none: `explore` does not come as far."""
+    """Walk at random, which leads further than `explore`; return the path to a violation, or none."""
     for walk in range(walks):
-        state, gone = first, list[str]()
+        state = first
+        path: list[str] = []
         for at in range(length):
             following = sorted(steps(state), key=lambda step: step[0])
             if not following:
                 break
             name, state = following[number(b"%d:%d:%d" % (seed, walk, at)) % len(following)]
-            gone.append(name)
-            if broken(state):
-                return gone
+            path.append(name)
+            if is_violation(state):
+                return path
     return []
+
+
+# The former name, for modules that do not follow yet.
+
+wander = random_walks
--- a/marlseam/cluster/quota/__init__.py
+++ b/marlseam/cluster/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that hold for a whole cluster, leased between its members."""
+"""Limits that hold for a whole cluster: each member owns a share, and leases are lent between members."""
--- a/marlseam/cluster/quota/demand.py
+++ b/marlseam/cluster/quota/demand.py
@@ -1,144 +1,180 @@
-"""How much of a fleet's limit a member asks for, keeps and gives back, as its demand goes; pure.
+"""How much of a cluster's limit a member requests, keeps and returns as its demand changes; pure.
 
-Room goes where the demand is without swinging: a member asks for what it lacks with some headroom, keeps a
-loan for as long as it needs it, and gives it back only once it has clearly too much. A lender grants half
-of what is free to each that asks, so that one rich member is not emptied by the first.
+The policy moves quota to where the demand is without oscillating: a member requests what it lacks with some
+headroom, renews a lease for as long as it needs it, and returns it only once it has clearly too much. A
+lender grants half of what is free to each that asks, so that the first does not empty it.
 """
 
 from typing import NamedTuple
 
 from marlseam.cluster.quota.leasing import (
     GrantedLease,
+    HeldLease,
     LeaseGrant,
     LeaseMessage,
     LeaseRequest,
     QuotaLeasing,
     QuotaState,
+    SerialNumber,
 )
 from marlseam.random_source import RandomSource
 
-HEADROOM = 0.1  # of its demand, that a member keeps beside it
-TOO_MUCH = 0.3  # of its demand, past which it gives loans back
-ASKS = 4  # members asked a period
-RENEW_AT = 0.5  # of a lease, after which a loan in need is asked for again
-GROWTH = 2.0  # of an ask over the last, where more is lacking: a burst is followed in few periods
+HEADROOM_SHARE = 0.1  # of its demand, that a member keeps beside it
+EXCESS_SHARE = 0.3  # of its demand, beyond which it returns leases
+MAX_LENDERS_PER_PERIOD = 4  # asked for new leases
+RENEW_AT_LEASE_SHARE = 0.5  # of a lease that is left when it is renewed
+REQUEST_GROWTH = 2.0  # of requests over what is lacking: a burst is followed in few periods
+MIN_JITTER, JITTER_SPAN = 0.75, 0.5  # of the time between two checks, in periods
 
 
 class SendLeaseMessage(NamedTuple):
-    """Say this to a member."""
+    """Send a message to a member."""
 
     name: str
     message: LeaseMessage
 
 
 class PersistQuotaState(NamedTuple):
-    """Have all loans on record, then call `kept` with the new ones' ids."""
+    """Make the granted leases durable, then call `on_durable` with the ids of the new ones."""
 
-    lent: tuple[GrantedLease, ...]
-    new: frozenset[tuple[int, int]]
+    granted: tuple[GrantedLease, ...]
+    new_lease_ids: frozenset[SerialNumber]
 
 
 Effect = SendLeaseMessage | PersistQuotaState
 
 
 class DemandEstimator:
-    """One member's part of one limit; `demand` is what it would use now. Times in ms, one's own."""
+    """One member's part of one limit; times in ms on its own clock.
+
+    Call `set_demand` as the demand changes, `tick` when `next_ms` has come, `receive` for each message and
+    `on_durable` once leases are durable.
+
+    Attributes:
+        name: this member's.
+        others: all other members, by name.
+        rules: the lease rules.
+        state: what this member holds of the limit.
+        demand: what it would use now, in units of the limit.
+        next_ms: when `tick` is due.
+        refusals: how often in a row a member had nothing to lend; such members are asked last.
+    """
 
     def __init__(
         self,
         name: str,
         members: frozenset[str],
         rules: QuotaLeasing,
-        held: QuotaState,
+        state: QuotaState,
         period_ms: float,
         seed: int,
-        now: float,
+        now_ms: float,
     ) -> None:
-        """Make one; `held` is what this process begins with (`Lending.restarted`)."""
-        self.name, self.others, self.rules, self.held = name, sorted(members - {name}), rules, held
+        """Begin with a state, as `QuotaLeasing.restarted` returns it."""
+        self.name, self.others = name, sorted(members - {name})
+        self.rules, self.state = rules, state
         self.period_ms, self.chance = period_ms, RandomSource(seed)
-        self.demand, self.next_ms = 0.0, now
-        self.refused: dict[str, int] = {}  # how often in a row a member had nothing: asked last
+        self.demand, self.next_ms = 0.0, now_ms
+        self.refusals: dict[str, int] = {}
 
-    def usable(self, now: float) -> float:
+    def usable(self, now_ms: float) -> float:
         """Return what may be used now."""
-        return self.rules.usable(self.held, now)
+        return self.rules.usable(self.state, now_ms)
 
-    def want(self, now: float, demand: float) -> float:
-        """Note the demand; return how much of it may be used now, at once, without waiting for anybody."""
+    def set_demand(self, now_ms: float, demand: float) -> float:
+        """Note the demand; return how much of it may be used now, without waiting for anybody."""
         self.demand = demand
-        used = min(demand, self.usable(now))
-        self.held = self.held._replace(used=used)
+        used = min(demand, self.usable(now_ms))
+        self.state = self.state._replace(used=used)
         return used
 
-    def tick(self, now: float) -> list[Effect]:
-        """Ask for what is lacking, renew what is needed, give back what is not."""
-        if now < self.next_ms:
+    def tick(self, now_ms: float) -> list[Effect]:
+        """Return what is in excess, renew what is needed, request what is lacking."""
+        if now_ms < self.next_ms:
             return []
-        self.next_ms = now + self.period_ms * (0.75 + 0.5 * self.chance())
-        self.held = self.rules.swept(self.held, now)
-        usable = self.usable(now)
-        self.held = self.held._replace(used=min(self.demand, usable))
+        self.next_ms = now_ms + self.period_ms * (MIN_JITTER + JITTER_SPAN * self.chance())
+        self.state = self.rules.without_expired(self.state, now_ms)
+        usable = self.usable(now_ms)
+        self.state = self.state._replace(used=min(self.demand, usable))
         effects: list[Effect] = []
-        for got in sorted(self.held.got, key=lambda got: got.amount):
-            # Smallest first: of what is too much, the most comes free.
-            if usable - got.amount >= self.demand * (1.0 + HEADROOM) and usable > self.demand * (
-                1.0 + TOO_MUCH
-            ):
-                self.held, give = self.rules.give(self.held, now, got)
-                if give is not None:
-                    usable -= got.amount
-                    effects.append(SendLeaseMessage(got.lender, give))
-        effects += self.renewals(now)
-        lacking = self.demand * (1.0 + HEADROOM) - usable
-        if lacking > max(0.0, self.rules.least) and self.demand > usable * (1.0 - HEADROOM):
-            effects += self.asks(now, lacking)
+        # Smallest first: of what is in excess, the most is returned.
+        for lease in sorted(self.state.held, key=lambda held: held.amount):
+            if self.is_in_excess(lease, usable):
+                self.state, returned = self.rules.return_lease(self.state, now_ms, lease)
+                if returned is not None:
+                    usable -= lease.amount
+                    effects.append(SendLeaseMessage(lease.lender, returned))
+        effects += self.renew_leases(now_ms)
+        lacking = self.demand * (1.0 + HEADROOM_SHARE) - usable
+        is_short = self.demand > usable * (1.0 - HEADROOM_SHARE)
+        if is_short and lacking > max(0.0, self.rules.min_lease):
+            effects += self.request_leases(now_ms, lacking)
         return effects
 
-    def renewals(self, now: float) -> list[Effect]:
-        """Ask again for loans that are half over, once a period each."""
-        effects = []
-        asked = {a.loan for a in self.held.asked if a.loan is not None and now < a.at_ms + self.period_ms}
-        for got in self.held.got:
-            if got.loan not in asked and got.until_ms - now < RENEW_AT * self.rules.lease_ms:
-                self.held, borrow = self.rules.ask(self.held, now, got.lender, got.amount, got.loan)
-                effects.append(SendLeaseMessage(got.lender, borrow))
-        return effects
+    def is_in_excess(self, lease: HeldLease, usable: float) -> bool:
+        """Return whether there is too much, and without this lease still enough with headroom."""
+        has_too_much = usable > self.demand * (1.0 + EXCESS_SHARE)
+        return has_too_much and usable - lease.amount >= self.demand * (1.0 + HEADROOM_SHARE)
 
-    def asks(self, now: float, lacking: float) -> list[Effect]:
-        """Ask some members for what is lacking, those that had nothing last time after the others."""
-        order = sorted(self.others, key=lambda name: (self.refused.get(name, 0), self.chance()))
-        effects = []
-        for name in order[:ASKS]:
-            # Each may have only a part: what is too much is given back.
-            self.held, borrow = self.rules.ask(self.held, now, name, GROWTH * lacking / ASKS)
-            effects.append(SendLeaseMessage(name, borrow))
+    def renew_leases(self, now_ms: float) -> list[Effect]:
+        """Request the renewal of leases that expire soon, once a period each."""
+        effects: list[Effect] = []
+        requested = {
+            pending.renewed_lease_id
+            for pending in self.state.pending_requests
+            if pending.renewed_lease_id is not None and now_ms < pending.sent_ms + self.period_ms
+        }
+        for lease in self.state.held:
+            left_ms = lease.expires_ms - now_ms
+            if lease.lease_id not in requested and left_ms < RENEW_AT_LEASE_SHARE * self.rules.lease_ms:
+                self.state, request = self.rules.request(
+                    self.state, now_ms, lease.lender, lease.amount, lease.lease_id
+                )
+                effects.append(SendLeaseMessage(lease.lender, request))
         return effects
 
-    def heard(self, now: float, sender: str, message: LeaseMessage) -> list[Effect]:
-        """Take in a message."""
+    def request_leases(self, now_ms: float, lacking: float) -> list[Effect]:
+        """Request what is lacking from some members, last from those that had nothing before."""
+        order = sorted(self.others, key=lambda name: (self.refusals.get(name, 0), self.chance()))
         effects: list[Effect] = []
-        if type(message) is LeaseRequest:
-            before = self.held.unsaid
-            self.held, lend = self.rules.borrows(self.held, now, sender, message)
-            if lend is not None:
-                effects.append(SendLeaseMessage(sender, lend))
-            elif self.held.unsaid != before:
-                new = frozenset(row[1].loan for row in self.held.unsaid if row not in before)
-                effects.append(PersistQuotaState(self.held.lent, new))
-        elif type(message) is LeaseGrant:
-            if not message.amount:
-                self.refused[sender] = self.refused.get(sender, 0) + 1
-            else:
-                self.refused.pop(sender, None)
-            self.held, give = self.rules.lends(self.held, now, sender, message)
-            if give is not None:
-                effects.append(SendLeaseMessage(sender, give))
-        else:
-            self.held = self.rules.gives(self.held, sender, message)
+        for name in order[:MAX_LENDERS_PER_PERIOD]:
+            # Each may have only a part of it: what is in excess is returned.
+            amount = REQUEST_GROWTH * lacking / MAX_LENDERS_PER_PERIOD
+            self.state, request = self.rules.request(self.state, now_ms, name, amount)
+            effects.append(SendLeaseMessage(name, request))
         return effects
 
-    def kept(self, now: float, new: frozenset[tuple[int, int]]) -> list[Effect]:
-        """Say the grants that are on record now."""
-        self.held, lends = self.rules.durable(self.held, now, new)
-        return [SendLeaseMessage(name, lend) for name, lend in lends]
+    def receive(self, now_ms: float, sender: str, message: LeaseMessage) -> list[Effect]:
+        """Handle a message."""
+        if isinstance(message, LeaseRequest):
+            return self.handle_request(now_ms, sender, message)
+        if isinstance(message, LeaseGrant):
+            return self.handle_grant(now_ms, sender, message)
+        self.state = self.rules.handle_return(self.state, sender, message)
+        return []
+
+    def handle_request(self, now_ms: float, sender: str, request: LeaseRequest) -> list[Effect]:
+        """Answer a request at once, or have a new grant made durable first."""
+        before = self.state.unsent_grants
+        self.state, grant = self.rules.handle_request(self.state, now_ms, sender, request)
+        if grant is not None:
+            return [SendLeaseMessage(sender, grant)]
+        if self.state.unsent_grants == before:
+            return []
+        added = [unsent for unsent in self.state.unsent_grants if unsent not in before]
+        new_lease_ids = frozenset(unsent.grant.lease_id for unsent in added)
+        return [PersistQuotaState(self.state.granted, new_lease_ids)]
+
+    def handle_grant(self, now_ms: float, sender: str, grant: LeaseGrant) -> list[Effect]:
+        """Take a lease, and note which members have nothing to lend."""
+        if grant.amount:
+            self.refusals.pop(sender, None)
+        else:
+            self.refusals[sender] = self.refusals.get(sender, 0) + 1
+        self.state, returned = self.rules.handle_grant(self.state, now_ms, sender, grant)
+        return [] if returned is None else [SendLeaseMessage(sender, returned)]
+
+    def on_durable(self, now_ms: float, lease_ids: frozenset[SerialNumber]) -> list[Effect]:
+        """Send the grants whose records are durable now."""
+        self.state, grants = self.rules.send_durable(self.state, now_ms, lease_ids)
+        return [SendLeaseMessage(borrower, grant) for borrower, grant in grants]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,7 +14,8 @@
 
 from marlseam.cli import fleet as command
 from marlseam.cluster.checking import membership_schedules
-from marlseam.cluster.checking.membership_schedules import InjectedFault
+from marlseam.cluster.checking.fault_schedules import shrink
+from marlseam.cluster.checking.simulation import InjectedFault
 from marlseam.cluster.membership import DuplicateMember, MemberChanged, Membership
 from marlseam.cluster.membership_codec import (
     MAX_DATAGRAM_BYTES,
@@ -130,7 +131,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_schedule_of_faults_breaks_no_bound(seed):
-    assert not membership_schedules.hunted(5, seed).broken
+    assert not membership_schedules.play_seed(5, seed).violations
 
 
 class NoRefutation(Membership):
@@ -156,7 +157,7 @@
         if member.state is None or member.state.status != MemberStatus.DEAD:
             super().send(to, kind, sequence, subject)
 
-    def would_refute(self, name):
+    def would_refute(self, _name):
         return False
 
 
@@ -180,7 +181,7 @@
 class EndlessSuspicion(Membership):
     """Planted: a suspicion never times out."""
 
-    def suspicion_ms(self, confirmations):
+    def suspicion_ms(self, _confirmations):
         return float("inf")
 
 
@@ -209,15 +210,16 @@
 ]
 
 
-@pytest.mark.parametrize(("machine", "strikes"), PLANTED, ids=lambda value: getattr(value, "__name__", ""))
-def test_a_planted_defect_is_found(machine, strikes):
-    assert not membership_schedules.play(5, 1, strikes).broken
-    assert membership_schedules.play(5, 1, strikes, machine).broken
+@pytest.mark.parametrize(("machine", "faults"), PLANTED, ids=lambda value: getattr(value, "__name__", ""))
+def test_a_planted_defect_is_found(machine, faults):
+    assert not membership_schedules.play(5, 1, faults).violations
+    assert membership_schedules.play(5, 1, faults, machine).violations
 
 
 def test_a_schedule_is_cut_down_to_what_breaks_the_bound():
     more = InjectedFault("n1", True, DatagramKind.ACK, 9, "hold", "n0", 2000.0)
-    assert membership_schedules.shrunk(5, 1, [more, SHORT, LATER], IgnoresOtherGenerations) == [SHORT, LATER]
+    shrunk = shrink(5, 1, [more, SHORT, LATER], IgnoresOtherGenerations, play=membership_schedules.play)
+    assert shrunk == [SHORT, LATER]
 
 
 # The wire.
@@ -306,7 +308,7 @@
 
 def test_status_exits_with_1_where_a_member_is_not_alive(peers, until, monkeypatch):
     until(lambda: len(peers["a"].machine.alive_members()) == 2)
-    monkeypatch.setattr(command, "ask", lambda address: json.loads(peers["a"].status()))
+    monkeypatch.setattr(command, "ask", lambda _address: json.loads(peers["a"].status()))
     good = CliRunner().invoke(command.group, ["status", "--at", "x"])
     assert good.exit_code == 0 and "as a holds it" in good.output
     peers["a"].machine.merge(GossipEntry("b", MemberState(9, 9, MemberStatus.DEAD)))
