--- a/marlseam/cluster/checking/quota_schedules.py
+++ b/marlseam/cluster/checking/quota_schedules.py
@@ -31,7 +31,7 @@
 LEASE_PERIODS = 10.0
 MAX_DISK_MS = 20.0  # for a record
 SAMPLE_MS = 100.0  # between samples of demand, use and the sum
-DEMAND_SPELL_PERIODS = 20.0  # in which the demand stays on one member
+DEMAND_PHASE_PERIODS = 20.0  # in which the demand stays on one member
 PLAYED_PERIODS = 60.0  # in which faults strike
 MAX_FAULT_PERIODS = 40
 MIN_USED_SHARE = 0.95  # of what is wanted and there, at the end
@@ -208,17 +208,17 @@
 ) -> QuotaVerdict:
     """Play a schedule while the demand moves between members; check the sum, and its use at the end."""
     limit = 10.0 * nodes
-    spell_ms = DEMAND_SPELL_PERIODS * PERIOD_MS
+    phase_ms = DEMAND_PHASE_PERIODS * PERIOD_MS
 
     def demand(name: str, now: float) -> float:
-        on = f"n{int(now // spell_ms) % nodes}"
+        on = f"n{int(now // phase_ms) % nodes}"
         return demand_on_one(limit, nodes, on, 0.6 * nodes)(name, now)
 
     simulation = QuotaSimulation(nodes, seed, faults, limit, demand, duplication=0.02, rules=rules)
     simulation.run(PLAYED_PERIODS * PERIOD_MS)
-    # To the end of a spell of demand that began after all was well for a lease.
+    # To the end of a phase of demand that began after all was well for a lease.
     end = simulation.stop_faults(faults) + LEASE_PERIODS * PERIOD_MS
-    simulation.run((end // spell_ms + 2.0) * spell_ms - SAMPLE_MS)
+    simulation.run((end // phase_ms + 2.0) * phase_ms - SAMPLE_MS)
     last = simulation.samples[-1]
     available = min(limit, last.wanted)
     violations = []
--- a/marlseam/cluster/membership.py
+++ b/marlseam/cluster/membership.py
@@ -72,7 +72,7 @@
     Attributes:
         state: the greatest state heard, None if none was.
         since_ms: when that state was taken over.
-        heard_ms: when its last datagram came, -inf if none did.
+        last_datagram_ms: when its last datagram came, -inf if none did.
         suspected_by: who suspects it, in the order heard; the values mean nothing.
         suspicion_ends_ms: when its suspicion times out, inf if it is not suspected.
         former_generation: of the process that used its name before, `NO_GENERATION` if none did.
@@ -80,7 +80,7 @@
 
     state: MemberState | None = None
     since_ms: float = 0.0
-    heard_ms: float = -inf
+    last_datagram_ms: float = -inf
     suspected_by: dict[str, None] = field(default_factory=dict)
     suspicion_ends_ms: float = inf
     former_generation: int = NO_GENERATION
@@ -243,7 +243,7 @@
         member = self.members.get(datagram.sender)
         if member is None:
             return self.effects  # it belonged, or is to: others know it already, or still
-        member.heard_ms = now_ms
+        member.last_datagram_ms = now_ms
         self.merge(GossipEntry(datagram.sender, datagram.sender_state))
         for entry in datagram.entries:
             self.merge(entry)
@@ -439,8 +439,8 @@
         first = [to] if to in self.members and self.would_refute(to) else []
         changed = self.gossip.next_batch(MAX_GOSSIP_ENTRIES - REFRESH_ENTRIES - 1)
         if not self.refresh_order:
-            heard = [name for name, member in self.members.items() if member.state is not None]
-            self.refresh_order = self.shuffled(heard)
+            known = [name for name, member in self.members.items() if member.state is not None]
+            self.refresh_order = self.shuffled(known)
         refreshed = [self.refresh_order.pop() for _ in range(min(REFRESH_ENTRIES, len(self.refresh_order)))]
         return [self.entry_of(name) for name in dict.fromkeys([*first, *changed, *refreshed])]
 
--- a/marlseam/net/membership_service.py
+++ b/marlseam/net/membership_service.py
@@ -54,7 +54,7 @@
     MemberStatus.LEFT: "left",
 }
 NOT_JOINED = "out"
-NOT_HEARD = "unheard"
+NO_STATUS = "unheard"
 
 
 def status_word(state: MemberState) -> str:
@@ -346,11 +346,11 @@
         state, former = member.state, member.former_generation
         return {
             "name": name,
-            "standing": NOT_HEARD if state is None else status_word(state),
+            "standing": NO_STATUS if state is None else status_word(state),
             "life": None if state is None else state.generation,
             "incarnation": None if state is None else state.incarnation,
             "since_ms": round(now_ms - member.since_ms),
-            "heard_ms": None if member.heard_ms == -inf else round(now_ms - member.heard_ms),
+            "heard_ms": None if member.last_datagram_ms == -inf else round(now_ms - member.last_datagram_ms),
             "suspected_by": sorted(member.suspected_by),
             "former_life": None if former == NO_GENERATION else former,
         }
