--- a/examples/members.py
+++ b/examples/members.py
@@ -1,12 +1,13 @@
-"""Seven nodes of one fleet on loopback, with stand-in executors and a roster, under load until Ctrl-C.
+"""Seven nodes of one cluster on loopback, with stand-in servers and an endpoint list, until Ctrl-C.
 
     PYTHONPATH=. python examples/members.py
 
-Each node is a process of its own, with a ledger of its own. What is printed tells where to ask who is there
-and acts on what, how to publish a change, and how to read the audit; stop a node (kill -STOP), or end it,
-and ask again.
+Each node is a process of its own, with a ledger of its own. What is printed tells where to ask which members
+are alive and on which version they act, how to publish a change, and how to read the audit; stop a node
+(kill -STOP), or end it, and ask again.
 """
 
+import contextlib
 import http.client
 import json
 import signal
@@ -15,6 +16,8 @@
 import sys
 import tempfile
 import time
+from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
 from uuid import uuid4
 
@@ -22,6 +25,10 @@
 from marlseam.world.model import Day, Fleet, Kind, Type, settings
 
 NODES = 7
+VOTERS = ["n0", "n1", "n2"]
+DISCOVERY = "127.0.0.1:8500"
+REQUEST_TIMEOUT_S = 5.0
+REQUEST_INTERVAL_S = 0.02
 DAY = Day(
     seconds=1.0,
     fleet=Fleet(zones=["here"], nodes=NODES, kinds=[Kind(name="plain", executors=3, slots=2, queue=8)]),
@@ -29,73 +36,136 @@
 )
 
 
-def free(kind: int) -> str:
-    """Return an address on loopback that was free a moment ago."""
+def free_address(kind: int) -> str:
+    """Return an address on loopback that was free a moment ago, for sockets of a kind."""
     with socket.socket(socket.AF_INET, kind) as sock:
         sock.bind(("127.0.0.1", 0))
         return "{}:{}".format(*sock.getsockname())
 
 
-def asked(address: str) -> None:
-    """Have one statement run."""
+@dataclass
+class NodeAddresses:
+    """Where a node is reached: by members, by clients and by operators."""
+
+    member: str
+    listen: str
+    admin: str
+
+
+def new_addresses() -> NodeAddresses:
+    """Return free addresses for a node."""
+    return NodeAddresses(
+        member=free_address(socket.SOCK_DGRAM),
+        listen=free_address(socket.SOCK_STREAM),
+        admin=free_address(socket.SOCK_STREAM),
+    )
+
+
+def write_configuration(folder: Path, name: str, nodes: dict[str, NodeAddresses]) -> Path:
+    """Write a node's configuration, with its cluster in a file of its own; return the path of the former."""
+    ledger = ledger_of(folder, name)
+    first_life(ledger, name)
+    members = "\n".join(f'{member} = "{addresses.member}"' for member, addresses in nodes.items())
+    cluster = f'[fleet]\nname = "example"\nfolder = "{ledger}"\nvoters = {json.dumps(VOTERS)}\n'
+    settings_of(folder, name).write_text(f"{cluster}[fleet.members]\n{members}\n")
+    configuration = {
+        "name": name,
+        "listen": nodes[name].listen,
+        "admin": nodes[name].admin,
+        "discovery": DISCOVERY,
+        "settings": settings(DAY, "here"),
+    }
+    path = folder / f"{name}.json"
+    path.write_text(json.dumps(configuration))
+    return path
+
+
+def ledger_of(folder: Path, name: str) -> Path:
+    """Return the folder of a node's ledger."""
+    return folder / "ledgers" / name
+
+
+def settings_of(folder: Path, name: str) -> Path:
+    """Return the file of a node's own settings."""
+    return folder / f"{name}.toml"
+
+
+def start_node(folder: Path, name: str, nodes: dict[str, NodeAddresses]) -> subprocess.Popen:
+    """Start a node."""
+    path = write_configuration(folder, name, nodes)
+    arguments = ["serve", "--config", str(path), "--settings", str(settings_of(folder, name))]
+    return subprocess.Popen([sys.executable, "-m", "marlseam", *arguments])
+
+
+@contextlib.contextmanager
+def running(folder: Path, nodes: dict[str, NodeAddresses]) -> Iterator[dict[str, subprocess.Popen]]:
+    """Run all nodes, the stand-in servers and the endpoint list; end them all afterwards."""
+    servers = subprocess.Popen([sys.executable, str(Path(__file__).with_name("fleet.py"))])
+    processes: dict[str, subprocess.Popen] = {}
     try:
-        call = http.client.HTTPConnection(address, timeout=5.0)
-        head = {"X-Correlation-Id": uuid4().hex, "X-Service-Class": "statement", "X-Time-Left": "5.0"}
-        call.request("POST", "/statement", b'{"work": 50}', head)
-        call.getresponse().read()
-    except (OSError, http.client.HTTPException):
-        pass  # that node is away
+        for name in nodes:
+            processes[name] = start_node(folder, name, nodes)
+        yield processes
+    finally:
+        started = (*processes.values(), servers)
+        for process in started:
+            process.send_signal(signal.SIGTERM)
+            process.send_signal(signal.SIGCONT)  # one that was stopped could not end
+        for process in started:
+            process.wait()
 
 
-def main() -> None:
-    """Run the nodes, and ask one after the other for something."""
-    names = [f"n{i}" for i in range(NODES)]
-    members = "\n".join(f'{name} = "{free(socket.SOCK_DGRAM)}"' for name in names)
-    doors = {name: free(socket.SOCK_STREAM) for name in names}
-    listens = {name: free(socket.SOCK_STREAM) for name in names}
-    roster = subprocess.Popen([sys.executable, str(Path(__file__).with_name("fleet.py"))])
-    nodes: dict[str, subprocess.Popen] = {}
-    with tempfile.TemporaryDirectory() as folder:
-        try:
-            for name in names:
-                ledger = Path(folder, "ledgers", name)
-                first_life(ledger, name)
-                own = Path(folder, f"{name}.toml")
-                head = f'[fleet]\nname = "example"\nfolder = "{ledger}"\nvoters = ["n0", "n1", "n2"]\n'
-                own.write_text(f"{head}[fleet.members]\n{members}\n")
-                values = {"name": name, "listen": listens[name], "admin": doors[name]}
-                values |= {"discovery": "127.0.0.1:8500", "settings": settings(DAY, "here")}
-                path = Path(folder, f"{name}.json")
-                path.write_text(json.dumps(values))
-                words = ["serve", "--config", str(path), "--settings", str(own)]
-                nodes[name] = subprocess.Popen([sys.executable, "-m", "marlseam", *words])
-            for name, node in nodes.items():
-                print(f"{name} is process {node.pid}, its operators' door {doors[name]}", flush=True)
-            change = json.loads(Path(folder, "n0.json").read_text())
-            change["settings"]["requestClasses"][0]["aimUs"] *= 2
-            changed = Path(folder, "change.json")
-            changed.write_text(json.dumps(change))
-            print(
-                f"""
-who is there, and acts on what:  python -m marlseam fleet status --at {doors["n0"]}
-publish a change (--why is kept): python -m marlseam fleet publish {changed} --at {doors["n0"]} --why trial
-stop a node, and let it go on:   kill -STOP {nodes["n5"].pid}; kill -CONT {nodes["n5"].pid}
-who acted on what:               python -m marlseam fleet audit {folder}/ledgers/*
+def write_change(folder: Path) -> Path:
+    """Write a configuration to publish, with another latency objective; return its path."""
+    change = json.loads((folder / "n0.json").read_text())
+    change["settings"]["requestClasses"][0]["aimUs"] *= 2
+    path = folder / "change.json"
+    path.write_text(json.dumps(change))
+    return path
+
+
+def print_commands(folder: Path, nodes: dict[str, NodeAddresses], process: subprocess.Popen) -> None:
+    """Print what may be tried; `process` is a node to stop."""
+    admin, changed = nodes["n0"].admin, write_change(folder)
+    print(
+        f"""
+which members are alive, and act:  python -m marlseam fleet status --at {admin}
+publish a change (--why is kept):  python -m marlseam fleet publish {changed} --at {admin} --why trial
+stop a node, and let it go on:     kill -STOP {process.pid}; kill -CONT {process.pid}
+which node acted on what:          python -m marlseam fleet audit {folder}/ledgers/*
 """,
-                flush=True,
-            )
-            while True:
-                for name in names:
-                    asked(listens[name])
-                    time.sleep(0.02)
-        except KeyboardInterrupt:
-            pass
-        finally:
-            for process in (*nodes.values(), roster):
-                process.send_signal(signal.SIGTERM)
-                process.send_signal(signal.SIGCONT)  # one that was stopped could not end
-            for process in (*nodes.values(), roster):
-                process.wait()
+        flush=True,
+    )
+
+
+def send_request(address: str) -> None:
+    """Have one statement run; a node that is not there is passed over."""
+    headers = {
+        "X-Correlation-Id": uuid4().hex,
+        "X-Service-Class": "statement",
+        "X-Time-Left": str(REQUEST_TIMEOUT_S),
+    }
+    connection = http.client.HTTPConnection(address, timeout=REQUEST_TIMEOUT_S)
+    with contextlib.suppress(OSError, http.client.HTTPException):
+        connection.request("POST", "/statement", b'{"work": 50}', headers)
+        connection.getresponse().read()
+
+
+def main() -> None:
+    """Run the nodes, and send requests to one after the other."""
+    nodes = {f"n{i}": new_addresses() for i in range(NODES)}
+    with (
+        contextlib.suppress(KeyboardInterrupt),
+        tempfile.TemporaryDirectory() as name,
+        running(Path(name), nodes) as processes,
+    ):
+        for node, process in processes.items():
+            print(f"{node} is process {process.pid}, its operators' door {nodes[node].admin}", flush=True)
+        print_commands(Path(name), nodes, processes["n5"])
+        while True:
+            for addresses in nodes.values():
+                send_request(addresses.listen)
+                time.sleep(REQUEST_INTERVAL_S)
 
 
 if __name__ == "__main__":
