--- a/marlseam/cli/fleet.py
+++ b/marlseam/cli/fleet.py
@@ -227,17 +227,22 @@
 @click.option("--first", default=0, show_default=True, help="The first seed.")
 @click.option("--nodes", default=7, show_default=True, type=click.IntRange(3, 1000), help="Members.")
 @click.option(
-    "--versions", "of", flag_value="replication_schedules", help="Of versions, in place of membership."
+    "--versions",
+    "module_name",
+    flag_value="replication_schedules",
+    help="Of versions, in place of membership.",
 )
-@click.option("--limits", "of", flag_value="quota_schedules", help="Of a limit shared by lending, likewise.")
-def hunt(seeds: int, first: int, nodes: int, of: str | None) -> None:
+@click.option(
+    "--limits", "module_name", flag_value="quota_schedules", help="Of a limit shared by lending, likewise."
+)
+def hunt(seeds: int, first: int, nodes: int, module_name: str | None) -> None:
     """Search schedules of faults, in virtual time, for one that breaks a bound; ends with 1 if one does.
 
     Prints the schedule that came nearest to each bound, and a shortest one of each that breaks.
     """
     from marlseam.cluster.checking.fault_schedules import shrink
 
-    module = importlib.import_module(f"{CHECKING}.{of or 'membership_schedules'}")
+    module = importlib.import_module(f"{CHECKING}.{module_name or 'membership_schedules'}")
     nearest: dict[str, tuple[float, int]] = {}  # by bound: the largest share of it, and the seed
     violations: list[tuple[int, str]] = []  # seeds, and the first violation of each
     for seed, verdict in play_seeds(module, nodes, range(first, first + seeds)):
--- a/marlseam/cluster/checking/fault_schedules.py
+++ b/marlseam/cluster/checking/fault_schedules.py
@@ -2,7 +2,7 @@
 
 import enum
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 from marlseam.cluster.checking.simulation import PERIOD_MS, InjectedFault
 from marlseam.random_source import RandomSource
@@ -10,6 +10,13 @@
 MAX_FAULTS = 4  # of a schedule
 
 
+class Step(NamedTuple):
+    """A step at which a fault may strike: the n-th datagram of a kind."""
+
+    kind: enum.IntEnum
+    ordinal: int
+
+
 class ScheduleDraws:
     """Random whole numbers, by a seed and a prefix that tells kinds of schedules apart."""
 
--- a/marlseam/cluster/checking/membership_schedules.py
+++ b/marlseam/cluster/checking/membership_schedules.py
@@ -9,6 +9,7 @@
 from marlseam.cluster.checking.fault_schedules import (
     MAX_FAULTS,
     ScheduleDraws,
+    Step,
     draw_faults,
 )
 from marlseam.cluster.checking.simulation import (
@@ -18,13 +19,7 @@
     InjectedFault,
     SimulatedMember,
 )
-from marlseam.cluster.membership import (
-    MAX_LOCAL_HEALTH,
-    DuplicateMember,
-    MemberChanged,
-    Membership,
-    SendDatagram,
-)
+from marlseam.cluster.membership import MAX_LOCAL_HEALTH, Membership
 from marlseam.cluster.membership_codec import (
     DatagramKind,
     InvalidMessageError,
@@ -32,6 +27,7 @@
     read,
     write,
 )
+from marlseam.cluster.membership_types import DuplicateMember, MemberChanged, SendDatagram
 
 CLUSTER = "fleet"
 SETTLE_PERIODS = 4.0  # before the first fault
@@ -40,7 +36,7 @@
 FAULTS = ("kill", "restart", "stop", "cut", "deaf", "mute", "pair", "hold", "twin")
 
 
-def detect_ms(nodes: int, suspicion_ms: float, period_ms: float, health: int) -> float:
+def detection_bound_ms(nodes: int, suspicion_ms: float, period_ms: float, health: int) -> float:
     """Return within what time a silent member is held as dead by each one that is well.
 
     Each pings each other at least once in two rounds of its order, less one; a ping takes a period, and each
@@ -49,7 +45,7 @@
     return (2.0 * (nodes - 1) + 1.0) * period_ms * (1.0 + health) + suspicion_ms
 
 
-def heal_ms(nodes: int, period_ms: float) -> float:
+def healing_bound_ms(nodes: int, period_ms: float) -> float:
     """Return within what time, after the last fault, all hold all that live as alive.
 
     A member that was held as dead hears of it with the first answer that it gets, and then each other one
@@ -207,10 +203,10 @@
 # Schedules and runs.
 
 
-def draw_step(draws: ScheduleDraws) -> tuple[DatagramKind, int]:
+def draw_step(draws: ScheduleDraws) -> Step:
     """Return a random step's kind and ordinal: mostly a ping or its answer."""
     kind = DatagramKind(1 + draws(4)) if draws(4) == 0 else DatagramKind(1 + draws(2))
-    return kind, 3 + draws(4) if kind > DatagramKind.ACK else 6 + draws(30)
+    return Step(kind, 3 + draws(4) if kind > DatagramKind.ACK else 6 + draws(30))
 
 
 def schedule(nodes: int, seed: int, max_faults: int = MAX_FAULTS) -> list[InjectedFault]:
@@ -226,9 +222,9 @@
     simulation = MembershipSimulation(nodes, seed, faults, duplication=0.02, machine=machine)
     # By the machine as it should be: one that is tried must not set its own bound.
     suspicion_ms = Membership(CLUSTER, "n0", simulation.names, 0, 0, PERIOD_MS, 0.0).suspicion_ms(0)
-    detect = detect_ms(nodes, suspicion_ms, PERIOD_MS, MAX_LOCAL_HEALTH) * (1.0 + 2.0 * DRIFT)
-    detect_alone = detect_ms(nodes, suspicion_ms, PERIOD_MS, 0) * (1.0 + 2.0 * DRIFT)
-    heal = heal_ms(nodes, PERIOD_MS) * (1.0 + 2.0 * DRIFT)
+    detect = detection_bound_ms(nodes, suspicion_ms, PERIOD_MS, MAX_LOCAL_HEALTH) * (1.0 + 2.0 * DRIFT)
+    detect_alone = detection_bound_ms(nodes, suspicion_ms, PERIOD_MS, 0) * (1.0 + 2.0 * DRIFT)
+    heal = healing_bound_ms(nodes, PERIOD_MS) * (1.0 + 2.0 * DRIFT)
     simulation.run(SETTLE_PERIODS * PERIOD_MS)
     violations = []
     if simulation.is_fault_free(0.0, simulation.now):
@@ -255,3 +251,4 @@
 # Former names, for modules that do not follow yet.
 
 hunted, drawn = play_seed, draw_faults
+detect_ms, heal_ms = detection_bound_ms, healing_bound_ms
--- a/marlseam/cluster/checking/quota_schedules.py
+++ b/marlseam/cluster/checking/quota_schedules.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from marlseam.cluster.checking.fault_schedules import MAX_FAULTS, ScheduleDraws, draw_faults
+from marlseam.cluster.checking.fault_schedules import MAX_FAULTS, ScheduleDraws, Step, draw_faults
 from marlseam.cluster.checking.simulation import (
     DRIFT,
     PERIOD_MS,
@@ -193,9 +193,9 @@
     return lambda member, _now: shares * share if member == name else 0.1 * share
 
 
-def draw_step(draws: ScheduleDraws) -> tuple[MessageKind, int]:
+def draw_step(draws: ScheduleDraws) -> Step:
     """Return a random step's kind and ordinal."""
-    return list(KINDS.values())[draws(3)], 1 + draws(20)
+    return Step(list(KINDS.values())[draws(3)], 1 + draws(20))
 
 
 def schedule(nodes: int, seed: int, max_faults: int = MAX_FAULTS) -> list[InjectedFault]:
--- a/marlseam/cluster/membership.py
+++ b/marlseam/cluster/membership.py
@@ -11,9 +11,7 @@
 Times are in ms on the member's own clock. Who may belong is configured; who is alive is found out.
 """
 
-from dataclasses import dataclass, field
 from math import inf, log, log10
-from typing import NamedTuple
 
 from marlseam.cluster.dissemination import GossipQueue
 from marlseam.cluster.membership_codec import (
@@ -26,6 +24,14 @@
     MemberState,
     MemberStatus,
 )
+from marlseam.cluster.membership_types import (
+    DuplicateMember,
+    Effect,
+    Member,
+    MemberChanged,
+    PendingProbe,
+    SendDatagram,
+)
 from marlseam.random_source import RandomSource
 
 INDIRECT_PROBES = 3  # members that are asked to probe one that does not answer
@@ -38,83 +44,6 @@
 MAX_LOCAL_HEALTH = 3  # of the local health multiplier less one; 0 is healthy
 REFRESH_ENTRIES = 2  # members per datagram that are sent in turn, changed or not
 MAX_GAP_PERIODS = 2.0  # between two events; after a longer one the process itself was stopped
-NO_GENERATION = -1
-
-
-class SendDatagram(NamedTuple):
-    """Send a datagram to a member."""
-
-    to: str
-    datagram: Datagram
-
-
-class MemberChanged(NamedTuple):
-    """A member has another status, or another process uses its name."""
-
-    name: str
-    state: MemberState
-
-
-class DuplicateMember(NamedTuple):
-    """Two processes use one member's name: one whose name another had taken over was heard again."""
-
-    name: str
-    generation: int
-
-
-Effect = SendDatagram | MemberChanged | DuplicateMember
-
-
-@dataclass(slots=True)
-class Member:
-    """What is held of one other member.
-
-    Attributes:
-        state: the greatest state heard, None if none was.
-        since_ms: when that state was taken over.
-        last_datagram_ms: when its last datagram came, -inf if none did.
-        suspected_by: who suspects it, in the order heard; the values mean nothing.
-        suspicion_ends_ms: when its suspicion times out, inf if it is not suspected.
-        former_generation: of the process that used its name before, `NO_GENERATION` if none did.
-    """
-
-    state: MemberState | None = None
-    since_ms: float = 0.0
-    last_datagram_ms: float = -inf
-    suspected_by: dict[str, None] = field(default_factory=dict)
-    suspicion_ends_ms: float = inf
-    former_generation: int = NO_GENERATION
-
-    @property
-    def is_alive(self) -> bool:
-        """Return whether the member counts as alive; a suspected one does."""
-        return self.state is not None and self.state.status <= MemberStatus.SUSPECT
-
-    def state_as(self, status: MemberStatus) -> MemberState:
-        """Return the state that is held, with another status; some state has to be held."""
-        assert self.state is not None
-        return MemberState(self.state.incarnation, self.state.generation, status)
-
-
-@dataclass(slots=True)
-class PendingProbe:
-    """A ping that has no answer yet, sent for this member itself or for another.
-
-    Attributes:
-        name: the member that was pinged.
-        times_out_ms: when the probe counts as missed.
-        indirect_ms: when others are asked to probe, inf once they are or if nobody is to be.
-        requester: the member that asked for this probe, empty if it is our own.
-        requester_sequence: the number under which it asked.
-        awaited_nacks: helpers that have not said yet that they have no answer either.
-    """
-
-    name: str
-    times_out_ms: float
-    indirect_ms: float = inf
-    requester: str = ""
-    requester_sequence: int = 0
-    awaited_nacks: int = 0
 
 
 class Membership:
--- a/marlseam/experiment/size_members.py
+++ b/marlseam/experiment/size_members.py
@@ -15,9 +15,8 @@
 from typing import Any, NamedTuple
 from zlib import crc32
 
-from marlseam.cluster.checking.membership_schedules import PERIOD_MS, detect_ms
+from marlseam.cluster.checking.membership_schedules import PERIOD_MS, detection_bound_ms
 from marlseam.cluster.membership import Membership
-from marlseam.cluster.membership import SendDatagram as Post
 from marlseam.cluster.membership_codec import (
     MAX_DATAGRAM_BYTES,
     VERSION,
@@ -29,6 +28,7 @@
     read,
     write,
 )
+from marlseam.cluster.membership_types import SendDatagram
 from marlseam.configuration import ClusterSettings
 from marlseam.experiment import file, size, slope
 from marlseam.experiment.file import Experiment
@@ -140,7 +140,7 @@
         """Send a member's letters, and wake it when it asks for that."""
         machine, clock = self.members[name], self.clocks[name]
         for effect in effects:
-            if type(effect) is Post:
+            if type(effect) is SendDatagram:
                 data = clock.do(write, effect.datagram)
                 self.letters += 1
                 self.bytes += len(data)
@@ -263,7 +263,7 @@
         "zone_bytes_s": zone.bytes * each,
         "zone_turn_ms": zone_turn,
         "memory_mb": memory_mb(count),
-        "gone_bound_s": detect_ms(count, suspicion, PERIOD_MS, 0) / 1000.0,
+        "gone_bound_s": detection_bound_ms(count, suspicion, PERIOD_MS, 0) / 1000.0,
     } | door(world.names)
 
 
--- a/marlseam/net/membership_service.py
+++ b/marlseam/net/membership_service.py
@@ -18,14 +18,7 @@
 from typing import TYPE_CHECKING, Any
 
 from marlseam import __version__
-from marlseam.cluster.membership import (
-    NO_GENERATION,
-    Effect,
-    Member,
-    MemberChanged,
-    Membership,
-    SendDatagram,
-)
+from marlseam.cluster.membership import Membership
 from marlseam.cluster.membership_codec import (
     MAX_DATAGRAM_BYTES,
     InvalidMessageError,
@@ -34,6 +27,13 @@
     read,
     write,
 )
+from marlseam.cluster.membership_types import (
+    NO_GENERATION,
+    Effect,
+    Member,
+    MemberChanged,
+    SendDatagram,
+)
 from marlseam.configuration import ClusterSettings, member_address
 from marlseam.net.log import Log
 from marlseam.net.loop import READ, Coroutine, Loop
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,7 +16,7 @@
 from marlseam.cluster.checking import membership_schedules
 from marlseam.cluster.checking.fault_schedules import shrink
 from marlseam.cluster.checking.simulation import InjectedFault
-from marlseam.cluster.membership import DuplicateMember, MemberChanged, Membership
+from marlseam.cluster.membership import Membership
 from marlseam.cluster.membership_codec import (
     MAX_DATAGRAM_BYTES,
     MAX_GOSSIP_ENTRIES,
@@ -30,6 +30,7 @@
     read,
     write,
 )
+from marlseam.cluster.membership_types import DuplicateMember, MemberChanged
 from marlseam.configuration import ClusterSettings, ConfigError, load
 from marlseam.experiment.file import FileError
 from marlseam.experiment.fleet import Fault, Fleet, Rig
