--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -30,6 +30,7 @@
     read,
     write,
 )
+from marlseam.cluster.membership_invariants import violated_invariants
 from marlseam.cluster.membership_types import DuplicateMember, MemberChanged
 from marlseam.configuration import ClusterSettings, ConfigError, load
 from marlseam.experiment.file import FileError
@@ -135,6 +136,38 @@
     assert not membership_schedules.play_seed(5, seed).violations
 
 
+class ChecksItself(Membership):
+    """Checks its invariants after each event."""
+
+    def tick(self, now_ms):
+        effects = super().tick(now_ms)
+        assert violated_invariants(self) == []
+        return effects
+
+    def receive(self, now_ms, datagram):
+        effects = super().receive(now_ms, datagram)
+        assert violated_invariants(self) == []
+        return effects
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_invariants_hold_after_each_event_of_a_schedule_of_faults(seed):
+    faults = membership_schedules.schedule(5, seed)
+    assert not membership_schedules.play(5, seed, faults, ChecksItself).violations
+
+
+def test_a_violated_invariant_is_described():
+    a = member()
+    a.merge(GossipEntry("b", MemberState(0, 9, MemberStatus.SUSPECT), "c"))
+    assert violated_invariants(a) == []
+    a.suspected.clear()
+    a.gossip.order.clear()
+    a.ping("c")
+    del a.members["c"]
+    a.local_health = -1
+    assert len(violated_invariants(a)) == 4
+
+
 class NoRefutation(Membership):
     """Planted: never raises its incarnation, whatever others hold of it."""
 
