--- a/marlseam/core/reducer.py
+++ b/marlseam/core/reducer.py
@@ -48,7 +48,9 @@
     TimerFired,
 )
 from marlseam.core.idempotency import AttemptRecord, IdempotencyRecords
-from marlseam.decisions.dispatcher import COLD, Dispatcher, RequestState
+from marlseam.decisions.dispatcher import Dispatcher
+from marlseam.decisions.request_state import RequestState
+from marlseam.decisions.slow_start import SLOW_START_PLANNED_SHARE
 from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind, Outcome
 from marlseam.decisions.types import Idempotency as Repeat
 
@@ -106,7 +108,7 @@
     def send(self, state: RequestState, server: int, deadline_ms: float) -> None:
         """Send a request to a server; under a key it is noted first, with the pod that it may run on."""
         key, node, type, begin_ms = state.request.idempotency_key, self.dispatcher, state.request_class, inf
-        earlier = [a for a in state.traces() if a is not state.attempts[-1]]
+        earlier = [a for a in state.attempts_that_may_have_run() if a is not state.attempts[-1]]
         if earlier and type.idempotency is KEYED:  # after that its pods need not know it any more
             begin_ms = earlier[0].sent_ms + type.deduplication_window_ms - self.clock
         if key is not None and type.idempotency is not SAFE:
@@ -134,11 +136,11 @@
     def abort(self, state: RequestState) -> None:
         """Give the final answer `aborted`, or `deferred` where all that is against it has not begun."""
         out, node = tuple(i for i, a in enumerate(state.attempts) if a.outcome is None), self.dispatcher
-        if len(out) == len(state.traces()):
-            retry_after_ms = min(node.rest_ms, node.settings.max_retry_after_ms) if out else 0.0
-            self.effects.append(Fail(state.request.request_id, state.unfit, out, retry_after_ms))
+        if len(out) == len(state.attempts_that_may_have_run()):
+            retry_after_ms = min(node.ejection_base_ms, node.settings.max_retry_after_ms) if out else 0.0
+            self.effects.append(Fail(state.request.request_id, state.is_invalid, out, retry_after_ms))
         else:
-            self.effects.append(Fail(state.request.request_id, state.unfit))
+            self.effects.append(Fail(state.request.request_id, state.is_invalid))
 
     def probe(self, server: int) -> None:
         """Ask a server for its report."""
@@ -178,20 +180,20 @@
         """Hand new settings on; open work keeps to an order that they newly ask for."""
         self.dispatcher.configure(event.settings)
         for state in self.open.values():
-            self.dispatcher.line_up(state)
+            self.dispatcher.join_key_queue(state)
 
     def update_endpoints(self, event: EndpointListUpdate) -> None:
         """Hand discovery's news on under dense indices."""
         members = [Endpoint(self.server(e[0]), *e[1:], crc32(e[0].encode())) for e in event.entries]
         node = self.dispatcher
-        born = {e: node.born[e] for e in node.watched}
+        born = {e: node.process_started_ms[e] for e in node.monitored}
         node.update_endpoints(event.update_kind, members, event.doubt)
         for e, ms in born.items():
-            if node.endpoint_state[e] is not EndpointState.READY or node.born[e] != ms:
+            if node.endpoint_state[e] is not EndpointState.READY or node.process_started_ms[e] != ms:
                 # Guards a drain, and a cold start, against what is still on its way out: a send counts from
                 # its first byte, which may come a connect's time after the choice.
                 self.effects += [
-                    CancelAttempt(state.request.request_id, i, False) for state, i in node.own[e]
+                    CancelAttempt(state.request.request_id, i, False) for state, i in node.own_attempts[e]
                 ]
         if event.update_kind is ListUpdateKind.FAILED:
             return
@@ -215,11 +217,11 @@
         )
         for name in [name for name, since in self.gone.items() if since < long_ago]:
             e = self.index[name]
-            if not node.own[e] and node.asked_ms[e] is None:
+            if not node.own_attempts[e] and node.probe_sent_ms[e] is None:
                 # Guards the sums by kind where draining alone binds: one off the list may still be in use.
-                node.leave({e})
-                node.unlisted.pop(e, None)
-                node.clear(e)
+                node.remove({e})
+                node.in_use_though_removed.pop(e, None)
+                node.reset(e)
                 self.spare.append(e)
                 del self.gone[name], self.index[name]
 
@@ -248,8 +250,8 @@
             )
         elif not request.is_recordable and request.is_sendable:
             request = replace(request, is_recordable=True)  # it needs no record
-        state = self.dispatcher.take(request)
-        if not state.done:
+        state = self.dispatcher.accept(request)
+        if not state.is_answered:
             self.open[event.request.request_id] = state
 
     def due(self, event: TimerFired) -> None:
@@ -261,20 +263,20 @@
     def probed(self, event: ProbeEnded) -> None:
         """Hand a probe's end on."""
         e = self.index[event.server]
-        self.dispatcher.probed(e, event.outcome, event.lag_ms, event.report)
+        self.dispatcher.probe_ended(e, event.outcome, event.lag_ms, event.report)
 
     def told(self, event: GossipReceived) -> None:
         """Hand another node's message on."""
-        self.dispatcher.told(event.peer, self.clock, event.message)
+        self.dispatcher.merge_gossip(event.peer, self.clock, event.message)
 
     def settled(self, event: AttemptEnded) -> None:
         """Hand an attempt's end on, and its result to the client that still waits for it."""
         state = self.open.get(event.request_id)
         if state is None:
             return
-        if event.outcome is Outcome.COMPLETED and not state.done:
+        if event.outcome is Outcome.COMPLETED and not state.is_answered:
             self.effects.append(Respond(event.request_id, event.result))
-        state.settled(event.attempt_index, event.outcome, event.final, event.report)
+        state.attempt_ended(event.attempt_index, event.outcome, event.final, event.report)
         self.forget(event.request_id, state)
 
     def sign(self, event: AttemptStarted | AttemptProgressed | ResponseStreaming) -> None:
@@ -293,12 +295,12 @@
         """Stop all for a request whose client has gone."""
         state = self.open.get(event.request_id)
         if state is not None:
-            state.left()
+            state.close()
             self.forget(event.request_id, state)
 
     def forget(self, request_id: str, state: RequestState) -> None:
         """Drop a request that has its answer and nothing out."""
-        if state.done and all(a.outcome is not None for a in state.attempts):
+        if state.is_answered and all(a.outcome is not None for a in state.attempts):
             del self.open[request_id]
 
     def closing(self, event: ShutdownBegun) -> None:
@@ -319,15 +321,19 @@
     def avoided(self) -> int:
         """Return how many listed servers the decision module avoids now."""
         node = self.dispatcher
-        return sum(s is not EndpointState.GONE and node.avoids(e) for e, s in enumerate(node.endpoint_state))
+        return sum(
+            s is not EndpointState.GONE and node.is_avoided(e) for e, s in enumerate(node.endpoint_state)
+        )
 
     def slow_start(self, name: str, type: int, slots: float) -> tuple[float, float]:
         """Return a server's whole slow start budget in mean requests, inf if warm, and a request's size."""
         e, node = self.index.get(name), self.dispatcher
-        allowance = node.allowance(e) if e is not None else inf
+        allowance = node.slow_start_budget(e) if e is not None else inf
         if allowance == inf:
             return inf, 0.0
-        return allowance / COLD * node.settings.overload_window_ms, node.run[type] * slots / node.mean_area
+        return allowance / SLOW_START_PLANNED_SHARE * node.settings.overload_window_ms, node.mean_run_ms[
+            type
+        ] * slots / node.mean_slot_ms
 
     def elsewhere(self, event: PeerAttempt) -> None:
         """Note what another process of this node sends, once: it may have been told in a snapshot too."""
@@ -357,7 +363,7 @@
         """Have a request answered whose sending could not be recorded: nothing more of it may go out."""
         state = self.open.get(event.request_id)
         if state is not None:
-            state.most = 0
+            state.max_attempts = 0
             self.settled(
                 AttemptEnded(event.request_id, event.attempt_index, Outcome.CANCELLED_UNSENT, False, None)
             )
@@ -368,7 +374,7 @@
         if e >= len(node.endpoint_state) or (
             node.endpoint_state[e] is EndpointState.GONE and node.cell[e] != trace.cell
         ):
-            node.enter(Endpoint(e, EndpointState.GONE, -1, trace.zone, trace.cell, None))
+            node.set_endpoint(Endpoint(e, EndpointState.GONE, -1, trace.zone, trace.cell, None))
             self.gone.setdefault(trace.server, self.clock)
         return e
 
--- /dev/null
+++ b/marlseam/decisions/endpoints.py
@@ -0,0 +1,116 @@
+"""The endpoint list: how its updates are taken in, and when discovery is asked again after a failure."""
+
+from marlseam.decisions.admission import Admission
+from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind
+from marlseam.recovery.saved_list import SURE
+
+WEIGHT_AGE_IN_LIST_PERIODS = 0.35  # how old a weight of the list is when it comes, in times between lists
+FIRST_BACKOFF_SHARE = 0.1  # the first poll backoff, in longest poll intervals
+
+
+class EndpointList(Admission):
+    """Takes in updates of the endpoint list."""
+
+    next_poll_ms: float
+    poll_backoff_ms: float
+
+    def update_endpoints(
+        self, update_kind: ListUpdateKind, endpoints: list[Endpoint], doubt: float = 0.0
+    ) -> None:
+        """Take in an update; `doubt` is the chance that an entry of a cached list is no longer true."""
+        if update_kind is ListUpdateKind.FAILED:
+            self.back_off()
+            return
+        now = self.port.now()
+        if update_kind is ListUpdateKind.DELTA:
+            # Only now is the backoff over. Guards against a poll storm where watches fail at once.
+            self.poll_backoff_ms = 0.0
+        else:
+            gone = set(range(len(self.endpoint_state))) - {endpoint.server for endpoint in endpoints}
+            self.remove({server for server in gone if not self.keeps_in_use(server)})
+        endpoints = [
+            endpoint
+            for endpoint in endpoints
+            if endpoint.state is not EndpointState.GONE or not self.keeps_in_use(endpoint.server)
+        ]
+        if self.settings.live_weights and update_kind is ListUpdateKind.DELTA:
+            since_ms = min(now - self.last_delta_ms, 2.0 * self.refresh_period_ms)
+            self.refresh_period_ms += (since_ms - self.refresh_period_ms) / 5.0
+            self.last_delta_ms = now
+        for endpoint in endpoints:
+            self.update_endpoint(endpoint, update_kind, doubt)
+        if self.settings.live_weights:
+            weights = [
+                (endpoint.server, endpoint.weight)
+                for endpoint in endpoints
+                if endpoint.weight and endpoint.state is EndpointState.READY
+            ]
+            self.merge_weights(weights, now - WEIGHT_AGE_IN_LIST_PERIODS * self.refresh_period_ms)
+        self.refresh_derived()
+        self.dispatch_queue()
+
+    def update_endpoint(self, endpoint: Endpoint, update_kind: ListUpdateKind, doubt: float) -> None:
+        """Take in one entry of the list; a server whose process has started anew is reset."""
+        server = endpoint.server
+        self.in_use_though_removed.pop(server, None)
+        self.set_endpoint(endpoint)
+        # Guards a server that may have started since a cached list was saved.
+        started_ms = self.port.now() if doubt > SURE else endpoint.process_started_ms
+        if started_ms is not None and started_ms != self.process_started_ms[server]:
+            self.server_restarted(server, started_ms)
+        elif started_ms is None and update_kind is not ListUpdateKind.CACHED:
+            self.process_started_ms[server] = None
+        self.identity_doubt[server] = doubt
+
+    def refresh_derived(self) -> None:
+        """Bring up to date what follows from the list, and retry what was sent to servers now gone."""
+        before = self.same_zone, self.other_zones
+        self.list_ready(self.settings.zone)
+        if self.settings.fetch_cost and (self.same_zone, self.other_zones) != before:
+            self.build_hash_ring()
+        if self.peer_slots:
+            self.rebuild_others_slots(self.port.now(), self.peer_silence_limit_ms)
+        for server in list(self.monitored):
+            if self.endpoint_state[server] is EndpointState.GONE:
+                self.retry_elsewhere(server)
+
+    def back_off(self) -> None:
+        """Poll again after a failure, in a time that doubles with each failure in a row, spread by chance."""
+        now, longest_ms = self.port.now(), self.settings.max_poll_interval_ms
+        first_ms, spread = FIRST_BACKOFF_SHARE * longest_ms, 0.5 + self.chance()
+        self.poll_backoff_ms = min(2.0 * self.poll_backoff_ms or first_ms, longest_ms)
+        backoff_ms = min(spread * self.poll_backoff_ms, longest_ms)
+        # The time that the failed call took is part of the backoff.
+        due_ms = max(now + spread * first_ms, min(now, self.next_poll_ms) + backoff_ms)
+        self.next_poll_ms = due_ms
+        self.port.after(due_ms - now, lambda: self.poll_endpoints(due_ms))
+
+    def poll_endpoints(self, due_ms: float) -> None:
+        """Ask discovery for its list and its changes, unless a later failure has set another time."""
+        if self.settings.subscribes_to_endpoints and due_ms == self.next_poll_ms:
+            self.port.subscribe()
+
+    def keeps_in_use(self, server: int) -> bool:
+        """Return whether a server that the list calls gone, or leaves out, is still used, and mark it so.
+
+        Where only draining excludes servers the list is no proof of what is up: it stays until it fails.
+        """
+        is_in_use = (
+            server < len(self.endpoint_state)
+            and self.endpoint_state[server] is EndpointState.READY
+            and self.ejected_until_ms[server] is None
+        )
+        if is_in_use and self.settings.only_draining_excludes:
+            self.in_use_though_removed[server] = None
+            return True
+        return False
+
+    def server_restarted(self, server: int, started_ms: float) -> None:
+        """Start afresh with a server whose process has: it is in slow start, and its old counts are void."""
+        self.adjust_sums(server, -1)
+        self.reset_observations(server)
+        self.process_started_ms[server] = started_ms
+        self.adjust_sums(server, 1)
+        self.slow_start_tokens[server] = -self.chance()  # so that the nodes do not all begin at once
+        self.slow_start_refilled_ms[server] = self.port.now()
+        self.retry_elsewhere(server, started_ms)
--- /dev/null
+++ b/marlseam/decisions/gossip.py
@@ -0,0 +1,63 @@
+"""What nodes publish to each other: the slots that their requests take at each server.
+
+A message holds entries of four bytes: three of the server's gossip id, one of the slots.
+"""
+
+from math import ceil
+
+from marlseam.decisions.load_estimates import LoadEstimates
+from marlseam.decisions.types import TrackedRequest
+
+GOSSIP_DELAY_IN_PROBE_TIMEOUTS = 0.3  # how long changes are gathered before they are published
+MAX_SERVERS_PER_MESSAGE = 64
+ENTRY_BYTES, ID_BYTES, MAX_SLOTS = 4, 3, 255
+
+
+class Gossip(LoadEstimates):
+    """Publishes our slots where they have changed, and merges what other nodes publish."""
+
+    def track_attempt(self, server: int, state: TrackedRequest, attempt_index: int, slots: float) -> None:
+        """Note an attempt at a server, or with slots below 0 its end, to be published to the other nodes."""
+        super().track_attempt(server, state, attempt_index, slots)
+        if self.settings.may_gossip:
+            if not self.unpublished_servers:
+                self.port.after(GOSSIP_DELAY_IN_PROBE_TIMEOUTS * self.probe_timeout_ms, self.publish_gossip)
+            self.unpublished_servers[server] = None
+
+    def publish_gossip(self) -> None:
+        """Send the other nodes our slots at each server where they have changed."""
+        for message in self.gossip_messages():
+            self.port.tell(message)
+
+    def gossip_messages(self) -> list[bytes]:
+        """Return messages with our slots where they have changed since the last ones."""
+        entries = [
+            self.gossip_id[server].to_bytes(ID_BYTES, "big")
+            + bytes([min(MAX_SLOTS, ceil(self.own_slots[server]))])
+            for server in self.unpublished_servers
+        ]
+        self.unpublished_servers.clear()
+        starts = range(0, len(entries), MAX_SERVERS_PER_MESSAGE)
+        return [b"".join(entries[start : start + MAX_SERVERS_PER_MESSAGE]) for start in starts]
+
+    def merge_gossip(self, peer: int, now: float, message: bytes) -> None:
+        """Take in another node's message; a rest too short for an entry is left out."""
+        held = self.peer_slots.setdefault(peer, {})
+        self.peer_updated_ms[peer] = now
+        for start in range(0, len(message) - ID_BYTES, ENTRY_BYTES):
+            gossip_id = int.from_bytes(message[start : start + ID_BYTES], "big")
+            slots = message[start + ID_BYTES]
+            before, server = held.pop(gossip_id, 0), self.server_by_gossip_id.get(gossip_id)
+            if slots:
+                held[gossip_id] = slots
+            if server is not None and slots != before:
+                others = max(0.0, (self.others_slots[server] or 0.0) + slots - before)
+                self.set_others_slots(server, others)
+
+    def rebuild_others_slots(self, now: float, max_silence_ms: float) -> None:
+        """Sum up anew what the others have, without nodes that have been silent for longer."""
+        for peer in [peer for peer, at in self.peer_updated_ms.items() if now - at > max_silence_ms]:
+            del self.peer_slots[peer], self.peer_updated_ms[peer]
+        for server, gossip_id in enumerate(self.gossip_id):
+            total = sum(held.get(gossip_id, 0) for held in self.peer_slots.values())
+            self.set_others_slots(server, float(total))
--- /dev/null
+++ b/marlseam/decisions/hedging.py
@@ -0,0 +1,47 @@
+"""Hedging: what is done for requests whose server seems to have lost them."""
+
+from marlseam.decisions.server_selection import ServerSelection
+from marlseam.decisions.types import Attempt, Idempotency, TrackedRequest
+
+ALIVE_IN_PROGRESS_PERIODS = 1.5  # since its last progress, an attempt counts as alive
+
+
+class Hedging(ServerSelection):
+    """Seeks another server for requests at a server that has failed or restarted."""
+
+    def retry_elsewhere(self, server: int, started_ms: float | None = None) -> None:
+        """Retry what a server seems to have lost, as the rules allow.
+
+        `started_ms` is when its process has started anew, which lost all that was sent before. Where the
+        settings permit hedging a second attempt is made beside the first; else the first is cancelled, if
+        another server could take the request.
+        """
+        for state, index in list(self.own_attempts[server]):
+            attempt = state.attempts[index]
+            if self.is_presumed_alive(attempt, started_ms) or not self.may_replace(state, attempt):
+                continue
+            if self.settings.may_hedge:
+                state.retry()
+            elif self.settings.may_cancel and self.has_alternative(state, server):
+                attempt.cancelled = True
+                self.port.cancel(state, index)
+
+    def is_presumed_alive(self, attempt: Attempt, started_ms: float | None) -> bool:
+        """Return whether an attempt still runs, by its progress or by when its server's process started."""
+        if started_ms is not None:
+            return attempt.sent_ms >= started_ms
+        silent_ms = self.port.now() - attempt.last_response_ms
+        limit_ms = ALIVE_IN_PROGRESS_PERIODS * self.settings.progress_period_ms
+        return attempt.progress > 0.0 and silent_ms < limit_ms
+
+    def may_replace(self, state: TrackedRequest, attempt: Attempt) -> bool:
+        """Return whether the rules allow another attempt beside, or in place of, one in flight."""
+        if state.is_answered or state.is_queued or attempt.cancelled:
+            return False
+        if state.request_class.idempotency is Idempotency.UNSAFE:
+            return False
+        return state.in_flight_count() <= 1 and len(state.attempts) < self.settings.max_attempts
+
+    def has_alternative(self, state: TrackedRequest, server: int) -> bool:
+        """Return whether another server could take a request now."""
+        return self.draw_server(lambda other: other != server and state.is_eligible(other)) >= 0
--- /dev/null
+++ b/marlseam/decisions/request_state.py
@@ -0,0 +1,57 @@
+"""One request on this node: its record, and how it takes in what happens to its attempts."""
+
+from marlseam.decisions.former_names import FormerRequestNames
+from marlseam.decisions.key_ordering import MAY_STILL_RUN
+from marlseam.decisions.placement import ForwardProbing
+from marlseam.decisions.request_record import NEVER_RAN
+from marlseam.decisions.types import LoadReport, Outcome
+
+
+class RequestState(FormerRequestNames, ForwardProbing):
+    """A request on this node, from its arrival to its one final answer.
+
+    The rules of what may be attempted are in `eligibility`, the choice of a server in `placement`, further
+    attempts and the final answer in `retry`; the attributes are those of `RequestRecord`.
+    """
+
+    def started(self, attempt_index: int) -> None:
+        """Note that an attempt began to run."""
+        dispatcher, attempt = self.dispatcher, self.attempts[attempt_index]
+        attempt.started_ms = attempt.last_response_ms = dispatcher.port.now()
+        dispatcher.last_response_ms[attempt.server] = attempt.started_ms
+        dispatcher.identity_doubt[attempt.server] = 0.0  # the server reported under its own name
+        dispatcher.learn_wait(attempt, attempt.started_ms - attempt.sent_ms)
+
+    def progress(self, attempt_index: int, share: float) -> None:
+        """Note that an attempt has done a share of its work."""
+        attempt = self.attempts[attempt_index]
+        attempt.last_response_ms = self.dispatcher.last_response_ms[attempt.server] = (
+            self.dispatcher.port.now()
+        )
+        attempt.progress = share
+
+    def streaming(self, attempt_index: int) -> None:
+        """Note that the response is on its way to the client, which thereby has its final answer."""
+        self.started(attempt_index)
+        self.is_answered = True
+
+    def attempt_ended(
+        self, attempt_index: int, outcome: Outcome, final: bool, report: LoadReport | None
+    ) -> None:
+        """Take in how an attempt ended; `final` where its result is the request's final answer."""
+        attempt, dispatcher = self.attempts[attempt_index], self.dispatcher
+        attempt.outcome = outcome
+        if outcome in NEVER_RAN:
+            dispatcher.port.never_ran(self, attempt.server, attempt.sent_ms)
+        # Guards servers against blame, and others against the same again, for a client's own mistake.
+        self.is_invalid = self.is_invalid or outcome is Outcome.INVALID_REQUEST
+        dispatcher.track_attempt(attempt.server, self, attempt_index, -self.request.slots)
+        if self.key_queue is not None and outcome in MAY_STILL_RUN:
+            self.key_queue.pause(dispatcher.port.after, dispatcher.settings.key_gap_ms)
+        dispatcher.record_attempt_end(self, attempt, report)
+        if final or self.is_answered:
+            self.close()
+        elif outcome is not Outcome.CANCELLED_UNSENT or not self.in_flight_count():
+            # An attempt cancelled in favour of another one that is in flight is not replaced.
+            self.retry()
+        dispatcher.dispatch_queue()
--- a/marlseam/decisions/types.py
+++ b/marlseam/decisions/types.py
@@ -50,13 +50,13 @@
     """What is decided of a request."""
 
     HOME = "home"
-    ASK = "home asked"
-    OTHERS = "others asked"
-    PASSED = "passed on"
-    KEPT = "kept at home"
-    LINE = "line"
-    DEFERRAL = "deferral"
-    ABORT = "abort"
+    PROBE_HOME = "home asked"
+    PROBE_OTHERS = "others asked"
+    FORWARDED = "passed on"
+    KEPT_AT_HOME = "kept at home"
+    QUEUED = "line"
+    REJECTED = "deferral"
+    FAILED = "abort"
 
 
 class ListUpdateKind(Enum):
@@ -148,7 +148,7 @@
     cell: int
     process_started_ms: float | None
     weight: float | None = None
-    mark: int = 0  # the same at every node
+    name_hash: int = 0  # the same at every node
 
 
 @dataclass(frozen=True)
@@ -187,7 +187,7 @@
 
     server: int
     sent_ms: float
-    last_heard_ms: float
+    last_response_ms: float
     started_ms: float | None = None
     progress: float = 0.0
     outcome: Outcome | None = None
@@ -196,47 +196,97 @@
 
 
 class TrackedRequest(Protocol):
-    """What taking a request gives: all that happens to it later is a call on this."""
+    """What accepting a request gives: all that happens to it later is a call on this."""
 
     request: Request
+    request_class: RequestClass
     attempts: list[Attempt]
-    done: bool
-    unfit: bool
+    is_answered: bool
+    is_queued: bool
+    is_invalid: bool
 
-    def settled(
+    def in_flight_count(self) -> int:
+        """Return how many attempts have not ended."""
+        ...
+
+    def attempts_that_may_have_run(self) -> list[Attempt]:
+        """Return the attempts that may have had an effect, in the order sent."""
+        ...
+
+    def is_eligible(self, server: int) -> bool:
+        """Return whether a server may get this request at all."""
+        ...
+
+    def retry(self) -> None:
+        """Wait for a further attempt, or answer."""
+        ...
+
+    def attempt_ended(
         self, attempt_index: int, outcome: Outcome, final: bool, report: LoadReport | None
-    ) -> None: ...
+    ) -> None:
+        """Take in how an attempt ended; `final` where its result is the request's final answer."""
+        ...
 
-    def started(self, attempt_index: int) -> None: ...
+    def started(self, attempt_index: int) -> None:
+        """Note that an attempt began to run."""
+        ...
 
-    def progress(self, attempt_index: int, share: float) -> None: ...
+    def progress(self, attempt_index: int, share: float) -> None:
+        """Note that an attempt has done a share of its work."""
+        ...
 
-    def streaming(self, attempt_index: int) -> None: ...
+    def streaming(self, attempt_index: int) -> None:
+        """Note that the response is on its way to the client."""
+        ...
 
-    def left(self) -> None: ...
+    def close(self) -> None:
+        """Cancel what is in flight of a request that needs no answer any more."""
+        ...
 
 
 class Port(Protocol):
-    """What the decision module may ask of the node that it lives in."""
+    """What the decision module may ask of the node that it lives in. Times are milliseconds."""
 
-    def now(self) -> float: ...
+    def now(self) -> float:
+        """Return the time on the node's clock."""
+        ...
 
-    def send(self, state: TrackedRequest, server: int, deadline_ms: float) -> None: ...
+    def send(self, state: TrackedRequest, server: int, deadline_ms: float) -> None:
+        """Send a request's last attempt, which has so much time left."""
+        ...
 
-    def cancel(self, state: TrackedRequest, attempt_index: int) -> None: ...
+    def cancel(self, state: TrackedRequest, attempt_index: int) -> None:
+        """Stop waiting for an attempt."""
+        ...
 
-    def defer(self, state: TrackedRequest, retry_after_ms: float) -> None: ...
+    def defer(self, state: TrackedRequest, retry_after_ms: float) -> None:
+        """Reject a request, with advice on when to come back; 0 for none."""
+        ...
 
-    def abort(self, state: TrackedRequest) -> None: ...
+    def abort(self, state: TrackedRequest) -> None:
+        """Fail a request."""
+        ...
 
-    def probe(self, server: int) -> None: ...
+    def probe(self, server: int) -> None:
+        """Ask a server for its load report."""
+        ...
 
-    def after(self, delay_ms: float, call: Callable[[], None]) -> None: ...
+    def after(self, delay_ms: float, call: Callable[[], None]) -> None:
+        """Call back once a delay has passed."""
+        ...
 
-    def never_ran(self, state: TrackedRequest, server: int, sent_ms: float) -> None: ...
+    def never_ran(self, state: TrackedRequest, server: int, sent_ms: float) -> None:
+        """Note that an attempt provably never ran."""
+        ...
 
-    def subscribe(self) -> None: ...
+    def subscribe(self) -> None:
+        """Ask discovery for its list and its changes."""
+        ...
 
-    def tell(self, message: bytes) -> None: ...
+    def tell(self, message: bytes) -> None:
+        """Publish a gossip message to all other nodes."""
+        ...
 
-    def log(self, text: str) -> None: ...
+    def log(self, text: str) -> None:
+        """Write a line for operators."""
+        ...
--- a/marlseam/experiment/policies.py
+++ b/marlseam/experiment/policies.py
@@ -8,29 +8,30 @@
 from collections.abc import Callable
 
 from marlseam.core import Reducer
-from marlseam.decisions.dispatcher import Dispatcher, RequestState
+from marlseam.decisions.dispatcher import Dispatcher
+from marlseam.decisions.request_state import RequestState
 
 
 class Baseline(RequestState):
     """A work unit placed by a baseline."""
 
-    node: "BaselineDispatcher"
+    dispatcher: "BaselineDispatcher"
 
     def place(self) -> None:
         """Send to the policy's choice among usable executors that fit."""
-        self.lined = False
-        if not self.may_send():
-            self.again()
+        self.is_queued = False
+        if not self.may_attempt():
+            self.retry()
         else:
             self.pick()
 
     def pick(self) -> None:
         """Send to the policy's choice, or wait in line."""
-        e = self.choice()
-        if e < 0:
-            self.hold()
+        server = self.choice()
+        if server < 0:
+            self.enqueue()
         else:
-            self.send(e)
+            self.send(server)
 
     def choice(self) -> int:
         """Return the executor that the policy chooses, or -1."""
@@ -38,14 +39,18 @@
 
     def ready(self) -> list[int]:
         """Return the usable executors that fit."""
-        node = self.node
-        return [e for e in (*node.near, *node.far) if node.usable(e) and self.fits(e)]
+        dispatcher = self.dispatcher
+        return [
+            server
+            for server in (*dispatcher.same_zone, *dispatcher.other_zones)
+            if dispatcher.is_usable(server) and self.is_eligible(server)
+        ]
 
 
 class BaselineDispatcher(Dispatcher):
     """A node that places its work by one of the baselines."""
 
-    turn = -1
+    last_server = -1
 
 
 class AtRandom(Baseline):
@@ -54,7 +59,7 @@
     def choice(self) -> int:
         """Return one at random."""
         ready = self.ready()
-        return ready[int(self.node.chance() * len(ready))] if ready else -1
+        return ready[int(self.dispatcher.chance() * len(ready))] if ready else -1
 
 
 class RoundRobin(Baseline):
@@ -65,8 +70,10 @@
         ready = sorted(self.ready())
         if not ready:
             return -1
-        self.node.turn = next((e for e in ready if e > self.node.turn), ready[0])
-        return self.node.turn
+        self.dispatcher.last_server = next(
+            (server for server in ready if server > self.dispatcher.last_server), ready[0]
+        )
+        return self.dispatcher.last_server
 
 
 class LeastRequests(Baseline):
@@ -74,12 +81,12 @@
 
     def choice(self) -> int:
         """Return the one with the fewest."""
-        node, ready = self.node, self.ready()
+        dispatcher, ready = self.dispatcher, self.ready()
         if not ready:
             return -1
-        least = min(len(node.own[e]) for e in ready)
-        equal = [e for e in ready if len(node.own[e]) == least]
-        return equal[int(node.chance() * len(equal))]
+        least = min(len(dispatcher.own_attempts[server]) for server in ready)
+        equal = [server for server in ready if len(dispatcher.own_attempts[server]) == least]
+        return equal[int(dispatcher.chance() * len(equal))]
 
 
 class TwoChoices(Baseline):
@@ -90,26 +97,32 @@
         ready = self.ready()
         chosen: list[int] = []
         while ready and len(chosen) < 2:
-            chosen.append(ready.pop(int(self.node.chance() * len(ready))))
+            chosen.append(ready.pop(int(self.dispatcher.chance() * len(ready))))
         if not chosen:
-            self.hold()
+            self.enqueue()
         else:
-            self.ask(chosen, self.compare)
+            self.probe(chosen, self.compare)
 
     def compare(self) -> None:
         """Send to the one with the smaller count."""
-        node = self.node
-        good = [e for e in self.asked if node.usable(e) and self.fits(e)]
+        dispatcher = self.dispatcher
+        good = [
+            server
+            for server in self.probed_servers
+            if dispatcher.is_usable(server) and self.is_eligible(server)
+        ]
         if good:
-            self.send(min(good, key=lambda e: (node.count(e), e)))
+            self.send(min(good, key=lambda server: (dispatcher.count(server), server)))
         else:
-            self.hold()
+            self.enqueue()
 
 
-def maker(handle: type[Baseline]) -> Callable[[], Reducer]:
+def maker(state_type: type[Baseline]) -> Callable[[], Reducer]:
     """Return a maker of reducers that place work by a baseline."""
-    dispatcher = type("Baseline" + handle.__name__, (BaselineDispatcher,), {"handle": handle})
-    return type(handle.__name__ + "Core", (Reducer,), {"decider": dispatcher})
+    dispatcher = type(
+        "Baseline" + state_type.__name__, (BaselineDispatcher,), {"request_state_type": state_type}
+    )
+    return type(state_type.__name__ + "Core", (Reducer,), {"decider": dispatcher})
 
 
 POLICIES: dict[str, Callable[[], Reducer]] = {
--- a/marlseam/shadow_policy.py
+++ b/marlseam/shadow_policy.py
@@ -10,11 +10,12 @@
 from zlib import crc32
 
 from marlseam import core
-from marlseam.decisions.dispatcher import Dispatcher, RequestState
+from marlseam.decisions.dispatcher import Dispatcher
+from marlseam.decisions.request_state import RequestState
 from marlseam.decisions.types import Attempt, Decision, Endpoint, ListUpdateKind, Request, Settings
 
 OWN_SEED = 0x5EED  # sets its chance apart from the node's
-WORDS = {core.SendAttempt: Decision.HOME, core.Reject: Decision.DEFERRAL, core.Fail: Decision.ABORT}
+WORDS = {core.SendAttempt: Decision.HOME, core.Reject: Decision.REJECTED, core.Fail: Decision.FAILED}
 
 
 class Mute:
@@ -36,7 +37,7 @@
 class Shadow(RequestState):
     """A request as the second decider knows it: it takes note, and seeks nothing of its own accord."""
 
-    def again(self) -> None:
+    def retry(self) -> None:
         """Leave it to the first decider what follows."""
 
 
@@ -87,7 +88,7 @@
     def arrival(self, followed: core.Reducer, request: Request, effects: Iterable[core.Effect]) -> None:
         """Compare what is first decided of a request."""
         state = followed.open.get(request.request_id)
-        self.node.note(request)
+        self.node.count_arrival(request)
         shadow = self.open[request.request_id] = Shadow(
             self.node, state.request if state is not None else request
         )
@@ -95,82 +96,90 @@
         words = [WORDS[type(effect)] for effect in mine if type(effect) in WORDS]
         if words:
             decided = words[0]
-        elif state is not None and state.asked:
-            decided = Decision.ASK if state.asked == [state.home] else Decision.OTHERS
+        elif state is not None and state.probed_servers:
+            decided = (
+                Decision.PROBE_HOME if state.probed_servers == [state.home_server] else Decision.PROBE_OTHERS
+            )
         else:
-            decided = Decision.LINE
-        other = shadow.first()[0] if shadow.may_send() else self.end(shadow)
+            decided = Decision.QUEUED
+        other = shadow.choose_initial_placement()[0] if shadow.may_attempt() else self.end(shadow)
         self.count(decided, other)
 
     def later(self, followed: core.Reducer, effect: core.Effect) -> Decision:
         """Return what was decided of a request after its arrival."""
         word, state = WORDS[type(effect)], followed.open.get(effect.request_id)
-        if word is not Decision.HOME or state is None or state.asked in ([], [state.home]):
+        if word is not Decision.HOME or state is None or state.probed_servers in ([], [state.home_server]):
             return word
         to = state.attempts[effect.attempt_index].server
-        return Decision.KEPT if to == state.home else Decision.PASSED
+        return Decision.KEPT_AT_HOME if to == state.home_server else Decision.FORWARDED
 
     def opinion(self, followed: core.Reducer, shadow: Shadow, effect: core.Effect) -> Decision:
         """Return what the second decider would do with a request of which the node has decided just now."""
         state = followed.open.get(effect.request_id)
         if type(effect) is not core.SendAttempt or state is None:
-            waits = shadow.may_send() and shadow.slack(min(self.node.kind_pace)) >= 0.0
-            return Decision.LINE if waits else self.end(shadow)
-        shadow.home, shadow.waited, shadow.round_ms = state.home, state.waited, state.round_ms
-        if state.asked in ([], [state.home]):
-            fine = shadow.at(state.home)
-            return Decision.LINE if fine is Decision.OTHERS and state.waited else fine
-        return shadow.among(state.asked)[0]
+            waits = shadow.may_attempt() and shadow.time_to_spare_ms(min(self.node.kind_pace)) >= 0.0
+            return Decision.QUEUED if waits else self.end(shadow)
+        shadow.home_server, shadow.has_waited, shadow.probe_round_ms = (
+            state.home_server,
+            state.has_waited,
+            state.probe_round_ms,
+        )
+        if state.probed_servers in ([], [state.home_server]):
+            fine = shadow.decide_at_home(state.home_server)
+            return Decision.QUEUED if fine is Decision.PROBE_OTHERS and state.has_waited else fine
+        return shadow.pick_probed_server(state.probed_servers)[0]
 
     def end(self, shadow: Shadow) -> Decision:
         """Return the final answer that the second decider would give."""
-        return Decision.DEFERRAL if shadow.may_defer() else Decision.ABORT
+        return Decision.REJECTED if shadow.may_reject_safely() else Decision.FAILED
 
     # What the second decider is told.
 
     def follow(self, followed: core.Reducer, shadow: Shadow, effect: core.Effect) -> None:
         """Note what the node has sent or answered."""
         if type(effect) is core.SendAttempt:
-            e, now = followed.index[effect.server], self.port.clock
-            shadow.attempts.append(Attempt(e, now, now, expected_wait_ms=self.node.wait(e, shadow.request)))
-            self.node.hold(e, shadow, len(shadow.attempts) - 1, shadow.request.slots)
+            server, now = followed.index[effect.server], self.port.clock
+            shadow.attempts.append(
+                Attempt(server, now, now, expected_wait_ms=self.node.expected_wait_ms(server, shadow.request))
+            )
+            self.node.track_attempt(server, shadow, len(shadow.attempts) - 1, shadow.request.slots)
         elif type(effect) in (core.Respond, core.Reject, core.Fail):
-            shadow.done = True
+            shadow.is_answered = True
             self.forget(effect.request_id)
 
     def update_endpoints(self, followed: core.Reducer, event: core.EndpointListUpdate) -> None:
         """Tell it of discovery's news, under the same indices."""
         if event.update_kind is ListUpdateKind.FAILED:
             return
-        for e in followed.spare:  # an index that is free again stands for another server later
-            if e < len(self.node.endpoint_state):
-                self.node.clear(e)
+        for server in followed.spare:  # an index that is free again stands for another server later
+            if server < len(self.node.endpoint_state):
+                self.node.reset(server)
         members = [
-            Endpoint(followed.index[e.server], *e[1:], crc32(e.server.encode()))
-            for e in event.entries
-            if e.server in followed.index
+            Endpoint(followed.index[server.server], *server[1:], crc32(server.server.encode()))
+            for server in event.entries
+            if server.server in followed.index
         ]
         self.node.update_endpoints(event.update_kind, members, event.doubt)
 
     def probed(self, followed: core.Reducer, event: core.ProbeEnded) -> None:
         """Tell it of a probe's end."""
-        self.node.probed(followed.index[event.server], event.outcome, event.lag_ms, event.report)
+        self.node.probe_ended(followed.index[event.server], event.outcome, event.lag_ms, event.report)
 
     def told(self, followed: core.Reducer, event: core.GossipReceived) -> None:
         """Tell it of another node's message."""
-        self.node.told(event.peer, followed.clock, event.message)
+        self.node.merge_gossip(event.peer, followed.clock, event.message)
 
     def due(self, followed: core.Reducer, event: core.TimerFired) -> None:
         """Let it look at what stands, as often as the node does."""
-        if followed.clock - self.swept_ms >= self.node.sweep_ms:
+        if followed.clock - self.swept_ms >= self.node.check_interval_ms:
             self.swept_ms = followed.clock
-            self.node.sweep()
+            self.node.periodic_check()
 
     def settled(self, followed: core.Reducer, event: core.AttemptEnded) -> None:
         """Tell it of an attempt's end."""
         shadow = self.open.get(event.request_id)
         if shadow is not None:
-            shadow.settled(event.attempt_index, event.outcome, event.final, event.report)
+            shadow.attempt_ended(event.attempt_index, event.outcome, event.final, event.report)
             self.forget(event.request_id)
 
     def sign(
@@ -189,13 +198,13 @@
         """Tell it of a client that has gone."""
         shadow = self.open.get(event.request_id)
         if shadow is not None:
-            shadow.done = True
+            shadow.is_answered = True
             self.forget(event.request_id)
 
     def forget(self, request_id: str) -> None:
         """Drop a request that has its answer and nothing out."""
         shadow = self.open[request_id]
-        if shadow.done and not shadow.out():
+        if shadow.is_answered and not shadow.in_flight_count():
             del self.open[request_id]
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -15,7 +15,7 @@
 from marlseam.core import Event
 from marlseam.counters import Counters
 from marlseam.decisions.dispatcher import Dispatcher as Decider
-from marlseam.decisions.dispatcher import RequestState
+from marlseam.decisions.request_state import RequestState
 from marlseam.decisions.types import (
     Attempt,
     DeduplicationScope,
@@ -120,10 +120,10 @@
             ListUpdateKind.FULL,
             [Endpoint(e, EndpointState.READY, 0, 0, cells[e], None) for e in range(len(counts))],
         )
-        node.most_free[0] = 4.0
+        node.max_free_slots[0] = 4.0
         for e, count in enumerate(counts):
-            node.hear(e, count)
-            node.heard_ms[e] = node.port.clock
+            node.set_others_slots(e, count)
+            node.last_report_ms[e] = node.port.clock
         node.port.acts.clear()
         return node
 
@@ -140,7 +140,7 @@
         for executor, outcome in attempts:
             state.attempts.append(Attempt(executor, now, now, outcome=outcome))
             if outcome is None:
-                node.hold(executor, state, len(state.attempts) - 1, slots)
+                node.track_attempt(executor, state, len(state.attempts) - 1, slots)
         return state
 
     return build
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -134,14 +134,14 @@
 
 
 def test_a_forgotten_servers_place_starts_afresh(begun):
-    begun.dispatcher.full[begun.index["e1"]] = True
+    begun.dispatcher.at_capacity[begun.index["e1"]] = True
     begun.reduce(10.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e2")]))
     begun.reduce(1e6, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e2")]))
     begun.reduce(1e6, core.EndpointListUpdate(ListUpdateKind.DELTA, [entry("e3")]))
     assert (
         begun.index == {"e2": 1, "e3": 0}
-        and not begun.dispatcher.full[0]
-        and begun.dispatcher.others[0] is None
+        and not begun.dispatcher.at_capacity[0]
+        and begun.dispatcher.others_slots[0] is None
     )
 
 
@@ -161,7 +161,10 @@
 
 def test_new_settings_keep_what_is_open_and_take_new_request_classes(begun, deployment):
     take(begun)
-    begun.dispatcher.run[0], begun.dispatcher.seen[0] = 77.0, begun.dispatcher.seen[0] + 1.0  # one was seen
+    begun.dispatcher.mean_run_ms[0], begun.dispatcher.run_samples[0] = (
+        77.0,
+        begun.dispatcher.run_samples[0] + 1.0,
+    )  # one was seen
     one, two = deployment.settings.request_classes
     types = (one, replace(two, latency_objective_ms=30.0), one)
     begun.reduce(
@@ -170,10 +173,15 @@
             replace(deployment.settings, request_classes=types, kind_count=3, max_retry_after_ms=9.0)
         ),
     )
-    assert begun.dispatcher.run[:2] == [77.0, 60.0]  # what is learned stays, a guess follows the settings
+    assert begun.dispatcher.mean_run_ms[:2] == [
+        77.0,
+        60.0,
+    ]  # what is learned stays, a guess follows the settings
     assert of(take(begun, "2", type=2), core.SendAttempt)
     assert begun.reduce(9.0, end("1", Outcome.COMPLETED, b"x"))[0] == core.Respond("1", b"x")
-    assert begun.dispatcher.members == [2, 0, 0, 0] and begun.dispatcher.settings.max_retry_after_ms == 9.0
+    assert (
+        begun.dispatcher.ready_count == [2, 0, 0, 0] and begun.dispatcher.settings.max_retry_after_ms == 9.0
+    )
 
 
 @pytest.mark.parametrize("alone", [False, True])
@@ -183,5 +191,5 @@
     for t in (3.0, 4.0 + core.FORGET_AFTER_POLLS * deployment.settings.list_max_age_ms):
         begun.reduce(t, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e1")]))
     node = begun.dispatcher
-    assert list(begun.index) == ["e1"] and not node.unlisted
-    assert (node.members[0], node.known[0]) == (1, 1)
+    assert list(begun.index) == ["e1"] and not node.in_use_though_removed
+    assert (node.ready_count[0], node.reported_count[0]) == (1, 1)
--- a/tests/test_logic.py
+++ b/tests/test_decisions.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from marlseam.decisions.dispatcher import RequestState
+from marlseam.decisions.request_state import RequestState
 from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind, LoadReport, Outcome, Request
 
 RAN = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED, Outcome.STALE_CONNECTION)
@@ -12,34 +12,38 @@
 
 
 def ready(node):
-    return [e for e in range(len(node.endpoint_state)) if node.usable(e)]
+    return [e for e in range(len(node.endpoint_state)) if node.is_usable(e)]
 
 
 def waiting(node, further=False):
-    return sum(len(line) for key, line in node.lines.items() if key[0] is further)
+    return sum(len(line) for key, line in node.pending_queues.items() if key[0] is further)
 
 
 def test_open_work_gets_no_more_attempts_than_were_allowed_then_or_are_now(make, unit):
     node = make(1.0, 1.0, 1.0, max_attempts=2)
     state = unit(node, attempts=((0, Outcome.ERROR), (1, Outcome.ERROR)))
     node.configure(replace(node.settings, max_attempts=4))
-    assert not state.may_send()
+    assert not state.may_attempt()
     later = unit(node, attempts=((0, Outcome.ERROR), (1, Outcome.ERROR)))
-    assert later.may_send()
+    assert later.may_attempt()
     node.configure(replace(node.settings, max_attempts=2))
-    assert not later.may_send()
+    assert not later.may_attempt()
 
 
 def test_a_share_of_the_node_is_a_share_of_a_cold_servers_budget(make):
     node = make(0.0, node_count=2)
-    node.born[0], node.tokens[0], node.token_ms[0] = node.port.clock, 0.0, node.port.clock
+    node.process_started_ms[0], node.slow_start_tokens[0], node.slow_start_refilled_ms[0] = (
+        node.port.clock,
+        0.0,
+        node.port.clock,
+    )
     node.port.clock += 100.0
-    node.warm(0)
-    whole = node.tokens[0]
+    node.has_budget(0)
+    whole = node.slow_start_tokens[0]
     node.configure(replace(node.settings, process_share=0.5))
-    node.tokens[0], node.token_ms[0] = 0.0, node.port.clock - 100.0
-    node.warm(0)
-    assert 0.0 < node.tokens[0] == pytest.approx(whole / 2)
+    node.slow_start_tokens[0], node.slow_start_refilled_ms[0] = 0.0, node.port.clock - 100.0
+    node.has_budget(0)
+    assert 0.0 < node.slow_start_tokens[0] == pytest.approx(whole / 2)
 
 
 # The ordinary path.
@@ -48,39 +52,39 @@
 def test_home_takes_work_at_threshold_plus_one(make, unit):
     node = make(2.0, 1.0)  # mean 1.5, threshold 2
     state = unit(node)
-    state.home = 0
-    state.at_home(state.at(state.home))
+    state.home_server = 0
+    state.place_at_home(state.decide_at_home(state.home_server))
     assert node.port.did("send") == [("send", "w0", 0)]
 
 
 def test_home_over_threshold_plus_one_probes_two_others(make, unit):
     node = make(3.0, 0.0, 0.0, 0.0)
     state = unit(node)
-    state.home = 0
-    state.at_home(state.at(state.home))
+    state.home_server = 0
+    state.place_at_home(state.decide_at_home(state.home_server))
     assert len(node.port.did("probe")) == 2 and ("probe", 0) not in node.port.acts
 
 
 def test_probed_one_that_holds_a_passed_job_is_passed_by(make, unit):
     node = make(3.0, 0.0, 0.0)
     state = unit(node)
-    state.home, state.asked, state.round_ms = 0, [1, 2], node.port.now()
-    node.passed[1] = True
-    state.choose()
+    state.home_server, state.probed_servers, state.probe_round_ms = 0, [1, 2], node.port.now()
+    node.forwarded_since_report[1] = True
+    state.probes_ended()
     assert node.port.did("send") == [("send", "w0", 2)]
 
 
 def test_home_keeps_work_when_nobody_qualifies(make, unit):
     node = make(3.0, 3.0, 3.0)
     state = unit(node)
-    state.home, state.asked, state.round_ms = 0, [1, 2], node.port.now() + 1.0
-    state.choose()
+    state.home_server, state.probed_servers, state.probe_round_ms = 0, [1, 2], node.port.now() + 1.0
+    state.probes_ended()
     assert node.port.did("send") == [("send", "w0", 0)]
 
 
 def test_stale_home_is_asked_first(make, unit):
     node = make(0.0)
-    node.port.clock += 2.0 * node.fresh_ms
+    node.port.clock += 2.0 * node.report_max_age_ms
     unit(node).place()
     assert node.port.did("probe") == [("probe", 0)] and not node.port.did("send")
 
@@ -88,10 +92,10 @@
 def test_probe_that_never_answers_delays_no_work(make, unit):
     node = make(9.0, 0.0, 0.0)
     state = unit(node)
-    state.home = 0
+    state.home_server = 0
     node.port.clock += 1.0
-    state.ask([1, 2], state.choose)
-    node.others[0] = 0.0
+    state.probe([1, 2], state.probes_ended)
+    node.others_slots[0] = 0.0
     node.port.timers[-1][1]()
     assert node.port.did("send") == [("send", "w0", 0)]
 
@@ -108,17 +112,17 @@
 def test_report_of_free_slots_and_queue_makes_a_count(make, unit):
     node = make(0.0)
     unit(node, attempts=((0, None),)).attempts[0].started_ms = 0.0
-    node.take_report(0, LoadReport(queued=2.0, free_slots=1.0), node.port.now())
-    assert node.others[0] == 4.0 and node.count(0) == 5.0
+    node.merge_report(0, LoadReport(queued=2.0, free_slots=1.0), node.port.now())
+    assert node.others_slots[0] == 4.0 and node.count(0) == 5.0
 
 
 def test_wide_work_counts_by_the_slots_that_are_not_free(make):
     # Seen at quito-render: a node that read requests held as slots sent to servers without a free one.
     node = make(0.0)
-    node.take_report(0, LoadReport(held=2.0, free_slots=0.0), node.port.now())
+    node.merge_report(0, LoadReport(held=2.0, free_slots=0.0), node.port.now())
     assert node.count(0) == 4.0
     node.mean_slots = 1.5
-    node.take_report(0, LoadReport(held=6.0, free_slots=0.0), node.port.now())
+    node.merge_report(0, LoadReport(held=6.0, free_slots=0.0), node.port.now())
     assert node.count(0) == 9.0
 
 
@@ -127,19 +131,19 @@
     node = make(*counts, fetch_cost=0.03)
     state = unit(node)
     state.request = replace(state.request, resource_key="k")
-    node.ring = {-1: [(0, 1), (1 << 32, 1)]}
-    node.others[1] = 90.0
-    state.taken += 9999.0  # so there is time to wait
-    assert state.patient() and state.first()[1] == home
+    node.hash_ring = {-1: [(0, 1), (1 << 32, 1)]}
+    node.others_slots[1] = 90.0
+    state.arrived_ms += 9999.0  # so there is time to wait
+    assert state.can_wait_for_affinity() and state.choose_initial_placement().server == home
 
 
 def test_full_marks_a_server_until_its_next_report(make, unit):
     node = make(0.0)
     state = unit(node, attempts=((0, None),))
-    state.settled(0, Outcome.AT_CAPACITY, False, None)
-    assert node.over(0, state.request)
-    node.take_report(0, LoadReport(held=0.0), node.port.now())
-    assert not node.over(0, state.request)
+    state.attempt_ended(0, Outcome.AT_CAPACITY, False, None)
+    assert node.is_over_threshold(0)
+    node.merge_report(0, LoadReport(held=0.0), node.port.now())
+    assert not node.is_over_threshold(0)
 
 
 def test_same_seed_draws_the_same(make):
@@ -151,7 +155,7 @@
 
 def test_guard_answers_before_the_hard_limit(make):
     node = make(0.0)
-    node.take(Request("w", 2, node.port.clock + 5000.0))
+    node.accept(Request("w", 2, node.port.clock + 5000.0))
     at, guard = max(node.port.timers, key=lambda timer: timer[0])
     assert at < node.port.clock + 5000.0
     guard()
@@ -169,10 +173,10 @@
 
 def test_work_without_any_server_waits_then_is_rejected(make):
     node = make()
-    state = node.take(Request("w", 0, node.port.clock + 5000.0))
-    assert not state.done
+    state = node.accept(Request("w", 0, node.port.clock + 5000.0))
+    assert not state.is_answered
     node.port.clock += 2000.0
-    node.pump()
+    node.dispatch_queue()
     assert node.port.did("defer") == [("defer", "w")]
 
 
@@ -182,7 +186,7 @@
 @pytest.mark.parametrize("outcome", RAN)
 def test_unsafe_that_may_have_run_is_failed(make, unit, outcome):
     node = make(0.0, 0.0)
-    unit(node, 2, ((0, None),)).settled(0, outcome, False, None)
+    unit(node, 2, ((0, None),)).attempt_ended(0, outcome, False, None)
     assert node.port.did("abort") and not node.port.did("defer")
 
 
@@ -190,29 +194,29 @@
 def test_unsafe_that_never_ran_may_go_again(make, unit, outcome):
     node = make(0.0, 0.0)
     state = unit(node, 2, ((0, outcome),))
-    assert state.may_send() and state.may_defer() and state.fits(1)
+    assert state.may_attempt() and state.may_reject_safely() and state.is_eligible(1)
 
 
 def test_keyed_goes_again_only_to_its_cell(make, unit):
     node = make(0.0, 0.0, 0.0, cells=(0, 0, 1))
     state = unit(node, 1, ((0, Outcome.ERROR),))
-    assert state.fits(1) and not state.fits(2) and not state.may_defer()
+    assert state.is_eligible(1) and not state.is_eligible(2) and not state.may_reject_safely()
 
 
 def test_keyed_is_not_sent_past_the_memory(make, unit):
     node = make(0.0, 0.0)
     state = unit(node, 1, ((0, Outcome.ERROR),))
     node.port.clock += 3000.0
-    assert not state.may_send()
+    assert not state.may_attempt()
 
 
 def test_no_second_copy_where_the_settings_forbid_it(make, unit):
-    assert not unit(make(0.0, 0.0), 0, ((0, None),)).may_send()
-    assert unit(make(0.0, 0.0, may_hedge=True), 0, ((0, None),)).may_send()
+    assert not unit(make(0.0, 0.0), 0, ((0, None),)).may_attempt()
+    assert unit(make(0.0, 0.0, may_hedge=True), 0, ((0, None),)).may_attempt()
 
 
 def test_attempts_are_limited(make, unit):
-    assert not unit(make(0.0), 0, ((0, Outcome.ERROR),) * 4).may_send()
+    assert not unit(make(0.0), 0, ((0, Outcome.ERROR),) * 4).may_attempt()
 
 
 # Rule 3 and discovery.
@@ -239,16 +243,18 @@
     if before == "drained":
         node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.DRAINING, 0, 0, 0, None)])
     elif before == "rests":
-        node.suspend(0, "test", True)
+        node.eject(0, "test")
+        node.retry_elsewhere(0)
     for _ in range(2):
         node.update_endpoints(
             ListUpdateKind.FULL if left_out else ListUpdateKind.DELTA, rows[1:] if left_out else rows
         )
-    node.port.clock += node.rest_ms
+    node.port.clock += node.ejection_base_ms
     assert (0 in ready(node)) is used
     if used:  # what we see and what the list says together are believed, until it is listed again
-        node.suspend(0, "test", True)
-        node.port.clock = node.out_until[0]
+        node.eject(0, "test")
+        node.retry_elsewhere(0)
+        node.port.clock = node.ejected_until_ms[0]
         assert ready(node) == [1] and node.endpoint_state[0] is EndpointState.GONE
         node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, None)])
         assert 0 in ready(node)
@@ -260,7 +266,7 @@
     stale, _ = node.port.timers[-1]
     node.update_endpoints(ListUpdateKind.FAILED, [])
     (due, call) = node.port.timers[-1]
-    assert node.port.clock < stale and node.port.clock < due == node.next_ask < node.port.clock + 10000.0
+    assert node.port.clock < stale and node.port.clock < due == node.next_poll_ms < node.port.clock + 10000.0
     for _, older in node.port.timers[:-1]:
         older()
     assert not node.port.did("subscribe")  # one call, however many failures were told
@@ -271,7 +277,7 @@
 def test_new_start_time_voids_old_counts(make):
     node = make(3.0, 1.0)
     node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, 900.0)])
-    assert node.others[0] is None
+    assert node.others_slots[0] is None
 
 
 # Rule 4.
@@ -283,7 +289,7 @@
     assert 0 not in ready(node)
     node.port.clock += 3000.0
     assert 0 in ready(node)
-    node.tokens[0] = 0.5
+    node.slow_start_tokens[0] = 0.5
     unit(node).send(0)
     assert 0 not in ready(node)
 
@@ -292,16 +298,16 @@
     node = make(0.0)
     for born in (910.0, 920.0, 930.0):
         node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, born)])
-        assert -1.0 < node.tokens[0] <= 0.0
+        assert -1.0 < node.slow_start_tokens[0] <= 0.0
 
 
 def test_heavy_work_is_kept_from_a_cold_server(make, unit):
     node = make(0.0)
-    node.run[0] = 100.0 * node.mean_area
+    node.mean_run_ms[0] = 100.0 * node.mean_slot_ms
     state = unit(node)
-    assert state.fits(0)
+    assert state.is_eligible(0)
     node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, 900.0)])
-    assert not state.fits(0)
+    assert not state.is_eligible(0)
 
 
 # Health.
@@ -311,7 +317,7 @@
 def test_fast_failing_server_stops_getting_work(make, unit, outcome):
     node = make(0.0, 0.0)
     for _ in range(2):
-        unit(node, attempts=((0, None),)).settled(0, outcome, False, None)
+        unit(node, attempts=((0, None),)).attempt_ended(0, outcome, False, None)
     assert 0 not in ready(node)
 
 
@@ -320,23 +326,24 @@
     node = make(*(0.0,) * 6)
     for i in range(120):
         outcome = Outcome.COMPLETED if i % 5 in (1, 3) else Outcome.ERROR
-        unit(node, attempts=((i % 6, None),)).settled(0, outcome, False, None)
+        unit(node, attempts=((i % 6, None),)).attempt_ended(0, outcome, False, None)
         node.port.clock += 500.0
     rests = len(node.port.did("log"))
     for i in range(120):
         outcome = Outcome.COMPLETED if i % 5 in (1, 3) else Outcome.ERROR
-        unit(node, attempts=((i % 6, None),)).settled(0, outcome, False, None)
+        unit(node, attempts=((i % 6, None),)).attempt_ended(0, outcome, False, None)
         node.port.clock += 20.0
     assert len(node.port.did("log")) - rests <= 2 and len(ready(node)) >= 5
     for _ in range(3):  # a type that does not fail elsewhere still tells of a sick one
-        unit(node, 1, ((3, None),)).settled(0, Outcome.ERROR, False, None)
+        unit(node, 1, ((3, None),)).attempt_ended(0, Outcome.ERROR, False, None)
     assert 3 not in ready(node)
 
 
 def test_sick_server_is_tried_again_with_one_request(make, unit):
     node = make(0.0)
-    node.suspend(0, "test", True)
-    node.port.clock = node.out_until[0]
+    node.eject(0, "test")
+    node.retry_elsewhere(0)
+    node.port.clock = node.ejected_until_ms[0]
     assert ready(node) == [0]
     unit(node, attempts=((0, None),))
     assert ready(node) == []
@@ -344,19 +351,19 @@
 
 def test_silent_server_is_asked_by_whoever_draws_it(make, unit):
     node = make(0.0)
-    node.probed(0, Outcome.TIMED_OUT, 400.0, None)
+    node.probe_ended(0, Outcome.TIMED_OUT, 400.0, None)
     assert ready(node) == []
-    node.port.clock = node.out_until[0]
+    node.port.clock = node.ejected_until_ms[0]
     unit(node).place()
     assert node.port.did("probe") and not node.port.did("send")
-    node.probed(0, Outcome.COMPLETED, 1.0, LoadReport(held=0.0))
-    assert node.out_until[0] is None and node.port.did("send")
+    node.probe_ended(0, Outcome.COMPLETED, 1.0, LoadReport(held=0.0))
+    assert node.ejected_until_ms[0] is None and node.port.did("send")
 
 
 def test_overdue_probe_takes_a_server_out(make):
     node = make(0.0)
-    node.ask(0, lambda e: None)
-    node.port.clock += 2.0 * node.ask_ms
+    node.probe(0, lambda e: None)
+    node.port.clock += 2.0 * node.probe_timeout_ms
     assert ready(node) == []
 
 
@@ -365,21 +372,22 @@
     state = unit(node, attempts=((0, None),))
     state.started(0)
     node.port.clock += 3000.0
-    assert node.standing(0)
+    assert node.is_stalled(0)
 
 
 def test_long_wait_in_a_queue_is_no_sickness(make, unit):
     node = make(6.0)
     unit(node, attempts=((0, None),))
     node.port.clock += 3000.0
-    node.heard_ms[0] = node.port.clock
-    assert not node.standing(0)
+    node.last_report_ms[0] = node.port.clock
+    assert not node.is_stalled(0)
 
 
 def test_lost_work_is_cancelled_to_go_elsewhere_where_copies_are_forbidden(make, unit):
     node = make(0.0, 0.0)
     unit(node, attempts=((0, None),))
-    node.suspend(0, "test", True)
+    node.eject(0, "test")
+    node.retry_elsewhere(0)
     assert node.port.did("cancel") == [("cancel", "w0", 0)]
 
 
@@ -394,21 +402,21 @@
 
 def test_further_attempts_wait_in_a_line_of_their_own(make, unit):
     node = make(40.0)
-    unit(node, 0, ((0, Outcome.AT_CAPACITY),)).hold()
+    unit(node, 0, ((0, Outcome.AT_CAPACITY),)).enqueue()
     assert not waiting(node) and waiting(node, True) == 1
 
 
 def test_wide_work_waits_for_all_its_slots(make, unit):
     node = make(2.0)
-    assert node.wait(0, unit(node).request) == 0.0
-    assert node.wait(0, unit(node, slots=4.0).request) > 0.0
+    assert node.expected_wait_ms(0, unit(node).request) == 0.0
+    assert node.expected_wait_ms(0, unit(node, slots=4.0).request) > 0.0
 
 
 def test_work_in_line_probes_no_others(make, unit):
     node = make(40.0, 40.0)
     state = unit(node)
-    state.waited, state.home = True, 0
-    state.at_home(state.at(state.home))
+    state.has_waited, state.home_server = True, 0
+    state.place_at_home(state.decide_at_home(state.home_server))
     assert not node.port.did("probe") and not node.port.did("send")
 
 
@@ -416,22 +424,22 @@
     node = make(0.0)
     state = unit(node, attempts=((0, None), (0, None)))
     state.attempts[0].started_ms = state.attempts[1].started_ms = node.port.clock - 1000.0
-    node.take_report(0, LoadReport(held=0.0), node.port.now())
-    assert node.doubt > 0.0 and node.others[0] > -2.0
+    node.merge_report(0, LoadReport(held=0.0), node.port.now())
+    assert node.report_distrust > 0.0 and node.others_slots[0] > -2.0
 
 
 def test_doubted_reports_are_renewed_less_often(make):
     node = make(0.0)
-    node.port.clock += 1.5 * node.fresh_ms
-    assert node.stale(0)
-    node.doubt = 0.1
-    assert not node.stale(0)
+    node.port.clock += 1.5 * node.report_max_age_ms
+    assert node.is_report_stale(0)
+    node.report_distrust = 0.1
+    assert not node.is_report_stale(0)
 
 
 def test_own_zone_is_drawn_more_often(make):
     node = make(0.0, cross_zone_cost=0.1)
     node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(1, EndpointState.READY, 0, 1, 0, None)])
-    drawn = [node.draw(lambda e: True) for _ in range(200)]
+    drawn = [node.draw_server(lambda e: True) for _ in range(200)]
     assert 0 < drawn.count(1) < 30
 
 
@@ -441,49 +449,54 @@
 def test_sums_of_a_kind_follow_every_change(make, unit):
     node = make(2.0, 4.0, None)
     state = unit(node, attempts=((0, None), (1, None)))
-    state.settled(1, Outcome.COMPLETED, False, None)
+    state.attempt_ended(1, Outcome.COMPLETED, False, None)
     node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(1, EndpointState.GONE, 0, 0, 0, None)])
-    node.suspend(2, "test", True)
-    assert node.threshold(0) == 3 and (node.members[0], node.others_sum[0], node.ours_sum[0]) == (1, 2.0, 1.0)
+    node.eject(2, "test")
+    node.retry_elsewhere(2)
+    assert node.threshold(0) == 3 and (
+        node.ready_count[0],
+        node.others_slots_sum[0],
+        node.own_slots_sum[0],
+    ) == (1, 2.0, 1.0)
 
 
 def test_node_with_nothing_standing_sleeps(make, unit):
     node = make(0.0, subscribes_to_endpoints=False)
     assert not node.port.timers
     unit(node).send(0)
-    assert node.awake and len(node.port.timers) == 1
+    assert node.is_check_scheduled and len(node.port.timers) == 1
 
 
 def test_no_free_slot_is_busy_though_none_was_ever_seen_free(make):
     node = make(None)
-    node.most_free[0] = 0.0
-    node.take_report(0, LoadReport(free_slots=0.0), node.port.now())
+    node.max_free_slots[0] = 0.0
+    node.merge_report(0, LoadReport(free_slots=0.0), node.port.now())
     assert node.count(0) == 1.0
 
 
 def test_wide_work_may_go_where_the_slots_are_not_known_yet(make, unit):
     node = make(None)
-    node.most_free[0] = 1.0
-    node.port.clock += 2.0 * node.fresh_ms
+    node.max_free_slots[0] = 1.0
+    node.port.clock += 2.0 * node.report_max_age_ms
     wide = unit(node, slots=4.0)
-    assert wide.fits(0) and wide.in_time(0)
+    assert wide.is_eligible(0) and wide.meets_latency_objective(0)
 
 
 def test_what_has_waited_is_drawn_evenly(make, unit):
     node = make(0.0, cross_zone_cost=0.1)
     node.update_endpoints(ListUpdateKind.DELTA, [Endpoint(1, EndpointState.READY, 0, 1, 0, None)])
     state = unit(node)
-    state.waited = True
-    drawn = [node.draw(lambda e: True, state) for _ in range(200)]
+    state.has_waited = True
+    drawn = [node.draw_server(lambda e: True, state) for _ in range(200)]
     assert 70 < drawn.count(1) < 130
 
 
 def test_first_runs_seen_soon_outweigh_the_guess(make, unit):
     node = make(0.0)
-    guess = node.mean_area
+    guess = node.mean_slot_ms
     for _ in range(20):
-        node.learn(unit(node).request, 0, 3.0 * guess)
-    assert node.mean_area > 2.0 * guess
+        node.learn_run(unit(node).request, 0, 3.0 * guess)
+    assert node.mean_slot_ms > 2.0 * guess
 
 
 # Lines on nodes that must ask, and queues that no report shows.
@@ -492,19 +505,19 @@
 def test_one_in_line_looks_at_a_time(make, unit):
     node = make(40.0, 40.0, 40.0)
     for _ in range(3):
-        unit(node).hold()
-    node.heard_ms[:] = [-1e18] * 3
-    node.pump()
+        unit(node).enqueue()
+    node.last_report_ms[:] = [-1e18] * 3
+    node.dispatch_queue()
     assert len(node.port.did("probe")) == 1
 
 
 def test_looks_in_vain_are_bounded_however_many_wait(make, unit):
     node = make(*[40.0] * 5)
     for _ in range(200):
-        unit(node).hold()
+        unit(node).enqueue()
     looks = []
-    node.draw = lambda *_: looks.append(1) or -1
-    node.pump()
+    node.draw_server = lambda *_: looks.append(1) or -1
+    node.dispatch_queue()
     assert len(looks) < 10 and waiting(node) == 200
 
 
@@ -512,19 +525,19 @@
     node = make(0.0)
     bound = unit(node)
     bound.request_class = replace(bound.request_class, kind=1, latency_objective_ms=100.0)
-    bound.hold()
-    unit(node).hold()
-    node.pump()
+    bound.enqueue()
+    unit(node).enqueue()
+    node.dispatch_queue()
     assert len(node.port.did("send")) == 1 and waiting(node) == 1
 
 
 def test_after_a_look_that_found_room_the_next_one_looks(make, unit):
     node = make(40.0, subscribes_to_endpoints=False)
     for _ in range(2):
-        unit(node).hold()
-    node.heard_ms[:] = [-1e18] * 3
-    node.pump()
-    node.probed(0, Outcome.COMPLETED, 1.0, LoadReport(held=0.0))
+        unit(node).enqueue()
+    node.last_report_ms[:] = [-1e18] * 3
+    node.dispatch_queue()
+    node.probe_ended(0, Outcome.COMPLETED, 1.0, LoadReport(held=0.0))
     assert len(node.port.did("send")) == 2
 
 
@@ -532,27 +545,28 @@
     node = make(0.0)
     state = unit(node)
     state.send(0)
-    node.port.clock += 5.0 * node.queue_ms
+    node.port.clock += 5.0 * node.max_queue_wait_ms
     state.started(0)
-    assert node.doubt > 0.0
+    assert node.report_distrust > 0.0
 
 
 def test_home_out_of_use_lets_others_be_probed(make, unit):
     node = make(0.0, 0.0, 0.0)
     state = unit(node)
-    state.home = 0
-    node.suspend(0, "test", True)
-    state.at_home(state.at(state.home))
+    state.home_server = 0
+    node.eject(0, "test")
+    node.retry_elsewhere(0)
+    state.place_at_home(state.decide_at_home(state.home_server))
     assert len(node.port.did("probe")) == 2
 
 
 def test_fewer_are_probed_where_probes_seldom_find_room(make, unit):
     node = make(9.0, 9.0, 9.0)
     for _ in range(60):
-        node.found(False)
+        node.learn_probe_success(False)
     state = unit(node)
-    state.home = 0
-    state.at_home(state.at(state.home))
+    state.home_server = 0
+    state.place_at_home(state.decide_at_home(state.home_server))
     assert not node.port.did("probe") and waiting(node) == 1
 
 
@@ -560,44 +574,45 @@
 def test_what_no_server_can_use_is_failed_at_once_and_blames_none(make, unit, type):
     node = make(0.0, 0.0)
     state = unit(node, type, ((0, None),))
-    state.settled(0, Outcome.INVALID_REQUEST, False, None)
+    state.attempt_ended(0, Outcome.INVALID_REQUEST, False, None)
     assert node.port.acts == [("abort", state.request.request_id)]
-    assert node.evidence[0] == 0.0 and node.last_heard_ms[0] == node.port.now()
+    assert node.log_likelihood_ratio[0] == 0.0 and node.last_response_ms[0] == node.port.now()
 
 
 def test_a_short_time_left_is_tried_where_a_short_run_still_fits(make):
     node = make(0.0)
-    node.run[0] = 400.0
-    node.take(Request("w", 0, node.port.now() + 150.0))
+    node.mean_run_ms[0] = 400.0
+    node.accept(Request("w", 0, node.port.now() + 150.0))
     assert node.port.did("send") and not node.port.did("defer")
 
 
 def test_a_kept_connection_that_ended_says_nothing_of_its_server(make, unit):
     node = make(0.0)
     state = unit(node, attempts=((0, None),))
-    state.settled(0, Outcome.STALE_CONNECTION, False, None)
-    assert node.evidence[0] == 0.0
+    state.attempt_ended(0, Outcome.STALE_CONNECTION, False, None)
+    assert node.log_likelihood_ratio[0] == 0.0
 
 
 def test_broken_connections_call_no_running_work_back(make, unit):
     node = make(0.0, 0.0)
     unit(node, attempts=((0, None),))
-    node.testify(0, 99.0)
-    node.probed(0, Outcome.BROKEN, 1.0, None)
+    node.record_outcome(0, 99.0)
+    node.probe_ended(0, Outcome.BROKEN, 1.0, None)
     assert 0 not in ready(node) and not node.port.did("cancel")
-    node.probed(0, Outcome.TIMED_OUT, 1.0, None)
+    node.probe_ended(0, Outcome.TIMED_OUT, 1.0, None)
     assert node.port.did("cancel") == [("cancel", "w0", 0)]
 
 
 def test_an_old_silent_attempt_bars_no_trial(make, unit):
     node = make(0.0)
     unit(node, attempts=((0, None),))
-    node.port.clock += 3.0 * node.fresh_ms
-    node.heard_ms[0], node.room[0] = node.port.clock, 4.0
-    assert node.standing(0)
-    node.suspend(0, "test", True)
-    node.port.clock = node.out_until[0] + 3.0 * node.fresh_ms
-    assert ready(node) == [0] and not node.standing(0)
+    node.port.clock += 3.0 * node.report_max_age_ms
+    node.last_report_ms[0], node.free_slots[0] = node.port.clock, 4.0
+    assert node.is_stalled(0)
+    node.eject(0, "test")
+    node.retry_elsewhere(0)
+    node.port.clock = node.ejected_until_ms[0] + 3.0 * node.report_max_age_ms
+    assert ready(node) == [0] and not node.is_stalled(0)
     unit(node, 1, ((0, None),))
     assert ready(node) == []
 
@@ -617,9 +632,9 @@
 def test_a_weight_that_moves_counts_as_a_departure_from_the_level(make):
     node = make(0.0, 0.0, **LIVE)
     listed(node, 3.0, 3.0)
-    node.full[0] = node.passed[0] = True
+    node.at_capacity[0] = node.forwarded_since_report[0] = True
     listed(node, 3.0, 1.5)  # size over one plus held a core: the second holds one a slot
-    assert node.count(0) < node.count(1) < 4.0 and not (node.full[0] or node.passed[0])
+    assert node.count(0) < node.count(1) < 4.0 and not (node.at_capacity[0] or node.forwarded_since_report[0])
 
 
 def test_what_others_have_follows_our_own_work_at_once(make, unit):
@@ -631,8 +646,8 @@
     assert before == (0.0, 0.0)
     assert node.threshold(0) >= 8.0 and node.count(1) > 6.0  # four others who do as we do
     for e in (0, 1):
-        for state, _ in list(node.own[e]):
-            state.settled(0, Outcome.COMPLETED, True, None)
+        for state, _ in list(node.own_attempts[e]):
+            state.attempt_ended(0, Outcome.COMPLETED, True, None)
     assert node.count(1) == 0.0
 
 
@@ -640,13 +655,13 @@
     # Incident ie3063f: servers rested 238 times, as reports of a second before had them free.
     node = make(0.0, **LIVE)
     unit(node, attempts=((0, None),))
-    node.period_ms, node.room[0] = 1000.0, 4.0
-    node.port.clock += 2.5 * node.fresh_ms
-    node.heard_ms[0] = node.port.clock - 1.0
-    assert not node.standing(0)
+    node.refresh_period_ms, node.free_slots[0] = 1000.0, 4.0
+    node.port.clock += 2.5 * node.report_max_age_ms
+    node.last_report_ms[0] = node.port.clock - 1.0
+    assert not node.is_stalled(0)
     node.port.clock += 1000.0
-    node.heard_ms[0] = node.port.clock - 1.0
-    assert node.standing(0)
+    node.last_report_ms[0] = node.port.clock - 1.0
+    assert node.is_stalled(0)
 
 
 def test_late_lists_alone_do_not_make_a_kind_look_full(make):
@@ -660,20 +675,20 @@
 def test_a_server_that_keeps_our_work_counts_as_full_whatever_it_reports(make, unit):
     # Seen at ledger-semarang: slow servers of one hall told a tenth of their load, and all nodes sent on.
     node = make(3.0, 3.0, 3.0, 3.0, **LIVE)
-    node.listed[0] = 3.0
+    node.listed_others_slots[0] = 3.0
     for _ in range(3):
         unit(node, attempts=((0, None),))
-    node.take_report(0, LoadReport(queued=0.0, free_slots=4.0), node.port.now())
-    assert node.over(0, unit(node).request) and not node.over(1, unit(node).request)
-    assert node.count(0) - node.ours[0] > 1.5 * node.count(1)
-    for state, _ in list(node.own[0]):
-        state.settled(0, Outcome.COMPLETED, True, LoadReport(queued=0.0, free_slots=4.0))
-    assert not node.over(0, unit(node).request)
+    node.merge_report(0, LoadReport(queued=0.0, free_slots=4.0), node.port.now())
+    assert node.is_over_threshold(0) and not node.is_over_threshold(1)
+    assert node.count(0) - node.own_slots[0] > 1.5 * node.count(1)
+    for state, _ in list(node.own_attempts[0]):
+        state.attempt_ended(0, Outcome.COMPLETED, True, LoadReport(queued=0.0, free_slots=4.0))
+    assert not node.is_over_threshold(0)
 
 
 def test_home_is_first_sought_where_there_is_room(make, unit):
     node = make(5.0, 5.0, 0.0, 5.0, **LIVE)
-    assert {unit(node).first()[1] for _ in range(20)} == {2}
+    assert {unit(node).choose_initial_placement().server for _ in range(20)} == {2}
 
 
 WORD = (100).to_bytes(3, "big")  # of the first server
@@ -684,7 +699,7 @@
     listed(node, None, None)
     node.port.tell = lambda message: node.port.acts.append(("tell", message))
     unit(node).send(1)
-    node.tell()
+    node.publish_gossip()
     assert node.port.did("tell") == [("tell", (101).to_bytes(3, "big") + b"\x01")]
 
 
@@ -700,25 +715,25 @@
     node = make(0.0, may_gossip=True)
     listed(node, None)
     for message in messages:
-        node.told(4, node.port.now(), message)
+        node.merge_gossip(4, node.port.now(), message)
     assert node.count(0) == count
-    node.port.clock += 2.0 * node.longest_ms
+    node.port.clock += 2.0 * node.peer_silence_limit_ms
     listed(node, None)
-    assert node.count(0) == 0.0 and not node.peers
+    assert node.count(0) == 0.0 and not node.peer_slots
 
 
 def test_words_of_a_forgotten_server_count_for_nobody(make):
     node = make(0.0, may_gossip=True)
     listed(node, None)
-    node.clear(0)
-    node.told(4, 0.0, WORD + b"\x03")
-    assert node.others[0] is None
+    node.reset(0)
+    node.merge_gossip(4, 0.0, WORD + b"\x03")
+    assert node.others_slots[0] is None
 
 
 def test_home_is_where_there_is_room_once_nodes_tell(make, unit):
     node = make(4.0, 4.0, 0.0, may_gossip=True)
-    node.peers[4] = {}
-    assert {unit(node).first()[1] for _ in range(20)} == {2}
+    node.peer_slots[4] = {}
+    assert {unit(node).choose_initial_placement().server for _ in range(20)} == {2}
 
 
 @pytest.mark.parametrize(("price", "least", "most"), [(0.03, 1, 2), (0.0, 11, 20)])
@@ -728,7 +743,7 @@
         listed(node, *[None] * 20)
         node.seed = seed
         state = RequestState(node, Request("w", 0, 9e9, resource_key="calendar-7"))
-        return {node.draw(lambda e: True, state) for _ in range(60)}
+        return {node.draw_server(lambda e: True, state) for _ in range(60)}
 
     assert least <= len(homes(1)) <= most and (not price or homes(1) == homes(2))
 
@@ -741,11 +756,11 @@
         replace(node.settings, request_classes=(node.request_classes[0], bound, node.request_classes[2]))
     )
     node.update_endpoints(ListUpdateKind.FULL, rows)
-    node.most_free[:2] = [4.0, 4.0]
+    node.max_free_slots[:2] = [4.0, 4.0]
     for _ in range(100):
-        node.note(Request("w", 0, 9e9))
-        node.note(Request("w", 1, 9e9))
-    drawn = [node.kind[node.draw(lambda e: True, unit(node))] for _ in range(60)]
+        node.count_arrival(Request("w", 0, 9e9))
+        node.count_arrival(Request("w", 1, 9e9))
+    drawn = [node.kind[node.draw_server(lambda e: True, unit(node))] for _ in range(60)]
     assert drawn.count(1) < 10
 
 
@@ -754,16 +769,16 @@
     rich = replace(node.request_classes[2], priority_weight=5.0)
     node.configure(replace(node.settings, request_classes=(*node.request_classes[:2], rich)))
     poor, better = unit(node, 0), unit(node, 2)
-    poor.hold()
-    better.hold()
-    node.hear(0, 3.0)
-    node.pump()
+    poor.enqueue()
+    better.enqueue()
+    node.set_others_slots(0, 3.0)
+    node.dispatch_queue()
     assert node.port.did("send")[0] == ("send", "w2", 0)
 
 
 def test_wide_work_waits_until_its_slots_are_free_together(make, unit):
     node = make(3.0, reports_in_responses=True)
-    assert node.wait(0, unit(node, slots=4.0).request) > 1.5 * make(3.0).wait(
+    assert node.expected_wait_ms(0, unit(node, slots=4.0).request) > 1.5 * make(3.0).expected_wait_ms(
         0, unit(node, slots=4.0).request
     )
 
@@ -771,7 +786,7 @@
 def test_one_called_off_beside_another_that_is_out_brings_no_third(make, unit):
     node = make(0.0, 0.0, 0.0, may_hedge=True)
     state = unit(node, attempts=((0, None), (1, None)))
-    state.settled(0, Outcome.CANCELLED_UNSENT, False, None)
-    assert not node.port.did("send") and state.out() == 1
-    state.settled(1, Outcome.CANCELLED_UNSENT, False, None)
+    state.attempt_ended(0, Outcome.CANCELLED_UNSENT, False, None)
+    assert not node.port.did("send") and state.in_flight_count() == 1
+    state.attempt_ended(1, Outcome.CANCELLED_UNSENT, False, None)
     assert len(node.port.did("send")) == 1
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -9,7 +9,8 @@
 
 from marlseam import records
 from marlseam.core import Reducer
-from marlseam.decisions.dispatcher import Dispatcher, RequestState
+from marlseam.decisions.dispatcher import Dispatcher
+from marlseam.decisions.request_state import RequestState
 from marlseam.decisions.types import Idempotency, Outcome
 from marlseam.judge.book import Book
 from marlseam.judge.rules import judge
@@ -17,10 +18,10 @@
 from marlseam.records import Answered, Asked, Begin, End, Ended, Took, Tried, Withdrawn
 
 
-def dispatcher(handle, **node):
+def dispatcher(state_type, **methods):
     """Return a maker of reducers with another handle, and other methods of the node."""
 
-    wrong = type("Wrong", (Dispatcher,), {"handle": handle, **node})
+    wrong = type("Wrong", (Dispatcher,), {"request_state_type": state_type, **methods})
 
     class WrongCore(Reducer):
         decider = wrong
@@ -32,20 +33,20 @@
     """Gives no answer to what it gives up."""
 
     def answer(self):
-        self.done = True
+        self.is_answered = True
 
 
 class Twice(RequestState):
     """Sends keyed work on to anybody once it has run anywhere."""
 
-    def fits(self, e):
+    def is_eligible(self, server):
         return True
 
-    def may_send(self):
-        return not self.done and len(self.attempts) < 3
+    def may_attempt(self):
+        return not self.is_answered and len(self.attempts) < 3
 
-    def settled(self, attempt_index, outcome, final, report):
-        super().settled(
+    def attempt_ended(self, attempt_index, outcome, final, report):
+        super().attempt_ended(
             attempt_index,
             Outcome.ERROR if self.request_class.idempotency is Idempotency.KEYED else outcome,
             False,
@@ -56,30 +57,30 @@
 class Copies(RequestState):
     """Sends each request to two servers at once."""
 
-    def may_send(self):
-        return not self.done and len(self.attempts) < 2
+    def may_attempt(self):
+        return not self.is_answered and len(self.attempts) < 2
 
-    def send(self, e):
-        super().send(e)
+    def send(self, server):
+        super().send(server)
         if len(self.attempts) == 1:
-            super().send((e + 1) % len(self.node.endpoint_state))
+            super().send((server + 1) % len(self.dispatcher.endpoint_state))
 
 
 class Late(RequestState):
     """Goes on sending what is answered."""
 
-    def left(self):
-        super().left()
+    def close(self):
+        super().close()
         if self.attempts and len(self.attempts) < 3:
-            self.done = False
-            self.send((self.attempts[-1].server + 1) % len(self.node.endpoint_state))
-            self.done = True
+            self.is_answered = False
+            self.send((self.attempts[-1].server + 1) % len(self.dispatcher.endpoint_state))
+            self.is_answered = True
 
 
 class Jumps(RequestState):
     """Waits for no turn."""
 
-    turn = property(lambda self: True, lambda self, value: None)
+    has_turn = property(lambda self: True, lambda self, value: None)
 
 
 def always(self, *_):
@@ -90,10 +91,10 @@
     return None
 
 
-def deaf(node, update_kind, members, doubt):
+def deaf(dispatcher, update_kind, endpoints, doubt):
     """Hear of the first list alone."""
-    if not node.near and not node.far:
-        Dispatcher.update_endpoints(node, update_kind, members)
+    if not dispatcher.same_zone and not dispatcher.other_zones:
+        Dispatcher.update_endpoints(dispatcher, update_kind, endpoints)
 
 
 CRASH = {"what": "crash", "at_s": 3, "for_s": 2, "share": 0.4}
@@ -108,7 +109,7 @@
     "deaf": ("drains kept", dispatcher(RequestState, update_endpoints=deaf), {"troubles": [DRAIN]}),
     "rash": (
         "cold spared",
-        dispatcher(RequestState, warm=always, cost=lambda self, work: 0.0, in_time=always),
+        dispatcher(RequestState, has_budget=always, relative_cost=lambda self, request: 0.0),
         {
             "troubles": [CRASH],
             "rate": 40.0,
--- a/tests/test_turns.py
+++ b/tests/test_key_ordering.py
@@ -30,8 +30,10 @@
         self.core, self.clock, self.timers, self.sent, self.wrong = Reducer(), 1000.0, [], [], []
         self.keys, self.over, self.out, self.rests, self.ended = {}, {}, {}, {}, []
         self.post(core.NodeStarted(rules, 7))
-        self.core.dispatcher.run = [50.0] * 3
-        self.core.dispatcher.seen = [seen + 1.0 for seen in self.core.dispatcher.seen]  # no guesses
+        self.core.dispatcher.mean_run_ms = [50.0] * 3
+        self.core.dispatcher.run_samples = [
+            seen + 1.0 for seen in self.core.dispatcher.run_samples
+        ]  # no guesses
         self.post(
             core.EndpointListUpdate(
                 ListUpdateKind.FULL,
@@ -78,7 +80,7 @@
         self.clock = until
 
     def kept(self):
-        return len(self.core.dispatcher.turns)
+        return len(self.core.dispatcher.key_queues)
 
 
 @pytest.fixture
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -222,13 +222,13 @@
     node(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, old, 0.6))
     decider = node.core.dispatcher
     e = node.core.index["x"]
-    assert decider.allowance(e) < float("inf") and decider.unsure[e] == 0.6
-    decider.tokens[e] = 1.0
+    assert decider.slow_start_budget(e) < float("inf") and decider.identity_doubt[e] == 0.6
+    decider.slow_start_tokens[e] = 1.0
     assert not sends(answered(node, 2.0, node(2.0, unit("1"))))
     plain = answered(node, 3.0, node(3.0, unit("2", type=0, key=None)))
-    assert sends(plain) == ["x"] and 0.0 < decider.unsure[e] < 0.6  # somebody answered its probe
+    assert sends(plain) == ["x"] and 0.0 < decider.identity_doubt[e] < 0.6  # somebody answered its probe
     node(4.0, core.AttemptStarted("2", 0))
-    assert decider.unsure[e] == 0.0
+    assert decider.identity_doubt[e] == 0.0
 
 
 def test_the_live_endpoint_list_ends_all_doubt(node):
@@ -236,7 +236,7 @@
     e = node.core.index["x"]
     node(2.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("x", 5), entry("a", 1)]))
     decider = node.core.dispatcher
-    assert decider.unsure[e] == 0.0 and decider.allowance(e) == float("inf")
+    assert decider.identity_doubt[e] == 0.0 and decider.slow_start_budget(e) == float("inf")
     assert decider.endpoint_state[node.core.index["b"]] is EndpointState.GONE
 
 
@@ -322,11 +322,11 @@
     wide = replace(KEYED, deduplication_scope=DeduplicationScope.ALL)
     node = make(0.0, 0.0, request_classes=(*SETTINGS.request_classes[:1], wide))
     state = unit(node, type=1, attempts=((0, Outcome.BROKEN),))
-    assert state.may_defer()
+    assert state.may_reject_safely()
     node.port.clock += (
-        wide.deduplication_window_ms - node.rest_ms / 2.0
+        wide.deduplication_window_ms - node.ejection_base_ms / 2.0
     )  # it would come back to a pod that has forgotten
-    assert not state.may_defer()
+    assert not state.may_reject_safely()
 
 
 def test_what_cannot_be_put_on_record_is_answered_at_once_and_the_rest_served(node):
--- a/tests/test_watch.py
+++ b/tests/test_shadow_policy.py
@@ -89,9 +89,12 @@
 def test_the_same_settings_agree_and_what_was_answered_is_forgotten():
     watch = other()
     play(watch)
-    by_chance = {(Decision.ASK, Decision.HOME), (Decision.HOME, Decision.ASK)}  # another home was drawn
+    by_chance = {
+        (Decision.PROBE_HOME, Decision.HOME),
+        (Decision.HOME, Decision.PROBE_HOME),
+    }  # another home was drawn
     assert set(watch.otherwise) <= by_chance and all(
-        not state.done or state.out() for state in watch.open.values()
+        not state.is_answered or state.in_flight_count() for state in watch.open.values()
     )
 
 
@@ -100,7 +103,7 @@
     made.reduce(0.0, core.NodeStarted(SETTINGS, 7))
     made.reduce(1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e0")]))
     made.reduce(2.0, core.RequestArrived(Request("w", 0, 5000.0)))
-    assert made.watch.otherwise == {(Decision.ASK, Decision.HOME): 1} and made.watch.decided == 1
+    assert made.watch.otherwise == {(Decision.PROBE_HOME, Decision.HOME): 1} and made.watch.decided == 1
     assert made.watch.lines()[1] == "watch: 1 times home asked where it would be home"
 
 
--- a/tests/test_cold.py
+++ b/tests/test_slow_start.py
@@ -7,7 +7,8 @@
 import msgspec
 import pytest
 
-from marlseam.decisions.dispatcher import COLD, OPEN, PAID, Dispatcher
+from marlseam.decisions.dispatcher import Dispatcher
+from marlseam.decisions.slow_start import MAX_SAVED_BUDGETS, MIN_SAVED_COST_SHARE, SLOW_START_PLANNED_SHARE
 from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind, Request
 from marlseam.experiment import file, measures, size_cold
 from tests.conftest import SETTINGS, RecordingPort
@@ -24,16 +25,16 @@
             SETTINGS, node_count=told or nodes, slow_start_ms=slow_start_ms, slow_start_initial_share=0.2
         )
         node = Dispatcher(settings, seed, RecordingPort())
-        node.most_free[0] = SLOTS
+        node.max_free_slots[0] = SLOTS
         node.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, BORN)])
-        node.heard_ms[0] = 1e9
+        node.last_report_ms[0] = 1e9
         made.append(node)
     return made
 
 
 def budget(node):
     """Return how many requests of mean size the settings allow in their window now."""
-    return node.allowance(0) * WINDOW / COLD
+    return node.slow_start_budget(0) * WINDOW / SLOW_START_PLANNED_SHARE
 
 
 def at(nodes, clock):
@@ -45,14 +46,14 @@
     """Let each node send of work of some size what it may, at one instant; return the sum of sizes."""
     sent = 0.0
     for node in nodes:
-        node.run[0] = size * node.mean_area
+        node.mean_run_ms[0] = size * node.mean_slot_ms
         for i in range(1000):
-            state = node.handle(node, Request(f"w{i}", 0, node.port.clock + 5000.0))
-            if not (node.usable(0) and state.fits(0)):
+            state = node.request_state_type(node, Request(f"w{i}", 0, node.port.clock + 5000.0))
+            if not (node.is_usable(0) and state.is_eligible(0)):
                 break
             state.send(0)
             sent += size
-        node.run[0] = node.mean_area
+        node.mean_run_ms[0] = node.mean_slot_ms
     return sent
 
 
@@ -62,11 +63,11 @@
     for k in range(1, 150):  # nobody sends, and all look
         at(made, BORN + 100.0 * k)
         for node in made:
-            node.warm(0)
+            node.has_budget(0)
     n = budget(made[0])
-    room = (1.0 - COLD) * n + 2.0 * sqrt(n)
+    room = (1.0 - SLOW_START_PLANNED_SHARE) * n + 2.0 * sqrt(n)
     # As many have a unit ready as chance gives to this mean: more than the room itself, see OPEN.
-    most = OPEN * room
+    most = MAX_SAVED_BUDGETS * room
     assert 0.0 < burst(made) < most + 3.0 * sqrt(most) + 1.0
 
 
@@ -79,7 +80,7 @@
         got = sum(size for t, size in sent if t > BORN + 100.0 * k - WINDOW)
         n = budget(made[0])
         assert got < n + 2.0 * sqrt(n) + 2.0
-    assert got > 0.8 * COLD * n
+    assert got > 0.8 * SLOW_START_PLANNED_SHARE * n
 
 
 @pytest.mark.parametrize("nodes", [20, 30, 200])
@@ -88,35 +89,35 @@
     made = fleet(nodes)
     at(made, BORN + 4000.0)
     for node in made:
-        node.warm(0)
-        node.tokens[0] = 1e-6
+        node.has_budget(0)
+        node.slow_start_tokens[0] = 1e-6
     n = budget(made[0])
-    assert burst(made, COLD * n * 0.9) == 0.0
+    assert burst(made, SLOW_START_PLANNED_SHARE * n * 0.9) == 0.0
     assert burst(made, 1.0) == pytest.approx(nodes)
 
 
 def test_a_large_request_goes_once_its_node_has_saved_up_a_part_of_it():
     (node,) = fleet(1)
     at([node], BORN + 4000.0)
-    node.warm(0)
+    node.has_budget(0)
     size = 3.0
-    node.tokens[0] = PAID * size * (1.0 - 1.0 / size) - 1e-6
-    assert node.warm(0) and not node.warm(0, size)
-    node.tokens[0] += 1e-5
-    assert node.warm(0, size)
+    node.slow_start_tokens[0] = MIN_SAVED_COST_SHARE * size * (1.0 - 1.0 / size) - 1e-6
+    assert node.has_budget(0) and not node.has_budget(0, size)
+    node.slow_start_tokens[0] += 1e-5
+    assert node.has_budget(0, size)
 
 
 def test_a_small_request_goes_where_a_window_allows_less_than_one_of_mean_size():
     (node,) = fleet(1)
     at([node], BORN + 4000.0)
-    node.warm(0)
-    node.mean_area *= node.allowance(0) * WINDOW / 0.8
-    node.tokens[0], node.token_ms[0] = 0.05, node.port.clock
-    state = node.handle(node, Request("w", 0, node.port.clock + 5000.0))
-    node.run[0] = 0.1 * node.mean_area
-    assert node.usable(0) and state.fits(0)
-    node.run[0] = 0.9 * node.mean_area
-    assert not state.fits(0)
+    node.has_budget(0)
+    node.mean_slot_ms *= node.slow_start_budget(0) * WINDOW / 0.8
+    node.slow_start_tokens[0], node.slow_start_refilled_ms[0] = 0.05, node.port.clock
+    state = node.request_state_type(node, Request("w", 0, node.port.clock + 5000.0))
+    node.mean_run_ms[0] = 0.1 * node.mean_slot_ms
+    assert node.is_usable(0) and state.is_eligible(0)
+    node.mean_run_ms[0] = 0.9 * node.mean_slot_ms
+    assert not state.is_eligible(0)
 
 
 def test_a_restarted_node_has_nothing_saved_up():
@@ -124,9 +125,9 @@
     at([node], BORN + 12000.0)
     again = Dispatcher(node.settings, 99, RecordingPort())
     again.port.clock = node.port.clock
-    again.most_free[0] = SLOTS
+    again.max_free_slots[0] = SLOTS
     again.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, BORN)])
-    assert again.tokens[0] <= 0.0 and not again.warm(0)
+    assert again.slow_start_tokens[0] <= 0.0 and not again.has_budget(0)
 
 
 @pytest.fixture
