--- a/marlseam/core/effects.py
+++ b/marlseam/core/effects.py
@@ -1,6 +1,7 @@
-"""What the reducer asks of an adapter: each thing to be done, as one typed value, carried out in order.
+"""Effects: what the reducer asks of an adapter, each as one typed value, carried out in order.
 
-Times are milliseconds on the node's clock unless a field says otherwise.
+Times are milliseconds on the node's clock unless a field says otherwise. Requests are known by their id,
+attempts by their index among their request's attempts, servers by name.
 """
 
 from math import inf
@@ -10,72 +11,114 @@
 
 
 class SendAttempt(NamedTuple):
-    """Send a request's next attempt to a server."""
+    """Send a request's next attempt to a server.
+
+    Attributes:
+        request_id, attempt_index, server: which attempt, and where it goes.
+        time_left_ms: until the request's deadline.
+        send_within_ms: how long its last byte may take to be sent; after that it must not be sent at all.
+    """
 
     request_id: str
     attempt_index: int
     server: str
     time_left_ms: float
-    begin_ms: float = inf  # within which its last byte goes out, or it never ran
+    send_within_ms: float = inf
+
+    @property
+    def begin_ms(self) -> float:
+        """The former name of `send_within_ms`."""
+        return self.send_within_ms
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting for an attempt; where not `begun`, only if its last byte has not gone out."""
+    """Stop waiting for an attempt.
+
+    Attributes:
+        request_id, attempt_index: which attempt.
+        even_if_sent: whether to cancel it too if its last byte has been sent.
+    """
 
     request_id: str
     attempt_index: int
-    begun: bool = True
+    even_if_sent: bool = True
+
+    @property
+    def begun(self) -> bool:
+        """The former name of `even_if_sent`."""
+        return self.even_if_sent
 
 
 class Respond(NamedTuple):
-    """Give the final answer `completed` with what an attempt brought."""
+    """Answer a request with the result of an attempt."""
 
     request_id: str
     result: bytes
 
 
 class Reject(NamedTuple):
-    """Give the final answer `deferred`, with advice on when to come back; 0 for none."""
+    """Reject a request where a retry does no harm, with advice on when to retry; 0 for none."""
 
     request_id: str
     retry_after_ms: float
 
 
 class Fail(NamedTuple):
-    """Give the final answer `aborted`; unfit where servers found nothing in it that they can use.
-
-    `out` are allocations that alone stand against a deferral: it is deferred, with advice, if none has begun.
+    """Fail a request, or reject it if it turns out that no attempt of it was sent.
+
+    Attributes:
+        request_id: which request.
+        unfit: whether a server has turned it away as a request that no server can use.
+        in_flight: the attempts that alone stand against a rejection: if none of them has been sent, the
+            request is rejected; empty where it is failed in any case.
+        retry_after_ms: the advice of that rejection; 0 for none.
     """
 
     request_id: str
     unfit: bool = False
-    out: tuple[int, ...] = ()
+    in_flight: tuple[int, ...] = ()
     retry_after_ms: float = 0.0
 
+    @property
+    def out(self) -> tuple[int, ...]:
+        """The former name of `in_flight`."""
+        return self.in_flight
+
 
 class Probe(NamedTuple):
-    """Ask a server for its report."""
+    """Ask a server for its load report."""
 
     server: str
 
 
 class SetTimer(NamedTuple):
-    """Bring back a mark once a delay has passed."""
+    """Hand in a `TimerFired` of this id once a delay has passed."""
 
     timer_id: int
     delay_ms: float
 
 
 class PersistAttempt(NamedTuple):
-    """A keyed request is about to be sent: it may have run from then on."""
+    """Put on record that a request is about to be sent: it may have run from then on.
+
+    Attributes:
+        request_id: which request.
+        key: its idempotency key.
+        record: where and when it is sent, and until when the server remembers it.
+    """
 
     request_id: str
     key: str
-    trace: AttemptRecord
+    record: AttemptRecord
+
+    @property
+    def trace(self) -> AttemptRecord:
+        """The former name of `record`."""
+        return self.record
 
 
 class ErasePersisted(NamedTuple):
-    """A sending of a keyed request provably never ran."""
+    """Take an attempt under an idempotency key off the record: it provably never ran."""
 
     key: str
     server: str
@@ -87,13 +130,13 @@
 
 
 class Gossip(NamedTuple):
-    """Send all other nodes a message."""
+    """Publish a message to all other nodes."""
 
     message: bytes
 
 
 class Log(NamedTuple):
-    """Write a line for staff."""
+    """Write a line for operators."""
 
     text: str
 
--- a/marlseam/core/events.py
+++ b/marlseam/core/events.py
@@ -1,6 +1,7 @@
-"""What an adapter tells the reducer: each thing that happens, as one typed value.
+"""Events: what an adapter tells the reducer, each thing that happens as one typed value.
 
-Times are milliseconds on the node's clock unless a field says otherwise.
+Times are milliseconds on the node's clock unless a field says otherwise. Requests are known by their id,
+attempts by their index among their request's attempts, servers by name.
 """
 
 from typing import NamedTuple
@@ -10,7 +11,15 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One server as discovery lists it, under its name."""
+    """One server as the endpoint list has it.
+
+    Attributes:
+        server: its name.
+        state: whether it is ready, draining or gone.
+        kind, zone, cell: indices of the settings; -1 where the list does not say.
+        process_started_ms: when its process started; None where the list does not say.
+        weight: its weight; None where the list has none.
+    """
 
     server: str
     state: EndpointState
@@ -22,20 +31,26 @@
 
 
 class NodeStarted(NamedTuple):
-    """The node starts, with its settings and its seed for chance."""
+    """The node starts, with its settings and the seed of its random numbers."""
 
     settings: Settings
     seed: int
 
 
 class SettingsChanged(NamedTuple):
-    """The node's settings are others from now on; what had an index before keeps it."""
+    """The node's settings have changed; what had an index before keeps it."""
 
     settings: Settings
 
 
 class EndpointListUpdate(NamedTuple):
-    """Discovery's news; doubt is the chance that an entry of an old list is no longer true."""
+    """An update of the endpoint list, or a failure to get one.
+
+    Attributes:
+        update_kind: a whole list, changes, a cached list, or a failure.
+        entries: the servers that it names.
+        doubt: the chance that an entry of a cached list is no longer true.
+    """
 
     update_kind: ListUpdateKind
     entries: list[EndpointEntry]
@@ -43,20 +58,24 @@
 
 
 class HistoryRecovered(NamedTuple):
-    """What may have run before the node started, or a part of it: sendings by key, each key's whole."""
+    """What may have run before the node started, or a part of it.
+
+    Attributes:
+        records: all attempts of each idempotency key named, in the order sent.
+    """
 
-    traces: dict[str, list[AttemptRecord]]
+    records: dict[str, list[AttemptRecord]]
 
 
 class PeerAttempt(NamedTuple):
-    """Another process of this node sends keyed work, which may have run from now on."""
+    """Another process of this node sends a request under a key, which may have run from now on."""
 
     key: str
-    trace: AttemptRecord
+    record: AttemptRecord
 
 
 class PeerAttemptNeverRan(NamedTuple):
-    """A sending of another process of this node provably never ran."""
+    """An attempt of another process of this node provably never ran."""
 
     key: str
     server: str
@@ -64,9 +83,11 @@
 
 
 class HistoryUnavailable(NamedTuple):
-    """It is not known which keyed work some source (another process, the store) has seen sent.
+    """It is not known which keyed requests some source (another process, the store) has on record.
 
-    `since_ms`: when the last of it went out at the latest; None while more may go out, or have gone out.
+    Attributes:
+        source: its name.
+        since_ms: when the last of them was sent at the latest; None while more may be sent.
     """
 
     source: str
@@ -74,26 +95,34 @@
 
 
 class HistoryAvailable(NamedTuple):
-    """What a source has seen sent is known now."""
+    """What a source has on record is known now."""
 
     source: str
 
 
 class NotDurable(NamedTuple):
-    """An attempt was not sent, as the record that it may run was not kept."""
+    """An attempt was not sent, as the record that it may run could not be made durable."""
 
     request_id: str
     attempt_index: int
 
 
 class RequestArrived(NamedTuple):
-    """A client has handed in a request."""
+    """A client has sent a request."""
 
     request: Request
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt has ended; final where the request has had its answer by then or through it."""
+    """An attempt has ended.
+
+    Attributes:
+        request_id, attempt_index: which attempt.
+        outcome: how it ended.
+        final: whether the request has had its final answer by then, or through it.
+        report: the server's load report that came with it; None for none.
+        result: the result for the client.
+    """
 
     request_id: str
     attempt_index: int
@@ -104,14 +133,14 @@
 
 
 class AttemptStarted(NamedTuple):
-    """An attempt has begun to run."""
+    """An attempt has started to run."""
 
     request_id: str
     attempt_index: int
 
 
 class AttemptProgressed(NamedTuple):
-    """An attempt has come some share of its way."""
+    """An attempt has done a share, from 0 to 1, of its work."""
 
     request_id: str
     attempt_index: int
@@ -119,20 +148,27 @@
 
 
 class ResponseStreaming(NamedTuple):
-    """An attempt's answer is on its way to the client."""
+    """An attempt's response is on its way to the client."""
 
     request_id: str
     attempt_index: int
 
 
 class ClientLeft(NamedTuple):
-    """A request's client has gone."""
+    """The client of a request has disconnected."""
 
     request_id: str
 
 
 class ProbeEnded(NamedTuple):
-    """A probe has ended."""
+    """A probe has ended.
+
+    Attributes:
+        server: the server probed.
+        outcome: how it ended.
+        lag_ms: how old the report is.
+        report: the server's load report; None for none.
+    """
 
     server: str
     outcome: Outcome
@@ -154,7 +190,7 @@
 
 
 class ShutdownBegun(NamedTuple):
-    """The node must have answered all that it took once so much time has passed."""
+    """The node shuts down: it must have answered all requests once so much time has passed."""
 
     left_ms: float
 
--- a/marlseam/core/reducer.py
+++ b/marlseam/core/reducer.py
@@ -1,30 +1,16 @@
-"""The one reducer of marlseam: each event changes the node's state and gives the effects that are asked for.
+"""The reducer of a node: each event changes the node's state and gives the effects that are asked for.
 
 Pure of I/O and clocks: an adapter hands in events with the time at which they happen, and carries out the
-effects. It holds the decision module's node, the names behind its dense indices, open requests and timers.
+effects. `EVENT_HANDLERS` names the method that takes each event.
 """
 
 from collections.abc import Callable
 from dataclasses import replace
 from math import inf
-from typing import Protocol
+from typing import Any, NamedTuple, Protocol
 from zlib import crc32
 
-from marlseam.core.effects import (
-    CancelAttempt,
-    Effect,
-    ErasePersisted,
-    Fail,
-    Gossip,
-    Log,
-    PersistAttempt,
-    Probe,
-    Reject,
-    Respond,
-    SendAttempt,
-    SetTimer,
-    WatchEndpoints,
-)
+from marlseam.core.effects import CancelAttempt, Effect, Reject, Respond
 from marlseam.core.events import (
     AttemptEnded,
     AttemptProgressed,
@@ -47,367 +33,363 @@
     ShutdownBegun,
     TimerFired,
 )
-from marlseam.core.idempotency import AttemptRecord, IdempotencyRecords
+from marlseam.core.idempotency import UNKNOWN_ATTEMPT, AttemptRecord, UnavailableHistory
+from marlseam.core.port import EffectsPort
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.request_state import RequestState
 from marlseam.decisions.slow_start import SLOW_START_PLANNED_SHARE
-from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind, Outcome
-from marlseam.decisions.types import Idempotency as Repeat
+from marlseam.decisions.types import (
+    Endpoint,
+    EndpointState,
+    Idempotency,
+    ListUpdateKind,
+    Outcome,
+    Request,
+)
 
-SAFE, KEYED = Repeat.SAFE, Repeat.KEYED
-NOBODY = ""  # the name of a server that is not known
-KEYS_MOST = 20000  # keys of work that may have run; a new one past that is rejected
-# Stands for what was sent and not told: to a group that no server is of (-1 is that of one listed without
-# any), so long ago that no pod is relied on to know it still.
-UNTOLD = AttemptRecord(NOBODY, -2, -2, -inf, inf)
-FORGET_AFTER_POLLS = 60.0  # how long a server must be gone to be forgotten, in times after which one must ask
+FORGET_AFTER_POLLS = 60.0  # how long a server must be gone to be forgotten, in ages at which a list is old
 
 
 class Follower(Protocol):
     """What follows the reducer's course and changes nothing of it."""
 
-    def see(self, followed: "Reducer", event: Event, effects: list[Effect]) -> None: ...
+    def observe(self, reducer: "Reducer", event: Event, effects: list[Effect]) -> None:
+        """Take in an event and the effects that the reducer gave for it."""
+        ...
+
+
+class SlowStartFigures(NamedTuple):
+    """A server's whole slow start budget in a window, inf outside slow start; a request's cost.
+
+    Both in mean requests.
+    """
 
+    budget: float
+    cost: float
 
-class Reducer:
-    """What one node knows, and the decision module's port."""
 
-    node: Dispatcher
-    decider: type[Dispatcher] = Dispatcher  # experiments set baselines here
+class Reducer(EffectsPort):
+    """What one node knows.
 
-    def __init__(self, watch: Follower | None = None) -> None:
-        self.watch = watch
-        self.clock, self.marks = 0.0, 0
-        self.effects: list[Effect] = []
-        self.index: dict[str, int] = {}
-        self.names: list[str] = []
-        self.open: dict[str, RequestState] = {}
-        self.idempotency_records = IdempotencyRecords(KEYS_MOST)
-        self.untold: dict[str, float] = {}  # sources that have not told all, and when the last of it went out
-        self.timers: dict[int, Callable[[], None]] = {}
-        self.closes_ms = inf  # by when all must be answered
-        # Indices of forgotten servers, for reuse; since when servers are off discovery.
-        self.spare: list[int] = []
-        self.gone: dict[str, float] = {}
+    Attributes:
+        dispatcher: the decision module's state.
+        follower: what follows this reducer's course; None for nothing.
+        open_requests: requests without their final answer, or with attempts in flight, by id.
+        unavailable_history: whose requests that may have run are not known here.
+        answer_by_ms: by when all requests must be answered; inf unless the node shuts down.
+    """
+
+    dispatcher_type: type[Dispatcher] = Dispatcher  # experiments set baselines here
+
+    def __init__(self, follower: Follower | None = None) -> None:
+        super().__init__()
+        self.follower = follower
+        self.open_requests: dict[str, RequestState] = {}
+        self.unavailable_history = UnavailableHistory()
+        self.answer_by_ms = inf
 
     def reduce(self, clock: float, event: Event) -> list[Effect]:
         """Take in one event and return the effects that it asks for, in order."""
         self.clock = clock
-        self.effects = effects = []
-        STEPS[type(event)](self, event)
-        if self.watch is not None:
-            self.watch.see(self, event, effects)
+        effects: list[Effect] = []
+        self.effects = effects
+        EVENT_HANDLERS[type(event)](self, event)
+        if self.follower is not None:
+            self.follower.observe(self, event, effects)
         return effects
 
-    # The module's port.
-
-    def now(self) -> float:
-        """Return the time of the event in hand."""
-        return self.clock
-
-    def send(self, state: RequestState, server: int, deadline_ms: float) -> None:
-        """Send a request to a server; under a key it is noted first, with the pod that it may run on."""
-        key, node, type, begin_ms = state.request.idempotency_key, self.dispatcher, state.request_class, inf
-        earlier = [a for a in state.attempts_that_may_have_run() if a is not state.attempts[-1]]
-        if earlier and type.idempotency is KEYED:  # after that its pods need not know it any more
-            begin_ms = earlier[0].sent_ms + type.deduplication_window_ms - self.clock
-        if key is not None and type.idempotency is not SAFE:
-            until = self.clock + (
-                type.deduplication_window_ms if type.idempotency is KEYED else type.deadline_ms
-            )
-            trace = AttemptRecord(self.names[server], node.zone[server], node.cell[server], self.clock, until)
-            self.idempotency_records.note(key, trace)
-            self.effects.append(PersistAttempt(state.request.request_id, key, trace))
-        attempt_index = len(state.attempts) - 1
-        self.effects.append(
-            SendAttempt(state.request.request_id, attempt_index, self.names[server], deadline_ms, begin_ms)
-        )
+    # The node, its settings and its end.
 
-    def cancel(self, state: RequestState, attempt_index: int) -> None:
-        """Stop waiting for an attempt; one that has not begun is called off whatever the settings."""
-        self.effects.append(
-            CancelAttempt(state.request.request_id, attempt_index, self.dispatcher.settings.may_cancel)
-        )
+    def node_started(self, event: NodeStarted) -> None:
+        """Make the dispatcher."""
+        self.dispatcher = self.dispatcher_type(event.settings, event.seed, self)
 
-    def defer(self, state: RequestState, retry_after_ms: float) -> None:
-        """Give the final answer `deferred`."""
-        self.effects.append(Reject(state.request.request_id, retry_after_ms))
+    def settings_changed(self, event: SettingsChanged) -> None:
+        """Configure the dispatcher; open requests keep to an order by key that is newly asked for."""
+        self.dispatcher.configure(event.settings)
+        for state in self.open_requests.values():
+            self.dispatcher.join_key_queue(state)
 
-    def abort(self, state: RequestState) -> None:
-        """Give the final answer `aborted`, or `deferred` where all that is against it has not begun."""
-        out, node = tuple(i for i, a in enumerate(state.attempts) if a.outcome is None), self.dispatcher
-        if len(out) == len(state.attempts_that_may_have_run()):
-            retry_after_ms = min(node.ejection_base_ms, node.settings.max_retry_after_ms) if out else 0.0
-            self.effects.append(Fail(state.request.request_id, state.is_invalid, out, retry_after_ms))
-        else:
-            self.effects.append(Fail(state.request.request_id, state.is_invalid))
+    def shutdown_begun(self, event: ShutdownBegun) -> None:
+        """Answer by the rules, once the time is up, all requests that are still open."""
+        self.answer_by_ms = self.clock + event.left_ms
 
-    def probe(self, server: int) -> None:
-        """Ask a server for its report."""
-        self.effects.append(Probe(self.names[server]))
+        def answer_all() -> None:
+            for state in list(self.open_requests.values()):
+                state.answer()
 
-    def after(self, delay_ms: float, call: Callable[[], None]) -> None:
-        """Call back once the delay has passed."""
-        self.marks += 1
-        self.timers[self.marks] = call
-        self.effects.append(SetTimer(self.marks, delay_ms))
+        self.after(event.left_ms, answer_all)
 
-    def never_ran(self, state: RequestState, server: int, sent_ms: float) -> None:
-        """Take a sending off the record."""
-        key = state.request.idempotency_key
-        if key is not None and self.idempotency_records.never_ran(key, self.names[server], sent_ms):
-            self.effects.append(ErasePersisted(key, self.names[server], sent_ms))
+    def timer_fired(self, event: TimerFired) -> None:
+        """Call back what waits for a timer."""
+        call = self.timers.pop(event.timer_id, None)
+        if call is not None:
+            call()
 
-    def subscribe(self) -> None:
-        """Ask discovery for its changes."""
-        self.effects.append(WatchEndpoints())
+    # Servers.
+
+    def endpoint_list_updated(self, event: EndpointListUpdate) -> None:
+        """Hand an update of the endpoint list on under dense indices."""
+        endpoints = [
+            Endpoint(self.servers.index_of(entry[0]), *entry[1:], crc32(entry[0].encode()))
+            for entry in event.entries
+        ]
+        dispatcher = self.dispatcher
+        started_ms = {server: dispatcher.process_started_ms[server] for server in dispatcher.monitored}
+        dispatcher.update_endpoints(event.update_kind, endpoints, event.doubt)
+        for server, before_ms in started_ms.items():
+            if (
+                dispatcher.endpoint_state[server] is not EndpointState.READY
+                or dispatcher.process_started_ms[server] != before_ms
+            ):
+                self.cancel_unsent(server)
+        if event.update_kind is ListUpdateKind.FAILED:
+            return
+        self.note_listed(event)
+        self.forget_long_gone()
 
-    def tell(self, message: bytes) -> None:
-        """Send all other nodes a message."""
-        self.effects.append(Gossip(message))
+    def cancel_unsent(self, server: int) -> None:
+        """Cancel attempts at a server that are not sent yet.
 
-    def log(self, text: str) -> None:
-        """Write a line for staff."""
-        self.effects.append(Log(text))
+        Guards a server that drains, or is in slow start, against attempts on their way: one counts from its
+        first byte, which may come the time of a connect after the decision.
+        """
+        self.effects += [
+            CancelAttempt(state.request.request_id, index, even_if_sent=False)
+            for state, index in self.dispatcher.own_attempts[server]
+        ]
+
+    def note_listed(self, event: EndpointListUpdate) -> None:
+        """Note which servers are off the endpoint list."""
+        listed = {entry.server for entry in event.entries if entry.state is not EndpointState.GONE}
+        if event.update_kind is ListUpdateKind.DELTA:
+            names = [entry.server for entry in event.entries]
+        else:
+            names = list(self.servers.by_name)
+        self.servers.update(names, listed, self.clock)
 
-    # The events.
+    def forget_long_gone(self) -> None:
+        """Forget servers that have long been gone, once no attempt or probe is in flight there.
 
-    def begin(self, event: NodeStarted) -> None:
-        """Make the module's node."""
-        self.dispatcher = self.decider(event.settings, event.seed, self)
+        Guards a node that runs for weeks against figures of every server there ever was.
+        """
+        dispatcher = self.dispatcher
+        kept_ms = FORGET_AFTER_POLLS * dispatcher.settings.list_max_age_ms
+        for name in self.servers.gone_before(self.clock - kept_ms):
+            server = self.servers.by_name[name]
+            if not dispatcher.own_attempts[server] and dispatcher.probe_sent_ms[server] is None:
+                # Guards the sums by kind where only draining excludes: one off the list may still be in use.
+                dispatcher.remove({server})
+                dispatcher.in_use_though_removed.pop(server, None)
+                dispatcher.reset(server)
+                self.servers.forget(name)
+
+    def probe_ended(self, event: ProbeEnded) -> None:
+        """Hand a probe's end on."""
+        server = self.servers.by_name[event.server]
+        self.dispatcher.probe_ended(server, event.outcome, event.lag_ms, event.report)
 
-    def renewed(self, event: SettingsChanged) -> None:
-        """Hand new settings on; open work keeps to an order that they newly ask for."""
-        self.dispatcher.configure(event.settings)
-        for state in self.open.values():
-            self.dispatcher.join_key_queue(state)
+    def gossip_received(self, event: GossipReceived) -> None:
+        """Hand another node's message on."""
+        self.dispatcher.merge_gossip(event.peer, self.clock, event.message)
 
-    def update_endpoints(self, event: EndpointListUpdate) -> None:
-        """Hand discovery's news on under dense indices."""
-        members = [Endpoint(self.server(e[0]), *e[1:], crc32(e[0].encode())) for e in event.entries]
-        node = self.dispatcher
-        born = {e: node.process_started_ms[e] for e in node.monitored}
-        node.update_endpoints(event.update_kind, members, event.doubt)
-        for e, ms in born.items():
-            if node.endpoint_state[e] is not EndpointState.READY or node.process_started_ms[e] != ms:
-                # Guards a drain, and a cold start, against what is still on its way out: a send counts from
-                # its first byte, which may come a connect's time after the choice.
-                self.effects += [
-                    CancelAttempt(state.request.request_id, i, False) for state, i in node.own_attempts[e]
-                ]
-        if event.update_kind is ListUpdateKind.FAILED:
-            return
-        here = {e.server for e in event.entries if e.state is not EndpointState.GONE}
-        whole = event.update_kind is not ListUpdateKind.DELTA
-        for name in self.index if whole else [e.server for e in event.entries]:
-            if name in here:
-                self.gone.pop(name, None)
-            else:
-                self.gone.setdefault(name, self.clock)
-        self.forget_executors()
-
-    def forget_executors(self) -> None:
-        """Forget servers that have long been gone, once nothing of ours is out there.
-
-        Guards a node that runs for weeks against figures of every executor there ever was.
-        """
-        node, long_ago = (
-            self.dispatcher,
-            self.clock - FORGET_AFTER_POLLS * self.dispatcher.settings.list_max_age_ms,
-        )
-        for name in [name for name, since in self.gone.items() if since < long_ago]:
-            e = self.index[name]
-            if not node.own_attempts[e] and node.probe_sent_ms[e] is None:
-                # Guards the sums by kind where draining alone binds: one off the list may still be in use.
-                node.remove({e})
-                node.in_use_though_removed.pop(e, None)
-                node.reset(e)
-                self.spare.append(e)
-                del self.gone[name], self.index[name]
-
-    def arrival(self, event: RequestArrived) -> None:
-        """Take a request, to be answered before this node ends."""
+    # Requests and their attempts.
+
+    def request_arrived(self, event: RequestArrived) -> None:
+        """Accept a request, to be answered before this node ends; reject it where no key can be held."""
         request = event.request
-        if request.deadline_at_ms > self.closes_ms:
-            request = replace(request, deadline_at_ms=self.closes_ms)
-        if (
-            request.idempotency_key is not None
-            and self.dispatcher.request_classes[request.class_index].idempotency is not SAFE
-        ):
-            traces = self.idempotency_records.known(request.idempotency_key, self.clock)
-            if not traces and request.may_be_retry and self.untold and self.untold_still():
-                traces = [UNTOLD]
-            wait = self.idempotency_records.full(self.clock)
-            if not traces and wait and request.is_recordable:
+        if request.deadline_at_ms > self.answer_by_ms:
+            request = replace(request, deadline_at_ms=self.answer_by_ms)
+        if self.needs_record(request):
+            prior = self.prior_attempts(request)
+            wait_ms = self.idempotency_records.wait_for_key_ms(self.clock)
+            if not prior and wait_ms and request.is_recordable:
                 # Nothing of it ran: it may come back once a key is free. None that may have run is dropped.
-                self.effects.append(
-                    Reject(request.request_id, min(wait, self.dispatcher.settings.max_retry_after_ms))
-                )
+                retry_after_ms = min(wait_ms, self.dispatcher.settings.max_retry_after_ms)
+                self.effects.append(Reject(request.request_id, retry_after_ms))
                 return
-            # The first one stands for all: its group has them, and its time is that of the pod's memory.
-            request = replace(
-                request, prior_attempts=tuple((self.place(trace), trace.sent_ms) for trace in traces[:1])
-            )
+            # The first one stands for all: its group has them, and its time is that of the servers' memory.
+            attempts = tuple((self.recorded_server(record), record.sent_ms) for record in prior[:1])
+            request = replace(request, prior_attempts=attempts)
         elif not request.is_recordable and request.is_sendable:
             request = replace(request, is_recordable=True)  # it needs no record
         state = self.dispatcher.accept(request)
         if not state.is_answered:
-            self.open[event.request.request_id] = state
+            self.open_requests[event.request.request_id] = state
+
+    def needs_record(self, request: Request) -> bool:
+        """Return whether it must be on record that a request may have run."""
+        request_class = self.dispatcher.request_classes[request.class_index]
+        return request.idempotency_key is not None and request_class.idempotency is not Idempotency.SAFE
+
+    def prior_attempts(self, request: Request) -> list[AttemptRecord]:
+        """Return what may have run under a request's key; it stands for attempts that are not known too."""
+        prior = self.idempotency_records.attempts(request.idempotency_key or "", self.clock)
+        if not prior and request.may_be_retry and self.is_history_incomplete():
+            return [UNKNOWN_ATTEMPT]
+        return prior
+
+    def recorded_server(self, record: AttemptRecord) -> int:
+        """Return the index of an attempt's server, which may be gone, with its group on record."""
+        server, dispatcher = self.servers.index_of(record.server), self.dispatcher
+        if server >= len(dispatcher.endpoint_state) or (
+            dispatcher.endpoint_state[server] is EndpointState.GONE and dispatcher.cell[server] != record.cell
+        ):
+            dispatcher.set_endpoint(Endpoint(server, EndpointState.GONE, -1, record.zone, record.cell, None))
+            self.servers.gone_since_ms.setdefault(record.server, self.clock)
+        return server
 
-    def due(self, event: TimerFired) -> None:
-        """Call back what waits for a mark."""
-        call = self.timers.pop(event.timer_id, None)
-        if call is not None:
-            call()
+    def attempt_started(self, event: AttemptStarted) -> None:
+        """Hand on that an attempt runs."""
+        state = self.open_requests.get(event.request_id)
+        if state is not None:
+            state.started(event.attempt_index)
 
-    def probed(self, event: ProbeEnded) -> None:
-        """Hand a probe's end on."""
-        e = self.index[event.server]
-        self.dispatcher.probe_ended(e, event.outcome, event.lag_ms, event.report)
+    def attempt_progressed(self, event: AttemptProgressed) -> None:
+        """Hand on how far an attempt has come."""
+        state = self.open_requests.get(event.request_id)
+        if state is not None:
+            state.progress(event.attempt_index, event.share)
 
-    def told(self, event: GossipReceived) -> None:
-        """Hand another node's message on."""
-        self.dispatcher.merge_gossip(event.peer, self.clock, event.message)
+    def response_streaming(self, event: ResponseStreaming) -> None:
+        """Hand on that an attempt's response is on its way to the client."""
+        state = self.open_requests.get(event.request_id)
+        if state is not None:
+            state.streaming(event.attempt_index)
 
-    def settled(self, event: AttemptEnded) -> None:
+    def attempt_ended(self, event: AttemptEnded) -> None:
         """Hand an attempt's end on, and its result to the client that still waits for it."""
-        state = self.open.get(event.request_id)
+        state = self.open_requests.get(event.request_id)
         if state is None:
             return
         if event.outcome is Outcome.COMPLETED and not state.is_answered:
             self.effects.append(Respond(event.request_id, event.result))
         state.attempt_ended(event.attempt_index, event.outcome, event.final, event.report)
-        self.forget(event.request_id, state)
-
-    def sign(self, event: AttemptStarted | AttemptProgressed | ResponseStreaming) -> None:
-        """Hand a sign of life on."""
-        state = self.open.get(event.request_id)
-        if state is None:
-            return
-        if type(event) is AttemptStarted:
-            state.started(event.attempt_index)
-        elif type(event) is AttemptProgressed:
-            state.progress(event.attempt_index, event.share)
-        else:
-            state.streaming(event.attempt_index)
+        self.forget_if_over(event.request_id, state)
 
-    def left(self, event: ClientLeft) -> None:
-        """Stop all for a request whose client has gone."""
-        state = self.open.get(event.request_id)
+    def client_left(self, event: ClientLeft) -> None:
+        """Cancel what is in flight for a request whose client has gone."""
+        state = self.open_requests.get(event.request_id)
         if state is not None:
             state.close()
-            self.forget(event.request_id, state)
-
-    def forget(self, request_id: str, state: RequestState) -> None:
-        """Drop a request that has its answer and nothing out."""
-        if state.is_answered and all(a.outcome is not None for a in state.attempts):
-            del self.open[request_id]
+            self.forget_if_over(event.request_id, state)
 
-    def closing(self, event: ShutdownBegun) -> None:
-        """Answer by the rules, once the time is up, all that is still open."""
-
-        self.closes_ms = self.clock + event.left_ms
+    def not_durable(self, event: NotDurable) -> None:
+        """Answer a request whose attempt could not be put on record; nothing more of it may be sent."""
+        state = self.open_requests.get(event.request_id)
+        if state is not None:
+            state.max_attempts = 0
+            ended = AttemptEnded(event.request_id, event.attempt_index, Outcome.CANCELLED_UNSENT, False, None)
+            self.attempt_ended(ended)
 
-        def answer() -> None:
-            for state in list(self.open.values()):
-                state.answer()
+    def forget_if_over(self, request_id: str, state: RequestState) -> None:
+        """Forget a request that has its answer and no attempt in flight."""
+        if state.is_over():
+            del self.open_requests[request_id]
 
-        self.after(event.left_ms, answer)
+    # What may have run before this node started, or in other processes of it.
 
-    def recalled(self, event: HistoryRecovered) -> None:
+    def history_recovered(self, event: HistoryRecovered) -> None:
         """Take in what may have run before the node started."""
-        self.idempotency_records.recall(event.traces)
+        self.idempotency_records.restore(event.records)
 
-    def avoided(self) -> int:
-        """Return how many listed servers the decision module avoids now."""
-        node = self.dispatcher
-        return sum(
-            s is not EndpointState.GONE and node.is_avoided(e) for e, s in enumerate(node.endpoint_state)
-        )
+    def peer_attempt(self, event: PeerAttempt) -> None:
+        """Take in what another process of this node sends, once: a snapshot may have had it too."""
+        if event.record not in self.idempotency_records.attempts(event.key, self.clock):
+            self.idempotency_records.add(event.key, event.record)
 
-    def slow_start(self, name: str, type: int, slots: float) -> tuple[float, float]:
-        """Return a server's whole slow start budget in mean requests, inf if warm, and a request's size."""
-        e, node = self.index.get(name), self.dispatcher
-        allowance = node.slow_start_budget(e) if e is not None else inf
-        if allowance == inf:
-            return inf, 0.0
-        return allowance / SLOW_START_PLANNED_SHARE * node.settings.overload_window_ms, node.mean_run_ms[
-            type
-        ] * slots / node.mean_slot_ms
-
-    def elsewhere(self, event: PeerAttempt) -> None:
-        """Note what another process of this node sends, once: it may have been told in a snapshot too."""
-        if event.trace not in self.idempotency_records.known(event.key, self.clock):
-            self.idempotency_records.note(event.key, event.trace)
-
-    def undone(self, event: PeerAttemptNeverRan) -> None:
-        """Take a sending of another process off the record."""
+    def peer_attempt_never_ran(self, event: PeerAttemptNeverRan) -> None:
+        """Take an attempt of another process off the record."""
         self.idempotency_records.never_ran(event.key, event.server, event.sent_ms)
 
-    def untold_now(self, event: HistoryUnavailable) -> None:
-        """Take retries as perhaps sent by a source, until it tells or pods remember none of it."""
-        self.untold[event.source] = inf if event.since_ms is None else event.since_ms
+    def history_unavailable(self, event: HistoryUnavailable) -> None:
+        """Take retries as perhaps sent by a source, until it is known or servers have forgotten it."""
+        self.unavailable_history.add(event.source, event.since_ms)
+
+    def history_available(self, event: HistoryAvailable) -> None:
+        """Note that what a source has sent is known."""
+        self.unavailable_history.discard(event.source)
+
+    def is_history_incomplete(self) -> bool:
+        """Return whether a retry may be of a request that was sent and is not known here."""
+        if not self.unavailable_history.last_sent_ms:
+            return False
+        longest_ms = max(
+            (
+                max(each.deduplication_window_ms, each.deadline_ms)
+                for each in self.dispatcher.request_classes
+                if each.deadline_ms < inf
+            ),
+            default=0.0,
+        )
+        return self.unavailable_history.expire(self.clock, longest_ms)
 
-    def retold(self, event: HistoryAvailable) -> None:
-        """Note that a source has told all."""
-        self.untold.pop(event.source, None)
+    # Figures for operators.
 
-    def untold_still(self) -> bool:
-        """Return whether a retry may be of work that was sent and not told of; by this node's own clock."""
-        known = [t for t in self.dispatcher.request_classes if t.deadline_ms < inf]
-        longest = max((max(t.deduplication_window_ms, t.deadline_ms) for t in known), default=0.0)
-        self.untold = {source: at for source, at in self.untold.items() if at + longest > self.clock}
-        return bool(self.untold)
+    def avoided_count(self) -> int:
+        """Return how many listed servers get nothing now."""
+        dispatcher = self.dispatcher
+        return sum(
+            state is not EndpointState.GONE and dispatcher.is_avoided(server)
+            for server, state in enumerate(dispatcher.endpoint_state)
+        )
 
-    def unkept(self, event: NotDurable) -> None:
-        """Have a request answered whose sending could not be recorded: nothing more of it may go out."""
-        state = self.open.get(event.request_id)
-        if state is not None:
-            state.max_attempts = 0
-            self.settled(
-                AttemptEnded(event.request_id, event.attempt_index, Outcome.CANCELLED_UNSENT, False, None)
-            )
-
-    def place(self, trace: AttemptRecord) -> int:
-        """Return the index of a sending's server, which may be gone, with its group on record."""
-        e, node = self.server(trace.server), self.dispatcher
-        if e >= len(node.endpoint_state) or (
-            node.endpoint_state[e] is EndpointState.GONE and node.cell[e] != trace.cell
-        ):
-            node.set_endpoint(Endpoint(e, EndpointState.GONE, -1, trace.zone, trace.cell, None))
-            self.gone.setdefault(trace.server, self.clock)
-        return e
-
-    def server(self, name: str) -> int:
-        """Return a server's index, a spare or new one for a name not seen before."""
-        found = self.index.get(name)
-        if found is None:
-            if not self.spare:
-                self.spare.append(len(self.names))
-                self.names.append("")
-            found = self.index[name] = self.spare.pop()
-            self.names[found] = name
-        return found
-
-
-STEPS: dict[type, Callable] = {
-    NodeStarted: Reducer.begin,
-    SettingsChanged: Reducer.renewed,
-    EndpointListUpdate: Reducer.update_endpoints,
-    HistoryRecovered: Reducer.recalled,
-    PeerAttempt: Reducer.elsewhere,
-    PeerAttemptNeverRan: Reducer.undone,
-    HistoryUnavailable: Reducer.untold_now,
-    HistoryAvailable: Reducer.retold,
-    NotDurable: Reducer.unkept,
-    RequestArrived: Reducer.arrival,
-    TimerFired: Reducer.due,
-    ProbeEnded: Reducer.probed,
-    GossipReceived: Reducer.told,
-    AttemptEnded: Reducer.settled,
-    AttemptStarted: Reducer.sign,
-    AttemptProgressed: Reducer.sign,
-    ResponseStreaming: Reducer.sign,
-    ClientLeft: Reducer.left,
-    ShutdownBegun: Reducer.closing,
+    def slow_start_figures(self, name: str, class_index: int, slots: float) -> SlowStartFigures:
+        """Return a server's slow start budget, and what a request of a class and width costs."""
+        server, dispatcher = self.servers.by_name.get(name), self.dispatcher
+        planned = dispatcher.slow_start_budget(server) if server is not None else inf
+        if planned == inf:
+            return SlowStartFigures(inf, 0.0)
+        budget = planned / SLOW_START_PLANNED_SHARE * dispatcher.settings.overload_window_ms
+        cost = dispatcher.mean_run_ms[class_index] * slots / dispatcher.mean_slot_ms
+        return SlowStartFigures(budget, cost)
+
+    # The names that other parts still use.
+
+    avoided = avoided_count
+    slow_start = slow_start_figures
+    untold_still = is_history_incomplete
+
+    @property
+    def index(self) -> dict[str, int]:
+        """The former name of `servers.by_name`."""
+        return self.servers.by_name
+
+    @property
+    def open(self) -> dict[str, RequestState]:
+        """The former name of `open_requests`."""
+        return self.open_requests
+
+    @property
+    def untold(self) -> dict[str, float]:
+        """The former name of `unavailable_history.last_sent_ms`."""
+        return self.unavailable_history.last_sent_ms
+
+    @property
+    def closes_ms(self) -> float:
+        """The former name of `answer_by_ms`."""
+        return self.answer_by_ms
+
+
+EVENT_HANDLERS: dict[type, Callable[[Reducer, Any], None]] = {
+    NodeStarted: Reducer.node_started,
+    SettingsChanged: Reducer.settings_changed,
+    EndpointListUpdate: Reducer.endpoint_list_updated,
+    HistoryRecovered: Reducer.history_recovered,
+    PeerAttempt: Reducer.peer_attempt,
+    PeerAttemptNeverRan: Reducer.peer_attempt_never_ran,
+    HistoryUnavailable: Reducer.history_unavailable,
+    HistoryAvailable: Reducer.history_available,
+    NotDurable: Reducer.not_durable,
+    RequestArrived: Reducer.request_arrived,
+    TimerFired: Reducer.timer_fired,
+    ProbeEnded: Reducer.probe_ended,
+    GossipReceived: Reducer.gossip_received,
+    AttemptEnded: Reducer.attempt_ended,
+    AttemptStarted: Reducer.attempt_started,
+    AttemptProgressed: Reducer.attempt_progressed,
+    ResponseStreaming: Reducer.response_streaming,
+    ClientLeft: Reducer.client_left,
+    ShutdownBegun: Reducer.shutdown_begun,
 }
+STEPS = EVENT_HANDLERS  # the name that other parts still use
--- a/marlseam/decisions/admission.py
+++ b/marlseam/decisions/admission.py
@@ -81,7 +81,7 @@
         if self.endpoint_state[server] is not EndpointState.READY:
             return
         if (until_ms is None or self.port.now() >= until_ms) and self.is_stalled(server):
-            self.eject(server, "work stands" if until_ms is None else "trial stands")
+            self.eject(server, "attempts stalled" if until_ms is None else "trial attempt stalled")
             self.retry_elsewhere(server)
 
     def enqueue(self, state: Retry) -> None:
--- a/marlseam/decisions/outlier_detection.py
+++ b/marlseam/decisions/outlier_detection.py
@@ -38,7 +38,7 @@
         """Add an outcome to the sequential test on a server."""
         self.log_likelihood_ratio[server] = max(0.0, self.log_likelihood_ratio[server] + log_likelihood_ratio)
         if self.log_likelihood_ratio[server] >= LOG_LIKELIHOOD_THRESHOLD:
-            self.eject(server, "outcomes")
+            self.eject(server, "failed outcomes")
 
     def trial_attempts(self, server: int) -> list[Attempt]:
         """Return our attempts at a server without those sent before the end of its last ejection.
@@ -57,10 +57,8 @@
         now, until_ms = self.port.now(), self.ejected_until_ms[server]
         if until_ms is not None and now < until_ms:
             return
-        held = len(self.own_attempts[server])
-        self.port.log(
-            f"executor {server} rests {self.ejection_ms[server]:.0f} ms: {reason}, holds {held} of ours"
-        )
+        count, for_ms = len(self.own_attempts[server]), self.ejection_ms[server]
+        self.port.log(f"server {server} ejected for {for_ms:.0f} ms: {reason}, {count} attempts of ours")
         self.adjust_sums(server, -1)
         if server in self.in_use_though_removed:
             del self.in_use_though_removed[server]
--- a/marlseam/experiment/policies.py
+++ b/marlseam/experiment/policies.py
@@ -122,7 +122,7 @@
     dispatcher = type(
         "Baseline" + state_type.__name__, (BaselineDispatcher,), {"request_state_type": state_type}
     )
-    return type(state_type.__name__ + "Core", (Reducer,), {"decider": dispatcher})
+    return type(state_type.__name__ + "Core", (Reducer,), {"dispatcher_type": dispatcher})
 
 
 POLICIES: dict[str, Callable[[], Reducer]] = {
--- a/marlseam/shadow_policy.py
+++ b/marlseam/shadow_policy.py
@@ -1,8 +1,8 @@
-"""A second opinion: what other settings would have decided where the node has just decided. Pure of I/O.
+"""A shadow policy: what other settings would have decided where the node has just decided. Pure of I/O.
 
-The second decider has figures and a chance sequence of its own. It is told all that the first is told, and
-what the first has sent; it neither sends nor probes nor sets a timer, and the first never asks it. It sees no
-consequences of decisions that were not taken: its figures grow from the node's own course.
+The shadow dispatcher has figures and a random sequence of its own. It takes in all that the node's dispatcher
+takes in, and what that has sent; it neither sends nor probes nor sets a timer, and the node never asks it. It
+sees no consequences of decisions that were not carried out: its figures follow the node's own course.
 """
 
 from collections import Counter
@@ -12,13 +12,35 @@
 from marlseam import core
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.request_state import RequestState
-from marlseam.decisions.types import Attempt, Decision, Endpoint, ListUpdateKind, Request, Settings
-
-OWN_SEED = 0x5EED  # sets its chance apart from the node's
-WORDS = {core.SendAttempt: Decision.HOME, core.Reject: Decision.REJECTED, core.Fail: Decision.FAILED}
-
-
-class Mute:
+from marlseam.decisions.types import (
+    Attempt,
+    Decision,
+    Endpoint,
+    ListUpdateKind,
+    LoadReport,
+    Outcome,
+    Request,
+    Settings,
+    TrackedRequest,
+)
+
+SEED_MASK = 0x5EED  # sets the shadow's random sequence apart from the node's
+
+DecidedEffect = core.SendAttempt | core.Reject | core.Fail
+
+
+def decision_of(effect: DecidedEffect) -> Decision:
+    """Return the decision that an effect shows, a sending as one to the home server."""
+    match effect:
+        case core.SendAttempt():
+            return Decision.HOME
+        case core.Reject():
+            return Decision.REJECTED
+        case core.Fail():
+            return Decision.FAILED
+
+
+class SilentPort:
     """A port through which nothing happens."""
 
     def __init__(self) -> None:
@@ -28,194 +50,241 @@
         """Return the time of the event in hand."""
         return self.clock
 
-    def nothing(self, *_: object) -> None:
-        """Do nothing."""
+    def send(self, state: TrackedRequest, server: int, deadline_ms: float) -> None:
+        """Send nothing."""
+
+    def cancel(self, state: TrackedRequest, attempt_index: int) -> None:
+        """Cancel nothing."""
+
+    def defer(self, state: TrackedRequest, retry_after_ms: float) -> None:
+        """Answer nothing."""
+
+    def abort(self, state: TrackedRequest) -> None:
+        """Answer nothing."""
+
+    def probe(self, server: int) -> None:
+        """Probe nothing."""
+
+    def after(self, delay_ms: float, call: Callable[[], None]) -> None:
+        """Set no timer."""
+
+    def never_ran(self, state: TrackedRequest, server: int, sent_ms: float) -> None:
+        """Change no record."""
+
+    def subscribe(self) -> None:
+        """Ask for no list."""
+
+    def tell(self, message: bytes) -> None:
+        """Publish nothing."""
 
-    send = cancel = defer = abort = probe = after = never_ran = subscribe = tell = log = nothing
+    def log(self, text: str) -> None:
+        """Write nothing."""
 
 
-class Shadow(RequestState):
-    """A request as the second decider knows it: it takes note, and seeks nothing of its own accord."""
+class ShadowRequest(RequestState):
+    """A request as the shadow dispatcher knows it: it takes note, and seeks nothing of its own accord."""
 
     def retry(self) -> None:
-        """Leave it to the first decider what follows."""
+        """Leave it to the node what follows."""
 
 
-class Watch:
-    """Follows a reducer and counts, by kind, where other settings would have decided otherwise."""
+class ShadowPolicy:
+    """Follows a reducer and counts, by kind, where other settings would have decided otherwise.
+
+    Attributes:
+        change: gives the other settings for the node's.
+        dispatcher: the shadow dispatcher, from the node's start on.
+        open_requests: requests without their final answer, or with attempts in flight, by id.
+        decided: how many decisions of the node were compared.
+        otherwise: how many were otherwise, by the node's decision and the shadow's.
+        checked_ms: when the shadow's last periodic check was.
+    """
+
+    dispatcher: Dispatcher
 
     def __init__(self, change: Callable[[Settings], Settings]) -> None:
-        self.change, self.port = change, Mute()
-        self.node: Dispatcher | None = None
-        self.open: dict[str, Shadow] = {}
-        self.decided, self.swept_ms = 0, 0.0
+        self.change, self.port = change, SilentPort()
+        self.open_requests: dict[str, ShadowRequest] = {}
+        self.decided, self.checked_ms = 0, 0.0
         self.otherwise: Counter[tuple[Decision, Decision]] = Counter()
 
-    def see(self, followed: core.Reducer, event: core.Event, effects: Iterable[core.Effect]) -> None:
+    def observe(self, reducer: core.Reducer, event: core.Event, effects: Iterable[core.Effect]) -> None:
         """Take in an event and what the node did upon it."""
-        self.port.clock = followed.clock
-        if type(event) is core.NodeStarted:
-            self.node = Dispatcher(
-                self.change(event.settings), crc32(b"%d" % (event.seed ^ OWN_SEED)), self.port
-            )
-        elif type(event) is core.SettingsChanged:
-            self.node.configure(self.change(event.settings))
-        elif type(event) is core.RequestArrived:
-            self.arrival(followed, event.request, effects)
-        elif type(event) in TOLD:
-            TOLD[type(event)](self, followed, event)
+        self.port.clock = reducer.clock
+        self.take_event(reducer, event, effects)
         for effect in effects:
-            shadow = self.open.get(getattr(effect, "request_id", ""))
-            if shadow is not None:
-                if type(effect) in WORDS and type(event) is not core.RequestArrived:
-                    self.count(self.later(followed, effect), self.opinion(followed, shadow, effect))
-                self.follow(followed, shadow, effect)
-
-    def count(self, decided: Decision, other: Decision) -> None:
-        """Count a decision beside the second opinion."""
-        self.decided += 1
-        if decided is not other:
-            self.otherwise[decided, other] += 1
+            self.take_effect(reducer, effect, compare=type(event) is not core.RequestArrived)
 
     def lines(self) -> list[str]:
         """Return the counts, the most frequent first, in a line each."""
         head = f"watch: {self.decided} decisions, {self.otherwise.total()} otherwise by the settings watched"
         rows = sorted(self.otherwise.items(), key=lambda row: (-row[1], row[0][0].value, row[0][1].value))
-        return [head, *(f"watch: {n} times {a.value} where it would be {b.value}" for (a, b), n in rows)]
+        return [
+            head,
+            *(
+                f"watch: {count} times {decided.value} where it would be {other.value}"
+                for (decided, other), count in rows
+            ),
+        ]
+
+    # Decisions beside the shadow's.
 
-    # A decision and its second opinion.
+    def count(self, decided: Decision, other: Decision) -> None:
+        """Count a decision of the node beside the shadow's."""
+        self.decided += 1
+        if decided is not other:
+            self.otherwise[decided, other] += 1
 
-    def arrival(self, followed: core.Reducer, request: Request, effects: Iterable[core.Effect]) -> None:
+    def request_arrived(
+        self, reducer: core.Reducer, request: Request, effects: Iterable[core.Effect]
+    ) -> None:
         """Compare what is first decided of a request."""
-        state = followed.open.get(request.request_id)
-        self.node.count_arrival(request)
-        shadow = self.open[request.request_id] = Shadow(
-            self.node, state.request if state is not None else request
-        )
-        mine = [effect for effect in effects if getattr(effect, "request_id", None) == request.request_id]
-        words = [WORDS[type(effect)] for effect in mine if type(effect) in WORDS]
-        if words:
-            decided = words[0]
-        elif state is not None and state.probed_servers:
-            decided = (
-                Decision.PROBE_HOME if state.probed_servers == [state.home_server] else Decision.PROBE_OTHERS
-            )
+        state = reducer.open_requests.get(request.request_id)
+        self.dispatcher.count_arrival(request)
+        shadow = ShadowRequest(self.dispatcher, state.request if state is not None else request)
+        self.open_requests[request.request_id] = shadow
+        decided = first_decision(request, state, effects)
+        if shadow.may_attempt():
+            self.count(decided, shadow.choose_initial_placement().decision)
         else:
-            decided = Decision.QUEUED
-        other = shadow.choose_initial_placement()[0] if shadow.may_attempt() else self.end(shadow)
-        self.count(decided, other)
-
-    def later(self, followed: core.Reducer, effect: core.Effect) -> Decision:
-        """Return what was decided of a request after its arrival."""
-        word, state = WORDS[type(effect)], followed.open.get(effect.request_id)
-        if word is not Decision.HOME or state is None or state.probed_servers in ([], [state.home_server]):
-            return word
-        to = state.attempts[effect.attempt_index].server
-        return Decision.KEPT_AT_HOME if to == state.home_server else Decision.FORWARDED
-
-    def opinion(self, followed: core.Reducer, shadow: Shadow, effect: core.Effect) -> Decision:
-        """Return what the second decider would do with a request of which the node has decided just now."""
-        state = followed.open.get(effect.request_id)
+            self.count(decided, final_decision(shadow))
+
+    def compare(self, state: RequestState | None, shadow: ShadowRequest, effect: DecidedEffect) -> None:
+        """Compare what is decided of a request after its arrival."""
+        self.count(later_decision(state, effect), self.other_decision(state, shadow, effect))
+
+    def other_decision(
+        self, state: RequestState | None, shadow: ShadowRequest, effect: DecidedEffect
+    ) -> Decision:
+        """Return what the shadow would do with a request of which the node has decided just now."""
         if type(effect) is not core.SendAttempt or state is None:
-            waits = shadow.may_attempt() and shadow.time_to_spare_ms(min(self.node.kind_pace)) >= 0.0
-            return Decision.QUEUED if waits else self.end(shadow)
-        shadow.home_server, shadow.has_waited, shadow.probe_round_ms = (
-            state.home_server,
-            state.has_waited,
-            state.probe_round_ms,
-        )
-        if state.probed_servers in ([], [state.home_server]):
-            fine = shadow.decide_at_home(state.home_server)
-            return Decision.QUEUED if fine is Decision.PROBE_OTHERS and state.has_waited else fine
-        return shadow.pick_probed_server(state.probed_servers)[0]
-
-    def end(self, shadow: Shadow) -> Decision:
-        """Return the final answer that the second decider would give."""
-        return Decision.REJECTED if shadow.may_reject_safely() else Decision.FAILED
-
-    # What the second decider is told.
-
-    def follow(self, followed: core.Reducer, shadow: Shadow, effect: core.Effect) -> None:
-        """Note what the node has sent or answered."""
-        if type(effect) is core.SendAttempt:
-            server, now = followed.index[effect.server], self.port.clock
-            shadow.attempts.append(
-                Attempt(server, now, now, expected_wait_ms=self.node.expected_wait_ms(server, shadow.request))
-            )
-            self.node.track_attempt(server, shadow, len(shadow.attempts) - 1, shadow.request.slots)
-        elif type(effect) in (core.Respond, core.Reject, core.Fail):
+            has_time = shadow.may_attempt() and shadow.time_to_spare_ms(min(self.dispatcher.kind_pace)) >= 0.0
+            return Decision.QUEUED if has_time else final_decision(shadow)
+        shadow.home_server, shadow.has_waited = state.home_server, state.has_waited
+        shadow.probe_round_ms = state.probe_round_ms
+        if has_probed_others(state):
+            return shadow.pick_probed_server(state.probed_servers).decision
+        at_home = shadow.decide_at_home(state.home_server)
+        if at_home is Decision.PROBE_OTHERS and state.has_waited:
+            return Decision.QUEUED
+        return at_home
+
+    # What the shadow takes in.
+
+    def take_event(self, reducer: core.Reducer, event: core.Event, effects: Iterable[core.Effect]) -> None:
+        """Take in an event."""
+        match event:
+            case core.NodeStarted():
+                seed = crc32(b"%d" % (event.seed ^ SEED_MASK))
+                self.dispatcher = Dispatcher(self.change(event.settings), seed, self.port)
+            case core.SettingsChanged():
+                self.dispatcher.configure(self.change(event.settings))
+            case core.RequestArrived():
+                self.request_arrived(reducer, event.request, effects)
+            case core.EndpointListUpdate():
+                self.endpoint_list_updated(reducer, event)
+            case core.ProbeEnded():
+                server = reducer.servers.by_name[event.server]
+                self.dispatcher.probe_ended(server, event.outcome, event.lag_ms, event.report)
+            case core.GossipReceived():
+                self.dispatcher.merge_gossip(event.peer, reducer.clock, event.message)
+            case core.TimerFired():
+                self.check_periodically(reducer.clock)
+            case _:
+                self.take_request_event(event)
+
+    def take_request_event(self, event: core.Event) -> None:
+        """Take in what happens to a request that is open."""
+        shadow = self.open_requests.get(getattr(event, "request_id", ""))
+        if shadow is None:
+            return
+        match event:
+            case core.AttemptEnded(_, index, outcome, final, report):
+                self.attempt_ended(shadow, index, outcome, final, report)
+            case core.AttemptProgressed():
+                shadow.progress(event.attempt_index, event.share)
+            case core.AttemptStarted() | core.ResponseStreaming():
+                shadow.started(event.attempt_index)
+            case core.ClientLeft():
+                shadow.is_answered = True
+                self.forget_if_over(shadow)
+
+    def attempt_ended(
+        self, shadow: ShadowRequest, index: int, outcome: Outcome, final: bool, report: LoadReport | None
+    ) -> None:
+        """Take in an attempt's end."""
+        shadow.attempt_ended(index, outcome, final, report)
+        self.forget_if_over(shadow)
+
+    def take_effect(self, reducer: core.Reducer, effect: core.Effect, compare: bool) -> None:
+        """Take in what the node has sent or answered, and compare it where it is a decision."""
+        shadow = self.open_requests.get(getattr(effect, "request_id", ""))
+        if shadow is None:
+            return
+        if compare and isinstance(effect, DecidedEffect):
+            self.compare(reducer.open_requests.get(effect.request_id), shadow, effect)
+        if isinstance(effect, core.SendAttempt):
+            server, now = reducer.servers.by_name[effect.server], self.port.clock
+            wait_ms = self.dispatcher.expected_wait_ms(server, shadow.request)
+            shadow.attempts.append(Attempt(server, now, now, expected_wait_ms=wait_ms))
+            index = len(shadow.attempts) - 1
+            self.dispatcher.track_attempt(server, shadow, index, shadow.request.slots)
+        elif isinstance(effect, core.Respond | core.Reject | core.Fail):
             shadow.is_answered = True
-            self.forget(effect.request_id)
+            self.forget_if_over(shadow)
 
-    def update_endpoints(self, followed: core.Reducer, event: core.EndpointListUpdate) -> None:
-        """Tell it of discovery's news, under the same indices."""
+    def endpoint_list_updated(self, reducer: core.Reducer, event: core.EndpointListUpdate) -> None:
+        """Take in an update of the endpoint list, under the same indices."""
         if event.update_kind is ListUpdateKind.FAILED:
             return
-        for server in followed.spare:  # an index that is free again stands for another server later
-            if server < len(self.node.endpoint_state):
-                self.node.reset(server)
-        members = [
-            Endpoint(followed.index[server.server], *server[1:], crc32(server.server.encode()))
-            for server in event.entries
-            if server.server in followed.index
+        for server in reducer.servers.free:  # an index that is free again stands for another server later
+            if server < len(self.dispatcher.endpoint_state):
+                self.dispatcher.reset(server)
+        endpoints = [
+            Endpoint(reducer.servers.by_name[entry.server], *entry[1:], crc32(entry.server.encode()))
+            for entry in event.entries
+            if entry.server in reducer.servers.by_name
         ]
-        self.node.update_endpoints(event.update_kind, members, event.doubt)
-
-    def probed(self, followed: core.Reducer, event: core.ProbeEnded) -> None:
-        """Tell it of a probe's end."""
-        self.node.probe_ended(followed.index[event.server], event.outcome, event.lag_ms, event.report)
-
-    def told(self, followed: core.Reducer, event: core.GossipReceived) -> None:
-        """Tell it of another node's message."""
-        self.node.merge_gossip(event.peer, followed.clock, event.message)
-
-    def due(self, followed: core.Reducer, event: core.TimerFired) -> None:
-        """Let it look at what stands, as often as the node does."""
-        if followed.clock - self.swept_ms >= self.node.check_interval_ms:
-            self.swept_ms = followed.clock
-            self.node.periodic_check()
-
-    def settled(self, followed: core.Reducer, event: core.AttemptEnded) -> None:
-        """Tell it of an attempt's end."""
-        shadow = self.open.get(event.request_id)
-        if shadow is not None:
-            shadow.attempt_ended(event.attempt_index, event.outcome, event.final, event.report)
-            self.forget(event.request_id)
-
-    def sign(
-        self,
-        followed: core.Reducer,
-        event: core.AttemptStarted | core.AttemptProgressed | core.ResponseStreaming,
-    ) -> None:
-        """Tell it of a sign of life."""
-        shadow = self.open.get(event.request_id)
-        if shadow is not None and type(event) is core.AttemptProgressed:
-            shadow.progress(event.attempt_index, event.share)
-        elif shadow is not None:
-            shadow.started(event.attempt_index)
-
-    def left(self, followed: core.Reducer, event: core.ClientLeft) -> None:
-        """Tell it of a client that has gone."""
-        shadow = self.open.get(event.request_id)
-        if shadow is not None:
-            shadow.is_answered = True
-            self.forget(event.request_id)
-
-    def forget(self, request_id: str) -> None:
-        """Drop a request that has its answer and nothing out."""
-        shadow = self.open[request_id]
-        if shadow.is_answered and not shadow.in_flight_count():
-            del self.open[request_id]
-
-
-TOLD = {
-    core.EndpointListUpdate: Watch.update_endpoints,
-    core.ProbeEnded: Watch.probed,
-    core.GossipReceived: Watch.told,
-    core.TimerFired: Watch.due,
-    core.AttemptEnded: Watch.settled,
-    core.AttemptStarted: Watch.sign,
-    core.AttemptProgressed: Watch.sign,
-    core.ResponseStreaming: Watch.sign,
-    core.ClientLeft: Watch.left,
-}
+        self.dispatcher.update_endpoints(event.update_kind, endpoints, event.doubt)
+
+    def check_periodically(self, now: float) -> None:
+        """Make the shadow's periodic check as often as the node makes its own."""
+        if now - self.checked_ms >= self.dispatcher.check_interval_ms:
+            self.checked_ms = now
+            self.dispatcher.periodic_check()
+
+    def forget_if_over(self, shadow: ShadowRequest) -> None:
+        """Forget a request that has its answer and no attempt in flight."""
+        if shadow.is_over():
+            del self.open_requests[shadow.request.request_id]
+
+
+def first_decision(request: Request, state: RequestState | None, effects: Iterable[core.Effect]) -> Decision:
+    """Return what the node has first decided of a request, by the effects of its arrival."""
+    for effect in effects:
+        if isinstance(effect, DecidedEffect) and effect.request_id == request.request_id:
+            return decision_of(effect)
+    if state is None or not state.probed_servers:
+        return Decision.QUEUED
+    return Decision.PROBE_OTHERS if has_probed_others(state) else Decision.PROBE_HOME
+
+
+def later_decision(state: RequestState | None, effect: DecidedEffect) -> Decision:
+    """Return what the node has decided of a request after its arrival."""
+    if not isinstance(effect, core.SendAttempt) or state is None or not has_probed_others(state):
+        return decision_of(effect)
+    is_home = state.attempts[effect.attempt_index].server == state.home_server
+    return Decision.KEPT_AT_HOME if is_home else Decision.FORWARDED
+
+
+def final_decision(shadow: ShadowRequest) -> Decision:
+    """Return the final answer that the shadow would give."""
+    return Decision.REJECTED if shadow.may_reject_safely() else Decision.FAILED
+
+
+def has_probed_others(state: RequestState) -> bool:
+    """Return whether servers besides home were probed for a request."""
+    return state.probed_servers not in ([], [state.home_server])
+
+
+Watch = ShadowPolicy  # the name that other parts still use
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -61,7 +61,7 @@
 def test_a_completed_request_is_forgotten(begun):
     take(begun)
     begun.reduce(9.0, end("1", Outcome.COMPLETED))
-    assert not begun.open
+    assert not begun.open_requests
 
 
 def test_a_result_after_the_answer_completes_nothing(begun):
@@ -105,7 +105,7 @@
     timer = of(begun.reduce(3.0, core.ShutdownBegun(100.0)), core.SetTimer)[-1]
     effects = begun.reduce(103.0, core.TimerFired(timer.timer_id))
     assert of(effects, core.Reject) == [core.Reject("1", 0.0)] and of(effects, core.Fail) == [
-        core.Fail("2", out=(0,))  # of which nothing may have begun
+        core.Fail("2", in_flight=(0,))  # of which nothing may be sent
     ]
 
 
@@ -117,29 +117,29 @@
 def test_work_that_comes_after_closing_is_answered_at_once(begun):
     begun.reduce(-200.0, core.ShutdownBegun(100.0))
     effects = take(begun)
-    assert of(effects, core.Reject) and not of(effects, core.SendAttempt) and not begun.open
+    assert of(effects, core.Reject) and not of(effects, core.SendAttempt) and not begun.open_requests
 
 
 def test_a_server_long_gone_is_forgotten(begun):
     begun.reduce(10.0, core.EndpointListUpdate(ListUpdateKind.DELTA, [entry("e1", EndpointState.GONE)]))
     begun.reduce(1e6, core.EndpointListUpdate(ListUpdateKind.DELTA, []))
-    assert list(begun.index) == ["e2"]
+    assert list(begun.servers.by_name) == ["e2"]
 
 
 def test_a_server_gone_with_work_of_ours_out_is_kept(begun):
     (sent,) = of(take(begun, type=1), core.SendAttempt)
     begun.reduce(10.0, core.EndpointListUpdate(ListUpdateKind.FULL, []))
     begun.reduce(1e6, core.EndpointListUpdate(ListUpdateKind.FULL, []))
-    assert list(begun.index) == [sent.server]
+    assert list(begun.servers.by_name) == [sent.server]
 
 
 def test_a_forgotten_servers_place_starts_afresh(begun):
-    begun.dispatcher.at_capacity[begun.index["e1"]] = True
+    begun.dispatcher.at_capacity[begun.servers.by_name["e1"]] = True
     begun.reduce(10.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e2")]))
     begun.reduce(1e6, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e2")]))
     begun.reduce(1e6, core.EndpointListUpdate(ListUpdateKind.DELTA, [entry("e3")]))
     assert (
-        begun.index == {"e2": 1, "e3": 0}
+        begun.servers.by_name == {"e2": 1, "e3": 0}
         and not begun.dispatcher.at_capacity[0]
         and begun.dispatcher.others_slots[0] is None
     )
@@ -191,5 +191,5 @@
     for t in (3.0, 4.0 + core.FORGET_AFTER_POLLS * deployment.settings.list_max_age_ms):
         begun.reduce(t, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e1")]))
     node = begun.dispatcher
-    assert list(begun.index) == ["e1"] and not node.in_use_though_removed
+    assert list(begun.servers.by_name) == ["e1"] and not node.in_use_though_removed
     assert (node.ready_count[0], node.reported_count[0]) == (1, 1)
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -24,7 +24,7 @@
     wrong = type("Wrong", (Dispatcher,), {"request_state_type": state_type, **methods})
 
     class WrongCore(Reducer):
-        decider = wrong
+        dispatcher_type = wrong
 
     return WrongCore
 
--- a/tests/test_key_ordering.py
+++ b/tests/test_key_ordering.py
@@ -191,7 +191,7 @@
         if i % 5000 == 0:
             world.wait(500.0)
     world.wait(500.0)
-    assert world.kept() == 0 and not world.core.open
+    assert world.kept() == 0 and not world.core.open_requests
 
 
 STEPS = st.lists(
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -70,40 +70,40 @@
             rows = []
         if what == "note":
             trace = AttemptRecord(executor, 0, 0, now, now + 20.0)
-            if idempotency_records.known(key, now) == rows:
-                idempotency_records.note(key, trace)
+            if idempotency_records.attempts(key, now) == rows:
+                idempotency_records.add(key, trace)
                 rows.append(trace)
         elif what == "never" and rows:
-            idempotency_records.known(key, now)
+            idempotency_records.attempts(key, now)
             assert idempotency_records.never_ran(key, rows[0].server, rows[0].sent_ms)
             gone = next(t for t in rows if (t.server, t.sent_ms) == (rows[0].server, rows[0].sent_ms))
             rows.remove(gone)
         model[key] = rows
-        assert idempotency_records.known(key, now) == rows
+        assert idempotency_records.attempts(key, now) == rows
 
 
 def test_what_is_recalled_ends_in_its_time_and_goes_before_what_is_noted():
     idempotency_records = IdempotencyRecords(10)
     a, b = AttemptRecord("e", 0, 0, 0.0, 50.0), AttemptRecord("e", 0, 0, 0.0, 20.0)
-    idempotency_records.recall({"a": [a, AttemptRecord("f", 0, 0, 5.0, 55.0)], "b": [b]})
-    idempotency_records.note("a", AttemptRecord("g", 0, 0, 10.0, 60.0))
-    assert [t.server for t in idempotency_records.known("a", 15.0)] == [
+    idempotency_records.restore({"a": [a, AttemptRecord("f", 0, 0, 5.0, 55.0)], "b": [b]})
+    idempotency_records.add("a", AttemptRecord("g", 0, 0, 10.0, 60.0))
+    assert [t.server for t in idempotency_records.attempts("a", 15.0)] == [
         "e",
         "f",
         "g",
-    ] and idempotency_records.known("b", 15.0)
+    ] and idempotency_records.attempts("b", 15.0)
     assert (
-        not idempotency_records.known("b", 20.0)
-        and idempotency_records.known("a", 49.0)
-        and not idempotency_records.known("a", 50.0)
+        not idempotency_records.attempts("b", 20.0)
+        and idempotency_records.attempts("a", 49.0)
+        and not idempotency_records.attempts("a", 50.0)
     )
 
 
 def test_at_the_bound_there_is_room_only_once_a_key_is_forgotten():
     idempotency_records = IdempotencyRecords(1)
-    idempotency_records.note("a", AttemptRecord("e", 0, 0, 0.0, 100.0))
-    assert idempotency_records.full(40.0) == 60.0 and idempotency_records.known("a", 40.0)
-    assert idempotency_records.full(100.0) == 0.0 and not idempotency_records.known("a", 100.0)
+    idempotency_records.add("a", AttemptRecord("e", 0, 0, 0.0, 100.0))
+    assert idempotency_records.wait_for_key_ms(40.0) == 60.0 and idempotency_records.attempts("a", 40.0)
+    assert idempotency_records.wait_for_key_ms(100.0) == 0.0 and not idempotency_records.attempts("a", 100.0)
 
 
 # The reducer and the module.
@@ -188,7 +188,7 @@
     (first,) = sends(answered(node, 1.0, node(1.0, unit("1"))))
     effects = node(2.0, core.AttemptEnded("1", 0, Outcome.AT_CAPACITY, False, None))
     assert any(type(e) is core.ErasePersisted and e.server == first for e in effects)
-    later = node.core.idempotency_records.known("k", 3.0)
+    later = node.core.idempotency_records.attempts("k", 3.0)
     assert all(trace.server != first for trace in later)
 
 
@@ -204,7 +204,7 @@
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_past_the_bound_a_new_key_is_rejected_with_advice_and_an_old_one_still_goes(seed):
     node = begun(seed)
-    node.core.idempotency_records.most = 1
+    node.core.idempotency_records.max_keys = 1
     assert sends(answered(node, 1.0, node(1.0, unit("1", key="old"))))
     (refused,) = node(2.0, unit("2", key="new"))
     assert type(refused) is core.Reject and refused.retry_after_ms > 0.0
@@ -221,7 +221,7 @@
     )
     node(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, old, 0.6))
     decider = node.core.dispatcher
-    e = node.core.index["x"]
+    e = node.core.servers.by_name["x"]
     assert decider.slow_start_budget(e) < float("inf") and decider.identity_doubt[e] == 0.6
     decider.slow_start_tokens[e] = 1.0
     assert not sends(answered(node, 2.0, node(2.0, unit("1"))))
@@ -233,11 +233,11 @@
 
 def test_the_live_endpoint_list_ends_all_doubt(node):
     node(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, [entry("x", 5)], 0.6))
-    e = node.core.index["x"]
+    e = node.core.servers.by_name["x"]
     node(2.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("x", 5), entry("a", 1)]))
     decider = node.core.dispatcher
     assert decider.identity_doubt[e] == 0.0 and decider.slow_start_budget(e) == float("inf")
-    assert decider.endpoint_state[node.core.index["b"]] is EndpointState.GONE
+    assert decider.endpoint_state[node.core.servers.by_name["b"]] is EndpointState.GONE
 
 
 def test_a_drain_told_during_recovery_is_kept_though_the_old_list_says_ready(node):
@@ -309,7 +309,7 @@
     node(4991.0, core.HistoryAvailable("store"))
     assert answers(node(5400.0, retry("2"))) == [core.Fail]
     assert core.SendAttempt in answers(answered(node, 5501.0, node(5501.0, unit("3", expires=9000.0))))
-    assert not node.core.untold_still()
+    assert not node.core.is_history_incomplete()
 
 
 def test_a_deferral_promises_nothing_past_the_pods_memory(make, unit):
@@ -347,19 +347,19 @@
     (first,) = sends(answered(node, 1.0, node(1.0, unit("1"))))
     effects = node(2.0, core.NotDurable("1", 0))
     assert [type(e) for e in effects if type(e) is not core.SetTimer] == [core.ErasePersisted, core.Reject]
-    assert not node.core.idempotency_records.known("k", 3.0) and "1" not in node.core.open
+    assert not node.core.idempotency_records.attempts("k", 3.0) and "1" not in node.core.open_requests
 
 
 def test_what_is_recalled_late_stands_before_what_was_noted_meanwhile():
     idempotency_records = IdempotencyRecords(10)
-    idempotency_records.note("a", AttemptRecord("g", 0, 0, 10.0, 60.0))
-    idempotency_records.note("b", AttemptRecord("h", 0, 0, 10.0, 70.0))
-    idempotency_records.recall(
+    idempotency_records.add("a", AttemptRecord("g", 0, 0, 10.0, 60.0))
+    idempotency_records.add("b", AttemptRecord("h", 0, 0, 10.0, 70.0))
+    idempotency_records.restore(
         {"a": [AttemptRecord("e", 0, 0, 0.0, 50.0)], "c": [AttemptRecord("f", 0, 0, 1.0, 40.0)]}
     )
-    assert [t.server for t in idempotency_records.known("a", 20.0)] == ["e", "g"]
+    assert [t.server for t in idempotency_records.attempts("a", 20.0)] == ["e", "g"]
     assert (
         idempotency_records.expire(45.0) == ["c"]
         and idempotency_records.expire(65.0) == ["a"]
-        and idempotency_records.known("b", 65.0)
+        and idempotency_records.attempts("b", 65.0)
     )
--- a/tests/test_shadow_policy.py
+++ b/tests/test_shadow_policy.py
@@ -14,7 +14,7 @@
 from marlseam.configuration import ConfigError, deployment_from, load
 from marlseam.core import EndpointEntry, Reducer
 from marlseam.decisions.types import Decision, EndpointState, ListUpdateKind, LoadReport, Outcome, Request
-from marlseam.shadow_policy import Watch
+from marlseam.shadow_policy import ShadowPolicy
 
 SETTINGS = deployment_from(OPTIONS).settings
 
@@ -70,7 +70,7 @@
 
 
 def other(**changes):
-    return Watch(lambda settings: replace(settings, **changes))
+    return ShadowPolicy(lambda settings: replace(settings, **changes))
 
 
 @pytest.mark.parametrize(
@@ -94,7 +94,7 @@
         (Decision.HOME, Decision.PROBE_HOME),
     }  # another home was drawn
     assert set(watch.otherwise) <= by_chance and all(
-        not state.is_answered or state.in_flight_count() for state in watch.open.values()
+        not state.is_answered or state.in_flight_count() for state in watch.open_requests.values()
     )
 
 
@@ -103,8 +103,8 @@
     made.reduce(0.0, core.NodeStarted(SETTINGS, 7))
     made.reduce(1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e0")]))
     made.reduce(2.0, core.RequestArrived(Request("w", 0, 5000.0)))
-    assert made.watch.otherwise == {(Decision.PROBE_HOME, Decision.HOME): 1} and made.watch.decided == 1
-    assert made.watch.lines()[1] == "watch: 1 times home asked where it would be home"
+    assert made.follower.otherwise == {(Decision.PROBE_HOME, Decision.HOME): 1} and made.follower.decided == 1
+    assert made.follower.lines()[1] == "watch: 1 times home asked where it would be home"
 
 
 # Its settings.
