--- a/marlseam/core/port.py
+++ b/marlseam/core/port.py
@@ -84,11 +84,11 @@
         even_if_sent = self.dispatcher.settings.may_cancel
         self.effects.append(CancelAttempt(state.request.request_id, attempt_index, even_if_sent))
 
-    def defer(self, state: TrackedRequest, retry_after_ms: float) -> None:
+    def reject(self, state: TrackedRequest, retry_after_ms: float) -> None:
         """Reject a request, with advice on when to come back."""
         self.effects.append(Reject(state.request.request_id, retry_after_ms))
 
-    def abort(self, state: TrackedRequest) -> None:
+    def fail(self, state: TrackedRequest) -> None:
         """Fail a request, or reject it where all attempts that may have run turn out not to be sent."""
         request_id, dispatcher = state.request.request_id, self.dispatcher
         in_flight = tuple(index for index, attempt in enumerate(state.attempts) if attempt.outcome is None)
@@ -116,11 +116,11 @@
         if key is not None and self.idempotency_records.never_ran(key, name, sent_ms):
             self.effects.append(ErasePersisted(key, name, sent_ms))
 
-    def subscribe(self) -> None:
+    def watch_endpoints(self) -> None:
         """Ask discovery for its list and its changes."""
         self.effects.append(WatchEndpoints())
 
-    def tell(self, message: bytes) -> None:
+    def publish(self, message: bytes) -> None:
         """Publish a gossip message to all other nodes."""
         self.effects.append(Gossip(message))
 
--- a/marlseam/decisions/endpoints.py
+++ b/marlseam/decisions/endpoints.py
@@ -88,7 +88,7 @@
     def poll_endpoints(self, due_ms: float) -> None:
         """Ask discovery for its list and its changes, unless a later failure has set another time."""
         if self.settings.subscribes_to_endpoints and due_ms == self.next_poll_ms:
-            self.port.subscribe()
+            self.port.watch_endpoints()
 
     def keeps_in_use(self, server: int) -> bool:
         """Return whether a server that the list calls gone, or leaves out, is still used, and mark it so.
--- a/marlseam/decisions/gossip.py
+++ b/marlseam/decisions/gossip.py
@@ -27,7 +27,7 @@
     def publish_gossip(self) -> None:
         """Send the other nodes our slots at each server where they have changed."""
         for message in self.gossip_messages():
-            self.port.tell(message)
+            self.port.publish(message)
 
     def gossip_messages(self) -> list[bytes]:
         """Return messages with our slots where they have changed since the last ones."""
--- a/marlseam/decisions/retry.py
+++ b/marlseam/decisions/retry.py
@@ -26,11 +26,11 @@
             return
         self.is_answered = True
         if self.may_reject_safely():
-            self.dispatcher.port.defer(
+            self.dispatcher.port.reject(
                 self, min(self.dispatcher.ejection_base_ms, self.dispatcher.settings.max_retry_after_ms)
             )
         else:
-            self.dispatcher.port.abort(self)
+            self.dispatcher.port.fail(self)
         self.close()
 
     def close(self) -> None:
--- a/marlseam/shadow_policy.py
+++ b/marlseam/shadow_policy.py
@@ -56,10 +56,10 @@
     def cancel(self, state: TrackedRequest, attempt_index: int) -> None:
         """Cancel nothing."""
 
-    def defer(self, state: TrackedRequest, retry_after_ms: float) -> None:
+    def reject(self, state: TrackedRequest, retry_after_ms: float) -> None:
         """Answer nothing."""
 
-    def abort(self, state: TrackedRequest) -> None:
+    def fail(self, state: TrackedRequest) -> None:
         """Answer nothing."""
 
     def probe(self, server: int) -> None:
@@ -71,10 +71,10 @@
     def never_ran(self, state: TrackedRequest, server: int, sent_ms: float) -> None:
         """Change no record."""
 
-    def subscribe(self) -> None:
+    def watch_endpoints(self) -> None:
         """Ask for no list."""
 
-    def tell(self, message: bytes) -> None:
+    def publish(self, message: bytes) -> None:
         """Publish nothing."""
 
     def log(self, text: str) -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -84,11 +84,11 @@
     def cancel(self, state: RequestState, attempt_index: int) -> None:
         self.acts.append(("cancel", state.request.request_id, attempt_index))
 
-    def defer(self, state: RequestState, retry_after_ms: float) -> None:
-        self.acts.append(("defer", state.request.request_id))
+    def reject(self, state: RequestState, retry_after_ms: float) -> None:
+        self.acts.append(("reject", state.request.request_id))
 
-    def abort(self, state: RequestState) -> None:
-        self.acts.append(("abort", state.request.request_id))
+    def fail(self, state: RequestState) -> None:
+        self.acts.append(("fail", state.request.request_id))
 
     def probe(self, server: int) -> None:
         self.acts.append(("probe", server))
@@ -99,8 +99,8 @@
     def never_ran(self, state: RequestState, server: int, sent_ms: float) -> None:
         self.acts.append(("never_ran", state.request.request_id, server))
 
-    def subscribe(self) -> None:
-        self.acts.append(("subscribe",))
+    def watch_endpoints(self) -> None:
+        self.acts.append(("watch_endpoints",))
 
     def log(self, text: str) -> None:
         self.acts.append(("log", text))
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -28,7 +28,7 @@
     assert at < dispatcher.port.clock + 5000.0
     guard()
     guard()
-    assert dispatcher.port.did("abort") == [("abort", "w")]
+    assert dispatcher.port.did("fail") == [("fail", "w")]
 
 
 def test_nothing_is_sent_after_the_answer(make_dispatcher, make_request):
@@ -45,14 +45,14 @@
     assert not state.is_answered
     dispatcher.port.clock += 2000.0
     dispatcher.dispatch_queue()
-    assert dispatcher.port.did("defer") == [("defer", "w")]
+    assert dispatcher.port.did("reject") == [("reject", "w")]
 
 
 @pytest.mark.parametrize("outcome", RAN)
 def test_an_unsafe_request_that_may_have_run_is_failed(make_dispatcher, make_request, outcome):
     dispatcher = make_dispatcher(0.0, 0.0)
     make_request(dispatcher, 2, ((0, None),)).attempt_ended(0, outcome, False, None)
-    assert dispatcher.port.did("abort") and not dispatcher.port.did("defer")
+    assert dispatcher.port.did("fail") and not dispatcher.port.did("reject")
 
 
 @pytest.mark.parametrize("outcome", NEVER)
@@ -89,7 +89,7 @@
     dispatcher = make_dispatcher(0.0, 0.0)
     state = make_request(dispatcher, type, ((0, None),))
     state.attempt_ended(0, Outcome.INVALID_REQUEST, False, None)
-    assert dispatcher.port.acts == [("abort", state.request.request_id)]
+    assert dispatcher.port.acts == [("fail", state.request.request_id)]
     assert (
         dispatcher.log_likelihood_ratio[0] == 0.0 and dispatcher.last_response_ms[0] == dispatcher.port.now()
     )
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -60,9 +60,9 @@
     )
     for _, older in dispatcher.port.timers[:-1]:
         older()
-    assert not dispatcher.port.did("subscribe")  # one call, however many failures were told
+    assert not dispatcher.port.did("watch_endpoints")  # one call, however many failures were told
     call()
-    assert dispatcher.port.did("subscribe") == [("subscribe",)]
+    assert dispatcher.port.did("watch_endpoints") == [("watch_endpoints",)]
 
 
 def test_a_new_start_time_voids_old_counts(make_dispatcher):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -9,10 +9,10 @@
 def test_a_node_publishes_its_slots(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0, 0.0, may_gossip=True, subscribes_to_endpoints=False)
     listed(dispatcher, None, None)
-    dispatcher.port.tell = lambda message: dispatcher.port.acts.append(("tell", message))
+    dispatcher.port.publish = lambda message: dispatcher.port.acts.append(("publish", message))
     make_request(dispatcher).send(1)
     dispatcher.publish_gossip()
-    assert dispatcher.port.did("tell") == [("tell", (101).to_bytes(3, "big") + b"\x01")]
+    assert dispatcher.port.did("publish") == [("publish", (101).to_bytes(3, "big") + b"\x01")]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -99,4 +99,4 @@
     dispatcher = make_dispatcher(0.0)
     dispatcher.mean_run_ms[0] = 400.0
     dispatcher.accept(Request("w", 0, dispatcher.port.now() + 150.0))
-    assert dispatcher.port.did("send") and not dispatcher.port.did("defer")
+    assert dispatcher.port.did("send") and not dispatcher.port.did("reject")
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -538,5 +538,5 @@
     def after(self, delay_ms: float, call: Callable[[], None]) -> None:
         self.fleet.at(self.fleet.clock + delay_ms, call)
 
-    def subscribe(self) -> None:
+    def watch_endpoints(self) -> None:
         self.fleet.call(self.i)
