--- /dev/null
+++ b/marlseam/core/invariants.py
@@ -0,0 +1,27 @@
+"""What must hold of a reducer between any two events, as checks that tests make after each step."""
+
+from marlseam.core.reducer import Reducer
+from marlseam.decisions.invariants import InvariantError, check_dispatcher
+
+
+def check_reducer(reducer: Reducer) -> None:
+    """Raise InvariantError unless all invariants of a reducer that has started hold."""
+    check_dispatcher(reducer.dispatcher)
+    check_attempts(reducer)
+    check_server_indices(reducer)
+
+
+def check_attempts(reducer: Reducer) -> None:
+    """Check that all attempts in flight of open requests, and no others, are tracked at servers."""
+    in_flight = sum(state.in_flight_count() for state in reducer.open_requests.values())
+    tracked = sum(len(own) for own in reducer.dispatcher.own_attempts)
+    if tracked != in_flight:
+        raise InvariantError("attempts in flight", -1, in_flight, tracked)
+
+
+def check_server_indices(reducer: Reducer) -> None:
+    """Check that names and indices of servers are inverse, and that no index in use is free."""
+    servers = reducer.servers
+    for name, index in servers.by_name.items():
+        if servers.names[index] != name or index in servers.free:
+            raise InvariantError("name of an index", index, name, servers.names[index])
--- a/tests/test_key_ordering.py
+++ b/tests/test_key_ordering.py
@@ -9,6 +9,7 @@
 
 from marlseam import core
 from marlseam.core import Reducer
+from marlseam.core.invariants import check_reducer
 from marlseam.decisions.types import EndpointState, ListUpdateKind, Outcome, Request
 from tests.conftest import SAFE, SETTINGS, UNSAFE
 
@@ -219,6 +220,7 @@
         elif what == "left" and (alive := [r for r, over in world.over.items() if not over]):
             world.over[alive[n % len(alive)]] = True
             world.post(core.ClientLeft(alive[n % len(alive)]))
+        check_reducer(world.core)
     while any(world.out.values()) or not all(world.over.values()):
         for request_id in [request_id for request_id, attempts in world.out.items() if attempts]:
             world.settle(request_id)
--- a/tests/test_load_estimates.py
+++ b/tests/test_load_estimates.py
@@ -1,7 +1,9 @@
 """Counts, thresholds and expected waits, and what reports change of them."""
 
+import pytest
 from dispatchers import LIVE, listed
 
+from marlseam.decisions.invariants import InvariantError, check_dispatcher
 from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind, LoadReport, Outcome
 
 
@@ -74,6 +76,7 @@
         dispatcher.others_slots_sum[0],
         dispatcher.own_slots_sum[0],
     ) == (1, 2.0, 1.0)
+    check_dispatcher(dispatcher)
 
 
 def test_no_free_slot_is_busy_though_none_was_ever_seen_free(make_dispatcher):
@@ -161,3 +164,23 @@
     assert dispatcher.expected_wait_ms(
         0, make_request(dispatcher, slots=4.0).request
     ) > 1.5 * make_dispatcher(3.0).expected_wait_ms(0, make_request(dispatcher, slots=4.0).request)
+
+
+def test_a_sum_that_departs_from_its_servers_is_found(make_dispatcher):
+    dispatcher = make_dispatcher(2.0, 4.0)
+    dispatcher.others_slots_sum[0] += 1.0
+
+    with pytest.raises(InvariantError) as error:
+        check_dispatcher(dispatcher)
+
+    assert (error.value.invariant, error.value.index) == ("sum of others' slots", 0)
+    assert (error.value.expected, error.value.found) == (6.0, 7.0)
+
+
+def test_an_attempt_that_has_ended_is_not_tracked(make_dispatcher, make_request):
+    dispatcher = make_dispatcher(0.0)
+    state = make_request(dispatcher, attempts=((0, None),))
+    state.attempts[0].outcome = Outcome.COMPLETED
+
+    with pytest.raises(InvariantError, match="outcome of an attempt in flight"):
+        check_dispatcher(dispatcher)
