--- a/marlseam/core/reducer.py
+++ b/marlseam/core/reducer.py
@@ -174,8 +174,8 @@
         Guards a node that runs for weeks against figures of every server there ever was.
         """
         dispatcher = self.dispatcher
-        kept_ms = FORGET_AFTER_POLLS * dispatcher.settings.list_max_age_ms
-        for name in self.servers.gone_before(self.clock - kept_ms):
+        memory_ms = FORGET_AFTER_POLLS * dispatcher.settings.list_max_age_ms
+        for name in self.servers.gone_before(self.clock - memory_ms):
             server = self.servers.by_name[name]
             if not dispatcher.own_attempts[server] and dispatcher.probe_sent_ms[server] is None:
                 # Guards the sums by kind where only draining excludes: one off the list may still be in use.
@@ -208,7 +208,7 @@
                 retry_after_ms = min(wait_ms, self.dispatcher.settings.max_retry_after_ms)
                 self.effects.append(Reject(request.request_id, retry_after_ms))
                 return
-            # The first one stands for all: its group has them, and its time is that of the servers' memory.
+            # The first one is enough: its group has them all, and servers remember them from its time on.
             attempts = tuple((self.recorded_server(record), record.sent_ms) for record in prior[:1])
             request = replace(request, prior_attempts=attempts)
         elif not request.is_recordable and request.is_sendable:
@@ -223,7 +223,7 @@
         return request.idempotency_key is not None and request_class.idempotency is not Idempotency.SAFE
 
     def prior_attempts(self, request: Request) -> list[AttemptRecord]:
-        """Return what may have run under a request's key; it stands for attempts that are not known too."""
+        """Return what may have run under a request's key, or that this is not known."""
         prior = self.idempotency_records.attempts(request.idempotency_key or "", self.clock)
         if not prior and request.may_be_retry and self.is_history_incomplete():
             return [UNKNOWN_ATTEMPT]
--- a/marlseam/decisions/admission.py
+++ b/marlseam/decisions/admission.py
@@ -25,7 +25,7 @@
         is_retry: whether something of them was sent before; first attempts are served first.
         kind: the kind of server that they need, -1 for any.
         slots: the slots that each takes.
-        rank: the priority weight for each bit of work, where requests are weighed by size; else 0.
+        rank: the priority weight, where requests are weighed by size; else 0.
     """
 
     is_retry: bool
@@ -100,9 +100,9 @@
         """Serve the pending queue: place requests, and answer those that have waited too long.
 
         First attempts of `max_slots` or more slots are not tried. One request at a time probes its home, and
-        after one in vain only narrower ones for its kind are tried until the next check. Guards against a
-        probe storm: on a node with few requests every home must be probed. Unsuccessful placements are
-        bounded. Guards against a burst that has thousands wait, where each outcome would look at all of them.
+        after an unsuccessful one only narrower ones for its kind are tried until the next check. Guards
+        against a probe storm: on a node with few requests every home must be probed. Unsuccessful placements
+        are bounded. Guards against a burst that has thousands wait, all of them looked at for each outcome.
         """
         if self.unplaced_entries is not None:
             return
--- a/marlseam/decisions/dispatcher.py
+++ b/marlseam/decisions/dispatcher.py
@@ -7,7 +7,7 @@
 The class is composed of a module a rule, each deriving from those whose figures it reads: `server_stats`,
 `load_estimates`, `gossip`, `slow_start`, `outlier_detection`, `server_selection`, `hedging`, `health_checks`,
 `admission`, `endpoints`. A request's side is composed likewise: `request_record`, `eligibility`, `retry`,
-`placement`, `request_state`.
+`sending`, `placement`, `request_state`.
 """
 
 from math import inf
--- a/marlseam/decisions/eligibility.py
+++ b/marlseam/decisions/eligibility.py
@@ -19,12 +19,9 @@
         """
         dispatcher, now = self.dispatcher, self.dispatcher.port.now()
         sent = len(self.attempts) - len(self.request.prior_attempts)
-        if (
-            self.is_answered
-            or self.is_invalid
-            or not self.has_turn
-            or sent >= min(self.max_attempts, dispatcher.settings.max_attempts)
-        ):
+        if self.is_answered or self.is_invalid or not self.has_turn:
+            return False
+        if sent >= min(self.max_attempts, dispatcher.settings.max_attempts):
             return False
         if now >= self.request.deadline_at_ms - dispatcher.deadline_margin_ms:
             return False
@@ -39,12 +36,8 @@
 
     def is_remembered(self, may_have_run: list[Attempt], at: float) -> bool:
         """Return whether servers will still drop repeats of these attempts at a time `at` (ms)."""
-        return (
-            at
-            < may_have_run[0].sent_ms
-            + self.request_class.deduplication_window_ms
-            - self.dispatcher.deadline_margin_ms
-        )
+        until_ms = may_have_run[0].sent_ms + self.request_class.deduplication_window_ms
+        return at < until_ms - self.dispatcher.deadline_margin_ms
 
     def is_eligible(self, server: int) -> bool:
         """Return whether a server may get this request at all.
@@ -101,21 +94,20 @@
 
         `pace` is the server's run over the class's mean run, `run_share` the share of the run that must fit.
         """
-        run = self.request.run_hint_ms or self.dispatcher.mean_run_ms[self.request.class_index]
-        spare = (
-            self.request_class.latency_objective_ms
-            + max(0.0, self.request_class.objective_run_factor - pace) * run_share * run
-        )
+        request, request_class = self.request, self.request_class
+        run_ms = request.run_hint_ms or self.dispatcher.mean_run_ms[request.class_index]
+        run_factor = max(0.0, request_class.objective_run_factor - pace)
+        spare_ms = request_class.latency_objective_ms + run_factor * run_share * run_ms
         # Guards clients that give up early: where a mean run does not fit, a shorter one still may.
-        spare = min(spare, self.request.deadline_at_ms - self.arrived_ms - run_share * run * pace)
-        return self.arrived_ms + spare - self.dispatcher.port.now()
+        spare_ms = min(spare_ms, request.deadline_at_ms - self.arrived_ms - run_share * run_ms * pace)
+        return self.arrived_ms + spare_ms - self.dispatcher.port.now()
 
     def can_wait_for_affinity(self) -> bool:
         """Return whether there is time to wait for a server that likely holds the resource key."""
         return self.time_to_spare_ms(min(self.dispatcher.kind_pace)) > self.dispatcher.max_queue_wait_ms
 
     def may_reject_safely(self) -> bool:
-        """Return whether the client may be told that a retry does no harm."""
+        """Return whether a retry by the client does no harm."""
         may_have_run = self.attempts_that_may_have_run()
         if self.is_invalid:
             return False
--- a/marlseam/decisions/gossip.py
+++ b/marlseam/decisions/gossip.py
@@ -41,7 +41,7 @@
         return [b"".join(entries[start : start + MAX_SERVERS_PER_MESSAGE]) for start in starts]
 
     def merge_gossip(self, peer: int, now: float, message: bytes) -> None:
-        """Take in another node's message; a rest too short for an entry is left out."""
+        """Take in another node's message; an incomplete entry at its end is left out."""
         held = self.peer_slots.setdefault(peer, {})
         self.peer_updated_ms[peer] = now
         for start in range(0, len(message) - ID_BYTES, ENTRY_BYTES):
--- a/marlseam/decisions/key_ordering.py
+++ b/marlseam/decisions/key_ordering.py
@@ -71,7 +71,7 @@
         self.advance()
 
     def advance(self) -> None:
-        """Give the first request its turn where nothing stands before it.
+        """Give the first request its turn where nothing is before it.
 
         A loop, not calls within calls: what is placed may be answered at once, and queues may be long.
         """
--- a/marlseam/decisions/load_estimates.py
+++ b/marlseam/decisions/load_estimates.py
@@ -10,7 +10,9 @@
 
 PRIOR_OWN_ATTEMPTS = 1.0  # attempts that our own part at a server is weighed against
 DEPARTURE_WEIGHT = 0.3  # what remains by now of a departure from the level that a late report shows
-OWN_LEVEL_WEIGHT = 0.75  # part of the level that is inferred from our own requests, the rest from the list
+OWN_LEVEL_WEIGHT = (
+    0.75  # part of the level that is inferred from our own requests; the other part is the list's
+)
 DISTRUST_FACTOR = 30.0  # how much less a report counts where all reports were found to be late
 WAIT_MEMORY = 10.0  # waits of our own attempts that a mean of them remembers
 
@@ -73,7 +75,7 @@
         probes of its own accord. Guards against a probe storm of hundreds of nodes.
         """
         age_ms = self.port.now() - self.last_report_ms[server]
-        if self.peer_slots:  # gossip has told what no report shows yet
+        if self.peer_slots:  # gossip is newer than any report
             return self.settings.may_probe and self.is_unresponsive[server]
         return self.settings.may_probe and (
             self.is_unresponsive[server]
--- a/marlseam/decisions/placement.py
+++ b/marlseam/decisions/placement.py
@@ -7,11 +7,10 @@
 terms, and what differs from the paper.
 """
 
-from collections.abc import Callable
 from typing import NamedTuple
 
-from marlseam.decisions.retry import Retry
-from marlseam.decisions.types import Attempt, Decision
+from marlseam.decisions.sending import Sending
+from marlseam.decisions.types import Decision
 
 PROBE_LIMIT = 2  # the paper's L_p: other servers that are probed at most
 MIN_SUCCESS_INVERSE = 4.0  # fewer are probed where the share of successful probes is below 1 / this
@@ -24,7 +23,7 @@
     server: int
 
 
-class ForwardProbing(Retry):
+class ForwardProbing(Sending):
     """The placement of one request."""
 
     def place(self) -> None:
@@ -159,34 +158,3 @@
             # As the paper's probed node waits for one remote job at a time, until its next report.
             self.dispatcher.forwarded_since_report[choice.server] = True
         self.send(choice.server)
-
-    def probe(self, servers: list[int], on_answered: Callable[[], None]) -> None:
-        """Probe servers in parallel and go on when all have answered or the probe timeout is over."""
-        dispatcher = self.dispatcher
-        self.probed_servers, self.probe_round_ms = servers, dispatcher.port.now()
-        unanswered = set(servers)
-
-        def answered(server: int | None) -> None:
-            nonlocal unanswered
-            if unanswered and not self.is_answered:
-                unanswered = unanswered - {server} if server is not None else set()
-                if not unanswered:
-                    on_answered()
-
-        for server in servers:
-            dispatcher.probe(server, answered)
-        dispatcher.port.after(dispatcher.probe_timeout_ms, lambda: answered(None))
-
-    def send(self, server: int) -> None:
-        """Send the request to a server, if the rules still allow it."""
-        dispatcher, now = self.dispatcher, self.dispatcher.port.now()
-        if not self.may_attempt() or not self.is_eligible(server):
-            self.retry()
-            return
-        stale = dispatcher.is_report_stale(server)
-        wait_ms = None if stale else dispatcher.expected_wait_ms(server, self.request)
-        self.attempts.append(Attempt(server, now, now, expected_wait_ms=wait_ms))
-        dispatcher.track_attempt(server, self, len(self.attempts) - 1, self.request.slots)
-        dispatcher.schedule_check(server)
-        dispatcher.slow_start_tokens[server] -= dispatcher.relative_cost(self.request)
-        dispatcher.port.send(self, server, self.request.deadline_at_ms - now)
--- a/marlseam/decisions/request_state.py
+++ b/marlseam/decisions/request_state.py
@@ -11,7 +11,8 @@
     """A request on this node, from its arrival to its one final answer.
 
     The rules of what may be attempted are in `eligibility`, the choice of a server in `placement`, further
-    attempts and the final answer in `retry`; the attributes are those of `RequestRecord`.
+    attempts and the final answer in `retry`, probes and sends in `sending`; the attributes are those of
+    `RequestRecord`.
     """
 
     def started(self, attempt_index: int) -> None:
--- /dev/null
+++ b/marlseam/decisions/sending.py
@@ -0,0 +1,41 @@
+"""How the probes and the attempts of one request are sent."""
+
+from collections.abc import Callable
+
+from marlseam.decisions.retry import Retry
+from marlseam.decisions.types import Attempt
+
+
+class Sending(Retry):
+    """Sends probes, and attempts that the rules allow."""
+
+    def probe(self, servers: list[int], on_answered: Callable[[], None]) -> None:
+        """Probe servers in parallel and go on when all have answered or the probe timeout is over."""
+        dispatcher = self.dispatcher
+        self.probed_servers, self.probe_round_ms = servers, dispatcher.port.now()
+        unanswered = set(servers)
+
+        def answered(server: int | None) -> None:
+            nonlocal unanswered
+            if unanswered and not self.is_answered:
+                unanswered = unanswered - {server} if server is not None else set()
+                if not unanswered:
+                    on_answered()
+
+        for server in servers:
+            dispatcher.probe(server, answered)
+        dispatcher.port.after(dispatcher.probe_timeout_ms, lambda: answered(None))
+
+    def send(self, server: int) -> None:
+        """Send the request to a server, if the rules still allow it."""
+        dispatcher, now = self.dispatcher, self.dispatcher.port.now()
+        if not self.may_attempt() or not self.is_eligible(server):
+            self.retry()
+            return
+        stale = dispatcher.is_report_stale(server)
+        wait_ms = None if stale else dispatcher.expected_wait_ms(server, self.request)
+        self.attempts.append(Attempt(server, now, now, expected_wait_ms=wait_ms))
+        dispatcher.track_attempt(server, self, len(self.attempts) - 1, self.request.slots)
+        dispatcher.schedule_check(server)
+        dispatcher.slow_start_tokens[server] -= dispatcher.relative_cost(self.request)
+        dispatcher.port.send(self, server, self.request.deadline_at_ms - now)
--- a/marlseam/decisions/server_stats.py
+++ b/marlseam/decisions/server_stats.py
@@ -26,7 +26,7 @@
 MAX_HEALTHY_FAILURE_SHARE = 0.45  # of a class that fails everywhere: more would say as little of its server
 MAX_RUN_IN_MEANS = 5.0  # longer runs count as one of this length
 GOSSIP_ID_MASK = 0xFFFFFF
-NEVER_MS = -1e18  # stands for a time before all others
+NEVER_MS = -1e18  # before any time
 
 
 class ServerStats:
@@ -46,7 +46,7 @@
         log_likelihood_ratio: of being an outlier, by the outcomes.
         ejected_until_ms, ejection_ms: None while not ejected; how long the next ejection is.
         is_unresponsive: whether the last probe was not answered.
-        identity_doubt: the chance that the entry, of a cached list, now stands for another server.
+        identity_doubt: the chance that the entry, of a cached list, is now of another server.
         slow_start_tokens, slow_start_refilled_ms: the token bucket, in mean requests.
         monitored: servers that the periodic check looks at, in order (the dict is an ordered set).
         in_use_though_removed: servers still used though the list calls them gone.
--- a/marlseam/decisions/types.py
+++ b/marlseam/decisions/types.py
@@ -11,7 +11,7 @@
 from math import inf
 from typing import Protocol
 
-DEFAULT_OBJECTIVE_MS = 100.0  # stands for the shortest latency objective where no request class has one
+DEFAULT_OBJECTIVE_MS = 100.0  # the shortest latency objective where no request class has one
 
 
 class Idempotency(Enum):
@@ -127,7 +127,7 @@
         reports_in_responses: whether servers report load with responses; a probe then brings the last one.
         live_weights: whether the weights of the endpoint list move with load.
         may_gossip: whether nodes may send each other messages.
-        fetch_cost: what it costs to fetch what a resource key stands for.
+        fetch_cost: what it costs to fetch the resource of a resource key.
         weight_by_size: whether a request's priority weight is for each part of its size.
         process_share: this process's share of what the node may do, where several serve as one node.
         key_gap_ms: how long a key pauses after an attempt that may still be running.
--- a/marlseam/experiment/policies.py
+++ b/marlseam/experiment/policies.py
@@ -1,8 +1,8 @@
-"""Baselines to stand beside marlseam in the same world. Never reachable from a serving node.
+"""Baseline policies for comparison with marlseam in the same simulation. Never reachable from a serving node.
 
-Each keeps the module's rules (what may be sent where, drains, cold budgets, final answers) and places work by
-a textbook policy alone: no threshold, no promise at home, no probes but where the policy itself asks. What
-finds no executor waits in line as in the module, and is given up at its hard limit.
+Each keeps to the rules (what may be sent where, drains, slow start budgets, final answers) and places
+requests by a textbook policy alone: no threshold, no latency objective at home, no probes but the policy's
+own. A request that finds no server waits in the pending queue, and is answered at its deadline.
 """
 
 from collections.abc import Callable
@@ -13,12 +13,12 @@
 
 
 class Baseline(RequestState):
-    """A work unit placed by a baseline."""
+    """A request placed by a baseline."""
 
     dispatcher: "BaselineDispatcher"
 
     def place(self) -> None:
-        """Send to the policy's choice among usable executors that fit."""
+        """Send to the policy's choice among usable, eligible servers."""
         self.is_queued = False
         if not self.may_attempt():
             self.retry()
@@ -26,7 +26,7 @@
             self.pick()
 
     def pick(self) -> None:
-        """Send to the policy's choice, or wait in line."""
+        """Send to the policy's choice, or wait in the pending queue."""
         server = self.choice()
         if server < 0:
             self.enqueue()
@@ -34,11 +34,11 @@
             self.send(server)
 
     def choice(self) -> int:
-        """Return the executor that the policy chooses, or -1."""
+        """Return the server that the policy chooses, -1 for none."""
         raise NotImplementedError
 
     def ready(self) -> list[int]:
-        """Return the usable executors that fit."""
+        """Return the usable, eligible servers."""
         dispatcher = self.dispatcher
         return [
             server
@@ -48,13 +48,13 @@
 
 
 class BaselineDispatcher(Dispatcher):
-    """A node that places its work by one of the baselines."""
+    """A dispatcher that places requests by one of the baselines."""
 
     last_server = -1
 
 
 class AtRandom(Baseline):
-    """Any usable executor, at random."""
+    """Any usable server, at random."""
 
     def choice(self) -> int:
         """Return one at random."""
@@ -63,7 +63,7 @@
 
 
 class RoundRobin(Baseline):
-    """The usable executors in turn."""
+    """The usable servers in turn."""
 
     def choice(self) -> int:
         """Return the next one."""
@@ -77,7 +77,7 @@
 
 
 class LeastRequests(Baseline):
-    """The executor with the fewest allocations of this node's own; among equals one at random."""
+    """The server with the fewest attempts of this node's own; among equals one at random."""
 
     def choice(self) -> int:
         """Return the one with the fewest."""
@@ -90,7 +90,7 @@
 
 
 class TwoChoices(Baseline):
-    """Two at random are really probed, and the one with the smaller count by its report is taken."""
+    """Two at random are really probed, and the one with the smaller count by its report is picked."""
 
     def pick(self) -> None:
         """Ask two at random, then send."""
@@ -118,7 +118,7 @@
 
 
 def maker(state_type: type[Baseline]) -> Callable[[], Reducer]:
-    """Return a maker of reducers that place work by a baseline."""
+    """Return a type of reducer that places requests by a baseline."""
     dispatcher = type(
         "Baseline" + state_type.__name__, (BaselineDispatcher,), {"request_state_type": state_type}
     )
--- a/marlseam/shadow_policy.py
+++ b/marlseam/shadow_policy.py
@@ -237,7 +237,7 @@
         """Take in an update of the endpoint list, under the same indices."""
         if event.update_kind is ListUpdateKind.FAILED:
             return
-        for server in reducer.servers.free:  # an index that is free again stands for another server later
+        for server in reducer.servers.free:  # a free index may be another server's later
             if server < len(self.dispatcher.endpoint_state):
                 self.dispatcher.reset(server)
         endpoints = [
