--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -115,7 +115,7 @@
         made.backoff, began, rests = made.settings.max_poll_interval_ms, made.port.clock, 12
         for _ in range(rests):
             made.update_endpoints(ListUpdateKind.FAILED, [])
-            made.port.clock = made.next_ask
+            made.port.clock = made.next_poll_ms
         ends.append(made.port.clock - began)
     mean = sum(ends) / len(ends)
     spread = (sum((x - mean) ** 2 for x in ends) / len(ends)) ** 0.5
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -36,13 +36,13 @@
 class Twice(RequestState):
     """Sends keyed work on to anybody once it has run anywhere."""
 
-    def is_eligible(self, server):
+    def is_eligible(self, _server):
         return True
 
     def may_attempt(self):
         return not self.is_answered and len(self.attempts) < 3
 
-    def attempt_ended(self, attempt_index, outcome, final, report):
+    def attempt_ended(self, attempt_index, outcome, _final, report):
         super().attempt_ended(
             attempt_index,
             Outcome.ERROR if self.request_class.idempotency is Idempotency.KEYED else outcome,
@@ -77,18 +77,18 @@
 class Jumps(RequestState):
     """Waits for no turn."""
 
-    has_turn = property(lambda self: True, lambda self, value: None)
+    has_turn = property(lambda _self: True, lambda _self, _value: None)
 
 
-def always(self, *_):
+def always(*_):
     return True
 
 
-def nothing(self, *_):
+def nothing(*_):
     return None
 
 
-def deaf(dispatcher, update_kind, endpoints, doubt):
+def deaf(dispatcher, update_kind, endpoints, _doubt):
     """Hear of the first list alone."""
     if not dispatcher.same_zone and not dispatcher.other_zones:
         Dispatcher.update_endpoints(dispatcher, update_kind, endpoints)
@@ -106,7 +106,7 @@
     "deaf": ("drains kept", dispatcher(RequestState, update_endpoints=deaf), {"troubles": [DRAIN]}),
     "rash": (
         "cold spared",
-        dispatcher(RequestState, has_budget=always, relative_cost=lambda self, request: 0.0),
+        dispatcher(RequestState, has_budget=always, relative_cost=lambda _self, _request: 0.0),
         {
             "troubles": [CRASH],
             "rate": 40.0,
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -27,36 +27,38 @@
             slow_start_ms=slow_start_ms,
             slow_start_initial_share=0.2,
         )
-        node = Dispatcher(settings, seed, RecordingPort())
-        node.max_free_slots[0] = SLOTS
-        node.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, BORN)])
-        node.last_report_ms[0] = 1e9
-        made.append(node)
+        dispatcher = Dispatcher(settings, seed, RecordingPort())
+        dispatcher.max_free_slots[0] = SLOTS
+        dispatcher.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, BORN)])
+        dispatcher.last_report_ms[0] = 1e9
+        made.append(dispatcher)
     return made
 
 
-def budget(node):
+def budget(dispatcher):
     """Return how many requests of mean size the settings allow in their window now."""
-    return node.slow_start_budget(0) * WINDOW / SLOW_START_PLANNED_SHARE
+    return dispatcher.slow_start_budget(0) * WINDOW / SLOW_START_PLANNED_SHARE
 
 
 def at(nodes, clock):
-    for node in nodes:
-        node.port.clock = clock
+    for dispatcher in nodes:
+        dispatcher.port.clock = clock
 
 
 def burst(nodes, size=1.0):
     """Let each node send of work of some size what it may, at one instant; return the sum of sizes."""
     sent = 0.0
-    for node in nodes:
-        node.mean_run_ms[0] = size * node.mean_slot_ms
+    for dispatcher in nodes:
+        dispatcher.mean_run_ms[0] = size * dispatcher.mean_slot_ms
         for i in range(1000):
-            state = node.request_state_type(node, Request(f"w{i}", 0, node.port.clock + 5000.0))
-            if not (node.is_usable(0) and state.is_eligible(0)):
+            state = dispatcher.request_state_type(
+                dispatcher, Request(f"w{i}", 0, dispatcher.port.clock + 5000.0)
+            )
+            if not (dispatcher.is_usable(0) and state.is_eligible(0)):
                 break
             state.send(0)
             sent += size
-        node.mean_run_ms[0] = node.mean_slot_ms
+        dispatcher.mean_run_ms[0] = dispatcher.mean_slot_ms
     return sent
 
 
@@ -65,8 +67,8 @@
     made = fleet(nodes)
     for k in range(1, 150):  # nobody sends, and all look
         at(made, BORN + 100.0 * k)
-        for node in made:
-            node.has_budget(0)
+        for dispatcher in made:
+            dispatcher.has_budget(0)
     n = budget(made[0])
     room = (1.0 - SLOW_START_PLANNED_SHARE) * n + 2.0 * sqrt(n)
     # As many have a token ready as chance gives to this mean: more than the margin itself.
@@ -91,43 +93,43 @@
     # Parts just earned: each node would send one of a part of its own, and owe the rest.
     made = fleet(nodes)
     at(made, BORN + 4000.0)
-    for node in made:
-        node.has_budget(0)
-        node.slow_start_tokens[0] = 1e-6
+    for dispatcher in made:
+        dispatcher.has_budget(0)
+        dispatcher.slow_start_tokens[0] = 1e-6
     n = budget(made[0])
     assert burst(made, SLOW_START_PLANNED_SHARE * n * 0.9) == 0.0
     assert burst(made, 1.0) == pytest.approx(nodes)
 
 
 def test_a_large_request_is_sent_once_a_part_of_its_cost_is_saved():
-    (node,) = fleet(1)
-    at([node], BORN + 4000.0)
-    node.has_budget(0)
+    (dispatcher,) = fleet(1)
+    at([dispatcher], BORN + 4000.0)
+    dispatcher.has_budget(0)
     size = 3.0
-    node.slow_start_tokens[0] = MIN_SAVED_COST_SHARE * size * (1.0 - 1.0 / size) - 1e-6
-    assert node.has_budget(0) and not node.has_budget(0, size)
-    node.slow_start_tokens[0] += 1e-5
-    assert node.has_budget(0, size)
+    dispatcher.slow_start_tokens[0] = MIN_SAVED_COST_SHARE * size * (1.0 - 1.0 / size) - 1e-6
+    assert dispatcher.has_budget(0) and not dispatcher.has_budget(0, size)
+    dispatcher.slow_start_tokens[0] += 1e-5
+    assert dispatcher.has_budget(0, size)
 
 
 def test_a_small_request_is_sent_where_a_window_allows_less_than_one_of_mean_size():
-    (node,) = fleet(1)
-    at([node], BORN + 4000.0)
-    node.has_budget(0)
-    node.mean_slot_ms *= node.slow_start_budget(0) * WINDOW / 0.8
-    node.slow_start_tokens[0], node.slow_start_refilled_ms[0] = 0.05, node.port.clock
-    state = node.request_state_type(node, Request("w", 0, node.port.clock + 5000.0))
-    node.mean_run_ms[0] = 0.1 * node.mean_slot_ms
-    assert node.is_usable(0) and state.is_eligible(0)
-    node.mean_run_ms[0] = 0.9 * node.mean_slot_ms
+    (dispatcher,) = fleet(1)
+    at([dispatcher], BORN + 4000.0)
+    dispatcher.has_budget(0)
+    dispatcher.mean_slot_ms *= dispatcher.slow_start_budget(0) * WINDOW / 0.8
+    dispatcher.slow_start_tokens[0], dispatcher.slow_start_refilled_ms[0] = 0.05, dispatcher.port.clock
+    state = dispatcher.request_state_type(dispatcher, Request("w", 0, dispatcher.port.clock + 5000.0))
+    dispatcher.mean_run_ms[0] = 0.1 * dispatcher.mean_slot_ms
+    assert dispatcher.is_usable(0) and state.is_eligible(0)
+    dispatcher.mean_run_ms[0] = 0.9 * dispatcher.mean_slot_ms
     assert not state.is_eligible(0)
 
 
 def test_a_restarted_node_has_no_tokens_saved():
-    (node,) = fleet(1, node_count=200)
-    at([node], BORN + 12000.0)
-    again = Dispatcher(node.settings, 99, RecordingPort())
-    again.port.clock = node.port.clock
+    (dispatcher,) = fleet(1, node_count=200)
+    at([dispatcher], BORN + 12000.0)
+    again = Dispatcher(dispatcher.settings, 99, RecordingPort())
+    again.port.clock = dispatcher.port.clock
     again.max_free_slots[0] = SLOTS
     again.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, BORN)])
     assert again.slow_start_tokens[0] <= 0.0 and not again.has_budget(0)
@@ -143,7 +145,7 @@
         experiment = file.load(path)
         table = msgspec.structs.replace(experiment.tables["size_cold"], **changes)
         experiment.tables["size_cold"] = table
-        return size_cold.size_cold(experiment, tmp, lambda text: None)
+        return size_cold.size_cold(experiment, tmp, lambda _text: None)
 
     return run
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -154,7 +154,7 @@
 def led(node, monkeypatch):
     """Return a maker of nodes that know discovery's list, and discovery."""
     made = []
-    monkeypatch.setattr(dispatcher, "RandomSource", lambda seed: lambda: 1.0 - 2.0**-32)  # the longest rests
+    monkeypatch.setattr(dispatcher, "RandomSource", lambda _seed: lambda: 1.0 - 2.0**-32)  # the longest rests
 
     def begin(listens: bool = True, **settings: object) -> Led:
         service = Service(listens)
