--- a/marlseam/core/reducer.py
+++ b/marlseam/core/reducer.py
@@ -8,7 +8,6 @@
 from dataclasses import replace
 from math import inf
 from typing import Any, NamedTuple, Protocol
-from zlib import crc32
 
 from marlseam.core.effects import CancelAttempt, Effect, Reject, Respond
 from marlseam.core.events import (
@@ -35,6 +34,7 @@
 )
 from marlseam.core.idempotency import UNKNOWN_ATTEMPT, AttemptRecord, UnavailableHistory
 from marlseam.core.port import EffectsPort
+from marlseam.core.servers import indexed_endpoint
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.request_state import RequestState
 from marlseam.decisions.slow_start import SLOW_START_PLANNED_SHARE
@@ -130,10 +130,7 @@
 
     def endpoint_list_updated(self, event: EndpointListUpdate) -> None:
         """Hand an update of the endpoint list on under dense indices."""
-        endpoints = [
-            Endpoint(self.servers.index_of(entry[0]), *entry[1:], crc32(entry[0].encode()))
-            for entry in event.entries
-        ]
+        endpoints = [indexed_endpoint(entry, self.servers.index_of(entry.server)) for entry in event.entries]
         dispatcher = self.dispatcher
         started_ms = {server: dispatcher.process_started_ms[server] for server in dispatcher.monitored}
         dispatcher.update_endpoints(event.update_kind, endpoints, event.doubt)
--- a/marlseam/core/servers.py
+++ b/marlseam/core/servers.py
@@ -1,5 +1,24 @@
 """Dense indices of servers by name, and which servers are long gone."""
 
+from zlib import crc32
+
+from marlseam.core.events import EndpointEntry
+from marlseam.decisions.types import Endpoint
+
+
+def indexed_endpoint(entry: EndpointEntry, index: int) -> Endpoint:
+    """Return an entry of the endpoint list under its server's dense index."""
+    return Endpoint(
+        index,
+        entry.state,
+        entry.kind,
+        entry.zone,
+        entry.cell,
+        entry.process_started_ms,
+        entry.weight,
+        crc32(entry.server.encode()),
+    )
+
 
 class ServerIndices:
     """The names behind the dense indices of the decision module.
--- a/marlseam/decisions/endpoints.py
+++ b/marlseam/decisions/endpoints.py
@@ -5,6 +5,7 @@
 from marlseam.recovery.saved_list import SURE
 
 WEIGHT_AGE_IN_LIST_PERIODS = 0.35  # how old a weight of the list is when it comes, in times between lists
+REFRESH_PERIOD_MEMORY = 5.0  # updates that the mean time between them remembers
 FIRST_BACKOFF_SHARE = 0.1  # the first poll backoff, in longest poll intervals
 
 
@@ -34,21 +35,29 @@
             if endpoint.state is not EndpointState.GONE or not self.keeps_in_use(endpoint.server)
         ]
         if self.settings.live_weights and update_kind is ListUpdateKind.DELTA:
-            since_ms = min(now - self.last_delta_ms, 2.0 * self.refresh_period_ms)
-            self.refresh_period_ms += (since_ms - self.refresh_period_ms) / 5.0
-            self.last_delta_ms = now
+            self.learn_refresh_period(now)
         for endpoint in endpoints:
             self.update_endpoint(endpoint, update_kind, doubt)
         if self.settings.live_weights:
-            weights = [
-                (endpoint.server, endpoint.weight)
-                for endpoint in endpoints
-                if endpoint.weight and endpoint.state is EndpointState.READY
-            ]
-            self.merge_weights(weights, now - WEIGHT_AGE_IN_LIST_PERIODS * self.refresh_period_ms)
+            self.merge_listed_weights(endpoints, now)
         self.refresh_derived()
         self.dispatch_queue()
 
+    def learn_refresh_period(self, now: float) -> None:
+        """Learn how often the list's weights are updated."""
+        since_ms = min(now - self.last_delta_ms, 2.0 * self.refresh_period_ms)
+        self.refresh_period_ms += (since_ms - self.refresh_period_ms) / REFRESH_PERIOD_MEMORY
+        self.last_delta_ms = now
+
+    def merge_listed_weights(self, endpoints: list[Endpoint], now: float) -> None:
+        """Take the weights of ready servers as reports."""
+        weights = [
+            (endpoint.server, endpoint.weight)
+            for endpoint in endpoints
+            if endpoint.weight and endpoint.state is EndpointState.READY
+        ]
+        self.merge_weights(weights, now - WEIGHT_AGE_IN_LIST_PERIODS * self.refresh_period_ms)
+
     def update_endpoint(self, endpoint: Endpoint, update_kind: ListUpdateKind, doubt: float) -> None:
         """Take in one entry of the list; a server whose process has started anew is reset."""
         server = endpoint.server
--- a/marlseam/shadow_policy.py
+++ b/marlseam/shadow_policy.py
@@ -10,12 +10,12 @@
 from zlib import crc32
 
 from marlseam import core
+from marlseam.core.servers import indexed_endpoint
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.request_state import RequestState
 from marlseam.decisions.types import (
     Attempt,
     Decision,
-    Endpoint,
     ListUpdateKind,
     LoadReport,
     Outcome,
@@ -241,7 +241,7 @@
             if server < len(self.dispatcher.endpoint_state):
                 self.dispatcher.reset(server)
         endpoints = [
-            Endpoint(reducer.servers.by_name[entry.server], *entry[1:], crc32(entry.server.encode()))
+            indexed_endpoint(entry, reducer.servers.by_name[entry.server])
             for entry in event.entries
             if entry.server in reducer.servers.by_name
         ]
