--- a/marlseam/experiment/policies.py
+++ b/marlseam/experiment/policies.py
@@ -1,115 +1,128 @@
-"""Baselines to stand beside marlseam in the same world. Never reachable from a serving node.
+"""Baseline policies for comparison with marlseam in the same simulation. Never reachable from a serving node.
 
-Each keeps the module's rules (what may be sent where, drains, cold budgets, final answers) and places work by
-a textbook policy alone: no threshold, no promise at home, no probes but where the policy itself asks. What
-finds no executor waits in line as in the module, and is given up at its hard limit.
+Each keeps to the rules (what may be sent where, drains, slow start budgets, final answers) and places
+requests by a textbook policy alone: no threshold, no latency objective at home, no probes but the policy's
+own. A request that finds no server waits in the pending queue, and is answered at its deadline.
 """
 
 from collections.abc import Callable
 
 from marlseam.core import Reducer
-from marlseam.decisions.dispatcher import Dispatcher, RequestState
+from marlseam.decisions.dispatcher import Dispatcher
+from marlseam.decisions.request_state import RequestState
 
 
 class Baseline(RequestState):
-    """A work unit placed by a baseline."""
+    """A request placed by a baseline."""
 
-    node: "BaselineDispatcher"
+    dispatcher: "BaselineDispatcher"
 
     def place(self) -> None:
-        """Send to the policy's choice among usable executors that fit."""
-        self.lined = False
-        if not self.may_send():
-            self.again()
+        """Send to the policy's choice among usable, eligible servers."""
+        self.is_queued = False
+        if not self.may_attempt():
+            self.retry()
         else:
             self.pick()
 
     def pick(self) -> None:
-        """Send to the policy's choice, or wait in line."""
-        e = self.choice()
-        if e < 0:
-            self.hold()
+        """Send to the policy's choice, or wait in the pending queue."""
+        server = self.choice()
+        if server < 0:
+            self.enqueue()
         else:
-            self.send(e)
+            self.send(server)
 
     def choice(self) -> int:
-        """Return the executor that the policy chooses, or -1."""
+        """Return the server that the policy chooses, -1 for none."""
         raise NotImplementedError
 
     def ready(self) -> list[int]:
-        """Return the usable executors that fit."""
-        node = self.node
-        return [e for e in (*node.near, *node.far) if node.usable(e) and self.fits(e)]
+        """Return the usable, eligible servers."""
+        dispatcher = self.dispatcher
+        return [
+            server
+            for server in (*dispatcher.same_zone, *dispatcher.other_zones)
+            if dispatcher.is_usable(server) and self.is_eligible(server)
+        ]
 
 
 class BaselineDispatcher(Dispatcher):
-    """A node that places its work by one of the baselines."""
+    """A dispatcher that places requests by one of the baselines."""
 
-    turn = -1
+    last_server = -1
 
 
 class AtRandom(Baseline):
-    """Any usable executor, at random."""
+    """Any usable server, at random."""
 
     def choice(self) -> int:
         """Return one at random."""
         ready = self.ready()
-        return ready[int(self.node.chance() * len(ready))] if ready else -1
+        return ready[int(self.dispatcher.chance() * len(ready))] if ready else -1
 
 
 class RoundRobin(Baseline):
-    """The usable executors in turn."""
+    """The usable servers in turn."""
 
     def choice(self) -> int:
         """Return the next one."""
         ready = sorted(self.ready())
         if not ready:
             return -1
-        self.node.turn = next((e for e in ready if e > self.node.turn), ready[0])
-        return self.node.turn
+        self.dispatcher.last_server = next(
+            (server for server in ready if server > self.dispatcher.last_server), ready[0]
+        )
+        return self.dispatcher.last_server
 
 
 class LeastRequests(Baseline):
-    """The executor with the fewest allocations of this node's own; among equals one at random."""
+    """The server with the fewest attempts of this node's own; among equals one at random."""
 
     def choice(self) -> int:
         """Return the one with the fewest."""
-        node, ready = self.node, self.ready()
+        dispatcher, ready = self.dispatcher, self.ready()
         if not ready:
             return -1
-        least = min(len(node.own[e]) for e in ready)
-        equal = [e for e in ready if len(node.own[e]) == least]
-        return equal[int(node.chance() * len(equal))]
+        least = min(len(dispatcher.own_attempts[server]) for server in ready)
+        equal = [server for server in ready if len(dispatcher.own_attempts[server]) == least]
+        return equal[int(dispatcher.chance() * len(equal))]
 
 
 class TwoChoices(Baseline):
-    """Two at random are really probed, and the one with the smaller count by its report is taken."""
+    """Two at random are really probed, and the one with the smaller count by its report is picked."""
 
     def pick(self) -> None:
         """Ask two at random, then send."""
         ready = self.ready()
         chosen: list[int] = []
         while ready and len(chosen) < 2:
-            chosen.append(ready.pop(int(self.node.chance() * len(ready))))
+            chosen.append(ready.pop(int(self.dispatcher.chance() * len(ready))))
         if not chosen:
-            self.hold()
+            self.enqueue()
         else:
-            self.ask(chosen, self.compare)
+            self.probe(chosen, self.compare)
 
     def compare(self) -> None:
         """Send to the one with the smaller count."""
-        node = self.node
-        good = [e for e in self.asked if node.usable(e) and self.fits(e)]
+        dispatcher = self.dispatcher
+        good = [
+            server
+            for server in self.probed_servers
+            if dispatcher.is_usable(server) and self.is_eligible(server)
+        ]
         if good:
-            self.send(min(good, key=lambda e: (node.count(e), e)))
+            self.send(min(good, key=lambda server: (dispatcher.count(server), server)))
         else:
-            self.hold()
+            self.enqueue()
 
 
-def maker(handle: type[Baseline]) -> Callable[[], Reducer]:
-    """Return a maker of reducers that place work by a baseline."""
-    dispatcher = type("Baseline" + handle.__name__, (BaselineDispatcher,), {"handle": handle})
-    return type(handle.__name__ + "Core", (Reducer,), {"decider": dispatcher})
+def maker(state_type: type[Baseline]) -> Callable[[], Reducer]:
+    """Return a type of reducer that places requests by a baseline."""
+    dispatcher = type(
+        "Baseline" + state_type.__name__, (BaselineDispatcher,), {"request_state_type": state_type}
+    )
+    return type(state_type.__name__ + "Core", (Reducer,), {"dispatcher_type": dispatcher})
 
 
 POLICIES: dict[str, Callable[[], Reducer]] = {
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,8 +14,8 @@
 from marlseam.configuration import Config, ConfigError, Deployment, deployment_from, load, operator_settings
 from marlseam.core import Event
 from marlseam.counters import Counters
-from marlseam.decisions.dispatcher import Dispatcher as Decider
-from marlseam.decisions.dispatcher import RequestState
+from marlseam.decisions.dispatcher import Dispatcher
+from marlseam.decisions.request_state import RequestState
 from marlseam.decisions.types import (
     Attempt,
     DeduplicationScope,
@@ -78,29 +78,29 @@
     def now(self) -> float:
         return self.clock
 
-    def send(self, state: RequestState, executor: int, time_left_ms: float) -> None:
-        self.acts.append(("send", state.request.request_id, executor))
+    def send(self, state: RequestState, server: int, time_left_ms: float) -> None:
+        self.acts.append(("send", state.request.request_id, server))
 
     def cancel(self, state: RequestState, attempt_index: int) -> None:
         self.acts.append(("cancel", state.request.request_id, attempt_index))
 
-    def defer(self, state: RequestState, retry_after_ms: float) -> None:
-        self.acts.append(("defer", state.request.request_id))
+    def reject(self, state: RequestState, retry_after_ms: float) -> None:
+        self.acts.append(("reject", state.request.request_id))
 
-    def abort(self, state: RequestState) -> None:
-        self.acts.append(("abort", state.request.request_id))
+    def fail(self, state: RequestState) -> None:
+        self.acts.append(("fail", state.request.request_id))
 
-    def probe(self, executor: int) -> None:
-        self.acts.append(("probe", executor))
+    def probe(self, server: int) -> None:
+        self.acts.append(("probe", server))
 
     def after(self, delay_ms: float, call: Callable[[], None]) -> None:
         self.timers.append((self.clock + delay_ms, call))
 
-    def never_ran(self, state: RequestState, executor: int, sent_ms: float) -> None:
-        self.acts.append(("never_ran", state.request.request_id, executor))
+    def never_ran(self, state: RequestState, server: int, sent_ms: float) -> None:
+        self.acts.append(("never_ran", state.request.request_id, server))
 
-    def subscribe(self) -> None:
-        self.acts.append(("subscribe",))
+    def watch_endpoints(self) -> None:
+        self.acts.append(("watch_endpoints",))
 
     def log(self, text: str) -> None:
         self.acts.append(("log", text))
@@ -110,37 +110,40 @@
 
 
 @pytest.fixture
-def make() -> Callable[..., Decider]:
-    """Return a maker of nodes whose servers 0..n-1 are ready and have just reported these counts."""
+def make_dispatcher() -> Callable[..., Dispatcher]:
+    """Return a maker of dispatchers whose servers 0..n-1 are ready and have just reported these counts."""
 
-    def build(*counts: float | None, cells: tuple[int, ...] = (), **changes: object) -> Decider:
-        node = Decider(replace(SETTINGS, **changes), 7, RecordingPort())
+    def build(*counts: float | None, cells: tuple[int, ...] = (), **changes: object) -> Dispatcher:
+        dispatcher = Dispatcher(replace(SETTINGS, **changes), 7, RecordingPort())
         cells = cells or (0,) * len(counts)
-        node.update_endpoints(
-            ListUpdateKind.FULL,
-            [Endpoint(e, EndpointState.READY, 0, 0, cells[e], None) for e in range(len(counts))],
-        )
-        node.most_free[0] = 4.0
-        for e, count in enumerate(counts):
-            node.hear(e, count)
-            node.heard_ms[e] = node.port.clock
-        node.port.acts.clear()
-        return node
+        endpoints = [
+            Endpoint(server, EndpointState.READY, 0, 0, cells[server], None) for server in range(len(counts))
+        ]
+        dispatcher.update_endpoints(ListUpdateKind.FULL, endpoints)
+        dispatcher.max_free_slots[0] = 4.0
+        for server, count in enumerate(counts):
+            dispatcher.set_others_slots(server, count)
+            dispatcher.last_report_ms[server] = dispatcher.port.clock
+        dispatcher.port.acts.clear()
+        return dispatcher
 
     return build
 
 
 @pytest.fixture
-def unit() -> Callable[..., RequestState]:
-    """Return a maker of handles with attempts of given servers and outcomes."""
-
-    def build(node: Decider, type: int = 0, attempts: tuple = (), slots: float = 1.0) -> RequestState:
-        now = node.port.now()
-        state = RequestState(node, Request(f"w{type}", type, now + 5000.0, slots=slots))
-        for executor, outcome in attempts:
-            state.attempts.append(Attempt(executor, now, now, outcome=outcome))
+def make_request() -> Callable[..., RequestState]:
+    """Return a maker of requests with attempts at given servers, of given outcomes."""
+
+    def build(
+        dispatcher: Dispatcher, class_index: int = 0, attempts: tuple = (), slots: float = 1.0
+    ) -> RequestState:
+        now = dispatcher.port.now()
+        request = Request(f"w{class_index}", class_index, now + 5000.0, slots=slots)
+        state = RequestState(dispatcher, request)
+        for server, outcome in attempts:
+            state.attempts.append(Attempt(server, now, now, outcome=outcome))
             if outcome is None:
-                node.hold(executor, state, len(state.attempts) - 1, slots)
+                dispatcher.track_attempt(server, state, len(state.attempts) - 1, slots)
         return state
 
     return build
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,16 +1,17 @@
-"""What a node takes up again: which list, how much doubt, which receipts; and what the module makes of it."""
+"""What a node recovers: which list, how much doubt, which idempotency records; and what decisions follow."""
 
+from dataclasses import replace
 from math import exp
 
 import pytest
-from conftest import SETTINGS
+from conftest import KEYED, SETTINGS
 from hypothesis import given
 from hypothesis import strategies as st
 
 from marlseam import core
 from marlseam.core import EndpointEntry, Reducer
 from marlseam.core.idempotency import AttemptRecord, IdempotencyRecords
-from marlseam.decisions.types import EndpointState, ListUpdateKind, Outcome, Request
+from marlseam.decisions.types import DeduplicationScope, EndpointState, ListUpdateKind, Outcome, Request
 from marlseam.recovery import saved_list
 from marlseam.recovery.saved_list import DEFAULT_LIFETIME_MS, DepartureRate, SavedList
 
@@ -48,7 +49,7 @@
     assert saved_list.list_age_ms(saved(1, heard=500.0), 1000.0) == 500.0
 
 
-# Receipts against a plain model.
+# Idempotency records against a plain model.
 
 
 @given(
@@ -62,7 +63,7 @@
         max_size=40,
     )
 )
-def test_receipts_are_what_a_plain_table_says(steps):
+def test_idempotency_records_are_what_a_plain_table_says(steps):
     idempotency_records, model, now = IdempotencyRecords(10), {}, 0.0
     for what, key, executor, gap in steps:
         now += gap
@@ -71,43 +72,43 @@
             rows = []
         if what == "note":
             trace = AttemptRecord(executor, 0, 0, now, now + 20.0)
-            if idempotency_records.known(key, now) == rows:
-                idempotency_records.note(key, trace)
+            if idempotency_records.attempts(key, now) == rows:
+                idempotency_records.add(key, trace)
                 rows.append(trace)
         elif what == "never" and rows:
-            idempotency_records.known(key, now)
+            idempotency_records.attempts(key, now)
             assert idempotency_records.never_ran(key, rows[0].server, rows[0].sent_ms)
             gone = next(t for t in rows if (t.server, t.sent_ms) == (rows[0].server, rows[0].sent_ms))
             rows.remove(gone)
         model[key] = rows
-        assert idempotency_records.known(key, now) == rows
+        assert idempotency_records.attempts(key, now) == rows
 
 
-def test_what_is_recalled_ends_in_its_time_and_goes_before_what_is_noted():
+def test_restored_records_expire_in_time_and_go_before_new_ones():
     idempotency_records = IdempotencyRecords(10)
     a, b = AttemptRecord("e", 0, 0, 0.0, 50.0), AttemptRecord("e", 0, 0, 0.0, 20.0)
-    idempotency_records.recall({"a": [a, AttemptRecord("f", 0, 0, 5.0, 55.0)], "b": [b]})
-    idempotency_records.note("a", AttemptRecord("g", 0, 0, 10.0, 60.0))
-    assert [t.server for t in idempotency_records.known("a", 15.0)] == [
+    idempotency_records.restore({"a": [a, AttemptRecord("f", 0, 0, 5.0, 55.0)], "b": [b]})
+    idempotency_records.add("a", AttemptRecord("g", 0, 0, 10.0, 60.0))
+    assert [t.server for t in idempotency_records.attempts("a", 15.0)] == [
         "e",
         "f",
         "g",
-    ] and idempotency_records.known("b", 15.0)
+    ] and idempotency_records.attempts("b", 15.0)
     assert (
-        not idempotency_records.known("b", 20.0)
-        and idempotency_records.known("a", 49.0)
-        and not idempotency_records.known("a", 50.0)
+        not idempotency_records.attempts("b", 20.0)
+        and idempotency_records.attempts("a", 49.0)
+        and not idempotency_records.attempts("a", 50.0)
     )
 
 
-def test_at_the_bound_there_is_room_only_once_a_key_is_forgotten():
+def test_at_the_maximum_a_key_can_be_added_only_once_another_expires():
     idempotency_records = IdempotencyRecords(1)
-    idempotency_records.note("a", AttemptRecord("e", 0, 0, 0.0, 100.0))
-    assert idempotency_records.full(40.0) == 60.0 and idempotency_records.known("a", 40.0)
-    assert idempotency_records.full(100.0) == 0.0 and not idempotency_records.known("a", 100.0)
+    idempotency_records.add("a", AttemptRecord("e", 0, 0, 0.0, 100.0))
+    assert idempotency_records.wait_for_key_ms(40.0) == 60.0 and idempotency_records.attempts("a", 40.0)
+    assert idempotency_records.wait_for_key_ms(100.0) == 0.0 and not idempotency_records.attempts("a", 100.0)
 
 
-# The reducer and the module.
+# The reducer and its dispatcher.
 
 
 def entry(name, cell=0, state=EndpointState.READY, born=None):
@@ -154,7 +155,7 @@
     return found
 
 
-def test_a_retry_under_a_key_goes_only_to_the_pod_that_may_have_run_it(node):
+def test_a_retry_under_a_key_goes_only_to_the_server_that_may_have_run_it(node):
     (first,) = sends(answered(node, 1.0, node(1.0, unit("1"))))
     node(2.0, core.ClientLeft("1"))
     node(2.0, core.AttemptEnded("1", 0, Outcome.CANCELLED, True, None))
@@ -166,7 +167,7 @@
         node(3.5 + i, core.AttemptEnded(str(i), 1, Outcome.CANCELLED, True, None))
 
 
-def test_a_recalled_key_whose_pod_is_gone_is_failed_and_runs_nowhere(node):
+def test_a_restored_key_whose_server_is_gone_is_failed_and_runs_nowhere(node):
     node(1.0, core.HistoryRecovered({"k": [AttemptRecord("gone", 0, 9, 0.0, 9000.0)]}))
     effects = node(2.0, unit("1"))
     assert not sends(effects) and not any(type(e) is core.Probe for e in effects)
@@ -175,12 +176,12 @@
     assert [type(e) for e in effects if type(e) in (core.Fail, core.Reject)] == [core.Fail]
 
 
-def test_a_recalled_key_is_free_again_once_its_pods_memory_is_over(node):
+def test_a_restored_key_is_free_again_once_its_deduplication_window_is_over(node):
     node(1.0, core.HistoryRecovered({"k": [AttemptRecord("gone", 0, 9, 0.0, 50.0)]}))
     assert sends(answered(node, 60.0, node(60.0, unit("1"))))
 
 
-def test_unsafe_work_of_unknown_fate_is_failed_at_once(node):
+def test_an_unsafe_request_of_unknown_fate_is_failed_at_once(node):
     node(1.0, core.HistoryRecovered({"k": [AttemptRecord("a", 0, 1, 0.0, 9000.0)]}))
     assert [type(e) for e in node(2.0, unit("1", type=2))][-1] is core.Fail
 
@@ -189,11 +190,11 @@
     (first,) = sends(answered(node, 1.0, node(1.0, unit("1"))))
     effects = node(2.0, core.AttemptEnded("1", 0, Outcome.AT_CAPACITY, False, None))
     assert any(type(e) is core.ErasePersisted and e.server == first for e in effects)
-    later = node.core.idempotency_records.known("k", 3.0)
+    later = node.core.idempotency_records.attempts("k", 3.0)
     assert all(trace.server != first for trace in later)
 
 
-def test_a_sending_is_remembered_before_it_goes_out(node):
+def test_an_attempt_is_persisted_before_it_is_sent(node):
     effects = answered(node, 1.0, node(1.0, unit("1")))
     kinds = [type(e) for e in effects]
     assert kinds.index(core.PersistAttempt) < kinds.index(core.SendAttempt)
@@ -203,9 +204,9 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_past_the_bound_a_new_key_is_rejected_with_advice_and_an_old_one_still_goes(seed):
+def test_past_the_maximum_a_new_key_is_rejected_with_advice_and_an_old_one_still_goes(seed):
     node = begun(seed)
-    node.core.idempotency_records.most = 1
+    node.core.idempotency_records.max_keys = 1
     assert sends(answered(node, 1.0, node(1.0, unit("1", key="old"))))
     (refused,) = node(2.0, unit("2", key="new"))
     assert type(refused) is core.Reject and refused.retry_after_ms > 0.0
@@ -215,33 +216,33 @@
     assert sends(answered(node, 3.0, node(3.0, unit("3", key="old"))))
 
 
-def test_entries_of_an_old_list_are_cold_and_take_no_keyed_work_until_proven(node):
+def test_entries_of_a_cached_list_are_in_slow_start_and_get_no_keyed_request_until_proven(node):
     old = [entry("x", 5)]
     node(
         0.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry(n, state=EndpointState.GONE) for n in "abc"])
     )
     node(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, old, 0.6))
     decider = node.core.dispatcher
-    e = node.core.index["x"]
-    assert decider.allowance(e) < float("inf") and decider.unsure[e] == 0.6
-    decider.tokens[e] = 1.0
+    e = node.core.servers.by_name["x"]
+    assert decider.slow_start_budget(e) < float("inf") and decider.identity_doubt[e] == 0.6
+    decider.slow_start_tokens[e] = 1.0
     assert not sends(answered(node, 2.0, node(2.0, unit("1"))))
     plain = answered(node, 3.0, node(3.0, unit("2", type=0, key=None)))
-    assert sends(plain) == ["x"] and 0.0 < decider.unsure[e] < 0.6  # somebody answered its probe
+    assert sends(plain) == ["x"] and 0.0 < decider.identity_doubt[e] < 0.6  # somebody answered its probe
     node(4.0, core.AttemptStarted("2", 0))
-    assert decider.unsure[e] == 0.0
+    assert decider.identity_doubt[e] == 0.0
 
 
 def test_the_live_endpoint_list_ends_all_doubt(node):
     node(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, [entry("x", 5)], 0.6))
-    e = node.core.index["x"]
+    e = node.core.servers.by_name["x"]
     node(2.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("x", 5), entry("a", 1)]))
     decider = node.core.dispatcher
-    assert decider.unsure[e] == 0.0 and decider.allowance(e) == float("inf")
-    assert decider.endpoint_state[node.core.index["b"]] is EndpointState.GONE
+    assert decider.identity_doubt[e] == 0.0 and decider.slow_start_budget(e) == float("inf")
+    assert decider.endpoint_state[node.core.servers.by_name["b"]] is EndpointState.GONE
 
 
-def test_a_drain_told_during_recovery_is_kept_though_the_old_list_says_ready(node):
+def test_a_drain_during_recovery_holds_though_the_cached_list_says_ready(node):
     node(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, [entry("x", 5), entry("y", 6)], 0.6))
     node(
         2.0,
@@ -303,31 +304,25 @@
     assert core.SendAttempt in answers(answered(node, 900004.0, node(900004.0, retry("4", type))))
 
 
-def test_what_is_lost_binds_for_as_long_as_pods_remember_and_each_source_for_itself(node):
+def test_unavailable_history_binds_for_as_long_as_servers_remember_and_each_source_alone(node):
     node(1.0, core.HistoryUnavailable("store", 1.0))
     node(1.0, core.HistoryUnavailable("process", 500.0))
     assert answers(node(4990.0, retry("1"))) == [core.Fail]
     node(4991.0, core.HistoryAvailable("store"))
     assert answers(node(5400.0, retry("2"))) == [core.Fail]
     assert core.SendAttempt in answers(answered(node, 5501.0, node(5501.0, unit("3", expires=9000.0))))
-    assert not node.core.untold_still()
+    assert not node.core.is_history_incomplete()
 
 
-def test_a_deferral_promises_nothing_past_the_pods_memory(make, unit):
-    from dataclasses import replace
-
-    from conftest import KEYED
-
-    from marlseam.decisions.types import DeduplicationScope
-
+def test_a_rejection_promises_nothing_past_the_deduplication_window(make_dispatcher, make_request):
     wide = replace(KEYED, deduplication_scope=DeduplicationScope.ALL)
-    node = make(0.0, 0.0, request_classes=(*SETTINGS.request_classes[:1], wide))
-    state = unit(node, type=1, attempts=((0, Outcome.BROKEN),))
-    assert state.may_defer()
-    node.port.clock += (
-        wide.deduplication_window_ms - node.rest_ms / 2.0
+    dispatcher = make_dispatcher(0.0, 0.0, request_classes=(*SETTINGS.request_classes[:1], wide))
+    state = make_request(dispatcher, class_index=1, attempts=((0, Outcome.BROKEN),))
+    assert state.may_reject_safely()
+    dispatcher.port.clock += (
+        wide.deduplication_window_ms - dispatcher.ejection_base_ms / 2.0
     )  # it would come back to a pod that has forgotten
-    assert not state.may_defer()
+    assert not state.may_reject_safely()
 
 
 def test_what_cannot_be_put_on_record_is_answered_at_once_and_the_rest_served(node):
@@ -344,23 +339,23 @@
     assert answers(node(5.0, request("4", 1, key="old"))) == [core.Fail]
 
 
-def test_a_sending_whose_record_was_not_kept_never_ran_and_nothing_follows_it(node):
+def test_an_attempt_whose_record_is_not_durable_never_ran_and_none_follows(node):
     (first,) = sends(answered(node, 1.0, node(1.0, unit("1"))))
     effects = node(2.0, core.NotDurable("1", 0))
     assert [type(e) for e in effects if type(e) is not core.SetTimer] == [core.ErasePersisted, core.Reject]
-    assert not node.core.idempotency_records.known("k", 3.0) and "1" not in node.core.open
+    assert not node.core.idempotency_records.attempts("k", 3.0) and "1" not in node.core.open_requests
 
 
-def test_what_is_recalled_late_stands_before_what_was_noted_meanwhile():
+def test_records_restored_late_go_before_those_added_meanwhile():
     idempotency_records = IdempotencyRecords(10)
-    idempotency_records.note("a", AttemptRecord("g", 0, 0, 10.0, 60.0))
-    idempotency_records.note("b", AttemptRecord("h", 0, 0, 10.0, 70.0))
-    idempotency_records.recall(
+    idempotency_records.add("a", AttemptRecord("g", 0, 0, 10.0, 60.0))
+    idempotency_records.add("b", AttemptRecord("h", 0, 0, 10.0, 70.0))
+    idempotency_records.restore(
         {"a": [AttemptRecord("e", 0, 0, 0.0, 50.0)], "c": [AttemptRecord("f", 0, 0, 1.0, 40.0)]}
     )
-    assert [t.server for t in idempotency_records.known("a", 20.0)] == ["e", "g"]
+    assert [t.server for t in idempotency_records.attempts("a", 20.0)] == ["e", "g"]
     assert (
         idempotency_records.expire(45.0) == ["c"]
         and idempotency_records.expire(65.0) == ["a"]
-        and idempotency_records.known("b", 65.0)
+        and idempotency_records.attempts("b", 65.0)
     )
--- a/tests/test_watch.py
+++ b/tests/test_shadow_policy.py
@@ -1,4 +1,4 @@
-"""The second opinion: it changes nothing of what a node does, and counts where it would decide otherwise."""
+"""The shadow policy changes nothing of what a node does, and counts where it would decide otherwise."""
 
 import json
 import signal
@@ -14,7 +14,7 @@
 from marlseam.configuration import ConfigError, deployment_from, load
 from marlseam.core import EndpointEntry, Reducer
 from marlseam.decisions.types import Decision, EndpointState, ListUpdateKind, LoadReport, Outcome, Request
-from marlseam.shadow_policy import Watch
+from marlseam.shadow_policy import ShadowPolicy
 
 SETTINGS = deployment_from(OPTIONS).settings
 
@@ -70,28 +70,31 @@
 
 
 def other(**changes):
-    return Watch(lambda settings: replace(settings, **changes))
+    return ShadowPolicy(lambda settings: replace(settings, **changes))
 
 
 @pytest.mark.parametrize(
     "changes",
     [{}, {"live_weights": True, "reports_in_responses": True, "fetch_cost": 0.03, "weight_by_size": True}],
 )
-def test_watching_changes_no_action(changes):
+def test_a_shadow_policy_changes_no_effect(changes):
     watch = other(**changes)
     assert play(watch) == play() and watch.decided > 60
 
 
-def test_without_the_new_settings_weights_and_keys_change_no_action():
+def test_without_their_settings_weights_and_keys_change_no_effect():
     assert play() == play(plain=True)
 
 
-def test_the_same_settings_agree_and_what_was_answered_is_forgotten():
+def test_the_same_settings_agree_and_answered_requests_are_forgotten():
     watch = other()
     play(watch)
-    by_chance = {(Decision.ASK, Decision.HOME), (Decision.HOME, Decision.ASK)}  # another home was drawn
+    by_chance = {
+        (Decision.PROBE_HOME, Decision.HOME),
+        (Decision.HOME, Decision.PROBE_HOME),
+    }  # another home was drawn
     assert set(watch.otherwise) <= by_chance and all(
-        not state.done or state.out() for state in watch.open.values()
+        not state.is_answered or state.in_flight_count() for state in watch.open_requests.values()
     )
 
 
@@ -100,8 +103,8 @@
     made.reduce(0.0, core.NodeStarted(SETTINGS, 7))
     made.reduce(1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e0")]))
     made.reduce(2.0, core.RequestArrived(Request("w", 0, 5000.0)))
-    assert made.watch.otherwise == {(Decision.ASK, Decision.HOME): 1} and made.watch.decided == 1
-    assert made.watch.lines()[1] == "watch: 1 times home asked where it would be home"
+    assert made.follower.otherwise == {(Decision.PROBE_HOME, Decision.HOME): 1} and made.follower.decided == 1
+    assert made.follower.lines()[1] == "watch: 1 times home asked where it would be home"
 
 
 # Its settings.
@@ -120,7 +123,7 @@
     return read
 
 
-def test_what_is_watched_stands_beside_the_settings_in_force(own):
+def test_the_shadow_settings_stand_beside_those_in_force(own):
     config = own('[watch]\nweights = "live"\nreports = "answers"\n')
     assert own("").watch is None and not config.deployment.settings.live_weights
     changed = config.watch.change(config.deployment.settings)
@@ -139,7 +142,7 @@
         ("[watch]\nprobes = false", "watch.probes"),
     ],
 )
-def test_a_faulty_key_is_named(own, text, key):
+def test_an_invalid_key_is_named(own, text, key):
     with pytest.raises(ConfigError) as error:
         own(text)
     assert error.value.key == key
--- /dev/null
+++ b/tests/test_slow_start.py
@@ -0,0 +1,158 @@
+"""What all nodes together send to a server in slow start, one by one and in the experiment `size-cold`."""
+
+from dataclasses import replace
+from math import sqrt
+from pathlib import Path
+
+import msgspec
+import pytest
+
+from marlseam.decisions.dispatcher import Dispatcher
+from marlseam.decisions.slow_start import MAX_SAVED_BUDGETS, MIN_SAVED_COST_SHARE, SLOW_START_PLANNED_SHARE
+from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind, Request
+from marlseam.experiment import file, measures, size_cold
+from tests.conftest import SETTINGS, RecordingPort
+
+SLOTS, BORN = 8.0, 1000.0
+WINDOW = SETTINGS.overload_window_ms
+
+
+def fleet(nodes, node_count=None, slow_start_ms=16.0 * WINDOW):
+    """Return so many nodes that have just learned of a server in slow start with eight slots."""
+    made = []
+    for seed in range(1, nodes + 1):
+        settings = replace(
+            SETTINGS,
+            node_count=node_count or nodes,
+            slow_start_ms=slow_start_ms,
+            slow_start_initial_share=0.2,
+        )
+        dispatcher = Dispatcher(settings, seed, RecordingPort())
+        dispatcher.max_free_slots[0] = SLOTS
+        dispatcher.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, BORN)])
+        dispatcher.last_report_ms[0] = 1e9
+        made.append(dispatcher)
+    return made
+
+
+def budget(dispatcher):
+    """Return how many requests of mean size the settings allow in their window now."""
+    return dispatcher.slow_start_budget(0) * WINDOW / SLOW_START_PLANNED_SHARE
+
+
+def at(nodes, clock):
+    for dispatcher in nodes:
+        dispatcher.port.clock = clock
+
+
+def burst(nodes, size=1.0):
+    """Let each node send of work of some size what it may, at one instant; return the sum of sizes."""
+    sent = 0.0
+    for dispatcher in nodes:
+        dispatcher.mean_run_ms[0] = size * dispatcher.mean_slot_ms
+        for i in range(1000):
+            state = dispatcher.request_state_type(
+                dispatcher, Request(f"w{i}", 0, dispatcher.port.clock + 5000.0)
+            )
+            if not (dispatcher.is_usable(0) and state.is_eligible(0)):
+                break
+            state.send(0)
+            sent += size
+        dispatcher.mean_run_ms[0] = dispatcher.mean_slot_ms
+    return sent
+
+
+@pytest.mark.parametrize("nodes", [20, 30, 200])
+def test_a_burst_after_a_quiet_slow_start_is_bounded_by_the_tokens_saved(nodes):
+    made = fleet(nodes)
+    for k in range(1, 150):  # nobody sends, and all look
+        at(made, BORN + 100.0 * k)
+        for dispatcher in made:
+            dispatcher.has_budget(0)
+    n = budget(made[0])
+    room = (1.0 - SLOW_START_PLANNED_SHARE) * n + 2.0 * sqrt(n)
+    # As many have a token ready as chance gives to this mean: more than the margin itself.
+    most = MAX_SAVED_BUDGETS * room
+    assert 0.0 < burst(made) < most + 3.0 * sqrt(most) + 1.0
+
+
+@pytest.mark.parametrize("nodes", [20, 30, 200])
+def test_a_fleet_that_sends_all_that_it_may_uses_its_budget_and_never_exceeds_the_bound(nodes):
+    made, sent, got = fleet(nodes), [], 0.0
+    for k in range(1, 160):
+        at(made, BORN + 100.0 * k)
+        sent.append((BORN + 100.0 * k, burst(made)))
+        got = sum(size for t, size in sent if t > BORN + 100.0 * k - WINDOW)
+        n = budget(made[0])
+        assert got < n + 2.0 * sqrt(n) + 2.0
+    assert got > 0.8 * SLOW_START_PLANNED_SHARE * n
+
+
+@pytest.mark.parametrize("nodes", [20, 30, 200])
+def test_large_requests_do_not_all_go_at_once(nodes):
+    # Parts just earned: each node would send one of a part of its own, and owe the rest.
+    made = fleet(nodes)
+    at(made, BORN + 4000.0)
+    for dispatcher in made:
+        dispatcher.has_budget(0)
+        dispatcher.slow_start_tokens[0] = 1e-6
+    n = budget(made[0])
+    assert burst(made, SLOW_START_PLANNED_SHARE * n * 0.9) == 0.0
+    assert burst(made, 1.0) == pytest.approx(nodes)
+
+
+def test_a_large_request_is_sent_once_a_part_of_its_cost_is_saved():
+    (dispatcher,) = fleet(1)
+    at([dispatcher], BORN + 4000.0)
+    dispatcher.has_budget(0)
+    size = 3.0
+    dispatcher.slow_start_tokens[0] = MIN_SAVED_COST_SHARE * size * (1.0 - 1.0 / size) - 1e-6
+    assert dispatcher.has_budget(0) and not dispatcher.has_budget(0, size)
+    dispatcher.slow_start_tokens[0] += 1e-5
+    assert dispatcher.has_budget(0, size)
+
+
+def test_a_small_request_is_sent_where_a_window_allows_less_than_one_of_mean_size():
+    (dispatcher,) = fleet(1)
+    at([dispatcher], BORN + 4000.0)
+    dispatcher.has_budget(0)
+    dispatcher.mean_slot_ms *= dispatcher.slow_start_budget(0) * WINDOW / 0.8
+    dispatcher.slow_start_tokens[0], dispatcher.slow_start_refilled_ms[0] = 0.05, dispatcher.port.clock
+    state = dispatcher.request_state_type(dispatcher, Request("w", 0, dispatcher.port.clock + 5000.0))
+    dispatcher.mean_run_ms[0] = 0.1 * dispatcher.mean_slot_ms
+    assert dispatcher.is_usable(0) and state.is_eligible(0)
+    dispatcher.mean_run_ms[0] = 0.9 * dispatcher.mean_slot_ms
+    assert not state.is_eligible(0)
+
+
+def test_a_restarted_node_has_no_tokens_saved():
+    (dispatcher,) = fleet(1, node_count=200)
+    at([dispatcher], BORN + 12000.0)
+    again = Dispatcher(dispatcher.settings, 99, RecordingPort())
+    again.port.clock = dispatcher.port.clock
+    again.max_free_slots[0] = SLOTS
+    again.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, BORN)])
+    assert again.slow_start_tokens[0] <= 0.0 and not again.has_budget(0)
+
+
+@pytest.fixture
+def play():
+    """Return a player of `size-cold` with some of its table changed; it gives what was found."""
+    measures.register()
+    path = Path(__file__).parent.parent / "experiments" / "size-cold.toml"
+
+    def run(tmp, **changes):
+        experiment = file.load(path)
+        table = msgspec.structs.replace(experiment.tables["size_cold"], **changes)
+        experiment.tables["size_cold"] = table
+        return size_cold.size_cold(experiment, tmp, lambda _text: None)
+
+    return run
+
+
+def test_the_short_form_holds_its_bound_and_counts_alike_twice(play, tmp_path):
+    first, second = (play(tmp_path, nodes=[20], seeds=1) for _ in range(2))
+    counts = {k: v for k, v in first.figures.items() if not k.endswith("cpu_s")}
+    assert counts == {k: v for k, v in second.figures.items() if not k.endswith("cpu_s")}
+    assert counts["units"] > 1000 and counts["lives"] == 48
+    assert counts["most"] <= 1.0 and counts["used"] > 0.2
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -154,7 +154,7 @@
 def led(node, monkeypatch):
     """Return a maker of nodes that know discovery's list, and discovery."""
     made = []
-    monkeypatch.setattr(dispatcher, "RandomSource", lambda seed: lambda: 1.0 - 2.0**-32)  # the longest rests
+    monkeypatch.setattr(dispatcher, "RandomSource", lambda _seed: lambda: 1.0 - 2.0**-32)  # the longest rests
 
     def begin(listens: bool = True, **settings: object) -> Led:
         service = Service(listens)
@@ -538,5 +538,5 @@
     def after(self, delay_ms: float, call: Callable[[], None]) -> None:
         self.fleet.at(self.fleet.clock + delay_ms, call)
 
-    def subscribe(self) -> None:
+    def watch_endpoints(self) -> None:
         self.fleet.call(self.i)
