--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -228,7 +228,7 @@
 
     def rows(self) -> list[dict[str, Any]]:
         """Return the list as it is held, as discovery writes it."""
-        peers, listed = self.upstream.peers, self.starts.listed
+        peers, listed = self.upstream.pool.servers, self.starts.listed
         return [
             protocol.row_of(
                 entry._replace(process_started_ms=listed(name)), peers[name].address, self.config.deployment
@@ -261,7 +261,7 @@
             else:
                 self.held[entry.server] = entry
         self.starts.keep(self.held)
-        self.upstream.listed(self.held, news.addresses)
+        self.upstream.update_endpoints(self.held, news.addresses)
         if self.upstream.guard is not None:
             self.upstream.guard.listed(self.held, self.loop.now())
         if resumed and not whole and not news.entries:
--- a/marlseam/net/node.py
+++ b/marlseam/net/node.py
@@ -120,10 +120,11 @@
         self.ending = self.waits = False
         self.counters = Counters()
         self.counters.know(config.deployment.types)
-        self.upstream = Upstream(self.loop, self.log, config.deployment, places, self.post, self.counters)
         self.violations = Violations(self.log)
         self.guard = SendGuard(self.violations, config.deployment, self.slow_start)
-        self.upstream.guard = self.guard
+        self.upstream = Upstream(
+            self.loop, self.log, config.deployment, places, self.post, self.counters, self.guard
+        )
         self.discovery = Discovery(self.loop, self.log, config, self.upstream, self.post)
         door = "listen", "{}:{}".format(*config.listen), "a free address"
         if config.socket_fd is not None:
@@ -135,7 +136,7 @@
         self.downstream.violations = self.violations
         descriptors, self.regrows = self.loop.descriptors, self.loop.at(self.loop.now(), lambda: None)
         descriptors.givers, descriptors.lacks = (
-            [self.downstream.make_room, self.upstream.make_room],
+            [self.downstream.make_room, self.upstream.pool.close_longest_idle],
             self.lacks,
         )
         self.admin = None
@@ -267,7 +268,7 @@
 
         Guards the sends of what was taken, which need as many again as clients have.
         """
-        has = len(self.downstream.open) + self.upstream.open()
+        has = len(self.downstream.open) + self.upstream.pool.open_count()
         self.downstream.lacks(max(CLIENTS_LEAST, int(CLIENT_SHARE * has)))
         self.loop.drop(self.regrows)
         self.regrows = self.loop.at(self.loop.now() + LACK_MS, self.regrow)
@@ -292,7 +293,7 @@
         self.log.line("listens on {}:{}".format(*self.downstream.sock.getsockname()[:2]))
         self.loop.run()
         self.busy = True  # nothing is decided any more
-        self.upstream.close()
+        self.upstream.pool.close()
         if self.handover is not None:
             self.handover.close()
         if self.peers is not None:
@@ -428,7 +429,7 @@
         )
         pending.sent = True
         self.guard.taken(effect.request_id, pending.job, pending.deadline_at_ms)
-        self.upstream.send(order)
+        self.upstream.attempts.send(order)
 
     def remember(self, effect: core.PersistAttempt | core.ErasePersisted) -> None:
         """Keep what may have run, or that it never did, where there is a store, and tell other processes."""
@@ -450,7 +451,7 @@
     def abort(self, effect: core.Fail) -> None:
         """Tell a client that its work may have run, unless none of it has begun: that is called off."""
         if effect.out and not any(
-            self.upstream.begun(effect.request_id, attempt_index) for attempt_index in effect.out
+            self.upstream.attempts.has_begun(effect.request_id, attempt_index) for attempt_index in effect.out
         ):
             self.answer(effect.request_id, 503, protocol.advice(effect.retry_after_ms), b"")
         else:
@@ -550,13 +551,13 @@
 
 EFFECTS: dict[type, Callable[[Node, Any], None]] = {
     core.SendAttempt: Node.send,
-    core.CancelAttempt: lambda node, effect: node.upstream.cancel(*effect),
+    core.CancelAttempt: lambda node, effect: node.upstream.attempts.cancel(*effect),
     core.Respond: lambda node, effect: node.answer(effect.request_id, 200, [], effect.result),
     core.Reject: lambda node, effect: node.answer(
         effect.request_id, 503, protocol.advice(effect.retry_after_ms), b""
     ),
     core.Fail: Node.abort,
-    core.Probe: lambda node, effect: node.upstream.probe(effect.server),
+    core.Probe: lambda node, effect: node.upstream.health_checks.start(effect.server),
     core.SetTimer: Node.timer,
     core.PersistAttempt: Node.remember,
     core.ErasePersisted: Node.remember,
--- /dev/null
+++ b/marlseam/net/upstream/health_checks.py
@@ -0,0 +1,103 @@
+"""Health checks: calls for load reports, made a second time where one connection may be at fault."""
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+import h11
+
+from marlseam.configuration import Deployment
+from marlseam.core import Event, ProbeEnded
+from marlseam.decisions.types import LoadReport, Outcome
+from marlseam.net import protocol
+from marlseam.net.connection import Ended, Steps
+from marlseam.net.log import Reason
+from marlseam.net.loop import Coroutine, Loop
+from marlseam.net.protocol import Head
+from marlseam.net.upstream.pool import CONNECTION_LOST, ConnectionPool, ServerConnections
+from marlseam.net.upstream.timeouts import UpstreamTimeouts
+
+EXTRA_CONNECTIONS = 4  # to one server, which health checks may open beyond those of attempts
+FIRST_CALL_SHARE = 0.5  # of a health check's time, after which it calls again on a new connection
+OUTCOME_BY_END = {  # of a call that got no answer; any other end counts as BROKEN
+    Reason.TIMED_OUT: Outcome.TIMED_OUT,
+    Reason.NO_CONNECT: Outcome.UNREACHABLE,
+    Reason.NO_SOCKETS: Outcome.CANCELLED_UNSENT,  # says nothing of the server: the lack is ours
+}
+OUTCOME_BY_STATUS = {200: Outcome.COMPLETED, 503: Outcome.AT_CAPACITY}  # any other counts as ERROR
+
+
+class HealthCheckResult(NamedTuple):
+    """What one call for a load report came to; `report` is None where the answer held none."""
+
+    outcome: Outcome
+    report: LoadReport | None
+
+
+class HealthChecks:
+    """Carries out health checks; each ends with exactly one `ProbeEnded`."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        pool: ConnectionPool,
+        deployment: Deployment,
+        timeouts: UpstreamTimeouts,
+        post: Callable[[Event], None],
+    ) -> None:
+        self.loop, self.pool, self.post = loop, pool, post
+        self.configure(deployment, timeouts)
+
+    def configure(self, deployment: Deployment, timeouts: UpstreamTimeouts) -> None:
+        """Take in settings."""
+        self.deployment, self.timeouts = deployment, timeouts
+
+    def start(self, name: str) -> None:
+        """Begin to check a server."""
+        self.loop.spawn(self.check(name))
+
+    def check(self, name: str) -> Coroutine:
+        """Carry one health check to its end."""
+        server = self.pool.server(name)
+        began_ms = self.loop.now()
+        result = HealthCheckResult(Outcome.BROKEN, None)
+        probe_ms = self.timeouts.probe_ms
+        until_ms = began_ms + probe_ms
+        try:
+            try:
+                result = yield from self.call(server, began_ms + FIRST_CALL_SHARE * probe_ms)
+            except Ended as end:
+                if end.reason not in (*CONNECTION_LOST, Reason.TIMED_OUT):
+                    raise
+                # Guards servers against blame for one connection, such as a kept one that they had closed.
+                began_ms = self.loop.now()
+                result = yield from self.call(server, until_ms, is_new=True)
+        except Ended as end:
+            result = HealthCheckResult(OUTCOME_BY_END.get(end.reason, Outcome.BROKEN), None)
+        finally:
+            self.pool.forget_if_unused(server)
+            self.post(ProbeEnded(name, result.outcome, self.loop.now() - began_ms, result.report))
+
+    def call(self, server: ServerConnections, until_ms: float, is_new: bool = False) -> Steps:
+        """Make one call for a load report and return its result; `is_new` asks for a new connection."""
+        reason = Reason.FAULT
+        max_count = self.pool.max_per_server() + EXTRA_CONNECTIONS
+        connection = yield from self.pool.acquire(server, max_count, until_ms, is_new)
+        try:
+            request = h11.Request(method="GET", target=protocol.LOAD_PATH, headers=[("Host", server.name)])
+            yield from connection.message(request, b"", until_ms)
+            answer = yield from connection.answer(until_ms)
+            body = yield from connection.body(protocol.BODY_MOST, until_ms)
+            report = protocol.load_from(body, Head(answer.headers), self.deployment.report_names)
+            outcome = OUTCOME_BY_STATUS.get(answer.status_code, Outcome.ERROR)
+            reason = Reason.DONE
+            if outcome is Outcome.COMPLETED:
+                # Only then: a refusal might come twice, and be taken for the answer to what is sent next.
+                self.pool.release(server, connection)
+                connection = None
+            return HealthCheckResult(outcome, report)
+        except Ended as end:
+            reason = end.reason
+            raise
+        finally:
+            if connection is not None:
+                self.pool.close_connection(server, connection, reason)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -317,7 +317,7 @@
             return made
             yield
 
-        monkeypatch.setattr("marlseam.net.upstream.connect", connected)
+        monkeypatch.setattr("marlseam.net.upstream.pool.connect", connected)
         events: list[Event] = []
         parts = Upstream(loop, Log("test", loop.now), deployment, 64, events.append, Counters())
         parts.events, parts.connections = events, []
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -313,11 +313,11 @@
 def test_attempts_count_once_their_last_byte_is_handed_over(upstream):
     parts = upstream(silent=True)
     now = parts.loop.now()
-    parts.send(AttemptOrder("1", 0, "e1", JOB, now + 1000.0, now + 1000.0))
-    assert parts.counters.attempts == 1
+    parts.attempts.send(AttemptOrder("1", 0, "e1", JOB, now + 1000.0, now + 1000.0))
+    assert parts.attempts.counters.attempts == 1
     broken = upstream(takes=10)
-    broken.send(AttemptOrder("1", 0, "e1", JOB, now + 1000.0, now + 1000.0))
-    assert broken.counters.attempts == 0
+    broken.attempts.send(AttemptOrder("1", 0, "e1", JOB, now + 1000.0, now + 1000.0))
+    assert broken.attempts.counters.attempts == 0
 
 
 def test_a_type_that_has_gone_keeps_its_counts():
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -22,7 +22,7 @@
 
     server = socket.create_server(("127.0.0.1", 0))
     server.setblocking(False)
-    node.upstream.listed({"e1"}, {"e1": server.getsockname()})
+    node.upstream.update_endpoints({"e1"}, {"e1": server.getsockname()})
     open_, due, seen = [], [], []
 
     def play() -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -144,7 +144,9 @@
 def tell(node, addresses, state=EndpointState.READY, listing=ListUpdateKind.FULL):
     """Have discovery say where servers are."""
     entries = [EndpointEntry(name, state, 0, 0, 0, None) for name in addresses]
-    node.upstream.listed(addresses if listing is ListUpdateKind.FULL else node.upstream.peers, addresses)
+    node.upstream.update_endpoints(
+        addresses if listing is ListUpdateKind.FULL else node.upstream.pool.servers, addresses
+    )
     node.post(core.EndpointListUpdate(listing, entries))
 
 
@@ -171,7 +173,7 @@
     turn(lambda: not ahead or (door.ahead() and (ahead is not AHEAD or len(door.buffer) >= AHEAD_MOST)))
     goes(sock)
     turn(lambda: not node.downstream.open)
-    assert not node.pending and not node.core.open and not node.upstream.out
+    assert not node.pending and not node.core.open and not node.upstream.attempts.in_flight
     turn(lambda: ended(executor.held[0]) or executor.read() and ended(executor.held[0]))
 
 
@@ -204,14 +206,14 @@
 def gated(node):
     """Hold every attempt at its gate, as a record not yet on the disk does; return what opens it."""
     opened = []
-    real = node.upstream.send
+    real = node.upstream.attempts.send
 
     def gate():
         while not opened:
             yield (-1, 0, node.loop.now() + 1.0)
         return True
 
-    node.upstream.send = lambda order: real(replace(order, gate=gate))
+    node.upstream.attempts.send = lambda order: real(replace(order, await_durable=gate))
     return lambda: opened.append(True)
 
 
@@ -244,7 +246,7 @@
 
 
 def drains(node, sock):
-    tell(node, {"e1": node.upstream.peers["e1"].address}, EndpointState.DRAINING, ListUpdateKind.DELTA)
+    tell(node, {"e1": node.upstream.pool.servers["e1"].address}, EndpointState.DRAINING, ListUpdateKind.DELTA)
 
 
 def goes_cold(node, sock):
@@ -265,14 +267,14 @@
     (executor,) = stand("e1", backlog=0, ceilings=FORBIDDEN)
     release = hold(node if hold is gated else executor)
     sock = client(request_)
-    turn(lambda: node.upstream.out)
-    flight = next(iter(node.upstream.out.values()))
+    turn(lambda: node.upstream.attempts.in_flight)
+    flight = next(iter(node.upstream.attempts.in_flight.values()))
     settle()
-    assert not flight.begun
+    assert not flight.has_begun
     end(node, sock)
     turn(lambda: flight.task.done)
     # The server's count is right again: what moved has been sent anew, to its other address.
-    assert node.core.dispatcher.ours[node.core.index["e1"]] == len(node.upstream.out)
+    assert node.core.dispatcher.ours[node.core.index["e1"]] == len(node.upstream.attempts.in_flight)
     release()
     settle()
     while executor.accept():
@@ -288,9 +290,9 @@
     turn(lambda: b"abc" in executor.read())
     end(node, sock)
     settle()
-    assert node.upstream.out and not ended(executor.held[0])
+    assert node.upstream.attempts.in_flight and not ended(executor.held[0])
     executor.held[0].sendall(ANSWER)
-    turn(lambda: not node.upstream.out)
+    turn(lambda: not node.upstream.attempts.in_flight)
     assert not node.core.open
 
 
@@ -298,10 +300,10 @@
     (executor,) = stand("e1", backlog=0, ceilings=FORBIDDEN)
     release = full_queue(executor)
     client(REQUEST)
-    turn(lambda: node.upstream.out)
-    flight = next(iter(node.upstream.out.values()))
+    turn(lambda: node.upstream.attempts.in_flight)
+    flight = next(iter(node.upstream.attempts.in_flight.values()))
     goes_cold(node, None)
-    assert flight.task.done and not flight.begun
+    assert flight.task.done and not flight.has_begun
     release()
 
 
@@ -309,14 +311,14 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     release = gated(node)
     client(REQUEST)
-    turn(lambda: node.upstream.out)
-    flight = next(iter(node.upstream.out.values()))
+    turn(lambda: node.upstream.attempts.in_flight)
+    flight = next(iter(node.upstream.attempts.in_flight.values()))
     late = node.loop.now() + 10000.0
     node.loop.now = lambda: late  # the loop runs late: the gate opens in the turn in which the limit is over
     release()
     flight.task.step("ready")
     settle()
-    assert flight.task.done and not flight.begun and b"POST" not in executor.read()
+    assert flight.task.done and not flight.has_begun and b"POST" not in executor.read()
 
 
 def test_what_is_called_off_leaves_no_record_and_gives_its_keys_turn_on(node, client, stand, turn, settle):
@@ -333,13 +335,13 @@
         b"Host: h", b"Host: h\r\nIdempotency-Key: k%d"
     )
     first = client(asked % 1)
-    turn(lambda: node.upstream.out)
+    turn(lambda: node.upstream.attempts.in_flight)
     client((asked % 2).replace(b"9b", b"9c"))
     turn(lambda: node.last_request_id == 2)
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     assert node.core.idempotency_records.known("k1", node.loop.now())
     first.close()
-    turn(lambda: flight.task.done and node.upstream.out)
+    turn(lambda: flight.task.done and node.upstream.attempts.in_flight)
     assert not node.core.idempotency_records.known("k1", node.loop.now())  # it provably never ran
     assert node.core.idempotency_records.known("k2", node.loop.now())  # and the key's next has its turn
     assert list(node.core.open) == ["2"]
@@ -358,17 +360,17 @@
     one, two = stand("e1", "e2", ceilings=NO_PROBES, requestClasses=[keyed])
     client(REQUEST.replace(b"Host: h", b"Host: h\r\nIdempotency-Key: k"))
     turn(lambda: b"abc" in one.read() + two.read())
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     release = gated(node)  # the next one, as a connection that does not come up
     (one if flight.server == "e1" else two).held[0].sendall(b"nonsense\r\n\r\n")
-    turn(lambda: flight.task.done and node.upstream.out)
-    (second,) = node.upstream.out.values()
+    turn(lambda: flight.task.done and node.upstream.attempts.in_flight)
+    (second,) = node.upstream.attempts.in_flight.values()
     late = node.loop.now() + 1000.0  # within the deadline
     node.loop.now = lambda: late
     release()
     second.task.step("ready")
     settle()
-    assert second.task.done and not second.begun
+    assert second.task.done and not second.has_begun
     assert b"abc" not in one.read() + two.read()
 
 
@@ -388,7 +390,7 @@
     sock = client(REQUEST)
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(NEVER)  # between two tries: the only server is full
-    turn(lambda: not node.upstream.out and node.core.dispatcher.lines)
+    turn(lambda: not node.upstream.attempts.in_flight and node.core.dispatcher.lines)
     sock.close()
     turn(lambda: not node.pending)
     node.core.dispatcher.full[node.core.index["e1"]] = False
@@ -444,20 +446,20 @@
     # Both have a kept connection, on which the next can go out within the turn in which the one before ends.
     for name, peer in (("e1", one), ("e2", two)):
         until = node.loop.now() + 1000.0
-        node.upstream.send(AttemptOrder("0", 0, name, JOB, until, until))
+        node.upstream.attempts.send(AttemptOrder("0", 0, name, JOB, until, until))
         turn(lambda peer=peer: b"abc" in peer.read())
         peer.held[0].sendall(ANSWER.replace(b'"e1"', b'"%b"' % name.encode()))
-        turn(lambda name=name: node.upstream.peers[name].idle)
+        turn(lambda name=name: node.upstream.pool.servers[name].idle)
     seen.clear()
     client(REQUEST)
-    turn(lambda: node.upstream.out)
-    (flight,) = node.upstream.out.values()
+    turn(lambda: node.upstream.attempts.in_flight)
+    (flight,) = node.upstream.attempts.in_flight.values()
     sock = (one if flight.server == "e1" else two).held[0]
-    turn(lambda: flight.begun and b"abc" in one.read() + two.read())
+    turn(lambda: flight.has_begun and b"abc" in one.read() + two.read())
     if first is None:
         # Time itself is the subject: the server says nothing for as long as it may.
         late = node.loop.now
-        node.loop.now = lambda: late() + node.upstream.take_ms
+        node.loop.now = lambda: late() + node.upstream.timeouts.accept_ms
     else:
         sock.sendall(first)
     turn(lambda: len(seen) == 2)
@@ -480,15 +482,18 @@
     # next on its connection, it would have unsafe work run twice.
     (executor,) = stand("e1", ceilings=NO_PROBES)
     told = []
-    node.upstream.post = told.append
+    node.upstream.attempts.post = told.append
     job = replace(JOB, exclusive=True)
     for attempt_index in range(2):
         until = node.loop.now() + 5000.0
-        node.upstream.send(AttemptOrder("1", attempt_index, "e1", job, until, until))
+        node.upstream.attempts.send(AttemptOrder("1", attempt_index, "e1", job, until, until))
         turn(lambda: b"abc" in executor.read())
         executor.held[0].sendall(refusal)
         settle()
-    assert [event.outcome for event in told] == [Outcome.AT_CAPACITY] and ("1", 1) in node.upstream.out
+    assert [event.outcome for event in told] == [Outcome.AT_CAPACITY] and (
+        "1",
+        1,
+    ) in node.upstream.attempts.in_flight
     assert len(executor.held) == 2 and ended(executor.held[0]) and not ended(executor.held[1])
 
 
@@ -542,12 +547,12 @@
     monkeypatch.setattr(socket, "socket", small)
     turn(lambda: one.accept() or two.accept())
     first = one if one.held else two
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     read = bytearray()
     while len(read) < takes:
         turn(lambda: select.select(first.held, [], [], 0)[0])
         read += first.held[0].recv(takes - len(read))
-    assert not flight.begun and not node.counters.attempts  # its last byte has not gone out
+    assert not flight.has_begun and not node.counters.attempts  # its last byte has not gone out
     reset(first.held.pop())
     turn(lambda: flight.task.done)
     turn(lambda: one.accept() or two.accept())  # it never ran: unsafe work is sent once more, to either
@@ -556,8 +561,8 @@
 def test_a_probe_that_was_refused_leaves_no_connection_for_work(node, stand, turn):
     (executor,) = stand("e1")
     told = []
-    node.upstream.post = told.append
-    node.upstream.probe("e1")
+    node.upstream.health_checks.post = told.append
+    node.upstream.health_checks.start("e1")
     turn(lambda: b"/-/load" in executor.read())
     executor.held[0].sendall(NEVER)
     turn(lambda: told)
@@ -843,4 +848,11 @@
     module = begun.dispatcher
     assert min(module.sweep_ms, module.ask_ms, module.fresh_ms, module.queue_ms, module.mean_area) > 0.0
     node.upstream.configure(deployment, 64)
-    assert min(node.upstream.probe_ms, node.upstream.take_ms, node.upstream.end_ms) > 0.0
+    assert (
+        min(
+            node.upstream.timeouts.probe_ms,
+            node.upstream.timeouts.accept_ms,
+            node.upstream.timeouts.answer_end_ms,
+        )
+        > 0.0
+    )
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -40,7 +40,8 @@
 from marlseam.net.loop import READ as READ_MASK
 from marlseam.net.loop import READY
 from marlseam.net.protocol import BODY_MOST
-from marlseam.net.upstream import SECOND_MS, AttemptOrder
+from marlseam.net.upstream import AttemptOrder
+from marlseam.net.upstream.attempts import DUPLICATE_ANSWER_MS
 
 peers, settle, stand, turn = (
     test_endings.peers,
@@ -100,13 +101,13 @@
         for name, peer in self.upstream.items():
             until = self.node.loop.now() + 1000.0
             for attempt_index in range(2):
-                self.node.upstream.send(AttemptOrder("0", attempt_index, name, JOB, until, until))
+                self.node.upstream.attempts.send(AttemptOrder("0", attempt_index, name, JOB, until, until))
             self.turn(lambda peer=peer: peer.accept() and len(peer.held) == 2)
             for sock in peer.held:
                 sock.sendall(ANSWER.replace(b'"e1"', b'"%b"' % name.encode()))
-            self.turn(lambda name=name: len(self.node.upstream.peers[name].idle) == 2)
+            self.turn(lambda name=name: len(self.node.upstream.pool.servers[name].idle) == 2)
         assert self.read().count(b"abc") == 2 * len(names)
-        self.lead_ms += SECOND_MS  # what may not run twice uses no connection before
+        self.lead_ms += DUPLICATE_ANSWER_MS  # what may not run twice uses no connection before
 
     def ask(self, request=REQUEST, read=True):
         """Have the client that will go send its request; `read` what it sends ahead as far as a node does."""
@@ -189,10 +190,10 @@
 
 def a_dial(scene):
     scene.list("e1")
-    for connection, _ in scene.node.upstream.peers["e1"].idle:
+    for connection, _ in scene.node.upstream.pool.servers["e1"].idle:
         connection.eof = True  # closed by its server: a new one is dialled
     scene.ask(read=False)
-    (flight,) = scene.node.upstream.out.values()
+    (flight,) = scene.node.upstream.attempts.in_flight.values()
     comes(flight.task.fd, select.POLLOUT)  # it is up, and the node has not heard of it
     scene.within = lambda: flight.task.step(READY)
     return lambda: None
@@ -220,7 +221,7 @@
     scene.list("e1", "e2", requestClasses=[PATIENT[0], OPTIONS["requestClasses"][1]])  # time is left for two
     scene.ask()
     scene.running()
-    scene.late_ms = scene.node.upstream.take_ms
+    scene.late_ms = scene.node.upstream.timeouts.accept_ms
     return lambda: None
 
 
@@ -249,10 +250,10 @@
         yield (theirs.fileno(), READ_MASK, inf)  # the word that a record is on the disk
         return True
 
-    real = scene.node.upstream.send
-    scene.node.upstream.send = lambda order: real(replace(order, gate=gate))
+    real = scene.node.upstream.attempts.send
+    scene.node.upstream.attempts.send = lambda order: real(replace(order, await_durable=gate))
     scene.ask()
-    assert scene.node.upstream.out
+    assert scene.node.upstream.attempts.in_flight
     return lambda: ours.send(b"!")
 
 
@@ -295,7 +296,12 @@
 
 def over(node):
     """Say that nothing is left of work, and that the servers' counts are right."""
-    assert not node.pending and not node.core.open and not node.upstream.out and not node.downstream.ids
+    assert (
+        not node.pending
+        and not node.core.open
+        and not node.upstream.attempts.in_flight
+        and not node.downstream.ids
+    )
     assert (
         not any(node.core.dispatcher.ours)
         and not node.core.dispatcher.turns
@@ -320,9 +326,9 @@
     scene.settle()
     scene.turn(lambda: scene.door not in node.downstream.open)
     scene.lead_ms += (
-        1000.0 if node.upstream.out else 0.0
+        1000.0 if node.upstream.attempts.in_flight else 0.0
     )  # what had begun runs on where cancelling is forbidden
-    scene.turn(lambda: not node.upstream.out)
+    scene.turn(lambda: not node.upstream.attempts.in_flight)
     assert scene.begun == begun and b"abc" not in scene.read()
     over(node)
 
@@ -487,13 +493,13 @@
     }
     scene = scene(False)
     scene.list("e1", requestClasses=[keyed])
-    for connection, _ in node.upstream.peers["e1"].idle:
+    for connection, _ in node.upstream.pool.servers["e1"].idle:
         connection.eof = True  # closed by its server: a new one is dialled
     asked = REQUEST.replace(b"/statement", b"/statement?user=u").replace(
         b"Host: h", b"Host: h\r\nIdempotency-Key: k%d"
     )
     scene.ask(asked % 1, read=False)
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     first = scene.sock, scene.door
     scene.client((asked % 2).replace(b"9b", b"9c"))
     flight.task.rest()  # its dial is not heard of until the next has come
@@ -515,11 +521,11 @@
 def test_a_first_byte_that_the_system_does_not_take_has_not_begun(end, scene, node, turn):
     scene = scene(False)
     scene.list("e1")
-    (connection, _), (other, _) = node.upstream.peers["e1"].idle
+    (connection, _), (other, _) = node.upstream.pool.servers["e1"].idle
     for each in (connection, other):  # as if a server had answered what it did not read
         floods(each.sock, b"x" * (1 << 24))
     scene.ask(read=False)
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     assert not flight.task.done and scene.read().count(b"x") > 0
     if end == "drains":
         tell(node, {"e1": scene.upstream["e1"].address}, EndpointState.DRAINING, ListUpdateKind.DELTA)
@@ -658,7 +664,7 @@
     monkeypatch.setattr(socket, "socket", Small)
     turn(peer.accept)
     (scene.door,) = node.downstream.open
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     turn(lambda: flight.task.fd >= 0 and select.select([peer.held[0]], [], [], 0)[0])
     read = 0
     if order == "room before the end":
@@ -693,6 +699,6 @@
         turn(lambda: faults)
     turn(lambda: scene.door not in node.downstream.open)  # it is told of the error first
     act()
-    turn(lambda: not node.upstream.out)
+    turn(lambda: not node.upstream.attempts.in_flight)
     assert scene.begun == begun and b"abc" not in scene.read() and len(faults) == 1
     assert not node.core.open and not any(node.core.dispatcher.ours)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -22,7 +22,6 @@
 from marlseam.net import downstream as server_module
 from marlseam.net import http
 from marlseam.net import node as node_module
-from marlseam.net import upstream as executors_module
 from marlseam.net.buffer import Buffer
 from marlseam.net.connection import Ended, connect
 from marlseam.net.downstream import AdmissionLimits, PendingRequest
@@ -30,6 +29,8 @@
 from marlseam.net.loop import END, LATE, READ, WOKEN, Cancelled
 from marlseam.net.protocol import Job, Malformed
 from marlseam.net.upstream import AttemptOrder
+from marlseam.net.upstream import attempts as attempts_module
+from marlseam.net.upstream import pool as pool_module
 
 JOB = Job("9b", "/statement", "k", b"abc", 0, "statement", 5000.0, 1.0)
 REQUEST = (
@@ -41,7 +42,7 @@
 def sent(parts, **limits):
     """Send one attempt and return the outcomes told."""
     now = parts.loop.now()
-    parts.send(AttemptOrder("1", 0, "e1", JOB, now + limits.get("until", 1000.0), now + 1000.0))
+    parts.attempts.send(AttemptOrder("1", 0, "e1", JOB, now + limits.get("until", 1000.0), now + 1000.0))
     return outcomes(parts)
 
 
@@ -220,11 +221,11 @@
     parts = upstream(ANSWER)
     settings = replace(deployment.settings, only_draining_excludes=alone)
     parts.configure(replace(deployment, settings=settings), 64)
-    parts.listed(set(), {})
-    assert ("e1" in parts.peers) is kept
-    monkeypatch.setattr(executors_module, "FORGET_AFTER_POLLS", 0.0)  # its time is over
-    parts.listed(set(), {})
-    assert "e1" not in parts.peers
+    parts.update_endpoints(set(), {})
+    assert ("e1" in parts.pool.servers) is kept
+    monkeypatch.setattr(pool_module, "FORGET_AFTER_POLLS", 0.0)  # its time is over
+    parts.update_endpoints(set(), {})
+    assert "e1" not in parts.pool.servers
 
 
 def test_where_ipv6_is_refused_a_server_there_costs_its_own_work_alone(loop, refuse, capsys):
@@ -244,7 +245,7 @@
 def test_an_answer_completes(upstream):
     parts = upstream(ANSWER)
     assert sent(parts) == [Outcome.COMPLETED] and parts.events[0] == core.AttemptStarted("1", 0)
-    assert parts.events[1].result == b"r" and len(parts.peers["e1"].idle) == 1
+    assert parts.events[1].result == b"r" and len(parts.pool.servers["e1"].idle) == 1
 
 
 @pytest.mark.parametrize("at", range(1, len(ANSWER)))
@@ -312,7 +313,7 @@
     sent(parts, until=5.0)
     until(lambda: outcomes(parts))
     assert outcomes(parts) == [Outcome.TIMED_OUT] and reasons(capsys) == ["timed-out"]
-    assert not parts.out and not parts.peers["e1"].count
+    assert not parts.attempts.in_flight and not parts.pool.servers["e1"].count
 
 
 @pytest.mark.parametrize(
@@ -328,9 +329,11 @@
     upstream, until, begun, exclusive, outcome
 ):
     parts = upstream(*filter(None, [begun]), silent=True)
-    parts.take_ms = parts.gap_ms = 5.0
+    parts.timeouts.accept_ms = parts.timeouts.progress_gap_ms = 5.0
     now = parts.loop.now()
-    parts.send(AttemptOrder("1", 0, "e1", replace(JOB, exclusive=exclusive), now + 90000.0, now + 90000.0))
+    parts.attempts.send(
+        AttemptOrder("1", 0, "e1", replace(JOB, exclusive=exclusive), now + 90000.0, now + 90000.0)
+    )
     parts.loop.at(now + 51.0, lambda: None)
     until(lambda: parts.loop.now() > now + 50.0)
     assert outcomes(parts) == ([outcome] if outcome else [])
@@ -338,8 +341,8 @@
 
 def test_a_probe_looks_again_where_a_connection_falls_silent(upstream, until):
     parts = upstream(silent=True)
-    parts.probe_ms = 10.0
-    parts.probe("e1")
+    parts.timeouts.probe_ms = 10.0
+    parts.health_checks.start("e1")
     until(lambda: parts.events)
     assert len(parts.connections) == 2 and parts.events[0].outcome is Outcome.TIMED_OUT
 
@@ -347,13 +350,13 @@
 def test_giving_up_closes_the_connection(upstream):
     parts = upstream(silent=True)
     sent(parts)
-    parts.cancel("1", 0)
+    parts.attempts.cancel("1", 0)
     assert outcomes(parts) == [Outcome.CANCELLED] and not parts.connections[0].sock.open
 
 
 def test_a_server_not_listed_is_unreachable(upstream):
     parts = upstream(ANSWER)
-    parts.listed(set(), {})
+    parts.update_endpoints(set(), {})
     assert sent(parts) == [Outcome.UNREACHABLE] and not parts.connections
 
 
@@ -387,9 +390,9 @@
 
 def test_a_probe_looks_again_where_a_kept_connection_ends(upstream):
     parts = upstream(b"HTTP/1.1 200 -\r\nContent-Length: 0\r\n\r\n", silent=True)
-    parts.probe("e1")
+    parts.health_checks.start("e1")
     parts.connections[0].sock.takes = len(parts.connections[0].sock.sent)
-    parts.probe("e1")
+    parts.health_checks.start("e1")
     assert [event.outcome for event in parts.events] == [Outcome.COMPLETED] * 2 and len(
         parts.connections
     ) == 2
@@ -397,49 +400,49 @@
 
 def test_a_probe_that_finds_no_place_blames_nobody(upstream):
     parts = upstream()
-    parts.places = 0
-    parts.probe("e1")
+    parts.pool.max_connections = 0
+    parts.health_checks.start("e1")
     assert parts.events[0].outcome is Outcome.CANCELLED_UNSENT
 
 
 def test_an_unused_connection_is_closed_well_before_its_time(upstream, until, capsys):
     parts = upstream(ANSWER, silent=True)
-    parts.idle_ms = 1.0
+    parts.timeouts.idle_ms = 1.0
     sent(parts)
-    until(lambda: not parts.peers["e1"].count)
+    until(lambda: not parts.pool.servers["e1"].count)
     assert reasons(capsys) == ["idle"]
 
 
 def test_a_server_that_left_is_forgotten_once_nothing_is_out(upstream):
     parts = upstream(silent=True)
     sent(parts)
-    parts.listed(set(), {})
-    assert "e1" in parts.peers
-    parts.cancel("1", 0)
-    assert not parts.peers
+    parts.update_endpoints(set(), {})
+    assert "e1" in parts.pool.servers
+    parts.attempts.cancel("1", 0)
+    assert not parts.pool.servers
 
 
 def test_another_address_closes_the_unused_connections(upstream, capsys):
     parts = upstream(ANSWER, silent=True)
     sent(parts)
-    parts.listed({"e1"}, {"e1": ("127.0.0.2", 9)})
+    parts.update_endpoints({"e1"}, {"e1": ("127.0.0.2", 9)})
     assert reasons(capsys) == ["forgotten"]
 
 
 def test_connections_to_one_server_are_bounded(upstream):
     parts = upstream(silent=True)
-    for _ in range(parts.limit() + 1):
+    for _ in range(parts.pool.max_per_server() + 1):
         sent(parts)
-    assert outcomes(parts) == [Outcome.UNREACHABLE] and len(parts.connections) == parts.limit()
+    assert outcomes(parts) == [Outcome.UNREACHABLE] and len(parts.connections) == parts.pool.max_per_server()
 
 
 def test_the_longest_unused_connection_makes_room(upstream, capsys):
     parts = upstream(ANSWER, silent=True)
     sent(parts)
-    parts.places = 1
-    parts.listed({"e1", "e2"}, {"e2": ("127.0.0.1", 9)})
-    parts.probe("e2")
-    assert reasons(capsys) == ["crowded"] and parts.open() == 1
+    parts.pool.max_connections = 1
+    parts.update_endpoints({"e1", "e2"}, {"e2": ("127.0.0.1", 9)})
+    parts.health_checks.start("e2")
+    assert reasons(capsys) == ["crowded"] and parts.pool.open_count() == 1
 
 
 # Probes.
@@ -450,25 +453,25 @@
 )
 def test_a_probes_answer_carries_its_report(upstream, status, outcome):
     parts = upstream(b"HTTP/1.1 %d -\r\nContent-Length: 13\r\n\r\nTEXT x0=3.500" % status)
-    parts.probe("e1")
+    parts.health_checks.start("e1")
     (event,) = parts.events
     assert (event.outcome, event.report.free_slots) == (outcome, 3.5)
 
 
 def test_a_probe_times_out(upstream, until):
     parts = upstream(silent=True)
-    parts.probe_ms = 1.0
-    parts.probe("e1")
+    parts.timeouts.probe_ms = 1.0
+    parts.health_checks.start("e1")
     until(lambda: parts.events)
     assert parts.events[0].outcome is Outcome.TIMED_OUT
 
 
 def test_a_probe_has_places_of_its_own(upstream):
     parts = upstream(silent=True)
-    for _ in range(parts.limit()):
+    for _ in range(parts.pool.max_per_server()):
         sent(parts)
-    parts.probe("e1")
-    assert len(parts.connections) == parts.limit() + 1
+    parts.health_checks.start("e1")
+    assert len(parts.connections) == parts.pool.max_per_server() + 1
 
 
 # Connecting.
@@ -974,13 +977,13 @@
     rewrite(
         settings=OPTIONS | {"ceilings": ceilings, "requestClasses": OPTIONS["requestClasses"][1:]}, seed="9"
     )
-    assert node.upstream.idle_ms == 1400.0 and len(node.core.dispatcher.request_classes) == 2
+    assert node.upstream.timeouts.idle_ms == 1400.0 and len(node.core.dispatcher.request_classes) == 2
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 404 ")
 
 
 def test_limits_follow_a_new_configuration(node, rewrite):
     rewrite(limits={"sockets": 96, "memory_mb": 192})
-    assert (node.downstream.room.clients, node.upstream.places) == (24, 24)
+    assert (node.downstream.room.clients, node.upstream.pool.max_connections) == (24, 24)
 
 
 def test_what_cannot_change_is_told_and_left(node, rewrite, capsys):
@@ -1037,10 +1040,10 @@
     assert reply(sock).startswith(b"HTTP/1.1 503 ")
 
 
-def test_a_failed_coroutine_still_closes_its_connection(upstream, loop, capsys):
+def test_a_failed_coroutine_still_closes_its_connection(upstream, loop, capsys, monkeypatch):
     loop.fault = lambda text: None
     parts = upstream(ANSWER)
-    parts.last_line = lambda *args: 1 / 0
+    monkeypatch.setattr(attempts_module.AttemptRun, "read_last_line", lambda *args: 1 / 0)
     assert sent(parts) == [Outcome.BROKEN] and reasons(capsys) == ["fault"]
 
 
@@ -1070,8 +1073,8 @@
         raise Ended(reason)
         yield
 
-    monkeypatch.setattr(executors_module, "connect", fails)
-    assert sent(parts) == [Outcome.UNREACHABLE] and not parts.peers["e1"].count
+    monkeypatch.setattr(pool_module, "connect", fails)
+    assert sent(parts) == [Outcome.UNREACHABLE] and not parts.pool.servers["e1"].count
 
 
 def test_a_cancelled_connect_closes_its_socket(loop, capsys):
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -40,7 +40,8 @@
 from marlseam.net.connection import Ended
 from marlseam.net.downstream import NEW_MS, WRITE_MS
 from marlseam.net.loop import LATE, READY
-from marlseam.net.upstream import SECOND_MS, AttemptOrder
+from marlseam.net.upstream import AttemptOrder
+from marlseam.net.upstream.attempts import DUPLICATE_ANSWER_MS
 
 peers, settle, stand, turn = (
     test_endings.peers,
@@ -130,8 +131,8 @@
     first.held[0].sendall(b"nonsense\r\n\r\n")  # it may have run
     turn(lambda: other.accept())
     settle()
-    (flight,) = node.upstream.out.values()
-    assert not flight.begun  # it stands in the middle of its bytes
+    (flight,) = node.upstream.attempts.in_flight.values()
+    assert not flight.has_begun  # it stands in the middle of its bytes
     attempts = node.counters.attempts
     lead(1000.0)  # the memory is over, the deadline is not
     while reads == "with" and not select.select([], [flight.task.fd], [], 0)[1]:
@@ -140,7 +141,7 @@
     for _ in range(100):
         other.read()
         settle(2)
-    assert node.counters.attempts == attempts and not node.upstream.out
+    assert node.counters.attempts == attempts and not node.upstream.attempts.in_flight
 
 
 def test_what_waits_for_room_goes_out_no_more_once_its_time_is_over(connection):
@@ -168,36 +169,40 @@
 def test_a_second_answer_after_a_good_one_proves_nothing_of_the_next(node, stand, turn, lead, second, job):
     (executor,) = stand("e1", ceilings=NO_PROBES)
     told = []
-    node.upstream.post = told.append
+    node.upstream.attempts.post = told.append
     until = node.loop.now() + 5000.0
-    node.upstream.send(AttemptOrder("1", 0, "e1", JOB, until, until))
+    node.upstream.attempts.send(AttemptOrder("1", 0, "e1", JOB, until, until))
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(ANSWER)
-    turn(lambda: node.upstream.peers["e1"].idle)
+    turn(lambda: node.upstream.pool.servers["e1"].idle)
     told.clear()
-    node.upstream.send(AttemptOrder("2", 0, "e1", job, until, until))  # in the turn in which the first ends
+    node.upstream.attempts.send(
+        AttemptOrder("2", 0, "e1", job, until, until)
+    )  # in the turn in which the first ends
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(second.replace(b"9b", b"9a"))
     turn(lambda: told)
     # It may run: neither sent again nor off the record. Its own answer is nobody's any more.
     assert [event.outcome for event in told] == [Outcome.BROKEN]
-    assert ended(executor.held[0]) and not node.upstream.peers["e1"].idle
+    assert ended(executor.held[0]) and not node.upstream.pool.servers["e1"].idle
 
 
-@pytest.mark.parametrize("wait_ms", [0.0, SECOND_MS], ids=["new", "rested"])
+@pytest.mark.parametrize("wait_ms", [0.0, DUPLICATE_ANSWER_MS], ids=["new", "rested"])
 def test_a_refusal_is_believed_where_no_second_answer_can_come(node, stand, turn, lead, wait_ms):
     (executor,) = stand("e1", ceilings=NO_PROBES)
     told = []
-    node.upstream.post = told.append
+    node.upstream.attempts.post = told.append
     until = node.loop.now() + 5000.0
     if wait_ms:
-        node.upstream.send(AttemptOrder("1", 0, "e1", JOB, until, until))
+        node.upstream.attempts.send(AttemptOrder("1", 0, "e1", JOB, until, until))
         turn(lambda: b"abc" in executor.read())
         executor.held[0].sendall(ANSWER)
-        turn(lambda: node.upstream.peers["e1"].idle)
+        turn(lambda: node.upstream.pool.servers["e1"].idle)
         lead(wait_ms)
         told.clear()
-    node.upstream.send(AttemptOrder("2", 0, "e1", replace(JOB, exclusive=True, once=True), until, until))
+    node.upstream.attempts.send(
+        AttemptOrder("2", 0, "e1", replace(JOB, exclusive=True, once=True), until, until)
+    )
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(NEVER)
     turn(lambda: told)
@@ -271,7 +276,7 @@
     answer = reply(sock)
     done = says is SPOILT["a report no float holds"]
     assert answer.startswith(b"HTTP/1.1 200 " if done else b"HTTP/1.1 500 ")
-    assert not node.upstream.out and node.counters.attempts == 1
+    assert not node.upstream.attempts.in_flight and node.counters.attempts == 1
     assert "Traceback" not in capsys.readouterr().err
 
 
@@ -283,8 +288,8 @@
 def test_a_spoilt_report_is_no_fault_of_the_node(node, stand, turn, capsys, says):
     (executor,) = stand("e1")
     told = []
-    node.upstream.post = told.append
-    node.upstream.probe("e1")
+    node.upstream.health_checks.post = told.append
+    node.upstream.health_checks.start("e1")
     turn(lambda: b"/-/load" in executor.read())
     executor.held[0].sendall(says)
     turn(lambda: told)
@@ -394,8 +399,8 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     client(REQUEST)
     turn(executor.accept)
-    (door,), (flight,) = node.downstream.open, node.upstream.out.values()
-    turn(lambda: flight.begun)
+    (door,), (flight,) = node.downstream.open, node.upstream.attempts.in_flight.values()
+    turn(lambda: flight.has_begun)
     made = [door.sock.fileno(), flight.task.fd]
     for number in made:
         sock = socket.socket(fileno=os.dup(number))
@@ -419,15 +424,15 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     sock = client(request_)
     turn(lambda: b"abc" in executor.read())
-    told, close, post = [], node.loop.close, node.upstream.post
-    node.upstream.post = lambda event: (told.append(event), post(event))
+    told, close, post = [], node.loop.close, node.upstream.attempts.post
+    node.upstream.attempts.post = lambda event: (told.append(event), post(event))
 
     def closes(closed):
         if executor.held and closed.fileno() == flight_fd:
             executor.held[0].sendall(says)
         close(closed)
 
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     flight_fd = flight.task.fd
     monkeypatch.setattr(node.loop, "close", closes)
     sock.close()
@@ -443,11 +448,11 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     sock = client(REQUEST)
     turn(lambda: b"abc" in executor.read())
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     executor.held[0].sendall(ANSWER)
     while not select.select([flight.task.fd], [], [], 0)[0]:
         pass
-    lead(node.upstream.take_ms + 1.0)
+    lead(node.upstream.timeouts.accept_ms + 1.0)
     flight.task.step(seen)
     assert reply(sock).startswith(b"HTTP/1.1 200 ") and node.counters.attempts == 1
 
@@ -591,8 +596,8 @@
     turn(lambda: not node.pending)
     assert good.recv(1 << 16).startswith(b"HTTP/1.1 200 ")
     good.close()
-    turn(lambda: not node.downstream.open and not node.upstream.out)
-    node.upstream.close()
+    turn(lambda: not node.downstream.open and not node.upstream.attempts.in_flight)
+    node.upstream.pool.close()
     for sock in executor.held:
         sock.close()
     assert len(os.listdir("/proc/self/fd")) <= before and not sum(node.downstream.held.values())
@@ -603,7 +608,7 @@
     socks = [client(REQUEST.replace(b"9b", b"w%d" % i)) for i in range(120)]
     turn(lambda: node.last_request_id == len(socks))
     settle()
-    assert node.core.dispatcher.lines and node.upstream.out
+    assert node.core.dispatcher.lines and node.upstream.attempts.in_flight
     for executor in executors:
         executor.read()
     for i, sock in enumerate(socks):
@@ -611,7 +616,7 @@
     turn(lambda: not node.pending)
     attempts = node.counters.attempts
     settle(100)
-    assert not node.core.open and not node.core.dispatcher.lines and not node.upstream.out
+    assert not node.core.open and not node.core.dispatcher.lines and not node.upstream.attempts.in_flight
     assert node.counters.attempts == attempts and not any(b"POST" in e.read() for e in executors)
 
 
@@ -628,13 +633,13 @@
     release = full_queue(slow)
     tell(node, {"e1": slow.address})  # all go there first
     sock = client(request_)
-    turn(lambda: node.upstream.out)
+    turn(lambda: node.upstream.attempts.in_flight)
     tell(node, {"e1": slow.address, "e2": good.address})
     node.core.dispatcher.full[node.core.index["e1"]] = True  # the next goes elsewhere
     second = client(request_.replace(b"9b", b"9c").replace(b"-Key: k", b"-Key: l"))
     turn(lambda: b"abc" in good.read())  # and is served while the first waits
     good.held[0].sendall(ANSWER.replace(b'"e1"', b'"e2"').replace(b"9b", b"9c"))
-    assert reply(second).startswith(b"HTTP/1.1 200 ") and node.upstream.out
+    assert reply(second).startswith(b"HTTP/1.1 200 ") and node.upstream.attempts.in_flight
     lead(node.config.deployment.connect_ms)
     turn(lambda: b"abc" in good.read())
     good.held[-1].sendall(ANSWER.replace(b'"e1"', b'"e2"'))
@@ -868,7 +873,7 @@
     for _ in range(8):  # past the next look at what stands in line
         lead(100.0)
         settle(5)
-    out = [flight for flight in node.upstream.out.values() if flight.begun]
+    out = [flight for flight in node.upstream.attempts.in_flight.values() if flight.has_begun]
     assert len(out) == 1 + copied and not ended(first.held[0])
     assert (b"abc" in other.read()) is copied
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -516,10 +516,10 @@
 
 def test_limits_and_budgets_are_shared_while_two_processes_serve(made, tmp_path):
     node = made()
-    whole = node.downstream.room.clients, node.upstream.places
+    whole = node.downstream.room.clients, node.upstream.pool.max_connections
     later = caller(tmp_path)
     turn(node, lambda: node.handover.peers)
-    shared = node.downstream.room.clients, node.upstream.places
+    shared = node.downstream.room.clients, node.upstream.pool.max_connections
     assert all(2 * part <= all_ for part, all_ in zip(shared, whole, strict=True))
     assert node.core.dispatcher.settings.process_share == 0.5
     node.reload()
@@ -528,7 +528,7 @@
     turn(node, lambda: not node.handover.peers)
     assert (
         node.downstream.room.clients,
-        node.upstream.places,
+        node.upstream.pool.max_connections,
     ) == whole and node.core.dispatcher.settings.process_share == 1.0
 
 
