--- a/marlseam/net/admin.py
+++ b/marlseam/net/admin.py
@@ -1,7 +1,8 @@
-"""The operators' door: one call to a connection, answered before clients' work, with places of its own."""
+"""Operators' calls: one to a connection, answered before clients' requests, with connections of its own."""
 
 import socket
 from collections.abc import Callable, Mapping
+from typing import NamedTuple
 
 import h11
 
@@ -12,46 +13,62 @@
 from marlseam.net.protocol import Malformed
 
 CALL_MS = 2500.0  # how long a call may take to come, and as long its answer to go
-BODY_MOST = 1024  # bytes of a call's body where nothing more is said
-Calls = Mapping[
-    str, tuple[str, Callable[[bytes], tuple[int, str]]]
-]  # by path: the method, what answers a body
+MAX_BODY_BYTES = 1024  # of a call's body, where nothing more is said
+
+
+class AdminCall(NamedTuple):
+    """One call: its method, and what answers its body by a status and a text."""
+
+    method: str
+    answer: Callable[[bytes], tuple[int, str]]
 
 
 class Admin:
-    """Answers operators' calls, so many at a time; `calls` gives each its status and text."""
+    """Answers operators' calls, by path, on a bounded number of connections.
+
+    Attributes:
+        calls: what may be called, by path.
+        open: the connections, the one that has waited longest first.
+
+    """
 
     def __init__(
         self,
         loop: Loop,
         log: Log,
         address: tuple[str, int],
-        places: int,
-        calls: Calls,
-        body_most: int = BODY_MOST,
+        max_connections: int,
+        calls: Mapping[str, AdminCall],
+        max_body_bytes: int = MAX_BODY_BYTES,
     ) -> None:
-        self.loop, self.log, self.places, self.calls, self.body_most = loop, log, places, calls, body_most
-        self.open: dict[Connection, Task | None] = {}  # the one that has waited longest first
-        self.listener = http.Listener(loop, http.bound(address), self.make_room, self.taken, first=True)
+        self.loop, self.log, self.calls = loop, log, calls
+        self.max_connections, self.max_body_bytes = max_connections, max_body_bytes
+        self.open: dict[Connection, Task | None] = {}
+        self.listener = http.Listener(loop, http.bound(address), self.has_capacity, self.accept, first=True)
 
-    def make_room(self, short: bool) -> bool:
+    def has_capacity(self, is_short: bool) -> bool:
         """Close the connection of the caller who has waited longest where there are too many.
 
-        Guards usual callers against those that connect and finish no call. Where the system has no descriptor
-        left, clients that are owed nothing give up theirs first.
+        Guards usual callers against those that connect and finish no call. Where the system is short of
+        descriptors, clients that are owed nothing give up theirs first.
         """
-        if short and self.loop.descriptors.free(own=not self.open):
+        if is_short and self.loop.descriptors.free(own=not self.open):
             return True
-        while len(self.open) >= self.places or (short and self.open):
-            connection, task = next(iter(self.open.items()))
-            del self.open[connection]
-            connection.close(Reason.CROWDED)
-            task.cancel()
-            if short:
+        while len(self.open) >= self.max_connections or (is_short and self.open):
+            self.close_longest_waiting()
+            if is_short:
                 return True
-        return not short
+        return not is_short
+
+    def close_longest_waiting(self) -> None:
+        """Close the connection of the caller who has waited longest."""
+        connection, task = next(iter(self.open.items()))
+        del self.open[connection]
+        connection.close(Reason.CROWDED)
+        if task is not None:
+            task.cancel()
 
-    def taken(self, sock: socket.socket) -> None:
+    def accept(self, sock: socket.socket) -> None:
         """Serve a connection."""
         connection = Connection(self.loop, self.log, sock, h11.SERVER, "operator")
         self.open[connection] = None
@@ -61,35 +78,35 @@
 
     def serve(self, connection: Connection) -> Coroutine:
         """Answer one call."""
-        reason, until = Reason.FAULT, connection.opened_ms + CALL_MS
+        reason, until_ms = Reason.FAULT, connection.opened_ms + CALL_MS
         try:
-            yield from self.answer(connection, until)
+            yield from self.answer(connection, until_ms)
             reason = Reason.DONE
             yield from connection.linger(self.loop.now() + http.LINGER_MS)
         except Cancelled:
             reason = Reason.DRAINING
             raise
-        except Ended as ended:
-            reason = ended.reason
-            if ended.status:
-                yield from http.complain(connection, ended, self.loop.now() + CALL_MS)
+        except Ended as end:
+            reason = end.reason
+            if end.status:
+                yield from http.complain(connection, end, self.loop.now() + CALL_MS)
         finally:
             self.open.pop(connection, None)
             connection.close(reason)
 
-    def answer(self, connection: Connection, until: float) -> Steps:
+    def answer(self, connection: Connection, until_ms: float) -> Steps:
         """Read a call, do what it says, and write the answer."""
         try:
-            call = yield from http.read(connection, until, self.allows, self.body_most)
+            call = yield from http.read(connection, until_ms, self.check_path, self.max_body_bytes)
         except Malformed as error:
             raise http.bad(error) from None
-        status, text = self.calls[protocol.path_of(call.target)][1](call.body)
+        status, text = self.calls[protocol.path_of(call.target)].answer(call.body)
         headers = [("Content-Type", "text/plain"), ("Connection", "close")]
         yield from http.answer(connection, status, headers, text.encode(), self.loop.now() + CALL_MS)
 
-    def allows(self, method: str, target: str) -> None:
-        """Refuse what is no call."""
-        found = self.calls.get(protocol.path_of(target))
-        if found is None:
+    def check_path(self, method: str, target: str) -> None:
+        """Raise where there is no such call."""
+        call = self.calls.get(protocol.path_of(target))
+        if call is None:
             raise Malformed("no such path", 404)
-        protocol.only(found[0], method)
+        protocol.only(call.method, method)
--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -3,7 +3,7 @@
 import json
 from collections.abc import Callable
 from math import inf
-from typing import Any
+from typing import Any, NamedTuple
 
 import h11
 
@@ -36,6 +36,13 @@
 RESTARTED = (Reason.REFUSED, Reason.PEER_RESET, Reason.PEER_CLOSED, Reason.NO_CONNECT, Reason.BAD_MESSAGE)
 
 
+class ListSnapshot(NamedTuple):
+    """An endpoint list that was saved or handed over: its version and entries as discovery writes them."""
+
+    version: int
+    rows: list[dict[str, Any]]
+
+
 class Discovery:
     """Follows discovery while it can; a failure is told to the reducer, which says when to ask again."""
 
@@ -44,10 +51,10 @@
     ) -> None:
         self.loop, self.log, self.upstream, self.post = loop, log, upstream, post
         self.version = -1
-        self.told = False  # by discovery itself
+        self.is_confirmed = False  # by discovery itself
         self.over = Reason.DRAINING  # why a watch is cancelled
         self.held: dict[str, EndpointEntry] = {}
-        self.heard: Callable[[bool], None] = lambda changed: None  # told of each word of discovery's
+        self.on_answer: Callable[[bool], None] = lambda changed: None  # told of each word of discovery's
         self.task: Task | None = None
         self.overdue: set[Task] = set()  # calls for the list that were told as failed and may yet be answered
         self.listed_ms = -inf  # when the call began that brought the list
@@ -81,7 +88,7 @@
         """
         before = self.config
         self.set(config)
-        if not self.told:
+        if not self.is_confirmed:
             self.begin()
         old, new = before.deployment, config.deployment
         if before.discovery == config.discovery and (old.zones, old.kinds) == (new.zones, new.kinds):
@@ -96,15 +103,18 @@
             self.task.cancel()
         self.over = Reason.DRAINING
 
-    def begin(self, known: dict[str, Any] | None = None, doubt: float = 0.0) -> None:
+    def begin(self, saved: ListSnapshot | None = None, doubt: float = 0.0) -> None:
         """Take in the list that the configuration holds, or another that was saved.
 
         Unless one as new is held.
         """
         try:
-            held = self.take(self.config.known if known is None else known, cached=True, doubt=doubt)
+            answer = self.config.known
+            if saved is not None:
+                answer = {"seq": saved.version, "whole": True, "hosts": saved.rows}
+            held = self.take(answer, cached=True, doubt=doubt)
             # What was saved may be of another discovery; what the configuration holds is of this one.
-            self.numbered = known is None and held and not self.told
+            self.numbered = saved is None and held and not self.is_confirmed
         except Malformed as error:
             self.log.line(f"the list in the configuration: {error}")
 
@@ -222,7 +232,9 @@
     def place_starts(self, news: protocol.News, cached: bool) -> None:
         """Bring the starts of servers in an answer onto the node's clock."""
         now = self.loop.now()
-        news.entries[:] = self.starts.placed(news.entries, now, self.confirmed_ms if self.told else None)
+        news.entries[:] = self.starts.placed(
+            news.entries, now, self.confirmed_ms if self.is_confirmed else None
+        )
         if not cached:
             self.confirmed_ms = now
 
@@ -247,7 +259,7 @@
         if (not whole or cached) and news.version < self.version:
             return False
         self.place_starts(news, cached)
-        self.version, self.told = news.version, not cached
+        self.version, self.is_confirmed = news.version, not cached
         for host, text in news.odd:
             self.log.line(f"discovery: entry of {host[:80] or 'no host'} left out: {text}")
             if whole and host in self.held:
@@ -265,9 +277,14 @@
         if self.upstream.guard is not None:
             self.upstream.guard.listed(self.held, self.loop.now())
         if resumed and not whole and not news.entries:
-            self.heard(False)
+            self.on_answer(False)
             return True
         self.post(EndpointListUpdate(ListUpdateKind.CACHED if cached else news.listing, news.entries, doubt))
         if not cached:
-            self.heard(whole or bool(news.entries))
+            self.on_answer(whole or bool(news.entries))
         return True
+
+    @property
+    def told(self) -> bool:
+        """The earlier name of `is_confirmed`, for modules that have not been renamed yet."""
+        return self.is_confirmed
--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -1,6 +1,6 @@
-"""A node's memory across restarts.
+"""What of a node outlasts its process: attempts that may have run, and the endpoint list.
 
-The store's entries, made of the reducer's effects and discovery's words.
+The store's records are made of the reducer's effects and of what discovery tells; a start recovers from them.
 """
 
 from __future__ import annotations
@@ -8,159 +8,183 @@
 import gc
 import time
 from collections.abc import Callable, Iterator
-from typing import TYPE_CHECKING
 
 from marlseam import core
+from marlseam.configuration import StoreSettings
 from marlseam.core.idempotency import AttemptRecord, told
 from marlseam.net.connection import Steps
+from marlseam.net.discovery import ListSnapshot
 from marlseam.net.loop import sleep
+from marlseam.net.node_interface import StateHost
 from marlseam.recovery import saved_list
 from marlseam.recovery.saved_list import SavedList, Turnover
-from marlseam.store import file_format as form
+from marlseam.store import file_format
 from marlseam.store.node_state import NodeState
 from marlseam.store.state_store import StateStore
 
-if TYPE_CHECKING:
-    from marlseam.net.node import Node
-
-PIECE = 500  # keys handed on in one step
+KEYS_PER_STEP = 500  # handed to the reducer at a time
 SOURCE = "store"  # as the reducer names it
-HEARD_MS = 5000.0  # how often discovery's silence about changes is noted
-LISTED_MS = 1000.0  # least time between two lists in the journal
+CONFIRMATION_INTERVAL_MS = 5000.0  # how often a list that did not change is noted as confirmed
+MIN_LIST_INTERVAL_MS = 1000.0  # between two lists in the journal
 
 
 class DurableState:
-    """Joins a node, its store and what it recovers."""
+    """Joins a node, its store and what it recovers.
+
+    Attributes:
+        store: the journal and the files of the state directory.
+        turnover: how many servers left the list in how much time, over all processes.
+        barriers: by request, the number of the record that must be durable before it is sent.
+        confirmed_unix_ms: when the list that is held was last confirmed.
+        counted: servers on the list as `turnover` counts them since `counted_ms`.
+        recovered_keys: how many keys were read.
+
+    """
 
-    def __init__(self, node: Node) -> None:
-        self.node, self.clock = node, node.loop.clock
-        self.keeper = StateStore(node.loop, node.log, node.config.store, node.config.name, self.take_in)
+    def __init__(self, node: StateHost, settings: StoreSettings) -> None:
+        self.node, self.settings, self.clock = node, settings, node.loop.clock
+        self.store = StateStore(node.loop, node.log, settings, node.config.name, self.recover_late)
         self.turnover = Turnover()
-        self.numbers: dict[str, int] = {}  # of what must be durable, by request
-        self.noted_ms = self.listed_ms = -1e18
-        self.heard_unix_ms = 0.0  # when the list that is held was last confirmed
-        self.counted: set[str] = set()  # servers whose time is counted, and since when
+        self.barriers: dict[str, int] = {}
+        self.confirmed_written_ms = self.list_written_ms = -1e18
+        self.confirmed_unix_ms = 0.0
+        self.counted: set[str] = set()
         self.counted_ms = 0.0
-        self.changed = False
-        self.keys = 0  # that were read
+        self.has_unwritten_change = False
+        self.recovered_keys = 0
 
     # The start.
 
     def recover(self) -> None:
-        """Take up what the last life left, and begin to keep what this one does.
+        """Take up what the last process left, and begin to record what this one does.
 
         What cannot be read yet is not known: the node serves what needs no record, and reads on.
         """
-        began = time.monotonic()
-        gc.disable()  # guards the start: each collection looks at all the keys read so far
-        state = self.keeper.load()
+        began_s = time.monotonic()
         node = self.node
-        node.core.idempotency_records.most = node.config.store.keys
+        gc.disable()  # guards the start: each collection looks at all the keys read so far
+        state = self.store.load()
+        node.core.idempotency_records.most = self.settings.keys
         if state is None:
-            self.node.post(core.HistoryUnavailable(SOURCE))
+            node.post(core.HistoryUnavailable(SOURCE))
             node.log.line("what may have run under a key is not known yet: marked retries go nowhere for now")
         else:
-            for _ in self.recall(state):
+            for _ in self.restore_history(state):
                 pass
         gc.enable()
-        if not self.from_list(state, began):
+        if not self.restore_list(state, began_s):
             node.discovery.begin()
         self.counted, self.counted_ms = set(node.discovery.held), node.loop.now()
-        node.discovery.heard = self.heard
-        self.keeper.begin()
+        node.discovery.on_answer = self.record_list
+        self.store.begin()
 
-    def from_list(self, state: NodeState | None, began: float) -> bool:
+    def recover_late(self, state: NodeState) -> Steps:
+        """Take in what was read while the node serves."""
+        for _ in self.restore_history(state):
+            yield from sleep(self.node.loop.now())
+        if not self.node.discovery.held:
+            self.restore_list(state, time.monotonic())
+        self.node.log.line(f"what may have run is known now: {self.recovered_keys} keys on record")
+
+    def restore_list(self, state: NodeState | None, began_s: float) -> bool:
         """Start from the newer of the lists that can be had, if it is the file's; return whether it was."""
-        node, unix = self.node, self.clock.to_unix(self.node.loop.now())
-        known = node.config.known
-        listed = state.listed if state is not None else None
-        file = listed and SavedList(listed.version, listed.rows, listed.heard_ms)
-        given = SavedList(int(known.get("seq", 0)), known.get("hosts", []), None) if known else None
-        if file is None or saved_list.choose(file, given) is not file:
+        now_unix_ms = self.clock.to_unix(self.node.loop.now())
+        saved = self.list_to_restore(state)
+        if saved is None:
             return False
-        age = saved_list.age(file, unix)
-        doubt = saved_list.doubt(age, self.turnover)
-        self.heard_unix_ms = file.heard_ms
-        node.discovery.begin({"seq": file.version, "whole": True, "hosts": file.rows}, doubt)
-        shown = "of unknown age" if age is None else f"{age / 1000.0:.0f} s old"
-        took = 1000.0 * (time.monotonic() - began)
-        node.log.line(
-            f"starts from its own list, {shown}: {len(file.rows)} executors, doubt {doubt:.3f}, "
-            f"{self.keys} keys on record, read in {took:.0f} ms"
+        age_ms = saved_list.age(saved, now_unix_ms)
+        doubt = saved_list.doubt(age_ms, self.turnover)
+        self.confirmed_unix_ms = saved.heard_ms or 0.0
+        self.node.discovery.begin(ListSnapshot(saved.version, saved.rows), doubt)
+        shown = "of unknown age" if age_ms is None else f"{age_ms / 1000.0:.0f} s old"
+        took_ms = 1000.0 * (time.monotonic() - began_s)
+        self.node.log.line(
+            f"starts from its own list, {shown}: {len(saved.rows)} executors, doubt {doubt:.3f}, "
+            f"{self.recovered_keys} keys on record, read in {took_ms:.0f} ms"
         )
         return True
 
-    def recall(self, state: NodeState) -> Iterator[None]:
-        """Hand what may have run to the reducer, in pieces; then it is known, or known to be lost."""
+    def list_to_restore(self, state: NodeState | None) -> SavedList | None:
+        """Return the file's list; None where there is none, or the configuration holds a newer one."""
+        if state is None or state.listed is None:
+            return None
+        stored, known = state.listed, self.node.config.known
+        in_file = SavedList(stored.version, stored.rows, stored.heard_ms)
+        configured = SavedList(int(known.get("seq", 0)), known.get("hosts", []), None) if known else None
+        return in_file if saved_list.choose(in_file, configured) is in_file else None
+
+    def restore_history(self, state: NodeState) -> Iterator[None]:
+        """Hand what may have run to the reducer, in parts; then it is known, or known to be lost."""
+        node, shift_ms = self.node, -self.clock.unix_zero_ms
         self.turnover.departures += state.turnover.departures
         self.turnover.lived_ms += state.turnover.lived_ms
-        node, zones = self.node, self.node.config.deployment.zones
-        since = -self.clock.unix_zero_ms
+        zones = node.config.deployment.zones
         names: dict[str, str] = {}  # each held once
 
-        def trace(r: form.AttemptSent) -> AttemptRecord:
-            name = names.setdefault(r.executor, r.executor)
-            return AttemptRecord(name, zones.get(r.zone, -1), r.cell, r.sent_ms + since, r.until_ms + since)
+        def attempt_of(row: file_format.AttemptSent) -> AttemptRecord:
+            name = names.setdefault(row.executor, row.executor)
+            zone = zones.get(row.zone, -1)
+            return AttemptRecord(name, zone, row.cell, row.sent_ms + shift_ms, row.until_ms + shift_ms)
 
-        sent, self.keys = state.sent, len(state.sent)
+        sent, self.recovered_keys = state.sent, len(state.sent)
         while sent:
             # Taken out as it is handed on: to let go of 100,000 keys at once takes a turn of its own.
-            rows = [sent.popitem() for _ in range(min(len(sent), PIECE))]
-            node.post(core.HistoryRecovered({key: [trace(r) for r in found] for key, found in rows}))
+            rows = [sent.popitem() for _ in range(min(len(sent), KEYS_PER_STEP))]
+            node.post(core.HistoryRecovered({key: [attempt_of(row) for row in found] for key, found in rows}))
             yield
         if state.lost_ms is None:
             node.post(core.HistoryAvailable(SOURCE))
         else:
-            node.post(core.HistoryUnavailable(SOURCE, min(node.loop.now(), state.lost_ms + since)))
+            node.post(core.HistoryUnavailable(SOURCE, min(node.loop.now(), state.lost_ms + shift_ms)))
             node.log.line("what may have run under a key is lost: marked retries go nowhere for now")
 
-    def take_in(self, state: NodeState) -> Steps:
-        """Take in what was read while the node serves."""
-        for _ in self.recall(state):
-            yield from sleep(self.node.loop.now())
-        if not self.node.discovery.held:
-            self.from_list(state, time.monotonic())
-        self.node.log.line(f"what may have run is known now: {self.keys} keys on record")
+    # Attempts.
 
-    # Entries.
+    def record(self, effect: core.PersistAttempt | core.ErasePersisted) -> None:
+        """Journal what may have run, or that it never did."""
+        if isinstance(effect, core.PersistAttempt):
+            zones = self.node.config.deployment.zones
+            row = file_format.AttemptSent(*told(effect.key, effect.trace, zones, self.clock.to_unix))
+            self.barriers[effect.request_id] = self.store.append(row)
+        else:
+            sent_unix_ms = self.clock.to_unix(effect.sent_ms)
+            self.store.append(file_format.AttemptNeverRan(effect.key, effect.server, sent_unix_ms))
+
+    def barrier(self, request_id: str) -> Callable[[], Steps] | None:
+        """Return what waits until a request's record is durable, and returns whether it is; None for none."""
+        number = self.barriers.pop(request_id, None)
+        return None if number is None else lambda: self.store.durable(number)
+
+    # The endpoint list.
+
+    def record_list(self, is_changed: bool) -> None:
+        """Note an answer of discovery's: a list that changed, or that the one held still holds."""
+        now_ms = self.node.loop.now()
+        self.count_turnover(now_ms)
+        self.has_unwritten_change = self.has_unwritten_change or is_changed
+        self.confirmed_unix_ms = self.clock.to_unix(now_ms)
+        if self.has_unwritten_change and now_ms - self.list_written_ms >= MIN_LIST_INTERVAL_MS:
+            self.confirmed_written_ms = self.list_written_ms = now_ms
+            self.has_unwritten_change = False
+            turnover = file_format.TurnoverNoted(self.turnover.departures, self.turnover.lived_ms)
+            self.store.append(self.list_record(), turnover)
+        elif now_ms - self.confirmed_written_ms >= CONFIRMATION_INTERVAL_MS:
+            self.confirmed_written_ms = now_ms
+            self.store.append(file_format.ListConfirmed(self.confirmed_unix_ms))
+
+    def count_turnover(self, now_ms: float) -> None:
+        """Count the time that servers have been on the list, and those that have left it."""
+        held = set(self.node.discovery.held)
+        self.turnover.lived_ms += len(self.counted) * (now_ms - self.counted_ms)
+        self.turnover.departures += len(self.counted - held)
+        self.counted, self.counted_ms = held, now_ms
 
-    def list_now(self) -> form.ListStored:
+    def list_record(self) -> file_format.ListStored:
         """Return the list as it is held, with the time at which discovery last confirmed it."""
         discovery = self.node.discovery
-        return form.ListStored(max(0, discovery.version), discovery.rows(), self.heard_unix_ms)
+        return file_format.ListStored(max(0, discovery.version), discovery.rows(), self.confirmed_unix_ms)
 
-    def sent(self, key: str, trace: AttemptRecord) -> form.AttemptSent:
-        """Return a sending as the files hold it."""
-        return form.AttemptSent(*told(key, trace, self.node.config.deployment.zones, self.clock.to_unix))
-
-    # What happens.
-
-    def keep(self, effect: core.PersistAttempt | core.ErasePersisted) -> None:
-        """Journal what may have run, or that it never did."""
-        if type(effect) is core.PersistAttempt:
-            self.numbers[effect.request_id] = self.keeper.append(self.sent(effect.key, effect.trace))
-        else:
-            unix = self.clock.to_unix(effect.sent_ms)
-            self.keeper.append(form.AttemptNeverRan(effect.key, effect.server, unix))
-
-    def gate(self, request_id: str) -> Callable[[], Steps] | None:
-        """Return what a sending that needs a record waits for: whether that is durable."""
-        number = self.numbers.pop(request_id, None)
-        return None if number is None else lambda: self.keeper.durable(number)
-
-    def heard(self, changed: bool) -> None:
-        """Note a word of discovery's: a list that changed, or that the one held still holds."""
-        node, now = self.node, self.node.loop.now()
-        held = set(node.discovery.held)
-        self.turnover.lived_ms += len(self.counted) * (now - self.counted_ms)
-        self.turnover.departures += len(self.counted - held)
-        self.counted, self.counted_ms = held, now
-        self.changed, self.heard_unix_ms = self.changed or changed, self.clock.to_unix(now)
-        if self.changed and now - self.listed_ms >= LISTED_MS:
-            self.noted_ms = self.listed_ms = now
-            self.changed = False
-            turned = form.TurnoverNoted(self.turnover.departures, self.turnover.lived_ms)
-            self.keeper.append(self.list_now(), turned)
-        elif now - self.noted_ms >= HEARD_MS:
-            self.noted_ms = now
-            self.keeper.append(form.ListConfirmed(self.heard_unix_ms))
+    @property
+    def keeper(self) -> StateStore:
+        """The earlier name of `store`, for modules that have not been renamed yet."""
+        return self.store
--- /dev/null
+++ b/marlseam/net/effects.py
@@ -0,0 +1,121 @@
+"""Carries out the effects that the reducer asks for, one function each."""
+
+from collections.abc import Callable
+from typing import Any
+
+from marlseam import core
+from marlseam.decisions.types import Outcome
+from marlseam.net import protocol
+from marlseam.net.node_interface import NodeInterface
+from marlseam.net.open_requests import GiveUp
+from marlseam.net.upstream import AttemptOrder
+
+NodeEffect = core.Effect | GiveUp
+
+
+class EffectExecutor:
+    """Carries out effects on a node's parts."""
+
+    def __init__(self, node: NodeInterface) -> None:
+        self.node = node
+
+    def carry_out(self, effect: NodeEffect) -> None:
+        """Carry out one effect."""
+        HANDLERS[type(effect)](self, effect)
+
+    # Attempts and health checks.
+
+    def send_attempt(self, effect: core.SendAttempt) -> None:
+        """Send an attempt; of a request that has its answer nothing is sent."""
+        node, request_id = self.node, effect.request_id
+        pending, now = node.requests.pending.get(request_id), node.loop.now()
+        if pending is None:
+            outcome = Outcome.CANCELLED_UNSENT
+            node.post(core.AttemptEnded(request_id, effect.attempt_index, outcome, True, None))
+            return
+        await_durable = node.durable_state.barrier(request_id) if node.durable_state is not None else None
+        order = AttemptOrder(
+            request_id,
+            effect.attempt_index,
+            effect.server,
+            pending.job,
+            until_ms=now + effect.time_left_ms,
+            deadline_at_ms=pending.deadline_at_ms,
+            await_durable=await_durable,
+            stamp=node.config_service.order() if node.config_service is not None else None,
+            begin_until_ms=now + effect.begin_ms,
+            has_client_left=lambda: node.requests.has_client_left(request_id, pending),
+        )
+        pending.sent = True
+        node.guard.taken(request_id, pending.job, pending.deadline_at_ms)
+        node.upstream.attempts.send(order)
+
+    def cancel_attempt(self, effect: core.CancelAttempt) -> None:
+        """Cancel an attempt."""
+        self.node.upstream.attempts.cancel(*effect)
+
+    def probe(self, effect: core.Probe) -> None:
+        """Ask a server for its load report."""
+        self.node.upstream.health_checks.start(effect.server)
+
+    # Answers.
+
+    def respond(self, effect: core.Respond) -> None:
+        """Give a client what an attempt brought."""
+        self.node.requests.answer(effect.request_id, 200, [], effect.result)
+
+    def reject(self, effect: core.Reject) -> None:
+        """Tell a client that nothing of its request was done, and when to come back."""
+        headers = protocol.advice(effect.retry_after_ms)
+        self.node.requests.answer(effect.request_id, 503, headers, b"")
+
+    def fail(self, effect: core.Fail) -> None:
+        """Tell a client that its request may have run, unless none of it has begun: that is rejected."""
+        attempts = self.node.upstream.attempts
+        if effect.out and not any(attempts.has_begun(effect.request_id, index) for index in effect.out):
+            headers = protocol.advice(effect.retry_after_ms)
+            self.node.requests.answer(effect.request_id, 503, headers, b"")
+        else:
+            self.node.requests.answer(effect.request_id, 400 if effect.unfit else 500, [], b"")
+
+    def give_up(self, effect: GiveUp) -> None:
+        """Answer a request that met an error of this program."""
+        self.node.requests.give_up(effect)
+
+    # The rest.
+
+    def record(self, effect: core.PersistAttempt | core.ErasePersisted) -> None:
+        """Record what may have run, or that it never did, where there is a store; tell other processes."""
+        if self.node.handover is not None:
+            self.node.handover.tell(effect)
+        if self.node.durable_state is not None:
+            self.node.durable_state.record(effect)
+
+    def set_timer(self, effect: core.SetTimer) -> None:
+        """Post a timer's event later."""
+        loop, timer_id = self.node.loop, effect.timer_id
+        loop.at(loop.now() + effect.delay_ms, lambda: self.node.post(core.TimerFired(timer_id)))
+
+    def watch_endpoints(self, _effect: core.WatchEndpoints) -> None:
+        """Follow the endpoint list."""
+        self.node.discovery.watch()
+
+    def write_log(self, effect: core.Log) -> None:
+        """Write a line."""
+        self.node.log.line(effect.text)
+
+
+HANDLERS: dict[type[NodeEffect], Callable[[EffectExecutor, Any], None]] = {
+    core.SendAttempt: EffectExecutor.send_attempt,
+    core.CancelAttempt: EffectExecutor.cancel_attempt,
+    core.Respond: EffectExecutor.respond,
+    core.Reject: EffectExecutor.reject,
+    core.Fail: EffectExecutor.fail,
+    core.Probe: EffectExecutor.probe,
+    core.SetTimer: EffectExecutor.set_timer,
+    core.PersistAttempt: EffectExecutor.record,
+    core.ErasePersisted: EffectExecutor.record,
+    GiveUp: EffectExecutor.give_up,
+    core.WatchEndpoints: EffectExecutor.watch_endpoints,
+    core.Log: EffectExecutor.write_log,
+}
--- /dev/null
+++ b/marlseam/net/limits.py
@@ -0,0 +1,90 @@
+"""A process's part of the node's limits: connections, memory for bodies, and settings that are budgets.
+
+The node counts what it opens against the settings. Where the system has fewer descriptors than these say,
+`DescriptorShortage` takes fewer clients for a while.
+"""
+
+import resource
+from collections.abc import Callable
+from dataclasses import replace
+from typing import NamedTuple
+
+from marlseam.configuration import Config
+from marlseam.decisions.types import Settings
+from marlseam.net import protocol
+from marlseam.net.downstream import AdmissionLimits, DownstreamServer
+from marlseam.net.loop import Loop
+from marlseam.net.upstream import Upstream
+
+OWN_SOCKETS = 32  # descriptors for listeners, epoll, signals, discovery, logs and the interpreter
+OWN_MEMORY_MB = 20.0  # for the node itself
+CONNECTION_KB = 20.0  # memory for a connection without its body
+BODY_MEMORY_SHARE = 0.5  # of the other memory, for bodies of clients' requests
+OPERATOR_CONNECTIONS = 16  # beside all others
+MIN_CONNECTIONS = 16  # however tight the limits: fewer could not serve
+CLIENT_SHARE = 0.5  # of the connections, for clients
+MIN_CLIENTS = 2  # however few descriptors the system has
+SHORTAGE_MS = 10000.0  # after a shortage, until the settings' limit is tried again
+
+
+class ConnectionLimits(NamedTuple):
+    """What one process may have: `clients` their connections and bodies, `servers` connections to these."""
+
+    clients: AdmissionLimits
+    servers: int
+
+
+def settings_for_process(settings: Settings, processes: int = 1) -> Settings:
+    """Return settings as they hold on sockets, and for one of the processes that serve as this node.
+
+    The platform's protocol has no messages between nodes, and its lists come to those that watch alone.
+    """
+    return replace(settings, may_gossip=False, subscribes_to_endpoints=True, process_share=1.0 / processes)
+
+
+def max_connections(config: Config, processes: int = 1) -> int:
+    """Return how many connections the limits leave room for in one of some processes, bodies apart."""
+    allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    sockets = config.sockets if allowed == resource.RLIM_INFINITY else min(config.sockets, allowed)
+    free_kb = (1.0 - BODY_MEMORY_SHARE) * (config.memory_mb / processes - OWN_MEMORY_MB) * 1024.0
+    own = OWN_SOCKETS + (OPERATOR_CONNECTIONS if config.admin is not None else 0)
+    return max(MIN_CONNECTIONS, int(min(sockets / processes - own, free_kb / CONNECTION_KB)))
+
+
+def connection_limits(config: Config, processes: int = 1) -> ConnectionLimits:
+    """Return the limits of one of some processes."""
+    connections = max_connections(config, processes)
+    clients = int(CLIENT_SHARE * connections)
+    body_bytes = BODY_MEMORY_SHARE * (config.memory_mb / processes - OWN_MEMORY_MB) * 1024.0 * 1024.0
+    admission = AdmissionLimits(clients, max(body_bytes, MIN_CONNECTIONS * protocol.BODY_MOST))
+    return ConnectionLimits(admission, connections - clients)
+
+
+class DescriptorShortage:
+    """Takes fewer clients for a while where the system has fewer descriptors than the settings say.
+
+    `restore` takes as many clients again as the settings say.
+    """
+
+    def __init__(
+        self, loop: Loop, downstream: DownstreamServer, upstream: Upstream, restore: Callable[[], None]
+    ) -> None:
+        self.loop, self.downstream, self.upstream, self.restore = loop, downstream, upstream, restore
+        self.restoring = loop.at(loop.now(), lambda: None)
+        loop.descriptors.givers = [downstream.make_room, upstream.pool.close_longest_idle]
+        loop.descriptors.lacks = self.reduce_clients
+
+    def reduce_clients(self) -> None:
+        """Take no more clients than a share of what is open.
+
+        Guards the sends of what was taken, which need as many descriptors again as clients have.
+        """
+        connections = len(self.downstream.open) + self.upstream.pool.open_count()
+        self.downstream.lacks(max(MIN_CLIENTS, int(CLIENT_SHARE * connections)))
+        self.loop.drop(self.restoring)
+        self.restoring = self.loop.at(self.loop.now() + SHORTAGE_MS, self.end)
+
+    def end(self) -> None:
+        """Try the settings' limit again: other processes may have given descriptors back."""
+        self.loop.descriptors.whole()
+        self.restore()
--- /dev/null
+++ b/marlseam/net/open_requests.py
@@ -0,0 +1,100 @@
+"""The requests that a node has taken and not answered, and what becomes of each."""
+
+from typing import NamedTuple
+
+from marlseam import core
+from marlseam.decisions.types import Request
+from marlseam.net.connection import Headers
+from marlseam.net.downstream import PendingRequest
+from marlseam.net.invariants import Promise
+from marlseam.net.node_interface import NodeInterface
+
+
+class GiveUp(NamedTuple):
+    """Answer a request that met an error of this program."""
+
+    request_id: str
+
+
+class OpenRequests:
+    """Takes requests, gives their one answer, and notes clients that leave.
+
+    Attributes:
+        pending: by the node's own name of a request, those without an answer.
+        last_request_id: the number that the last one taken is named by.
+
+    """
+
+    def __init__(self, node: NodeInterface) -> None:
+        self.node = node
+        self.pending: dict[str, PendingRequest] = {}
+        self.last_request_id = 0
+
+    def take(self, pending: PendingRequest) -> str:
+        """Take a client's request under a name of our own, as clients may send one name twice."""
+        node, job = self.node, pending.job
+        if node.handover is not None and job.idempotency_key is not None:
+            node.handover.catch_up()
+        self.last_request_id += 1
+        request_id = str(self.last_request_id)
+        self.pending[request_id] = pending
+        may_take = node.config_service is None or node.config_service.may_take()
+        if node.config_service is not None:
+            node.config_service.took()
+        is_recordable = may_take and (node.durable_state is None or node.durable_state.store.serves())
+        request = Request(
+            request_id,
+            job.class_index,
+            pending.deadline_at_ms,
+            job.slots,
+            idempotency_key=job.idempotency_key,
+            resource_key=job.resource_key,
+            may_be_retry=job.may_be_retry,
+            is_recordable=is_recordable,
+            is_sendable=may_take,
+        )
+        node.post(core.RequestArrived(request))
+        return request_id
+
+    def client_left(self, request_id: str) -> None:
+        """Give up a request whose client has gone."""
+        self.end_without_answer(request_id)
+        self.pending.pop(request_id, None)
+
+    def has_client_left(self, request_id: str, pending: PendingRequest) -> bool:
+        """Return whether a request's client has gone or has its answer; if so nothing more of it is tried.
+
+        Its own coroutine closes the connection once the loop comes to that.
+        """
+        if pending.answer is None and not pending.gone():
+            return False
+        self.end_without_answer(request_id)
+        return True
+
+    def end_without_answer(self, request_id: str) -> None:
+        """Have the reducer try nothing more of a request."""
+        self.node.guard.ended(request_id, Promise.AFTER_LEAVING, self.node.loop.now())
+        self.node.post(core.ClientLeft(request_id))
+
+    def answer(self, request_id: str, status: int, headers: Headers, body: bytes) -> None:
+        """Give a client its one answer, if it is still there."""
+        pending = self.pending.pop(request_id, None)
+        self.node.guard.ended(request_id, Promise.AFTER_ANSWER, self.node.loop.now())
+        if pending is not None:
+            self.node.counters.ended(pending.job.type_name, status)
+            if self.node.config_service is not None:
+                self.node.config_service.ended(status)
+            pending.give(status, headers, body)
+
+    def give_up(self, fault: GiveUp) -> None:
+        """Answer a request that met an error of this program; nothing more of it is tried.
+
+        It is refused where a retry does no harm: nothing of it was sent, or its class is safe to repeat.
+        """
+        pending = self.pending.get(fault.request_id)
+        if pending is None:
+            return
+        self.node.counters.faults += 1
+        is_retry_harmless = not (pending.sent and pending.job.once)
+        self.answer(fault.request_id, 503 if is_retry_harmless else 500, [], b"")
+        self.node.post(core.ClientLeft(fault.request_id))
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -1,7 +1,8 @@
-"""What an old process of a node tells the new one, and both each other while both serve.
+"""What an old process of a node hands over to the new one, and both tell each other while both serve.
 
-Each has a Unix socket in the folder that they share, under its own process number, and calls all others at
-its start. The form of what is told, and its checks, are those of marlseam/recovery/handover_codec.py.
+Each has a Unix socket in the directory that they share, under its own process number, and connects to all
+others at its start. The form of the messages, and their checks, are those of
+marlseam/recovery/handover_codec.py.
 """
 
 import os
@@ -10,14 +11,16 @@
 from contextlib import suppress
 from math import inf
 from pathlib import Path
-from typing import TYPE_CHECKING
+from typing import Any
 
 from marlseam import core
 from marlseam.core.idempotency import AttemptRecord, told
 from marlseam.net import protocol
+from marlseam.net.discovery import ListSnapshot
 from marlseam.net.http import PAUSE_MS
 from marlseam.net.loop import READ, WRITE, Cancelled, Coroutine, Task, sleep
-from marlseam.recovery import handover_codec as form
+from marlseam.net.node_interface import HandoverHost
+from marlseam.recovery import handover_codec
 from marlseam.recovery.handover_codec import (
     AttemptNeverRan,
     AttemptSent,
@@ -30,82 +33,121 @@
     VersionProof,
 )
 
-if TYPE_CHECKING:
-    from marlseam.net.node import Node
-
-WAIT_MS = 1000.0  # how long a new process waits for what others have to tell, and before it calls again
-PEERS_MOST = 4  # processes that are listened to at a time
-READ_MOST = 1 << 16  # bytes read at a time
-BEHIND_MOST = 1 << 22  # bytes that another process may be behind with reading
-SNAPSHOT_MOST = 1 << 24  # bytes of all that one tells at first
+SNAPSHOT_TIMEOUT_MS = 1000.0  # how long a new process waits for snapshots, and before it connects again
+MAX_PEERS = 4  # other processes that are listened to at a time
+READ_BYTES = 1 << 16  # read at a time
+MAX_UNSENT_BYTES = 1 << 22  # that another process may be behind with reading
+MAX_SNAPSHOT_BYTES = 1 << 24  # of all that one tells at first
 PREFIX, SUFFIX = "marlseam-", ".sock"
+HISTORY_UNKNOWN = "what may have run under a key is not known: marked retries go nowhere for now"
 
 
 class PeerProcess:
-    """Another process of this node."""
-
-    def __init__(self, sock: socket.socket, called: bool, source: str) -> None:
-        self.sock, self.called = sock, called  # by us, who then want to know all
-        self.source = source  # what it is called where the reducer knows or lacks what it sent
-        self.over = False  # it has said that it sends nothing any more
-        self.out, self.lines = bytearray(), protocol.Lines()
+    """Another process of this node.
+
+    Attributes:
+        sock: the connection to it.
+        is_called: whether this process connected, and so wants its snapshot.
+        source: its name where the reducer knows or lacks its history.
+        has_said_goodbye: whether it has said that it sends nothing any more.
+        unsent: bytes that it has not taken yet.
+        lines: cuts what comes into lines.
+        received_bytes: how much has come.
+        hello: what it says of itself; None until that has come.
+        list_version: of the endpoint list in its snapshot; -1 for none.
+        list_rows: the entries of that.
+        attempt_count: attempts that it has told of.
+        is_snapshot_complete: whether all that it holds has come; true where none is wanted.
+        task: the coroutine that reads and writes.
+
+    """
+
+    def __init__(self, sock: socket.socket, is_called: bool, source: str) -> None:
+        self.sock, self.is_called, self.source = sock, is_called, source
+        self.has_said_goodbye = False
+        self.unsent, self.lines = bytearray(), protocol.Lines()
+        self.received_bytes = 0
         self.hello: Hello | None = None
-        self.seq, self.hosts, self.size = -1, list[dict](), 0
-        self.sendings, self.whole = 0, not called
+        self.list_version, self.list_rows = -1, list[dict[str, Any]]()
+        self.attempt_count, self.is_snapshot_complete = 0, not is_called
         self.task: Task | None = None
 
+    def name(self) -> str:
+        """Return what it is called in the log."""
+        return str(self.hello.process) if self.hello else "unknown"
+
     def flush(self) -> None:
         """Write what can be written without waiting."""
         with suppress(BlockingIOError, InterruptedError):
-            while self.out:
-                del self.out[: self.sock.send(self.out)]
+            while self.unsent:
+                del self.unsent[: self.sock.send(self.unsent)]
+
+    def clock_shift_ms(self, epoch_ms: float) -> int:
+        """Return what to add to its Unix times to have them by a process whose clocks differ by `epoch_ms`.
+
+        By the monotonic clock that both share, where it tells how its Unix times stand to that.
+        """
+        its_epoch_ms = self.hello.epoch_ms if self.hello is not None else None
+        return round(epoch_ms - its_epoch_ms) if its_epoch_ms is not None else 0
 
 
 class ProcessHandover:
-    """Joins a node to the other processes that serve under its name; `done` is called once it may begin."""
+    """Joins a node to the other processes that serve under its name.
+
+    `done` is called once, with the latest endpoint list of all snapshots, when the node may begin to serve.
 
-    def __init__(self, node: "Node", done: Callable[[int, list[dict]], None]) -> None:
+    Attributes:
+        peers: the other processes, in the order in which they were joined.
+        is_done: whether the snapshots are taken in, or given up.
+
+    """
+
+    def __init__(self, node: HandoverHost, directory: str, done: Callable[[ListSnapshot], None]) -> None:
         self.node, self.loop, self.log, self.done = node, node.loop, node.log, done
         self.peers: dict[PeerProcess, None] = {}
-        self.began_ms, self.begun, self.count = self.loop.now(), False, 0
-        self.seq, self.hosts = -1, list[dict]()
+        self.began_ms, self.is_done, self.caller_count = self.loop.now(), False, 0
+        self.latest_list = ListSnapshot(-1, [])
         self.sock: socket.socket | None = None
-        self.path = Path(node.config.folder) / f"{PREFIX}{os.getpid()}{SUFFIX}"
+        self.path = Path(directory) / f"{PREFIX}{os.getpid()}{SUFFIX}"
 
     # The start.
 
     def begin(self) -> None:
-        """Listen for later processes, and call those that are there; the node begins when all have told."""
+        """Listen for later processes, and connect to those that are there."""
+        self.listen()
+        for path in sorted(self.path.parent.glob(f"{PREFIX}*{SUFFIX}")):
+            if path != self.path:
+                self.connect(path)
+        if self.peers:
+            self.node.apply_process_count()
+        self.loop.at(self.began_ms + SNAPSHOT_TIMEOUT_MS, self.finish)
+        self.finish_if_complete()
+
+    def listen(self) -> None:
+        """Listen for later processes, where that can be had."""
         try:
-            new = self.path.with_suffix(".new")
-            new.unlink(missing_ok=True)  # of an earlier process under this number
+            temporary = self.path.with_suffix(".new")
+            temporary.unlink(missing_ok=True)  # of an earlier process under this number
             self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             self.sock.setblocking(False)
-            self.sock.bind(str(new))
-            self.sock.listen(PEERS_MOST)
+            self.sock.bind(str(temporary))
+            self.sock.listen(MAX_PEERS)
             # Guards against one that starts at the same time, and takes a name that refuses for a dead one's.
-            new.rename(self.path)
+            temporary.rename(self.path)
         except OSError as error:
-            self.say("unheard", f"no later process can be told anything: {error}")
+            self.log_fault("unheard", f"no later process can be told anything: {error}")
             self.close()
         else:
-            self.loop.spawn(self.accept(), first=True)
-        for path in sorted(self.path.parent.glob(f"{PREFIX}*{SUFFIX}")):
-            if path != self.path:
-                self.call(path)
-        if self.peers:
-            self.node.share()
-        self.loop.at(self.began_ms + WAIT_MS, self.finish)
-        self.look()
+            self.loop.spawn(self.accept(self.sock), first=True)
 
-    def call(self, path: Path) -> None:
-        """Call another process; a name that refuses is that of one that was killed."""
+    def connect(self, path: Path) -> None:
+        """Connect to another process; a name that refuses is that of one that was killed."""
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         except OSError as error:
             # Guards a start where such sockets are refused: what the other knows stays unknown.
-            self.lacks(path.name, None)
-            self.say("unheard", f"{path.name}: {error}")
+            self.mark_unknown(path.name, None)
+            self.log_fault("unheard", f"{path.name}: {error}")
             return
         sock.setblocking(False)
         try:
@@ -113,89 +155,94 @@
         except ConnectionRefusedError:
             path.unlink(missing_ok=True)
             if path.name in self.node.core.untold:
-                self.lacks(path.name, self.loop.now())
+                self.mark_unknown(path.name, self.loop.now())
         except BlockingIOError:
             # It is there and does not even listen; it may go on at any time, and then tells.
             if path.name not in self.node.core.untold:
-                self.lacks(path.name, None)
-                self.say("silent", f"{path.name} does not listen")
-            self.loop.at(self.loop.now() + WAIT_MS, lambda: self.call(path))
+                self.mark_unknown(path.name, None)
+                self.log_fault("silent", f"{path.name} does not listen")
+            self.loop.at(self.loop.now() + SNAPSHOT_TIMEOUT_MS, lambda: self.connect(path))
         except OSError as error:
-            self.lacks(path.name, self.loop.now())  # guards against one that ended just now, its work untold
-            self.say("unheard", f"{path.name}: {error}")
+            # Guards against one that ended just now, its history untold.
+            self.mark_unknown(path.name, self.loop.now())
+            self.log_fault("unheard", f"{path.name}: {error}")
         else:
             self.join(PeerProcess(sock, True, path.name))
             return
         sock.close()
 
-    def lacks(self, source: str, since_ms: float | None) -> None:
+    def mark_unknown(self, source: str, since_ms: float | None) -> None:
         """Note that what another process has sent is not known, the last of it at some time or to come."""
         if source not in self.node.core.untold:
-            self.log.line("what may have run under a key is not known: marked retries go nowhere for now")
+            self.log.line(HISTORY_UNKNOWN)
         self.node.post(core.HistoryUnavailable(source, since_ms))
 
-    def accept(self) -> Coroutine:
+    def accept(self, listener: socket.socket) -> Coroutine:
         """Take in later processes."""
         descriptors = self.loop.descriptors
         while True:
-            yield (self.sock.fileno(), READ, inf)
+            yield (listener.fileno(), READ, inf)
             try:
-                sock, _ = descriptors.opened(self.sock.accept, own=True)
+                sock, _ = descriptors.opened(listener.accept, own=True)
             except OSError:
-                # Guards against a busy loop: who calls still stands there where nothing can be taken.
+                # Guards against a busy loop: who connects still stands there where nothing can be taken.
                 yield from sleep(self.loop.now() + PAUSE_MS)
                 continue
             sock.setblocking(False)
-            if len(self.peers) >= PEERS_MOST:
+            if len(self.peers) >= MAX_PEERS:
                 sock.close()
                 continue
-            self.count += 1
-            self.join(PeerProcess(sock, False, f"caller {self.count}"))
-            self.node.share()
+            self.caller_count += 1
+            self.join(PeerProcess(sock, False, f"caller {self.caller_count}"))
+            self.node.apply_process_count()
 
     def join(self, peer: PeerProcess) -> None:
         """Begin to talk with another process."""
         self.peers[peer] = None
-        fleet, epoch_ms = self.node.acting is not None, self.loop.clock.epoch_ms()
-        peer.out += form.hello(self.node.config.name, os.getpid(), fleet, epoch_ms)
-        if not peer.called:
-            peer.out += b"".join(self.snapshot())
-        peer.task = self.loop.spawn(self.talk(peer), first=True)
+        is_in_cluster, epoch_ms = self.node.config_service is not None, self.loop.clock.epoch_ms()
+        peer.unsent += handover_codec.hello(self.node.config.name, os.getpid(), is_in_cluster, epoch_ms)
+        if not peer.is_called:
+            peer.unsent += b"".join(self.snapshot())
+        peer.task = self.loop.spawn(self.exchange(peer), first=True)
 
     def snapshot(self) -> Iterable[bytes]:
         """Return the lines that tell what this process holds."""
         node = self.node
-        node.core.idempotency_records.expire(self.loop.now())
-        sendings = (self.row(key, trace) for key, trace in node.core.idempotency_records)
-        return form.snapshot(max(0, node.discovery.version), node.discovery.rows(), sendings)
-
-    def look(self) -> None:
-        """Begin once every process called has told all."""
-        if all(peer.whole for peer in self.peers):
+        records = node.core.idempotency_records
+        records.expire(self.loop.now())
+        attempts = (self.message_of(key, trace) for key, trace in records)
+        return handover_codec.snapshot(max(0, node.discovery.version), node.discovery.rows(), attempts)
+
+    def finish_if_complete(self) -> None:
+        """Finish once every process connected to has told all."""
+        if all(peer.is_snapshot_complete for peer in self.peers):
             self.finish()
 
     def finish(self) -> None:
-        """Begin, with what was told by now."""
-        if self.begun:
+        """Let the node begin, with what was told by now."""
+        if self.is_done:
             return
-        self.begun = True
+        self.is_done = True
         for peer in list(self.peers):
-            if not peer.whole:
-                self.lacks(peer.source, None)
-                self.say("silent", f"process {self.name(peer)} did not tell all in time")
-        took = self.loop.now() - self.began_ms
-        if self.hosts:
-            self.log.line(f"takes over {len(self.hosts)} executors, list {self.seq}, in {took:.0f} ms")
-        self.done(self.seq, self.hosts)
+            if not peer.is_snapshot_complete:
+                self.mark_unknown(peer.source, None)
+                self.log_fault("silent", f"process {peer.name()} did not tell all in time")
+        took_ms = self.loop.now() - self.began_ms
+        latest = self.latest_list
+        if latest.rows:
+            self.log.line(
+                f"takes over {len(latest.rows)} executors, list {latest.version}, in {took_ms:.0f} ms"
+            )
+        self.done(latest)
 
-    # Talking.
+    # The conversation.
 
-    def talk(self, peer: PeerProcess) -> Coroutine:
+    def exchange(self, peer: PeerProcess) -> Coroutine:
         """Read and write until the other process ends."""
         try:
             while True:
                 peer.flush()
-                yield (peer.sock.fileno(), READ | (WRITE if peer.out else 0), inf)
+                yield (peer.sock.fileno(), READ | (WRITE if peer.unsent else 0), inf)
                 if not self.read(peer):
                     break
         except OSError:
@@ -209,7 +256,7 @@
         """Take in all that has come; return whether more may."""
         while True:
             try:
-                data = peer.sock.recv(READ_MOST)
+                data = peer.sock.recv(READ_BYTES)
             except (BlockingIOError, InterruptedError):
                 return True
             except OSError:
@@ -217,81 +264,103 @@
             if not data:
                 return False
             try:
-                peer.size += len(data)
-                if not peer.whole and peer.size > SNAPSHOT_MOST:
-                    raise InvalidLineError("too-large", "it tells too much")
-                for raw in peer.lines.feed(data):
-                    for item in form.read(raw):
-                        self.take(peer, item)
+                self.receive_bytes(peer, data)
             except (InvalidLineError, protocol.Malformed) as error:
-                self.say(getattr(error, "code", "odd"), f"process {self.name(peer)}: {error}")
+                self.log_fault(getattr(error, "code", "odd"), f"process {peer.name()}: {error}")
                 return False
 
-    def take(self, peer: PeerProcess, item: HandoverItem) -> None:
-        """Take in one thing that another process tells."""
-        if type(item) is Hello:
-            if item.node != self.node.config.name:
-                raise InvalidLineError("foreign", f"it is {item.node:.80}")
-            peer.hello = item
-            if item.fleet and self.node.acting is not None:
-                self.node.acting.prove()
-        elif peer.hello is None:
+    def receive_bytes(self, peer: PeerProcess, data: bytes) -> None:
+        """Take in some bytes; raises where they are no valid messages, or too many."""
+        peer.received_bytes += len(data)
+        if not peer.is_snapshot_complete and peer.received_bytes > MAX_SNAPSHOT_BYTES:
+            raise InvalidLineError("too-large", "it tells too much")
+        for raw in peer.lines.feed(data):
+            for item in handover_codec.read(raw):
+                self.receive(peer, item)
+
+    def receive(self, peer: PeerProcess, item: HandoverItem) -> None:
+        """Take in one message; the first must be Hello."""
+        if peer.hello is None and type(item) is not Hello:
             raise InvalidLineError("odd", "it says nothing of itself")
-        elif type(item) is ListPart:
-            peer.hosts += item.hosts
-            peer.seq = item.seq
-        elif type(item) is AttemptSent:
-            self.node.post(core.PeerAttempt(item.key, self.trace(peer, item)))
-            peer.sendings += 1
-        elif type(item) is AttemptNeverRan:
-            self.node.post(core.PeerAttemptNeverRan(item.key, item.executor, self.here(peer, item.sent_ms)))
-        elif type(item) is Goodbye:
-            peer.over = True
-        elif type(item) is VersionProof:
-            if self.node.acting is not None:
-                self.node.acting.proved(item.number, item.id, item.mono_ms)
-        elif type(item) is SnapshotEnd and not peer.whole:
-            peer.whole = True
-            self.node.post(core.HistoryAvailable(peer.source))
-            if peer.seq > self.seq:
-                self.seq, self.hosts = peer.seq, peer.hosts
-            took = self.loop.now() - self.began_ms
-            self.log.line(
-                f"process {self.name(peer)} told of {len(peer.hosts)} executors and {peer.sendings} sendings "
-                f"after {took:.0f} ms"
-            )
-            self.look()
+        HANDLERS[type(item)](self, peer, item)
+
+    def receive_hello(self, peer: PeerProcess, item: Hello) -> None:
+        """Note what the other process says of itself."""
+        if item.node != self.node.config.name:
+            raise InvalidLineError("foreign", f"it is {item.node:.80}")
+        peer.hello = item
+        if item.fleet and self.node.config_service is not None:
+            self.node.config_service.prove()
+
+    def receive_list_part(self, peer: PeerProcess, item: ListPart) -> None:
+        """Take in some entries of the endpoint list."""
+        peer.list_rows += item.hosts
+        peer.list_version = item.seq
+
+    def receive_attempt(self, peer: PeerProcess, item: AttemptSent) -> None:
+        """Take in an attempt that may have run."""
+        self.node.post(core.PeerAttempt(item.key, self.record_of(peer, item)))
+        peer.attempt_count += 1
+
+    def receive_never_ran(self, peer: PeerProcess, item: AttemptNeverRan) -> None:
+        """Take in that an attempt provably never ran."""
+        sent_ms = self.local_ms(peer, item.sent_ms)
+        self.node.post(core.PeerAttemptNeverRan(item.key, item.executor, sent_ms))
+
+    def receive_snapshot_end(self, peer: PeerProcess, _item: SnapshotEnd) -> None:
+        """Note that all that the other process holds has come."""
+        if peer.is_snapshot_complete:
+            return
+        peer.is_snapshot_complete = True
+        self.node.post(core.HistoryAvailable(peer.source))
+        if peer.list_version > self.latest_list.version:
+            self.latest_list = ListSnapshot(peer.list_version, peer.list_rows)
+        took_ms = self.loop.now() - self.began_ms
+        self.log.line(
+            f"process {peer.name()} told of {len(peer.list_rows)} executors and "
+            f"{peer.attempt_count} sendings after {took_ms:.0f} ms"
+        )
+        self.finish_if_complete()
+
+    def receive_goodbye(self, peer: PeerProcess, _item: Goodbye) -> None:
+        """Note that the other process sends nothing any more."""
+        peer.has_said_goodbye = True
+
+    def receive_proof(self, _peer: PeerProcess, item: VersionProof) -> None:
+        """Take over a proof of when the cluster's version was in force."""
+        if self.node.config_service is not None:
+            self.node.config_service.proved(item.number, item.id, item.mono_ms)
 
     def tell(self, effect: core.PersistAttempt | core.ErasePersisted) -> None:
-        """Tell all others of a sending that may run from now on, or that provably never did."""
+        """Tell all others of an attempt that may run from now on, or that provably never did."""
         if not self.peers:
             return
-        if type(effect) is core.PersistAttempt:
-            text = form.sent([self.row(effect.key, effect.trace)])
+        if isinstance(effect, core.PersistAttempt):
+            text = handover_codec.sent([self.message_of(effect.key, effect.trace)])
         else:
-            sent_ms = self.loop.clock.to_unix(effect.sent_ms)
-            text = form.never(AttemptNeverRan(effect.key, effect.server, sent_ms))
-        self.pass_on(text, list(self.peers))
+            sent_unix_ms = self.loop.clock.to_unix(effect.sent_ms)
+            text = handover_codec.never(AttemptNeverRan(effect.key, effect.server, sent_unix_ms))
+        self.write(text, list(self.peers))
 
     def prove(self, number: int, id: str, mono_ms: float) -> None:
-        """Tell those that want it when a fleet's version was in force."""
-        asked = [peer for peer in self.peers if peer.hello is not None and peer.hello.fleet]
-        self.pass_on(form.proof(VersionProof(number, id, mono_ms)), asked)
+        """Tell those in a cluster when its version was in force, by the machine's monotonic clock."""
+        in_cluster = [peer for peer in self.peers if peer.hello is not None and peer.hello.fleet]
+        self.write(handover_codec.proof(VersionProof(number, id, mono_ms)), in_cluster)
 
-    def pass_on(self, text: bytes, peers: list[PeerProcess]) -> None:
+    def write(self, text: bytes, peers: list[PeerProcess]) -> None:
         """Write a line to some."""
         for peer in peers:
-            peer.out += text
+            peer.unsent += text
             try:
                 peer.flush()
             except OSError:
                 self.end(peer)
                 continue
-            if len(peer.out) > BEHIND_MOST:
+            if len(peer.unsent) > MAX_UNSENT_BYTES:
                 # Guards the memory against a process that hangs.
-                self.say("behind", f"process {self.name(peer)} does not read")
+                self.log_fault("behind", f"process {peer.name()} does not read")
                 self.end(peer)
-            elif peer.out and peer.task is not None:
+            elif peer.unsent and peer.task is not None:
                 peer.task.wake()
 
     def catch_up(self) -> None:
@@ -311,25 +380,25 @@
         self.loop.close(peer.sock)
         if peer.task is not None:
             peer.task.cancel()
-        if peer.whole and peer.over:
-            self.log.line(f"process {self.name(peer)} of this node has ended")
+        if peer.is_snapshot_complete and peer.has_said_goodbye:
+            self.log.line(f"process {peer.name()} of this node has ended")
         else:
-            # Guards also against one that was killed, or hangs and was left behind: its last sendings may be
+            # Guards also against one that was killed, or hangs and was left behind: its last attempts may be
             # on no line that came.
-            self.lacks(peer.source, self.loop.now())
-            self.say("cut", f"process {self.name(peer)} ended before it had told all")
-        self.node.share()
-        if not self.begun:
-            self.look()
+            self.mark_unknown(peer.source, self.loop.now())
+            self.log_fault("cut", f"process {peer.name()} ended before it had told all")
+        self.node.apply_process_count()
+        if not self.is_done:
+            self.finish_if_complete()
 
     def processes(self) -> int:
         """Return how many processes serve as this node, this one included."""
         return 1 + len({peer.hello.process if peer.hello else id(peer) for peer in self.peers})
 
     def close(self) -> None:
-        """Tell others that nothing more is sent, and leave nothing behind in the folder."""
+        """Tell others that nothing more is sent, and leave nothing behind in the directory."""
         for peer in self.peers:
-            peer.out += form.OVER
+            peer.unsent += handover_codec.OVER
             with suppress(OSError):
                 peer.flush()
         if self.sock is not None:
@@ -338,32 +407,35 @@
                 self.path.unlink(missing_ok=True)
             self.sock = None
 
-    # Words.
-
-    def row(self, key: str, trace: AttemptRecord) -> AttemptSent:
-        """Return a sending as it is told."""
-        return AttemptSent(*told(key, trace, self.node.config.deployment.zones, self.loop.clock.to_unix))
+    # Messages.
 
-    def here(self, peer: PeerProcess, unix_ms: float) -> float:
-        """Return a Unix time as another process tells it on this process's clock.
+    def message_of(self, key: str, trace: AttemptRecord) -> AttemptSent:
+        """Return an attempt as it is told."""
+        zones = self.node.config.deployment.zones
+        return AttemptSent(*told(key, trace, zones, self.loop.clock.to_unix))
 
-        By the monotonic clock that both share, where it tells how its Unix times stand to that.
-        """
-        clock = self.loop.clock
-        told_ms = peer.hello.epoch_ms if peer.hello is not None else None
-        shift_ms = round(clock.epoch_ms() - told_ms) if told_ms is not None else 0
-        return clock.from_unix(unix_ms + shift_ms)
-
-    def trace(self, peer: PeerProcess, row: AttemptSent) -> AttemptRecord:
-        """Return a sending on this process's clock."""
+    def record_of(self, peer: PeerProcess, row: AttemptSent) -> AttemptRecord:
+        """Return an attempt by this process's clock."""
         zone = self.node.config.deployment.zones.get(row.zone, -1)
-        sent_ms, until_ms = self.here(peer, row.sent_ms), self.here(peer, row.until_ms)
+        sent_ms, until_ms = self.local_ms(peer, row.sent_ms), self.local_ms(peer, row.until_ms)
         return AttemptRecord(row.executor, zone, row.cell, sent_ms, until_ms)
 
-    def name(self, peer: PeerProcess) -> str:
-        """Return what another process is called in the log."""
-        return str(peer.hello.process) if peer.hello else "unknown"
+    def local_ms(self, peer: PeerProcess, unix_ms: float) -> float:
+        """Return a Unix time as another process tells it by this process's clock."""
+        clock = self.loop.clock
+        return clock.from_unix(unix_ms + peer.clock_shift_ms(clock.epoch_ms()))
 
-    def say(self, code: str, text: str) -> None:
+    def log_fault(self, code: str, text: str) -> None:
         """Log what went wrong."""
         self.log.line(f"handover code={code} {text}")
+
+
+HANDLERS: dict[type[HandoverItem], Callable[[ProcessHandover, PeerProcess, Any], None]] = {
+    Hello: ProcessHandover.receive_hello,
+    ListPart: ProcessHandover.receive_list_part,
+    AttemptSent: ProcessHandover.receive_attempt,
+    AttemptNeverRan: ProcessHandover.receive_never_ran,
+    SnapshotEnd: ProcessHandover.receive_snapshot_end,
+    Goodbye: ProcessHandover.receive_goodbye,
+    VersionProof: ProcessHandover.receive_proof,
+}
--- /dev/null
+++ b/marlseam/net/settings_reload.py
@@ -0,0 +1,44 @@
+"""Reload of the configuration file: a good one is applied whole, of a bad one nothing."""
+
+from dataclasses import replace
+
+from marlseam import configuration
+from marlseam.configuration import Config, ConfigError
+from marlseam.net.node_interface import NodeInterface
+
+FIXED_KEYS = ("name", "listen", "admin", "seed", "store", "watch", "fleet")  # kept while the process runs
+
+
+class SettingsReload:
+    """Reads the configuration file anew, as a signal asks for it."""
+
+    def __init__(self, node: NodeInterface) -> None:
+        self.node = node
+
+    def reload(self) -> None:
+        """Read the file, and go on under it if it is good."""
+        node = self.node
+        node.loop.descriptors.ensure()
+        try:
+            config = self.load()
+        except ConfigError as error:
+            node.counters.reload_errors += 1
+            node.log.line(f"the configuration stays as it was: {error}")
+            return
+        before = node.config
+        for key in FIXED_KEYS:
+            if getattr(config, key) != getattr(before, key):
+                node.log.line(f"{key}: cannot change in a running node, left as it was")
+        node.adopt(replace(config, **{key: getattr(before, key) for key in FIXED_KEYS}))
+        node.counters.reloads += 1
+        node.log.line(f"new configuration, discovery at {config.discovery[0]}:{config.discovery[1]}")
+
+    def load(self) -> Config:
+        """Return what the file says; settings that the cluster agreed on stay in force."""
+        node, before = self.node, self.node.config
+        config = configuration.load(before.path, before=before)
+        service, cluster = node.config_service, before.fleet
+        if service is not None and cluster is not None and service.published() and not cluster.local:
+            service.refused(config.settings)
+            config = configuration.with_settings(config, before.settings)
+        return config
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -12,8 +12,9 @@
 from marlseam.decisions.types import Endpoint, EndpointState
 from marlseam.net import admin as admin_module
 from marlseam.net import downstream as server_module
+from marlseam.net import graceful_shutdown, limits
 from marlseam.net import loop as loop_module
-from marlseam.net import node as node_module
+from marlseam.net.admin import AdminCall
 from marlseam.net.invariants import Promise
 from marlseam.net.upstream import AttemptOrder
 
@@ -56,11 +57,11 @@
 
 def taken(node, client, request=REQUEST):
     """Send a request, wait until it is taken, and return its connection and its name."""
-    before = set(node.pending)
+    before = set(node.requests.pending)
     sock = client(request)
-    while set(node.pending) <= before:
+    while set(node.requests.pending) <= before:
         node.loop.turn()
-    (request_id,) = set(node.pending) - before
+    (request_id,) = set(node.requests.pending) - before
     return sock, request_id
 
 
@@ -105,19 +106,19 @@
 
 
 def test_callers_that_finish_nothing_are_bounded_and_delay_nobody(node, client, call):
-    silent = [client(b"GET /con", node.admin) for _ in range(3 * node_module.OPERATORS)]
-    while len(node.admin.open) < node_module.OPERATORS:
+    silent = [client(b"GET /con", node.admin) for _ in range(3 * limits.OPERATOR_CONNECTIONS)]
+    while len(node.admin.open) < limits.OPERATOR_CONNECTIONS:
         node.loop.turn()
     began = node.loop.now()
     assert call("GET", "/control/ready")[0] == 200
     assert node.loop.now() - began < admin_module.CALL_MS
-    assert len(node.admin.open) <= node_module.OPERATORS and read(node, silent[0]) == b""
+    assert len(node.admin.open) <= limits.OPERATOR_CONNECTIONS and read(node, silent[0]) == b""
 
 
 def test_a_call_that_comes_in_a_long_turn_is_answered_within_it(node, client):
     # Guards operators against a node that is busy with clients: here each client's step takes a while.
-    order, seen, real = [], [], node.take
-    node.admin.calls = {"/control/ready": ("GET", lambda _: (order.append(len(seen)), (200, ""))[1])}
+    order, seen, real = [], [], node.requests.take
+    node.admin.calls = {"/control/ready": AdminCall("GET", lambda _: (order.append(len(seen)), (200, ""))[1])}
 
     def slow(pending):
         if not seen:
@@ -174,7 +175,7 @@
 def test_work_that_is_taken_is_finished_out_of_service(node, client, reply, call):
     sock, request_id = taken(node, client)
     call("POST", "/control/out-of-service")
-    node.answer(request_id, 200, [], b"r")
+    node.requests.answer(request_id, 200, [], b"r")
     data = reply(sock)
     assert data.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in data and read(node, sock) == b""
 
@@ -184,11 +185,11 @@
     began = node.loop.now()
     call("POST", "/control/out-of-service")
     assert node.downstream.idle
-    assert read(node, sock) == b"" and node.loop.now() - began >= node_module.PART_MS
+    assert read(node, sock) == b"" and node.loop.now() - began >= graceful_shutdown.IDLE_GRACE_MS
 
 
 def test_a_connection_that_comes_late_in_a_drain_may_speak_first(node, client, reply, call, monkeypatch):
-    monkeypatch.setattr(node_module, "PART_MS", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "IDLE_GRACE_MS", 0.0)
     call("POST", "/control/out-of-service")
     sock = client(b"")
     while not node.downstream.idle:
@@ -198,7 +199,7 @@
 
 
 def test_a_request_that_comes_in_pieces_during_a_drain_is_served(node, client, reply, call, monkeypatch):
-    monkeypatch.setattr(node_module, "PART_MS", 0.0)
+    monkeypatch.setattr(graceful_shutdown, "IDLE_GRACE_MS", 0.0)
     sock = unused(node, client, reply)
     sock.sendall(REQUEST[:30])
     call("POST", "/control/out-of-service")
@@ -207,7 +208,7 @@
     while node.loop.now() < end:
         node.loop.turn()
     sock.sendall(REQUEST[30:])
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
 
 
@@ -226,7 +227,7 @@
     assert call("POST", "/control/in-service")[0] == call("POST", "/control/in-service")[0] == 200
     data = reply(client(READY))
     assert data.startswith(b"HTTP/1.1 200 ") and b"Connection: close" not in data
-    end = node.loop.now() + node_module.PART_MS + 2 * server_module.LOOK_MS
+    end = node.loop.now() + graceful_shutdown.IDLE_GRACE_MS + 2 * server_module.LOOK_MS
     node.loop.at(end, lambda: None)
     while node.loop.now() < end:
         node.loop.turn()
@@ -234,9 +235,9 @@
 
 
 def test_sigterm_during_a_drain_ends_the_process_and_nothing_brings_it_back(node, call, monkeypatch):
-    monkeypatch.setattr(node_module, "LISTEN_MS", 200.0)
+    monkeypatch.setattr(graceful_shutdown, "LISTEN_MS", 200.0)
     call("POST", "/control/out-of-service")
-    node.close()
+    node.shutdown.begin()
     assert call("POST", "/control/in-service")[0] == 409
     assert call("POST", "/control/out-of-service")[0] == 200
     node.loop.run()
@@ -274,18 +275,18 @@
         answered(client(REQUEST))
 
     def hold(pending):
-        node.last_request_id += 1
-        node.pending[str(node.last_request_id)] = pending
-        return str(node.last_request_id)
+        node.requests.last_request_id += 1
+        node.requests.pending[str(node.requests.last_request_id)] = pending
+        return str(node.requests.last_request_id)
 
     node.downstream.take = hold  # from here on the test decides
     for i, status in enumerate((503, 500, 400, 503)):
         sock, request_id = taken(node, client, REQUEST.replace(b"9b", b"w%d" % i))
-        node.answer(request_id, status, [], b"")
+        node.requests.answer(request_id, status, [], b"")
         answered(sock)
     gone, _ = taken(node, client, CHUNKED)
     gone.close()
-    while node.pending:
+    while node.requests.pending:
         node.loop.turn()
     odd = client(b"POST /statement HTTP/1.1\r\nHost: h\r\nX-Time-Left: x\r\n\r\n")
     assert reply(odd).split()[1] == b"400"
@@ -299,7 +300,7 @@
     call("POST", "/control/out-of-service")
     request = REQUEST.replace(b"9b", b"wd").replace(b"statement", b"extra")
     drained, request_id = taken(node, client, request)
-    node.answer(request_id, 200, [], b"r")
+    node.requests.answer(request_id, 200, [], b"r")
     answered(drained)
     found = figures()
     ends = {how: found[f"downstream_requests.statement.{how}"] for how in seen}
--- a/tests/test_bytes.py
+++ b/tests/test_bytes.py
@@ -63,7 +63,7 @@
 def test_a_client_that_goes_at_any_point_leaves_nothing(node, client, at, reset):
     before, tasks = descriptors(), len(node.loop.tasks)
     sock = client(REQUEST[:at])
-    while not (node.pending if at == len(REQUEST) else node.downstream.open):
+    while not (node.requests.pending if at == len(REQUEST) else node.downstream.open):
         node.loop.turn()
     if reset:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00")
@@ -73,16 +73,16 @@
         assert node.loop.now() < end
         node.loop.at(node.loop.now() + 5.0, lambda: None)
         node.loop.turn()
-    assert not node.pending and not node.downstream.held and not node.downstream.ids
+    assert not node.requests.pending and not node.downstream.held and not node.downstream.ids
     assert descriptors() <= before
 
 
 def test_a_client_that_goes_during_its_answer_leaves_nothing(node, client):
     sock = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
-    node.answer("1", 200, [], b"x" * (1 << 23))
+    node.requests.answer("1", 200, [], b"x" * (1 << 23))
     for _ in range(3):
         node.loop.at(node.loop.now(), lambda: None)
         node.loop.turn()
@@ -96,9 +96,9 @@
 def test_a_client_that_does_not_read_its_answer_is_given_up(node, client, monkeypatch):
     monkeypatch.setattr(server_module, "WRITE_MS", 50.0)
     client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    node.answer("1", 200, [], b"x" * (1 << 23))
+    node.requests.answer("1", 200, [], b"x" * (1 << 23))
     while node.downstream.open:
         node.loop.turn()
 
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -186,7 +186,7 @@
     yield begin
     for fleet in made:
         for one in fleet.nodes:
-            one.node.busy = True
+            one.node.is_reducing = True
             one.node.loop.finish()
         fleet.discovery.close()
 
@@ -336,5 +336,5 @@
     rest = one.node.core.dispatcher.backoff
     next_call(one)
     one.service.say(b'{"seq":5,"whole":false,"hosts":[]}')
-    one.settle(lambda: one.node.discovery.told)
+    one.settle(lambda: one.node.discovery.is_confirmed)
     assert one.node.core.dispatcher.backoff == rest > 0.0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -22,6 +22,7 @@
 from marlseam.core import EndpointEntry
 from marlseam.decisions.types import EndpointState, ListUpdateKind, Outcome
 from marlseam.net import discovery as discovery_module
+from marlseam.net import graceful_shutdown, limits
 from marlseam.net import node as node_module
 from marlseam.net.connection import AHEAD_MOST, Connection
 from marlseam.net.upstream import AttemptOrder
@@ -162,7 +163,7 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     sock = client(REQUEST + ahead)
     turn(executor.accept)
-    assert node.pending
+    assert node.requests.pending
     turn(lambda: b"abc" in executor.read())
     started = b'{"id":"9b","from":"e1","state":"started"}\n'
     executor.held[0].sendall(
@@ -173,7 +174,7 @@
     turn(lambda: not ahead or (door.ahead() and (ahead is not AHEAD or len(door.buffer) >= AHEAD_MOST)))
     goes(sock)
     turn(lambda: not node.downstream.open)
-    assert not node.pending and not node.core.open and not node.upstream.attempts.in_flight
+    assert not node.requests.pending and not node.core.open and not node.upstream.attempts.in_flight
     turn(lambda: ended(executor.held[0]) or executor.read() and ended(executor.held[0]))
 
 
@@ -184,7 +185,7 @@
     goes(sock)  # while it waits in the queue of the listening socket
     settle()
     turn(lambda: not node.downstream.open)
-    assert node.last_request_id == 0 and not executor.accept()
+    assert node.requests.last_request_id == 0 and not executor.accept()
 
 
 def test_the_second_request_of_a_client_that_left_during_the_first_goes_nowhere(
@@ -197,7 +198,7 @@
     executor.held[0].sendall(ANSWER)
     settle()
     turn(lambda: not node.downstream.open)
-    assert node.last_request_id == 1
+    assert node.requests.last_request_id == 1
 
 
 # What has not begun is called off, whatever settings say of cancelling.
@@ -337,7 +338,7 @@
     first = client(asked % 1)
     turn(lambda: node.upstream.attempts.in_flight)
     client((asked % 2).replace(b"9b", b"9c"))
-    turn(lambda: node.last_request_id == 2)
+    turn(lambda: node.requests.last_request_id == 2)
     (flight,) = node.upstream.attempts.in_flight.values()
     assert node.core.idempotency_records.known("k1", node.loop.now())
     first.close()
@@ -379,7 +380,7 @@
     sock = client(REQUEST)
     turn(lambda: b"/-/load" in executor.read())
     sock.close()
-    turn(lambda: not node.pending)
+    turn(lambda: not node.requests.pending)
     executor.held[0].sendall(b"HTTP/1.1 200 -\r\nContent-Length: 12\r\n\r\nTEXT queue=0")
     settle()
     assert b"POST" not in executor.read() and not node.core.open
@@ -392,7 +393,7 @@
     executor.held[0].sendall(NEVER)  # between two tries: the only server is full
     turn(lambda: not node.upstream.attempts.in_flight and node.core.dispatcher.lines)
     sock.close()
-    turn(lambda: not node.pending)
+    turn(lambda: not node.requests.pending)
     node.core.dispatcher.full[node.core.index["e1"]] = False
     node.core.dispatcher.pump()
     settle()
@@ -406,11 +407,11 @@
     first = client(asked)
     turn(lambda: b"abc" in executor.read())
     second = client(asked.replace(b"9b", b"9c"))
-    turn(lambda: node.last_request_id == 2)
+    turn(lambda: node.requests.last_request_id == 2)
     second.close()
-    turn(lambda: len(node.pending) == 1)
+    turn(lambda: len(node.requests.pending) == 1)
     executor.held[0].sendall(ANSWER)
-    turn(lambda: not node.pending)
+    turn(lambda: not node.requests.pending)
     settle()
     assert b"POST" not in executor.read() and not node.core.open and not node.core.dispatcher.turns
     assert first.recv(1000).startswith(b"HTTP/1.1 200 ")
@@ -608,7 +609,7 @@
     stand("e1", ceilings=NO_PROBES)
     socks = [client(REQUEST.replace(b"9b", b"w%d" % i)) for i in range(20)]
     node.downstream.stop_listening()
-    turn(lambda: node.last_request_id == len(socks))
+    turn(lambda: node.requests.last_request_id == len(socks))
 
 
 def test_what_stands_in_the_queue_for_want_of_room_is_refused_as_the_listener_closes(
@@ -621,18 +622,18 @@
         socks.append(client(REQUEST.replace(b"9b", b"w%d" % i)))
         settle(5)
     node.downstream.stop_listening()
-    assert node.last_request_id == len(node.downstream.open) == 1  # no limit is passed
+    assert node.requests.last_request_id == len(node.downstream.open) == 1  # no limit is passed
     for sock in socks[1:]:
         assert reply(sock).startswith(b"HTTP/1.1 503 ") and sock.recv(1) == b""
         assert not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
 
 def test_a_request_on_its_way_as_the_node_ends_is_refused(node, client, turn, reply, monkeypatch):
-    for name in ("LISTEN_MS", "DRAIN_MOST_MS", "ANSWER_MS", "EXIT_MS"):
-        monkeypatch.setattr(node_module, name, 1.0)
+    for name in ("LISTEN_MS", "MAX_DRAIN_MS", "ANSWER_MS", "EXIT_MS"):
+        monkeypatch.setattr(graceful_shutdown, name, 1.0)
     sock = client(REQUEST[:-1])
     turn(lambda: node.downstream.reading)
-    node.close()
+    node.shutdown.begin()
     node.loop.run()
     assert reply(sock).startswith(b"HTTP/1.1 503 ") and ended(sock)
 
@@ -648,19 +649,19 @@
         )
     )
     began = node.loop.now()
-    node.close()
-    assert node.core.closes_ms - began == pytest.approx(1000.0 + node_module.ANSWER_MS, abs=50.0)
+    node.shutdown.begin()
+    assert node.core.closes_ms - began == pytest.approx(1000.0 + graceful_shutdown.ANSWER_MS, abs=50.0)
 
 
 def test_a_request_behind_one_that_is_answered_near_the_end_is_answered_too(node, client, turn, stand):
     stand("e1", ceilings=NO_PROBES)
     sock = client(REQUEST)
-    turn(lambda: node.last_request_id == 1)
+    turn(lambda: node.requests.last_request_id == 1)
     node.downstream.drain(0.0, 10000.0)
     sock.sendall(REQUEST.replace(b"9b", b"9c"))  # unread as the first is answered
-    node.answer("1", 200, [], b"")
-    turn(lambda: node.last_request_id == 2)
-    node.answer("2", 200, [], b"")
+    node.requests.answer("1", 200, [], b"")
+    turn(lambda: node.requests.last_request_id == 2)
+    node.requests.answer("2", 200, [], b"")
     turn(lambda: not node.downstream.open)
     data = sock.recv(1 << 16)
     assert data.count(b"HTTP/1.1 200 ") == 2 and data.count(b"Connection: close") == 1
@@ -678,7 +679,7 @@
     half = client(REQUEST[:-1])  # and this one never comes whole
     turn(lambda: node.downstream.reading)
     began = node.loop.now()
-    node.close()
+    node.shutdown.begin()
     clock = node.loop.now
     lead = [0.0]
     node.loop.now = lambda: clock() + lead[0]
@@ -687,20 +688,20 @@
         node.loop.at(node.loop.now(), lambda: None)
         node.loop.turn()
     kill_ms = min(longest_ms, 3000.0) + 700.0
-    assert node.loop.now() - began < kill_ms and not node.pending
+    assert node.loop.now() - began < kill_ms and not node.requests.pending
     assert reply(sock).startswith(b"HTTP/1.1 500 ")  # unsafe work that may have run
     assert reply(half)[:13] in (b"HTTP/1.1 503 ", b"HTTP/1.1 408 ")
 
 
 def test_a_second_sigterm_and_new_settings_change_nothing_of_the_end(node, client, turn, stand):
     stand("e1", ceilings=NO_PROBES)
-    node.close()
+    node.shutdown.begin()
     closes, draining = node.core.closes_ms, node.downstream.close_ms
-    node.close()
+    node.shutdown.begin()
     node.reload()
-    assert (node.core.closes_ms, node.downstream.close_ms) == (closes, draining) and node.ending
+    assert (node.core.closes_ms, node.downstream.close_ms) == (closes, draining) and node.shutdown.is_ending
     client(REQUEST)
-    turn(lambda: node.last_request_id == 1)  # new connections still come
+    turn(lambda: node.requests.last_request_id == 1)  # new connections still come
     (state,) = node.core.open.values()
     assert state.request.deadline_at_ms <= closes
 
@@ -711,7 +712,7 @@
     (task,) = node.downstream.idle.values()
     sock.sendall(REQUEST)
     task.step("late")  # its time is over in the turn in which the request comes
-    turn(lambda: node.last_request_id == 1)
+    turn(lambda: node.requests.last_request_id == 1)
 
 
 # Room.
@@ -756,7 +757,7 @@
     deployment = deployment_from(options | {"guarantees": {"mustAskInUs": must_ask_us}})
     node.discovery.set(replace(node.config, deployment=deployment))
     begun = node.core
-    begun.reduce(0.0, core.NodeStarted(node_module.alone(deployment.settings), 1))
+    begun.reduce(0.0, core.NodeStarted(limits.settings_for_process(deployment.settings), 1))
     (timer,) = [
         e
         for e in begun.reduce(0.0, core.EndpointListUpdate(ListUpdateKind.FAILED, []))
@@ -827,7 +828,7 @@
     deployment = deployment_from(options)
     node.discovery.set(replace(node.config, deployment=deployment))
     begun, seen = node.core, []
-    begun.reduce(0.0, core.NodeStarted(node_module.alone(deployment.settings), 1))
+    begun.reduce(0.0, core.NodeStarted(limits.settings_for_process(deployment.settings), 1))
     for _ in range(10):  # an outage that lasts
         seen += [
             e
@@ -844,7 +845,7 @@
     rows = [row | {"aimUs": aim} for row, aim in zip(OPTIONS["requestClasses"], aims_us, strict=True)]
     deployment = deployment_from(OPTIONS | {"requestClasses": rows})
     begun = node.core
-    begun.reduce(0.0, core.NodeStarted(node_module.alone(deployment.settings), 1))
+    begun.reduce(0.0, core.NodeStarted(limits.settings_for_process(deployment.settings), 1))
     module = begun.dispatcher
     assert min(module.sweep_ms, module.ask_ms, module.fresh_ms, module.queue_ms, module.mean_area) > 0.0
     node.upstream.configure(deployment, 64)
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -111,11 +111,11 @@
 
     def ask(self, request=REQUEST, read=True):
         """Have the client that will go send its request; `read` what it sends ahead as far as a node does."""
-        before, units = set(self.node.downstream.open), self.node.last_request_id
+        before, units = set(self.node.downstream.open), self.node.requests.last_request_id
         self.sock = self.client(request + self.ahead)
         self.turn(lambda: set(self.node.downstream.open) - before)
         (self.door,) = set(self.node.downstream.open) - before
-        self.turn(lambda: self.node.last_request_id > units)
+        self.turn(lambda: self.node.requests.last_request_id > units)
         if read and self.ahead:
             much = self.ahead is AHEAD
             self.turn(lambda: self.door.ahead() and (not much or len(self.door.buffer) >= AHEAD_MOST))
@@ -272,7 +272,7 @@
     scene.client(asked.replace(b"9b", b"9a"))
     _, sock = scene.running()
     scene.ask(asked)
-    assert scene.node.last_request_id == 2
+    assert scene.node.requests.last_request_id == 2
     return lambda: sock.sendall(ANSWER.replace(b"9b", b"9a"))
 
 
@@ -297,7 +297,7 @@
 def over(node):
     """Say that nothing is left of work, and that the servers' counts are right."""
     assert (
-        not node.pending
+        not node.requests.pending
         and not node.core.open
         and not node.upstream.attempts.in_flight
         and not node.downstream.ids
@@ -420,12 +420,12 @@
 def test_an_end_behind_more_than_is_held_is_seen_before_work_is_taken(goes, scene, node, client, turn):
     scene = scene(True)
     scene.list("e1")
-    units, sock = node.last_request_id, client(b"")
+    units, sock = node.requests.last_request_id, client(b"")
     turn(lambda: node.downstream.idle)
     floods(sock, REQUEST + FAR)
     goes(sock)  # the node reads it later
     turn(lambda: not node.downstream.open)
-    assert node.last_request_id == units and b"abc" not in scene.read()
+    assert node.requests.last_request_id == units and b"abc" not in scene.read()
 
 
 def test_a_client_that_floods_and_stays_has_its_answer_whole(scene, node, turn, reply):
@@ -503,7 +503,7 @@
     first = scene.sock, scene.door
     scene.client((asked % 2).replace(b"9b", b"9c"))
     flight.task.rest()  # its dial is not heard of until the next has come
-    turn(lambda: node.last_request_id == 2)
+    turn(lambda: node.requests.last_request_id == 2)
     assert node.core.idempotency_records.known("k1", node.loop.now())
     begun = scene.begun
     scene.sock, scene.door = first
@@ -626,7 +626,7 @@
 
     monkeypatch.setattr(protocol, "job_headers", faulty)
     scene.ask(read=False)
-    turn(lambda: not node.pending)
+    turn(lambda: not node.requests.pending)
     assert len(tried) == node.core.dispatcher.settings.max_attempts
     over(node)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,8 +20,7 @@
 from marlseam.decisions.types import ListUpdateKind, Outcome
 from marlseam.net import discovery as discovery_module
 from marlseam.net import downstream as server_module
-from marlseam.net import http
-from marlseam.net import node as node_module
+from marlseam.net import graceful_shutdown, http, limits
 from marlseam.net.buffer import Buffer
 from marlseam.net.connection import Ended, connect
 from marlseam.net.downstream import AdmissionLimits, PendingRequest
@@ -502,7 +501,7 @@
     unlimited = (resource.RLIM_INFINITY, resource.RLIM_INFINITY)
     monkeypatch.setattr(resource, "getrlimit", lambda _: unlimited)
     config = replace(node.config, sockets=sockets, memory_mb=memory_mb, admin=None)
-    assert node_module.connections(config) == places
+    assert limits.max_connections(config) == places
 
 
 def test_a_node_is_ready_once_it_holds_a_list(client, reply):
@@ -544,22 +543,22 @@
     ],
 )
 def test_bad_input_has_its_status_and_goes_no_further(node, client, reply, data, status):
-    assert reply(client(data)).startswith(b"HTTP/1.1 %d " % status) and not node.last_request_id
+    assert reply(client(data)).startswith(b"HTTP/1.1 %d " % status) and not node.requests.last_request_id
 
 
 def test_a_request_may_come_in_chunks(node, client):
     client(CHUNKED)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    assert node.pending["1"].job.body == b"abc"
+    assert node.requests.pending["1"].job.body == b"abc"
 
 
 def test_an_id_that_is_out_is_refused_and_the_first_goes_on(node, client, reply):
     first = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 409 ")
-    node.answer("1", 200, [], b"result")
+    node.requests.answer("1", 200, [], b"result")
     assert reply(first).endswith(b"result") and not node.downstream.ids
 
 
@@ -583,9 +582,9 @@
 def test_a_usual_clients_connection_may_stand_idle(node, client, reply, monkeypatch):
     monkeypatch.setattr(server_module, "READ_MS", 200.0)
     sock = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    node.answer("1", 200, [], b"")
+    node.requests.answer("1", 200, [], b"")
     reply(sock)
     end = node.loop.now() + 400.0
     node.loop.at(end, lambda: None)
@@ -596,9 +595,9 @@
 
 def test_connections_without_a_good_request_make_room_first(node, client, reply, capsys):
     usual = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    node.answer("1", 200, [], b"")
+    node.requests.answer("1", 200, [], b"")
     reply(usual)
     silent, half = client(b""), client(REQUEST[:60])
     while len(node.downstream.open) < 3:
@@ -619,7 +618,7 @@
         node.loop.turn()
     node.downstream.room = AdmissionLimits(9, 901.0)
     client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
     assert slow.recv(1000).startswith(b"HTTP/1.1 503 ") and slow.recv(1) == b""
     assert "crowded" in reasons(capsys)
@@ -629,15 +628,15 @@
 def test_a_body_waits_for_room_that_taken_work_has(node, client, reply):
     node.downstream.room = AdmissionLimits(9, 3.0)
     client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
     client(REQUEST.replace(b"9b", b"9c"))
     while len(node.downstream.open) < 2:
         node.loop.turn()
-    node.loop.at(node.loop.now() + 50.0, lambda: node.answer("1", 200, [], b""))
-    while "2" not in node.pending:
+    node.loop.at(node.loop.now() + 50.0, lambda: node.requests.answer("1", 200, [], b""))
+    while "2" not in node.requests.pending:
         node.loop.turn()
-    assert "1" not in node.pending
+    assert "1" not in node.requests.pending
 
 
 def test_no_client_holds_the_loop(node, client):
@@ -668,9 +667,9 @@
 )
 def test_a_final_answer_reaches_the_client(node, client, reply, effect, start, part):
     sock = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    node_module.EFFECTS[type(effect)](node, effect)
+    node.effects.carry_out(effect)
     data = reply(sock)
     assert data.startswith(start) and part in data
 
@@ -681,9 +680,9 @@
     while not node.downstream.open:
         node.loop.turn()
     node.loop.at(node.loop.now(), lambda: sock.sendall(REQUEST[at:]))
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    assert node.pending["1"].job.body == b"abc"
+    assert node.requests.pending["1"].job.body == b"abc"
 
 
 def test_requests_in_one_packet_are_all_answered(node, client):
@@ -697,17 +696,17 @@
 
 def test_a_client_that_goes_is_told_to_the_reducer(node, client):
     sock = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
     sock.close()
     while node.downstream.open:
         node.loop.turn()
-    assert not node.pending and not node.core.open
+    assert not node.requests.pending and not node.core.open
 
 
 def test_an_answer_for_one_that_has_gone_is_dropped(node):
-    node.answer("9", 200, [], b"")
-    assert not node.pending
+    node.requests.answer("9", 200, [], b"")
+    assert not node.requests.pending
 
 
 def test_an_answer_given_before_the_wait_is_not_lost(node):
@@ -729,11 +728,11 @@
 
 def test_a_full_node_leaves_new_clients_waiting_and_takes_them_later(node, client, reply):
     client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
     node.downstream.room = AdmissionLimits(1, 1e9)
     second = client(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-    node.answer("1", 200, [("Connection", "close")], b"")
+    node.requests.answer("1", 200, [("Connection", "close")], b"")
     assert reply(second).startswith(b"HTTP/1.1 200 ")
 
 
@@ -743,7 +742,7 @@
         node.loop.turn()
     sock.sendall(REQUEST)
     assert not node.downstream.make_room()
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
 
 
@@ -951,13 +950,13 @@
     rewrite(settings=classes("new"))
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 404 ")
     client(REQUEST.replace(b"statement", b"new"))
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
 
 
 def test_open_work_keeps_its_type_while_the_file_changes_or_drops_it(node, rewrite, client, reply):
     sock = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
     (state,) = node.core.open.values()
     taken = state.request_class
@@ -967,7 +966,7 @@
         and node.core.dispatcher.request_classes[state.request.class_index] != taken
     )
     rewrite(settings=classes("other"))
-    node.answer(next(iter(node.pending)), 200, [], b"r")
+    node.requests.answer(next(iter(node.requests.pending)), 200, [], b"r")
     assert reply(sock).startswith(b"HTTP/1.1 200 ")
     assert node.counters.ends["statement"]["completed"] == 1
 
@@ -1011,32 +1010,32 @@
 
 
 def test_after_sigterm_a_client_may_use_its_connection_for_a_while(node, client, reply):
-    node.close()
+    node.shutdown.begin()
     assert b"Connection: close" not in reply(client(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"))
 
 
 def test_near_the_end_answers_close_their_connections(node, client, reply):
-    node.close()
+    node.shutdown.begin()
     node.downstream.drain(0.0, 0.0)
     data = reply(client(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"))
     assert data.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in data
 
 
 def test_sigterm_ends_an_idle_node_after_new_connections_have_ceased(node, monkeypatch):
-    monkeypatch.setattr(node_module, "LISTEN_MS", 1.0)
-    node.close()
+    monkeypatch.setattr(graceful_shutdown, "LISTEN_MS", 1.0)
+    node.shutdown.begin()
     node.loop.run()
     assert node.loop.stopped and node.downstream.sock.fileno() < 0
 
 
 def test_sigterm_answers_what_is_open_before_the_end(node, client, reply, monkeypatch):
-    monkeypatch.setattr(node_module, "LISTEN_MS", 1.0)
-    monkeypatch.setattr(node_module, "DRAIN_MOST_MS", 1.0)
-    monkeypatch.setattr(node_module, "ANSWER_MS", 1.0)
+    monkeypatch.setattr(graceful_shutdown, "LISTEN_MS", 1.0)
+    monkeypatch.setattr(graceful_shutdown, "MAX_DRAIN_MS", 1.0)
+    monkeypatch.setattr(graceful_shutdown, "ANSWER_MS", 1.0)
     sock = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    node.close()
+    node.shutdown.begin()
     assert reply(sock).startswith(b"HTTP/1.1 503 ")
 
 
--- a/tests/test_own_faults.py
+++ b/tests/test_own_faults.py
@@ -7,8 +7,7 @@
 from test_endings import POSTING, REQUEST
 
 from marlseam import core
-from marlseam.net import node as node_module
-from marlseam.net import protocol
+from marlseam.net import effects, protocol
 from marlseam.net.connection import Ended
 from marlseam.net.invariants import Promise
 from marlseam.net.log import Reason
@@ -35,7 +34,7 @@
     """Return a function that has the reducer or an adapter fail at one kind of event or effect."""
 
     def begin(kind: type) -> None:
-        table = core.STEPS if kind in core.STEPS else node_module.EFFECTS
+        table = core.STEPS if kind in core.STEPS else effects.HANDLERS
         monkeypatch.setitem(table, kind, fails)
 
     return begin
@@ -59,7 +58,7 @@
     plant(core.AttemptEnded)
     began = time.monotonic()
     assert reply(client(request_bytes)).startswith(says)
-    assert time.monotonic() - began < 2.0 and not node.pending and asked.count(b"POST") == 1
+    assert time.monotonic() - began < 2.0 and not node.requests.pending and asked.count(b"POST") == 1
 
 
 @pytest.mark.parametrize("kind", [core.AttemptEnded, core.ClientLeft, core.TimerFired, core.ProbeEnded])
@@ -70,7 +69,7 @@
     plant(kind)
     for _ in range(3):
         assert reply(client(POSTING)).startswith((b"HTTP/1.1 200", b"HTTP/1.1 500", b"HTTP/1.1 503"))
-    assert asked.count(b"POST") <= 3 and not node.pending
+    assert asked.count(b"POST") <= 3 and not node.requests.pending
 
 
 def test_an_error_while_a_request_is_read_is_told_to_its_client(node, client, reply, executor, monkeypatch):
@@ -91,7 +90,7 @@
     plant(core.SendAttempt)
     began = time.monotonic()
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 503")
-    assert time.monotonic() - began < 2.0 and not node.pending and b"POST" not in asked
+    assert time.monotonic() - began < 2.0 and not node.requests.pending and b"POST" not in asked
 
 
 def test_a_close_over_an_unanswered_request_is_counted(node, client, executor, monkeypatch):
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -59,7 +59,7 @@
 
     yield build
     for node in made:
-        node.busy = True
+        node.is_reducing = True
         node.loop.finish()
 
 
@@ -81,9 +81,9 @@
     for _ in range(3):
         node.loop.at(node.loop.now(), lambda: None)
         node.loop.turn()
-    assert not node.ready()
+    assert not node.is_ready()
     first.sendall(ANSWER)  # also where it was told as failed, and another call is under way
-    turn(node.ready)
+    turn(node.is_ready)
 
 
 @pytest.mark.parametrize("slow_ms", [3000.0, 5000.0])
@@ -92,9 +92,9 @@
     turn(lambda: asks(discovery))
     node.loop.clock.zero -= slow_ms / 1000.0
     turn(lambda: asks(discovery))  # another call, as the first counts as failed
-    assert not node.ready()
+    assert not node.is_ready()
     discovery.held[0].sendall(ANSWER)
-    turn(node.ready)
+    turn(node.is_ready)
 
 
 def test_a_call_accepted_and_never_answered_leaves_time_for_another(bare, discovery):
@@ -104,14 +104,14 @@
     before = node.loop.now()
     turn(lambda: asks(discovery))
     discovery.held[-1].sendall(ANSWER)
-    turn(node.ready)
+    turn(node.is_ready)
     assert len(discovery.held) >= 2 and node.loop.now() - before < 8000.0  # of the ten seconds
 
 
 @pytest.mark.parametrize("settings", [OPTIONS, PUSHED], ids=["asked", "pushed"])
 def test_with_a_list_a_node_is_ready_before_discovery_is_asked(bare, discovery, settings):
     node, _ = bare(settings, {"seq": 1, "whole": True, "hosts": HOSTS})
-    assert node.ready() and not discovery.held
+    assert node.is_ready() and not discovery.held
 
 
 # Thirty real processes at once.
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -362,7 +362,7 @@
     if used:
         turn(lambda: b"abc" in executor.read())
         executor.held[0].sendall(ANSWER)
-        turn(lambda: node.last_request_id and not node.pending and node.downstream.idle)
+        turn(lambda: node.requests.last_request_id and not node.requests.pending and node.downstream.idle)
         assert sock.recv(1 << 16).startswith(b"HTTP/1.1 200 ")
     turn(lambda: node.downstream.idle)
     lead(NEW_MS)
@@ -372,7 +372,9 @@
     if closes is not by_end:
         settle()
     assert crossed and ended(sock) and not node.downstream.open
-    assert node.last_request_id == used and b"abc" not in executor.read()  # its client may send it once more
+    assert (
+        node.requests.last_request_id == used and b"abc" not in executor.read()
+    )  # its client may send it once more
 
 
 def test_an_answer_that_ends_its_connection_is_whole_though_a_request_crosses_it(
@@ -384,14 +386,14 @@
     node.downstream.drain(0.0, 10000.0)
     crossing(lambda: sock.sendall(REQUEST.replace(b"9b", b"9c")))
     body = b"r" * 60000
-    node.answer("1", 200, [], body)
+    node.requests.answer("1", 200, [], body)
     turn(lambda: not node.downstream.open)
     answer = b""
     while len(answer) < len(body):
         more = sock.recv(1 << 16)
         assert more
         answer += more
-    assert answer.endswith(b"\r\n\r\n" + body) and node.last_request_id == 1
+    assert answer.endswith(b"\r\n\r\n" + body) and node.requests.last_request_id == 1
 
 
 def test_all_sockets_write_small_parts_at_once(node, client, stand, turn):
@@ -467,7 +469,7 @@
     resting = [client(b"") for _ in range(200)]
     turn(lambda: len(node.downstream.idle) == len(resting))
     lead(NEW_MS)
-    asked, refs = [], node.last_request_id
+    asked, refs = [], node.requests.last_request_id
 
     def ask(new):
         i = len(asked)
@@ -479,16 +481,18 @@
                 asked.append(resting.pop())
                 asked[-1].sendall(data)
 
-    part, end = node.downstream.part, node.end
+    part, end = node.downstream.part, node.shutdown.finish
     node.downstream.part = lambda: (ask(False), part())  # in the moment in which the drain looks
-    node.end = lambda at_ms: (ask(False), end(at_ms))
+    node.shutdown.finish = lambda at_ms: (ask(False), end(at_ms))
     tell(node, {"e2": hanging.address})
     for _ in range(8):
         ask(False)
-    turn(lambda: node.last_request_id - refs == len(asked))  # unsafe work of before hangs up to the end
+    turn(
+        lambda: node.requests.last_request_id - refs == len(asked)
+    )  # unsafe work of before hangs up to the end
     tell(node, {"e1": good.address, "e2": hanging.address})
     began = node.loop.now()
-    node.close()
+    node.shutdown.begin()
     while not node.loop.stopped:
         ask(False)
         ask(True)
@@ -497,7 +501,7 @@
             node.loop.at(node.loop.now(), lambda: None)
             node.loop.turn()
             answer_all(good, b"e1")
-    assert node.loop.now() - began < 3700.0 and not node.pending  # the earliest SIGKILL
+    assert node.loop.now() - began < 3700.0 and not node.requests.pending  # the earliest SIGKILL
     node.loop.finish()
     answers = []
     for sock in asked:
@@ -507,7 +511,7 @@
     given = [answer for answer in answers if answer]
     assert {b"200", b"500"} <= {answer[9:12] for answer in given} <= {b"200", b"500", b"503"}
     assert all(b"\r\n\r\n" in answer for answer in given)
-    assert len(given) == node.last_request_id - refs and len(given) > 100
+    assert len(given) == node.requests.last_request_id - refs and len(given) > 100
 
 
 # Work that was never sent on is refused, within its time and half a second.
@@ -554,7 +558,7 @@
     (peer,) = stand("e1", backlog=0, ceilings=NO_PROBES, requestClasses=EFFECTS)
     why(node, peer)
     sock = client(request_.replace(b"Left: 5", b"Left: 0.9"))
-    turn(lambda: node.last_request_id)
+    turn(lambda: node.requests.last_request_id)
     began, answer = node.loop.now(), b""
     while not answer:
         for _ in range(10):
@@ -586,14 +590,14 @@
     for i, sock in enumerate(flood):
         (reset if i % 3 else socket.socket.close)(sock)
     good = client(REQUEST)
-    turn(lambda: any(p.job.id == "9b" for p in node.pending.values()))
+    turn(lambda: any(p.job.id == "9b" for p in node.requests.pending.values()))
     turn(lambda: len(node.downstream.open) == 1)
-    assert len(node.pending) == 1 and len(node.core.open) == 1
+    assert len(node.requests.pending) == 1 and len(node.core.open) == 1
     turn(lambda: b"9b" in executor.read())
     for sock in executor.held:
         with suppress(OSError):
             sock.sendall(ANSWER)
-    turn(lambda: not node.pending)
+    turn(lambda: not node.requests.pending)
     assert good.recv(1 << 16).startswith(b"HTTP/1.1 200 ")
     good.close()
     turn(lambda: not node.downstream.open and not node.upstream.attempts.in_flight)
@@ -606,14 +610,14 @@
 def test_a_burst_of_clients_that_leave_takes_all_its_work_along(node, client, stand, turn, settle):
     executors = stand("e1", "e2", "e3", ceilings=NO_PROBES)
     socks = [client(REQUEST.replace(b"9b", b"w%d" % i)) for i in range(120)]
-    turn(lambda: node.last_request_id == len(socks))
+    turn(lambda: node.requests.last_request_id == len(socks))
     settle()
     assert node.core.dispatcher.lines and node.upstream.attempts.in_flight
     for executor in executors:
         executor.read()
     for i, sock in enumerate(socks):
         (reset if i % 2 else socket.socket.close)(sock)
-    turn(lambda: not node.pending)
+    turn(lambda: not node.requests.pending)
     attempts = node.counters.attempts
     settle(100)
     assert not node.core.open and not node.core.dispatcher.lines and not node.upstream.attempts.in_flight
@@ -768,7 +772,7 @@
     assert node.loop.now() - silent < told_ms
     client(REQUEST, node.downstream)
     node.turns(20)
-    assert node.last_request_id and not executor.accept()
+    assert node.requests.last_request_id and not executor.accept()
     tell(node, {"e1": executor.address})  # and goes there once it is ready again
     node.turns(20)
     assert executor.accept()
@@ -839,7 +843,7 @@
     turn(lambda: b"abc" in first.read())  # it may run from here on
     for i in range(2):
         sock.close()
-        turn(lambda: not node.pending)
+        turn(lambda: not node.requests.pending)
         node.post(core.EndpointListUpdate(ListUpdateKind.FULL, entries))  # the other cell is free
         lead(100.0)
         sock = client(PAYMENT.replace(b"9b", b"a%d" % i).replace(b"Key: k", b"Key: k\r\nX-Repeat: 1"))
@@ -921,7 +925,7 @@
     with pytest.raises(ConnectionResetError):
         crossed[0].recv(1)  # its client knows at once; no bytes were read, nothing was sent on
     settle()
-    assert not node.last_request_id and not executor.accept()
+    assert not node.requests.last_request_id and not executor.accept()
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(address)
     crossed[0].close()
@@ -936,12 +940,12 @@
     sock = client(REQUEST)
     turn(lambda: b"abc" in executor.read())
     (door,) = node.downstream.open
-    node.answer("1", 200, [], b"r" * 3000000)
+    node.requests.answer("1", 200, [], b"r" * 3000000)
     settle()
     assert node.downstream.open
     lead(WRITE_MS + 1.0)
     turn(lambda: not node.downstream.open)
-    assert door.closed and node.last_request_id == 1 and b"abc" not in executor.read()
+    assert door.closed and node.requests.last_request_id == 1 and b"abc" not in executor.read()
     sock.close()
 
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -178,7 +178,7 @@
     sock = client(REQUEST)
     listener.sock = FailingSocket(listener.sock, "accept", errno.ENFILE)
     listener.sock.failing.left = 20
-    node.close()
+    node.shutdown.begin()
     assert reply(sock).startswith(b"HTTP/1.1 200")
     turn(node, lambda: node.loop.stopped)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -153,7 +153,7 @@
 
     yield build
     for node in nodes:
-        node.busy = True
+        node.is_reducing = True
         node.handover.close()
         node.loop.finish()
 
@@ -217,17 +217,17 @@
     """Send a payment and return the module's handle of it once it is taken."""
     sock = socket.create_connection(held.getsockname())
     sock.sendall(PAYMENT % repeat)
-    turn(node, lambda: node.pending)
-    return node.core.open[next(iter(node.pending))], sock
+    turn(node, lambda: node.requests.pending)
+    return node.core.open[next(iter(node.requests.pending))], sock
 
 
 @pytest.mark.parametrize(("version", "held_now"), [(41, {"e1", "e2"}), (0, {"e1"})])
 def test_a_new_process_takes_the_newer_list_and_the_sendings(made, old, version, held_now):
     talk = old(hello(), *form.snapshot(version, [*HOSTS, SECOND], [sending()]))
     node = made()
-    assert not node.ready()
+    assert not node.is_ready()
     talk()
-    turn(node, node.ready)
+    turn(node, node.is_ready)
     assert set(node.discovery.held) == held_now and node.discovery.version == max(1, version)
     assert version == 0 or node.discovery.held["e2"].state is EndpointState.DRAINING
     assert [trace.server for _, trace in node.core.idempotency_records] == ["e1"]
@@ -238,7 +238,7 @@
     talk = old(hello(), *form.snapshot(2, hosts, [sending(executor="gone", cell=5)]))
     node = made(settings=PAYMENTS)
     talk()
-    turn(node, node.ready)
+    turn(node, node.is_ready)
     state, sock = pay(node, held)
     assert [state.fits(node.core.index[name]) for name in ("e1", "e5")] == [False, True]
     sock.close()
@@ -249,7 +249,7 @@
     talk = old(hello(), WHOLE)
     node = made(settings=PAYMENTS)
     peer = talk()
-    turn(node, node.ready)
+    turn(node, node.is_ready)
     peer.sendall(form.sent([sending(executor="e9", cell=5)]))
     for other in node.handover.peers:
         other.task.cancel()  # only what work asks for is read from here on
@@ -269,7 +269,7 @@
     talk = old(form.line(told), *form.snapshot(2, hosts, [row]))
     node = made(settings=PAYMENTS)
     talk()
-    turn(node, node.ready)
+    turn(node, node.is_ready)
     state, sock = pay(node, held)
     assert [state.fits(node.core.index[name]) for name in ("e1", "e5")] == [False, True]
     ((_, trace),) = node.core.idempotency_records
@@ -291,7 +291,7 @@
     )
     node = made()
     talk()
-    turn(node, lambda: node.ready() and not len(node.core.idempotency_records))
+    turn(node, lambda: node.is_ready() and not len(node.core.idempotency_records))
 
 
 @pytest.mark.parametrize(
@@ -317,11 +317,11 @@
 def test_without_what_the_other_knows_it_starts_and_says_so(
     made, old, monkeypatch, capsys, lines, ends, code
 ):
-    monkeypatch.setattr(handover_module, "WAIT_MS", 100.0)
+    monkeypatch.setattr(handover_module, "SNAPSHOT_TIMEOUT_MS", 100.0)
     talk = old(*lines, ends=ends)
     node = made()
     talk()
-    turn(node, node.ready)
+    turn(node, node.is_ready)
     assert f"code={code}" in capsys.readouterr().err
     assert node.core.untold and set(node.discovery.held) == {"e1"}
 
@@ -330,7 +330,7 @@
     talk = old(hello(), ends=True)
     node = made(settings=PAYMENTS)
     talk()
-    turn(node, node.ready)
+    turn(node, node.is_ready)
     sock = socket.create_connection(held.getsockname())
     sock.sendall(PAYMENT % b"X-Repeat: 1\r\n")
     sock.setblocking(False)
@@ -348,7 +348,7 @@
     talk = old(hello(), WHOLE, *last)
     node = made(settings=PAYMENTS)
     peer = talk()
-    turn(node, node.ready)
+    turn(node, node.is_ready)
     assert not node.core.untold
     peer.close()
     turn(node, lambda: not node.handover.peers)
@@ -356,11 +356,11 @@
 
 
 def test_one_that_tells_all_late_is_believed(made, old, monkeypatch):
-    monkeypatch.setattr(handover_module, "WAIT_MS", 20.0)
+    monkeypatch.setattr(handover_module, "SNAPSHOT_TIMEOUT_MS", 20.0)
     talk = old(hello())
     node = made(settings=PAYMENTS)
     peer = talk()
-    turn(node, node.ready)
+    turn(node, node.is_ready)
     assert node.core.untold_still()
     peer.sendall(WHOLE)
     turn(node, lambda: not node.core.untold)
@@ -379,7 +379,7 @@
         except BlockingIOError:
             break
     node = made()
-    turn(node, node.ready)
+    turn(node, node.is_ready)
     assert "code=silent" in capsys.readouterr().err and node.core.untold
     for sock in (full, *calls):
         sock.close()
@@ -388,10 +388,10 @@
 def test_one_told_to_end_before_it_has_begun_takes_nothing(made, old, held):
     talk = old(hello(), ends=True)
     node = made()
-    node.close()
+    node.shutdown.begin()
     talk()
     node.loop.run()
-    assert node.downstream.listener is None and not node.ready()
+    assert node.downstream.listener is None and not node.is_ready()
 
 
 def test_a_reload_before_it_has_begun_is_taken(made, old):
@@ -399,7 +399,7 @@
     node = made()
     node.reload()
     talk()
-    turn(node, node.ready)
+    turn(node, node.is_ready)
     assert node.counters.reloads == 1 and node.core.dispatcher.settings.process_share == 0.5
 
 
@@ -411,15 +411,15 @@
     own.bind(str(tmp_path / f"marlseam-{os.getpid()}.new"))
     own.close()
     node = made()
-    assert node.ready() and not node.core.untold
+    assert node.is_ready() and not node.core.untold
     assert [path.name for path in tmp_path.glob("marlseam-*")] == [f"marlseam-{os.getpid()}.sock"]
 
 
 def test_a_folder_that_cannot_be_used_stands_in_nobodys_way(held, path, tmp_path, capsys):
     env = {"EDGE_SOCKET_FD": str(os.dup(held.fileno())), "TMPDIR": str(tmp_path / "none")}
     node = Node(load(str(path), env))
-    assert node.ready() and "code=unheard" in capsys.readouterr().err
-    node.busy = True
+    assert node.is_ready() and "code=unheard" in capsys.readouterr().err
+    node.is_reducing = True
     node.loop.finish()
 
 
@@ -428,7 +428,7 @@
     (tmp_path / "marlseam-9.sock").touch()
     refuse(socket.AF_UNIX, errno.ENOSYS)
     node = made()
-    assert node.ready() and capsys.readouterr().err.count("code=unheard") == 2
+    assert node.is_ready() and capsys.readouterr().err.count("code=unheard") == 2
     assert node.core.untold  # what the other knows stays unknown
 
 
@@ -464,12 +464,12 @@
     later = caller(tmp_path)
     rows = [item for raw in told(node, later, b'"whole"') for item in form.read(raw)]
     assert [type(row).__name__ for row in rows] == ["Hello", "ListPart", "AttemptSent", "SnapshotEnd"]
-    node.remember(
+    node.effects.record(
         core.PersistAttempt("9", "k9", AttemptRecord("e1", 0, 4, node.loop.now(), node.loop.now() + 1.0))
     )
     (row,) = form.read(told(node, later, b"k9")[-1])
     assert (row.key, row.executor, row.zone, row.cell) == ("k9", "e1", "here", 4)
-    node.remember(core.ErasePersisted("k9", "e1", node.loop.now()))
+    node.effects.record(core.ErasePersisted("k9", "e1", node.loop.now()))
     assert type(form.read(told(node, later, b"never")[-1])[0]) is AttemptNeverRan
     later.close()
 
@@ -485,8 +485,8 @@
     node.core.idempotency_records.note("k8", trace)
     later = caller(tmp_path)
     lines = told(node, later, b'"whole"')
-    node.remember(core.PersistAttempt("9", "k9", trace))
-    node.remember(core.ErasePersisted("k9", "e1", node.loop.now()))
+    node.effects.record(core.PersistAttempt("9", "k9", trace))
+    node.effects.record(core.ErasePersisted("k9", "e1", node.loop.now()))
     lines += told(node, later, b"never")
     node.handover.close()
     lines += told(node, later, b"over")
@@ -507,7 +507,7 @@
     )
     node = made(settings=PAYMENTS)
     talk()
-    turn(node, lambda: node.ready() and not node.handover.peers)
+    turn(node, lambda: node.is_ready() and not node.handover.peers)
     assert node.discovery.version == 41 and not node.core.untold
     ((key, trace),) = node.core.idempotency_records
     assert (key, trace.server, trace.zone, trace.cell) == ("k1", "e1", 0, 4)
@@ -554,13 +554,13 @@
 
 
 def test_one_that_does_not_read_is_left_behind(made, tmp_path, monkeypatch, capsys):
-    monkeypatch.setattr(handover_module, "BEHIND_MOST", 1000)
+    monkeypatch.setattr(handover_module, "MAX_UNSENT_BYTES", 1000)
     node = made()
     later = caller(tmp_path)
     told(node, later, b'"whole"')
     trace = AttemptRecord("e1", 0, 4, 0.0, 1.0)
     for i in range(100000):
-        node.remember(core.PersistAttempt(str(i), f"key {i}", trace))
+        node.effects.record(core.PersistAttempt(str(i), f"key {i}", trace))
         if not node.handover.peers:
             break
     assert not node.handover.peers and "code=behind" in capsys.readouterr().err
