--- a/marlseam/net/connection.py
+++ b/marlseam/net/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection of either role: its socket, its one buffer, h11 to parse, and the line it leaves."""
+"""One HTTP connection of either role: its socket, its one buffer, h11 to parse, and its line in the log."""
 
 import contextlib
 import errno
@@ -33,23 +33,41 @@
 
 
 class Connection:
-    """Reads and writes messages; whoever holds it closes it once, with a reason."""
+    """Reads and writes messages; whoever holds it closes it once, with a reason.
+
+    Attributes:
+        sock: the socket, which does not block.
+        description: what the log calls it.
+        http: the parser and writer.
+        buffer: bytes that came and were not parsed.
+        raw_head: the head of the message in hand, as it came.
+        messages: how many were written.
+        closed: whether it was closed here.
+        eof: whether the peer has ended its sending.
+        has_discarded: whether something that came was thrown away, after which no message can follow.
+        parsed_bytes: handed to the parser since this connection last let others go on.
+        opened_ms, used_ms: when it was opened, and last used.
+        last_empty_ms: when nothing was unread for the last time.
+        earliest_sent_ms: that time before the bytes that were read last: they were sent after it.
+        is_empty: whether nothing was unread at the last look.
+        address: of the server, on our side of a call; None on the other.
+
+    """
 
     def __init__(self, loop: Loop, log: Log, sock: socket.socket, role: type, what: str) -> None:
         self.loop, self.log, self.sock, self.description = loop, log, sock, what
         self.http = h11.Connection(role, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.buffer = Buffer()
-        self.raw_head = bytearray()  # of the message in hand, as it came
+        self.raw_head = bytearray()
         self.messages, self.closed, self.eof = 0, False, False
         self.has_discarded = (
             False  # whether something that came was thrown away, after which no message can follow
         )
-        self.parsed_bytes = 0  # bytes handed to the parser since this connection last let others go on
+        self.parsed_bytes = 0
         self.opened_ms = self.used_ms = loop.now()
-        # When nothing was unread for the last time, and that time before the bytes that were read last.
         self.last_empty_ms = self.earliest_sent_ms = self.opened_ms
-        self.is_empty = False  # whether nothing was unread at the last look
-        self.address: tuple[str, int] | None = None  # of the server, on our side of a call
+        self.is_empty = False
+        self.address: tuple[str, int] | None = None
 
     # Reading.
 
@@ -76,11 +94,7 @@
     def event(self, until_ms: float) -> Steps:
         """Return the next part of a message, waiting for it until some time."""
         while True:
-            try:
-                event = self.http.next_event()
-            except h11.RemoteProtocolError as error:
-                reason = Reason.PEER_CLOSED if self.eof and not len(self.buffer) else Reason.BAD_MESSAGE
-                raise ConnectionEndedError(reason, error.error_status_hint) from None
+            event = self.parse()
             if event is not h11.NEED_DATA:
                 return event
             if self.http.they_are_waiting_for_100_continue:
@@ -91,21 +105,39 @@
                 # small parts.
                 yield from sleep(self.loop.now())
                 self.parsed_bytes = 0
-            came = ""
-            while not len(self.buffer) and not self.eof:
-                # What has come by the end of a wait is read, though the loop be late: it was in time.
-                if not came and self.loop.now() >= until_ms:
+            yield from self.wait_for_bytes(until_ms)
+            self.feed_parser()
+
+    def parse(self) -> Any:  # noqa: ANN401
+        """Return the parser's next event, an h11 event or one of h11's sentinels."""
+        try:
+            return self.http.next_event()
+        except h11.RemoteProtocolError as error:
+            reason = Reason.PEER_CLOSED if self.eof and not len(self.buffer) else Reason.BAD_MESSAGE
+            raise ConnectionEndedError(reason, error.error_status_hint) from None
+
+    def wait_for_bytes(self, until_ms: float) -> Steps:
+        """Wait until bytes or the end have come; what has come by the end of a wait is read.
+
+        It was in time, though the loop be late.
+        """
+        came = ""
+        while not len(self.buffer) and not self.eof:
+            if not came and self.loop.now() >= until_ms:
+                raise ConnectionEndedError(Reason.TIMED_OUT, 408)
+            if not self.fill():
+                if came == LATE:
                     raise ConnectionEndedError(Reason.TIMED_OUT, 408)
-                if not self.fill():
-                    if came == LATE:
-                        raise ConnectionEndedError(Reason.TIMED_OUT, 408)
-                    self.parsed_bytes = 0
-                    came = yield (self.sock.fileno(), READ, until_ms)
-            data = self.buffer.take(PARSE_BYTES)
-            self.parsed_bytes += len(data)
-            if self.http.their_state is h11.IDLE:
-                self.raw_head += data
-            self.http.receive_data(data)  # none for the end of the stream
+                self.parsed_bytes = 0
+                came = yield (self.sock.fileno(), READ, until_ms)
+
+    def feed_parser(self) -> None:
+        """Hand some bytes to the parser, none for the end of the stream."""
+        data = self.buffer.take(PARSE_BYTES)
+        self.parsed_bytes += len(data)
+        if self.http.their_state is h11.IDLE:
+            self.raw_head += data
+        self.http.receive_data(data)
 
     def wait_for_first_byte(self, until_ms: float) -> Steps:
         """Wait for the first byte of an answer, or for the peer's end."""
@@ -122,14 +154,14 @@
             if type(event) is not h11.InformationalResponse:
                 raise ConnectionEndedError(Reason.PEER_CLOSED)
 
-    def body(self, most: int, until_ms: float) -> Steps:
+    def body(self, max_bytes: int, until_ms: float) -> Steps:
         """Return the rest of a message as one, up to some size."""
         parts, size = [], 0
         while True:
             event = yield from self.event(until_ms)
             if type(event) is h11.Data:
                 size += len(event.data)
-                if size > most:
+                if size > max_bytes:
                     raise ConnectionEndedError(Reason.TOO_LARGE, 413)
                 parts.append(bytes(event.data))
             elif type(event) is h11.EndOfMessage:
@@ -315,12 +347,13 @@
                 raise ConnectionEndedError(reason)
             error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if error:
-            raise ConnectionEndedError(reason)
-        reason = None
-        return connection
+            raise ConnectionEndedError(Reason.REFUSED)
     except Cancelled:
         reason = Reason.WITHDRAWN
         raise
+    else:
+        reason = None
+        return connection
     finally:
         if reason is not None:
             connection.close(reason)
--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -60,7 +60,7 @@
         self.is_confirmed = False  # by discovery itself
         self.cancel_reason = Reason.DRAINING  # why a watch is cancelled
         self.held: dict[str, EndpointEntry] = {}
-        self.on_answer: Callable[[bool], None] = lambda changed: None  # told of each word of discovery's
+        self.on_answer: Callable[[bool], None] = lambda _changed: None  # told of each word of discovery's
         self.task: Task | None = None
         self.overdue: set[Task] = set()  # calls for the list that were told as failed and may yet be answered
         self.listed_ms = -inf  # when the call began that brought the list
@@ -185,7 +185,7 @@
         fleet against a discovery that answers more slowly than calls are given up: all its time would go
         into answers that nobody waits for.
         """
-        task, over = self.loop.current, self.overdue
+        task, over = self.loop.running_task(), self.overdue
 
         def give_up() -> None:
             over.add(task)
@@ -245,15 +245,15 @@
             self.confirmed_ms = now
 
     def rows(self) -> list[dict[str, Any]]:
-        """Return the list as it is held, as discovery writes it."""
-        peers, listed = self.upstream.pool.servers, self.starts.listed_unix_ms
-        return [
-            protocol.row_of(
-                entry._replace(process_started_ms=listed(name)), peers[name].address, self.config.deployment
-            )
-            for name, entry in self.held.items()
-            if name in peers and peers[name].address is not None
-        ]
+        """Return the list as it is held, as discovery writes it; servers without an address are left out."""
+        servers, deployment = self.upstream.pool.servers, self.config.deployment
+        found = []
+        for name, entry in self.held.items():
+            address = servers[name].address if name in servers else None
+            if address is not None:
+                as_listed = entry._replace(process_started_ms=self.starts.listed_unix_ms(name))
+                found.append(protocol.row_of(as_listed, address, deployment))
+        return found
 
     def take(self, value: Any, cached: bool = False, doubt: float = 0.0, resumed: bool = False) -> bool:  # noqa: ANN401
         """Take in an answer; a change that is older than what is held does not fit, and is left.
--- a/marlseam/net/downstream.py
+++ b/marlseam/net/downstream.py
@@ -6,6 +6,7 @@
 from dataclasses import dataclass, replace
 from http import HTTPStatus
 from math import inf
+from typing import NamedTuple
 
 import h11
 
@@ -36,8 +37,26 @@
     body_bytes: float
 
 
+class ClientAnswer(NamedTuple):
+    """What a client is answered."""
+
+    status: int
+    headers: Headers
+    body: bytes
+
+
 class PendingRequest:
-    """A request that is out for its client, and the answer once there is one."""
+    """A client's request, and the answer once there is one.
+
+    Attributes:
+        client_request: the request as its client wrote it.
+        is_client_gone: looks whether its client has ended its connection.
+        task: that waits for the answer; None before and after that.
+        was_sent: whether an attempt was handed on to be sent.
+        deadline_at_ms: until when the client waits, by the loop's clock.
+        answer: None until there is one.
+
+    """
 
     def __init__(
         self, client_request: ClientRequest, taken_ms: float, gone: Callable[[], bool] = lambda: False
@@ -49,11 +68,11 @@
         self.task: Task | None = None  # that waits for the answer
         self.was_sent = False  # whether an attempt was handed on to be sent
         self.deadline_at_ms = taken_ms + client_request.time_left_ms
-        self.answer: tuple[int, Headers, bytes] | None = None
+        self.answer: ClientAnswer | None = None
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Give the answer to the client's coroutine."""
-        self.answer = (status, headers, body)
+        self.answer = ClientAnswer(status, headers, body)
         if self.task is not None:
             self.task.wake()
 
@@ -124,7 +143,8 @@
         """Serve a connection; without room, as the listener closes, what came on it is refused at once."""
         connection = Connection(self.loop, self.log, sock, h11.SERVER, "client")
         # It may have stood in the queue since then, and its first request with it.
-        connection.last_empty_ms = connection.earliest_sent_ms = self.listener.last_empty_ms
+        if self.listener is not None:
+            connection.last_empty_ms = connection.earliest_sent_ms = self.listener.last_empty_ms
         if not self.has_capacity(False):
             connection.send_last_response(HTTPStatus.SERVICE_UNAVAILABLE)
             connection.close(Reason.CROWDED)
@@ -230,7 +250,7 @@
     def serve(self, connection: Connection) -> Coroutine:
         """Serve a client's requests one after the other."""
         reason = Reason.FAULT
-        self.unproven[connection] = self.loop.current
+        self.unproven[connection] = self.loop.running_task()
         try:
             while (yield from self.request(connection)):
                 # Guards the others' turns against a client that sends many requests ahead.
@@ -241,7 +261,7 @@
             self.reserved_bytes.pop(connection, None)
             self.reading.pop(connection, None)
             if ended.status:
-                self.unproven[connection] = self.loop.current
+                self.unproven[connection] = self.loop.running_task()
                 self.unanswered.pop(connection, None)
                 yield from http.complain(connection, ended, self.loop.now() + WRITE_TIMEOUT_MS)
         except Cancelled:
@@ -271,7 +291,7 @@
         while not connection.has_ahead() and not connection.eof:
             if connection.fill():
                 continue
-            self.idle[connection] = self.loop.current
+            self.idle[connection] = self.loop.running_task()
             came = yield (connection.sock.fileno(), READ, until)
             self.idle.pop(connection, None)
             if came == LATE and connection.is_quiet():  # not where a request comes just then
@@ -284,7 +304,7 @@
         yield from self.first_byte(connection)
         began = self.loop.now()
         until = (connection.opened_ms if connection in self.unproven else began) + READ_TIMEOUT_MS
-        self.reading[connection] = self.loop.current
+        self.reading[connection] = self.loop.running_task()
         try:
             call = yield from http.read(
                 connection,
@@ -325,13 +345,13 @@
             raise ConnectionEndedError(Reason.PEER_CLOSED)
         if id in self.correlation_ids:
             raise MalformedMessageError("a work unit with this id is out", 409)
-        pending.task = self.loop.current
+        pending.task = self.loop.running_task()
         self.correlation_ids.add(id)
         self.unproven.pop(connection, None)
         request_id = ""
         try:
             request_id = self.take_request(pending)
-            yield from self.wait_for_answer(connection, pending, request_id)
+            answer = yield from self.wait_for_answer(connection, pending, request_id)
         except ConnectionEndedError:
             raise
         except Exception:
@@ -339,9 +359,9 @@
             raise
         finally:
             self.correlation_ids.discard(id)
-        if pending.answer[0] == HTTPStatus.BAD_REQUEST:
+        if answer.status == HTTPStatus.BAD_REQUEST:
             raise MalformedMessageError("no executor can use this")
-        return pending.answer
+        return answer
 
     def wait_for_answer(self, connection: Connection, pending: PendingRequest, request_id: str) -> Steps:
         """Wait for a request's answer, or for its client to go."""
@@ -363,3 +383,4 @@
                     self.client_left(request_id)
                     raise ConnectionEndedError(Reason.PEER_CLOSED)
         pending.task = None
+        return pending.answer
--- a/marlseam/net/http.py
+++ b/marlseam/net/http.py
@@ -5,6 +5,7 @@
 import socket
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum, auto
 from http import HTTPStatus
 from math import inf
 
@@ -52,6 +53,16 @@
     return sock
 
 
+class AcceptResult(Enum):
+    """What an attempt to accept one connection came to."""
+
+    ACCEPTED = auto()
+    QUEUE_EMPTY = auto()
+    LOST = auto()  # it is gone already, or a signal came
+    CAPACITY_MADE = auto()  # nothing was left, and something was given up for it
+    NO_CAPACITY = auto()
+
+
 class Listener:
     """Accepts connections for as long as it is open.
 
@@ -78,36 +89,46 @@
 
     def accept(self) -> Coroutine:
         """Accept connections, some in each turn of the loop."""
-        waiting = select.poll()
-        waiting.register(self.sock, select.POLLIN)
-        empty = True  # whether nobody stood in the queue as it was waited for
+        poller = select.poll()
+        poller.register(self.sock, select.POLLIN)
+        was_empty = True  # whether nobody stood in the queue as it was waited for
         while True:
             yield (self.sock.fileno(), READ, inf)
-            if empty:
+            if was_empty:
                 self.last_empty_ms = max(self.last_empty_ms, self.loop.ready_since_ms)
-            empty = False
-            made = False  # whether room was made and is not used yet
+            was_empty = False
+            has_made_capacity = False  # and it is not used yet
             for _ in range(MAX_ACCEPTS_PER_TURN):
-                if not syscalls.is_poll_ready(waiting, if_unknown=True):
-                    empty, self.last_empty_ms = True, self.loop.now()
+                if not syscalls.is_poll_ready(poller, if_unknown=True):
+                    was_empty, self.last_empty_ms = True, self.loop.now()
                     break  # before room is made: for nobody a connection would be closed
                 while not self.has_capacity(False):
                     # Guards against losing requests: what is not accepted yet waits, what is would be lost.
                     yield from sleep(self.loop.now() + CAPACITY_RETRY_MS)
-                try:
-                    self.accept_one()
-                    made = False
-                except BlockingIOError:
+                result = self.try_accept(has_made_capacity)
+                if result is AcceptResult.QUEUE_EMPTY:
+                    break
+                if result is AcceptResult.NO_CAPACITY:
+                    # Guards against a busy loop: the listener stays readable while nothing can be taken;
+                    # and connections, where the whole system is short and giving up ours does not help.
+                    yield from sleep(self.loop.now() + CAPACITY_RETRY_MS)
                     break
-                except OSError as error:
-                    if error.errno not in SHORTAGE_ERRNOS:
-                        continue
-                    if made or not self.has_capacity(True):
-                        # Guards against a busy loop: the listener stays readable while nothing can be taken;
-                        # and connections, where the whole system is short and giving up ours does not help.
-                        yield from sleep(self.loop.now() + CAPACITY_RETRY_MS)
-                        break
-                    made = True
+                if result is not AcceptResult.LOST:
+                    has_made_capacity = result is AcceptResult.CAPACITY_MADE
+
+    def try_accept(self, has_made_capacity: bool) -> AcceptResult:
+        """Accept one connection; where nothing is left, have something given up, unless that was no use."""
+        try:
+            self.accept_one()
+        except BlockingIOError:
+            return AcceptResult.QUEUE_EMPTY
+        except OSError as error:
+            if error.errno not in SHORTAGE_ERRNOS:
+                return AcceptResult.LOST
+            if has_made_capacity or not self.has_capacity(True):
+                return AcceptResult.NO_CAPACITY
+            return AcceptResult.CAPACITY_MADE
+        return AcceptResult.ACCEPTED
 
     def accept_one(self) -> None:
         """Accept one connection; OSError where there is none, it is gone already, or nothing can be had."""
@@ -135,20 +156,16 @@
 
     def accept_queued(self) -> None:
         """Accept what stands in the queue, then close; where nothing can be had, go on a little later."""
-        made = False  # whether room was made and is not used yet
+        has_made_capacity = False  # and it is not used yet
         for _ in range(BACKLOG):
-            try:
-                self.accept_one()
-                made = False
-            except BlockingIOError:
+            result = self.try_accept(has_made_capacity)
+            if result is AcceptResult.QUEUE_EMPTY:
                 break
-            except OSError as error:
-                if error.errno not in SHORTAGE_ERRNOS:
-                    continue  # it is gone already, or a signal came
-                if made or not self.has_capacity(True):
-                    self.loop.at(self.loop.now() + CAPACITY_RETRY_MS, self.accept_queued)
-                    return
-                made = True
+            if result is AcceptResult.NO_CAPACITY:
+                self.loop.at(self.loop.now() + CAPACITY_RETRY_MS, self.accept_queued)
+                return
+            if result is not AcceptResult.LOST:
+                has_made_capacity = result is AcceptResult.CAPACITY_MADE
         self.close_socket()
 
 
--- a/marlseam/net/invariants.py
+++ b/marlseam/net/invariants.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 from math import inf, sqrt
+from typing import NamedTuple
 
 from marlseam.configuration import Deployment
 from marlseam.core import EndpointEntry
@@ -74,6 +75,13 @@
     ended_ms: float = inf
 
 
+class SlowStartSend(NamedTuple):
+    """A send to a server in slow start: when it began, and its size in mean requests."""
+
+    begun_ms: float
+    size: float
+
+
 NEVER_RAN = (Outcome.AT_CAPACITY, Outcome.UNREACHABLE, Outcome.CANCELLED_UNSENT)
 
 
@@ -95,9 +103,7 @@
         self.requests: dict[str, GuardedRequest] = {}
         self.recently_ended: dict[str, Promise] = {}  # requests that were forgotten last
         self.draining_ms: dict[str, float] = {}  # since when a server is told to drain or be gone
-        self.slow_start_sends: dict[
-            str, deque[tuple[float, float]]
-        ] = {}  # sends in slow start: when, of what size
+        self.slow_start_sends: dict[str, deque[SlowStartSend]] = {}  # sends in slow start: when, of what size
 
     # What happens.
 
@@ -198,10 +204,10 @@
             self.slow_start_sends.pop(server, None)
             return False
         sends = self.slow_start_sends.setdefault(server, deque())
-        while sends and sends[0][0] < now - self.deployment.settings.overload_window_ms:
+        while sends and sends[0].begun_ms < now - self.deployment.settings.overload_window_ms:
             sends.popleft()
         factor = more = 3.0 if budget < SMALL_SLOW_START_BUDGET else 2.0
-        if sends and sum(row[1] for row in sends) + size > budget + factor * sqrt(budget) + more:
+        if sends and sum(send.size for send in sends) + size > budget + factor * sqrt(budget) + more:
             return True
-        sends.append((now, size))
+        sends.append(SlowStartSend(now, size))
         return False
--- a/marlseam/net/loop.py
+++ b/marlseam/net/loop.py
@@ -13,6 +13,7 @@
 import traceback
 from collections import deque
 from collections.abc import Callable, Generator, Mapping
+from functools import partial
 from math import inf
 
 from marlseam.net import syscalls
@@ -69,7 +70,8 @@
 
     def __init__(self, loop: "Loop", coroutine: Coroutine, first: bool) -> None:
         self.loop, self.coroutine, self.first = loop, coroutine, first
-        self.fd, self.timer = -1, None
+        self.fd = -1
+        self.timer: Timer | None = None
         self.done = self.running = self.woken = False
 
     def step(self, value: str | None, error: BaseException | None = None) -> None:
@@ -80,7 +82,7 @@
         outer, self.loop.current = self.loop.current, self
         self.running, self.woken = True, False
         try:
-            wait = self.coroutine.throw(error) if error is not None else self.coroutine.send(value)
+            wait = self.resume(value, error)
         except (StopIteration, Cancelled):
             self.end()
             return
@@ -101,6 +103,12 @@
         if until < inf:
             self.timer = self.loop.at(until, lambda: self.step(LATE))
 
+    def resume(self, value: str | None, error: BaseException | None) -> Wait:
+        """Run the coroutine up to its next wait, from its start where there is no value to resume it with."""
+        if error is not None:
+            return self.coroutine.throw(error)
+        return next(self.coroutine) if value is None else self.coroutine.send(value)
+
     def arm(self, mask: int) -> None:
         """Wait for a socket; where the system cannot note that for a moment, it is asked again soon."""
         fd = self.fd
@@ -110,7 +118,7 @@
             if syscalls.is_transient(error):
                 self.loop.at(self.loop.now() + syscalls.TRANSIENT_RETRY_MS, lambda: self.arm_again(fd, mask))
             else:
-                self.loop.soon(lambda fault=error: self.break_off(fd, fault))
+                self.loop.soon(partial(self.break_off, fd, error))
 
     def arm_again(self, fd: int, mask: int) -> None:
         """Wait for a socket after all, unless the coroutine has gone on meanwhile."""
@@ -185,6 +193,11 @@
         task.step(None)
         return task
 
+    def running_task(self) -> Task:
+        """Return the task whose coroutine runs now; for use within one."""
+        assert self.current is not None
+        return self.current
+
     def soon(self, call: Callable[[], None]) -> None:
         """Call before the next wait."""
         self.calls.append(call)
--- a/marlseam/net/protocol.py
+++ b/marlseam/net/protocol.py
@@ -250,13 +250,13 @@
         return Line(started=True)
     if state == "running" and finite(share) is not None:
         return Line(share=finite(share))
-    known = isinstance(state, str) and state in OUTCOME_BY_STATE
-    if not known or (state == "done" and not isinstance(result, str)):
+    if not isinstance(state, str) or state not in OUTCOME_BY_STATE:
         raise MalformedMessageError("a line tells no known state")
+    if state == "done" and not isinstance(result, str):
+        raise MalformedMessageError("a line tells no known state")
+    text = str(result) if state == "done" else ""
     try:
-        return Line(
-            end=OUTCOME_BY_STATE[state], result=result.encode() if state == "done" else b"", report=report
-        )
+        return Line(end=OUTCOME_BY_STATE[state], result=text.encode(), report=report)
     except UnicodeEncodeError:
         raise MalformedMessageError("a result is no text") from None
 
