--- a/marlseam/net/connection.py
+++ b/marlseam/net/connection.py
@@ -201,8 +201,8 @@
         """
         try:
             if not self.has_discarded:
-                room = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF)
-                far = min(len(DISCARD_BUFFER), int(HIDDEN_END_SHARE * room))
+                buffer_bytes = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF)
+                far = min(len(DISCARD_BUFFER), int(HIDDEN_END_SHARE * buffer_bytes))
                 self.has_discarded = self.sock.recv_into(DISCARD_BUFFER, far, socket.MSG_PEEK) == far
             for _ in range(MAX_DISCARD_READS if self.has_discarded else 0):
                 if not self.sock.recv_into(DISCARD_BUFFER):
--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -145,9 +145,9 @@
                 until = began + self.wait_ms + min(self.call_ms, MAX_WATCH_LATE_MS)
                 # A watch's wait is over once its answer begins. Guards against one that is cut off in it and
                 # missed only after all of its wait, which is long in large fleets.
-                news = yield from self.call(connection, target, until, self.call_ms)
+                answer = yield from self.call(connection, target, until, self.call_ms)
                 self.confirmed_ms = self.loop.now()  # what it tells has changed just now
-                if not self.heed(connection, news):
+                if not self.heed(connection, answer):
                     until = self.loop.now() + self.call_ms
                     self.heed(connection, (yield from self.call(connection, protocol.LIST_PATH, until)))
                 # Guards discovery against a storm of calls where it answers watches without waiting.
@@ -195,13 +195,13 @@
         target = protocol.watch_target(self.version, RESUME_MS) if resumed else protocol.LIST_PATH
         timer = self.loop.at(began + self.call_ms, give_up)
         try:
-            news = yield from self.call(connection, target, began + self.max_call_ms)
+            answer = yield from self.call(connection, target, began + self.max_call_ms)
         finally:
             self.loop.drop(timer)
         if began < self.listed_ms:
             raise ConnectionEndedError(Reason.DONE)
         self.listed_ms = began
-        if not self.heed(connection, news, resumed):
+        if not self.heed(connection, answer, resumed):
             # What discovery has is older than what is held: it has begun to number anew.
             until = self.loop.now() + self.call_ms
             self.heed(connection, (yield from self.call(connection, protocol.LIST_PATH, until)))
@@ -228,18 +228,18 @@
         except (ValueError, RecursionError):
             raise MalformedMessageError("the answer is no JSON") from None
 
-    def heed(self, connection: Connection, news: Any, resumed: bool = False) -> bool:  # noqa: ANN401
+    def heed(self, connection: Connection, answer: Any, resumed: bool = False) -> bool:  # noqa: ANN401
         """Take in a whole answer, also a connection's last, and return whether it follows on what is held."""
-        fits = self.take(news, resumed=resumed)
+        fits = self.take(answer, resumed=resumed)
         if not connection.start_next_message():
             raise ConnectionEndedError(Reason.DONE)
         return fits
 
-    def place_starts(self, news: protocol.ListAnswer, cached: bool) -> None:
+    def place_starts(self, answer: protocol.ListAnswer, cached: bool) -> None:
         """Bring the starts of servers in an answer onto the node's clock."""
         now = self.loop.now()
-        news.entries[:] = self.starts.place_all(
-            news.entries, now, self.confirmed_ms if self.is_confirmed else None
+        answer.entries[:] = self.starts.place_all(
+            answer.entries, now, self.confirmed_ms if self.is_confirmed else None
         )
         if not cached:
             self.confirmed_ms = now
@@ -260,34 +260,36 @@
 
         One that resumes and brings nothing new is not told: it shows no watch that lasts, so that rests grow.
         """
-        news = protocol.list_answer_from(value, self.config.deployment)
-        whole = news.listing is ListUpdateKind.FULL
-        if (not whole or cached) and news.version < self.version:
+        answer = protocol.list_answer_from(value, self.config.deployment)
+        whole = answer.listing is ListUpdateKind.FULL
+        if (not whole or cached) and answer.version < self.version:
             return False
-        self.place_starts(news, cached)
-        self.version, self.is_confirmed = news.version, not cached
-        for host, text in news.odd:
+        self.place_starts(answer, cached)
+        self.version, self.is_confirmed = answer.version, not cached
+        for host, text in answer.invalid:
             self.log.line(f"discovery: entry of {host[:80] or 'no host'} left out: {text}")
             if whole and host in self.held:
-                news.entries.append(self.held[host])  # what was last good of it stays
-        self.incomplete = bool(news.odd) or (self.incomplete and not whole)
+                answer.entries.append(self.held[host])  # what was last good of it stays
+        self.incomplete = bool(answer.invalid) or (self.incomplete and not whole)
         if whole:
             self.held.clear()
-        for entry in news.entries:
+        for entry in answer.entries:
             if entry.state is EndpointState.GONE:
                 self.held.pop(entry.server, None)
             else:
                 self.held[entry.server] = entry
         self.starts.forget_delisted(self.held)
-        self.upstream.update_endpoints(self.held, news.addresses)
+        self.upstream.update_endpoints(self.held, answer.addresses)
         if self.upstream.guard is not None:
             self.upstream.guard.note_endpoints(self.held, self.loop.now())
-        if resumed and not whole and not news.entries:
+        if resumed and not whole and not answer.entries:
             self.on_answer(False)
             return True
-        self.post(EndpointListUpdate(ListUpdateKind.CACHED if cached else news.listing, news.entries, doubt))
+        self.post(
+            EndpointListUpdate(ListUpdateKind.CACHED if cached else answer.listing, answer.entries, doubt)
+        )
         if not cached:
-            self.on_answer(whole or bool(news.entries))
+            self.on_answer(whole or bool(answer.entries))
         return True
 
     @property
--- a/marlseam/net/downstream.py
+++ b/marlseam/net/downstream.py
@@ -85,7 +85,7 @@
         loop: Loop,
         log: Log,
         config: Config,
-        room: AdmissionLimits,
+        limits: AdmissionLimits,
         ready: Callable[[], bool],
         take: Callable[[PendingRequest], str],
         left: Callable[[str], None],
@@ -97,7 +97,7 @@
         self.unproven: dict[Connection, Task] = {}  # those that have sent nothing good, the oldest first
         self.reading: dict[Connection, Task] = {}  # those whose request has begun to come
         self.reserved_bytes: dict[Connection, int] = {}  # bytes set aside for the bodies of requests
-        self.configure(config.deployment, room)
+        self.configure(config.deployment, limits)
         self.violations: Violations | None = None
         self.unanswered: dict[
             Connection, str
@@ -112,10 +112,10 @@
         self.sock = http.bound(config.listen) if fd is None else http.inherited(fd)
         self.listener: http.Listener | None = None
 
-    def configure(self, deployment: Deployment, room: AdmissionLimits) -> None:
+    def configure(self, deployment: Deployment, limits: AdmissionLimits) -> None:
         """Take in settings, and for how many clients and bytes of their bodies there is room."""
-        self.deployment, self.limits = deployment, room
-        while len(self.open) > room.clients and self.close_one():
+        self.deployment, self.limits = deployment, limits
+        while len(self.open) > limits.clients and self.close_one():
             pass
 
     # Connections.
@@ -237,7 +237,7 @@
     def stop_listening(self) -> None:
         """Take no more connections; where nobody else will, first those that the system has for us."""
         if self.listener is not None:
-            self.listener.close(rest=not self.shared)
+            self.listener.close(accepts_queued=not self.shared)
         else:
             self.loop.close(self.sock)
 
--- a/marlseam/net/effects.py
+++ b/marlseam/net/effects.py
@@ -13,7 +13,7 @@
 NodeEffect = core.Effect | GiveUp
 
 
-class EffectExecutor:
+class EffectHandlers:
     """Carries out effects on a node's parts."""
 
     def __init__(self, node: NodeInterface) -> None:
@@ -105,17 +105,17 @@
         self.node.log.line(effect.text)
 
 
-HANDLERS: dict[type[NodeEffect], Callable[[EffectExecutor, Any], None]] = {
-    core.SendAttempt: EffectExecutor.send_attempt,
-    core.CancelAttempt: EffectExecutor.cancel_attempt,
-    core.Respond: EffectExecutor.respond,
-    core.Reject: EffectExecutor.reject,
-    core.Fail: EffectExecutor.fail,
-    core.Probe: EffectExecutor.probe,
-    core.SetTimer: EffectExecutor.set_timer,
-    core.PersistAttempt: EffectExecutor.record,
-    core.ErasePersisted: EffectExecutor.record,
-    GiveUp: EffectExecutor.give_up,
-    core.WatchEndpoints: EffectExecutor.watch_endpoints,
-    core.Log: EffectExecutor.write_log,
+HANDLERS: dict[type[NodeEffect], Callable[[EffectHandlers, Any], None]] = {
+    core.SendAttempt: EffectHandlers.send_attempt,
+    core.CancelAttempt: EffectHandlers.cancel_attempt,
+    core.Respond: EffectHandlers.respond,
+    core.Reject: EffectHandlers.reject,
+    core.Fail: EffectHandlers.fail,
+    core.Probe: EffectHandlers.probe,
+    core.SetTimer: EffectHandlers.set_timer,
+    core.PersistAttempt: EffectHandlers.record,
+    core.ErasePersisted: EffectHandlers.record,
+    GiveUp: EffectHandlers.give_up,
+    core.WatchEndpoints: EffectHandlers.watch_endpoints,
+    core.Log: EffectHandlers.write_log,
 }
--- a/marlseam/net/graceful_shutdown.py
+++ b/marlseam/net/graceful_shutdown.py
@@ -34,17 +34,17 @@
         self.is_ending = True
         node, config = self.node, self.node.config
         began_ms = node.loop.now()
-        is_socket_kept = config.socket_fd is not None
-        if node.membership is not None and is_socket_kept:
+        is_socket_shared = config.socket_fd is not None
+        if node.membership is not None and is_socket_shared:
             node.membership.leave()  # the later process is the member from here on
         drain_ms = self.drain_ms()
         node.log.line(f"told to end with {len(node.requests.pending)} work units open")
         node.post(core.ShutdownBegun(drain_ms + ANSWER_MS))
         # Guards against a moment without any node: the one that restarted before this may not be back yet.
         # Where the socket is handed on, the one that goes on accepting is there already, or will be.
-        idle_grace_ms = IDLE_GRACE_MS if is_socket_kept else max(LISTEN_MS, KEEP_SHARE * drain_ms)
-        node.downstream.drain(0.0 if is_socket_kept else idle_grace_ms, idle_grace_ms)
-        listen_ms = 0.0 if is_socket_kept else LISTEN_MS
+        idle_grace_ms = IDLE_GRACE_MS if is_socket_shared else max(LISTEN_MS, KEEP_SHARE * drain_ms)
+        node.downstream.drain(0.0 if is_socket_shared else idle_grace_ms, idle_grace_ms)
+        listen_ms = 0.0 if is_socket_shared else LISTEN_MS
         node.loop.at(began_ms + listen_ms, node.downstream.stop_listening)
         last_ms = began_ms + max(drain_ms + EXIT_MS, idle_grace_ms + LAST_READ_MS)
         node.loop.at(began_ms + idle_grace_ms, lambda: self.finish(last_ms))
--- a/marlseam/net/http.py
+++ b/marlseam/net/http.py
@@ -74,11 +74,11 @@
         self,
         loop: Loop,
         sock: socket.socket,
-        room: Callable[[bool], bool],
+        reserve_body: Callable[[bool], bool],
         taken: Callable[[socket.socket], None],
         first: bool = False,
     ) -> None:
-        self.loop, self.sock, self.has_capacity, self.on_accept = loop, sock, room, taken
+        self.loop, self.sock, self.has_capacity, self.on_accept = loop, sock, reserve_body, taken
         self.closed = False  # the socket too: nobody stands in the queue
         self.last_empty_ms = loop.now()  # when nobody stood in the queue for the last time
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
@@ -137,14 +137,14 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.on_accept(sock)
 
-    def close(self, rest: bool = False) -> None:
+    def close(self, accepts_queued: bool = False) -> None:
         """Take no more connections; `rest`: but for those that the system has accepted for us.
 
         Guards requests that stand in the queue, as for want of room: they count as taken, and closing the
         listener would reset them. `taken` sees to it that no limit is passed.
         """
         self.task.cancel()
-        if rest:
+        if accepts_queued:
             self.accept_queued()
         else:
             self.close_socket()
@@ -183,8 +183,8 @@
     connection: Connection,
     until_ms: float,
     allows: Callable[[str, str], object],
-    most: int,
-    room: Callable[[int], Steps] | None = None,
+    max_bytes: int,
+    reserve_body: Callable[[int], Steps] | None = None,
 ) -> Steps:
     """Read one request.
 
@@ -198,12 +198,12 @@
     connection.raw_head.clear()
     method, target = request.method.decode("latin-1"), request.target.decode("latin-1")
     allows(method, target)
-    size = most if "Transfer-Encoding" in head else int(head.get("Content-Length", "0"))
-    if size > most:
+    size = max_bytes if "Transfer-Encoding" in head else int(head.get("Content-Length", "0"))
+    if size > max_bytes:
         raise ConnectionEndedError(Reason.TOO_LARGE, 413)
-    if room is not None:
-        yield from room(size)
-    return Call(method, target, head, (yield from connection.body(most, until_ms)))
+    if reserve_body is not None:
+        yield from reserve_body(size)
+    return Call(method, target, head, (yield from connection.body(max_bytes, until_ms)))
 
 
 def bad(error: MalformedMessageError) -> ConnectionEndedError:
--- a/marlseam/net/invariants.py
+++ b/marlseam/net/invariants.py
@@ -152,13 +152,13 @@
 
     # The look.
 
-    def admit(self, request_id: str, attempt: int, server: str, told_ms: float, now: float) -> bool:
+    def admit(self, request_id: str, attempt: int, server: str, time_left_ms: float, now: float) -> bool:
         """Return whether an attempt may begin now, and note it; a violation is counted and refused."""
         request = self.requests.get(request_id)
         promise = (
             self.recently_ended.get(request_id)
             if request is None
-            else self.broken_promise(request, server, told_ms, now)
+            else self.broken_promise(request, server, time_left_ms, now)
         )
         if promise is not None:
             self.violations.note(promise, request_id=request_id, attempt=attempt, server=server)
@@ -168,14 +168,14 @@
         return True
 
     def broken_promise(
-        self, request: GuardedRequest, server: str, told_ms: float, now: float
+        self, request: GuardedRequest, server: str, time_left_ms: float, now: float
     ) -> Promise | None:
         """Return the promise that an attempt would break."""
         if request.ended is Promise.AFTER_ANSWER:
             return request.ended
         if request.ended is not None and now - request.ended_ms > LEAVING_GRACE_MS:
             return request.ended
-        if told_ms > request.deadline_at_ms - now + DEADLINE_TOLERANCE_MS:
+        if time_left_ms > request.deadline_at_ms - now + DEADLINE_TOLERANCE_MS:
             return Promise.DEADLINE
         since = self.draining_ms.get(server)
         if since is not None and now - since > self.deployment.grace_ms:
--- a/marlseam/net/node.py
+++ b/marlseam/net/node.py
@@ -25,7 +25,7 @@
 from marlseam.net.configured_socket import config_error_on_failure
 from marlseam.net.discovery import Discovery, ListSnapshot
 from marlseam.net.downstream import DownstreamServer
-from marlseam.net.effects import EffectExecutor, NodeEffect
+from marlseam.net.effects import EffectHandlers, NodeEffect
 from marlseam.net.graceful_shutdown import ANSWER_MS, MAX_DRAIN_MS, GracefulShutdown
 from marlseam.net.invariants import SendGuard, Violations
 from marlseam.net.limits import (
@@ -97,7 +97,7 @@
         self.loop = Loop(lambda text: self.log.line(text.strip().replace("\n", " | ")))
         self.log = Log(config.name, self.loop.now)
         self.events, self.is_reducing = deque[Event](), False
-        self.requests, self.effects = OpenRequests(self), EffectExecutor(self)
+        self.requests, self.effects = OpenRequests(self), EffectHandlers(self)
         self.service, self.shutdown = ServiceState(self), GracefulShutdown(self)
         self.settings_reload = SettingsReload(self)
         self.durable_state: DurableState | None = None
--- a/marlseam/net/protocol.py
+++ b/marlseam/net/protocol.py
@@ -265,12 +265,12 @@
     """Cuts a streamed answer into its lines."""
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.remainder = b""
 
     def feed(self, data: bytes) -> list[bytes]:
         """Take in some bytes and return the lines that they end."""
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        if len(self.rest) > MAX_LINE_BYTES or any(len(line) > MAX_LINE_BYTES for line in lines):
+        *lines, self.remainder = (self.remainder + data).split(b"\n")
+        if len(self.remainder) > MAX_LINE_BYTES or any(len(line) > MAX_LINE_BYTES for line in lines):
             raise MalformedMessageError("a line is too long")
         return [line for line in lines if line.strip()]
 
@@ -315,7 +315,7 @@
     listing: ListUpdateKind
     entries: list[EndpointEntry]
     addresses: dict[str, tuple[str, int]]
-    odd: list[tuple[str, str]]  # the host, as far as it can be told, and what is wrong
+    invalid: list[tuple[str, str]]  # the host, as far as it can be told, and what is wrong
 
 
 def watch_target(version: int, wait_ms: float) -> str:
@@ -330,19 +330,19 @@
     version = value.get("seq")
     if not isinstance(version, int) or isinstance(version, bool):
         raise MalformedMessageError("the answer holds no version")
-    news = ListAnswer(
+    answer = ListAnswer(
         version, ListUpdateKind.FULL if value.get("whole") else ListUpdateKind.DELTA, [], {}, []
     )
     for row in value["hosts"]:
         try:
             entry, address = entry_from(row, deployment)
         except MalformedMessageError as error:
-            news.odd.append((str(row.get("host")) if isinstance(row, dict) else "", str(error)))
+            answer.invalid.append((str(row.get("host")) if isinstance(row, dict) else "", str(error)))
             continue
-        news.entries.append(entry)
+        answer.entries.append(entry)
         if address is not None:
-            news.addresses[entry.server] = address
-    return news
+            answer.addresses[entry.server] = address
+    return answer
 
 
 def entry_from(row: object, deployment: Deployment) -> tuple[EndpointEntry, tuple[str, int] | None]:
@@ -352,13 +352,18 @@
     """
     if not isinstance(row, dict):
         raise MalformedMessageError("no object")
-    name, state, block, born = row.get("host"), row.get("health"), row.get("block"), row.get("born_ms")
-    share, at = finite(row.get("share")), finite(born)
+    name, state, block, started_unix_ms = (
+        row.get("host"),
+        row.get("health"),
+        row.get("block"),
+        row.get("born_ms"),
+    )
+    share, at = finite(row.get("share")), finite(started_unix_ms)
     if not isinstance(name, str) or not name:
         raise MalformedMessageError("no host")
     if not isinstance(state, str) or state not in STATE_BY_HEALTH:
         raise MalformedMessageError("unknown health")
-    if born is not None and at is None and STATE_BY_HEALTH[state] is EndpointState.READY:
+    if started_unix_ms is not None and at is None and STATE_BY_HEALTH[state] is EndpointState.READY:
         raise MalformedMessageError("born_ms is no number")
     entry = EndpointEntry(
         server=name,
--- a/marlseam/net/server_start_times.py
+++ b/marlseam/net/server_start_times.py
@@ -41,8 +41,8 @@
         a first list.
         """
         entries = list(entries)
-        told = [entry.process_started_ms for entry in entries if entry.process_started_ms is not None]
-        self.ahead_ms = max([self.ahead_ms, *(process_started_ms - now_ms for process_started_ms in told)])
+        started = [entry.process_started_ms for entry in entries if entry.process_started_ms is not None]
+        self.ahead_ms = max([self.ahead_ms, *(process_started_ms - now_ms for process_started_ms in started)])
         return [
             entry._replace(process_started_ms=self.place(entry, now_ms, confirmed_ms)) for entry in entries
         ]
--- a/marlseam/net/upstream/pool.py
+++ b/marlseam/net/upstream/pool.py
@@ -96,10 +96,12 @@
         Where only draining excludes a server it may still be sent to, for as long as the reducer knows it.
         """
         settings, now = self.deployment.settings, self.loop.now()
-        kept_ms = FORGET_AFTER_POLLS * settings.list_max_age_ms if settings.only_draining_excludes else 0.0
+        retention_ms = (
+            FORGET_AFTER_POLLS * settings.list_max_age_ms if settings.only_draining_excludes else 0.0
+        )
         for server in [server for server in self.servers.values() if server.name not in names]:
             server.delisted_ms = now if server.delisted_ms is None else server.delisted_ms
-            if now - server.delisted_ms < kept_ms:
+            if now - server.delisted_ms < retention_ms:
                 continue
             server.is_listed = False
             self.close_idle(server)
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -250,7 +250,7 @@
 )
 def test_an_odd_entry_is_left_out(deployment, change):
     found = protocol.list_answer_from(news(HOST | {"host": "e0"}, HOST | change), deployment)
-    assert [entry.server for entry in found.entries] == ["e0"] and len(found.odd) == 1
+    assert [entry.server for entry in found.entries] == ["e0"] and len(found.invalid) == 1
 
 
 @pytest.mark.parametrize("value", [None, [], {}, news(seq="x"), news(hosts={})])
