--- a/marlseam/counters.py
+++ b/marlseam/counters.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-ENDS = ("completed", "rejected", "failed")  # final answers by the operators' words, in their order
+ENDS = ("completed", "rejected", "failed")  # final answers by the names that operators see, in their order
 
 
 @dataclass
--- a/marlseam/net/connection.py
+++ b/marlseam/net/connection.py
@@ -20,10 +20,10 @@
 MAX_HEAD_BYTES = 16384  # bytes of a message's head
 MAX_AHEAD_BYTES = 2048  # bytes kept of what a peer sends ahead of its turn
 AHEAD_CHECK_MS = 20.0  # how often a peer that sent as much is looked at for more
-HIDDEN_END_SHARE = (
-    0.5  # of the system's room for what is unread, up to SINK's size, past which an end may be hidden
-)
-MAX_DISCARD_READS = 16  # of SINK's size, before a connection is closed without a wait, and in one look
+# Of the system's buffer for what is unread, up to DISCARD_BUFFER's size, past which an end may be hidden.
+HIDDEN_END_SHARE = 0.5
+# Of DISCARD_BUFFER's size, before a connection is closed without a wait, and in one check.
+MAX_DISCARD_READS = 16
 DISCARD_BUFFER = bytearray(65536)  # where bytes go that nobody wants
 Headers = list[tuple[str, str]]
 Steps = Generator[Wait, str, Any]
--- a/marlseam/net/descriptors.py
+++ b/marlseam/net/descriptors.py
@@ -1,4 +1,4 @@
-"""Descriptors where none is left: what gives one up, and spares for the node's own needs.
+"""File descriptors where none is left: what closes one, and spares for the node's own needs.
 
 The node counts what it opens (docs/node.md, "Limits"), but the system may have fewer: descriptors that the
 process was started with, a limit that was lowered, other processes of the machine.
--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -10,7 +10,7 @@
 from marlseam.configuration import Config
 from marlseam.core import EndpointEntry, EndpointListUpdate, Event
 from marlseam.decisions.types import EndpointState, ListUpdateKind
-from marlseam.net import protocol
+from marlseam.net import list_codec, protocol
 from marlseam.net.connection import Connection, Steps, connect
 from marlseam.net.errors import ConnectionEndedError, MalformedMessageError
 from marlseam.net.log import Log, Reason
@@ -50,24 +50,39 @@
 
 
 class Discovery:
-    """Follows discovery while it can; a failure is told to the reducer, which says when to ask again."""
+    """Follows discovery while it can; a failure is posted to the reducer, which says when to ask again.
+
+    Attributes:
+        version: of the list that is held; -1 before the first.
+        is_confirmed: whether discovery itself has told the list that is held.
+        is_version_live: whether `version` is a number of the discovery that is called.
+        held: the endpoint list, by server.
+        on_answer: called at each answer with whether it changed the list.
+        task: that follows discovery; None while nothing does.
+        overdue: calls for the list that were posted as failed and may yet be answered.
+        listed_ms: when the call began that brought the list.
+        confirmed_ms: when discovery last said something of the list.
+        incomplete: whether an entry was left out since the last whole list.
+        cancel_reason: with which the connection ends when the task is cancelled.
+
+    """
 
     def __init__(
         self, loop: Loop, log: Log, config: Config, upstream: Upstream, post: Callable[[Event], None]
     ) -> None:
         self.loop, self.log, self.upstream, self.post = loop, log, upstream, post
         self.version = -1
-        self.is_confirmed = False  # by discovery itself
-        self.cancel_reason = Reason.DRAINING  # why a watch is cancelled
+        self.is_confirmed = False
+        self.cancel_reason = Reason.DRAINING
         self.held: dict[str, EndpointEntry] = {}
-        self.on_answer: Callable[[bool], None] = lambda _changed: None  # told of each word of discovery's
+        self.on_answer: Callable[[bool], None] = lambda _changed: None
         self.task: Task | None = None
-        self.overdue: set[Task] = set()  # calls for the list that were told as failed and may yet be answered
-        self.listed_ms = -inf  # when the call began that brought the list
-        self.is_version_live = False  # whether `version` is a number of the discovery that is called
+        self.overdue: set[Task] = set()
+        self.listed_ms = -inf
+        self.is_version_live = False
         self.starts = StartTimes(loop.clock.from_unix)
-        self.confirmed_ms = -inf  # when discovery last said something of the list
-        self.incomplete = False  # whether an entry was left out since the last whole list
+        self.confirmed_ms = -inf
+        self.incomplete = False
         self.set(config)
 
     def set(self, config: Config) -> None:
@@ -235,7 +250,7 @@
             raise ConnectionEndedError(Reason.DONE)
         return fits
 
-    def place_starts(self, answer: protocol.ListAnswer, cached: bool) -> None:
+    def place_starts(self, answer: list_codec.ListAnswer, cached: bool) -> None:
         """Bring the starts of servers in an answer onto the node's clock."""
         now = self.loop.now()
         answer.entries[:] = self.starts.place_all(
@@ -252,7 +267,7 @@
             address = servers[name].address if name in servers else None
             if address is not None:
                 as_listed = entry._replace(process_started_ms=self.starts.listed_unix_ms(name))
-                found.append(protocol.row_of(as_listed, address, deployment))
+                found.append(list_codec.row_of(as_listed, address, deployment))
         return found
 
     def take(self, value: Any, cached: bool = False, doubt: float = 0.0, resumed: bool = False) -> bool:  # noqa: ANN401
@@ -260,7 +275,7 @@
 
         One that resumes and brings nothing new is not told: it shows no watch that lasts, so that rests grow.
         """
-        answer = protocol.list_answer_from(value, self.config.deployment)
+        answer = list_codec.list_answer_from(value, self.config.deployment)
         whole = answer.listing is ListUpdateKind.FULL
         if (not whole or cached) and answer.version < self.version:
             return False
--- a/marlseam/net/downstream.py
+++ b/marlseam/net/downstream.py
@@ -1,4 +1,4 @@
-"""The node's own door: accepts clients, reads their requests and writes their answers."""
+"""The side towards clients: accepts their connections, reads requests and writes answers."""
 
 import socket
 import traceback
@@ -6,80 +6,65 @@
 from dataclasses import dataclass, replace
 from http import HTTPStatus
 from math import inf
-from typing import NamedTuple
 
 import h11
 
 from marlseam.configuration import Config, Deployment
 from marlseam.net import http, protocol
-from marlseam.net.connection import Connection, Headers, Steps
+from marlseam.net.connection import Connection, Steps
 from marlseam.net.errors import ConnectionEndedError, MalformedMessageError
-from marlseam.net.invariants import Promise, Violations
+from marlseam.net.invariants import Invariant, Violations
 from marlseam.net.log import Log, Reason
 from marlseam.net.loop import LATE, READ, READY, WOKEN, Cancelled, Coroutine, Loop, Task, Timer, sleep
-from marlseam.net.protocol import ClientRequest
+from marlseam.net.pending_request import PendingRequest
 
 IDLE_TIMEOUT_MS = 300000.0  # how long a client may keep an unused connection
 DRAIN_CHECK_MS = 20.0  # how often a drain looks for unused connections
-NEW_GRACE_MS = 250.0  # how long it, and whoever makes room, leaves a new one that has said nothing yet
-MAX_NEW_SHARE = 0.25  # of the room for clients, which new ones may have before they make room themselves
-READ_TIMEOUT_MS = (
-    2500.0  # how long a request may take to come: the first from connecting, others from their first byte
-)
+NEW_GRACE_MS = 250.0  # for which a new connection that has sent nothing is not closed to make room
+MAX_NEW_SHARE = 0.25  # of the clients' connections, which new ones may have before they are closed for others
+# How long a request may take to come: the first from connecting, others from their first byte.
+READ_TIMEOUT_MS = 2500.0
 WRITE_TIMEOUT_MS = 2500.0  # how long a client may take to read its answer
 
 
 @dataclass(frozen=True)
 class AdmissionLimits:
-    """What clients may have of the node's limits."""
-
-    clients: int
-    body_bytes: float
+    """What clients may have of the node's limits.
 
+    Attributes:
+        clients: connections.
+        body_bytes: memory for the bodies of their requests together.
 
-class ClientAnswer(NamedTuple):
-    """What a client is answered."""
+    """
 
-    status: int
-    headers: Headers
-    body: bytes
+    clients: int
+    body_bytes: float
 
 
-class PendingRequest:
-    """A client's request, and the answer once there is one.
+class DownstreamServer:
+    """Accepts connections and serves each by a coroutine.
 
     Attributes:
-        client_request: the request as its client wrote it.
-        is_client_gone: looks whether its client has ended its connection.
-        task: that waits for the answer; None before and after that.
-        was_sent: whether an attempt was handed on to be sent.
-        deadline_at_ms: until when the client waits, by the loop's clock.
-        answer: None until there is one.
+        is_ready: asks the node whether clients should come.
+        take_request: hands a request to the node and returns the node's own name of it.
+        client_left: tells the node that the client of a request has gone.
+        open: all connections.
+        idle: those between requests, the longest unused first.
+        unproven: those that have sent nothing good, the oldest first.
+        reading: those whose request has begun to come.
+        reserved_bytes: memory reserved for the bodies of requests.
+        unanswered: requests that were read and have no answer yet, by their correlation ids.
+        correlation_ids: of the requests that are with the node.
+        limits: how many clients there may be, and how many bytes of bodies.
+        violations: counts connections closed over an unanswered request; None where nothing is counted.
+        drain_timer: the next check of a drain; None while there is none.
+        close_answered_at_ms, close_idle_at_ms: from when on each answer closes its connection, and unused
+            connections are closed; inf while no drain is on.
+        shared: whether another process listens on the socket as well.
+        listener: None until the node listens.
 
     """
 
-    def __init__(
-        self, client_request: ClientRequest, taken_ms: float, gone: Callable[[], bool] = lambda: False
-    ) -> None:
-        self.client_request, self.is_client_gone = (
-            client_request,
-            gone,
-        )  # `gone` looks whether its client has ended its connection
-        self.task: Task | None = None  # that waits for the answer
-        self.was_sent = False  # whether an attempt was handed on to be sent
-        self.deadline_at_ms = taken_ms + client_request.time_left_ms
-        self.answer: ClientAnswer | None = None
-
-    def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Give the answer to the client's coroutine."""
-        self.answer = ClientAnswer(status, headers, body)
-        if self.task is not None:
-            self.task.wake()
-
-
-class DownstreamServer:
-    """Accepts connections and serves each by a coroutine; `take` and `left` tell the node of requests."""
-
     def __init__(
         self,
         loop: Loop,
@@ -93,20 +78,16 @@
         self.loop, self.log = loop, log
         self.is_ready, self.take_request, self.client_left = ready, take, left
         self.open: dict[Connection, None] = {}
-        self.idle: dict[Connection, Task] = {}  # those between requests, the longest unused first
-        self.unproven: dict[Connection, Task] = {}  # those that have sent nothing good, the oldest first
-        self.reading: dict[Connection, Task] = {}  # those whose request has begun to come
-        self.reserved_bytes: dict[Connection, int] = {}  # bytes set aside for the bodies of requests
+        self.idle: dict[Connection, Task] = {}
+        self.unproven: dict[Connection, Task] = {}
+        self.reading: dict[Connection, Task] = {}
+        self.reserved_bytes: dict[Connection, int] = {}
         self.configure(config.deployment, limits)
         self.violations: Violations | None = None
-        self.unanswered: dict[
-            Connection, str
-        ] = {}  # requests that were read and have no answer yet, by their ids
-        self.correlation_ids: set[str] = set()  # of requests that are out
-        self.drain_timer: Timer | None = None  # the next look of a drain, while there is one
-        self.close_answered_at_ms = self.close_idle_at_ms = (
-            inf  # when answers, and when unused connections, begin to close
-        )
+        self.unanswered: dict[Connection, str] = {}
+        self.correlation_ids: set[str] = set()
+        self.drain_timer: Timer | None = None
+        self.close_answered_at_ms = self.close_idle_at_ms = inf
         fd = config.socket_fd
         self.shared = fd is not None
         self.sock = http.bound(config.listen) if fd is None else http.inherited(fd)
@@ -213,7 +194,7 @@
         self.drain_timer, self.close_answered_at_ms, self.close_idle_at_ms = None, inf, inf
 
     def close_idle(self) -> None:
-        """Close connections on which nothing is under way, once it is time, and look again."""
+        """Close connections on which nothing is under way, once it is time, and check again later."""
         now = self.loop.now()
         for connection in list(self.idle) if now >= self.close_idle_at_ms else ():
             if connection not in self.unproven or now >= connection.opened_ms + NEW_GRACE_MS:
@@ -278,7 +259,7 @@
         finally:
             id = self.unanswered.pop(connection, None)
             if id is not None and self.violations is not None and not connection.is_peer_gone():
-                self.violations.note(Promise.CLOSE, id=id, reason=reason.value)
+                self.violations.note(Invariant.CLOSE, id=id, reason=reason.value)
             for table in (self.unproven, self.reading, self.idle, self.reserved_bytes, self.open):
                 table.pop(connection, None)
             connection.close(reason)
--- a/marlseam/net/http.py
+++ b/marlseam/net/http.py
@@ -1,4 +1,4 @@
-"""What both doors share: a listener, one request read whole, one answer, and words on a bad request."""
+"""What serving clients and operators shares: a listener, reading a request whole, writing an answer."""
 
 import errno
 import select
@@ -22,7 +22,7 @@
 MAX_ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the loop
 BACKLOG = 512
 LINGER_MS = 1000.0  # how long it is read on after a complaint
-CAPACITY_RETRY_MS = 20.0  # how long what finds no room waits before it looks again
+CAPACITY_RETRY_MS = 20.0  # after which what found no capacity tries again
 
 
 def bound(address: tuple[str, int]) -> socket.socket:
--- a/marlseam/net/invariants.py
+++ b/marlseam/net/invariants.py
@@ -1,6 +1,6 @@
 """What must never happen, checked at run time in one place each, refused where it still can be, and counted.
 
-The decisions and the adapters keep these promises by themselves; a count here says that one of them did not.
+Decisions and adapters keep these invariants by themselves; a count here says that one of them did not.
 A violation costs one log line and one count, never the process.
 """
 
@@ -24,7 +24,7 @@
 SMALL_SLOW_START_BUDGET = 30.0  # requests, under which a slow start's bound has another form
 
 
-class Promise(Enum):
+class Invariant(Enum):
     """An invariant; its value names it for operators."""
 
     AFTER_ANSWER = "no_attempt_after_final_answer"
@@ -38,17 +38,17 @@
 
 
 class Violations:
-    """Counts broken promises by name."""
+    """Counts violated invariants by name."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
-        self.counts = dict.fromkeys(Promise, 0)
+        self.counts = dict.fromkeys(Invariant, 0)
 
-    def note(self, promise: Promise, **ids: object) -> None:
+    def note(self, invariant: Invariant, **ids: object) -> None:
         """Count a violation and write its line."""
-        self.counts[promise] += 1
+        self.counts[invariant] += 1
         fields = " ".join(f"{name}={value}" for name, value in ids.items())
-        self.log.line(f"invariant violated: {promise.value} {fields}")
+        self.log.line(f"invariant violated: {invariant.value} {fields}")
 
     def total(self) -> int:
         """Return how many there were."""
@@ -71,7 +71,7 @@
     client_request: ClientRequest
     deadline_at_ms: float
     attempts: dict[int, GuardedAttempt] = field(default_factory=dict)
-    ended: Promise | None = None  # what an attempt would break from now on
+    ended: Invariant | None = None  # what an attempt would violate from now on
     ended_ms: float = inf
 
 
@@ -86,7 +86,7 @@
 
 
 class SendGuard:
-    """Looks at each attempt right before it begins.
+    """Checks each attempt right before it begins.
 
     `slow_start` returns a server's whole slow start budget in mean requests, inf where it is warm, and the
     size of a request of some class and width.
@@ -101,7 +101,7 @@
         self.violations, self.deployment, self.slow_start = violations, deployment, slow_start
         self.members: set[str] = set()
         self.requests: dict[str, GuardedRequest] = {}
-        self.recently_ended: dict[str, Promise] = {}  # requests that were forgotten last
+        self.recently_ended: dict[str, Invariant] = {}  # requests that were forgotten last
         self.draining_ms: dict[str, float] = {}  # since when a server is told to drain or be gone
         self.slow_start_sends: dict[str, deque[SlowStartSend]] = {}  # sends in slow start: when, of what size
 
@@ -111,15 +111,15 @@
         """Note a request that is to be sent, and until when its client waits."""
         self.requests.setdefault(request_id, GuardedRequest(client_request, deadline_at_ms))
 
-    def note_end(self, request_id: str, promise: Promise, now: float) -> None:
+    def note_end(self, request_id: str, invariant: Invariant, now: float) -> None:
         """Note that a request has its answer, or that its client has left."""
         request = self.requests.get(request_id)
         if request is None:
             return
-        if request.ended is Promise.AFTER_ANSWER and promise is Promise.AFTER_ANSWER:
-            self.violations.note(Promise.ONE_ANSWER, request_id=request_id)
+        if request.ended is Invariant.AFTER_ANSWER and invariant is Invariant.AFTER_ANSWER:
+            self.violations.note(Invariant.ONE_ANSWER, request_id=request_id)
         if request.ended is None:
-            request.ended, request.ended_ms = promise, now
+            request.ended, request.ended_ms = invariant, now
         self.forget(request_id, request)
 
     def note_outcome(self, request_id: str, attempt: int, outcome: Outcome) -> None:
@@ -150,39 +150,39 @@
         if len(self.draining_ms) > MAX_DRAINING_SERVERS + len(held):
             self.draining_ms = {name: at for name, at in self.draining_ms.items() if name in held}
 
-    # The look.
+    # The check.
 
     def admit(self, request_id: str, attempt: int, server: str, time_left_ms: float, now: float) -> bool:
         """Return whether an attempt may begin now, and note it; a violation is counted and refused."""
         request = self.requests.get(request_id)
-        promise = (
+        invariant = (
             self.recently_ended.get(request_id)
             if request is None
-            else self.broken_promise(request, server, time_left_ms, now)
+            else self.broken_invariant(request, server, time_left_ms, now)
         )
-        if promise is not None:
-            self.violations.note(promise, request_id=request_id, attempt=attempt, server=server)
+        if invariant is not None:
+            self.violations.note(invariant, request_id=request_id, attempt=attempt, server=server)
             return False
         if request is not None:
             request.attempts[attempt] = GuardedAttempt(server, now)
         return True
 
-    def broken_promise(
+    def broken_invariant(
         self, request: GuardedRequest, server: str, time_left_ms: float, now: float
-    ) -> Promise | None:
-        """Return the promise that an attempt would break."""
-        if request.ended is Promise.AFTER_ANSWER:
+    ) -> Invariant | None:
+        """Return the invariant that an attempt would violate; None where there is none."""
+        if request.ended is Invariant.AFTER_ANSWER:
             return request.ended
         if request.ended is not None and now - request.ended_ms > LEAVING_GRACE_MS:
             return request.ended
         if time_left_ms > request.deadline_at_ms - now + DEADLINE_TOLERANCE_MS:
-            return Promise.DEADLINE
+            return Invariant.DEADLINE
         since = self.draining_ms.get(server)
         if since is not None and now - since > self.deployment.grace_ms:
-            return Promise.DRAIN
+            return Invariant.DRAIN
         if self.is_repeat(request, now):
-            return Promise.REPEAT
-        return Promise.SLOW_START if self.is_over_budget(server, request.client_request, now) else None
+            return Invariant.REPEAT
+        return Invariant.SLOW_START if self.is_over_budget(server, request.client_request, now) else None
 
     def is_repeat(self, request: GuardedRequest, now: float) -> bool:
         """Return whether something of a request may have run, after which it may not go out again."""
--- /dev/null
+++ b/marlseam/net/list_codec.py
@@ -0,0 +1,107 @@
+"""Discovery's answers turned into an endpoint list, and back; no I/O."""
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Any
+
+from marlseam.configuration import Deployment, address_from, finite
+from marlseam.core import EndpointEntry
+from marlseam.decisions.types import EndpointState, ListUpdateKind
+from marlseam.net.errors import MalformedMessageError
+
+STATE_BY_HEALTH = {
+    "active": EndpointState.READY,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.GONE,
+}
+
+
+@dataclass(frozen=True, slots=True)
+class ListAnswer:
+    """One answer of discovery: what changed, or the whole list, with each server's address."""
+
+    version: int
+    listing: ListUpdateKind
+    entries: list[EndpointEntry]
+    addresses: dict[str, tuple[str, int]]
+    invalid: list[tuple[str, str]]  # the host, as far as it can be told, and what is wrong
+
+
+def list_answer_from(value: object, deployment: Deployment) -> ListAnswer:
+    """Read discovery's answer, with starts in Unix ms as listed; an odd entry is left out and told of."""
+    if not isinstance(value, dict) or not isinstance(value.get("hosts"), list):
+        raise MalformedMessageError("the answer holds no list")
+    version = value.get("seq")
+    if not isinstance(version, int) or isinstance(version, bool):
+        raise MalformedMessageError("the answer holds no version")
+    answer = ListAnswer(
+        version, ListUpdateKind.FULL if value.get("whole") else ListUpdateKind.DELTA, [], {}, []
+    )
+    for row in value["hosts"]:
+        try:
+            entry, address = entry_from(row, deployment)
+        except MalformedMessageError as error:
+            answer.invalid.append((str(row.get("host")) if isinstance(row, dict) else "", str(error)))
+            continue
+        answer.entries.append(entry)
+        if address is not None:
+            answer.addresses[entry.server] = address
+    return answer
+
+
+def entry_from(row: object, deployment: Deployment) -> tuple[EndpointEntry, tuple[str, int] | None]:
+    """Read one entry of the list; of one that wants nothing new, host and health are enough.
+
+    Guards a drain that is told in an entry that is spoilt elsewhere.
+    """
+    if not isinstance(row, dict):
+        raise MalformedMessageError("no object")
+    name, state, block, started_unix_ms = (
+        row.get("host"),
+        row.get("health"),
+        row.get("block"),
+        row.get("born_ms"),
+    )
+    share, at = finite(row.get("share")), finite(started_unix_ms)
+    if not isinstance(name, str) or not name:
+        raise MalformedMessageError("no host")
+    if not isinstance(state, str) or state not in STATE_BY_HEALTH:
+        raise MalformedMessageError("unknown health")
+    if started_unix_ms is not None and at is None and STATE_BY_HEALTH[state] is EndpointState.READY:
+        raise MalformedMessageError("born_ms is no number")
+    entry = EndpointEntry(
+        server=name,
+        state=STATE_BY_HEALTH[state],
+        kind=index_of(row.get("class"), deployment.kinds),
+        zone=index_of(row.get("site"), deployment.zones),
+        cell=block if isinstance(block, int) else -1,
+        process_started_ms=at or None,
+        weight=share if share is not None and share > 0 else None,
+    )
+    if entry.state is EndpointState.GONE:
+        return entry, None
+    address = address_from(row.get("dial"))
+    if address is None and entry.state is EndpointState.READY:
+        raise MalformedMessageError("dial is no address and port")
+    return entry, address
+
+
+def row_of(entry: EndpointEntry, address: tuple[str, int], deployment: Deployment) -> dict[str, Any]:
+    """Write an entry, whose start is as listed, as discovery does."""
+    zones, kinds = list(deployment.zones), list(deployment.kinds)
+    host = f"[{address[0]}]" if ":" in address[0] else address[0]
+    return {
+        "host": entry.server,
+        "dial": f"{host}:{address[1]}",
+        "site": zones[entry.zone] if 0 <= entry.zone < len(zones) else "",
+        "class": kinds[entry.kind] if 0 <= entry.kind < len(kinds) else "",
+        "block": entry.cell,
+        "health": "leaving" if entry.state is EndpointState.DRAINING else "active",
+        "share": 1.0,
+        "born_ms": round(entry.process_started_ms) if entry.process_started_ms is not None else 0,
+    }
+
+
+def index_of(value: Any, names: Mapping[str, int]) -> int:  # noqa: ANN401
+    """Return a name's index; -1 for what is not among the names."""
+    return names.get(value, -1) if isinstance(value, str) else -1
--- a/marlseam/net/log.py
+++ b/marlseam/net/log.py
@@ -34,7 +34,7 @@
 
 
 class Log:
-    """Prints lines while the allowance lasts, and tells how many it dropped once there is some again."""
+    """Prints lines while a budget lasts, and says how many it dropped once there is some again."""
 
     def __init__(self, name: str, now: Callable[[], float]) -> None:
         self.name, self.now = name, now
--- a/marlseam/net/loop.py
+++ b/marlseam/net/loop.py
@@ -21,8 +21,8 @@
 
 READ, WRITE, END = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
 READY, LATE, WOKEN = "ready", "late", "woken"
-MIN_WAITED_MS = 1.0  # a look at the sockets that took longer has waited
-FIRST_CHECK_MS = 5.0  # how often within a turn those that go first are looked for
+MIN_WAITED_MS = 1.0  # a poll that took longer has waited
+FIRST_CHECK_MS = 5.0  # how often within a turn the tasks that go first are polled
 Wait = tuple[int, int, float]
 Coroutine = Generator[Wait, str, None]
 
@@ -169,7 +169,7 @@
         self.now = self.clock.now
         self.poll, self.first = select.epoll(), select.epoll()
         syscalls.retry_transient(lambda: self.poll.register(self.first.fileno(), READ))
-        self.first_run_ms = 0.0  # when those that go first were last looked for
+        self.first_run_ms = 0.0  # when the tasks that go first were last polled
         self.pollers: dict[int, select.epoll] = {}
         self.closed_fds: set[int] = set()  # in this turn
         self.waiting: dict[int, Task] = {}
@@ -179,7 +179,7 @@
         self.current: Task | None = None
         self.timer_count = self.dropped_timers = 0
         self.stopped = False
-        # When this turn's look at the sockets was over, and since when what it found may have been there.
+        # When this turn's poll was over, and since when what it found may have been there.
         self.polled_ms = self.ready_since_ms = self.now()
         self.late_ms = self.turn_ms = 0.0  # the longest that a timer came late, and that a turn took
 
@@ -256,7 +256,7 @@
         pause_s, asked = self.pause_s(), self.now()
         events = syscalls.none_if_transient(lambda: self.poll.poll(pause_s)) or []
         began = self.now()
-        # A look that had to wait ended with what it found; one that had not found what came since the last.
+        # A poll that had to wait ended with what it found; one that had not found what came since the last.
         self.ready_since_ms = began if began - asked > MIN_WAITED_MS else self.polled_ms
         self.polled_ms = began
         self.closed_fds.clear()
@@ -281,7 +281,7 @@
         self.turn_ms = max(self.turn_ms, self.now() - began)
 
     def run_first(self) -> None:
-        """Resume those that go first."""
+        """Resume the ready tasks of those that go first."""
         self.first_run_ms = self.now()
         for fd, _ in syscalls.none_if_transient(lambda: self.first.poll(0)) or []:
             task = self.waiting.get(fd)
@@ -289,7 +289,7 @@
                 task.step(READY)
 
     def run_first_if_due(self) -> None:
-        """Look for those that go first where a turn is long. Guards operators against a busy node."""
+        """Resume those that go first where a turn is long. Guards operators against a busy node."""
         if self.now() - self.first_run_ms > FIRST_CHECK_MS:
             self.run_first()
 
--- a/marlseam/net/open_requests.py
+++ b/marlseam/net/open_requests.py
@@ -5,9 +5,9 @@
 from marlseam import core
 from marlseam.decisions.types import Request
 from marlseam.net.connection import Headers
-from marlseam.net.downstream import PendingRequest
-from marlseam.net.invariants import Promise
+from marlseam.net.invariants import Invariant
 from marlseam.net.node_interface import NodeInterface
+from marlseam.net.pending_request import PendingRequest
 
 
 class GiveUp(NamedTuple):
@@ -73,13 +73,13 @@
 
     def end_without_answer(self, request_id: str) -> None:
         """Have the reducer try nothing more of a request."""
-        self.node.guard.note_end(request_id, Promise.AFTER_LEAVING, self.node.loop.now())
+        self.node.guard.note_end(request_id, Invariant.AFTER_LEAVING, self.node.loop.now())
         self.node.post(core.ClientLeft(request_id))
 
     def answer(self, request_id: str, status: int, headers: Headers, body: bytes) -> None:
         """Give a client its one answer, if it is still there."""
         pending = self.pending.pop(request_id, None)
-        self.node.guard.note_end(request_id, Promise.AFTER_ANSWER, self.node.loop.now())
+        self.node.guard.note_end(request_id, Invariant.AFTER_ANSWER, self.node.loop.now())
         if pending is not None:
             self.node.counters.count_answer(pending.client_request.type_name, status)
             if self.node.config_service is not None:
--- a/marlseam/net/protocol.py
+++ b/marlseam/net/protocol.py
@@ -5,12 +5,10 @@
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
 from math import inf, isfinite
-from typing import Any
 from urllib.parse import parse_qsl
 
-from marlseam.configuration import Deployment, address_from, finite
-from marlseam.core import EndpointEntry
-from marlseam.decisions.types import EndpointState, Idempotency, ListUpdateKind, LoadReport, Outcome
+from marlseam.configuration import Deployment, finite
+from marlseam.decisions.types import Idempotency, LoadReport, Outcome
 from marlseam.net.errors import MalformedMessageError
 
 READY_PATH, LOAD_PATH, LIST_PATH = "/-/ready", "/-/load", "/api/targets"
@@ -25,11 +23,6 @@
 SINGLE_HEADERS = (ID, TYPE, TIME_LEFT, RECEIPT, FACTS, "Host", "Content-Length", "Transfer-Encoding")
 MAX_ID_LENGTH = 256
 MAX_TIME_LEFT_IN_DEADLINES = 100.0  # time left that can be meant, in deadlines of the request class
-STATE_BY_HEALTH = {
-    "active": EndpointState.READY,
-    "leaving": EndpointState.DRAINING,
-    "left": EndpointState.GONE,
-}
 OUTCOME_BY_STATE = {
     "done": Outcome.COMPLETED,
     "failed": Outcome.ERROR,
@@ -250,13 +243,12 @@
         return Line(started=True)
     if state == "running" and finite(share) is not None:
         return Line(share=finite(share))
-    if not isinstance(state, str) or state not in OUTCOME_BY_STATE:
-        raise MalformedMessageError("a line tells no known state")
-    if state == "done" and not isinstance(result, str):
+    outcome = OUTCOME_BY_STATE.get(state) if isinstance(state, str) else None
+    if outcome is None or (state == "done" and not isinstance(result, str)):
         raise MalformedMessageError("a line tells no known state")
     text = str(result) if state == "done" else ""
     try:
-        return Line(end=OUTCOME_BY_STATE[state], result=text.encode(), report=report)
+        return Line(end=outcome, result=text.encode(), report=report)
     except UnicodeEncodeError:
         raise MalformedMessageError("a result is no text") from None
 
@@ -307,97 +299,6 @@
 # Discovery.
 
 
-@dataclass(frozen=True, slots=True)
-class ListAnswer:
-    """One answer of discovery: what changed, or the whole list, with each server's address."""
-
-    version: int
-    listing: ListUpdateKind
-    entries: list[EndpointEntry]
-    addresses: dict[str, tuple[str, int]]
-    invalid: list[tuple[str, str]]  # the host, as far as it can be told, and what is wrong
-
-
 def watch_target(version: int, wait_ms: float) -> str:
     """Return the call that waits for what is newer than a version."""
     return f"{LIST_PATH}?since={version}&timeout_ms={wait_ms:.0f}"
-
-
-def list_answer_from(value: object, deployment: Deployment) -> ListAnswer:
-    """Read discovery's answer, with starts in Unix ms as listed; an odd entry is left out and told of."""
-    if not isinstance(value, dict) or not isinstance(value.get("hosts"), list):
-        raise MalformedMessageError("the answer holds no list")
-    version = value.get("seq")
-    if not isinstance(version, int) or isinstance(version, bool):
-        raise MalformedMessageError("the answer holds no version")
-    answer = ListAnswer(
-        version, ListUpdateKind.FULL if value.get("whole") else ListUpdateKind.DELTA, [], {}, []
-    )
-    for row in value["hosts"]:
-        try:
-            entry, address = entry_from(row, deployment)
-        except MalformedMessageError as error:
-            answer.invalid.append((str(row.get("host")) if isinstance(row, dict) else "", str(error)))
-            continue
-        answer.entries.append(entry)
-        if address is not None:
-            answer.addresses[entry.server] = address
-    return answer
-
-
-def entry_from(row: object, deployment: Deployment) -> tuple[EndpointEntry, tuple[str, int] | None]:
-    """Read one entry of the list; of one that wants nothing new, host and health are enough.
-
-    Guards a drain that is told in an entry that is spoilt elsewhere.
-    """
-    if not isinstance(row, dict):
-        raise MalformedMessageError("no object")
-    name, state, block, started_unix_ms = (
-        row.get("host"),
-        row.get("health"),
-        row.get("block"),
-        row.get("born_ms"),
-    )
-    share, at = finite(row.get("share")), finite(started_unix_ms)
-    if not isinstance(name, str) or not name:
-        raise MalformedMessageError("no host")
-    if not isinstance(state, str) or state not in STATE_BY_HEALTH:
-        raise MalformedMessageError("unknown health")
-    if started_unix_ms is not None and at is None and STATE_BY_HEALTH[state] is EndpointState.READY:
-        raise MalformedMessageError("born_ms is no number")
-    entry = EndpointEntry(
-        server=name,
-        state=STATE_BY_HEALTH[state],
-        kind=index_of(row.get("class"), deployment.kinds),
-        zone=index_of(row.get("site"), deployment.zones),
-        cell=block if isinstance(block, int) else -1,
-        process_started_ms=at or None,
-        weight=share if share is not None and share > 0 else None,
-    )
-    if entry.state is EndpointState.GONE:
-        return entry, None
-    address = address_from(row.get("dial"))
-    if address is None and entry.state is EndpointState.READY:
-        raise MalformedMessageError("dial is no address and port")
-    return entry, address
-
-
-def row_of(entry: EndpointEntry, address: tuple[str, int], deployment: Deployment) -> dict[str, Any]:
-    """Write an entry, whose start is as listed, as discovery does."""
-    zones, kinds = list(deployment.zones), list(deployment.kinds)
-    host = f"[{address[0]}]" if ":" in address[0] else address[0]
-    return {
-        "host": entry.server,
-        "dial": f"{host}:{address[1]}",
-        "site": zones[entry.zone] if 0 <= entry.zone < len(zones) else "",
-        "class": kinds[entry.kind] if 0 <= entry.kind < len(kinds) else "",
-        "block": entry.cell,
-        "health": "leaving" if entry.state is EndpointState.DRAINING else "active",
-        "share": 1.0,
-        "born_ms": round(entry.process_started_ms) if entry.process_started_ms is not None else 0,
-    }
-
-
-def index_of(value: Any, names: Mapping[str, int]) -> int:  # noqa: ANN401
-    """Return a name's index; -1 for what is not among the names."""
-    return names.get(value, -1) if isinstance(value, str) else -1
--- a/marlseam/net/syscalls.py
+++ b/marlseam/net/syscalls.py
@@ -14,7 +14,7 @@
 TRANSIENT_ERRNOS = frozenset({errno.ENOMEM, errno.ENOBUFS, errno.ENOSPC})
 MAX_START_TRIES = 200  # of a call without which no process can start, RETRY_MS apart
 TRANSIENT_RETRY_MS = 5.0  # how long what has failed for a moment waits before it is tried again
-MAX_POLL_TRIES = 8  # of a look that waits for nothing
+MAX_POLL_TRIES = 8  # of a poll that waits for nothing
 T = TypeVar("T")
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -15,7 +15,7 @@
 from marlseam.net import graceful_shutdown, limits
 from marlseam.net import loop as loop_module
 from marlseam.net.admin import AdminCall
-from marlseam.net.invariants import Promise
+from marlseam.net.invariants import Invariant
 from marlseam.net.upstream import AttemptOrder
 
 
@@ -261,7 +261,7 @@
         "config_reloads": 0,
         "config_reload_errors": 0,
         "requests_given_up_on_faults": 0,
-    } | {f"invariant_violations_total.{promise.value}": 0 for promise in Promise}
+    } | {f"invariant_violations_total.{promise.value}": 0 for promise in Invariant}
 
 
 def test_mixed_ends_agree_with_what_clients_and_servers_saw(node, executor, client, reply, figures, call):
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -6,7 +6,7 @@
 
 from marlseam.core import EndpointEntry
 from marlseam.decisions.types import EndpointState, Idempotency, Outcome
-from marlseam.net.invariants import Promise, SendGuard, Violations
+from marlseam.net.invariants import Invariant, SendGuard, Violations
 from marlseam.net.log import Log
 from marlseam.net.protocol import ClientRequest
 
@@ -45,7 +45,7 @@
         told_ms = LEAVING_GRACE_MS - now if told_ms is None else told_ms
         return self.guard.admit("r", self.attempts, server, told_ms, now)
 
-    def broke(self, promise: Promise) -> bool:
+    def broke(self, promise: Invariant) -> bool:
         """Return whether this promise was broken once, and no other."""
         return self.violations.counts[promise] == 1 == self.violations.total()
 
@@ -62,7 +62,7 @@
     assert one.begins(20.0)
     one.guard.note_outcome("r", 2, Outcome.COMPLETED)
     one.guard.note_outcome("r", 3, Outcome.CANCELLED)
-    one.guard.note_end("r", Promise.AFTER_ANSWER, 30.0)
+    one.guard.note_end("r", Invariant.AFTER_ANSWER, 30.0)
     assert not one.violations.total() and not one.guard.requests
 
 
@@ -71,16 +71,16 @@
     one = guarded()
     if out:
         one.begins(0.0)
-    one.guard.note_end("r", Promise.AFTER_ANSWER, 10.0)
-    assert not one.begins(20.0) and one.broke(Promise.AFTER_ANSWER)
+    one.guard.note_end("r", Invariant.AFTER_ANSWER, 10.0)
+    assert not one.begins(20.0) and one.broke(Invariant.AFTER_ANSWER)
 
 
 def test_an_attempt_after_the_client_left_is_refused(guarded):
     one = guarded()
     one.begins(0.0)
-    one.guard.note_end("r", Promise.AFTER_LEAVING, 10.0)
+    one.guard.note_end("r", Invariant.AFTER_LEAVING, 10.0)
     assert one.begins(100.0, "e2")
-    assert not one.begins(111.0, "e2") and one.broke(Promise.AFTER_LEAVING)
+    assert not one.begins(111.0, "e2") and one.broke(Invariant.AFTER_LEAVING)
 
 
 @pytest.mark.parametrize("outcome", [None, Outcome.BROKEN, Outcome.TIMED_OUT, Outcome.ERROR])
@@ -89,7 +89,7 @@
     one.begins(0.0)
     if outcome is not None:
         one.guard.note_outcome("r", 1, outcome)
-    assert not one.begins(10.0, "e2") and one.broke(Promise.REPEAT)
+    assert not one.begins(10.0, "e2") and one.broke(Invariant.REPEAT)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.AT_CAPACITY, Outcome.UNREACHABLE, Outcome.CANCELLED_UNSENT])
@@ -106,7 +106,7 @@
     one.guard.note_outcome("r", 1, Outcome.BROKEN)
     assert one.begins(900.0)
     one.guard.note_outcome("r", 2, Outcome.BROKEN)
-    assert not one.begins(1001.0) and one.broke(Promise.REPEAT)
+    assert not one.begins(1001.0) and one.broke(Invariant.REPEAT)
 
 
 @pytest.mark.parametrize("how", ["drains", "left"])
@@ -119,7 +119,7 @@
     )
     one.guard.note_endpoints(held, 100.0)
     assert one.begins(450.0) and one.begins(600.0, "e2")
-    assert not one.begins(501.0) and one.broke(Promise.DRAIN)
+    assert not one.begins(501.0) and one.broke(Invariant.DRAIN)
     one.guard.note_endpoints({"e1": entry("e1"), "e2": entry("e2")}, 600.0)
     assert one.begins(700.0)
 
@@ -127,20 +127,20 @@
 def test_no_more_time_is_told_than_the_client_has(guarded):
     one = guarded()
     assert one.begins(500.0, told_ms=1600.0)
-    assert not one.begins(500.0, told_ms=1700.0) and one.broke(Promise.DEADLINE)
+    assert not one.begins(500.0, told_ms=1700.0) and one.broke(Invariant.DEADLINE)
 
 
 @pytest.mark.parametrize(("budget", "most"), [(4.0, 13), (36.0, 50)], ids=["small", "large"])
 def test_one_node_alone_sends_no_more_than_a_whole_slow_start_budget(guarded, budget, most):
     one = guarded(budget=budget)
     assert all(one.begins(10.0) for _ in range(most))
-    assert not one.begins(10.0) and one.broke(Promise.SLOW_START)
+    assert not one.begins(10.0) and one.broke(Invariant.SLOW_START)
     assert one.begins(11.0 + one.guard.deployment.settings.overload_window_ms)
 
 
 def test_a_second_answer_is_counted(guarded):
     one = guarded()
     one.begins(0.0)
-    one.guard.note_end("r", Promise.AFTER_ANSWER, 10.0)
-    one.guard.note_end("r", Promise.AFTER_ANSWER, 20.0)
-    assert one.broke(Promise.ONE_ANSWER)
+    one.guard.note_end("r", Invariant.AFTER_ANSWER, 10.0)
+    one.guard.note_end("r", Invariant.AFTER_ANSWER, 20.0)
+    assert one.broke(Invariant.ONE_ANSWER)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -23,10 +23,11 @@
 from marlseam.net import graceful_shutdown, http, limits
 from marlseam.net.buffer import Buffer
 from marlseam.net.connection import connect
-from marlseam.net.downstream import AdmissionLimits, PendingRequest
+from marlseam.net.downstream import AdmissionLimits
 from marlseam.net.errors import ConnectionEndedError, MalformedMessageError
 from marlseam.net.log import MAX_BURST_LINES, Log, Reason
 from marlseam.net.loop import END, LATE, READ, WOKEN, Cancelled
+from marlseam.net.pending_request import PendingRequest
 from marlseam.net.protocol import ClientRequest
 from marlseam.net.upstream import AttemptOrder
 from marlseam.net.upstream import attempts as attempts_module
--- a/tests/test_own_faults.py
+++ b/tests/test_own_faults.py
@@ -9,7 +9,7 @@
 from marlseam import core
 from marlseam.net import effects, protocol
 from marlseam.net.errors import ConnectionEndedError
-from marlseam.net.invariants import Promise
+from marlseam.net.invariants import Invariant
 from marlseam.net.log import Reason
 
 
@@ -103,9 +103,9 @@
 
     monkeypatch.setattr(node.downstream, "serve_request", dropped)
     client(REQUEST)
-    turn(node, lambda: node.violations.counts[Promise.CLOSE])
+    turn(node, lambda: node.violations.counts[Invariant.CLOSE])
     assert node.violations.total() == 1
-    assert f"invariant_violations_total.{Promise.CLOSE.value}=1\n" in node.figures()
+    assert f"invariant_violations_total.{Invariant.CLOSE.value}=1\n" in node.figures()
 
 
 def test_requests_that_are_answered_or_whose_client_leaves_break_no_invariant(node, client, reply, executor):
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -6,7 +6,7 @@
 import pytest
 
 from marlseam.decisions.types import EndpointState, Idempotency, ListUpdateKind, LoadReport, Outcome
-from marlseam.net import protocol
+from marlseam.net import list_codec, protocol
 from marlseam.net.errors import MalformedMessageError
 from marlseam.net.protocol import Head, Lines
 
@@ -220,14 +220,14 @@
 
 
 def test_an_entry_is_read(deployment):
-    found = protocol.list_answer_from(news(HOST), deployment)
+    found = list_codec.list_answer_from(news(HOST), deployment)
     assert found.entries == [("e1", EndpointState.READY, 0, 1, 3, 5000.0, None)] and found.addresses == {
         "e1": ("127.0.0.1", 9)
     }
 
 
 def test_one_that_has_left_needs_no_address(deployment):
-    found = protocol.list_answer_from(news({"host": "e1", "health": "left"}, whole=False), deployment)
+    found = list_codec.list_answer_from(news({"host": "e1", "health": "left"}, whole=False), deployment)
     assert (found.listing, found.entries[0].state, found.addresses) == (
         ListUpdateKind.DELTA,
         EndpointState.GONE,
@@ -249,11 +249,11 @@
     ],
 )
 def test_an_odd_entry_is_left_out(deployment, change):
-    found = protocol.list_answer_from(news(HOST | {"host": "e0"}, HOST | change), deployment)
+    found = list_codec.list_answer_from(news(HOST | {"host": "e0"}, HOST | change), deployment)
     assert [entry.server for entry in found.entries] == ["e0"] and len(found.invalid) == 1
 
 
 @pytest.mark.parametrize("value", [None, [], {}, news(seq="x"), news(hosts={})])
 def test_an_answer_without_a_list_is_malformed(deployment, value):
     with pytest.raises(MalformedMessageError, match="."):
-        protocol.list_answer_from(value, deployment)
+        list_codec.list_answer_from(value, deployment)
