--- a/marlseam/net/list_codec.py
+++ b/marlseam/net/list_codec.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from marlseam.configuration import Deployment, address_from, finite
 from marlseam.core import EndpointEntry
@@ -16,6 +16,13 @@
 }
 
 
+class AddressedEntry(NamedTuple):
+    """An entry of the list and the server's address; None where the entry tells none."""
+
+    entry: EndpointEntry
+    address: tuple[str, int] | None
+
+
 @dataclass(frozen=True, slots=True)
 class ListAnswer:
     """One answer of discovery: what changed, or the whole list, with each server's address."""
@@ -49,7 +56,7 @@
     return answer
 
 
-def entry_from(row: object, deployment: Deployment) -> tuple[EndpointEntry, tuple[str, int] | None]:
+def entry_from(row: object, deployment: Deployment) -> AddressedEntry:
     """Read one entry of the list; of one that wants nothing new, host and health are enough.
 
     Guards a drain that is told in an entry that is spoilt elsewhere.
@@ -79,11 +86,11 @@
         weight=share if share is not None and share > 0 else None,
     )
     if entry.state is EndpointState.GONE:
-        return entry, None
+        return AddressedEntry(entry, None)
     address = address_from(row.get("dial"))
     if address is None and entry.state is EndpointState.READY:
         raise MalformedMessageError("dial is no address and port")
-    return entry, address
+    return AddressedEntry(entry, address)
 
 
 def row_of(entry: EndpointEntry, address: tuple[str, int], deployment: Deployment) -> dict[str, Any]:
--- a/marlseam/net/loop.py
+++ b/marlseam/net/loop.py
@@ -46,9 +46,9 @@
         """Return a Unix time on this clock; the offset never changes, so that equal times stay equal."""
         return unix_ms - self.unix_zero_ms
 
-    def to_unix(self, ms: float) -> float:
+    def to_unix(self, now_ms: float) -> float:
         """Return a time on this clock as Unix time."""
-        return ms + self.unix_zero_ms
+        return now_ms + self.unix_zero_ms
 
     def epoch_ms(self) -> float:
         """Return the Unix time that this process takes for the zero of the machine's monotonic clock."""
@@ -96,9 +96,9 @@
         if self.woken:
             self.loop.soon(lambda: self.step(WOKEN))
             return
-        fd, mask, until = wait
-        if fd >= 0:
-            self.fd = fd
+        descriptor, mask, until = wait
+        if descriptor >= 0:
+            self.fd = descriptor
             self.arm(mask)
         if until < inf:
             self.timer = self.loop.at(until, lambda: self.step(LATE))
@@ -111,28 +111,30 @@
 
     def arm(self, mask: int) -> None:
         """Wait for a socket; where the system cannot note that for a moment, it is asked again soon."""
-        fd = self.fd
+        descriptor = self.fd
         try:
-            self.loop.arm(fd, mask, self)
+            self.loop.arm(descriptor, mask, self)
         except OSError as error:
             if syscalls.is_transient(error):
-                self.loop.at(self.loop.now() + syscalls.TRANSIENT_RETRY_MS, lambda: self.arm_again(fd, mask))
+                self.loop.at(
+                    self.loop.now() + syscalls.TRANSIENT_RETRY_MS, lambda: self.arm_again(descriptor, mask)
+                )
             else:
-                self.loop.soon(partial(self.break_off, fd, error))
+                self.loop.soon(partial(self.break_off, descriptor, error))
 
-    def arm_again(self, fd: int, mask: int) -> None:
+    def arm_again(self, descriptor: int, mask: int) -> None:
         """Wait for a socket after all, unless the coroutine has gone on meanwhile."""
-        if self.is_waiting_for(fd):
+        if self.is_waiting_for(descriptor):
             self.arm(mask)
 
-    def break_off(self, fd: int, error: OSError) -> None:
+    def break_off(self, descriptor: int, error: OSError) -> None:
         """Raise in the coroutine that its socket cannot be waited for, unless it has gone on meanwhile."""
-        if self.is_waiting_for(fd):
+        if self.is_waiting_for(descriptor):
             self.step(None, error)
 
-    def is_waiting_for(self, fd: int) -> bool:
+    def is_waiting_for(self, descriptor: int) -> bool:
         """Return whether the coroutine still waits for a socket."""
-        return not self.done and self.fd == fd and self.loop.waiting.get(fd) is self
+        return not self.done and self.fd == descriptor and self.loop.waiting.get(descriptor) is self
 
     def end(self) -> None:
         """Note that the coroutine has run to its end."""
@@ -219,26 +221,26 @@
             heapq.heapify(self.timers)
             self.dropped_timers = 0
 
-    def arm(self, fd: int, mask: int, task: Task) -> None:
+    def arm(self, descriptor: int, mask: int, task: Task) -> None:
         """Have a task resumed once when a socket is ready."""
-        self.waiting[fd] = task
-        poll = self.pollers.get(fd)
+        self.waiting[descriptor] = task
+        poll = self.pollers.get(descriptor)
         if poll is not None:
-            poll.modify(fd, mask | select.EPOLLONESHOT)
+            poll.modify(descriptor, mask | select.EPOLLONESHOT)
         else:
             poll = self.first if task.first else self.poll
-            poll.register(fd, mask | select.EPOLLONESHOT)
-            self.pollers[fd] = poll
+            poll.register(descriptor, mask | select.EPOLLONESHOT)
+            self.pollers[descriptor] = poll
 
     def close(self, sock: socket.socket) -> None:
         """Close a socket that the loop may know."""
-        fd = sock.fileno()
-        self.waiting.pop(fd, None)
-        poll = self.pollers.pop(fd, None)
+        descriptor = sock.fileno()
+        self.waiting.pop(descriptor, None)
+        poll = self.pollers.pop(descriptor, None)
         if poll is not None:
-            self.closed_fds.add(fd)
+            self.closed_fds.add(descriptor)
             with contextlib.suppress(OSError):
-                poll.unregister(fd)
+                poll.unregister(descriptor)
         sock.close()
 
     def run(self) -> None:
@@ -261,9 +263,9 @@
         self.polled_ms = began
         self.closed_fds.clear()
         self.run_first()
-        for fd, _ in events:
+        for descriptor, _ in events:
             # Guards a new socket under a closed one's number against what was reported of the old one.
-            task = self.waiting.get(fd) if fd not in self.closed_fds else None
+            task = self.waiting.get(descriptor) if descriptor not in self.closed_fds else None
             if task is not None:
                 task.step(READY)
                 self.run_first_if_due()
@@ -283,8 +285,8 @@
     def run_first(self) -> None:
         """Resume the ready tasks of those that go first."""
         self.first_run_ms = self.now()
-        for fd, _ in syscalls.none_if_transient(lambda: self.first.poll(0)) or []:
-            task = self.waiting.get(fd)
+        for descriptor, _ in syscalls.none_if_transient(lambda: self.first.poll(0)) or []:
+            task = self.waiting.get(descriptor)
             if task is not None:
                 task.step(READY)
 
--- a/marlseam/net/node.py
+++ b/marlseam/net/node.py
@@ -359,6 +359,6 @@
         """The earlier name of `service.out_of_service_by`."""
         return self.service.out_of_service_by
 
-    def enter_service(self, by: str) -> OperatorAnswer:
+    def enter_service(self, who: str) -> OperatorAnswer:
         """Do what `service.enter` does, by its earlier name."""
-        return self.service.enter(by)
+        return self.service.enter(who)
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -87,7 +87,7 @@
             # Guards against one that starts at the same time, and takes a name that refuses for a dead one's.
             temporary.rename(self.path)
         except OSError as error:
-            self.log_fault("unheard", f"no later process can be told anything: {error}")
+            self.log_fault("unheard", f"no later process can connect: {error}")
             self.close()
         else:
             self.loop.spawn(self.accept(self.sock), first=True)
@@ -178,7 +178,7 @@
         for peer in list(self.peers):
             if not peer.is_snapshot_complete:
                 self.mark_unknown(peer.source, None)
-                self.log_fault("silent", f"process {peer.name()} did not tell all in time")
+                self.log_fault("silent", f"process {peer.name()} did not complete its snapshot in time")
         took_ms = self.loop.now() - self.began_ms
         latest = self.latest_list
         if latest.rows:
@@ -225,7 +225,7 @@
         """Take in some bytes; raises where they are no valid messages, or too many."""
         peer.received_bytes += len(data)
         if not peer.is_snapshot_complete and peer.received_bytes > MAX_SNAPSHOT_BYTES:
-            raise InvalidLineError("too-large", "it tells too much")
+            raise InvalidLineError("too-large", "its snapshot is too large")
         for raw in peer.lines.feed(data):
             for item in handover_codec.read(raw):
                 self.receive(peer, item)
@@ -233,7 +233,7 @@
     def receive(self, peer: PeerProcess, item: HandoverItem) -> None:
         """Take in one message; the first must be Hello."""
         if peer.hello is None and type(item) is not Hello:
-            raise InvalidLineError("odd", "it says nothing of itself")
+            raise InvalidLineError("odd", "its first message is no hello")
         HANDLERS[type(item)](self, peer, item)
 
     def receive_hello(self, peer: PeerProcess, item: Hello) -> None:
@@ -338,7 +338,7 @@
             # Guards also against one that was killed, or hangs and was left behind: its last attempts may be
             # on no line that came.
             self.mark_unknown(peer.source, self.loop.now())
-            self.log_fault("cut", f"process {peer.name()} ended before it had told all")
+            self.log_fault("cut", f"process {peer.name()} ended without telling its last attempts")
         self.node.apply_process_count()
         if not self.is_done:
             self.finish_if_complete()
--- a/marlseam/net/service_state.py
+++ b/marlseam/net/service_state.py
@@ -37,19 +37,19 @@
         if self.is_waiting_for_version and not self.node.shutdown.is_ending:
             self.listen()
 
-    def leave(self, by: str) -> OperatorAnswer:
+    def leave(self, who: str) -> OperatorAnswer:
         """Send clients away; what is taken is finished, and all else goes on."""
-        self.out_of_service_by.add(by)
+        self.out_of_service_by.add(who)
         if self.node.downstream.drain_timer is None:
             self.node.log.line(f"out of service with {len(self.node.requests.pending)} work units open")
         self.node.downstream.drain(0.0, graceful_shutdown.IDLE_GRACE_MS)
         return OperatorAnswer(200, "")
 
-    def enter(self, by: str) -> OperatorAnswer:
+    def enter(self, who: str) -> OperatorAnswer:
         """Serve again as before, unless the process ends or another has it out."""
         if self.node.shutdown.is_ending:
             return OperatorAnswer(409, "the process ends\n")
-        self.out_of_service_by.discard(by)
+        self.out_of_service_by.discard(who)
         if self.out_of_service_by:
             names = ", ".join(sorted(self.out_of_service_by))
             return OperatorAnswer(200, f"still out of service by {names}\n")
