--- a/marlseam/net/http.py
+++ b/marlseam/net/http.py
@@ -1,26 +1,28 @@
-"""What both doors share: a listener, one request read whole, one answer, and words on a bad request."""
+"""What serving clients and operators shares: a listener, reading a request whole, writing an answer."""
 
 import errno
 import select
 import socket
 from collections.abc import Callable
 from dataclasses import dataclass
+from enum import Enum, auto
 from http import HTTPStatus
 from math import inf
 
 import h11
 
 from marlseam.net import protocol, syscalls
-from marlseam.net.connection import Connection, Ended, Headers, Steps
-from marlseam.net.descriptors import NOTHING_LEFT
+from marlseam.net.connection import Connection, Headers, Steps
+from marlseam.net.descriptors import SHORTAGE_ERRNOS
+from marlseam.net.errors import ConnectionEndedError, MalformedMessageError
 from marlseam.net.log import Reason
 from marlseam.net.loop import READ, Coroutine, Loop, sleep
-from marlseam.net.protocol import Head, Malformed
+from marlseam.net.protocol import Head
 
-ACCEPTS = 16  # connections accepted in one turn of the loop
+MAX_ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the loop
 BACKLOG = 512
 LINGER_MS = 1000.0  # how long it is read on after a complaint
-PAUSE_MS = 20.0  # how long what finds no room waits before it looks again
+CAPACITY_RETRY_MS = 20.0  # after which what found no capacity tries again
 
 
 def bound(address: tuple[str, int]) -> socket.socket:
@@ -51,6 +53,16 @@
     return sock
 
 
+class AcceptResult(Enum):
+    """What an attempt to accept one connection came to."""
+
+    ACCEPTED = auto()
+    QUEUE_EMPTY = auto()
+    LOST = auto()  # it is gone already, or a signal came
+    CAPACITY_MADE = auto()  # nothing was left, and something was given up for it
+    NO_CAPACITY = auto()
+
+
 class Listener:
     """Accepts connections for as long as it is open.
 
@@ -62,13 +74,13 @@
         self,
         loop: Loop,
         sock: socket.socket,
-        room: Callable[[bool], bool],
+        reserve_body: Callable[[bool], bool],
         taken: Callable[[socket.socket], None],
         first: bool = False,
     ) -> None:
-        self.loop, self.sock, self.room, self.taken = loop, sock, room, taken
+        self.loop, self.sock, self.has_capacity, self.on_accept = loop, sock, reserve_body, taken
         self.closed = False  # the socket too: nobody stands in the queue
-        self.empty_ms = loop.now()  # when nobody stood in the queue for the last time
+        self.last_empty_ms = loop.now()  # when nobody stood in the queue for the last time
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
             # Not before: a client's time runs, unseen by the node, while it waits for a start that reads its
             # memory; and one that is turned away goes elsewhere at once.
@@ -77,78 +89,84 @@
 
     def accept(self) -> Coroutine:
         """Accept connections, some in each turn of the loop."""
-        waiting = select.poll()
-        waiting.register(self.sock, select.POLLIN)
-        empty = True  # whether nobody stood in the queue as it was waited for
+        poller = select.poll()
+        poller.register(self.sock, select.POLLIN)
+        was_empty = True  # whether nobody stood in the queue as it was waited for
         while True:
             yield (self.sock.fileno(), READ, inf)
-            if empty:
-                self.empty_ms = max(self.empty_ms, self.loop.ready_since_ms)
-            empty = False
-            made = False  # whether room was made and is not used yet
-            for _ in range(ACCEPTS):
-                if not syscalls.looked(waiting, unknown=True):
-                    empty, self.empty_ms = True, self.loop.now()
+            if was_empty:
+                self.last_empty_ms = max(self.last_empty_ms, self.loop.ready_since_ms)
+            was_empty = False
+            has_made_capacity = False  # and it is not used yet
+            for _ in range(MAX_ACCEPTS_PER_TURN):
+                if not syscalls.is_poll_ready(poller, if_unknown=True):
+                    was_empty, self.last_empty_ms = True, self.loop.now()
                     break  # before room is made: for nobody a connection would be closed
-                while not self.room(False):
+                while not self.has_capacity(False):
                     # Guards against losing requests: what is not accepted yet waits, what is would be lost.
-                    yield from sleep(self.loop.now() + PAUSE_MS)
-                try:
-                    self.one()
-                    made = False
-                except BlockingIOError:
+                    yield from sleep(self.loop.now() + CAPACITY_RETRY_MS)
+                result = self.try_accept(has_made_capacity)
+                if result is AcceptResult.QUEUE_EMPTY:
+                    break
+                if result is AcceptResult.NO_CAPACITY:
+                    # Guards against a busy loop: the listener stays readable while nothing can be taken;
+                    # and connections, where the whole system is short and giving up ours does not help.
+                    yield from sleep(self.loop.now() + CAPACITY_RETRY_MS)
                     break
-                except OSError as error:
-                    if error.errno not in NOTHING_LEFT:
-                        continue
-                    if made or not self.room(True):
-                        # Guards against a busy loop: the listener stays readable while nothing can be taken;
-                        # and connections, where the whole system is short and giving up ours does not help.
-                        yield from sleep(self.loop.now() + PAUSE_MS)
-                        break
-                    made = True
-
-    def one(self) -> None:
+                if result is not AcceptResult.LOST:
+                    has_made_capacity = result is AcceptResult.CAPACITY_MADE
+
+    def try_accept(self, has_made_capacity: bool) -> AcceptResult:
+        """Accept one connection; where nothing is left, have something given up, unless that was no use."""
+        try:
+            self.accept_one()
+        except BlockingIOError:
+            return AcceptResult.QUEUE_EMPTY
+        except OSError as error:
+            if error.errno not in SHORTAGE_ERRNOS:
+                return AcceptResult.LOST
+            if has_made_capacity or not self.has_capacity(True):
+                return AcceptResult.NO_CAPACITY
+            return AcceptResult.CAPACITY_MADE
+        return AcceptResult.ACCEPTED
+
+    def accept_one(self) -> None:
         """Accept one connection; OSError where there is none, it is gone already, or nothing can be had."""
         sock, _ = self.sock.accept()
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.taken(sock)
+        self.on_accept(sock)
 
-    def close(self, rest: bool = False) -> None:
+    def close(self, accepts_queued: bool = False) -> None:
         """Take no more connections; `rest`: but for those that the system has accepted for us.
 
         Guards requests that stand in the queue, as for want of room: they count as taken, and closing the
         listener would reset them. `taken` sees to it that no limit is passed.
         """
         self.task.cancel()
-        if rest:
-            self.take_rest()
+        if accepts_queued:
+            self.accept_queued()
         else:
-            self.shut()
+            self.close_socket()
 
-    def shut(self) -> None:
+    def close_socket(self) -> None:
         """Close the socket."""
         self.closed = True
         self.loop.close(self.sock)
 
-    def take_rest(self) -> None:
+    def accept_queued(self) -> None:
         """Accept what stands in the queue, then close; where nothing can be had, go on a little later."""
-        made = False  # whether room was made and is not used yet
+        has_made_capacity = False  # and it is not used yet
         for _ in range(BACKLOG):
-            try:
-                self.one()
-                made = False
-            except BlockingIOError:
+            result = self.try_accept(has_made_capacity)
+            if result is AcceptResult.QUEUE_EMPTY:
                 break
-            except OSError as error:
-                if error.errno not in NOTHING_LEFT:
-                    continue  # it is gone already, or a signal came
-                if made or not self.room(True):
-                    self.loop.at(self.loop.now() + PAUSE_MS, self.take_rest)
-                    return
-                made = True
-        self.shut()
+            if result is AcceptResult.NO_CAPACITY:
+                self.loop.at(self.loop.now() + CAPACITY_RETRY_MS, self.accept_queued)
+                return
+            if result is not AcceptResult.LOST:
+                has_made_capacity = result is AcceptResult.CAPACITY_MADE
+        self.close_socket()
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,8 +183,8 @@
     connection: Connection,
     until_ms: float,
     allows: Callable[[str, str], object],
-    most: int,
-    room: Callable[[int], Steps] | None = None,
+    max_bytes: int,
+    reserve_body: Callable[[int], Steps] | None = None,
 ) -> Steps:
     """Read one request.
 
@@ -175,22 +193,22 @@
     """
     request = yield from connection.event(until_ms)
     if type(request) is not h11.Request:
-        raise Ended(Reason.PEER_CLOSED)
-    head = protocol.head_from(request.headers, request.http_version, bytes(connection.head))
-    connection.head.clear()
+        raise ConnectionEndedError(Reason.PEER_CLOSED)
+    head = protocol.head_from(request.headers, request.http_version, bytes(connection.raw_head))
+    connection.raw_head.clear()
     method, target = request.method.decode("latin-1"), request.target.decode("latin-1")
     allows(method, target)
-    size = most if "Transfer-Encoding" in head else int(head.get("Content-Length", "0"))
-    if size > most:
-        raise Ended(Reason.TOO_LARGE, 413)
-    if room is not None:
-        yield from room(size)
-    return Call(method, target, head, (yield from connection.body(most, until_ms)))
+    size = max_bytes if "Transfer-Encoding" in head else int(head.get("Content-Length", "0"))
+    if size > max_bytes:
+        raise ConnectionEndedError(Reason.TOO_LARGE, 413)
+    if reserve_body is not None:
+        yield from reserve_body(size)
+    return Call(method, target, head, (yield from connection.body(max_bytes, until_ms)))
 
 
-def bad(error: Malformed) -> Ended:
+def bad(error: MalformedMessageError) -> ConnectionEndedError:
     """Return the end of a connection on which something came that the protocol does not allow."""
-    return Ended(Reason.BAD_MESSAGE, error.status, str(error), error.allow)
+    return ConnectionEndedError(Reason.BAD_MESSAGE, error.status, str(error), error.allow)
 
 
 def answer(connection: Connection, status: int, headers: Headers, body: bytes, until_ms: float) -> Steps:
@@ -200,11 +218,11 @@
     yield from connection.message(head, body, until_ms)
 
 
-def complain(connection: Connection, ended: Ended, until_ms: float) -> Steps:
+def complain(connection: Connection, ended: ConnectionEndedError, until_ms: float) -> Steps:
     """Tell a client what is wrong with its request, if its connection allows it, and read on a while."""
     headers = [("Connection", "close")] + ([("Allow", ended.allow)] if ended.allow else [])
     try:
         yield from answer(connection, ended.status, headers, str(ended).encode() + b"\n", until_ms)
         yield from connection.linger(connection.loop.now() + LINGER_MS)
-    except (Ended, h11.LocalProtocolError):
+    except (ConnectionEndedError, h11.LocalProtocolError):
         return
--- a/marlseam/net/invariants.py
+++ b/marlseam/net/invariants.py
@@ -1,6 +1,6 @@
 """What must never happen, checked at run time in one place each, refused where it still can be, and counted.
 
-The decisions and the adapters keep these promises by themselves; a count here says that one of them did not.
+Decisions and adapters keep these invariants by themselves; a count here says that one of them did not.
 A violation costs one log line and one count, never the process.
 """
 
@@ -9,21 +9,22 @@
 from dataclasses import dataclass, field
 from enum import Enum
 from math import inf, sqrt
+from typing import NamedTuple
 
 from marlseam.configuration import Deployment
 from marlseam.core import EndpointEntry
 from marlseam.decisions.types import EndpointState, Idempotency, Outcome
 from marlseam.net.log import Log
-from marlseam.net.protocol import Job
+from marlseam.net.protocol import ClientRequest
 
-LEFT_MS = 100.0  # after its client left, in which an attempt may still begin
-TOLD_MS = 150.0  # by which the deadline told may be past what the client has left
-SERVERS_MOST = 2000  # off the list, whose drains are remembered
-OVER_MOST = 2000  # requests that have ended, which are still known
-SMALL_BUDGET = 30.0  # requests, under which a slow start's bound has another form
+LEAVING_GRACE_MS = 100.0  # after its client left, in which an attempt may still begin
+DEADLINE_TOLERANCE_MS = 150.0  # by which the deadline told may be past what the client has left
+MAX_DRAINING_SERVERS = 2000  # off the list, whose drains are remembered
+MAX_ENDED_REQUESTS = 2000  # requests that have ended, which are still known
+SMALL_SLOW_START_BUDGET = 30.0  # requests, under which a slow start's bound has another form
 
 
-class Promise(Enum):
+class Invariant(Enum):
     """An invariant; its value names it for operators."""
 
     AFTER_ANSWER = "no_attempt_after_final_answer"
@@ -37,17 +38,17 @@
 
 
 class Violations:
-    """Counts broken promises by name."""
+    """Counts violated invariants by name."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
-        self.counts = dict.fromkeys(Promise, 0)
+        self.counts = dict.fromkeys(Invariant, 0)
 
-    def note(self, promise: Promise, **ids: object) -> None:
+    def note(self, invariant: Invariant, **ids: object) -> None:
         """Count a violation and write its line."""
-        self.counts[promise] += 1
+        self.counts[invariant] += 1
         fields = " ".join(f"{name}={value}" for name, value in ids.items())
-        self.log.line(f"invariant violated: {promise.value} {fields}")
+        self.log.line(f"invariant violated: {invariant.value} {fields}")
 
     def total(self) -> int:
         """Return how many there were."""
@@ -67,18 +68,25 @@
 class GuardedRequest:
     """What the guard knows of an open request."""
 
-    job: Job
+    client_request: ClientRequest
     deadline_at_ms: float
     attempts: dict[int, GuardedAttempt] = field(default_factory=dict)
-    ended: Promise | None = None  # what an attempt would break from now on
+    ended: Invariant | None = None  # what an attempt would violate from now on
     ended_ms: float = inf
 
 
+class SlowStartSend(NamedTuple):
+    """A send to a server in slow start: when it began, and its size in mean requests."""
+
+    begun_ms: float
+    size: float
+
+
 NEVER_RAN = (Outcome.AT_CAPACITY, Outcome.UNREACHABLE, Outcome.CANCELLED_UNSENT)
 
 
 class SendGuard:
-    """Looks at each attempt right before it begins.
+    """Checks each attempt right before it begins.
 
     `slow_start` returns a server's whole slow start budget in mean requests, inf where it is warm, and the
     size of a request of some class and width.
@@ -93,28 +101,28 @@
         self.violations, self.deployment, self.slow_start = violations, deployment, slow_start
         self.members: set[str] = set()
         self.requests: dict[str, GuardedRequest] = {}
-        self.over: dict[str, Promise] = {}  # requests that were forgotten last
+        self.recently_ended: dict[str, Invariant] = {}  # requests that were forgotten last
         self.draining_ms: dict[str, float] = {}  # since when a server is told to drain or be gone
-        self.starting: dict[str, deque[tuple[float, float]]] = {}  # sends in slow start: when, of what size
+        self.slow_start_sends: dict[str, deque[SlowStartSend]] = {}  # sends in slow start: when, of what size
 
     # What happens.
 
-    def taken(self, request_id: str, job: Job, deadline_at_ms: float) -> None:
+    def note_request(self, request_id: str, client_request: ClientRequest, deadline_at_ms: float) -> None:
         """Note a request that is to be sent, and until when its client waits."""
-        self.requests.setdefault(request_id, GuardedRequest(job, deadline_at_ms))
+        self.requests.setdefault(request_id, GuardedRequest(client_request, deadline_at_ms))
 
-    def ended(self, request_id: str, promise: Promise, now: float) -> None:
+    def note_end(self, request_id: str, invariant: Invariant, now: float) -> None:
         """Note that a request has its answer, or that its client has left."""
         request = self.requests.get(request_id)
         if request is None:
             return
-        if request.ended is Promise.AFTER_ANSWER and promise is Promise.AFTER_ANSWER:
-            self.violations.note(Promise.ONE_ANSWER, request_id=request_id)
+        if request.ended is Invariant.AFTER_ANSWER and invariant is Invariant.AFTER_ANSWER:
+            self.violations.note(Invariant.ONE_ANSWER, request_id=request_id)
         if request.ended is None:
-            request.ended, request.ended_ms = promise, now
+            request.ended, request.ended_ms = invariant, now
         self.forget(request_id, request)
 
-    def settled(self, request_id: str, attempt: int, outcome: Outcome) -> None:
+    def note_outcome(self, request_id: str, attempt: int, outcome: Outcome) -> None:
         """Note how an attempt ended."""
         request = self.requests.get(request_id)
         if request is not None:
@@ -126,11 +134,11 @@
         """Forget a request that has its end and nothing out."""
         if request.ended is not None and all(a.outcome is not None for a in request.attempts.values()):
             del self.requests[request_id]
-            self.over[request_id] = request.ended
-            if len(self.over) > OVER_MOST:
-                del self.over[next(iter(self.over))]
+            self.recently_ended[request_id] = request.ended
+            if len(self.recently_ended) > MAX_ENDED_REQUESTS:
+                del self.recently_ended[next(iter(self.recently_ended))]
 
-    def listed(self, held: Mapping[str, EndpointEntry], now: float) -> None:
+    def note_endpoints(self, held: Mapping[str, EndpointEntry], now: float) -> None:
         """Take in the list as it is held now; one off it may be used where draining alone binds."""
         gone = set() if self.deployment.settings.only_draining_excludes else self.members - held.keys()
         self.members = set(held)
@@ -139,43 +147,49 @@
             self.draining_ms.pop(name, None)
         for name in draining | gone:
             self.draining_ms.setdefault(name, now)
-        if len(self.draining_ms) > SERVERS_MOST + len(held):
+        if len(self.draining_ms) > MAX_DRAINING_SERVERS + len(held):
             self.draining_ms = {name: at for name, at in self.draining_ms.items() if name in held}
 
-    # The look.
+    # The check.
 
-    def allows(self, request_id: str, attempt: int, server: str, told_ms: float, now: float) -> bool:
+    def admit(self, request_id: str, attempt: int, server: str, time_left_ms: float, now: float) -> bool:
         """Return whether an attempt may begin now, and note it; a violation is counted and refused."""
         request = self.requests.get(request_id)
-        promise = self.over.get(request_id) if request is None else self.broken(request, server, told_ms, now)
-        if promise is not None:
-            self.violations.note(promise, request_id=request_id, attempt=attempt, server=server)
+        invariant = (
+            self.recently_ended.get(request_id)
+            if request is None
+            else self.broken_invariant(request, server, time_left_ms, now)
+        )
+        if invariant is not None:
+            self.violations.note(invariant, request_id=request_id, attempt=attempt, server=server)
             return False
         if request is not None:
             request.attempts[attempt] = GuardedAttempt(server, now)
         return True
 
-    def broken(self, request: GuardedRequest, server: str, told_ms: float, now: float) -> Promise | None:
-        """Return the promise that an attempt would break."""
-        if request.ended is Promise.AFTER_ANSWER:
+    def broken_invariant(
+        self, request: GuardedRequest, server: str, time_left_ms: float, now: float
+    ) -> Invariant | None:
+        """Return the invariant that an attempt would violate; None where there is none."""
+        if request.ended is Invariant.AFTER_ANSWER:
             return request.ended
-        if request.ended is not None and now - request.ended_ms > LEFT_MS:
+        if request.ended is not None and now - request.ended_ms > LEAVING_GRACE_MS:
             return request.ended
-        if told_ms > request.deadline_at_ms - now + TOLD_MS:
-            return Promise.DEADLINE
+        if time_left_ms > request.deadline_at_ms - now + DEADLINE_TOLERANCE_MS:
+            return Invariant.DEADLINE
         since = self.draining_ms.get(server)
         if since is not None and now - since > self.deployment.grace_ms:
-            return Promise.DRAIN
-        if self.repeats(request, now):
-            return Promise.REPEAT
-        return Promise.SLOW_START if self.overloads(server, request.job, now) else None
+            return Invariant.DRAIN
+        if self.is_repeat(request, now):
+            return Invariant.REPEAT
+        return Invariant.SLOW_START if self.is_over_budget(server, request.client_request, now) else None
 
-    def repeats(self, request: GuardedRequest, now: float) -> bool:
+    def is_repeat(self, request: GuardedRequest, now: float) -> bool:
         """Return whether something of a request may have run, after which it may not go out again."""
         ran = [a for a in request.attempts.values() if a.outcome not in NEVER_RAN]
         if not ran:
             return False
-        of_class = self.deployment.settings.request_classes[request.job.class_index]
+        of_class = self.deployment.settings.request_classes[request.client_request.class_index]
         if of_class.idempotency is Idempotency.UNSAFE:
             return True
         return (
@@ -183,17 +197,17 @@
             and now > ran[0].begun_ms + of_class.deduplication_window_ms
         )
 
-    def overloads(self, server: str, job: Job, now: float) -> bool:
+    def is_over_budget(self, server: str, client_request: ClientRequest, now: float) -> bool:
         """Return whether this node alone would send a server in slow start more than all nodes may."""
-        budget, size = self.slow_start(server, job.class_index, job.slots)
+        budget, size = self.slow_start(server, client_request.class_index, client_request.slots)
         if budget == inf:
-            self.starting.pop(server, None)
+            self.slow_start_sends.pop(server, None)
             return False
-        sends = self.starting.setdefault(server, deque())
-        while sends and sends[0][0] < now - self.deployment.settings.overload_window_ms:
+        sends = self.slow_start_sends.setdefault(server, deque())
+        while sends and sends[0].begun_ms < now - self.deployment.settings.overload_window_ms:
             sends.popleft()
-        factor = more = 3.0 if budget < SMALL_BUDGET else 2.0
-        if sends and sum(row[1] for row in sends) + size > budget + factor * sqrt(budget) + more:
+        factor = more = 3.0 if budget < SMALL_SLOW_START_BUDGET else 2.0
+        if sends and sum(send.size for send in sends) + size > budget + factor * sqrt(budget) + more:
             return True
-        sends.append((now, size))
+        sends.append(SlowStartSend(now, size))
         return False
--- a/marlseam/net/loop.py
+++ b/marlseam/net/loop.py
@@ -13,6 +13,7 @@
 import traceback
 from collections import deque
 from collections.abc import Callable, Generator, Mapping
+from functools import partial
 from math import inf
 
 from marlseam.net import syscalls
@@ -20,8 +21,8 @@
 
 READ, WRITE, END = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
 READY, LATE, WOKEN = "ready", "late", "woken"
-WAITED_MS = 1.0  # a look at the sockets that took longer has waited
-LOOK_MS = 5.0  # how often within a turn those that go first are looked for
+MIN_WAITED_MS = 1.0  # a poll that took longer has waited
+FIRST_CHECK_MS = 5.0  # how often within a turn the tasks that go first are polled
 Wait = tuple[int, int, float]
 Coroutine = Generator[Wait, str, None]
 
@@ -45,9 +46,9 @@
         """Return a Unix time on this clock; the offset never changes, so that equal times stay equal."""
         return unix_ms - self.unix_zero_ms
 
-    def to_unix(self, ms: float) -> float:
+    def to_unix(self, now_ms: float) -> float:
         """Return a time on this clock as Unix time."""
-        return ms + self.unix_zero_ms
+        return now_ms + self.unix_zero_ms
 
     def epoch_ms(self) -> float:
         """Return the Unix time that this process takes for the zero of the machine's monotonic clock."""
@@ -69,18 +70,19 @@
 
     def __init__(self, loop: "Loop", coroutine: Coroutine, first: bool) -> None:
         self.loop, self.coroutine, self.first = loop, coroutine, first
-        self.fd, self.timer = -1, None
+        self.fd = -1
+        self.timer: Timer | None = None
         self.done = self.running = self.woken = False
 
     def step(self, value: str | None, error: BaseException | None = None) -> None:
         """Run the coroutine up to its next wait."""
         if self.done or self.running:
             return
-        self.rest()
+        self.clear_wait()
         outer, self.loop.current = self.loop.current, self
         self.running, self.woken = True, False
         try:
-            wait = self.coroutine.throw(error) if error is not None else self.coroutine.send(value)
+            wait = self.resume(value, error)
         except (StopIteration, Cancelled):
             self.end()
             return
@@ -94,44 +96,52 @@
         if self.woken:
             self.loop.soon(lambda: self.step(WOKEN))
             return
-        fd, mask, until = wait
-        if fd >= 0:
-            self.fd = fd
+        descriptor, mask, until = wait
+        if descriptor >= 0:
+            self.fd = descriptor
             self.arm(mask)
         if until < inf:
             self.timer = self.loop.at(until, lambda: self.step(LATE))
 
+    def resume(self, value: str | None, error: BaseException | None) -> Wait:
+        """Run the coroutine up to its next wait, from its start where there is no value to resume it with."""
+        if error is not None:
+            return self.coroutine.throw(error)
+        return next(self.coroutine) if value is None else self.coroutine.send(value)
+
     def arm(self, mask: int) -> None:
         """Wait for a socket; where the system cannot note that for a moment, it is asked again soon."""
-        fd = self.fd
+        descriptor = self.fd
         try:
-            self.loop.arm(fd, mask, self)
+            self.loop.arm(descriptor, mask, self)
         except OSError as error:
-            if syscalls.passes(error):
-                self.loop.at(self.loop.now() + syscalls.RETRY_MS, lambda: self.arm_again(fd, mask))
+            if syscalls.is_transient(error):
+                self.loop.at(
+                    self.loop.now() + syscalls.TRANSIENT_RETRY_MS, lambda: self.arm_again(descriptor, mask)
+                )
             else:
-                self.loop.soon(lambda fault=error: self.break_off(fd, fault))
+                self.loop.soon(partial(self.break_off, descriptor, error))
 
-    def arm_again(self, fd: int, mask: int) -> None:
+    def arm_again(self, descriptor: int, mask: int) -> None:
         """Wait for a socket after all, unless the coroutine has gone on meanwhile."""
-        if self.waits_for(fd):
+        if self.is_waiting_for(descriptor):
             self.arm(mask)
 
-    def break_off(self, fd: int, error: OSError) -> None:
+    def break_off(self, descriptor: int, error: OSError) -> None:
         """Raise in the coroutine that its socket cannot be waited for, unless it has gone on meanwhile."""
-        if self.waits_for(fd):
+        if self.is_waiting_for(descriptor):
             self.step(None, error)
 
-    def waits_for(self, fd: int) -> bool:
+    def is_waiting_for(self, descriptor: int) -> bool:
         """Return whether the coroutine still waits for a socket."""
-        return not self.done and self.fd == fd and self.loop.waiting.get(fd) is self
+        return not self.done and self.fd == descriptor and self.loop.waiting.get(descriptor) is self
 
     def end(self) -> None:
         """Note that the coroutine has run to its end."""
         self.done = True
         self.loop.tasks.pop(self, None)
 
-    def rest(self) -> None:
+    def clear_wait(self) -> None:
         """Forget what the coroutine waited for."""
         if self.fd >= 0:
             self.loop.waiting.pop(self.fd, None)
@@ -160,18 +170,18 @@
         self.clock, self.fault, self.descriptors = Clock(), fault, Descriptors()
         self.now = self.clock.now
         self.poll, self.first = select.epoll(), select.epoll()
-        syscalls.insisted(lambda: self.poll.register(self.first.fileno(), READ))
-        self.looked_ms = 0.0  # when those that go first were last looked for
-        self.known: dict[int, select.epoll] = {}
-        self.closed: set[int] = set()  # in this turn
+        syscalls.retry_transient(lambda: self.poll.register(self.first.fileno(), READ))
+        self.first_run_ms = 0.0  # when the tasks that go first were last polled
+        self.pollers: dict[int, select.epoll] = {}
+        self.closed_fds: set[int] = set()  # in this turn
         self.waiting: dict[int, Task] = {}
         self.timers: list[tuple[float, int, Timer]] = []
         self.calls: deque[Callable[[], None]] = deque()
         self.tasks: dict[Task, None] = {}
         self.current: Task | None = None
-        self.count = self.dropped = 0
+        self.timer_count = self.dropped_timers = 0
         self.stopped = False
-        # When this turn's look at the sockets was over, and since when what it found may have been there.
+        # When this turn's poll was over, and since when what it found may have been there.
         self.polled_ms = self.ready_since_ms = self.now()
         self.late_ms = self.turn_ms = 0.0  # the longest that a timer came late, and that a turn took
 
@@ -185,6 +195,11 @@
         task.step(None)
         return task
 
+    def running_task(self) -> Task:
+        """Return the task whose coroutine runs now; for use within one."""
+        assert self.current is not None
+        return self.current
+
     def soon(self, call: Callable[[], None]) -> None:
         """Call before the next wait."""
         self.calls.append(call)
@@ -192,40 +207,40 @@
     def at(self, due_ms: float, call: Callable[[], None]) -> Timer:
         """Call at a time."""
         timer = Timer(call, max(due_ms, self.now()))
-        self.count += 1
-        heapq.heappush(self.timers, (due_ms, self.count, timer))
+        self.timer_count += 1
+        heapq.heappush(self.timers, (due_ms, self.timer_count, timer))
         return timer
 
     def drop(self, timer: Timer) -> None:
         """Drop a call. Guards against waits with long limits that end early and fill the memory."""
         if timer.call is not None:
             timer.call = None
-            self.dropped += 1
-        if self.dropped > 1000 and self.dropped > len(self.timers) // 2:
+            self.dropped_timers += 1
+        if self.dropped_timers > 1000 and self.dropped_timers > len(self.timers) // 2:
             self.timers = [row for row in self.timers if row[2].call is not None]
             heapq.heapify(self.timers)
-            self.dropped = 0
+            self.dropped_timers = 0
 
-    def arm(self, fd: int, mask: int, task: Task) -> None:
+    def arm(self, descriptor: int, mask: int, task: Task) -> None:
         """Have a task resumed once when a socket is ready."""
-        self.waiting[fd] = task
-        poll = self.known.get(fd)
+        self.waiting[descriptor] = task
+        poll = self.pollers.get(descriptor)
         if poll is not None:
-            poll.modify(fd, mask | select.EPOLLONESHOT)
+            poll.modify(descriptor, mask | select.EPOLLONESHOT)
         else:
             poll = self.first if task.first else self.poll
-            poll.register(fd, mask | select.EPOLLONESHOT)
-            self.known[fd] = poll
+            poll.register(descriptor, mask | select.EPOLLONESHOT)
+            self.pollers[descriptor] = poll
 
     def close(self, sock: socket.socket) -> None:
         """Close a socket that the loop may know."""
-        fd = sock.fileno()
-        self.waiting.pop(fd, None)
-        poll = self.known.pop(fd, None)
+        descriptor = sock.fileno()
+        self.waiting.pop(descriptor, None)
+        poll = self.pollers.pop(descriptor, None)
         if poll is not None:
-            self.closed.add(fd)
+            self.closed_fds.add(descriptor)
             with contextlib.suppress(OSError):
-                poll.unregister(fd)
+                poll.unregister(descriptor)
         sock.close()
 
     def run(self) -> None:
@@ -241,19 +256,19 @@
     def turn(self) -> None:
         """Wait once, and run what is due by then."""
         pause_s, asked = self.pause_s(), self.now()
-        events = syscalls.attempted(lambda: self.poll.poll(pause_s)) or []
+        events = syscalls.none_if_transient(lambda: self.poll.poll(pause_s)) or []
         began = self.now()
-        # A look that had to wait ended with what it found; one that had not found what came since the last.
-        self.ready_since_ms = began if began - asked > WAITED_MS else self.polled_ms
+        # A poll that had to wait ended with what it found; one that had not found what came since the last.
+        self.ready_since_ms = began if began - asked > MIN_WAITED_MS else self.polled_ms
         self.polled_ms = began
-        self.closed.clear()
+        self.closed_fds.clear()
         self.run_first()
-        for fd, _ in events:
+        for descriptor, _ in events:
             # Guards a new socket under a closed one's number against what was reported of the old one.
-            task = self.waiting.get(fd) if fd not in self.closed else None
+            task = self.waiting.get(descriptor) if descriptor not in self.closed_fds else None
             if task is not None:
                 task.step(READY)
-                self.look()
+                self.run_first_if_due()
         self.run_calls()
         now = self.now()
         while self.timers and self.timers[0][0] <= now:
@@ -264,27 +279,27 @@
                 self.guarded(call)
                 self.run_calls()
             else:
-                self.dropped -= 1
+                self.dropped_timers -= 1
         self.turn_ms = max(self.turn_ms, self.now() - began)
 
     def run_first(self) -> None:
-        """Resume those that go first."""
-        self.looked_ms = self.now()
-        for fd, _ in syscalls.attempted(lambda: self.first.poll(0)) or []:
-            task = self.waiting.get(fd)
+        """Resume the ready tasks of those that go first."""
+        self.first_run_ms = self.now()
+        for descriptor, _ in syscalls.none_if_transient(lambda: self.first.poll(0)) or []:
+            task = self.waiting.get(descriptor)
             if task is not None:
                 task.step(READY)
 
-    def look(self) -> None:
-        """Look for those that go first where a turn is long. Guards operators against a busy node."""
-        if self.now() - self.looked_ms > LOOK_MS:
+    def run_first_if_due(self) -> None:
+        """Resume those that go first where a turn is long. Guards operators against a busy node."""
+        if self.now() - self.first_run_ms > FIRST_CHECK_MS:
             self.run_first()
 
     def run_calls(self) -> None:
         """Run what is to be called before the next wait."""
         while self.calls:
             self.guarded(self.calls.popleft())
-            self.look()
+            self.run_first_if_due()
 
     def guarded(self, call: Callable[[], None]) -> None:
         """Call, and go on whatever comes of it."""
@@ -297,7 +312,7 @@
         """Return how long nothing is due; -1 for ever."""
         while self.timers and self.timers[0][2].call is None:
             heapq.heappop(self.timers)
-            self.dropped -= 1
+            self.dropped_timers -= 1
         if self.calls:
             return 0.0
         return max(0.0, (self.timers[0][0] - self.now()) / 1000.0) if self.timers else -1.0
@@ -315,7 +330,7 @@
         def listen() -> Coroutine:
             while True:
                 yield (ours.fileno(), READ, inf)
-                for number in dict.fromkeys(syscalls.attempted(lambda: ours.recv(4096)) or b""):
+                for number in dict.fromkeys(syscalls.none_if_transient(lambda: ours.recv(4096)) or b""):
                     self.guarded(calls[number])
 
         self.spawn(listen())
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -22,8 +22,9 @@
 from marlseam.core import EndpointEntry
 from marlseam.decisions.types import EndpointState, ListUpdateKind, Outcome
 from marlseam.net import discovery as discovery_module
+from marlseam.net import graceful_shutdown, limits
 from marlseam.net import node as node_module
-from marlseam.net.connection import AHEAD_MOST, Connection
+from marlseam.net.connection import MAX_AHEAD_BYTES, Connection
 from marlseam.net.upstream import AttemptOrder
 
 AHEAD = b"x" * 20000  # more than a node reads ahead
@@ -144,7 +145,9 @@
 def tell(node, addresses, state=EndpointState.READY, listing=ListUpdateKind.FULL):
     """Have discovery say where servers are."""
     entries = [EndpointEntry(name, state, 0, 0, 0, None) for name in addresses]
-    node.upstream.listed(addresses if listing is ListUpdateKind.FULL else node.upstream.peers, addresses)
+    node.upstream.update_endpoints(
+        addresses if listing is ListUpdateKind.FULL else node.upstream.pool.servers, addresses
+    )
     node.post(core.EndpointListUpdate(listing, entries))
 
 
@@ -160,7 +163,7 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     sock = client(REQUEST + ahead)
     turn(executor.accept)
-    assert node.pending
+    assert node.requests.pending
     turn(lambda: b"abc" in executor.read())
     started = b'{"id":"9b","from":"e1","state":"started"}\n'
     executor.held[0].sendall(
@@ -168,10 +171,13 @@
     )
     settle()  # it runs, and nothing but its client's end would end it soon
     (door,) = node.downstream.open
-    turn(lambda: not ahead or (door.ahead() and (ahead is not AHEAD or len(door.buffer) >= AHEAD_MOST)))
+    turn(
+        lambda: not ahead
+        or (door.has_ahead() and (ahead is not AHEAD or len(door.buffer) >= MAX_AHEAD_BYTES))
+    )
     goes(sock)
     turn(lambda: not node.downstream.open)
-    assert not node.pending and not node.core.open and not node.upstream.out
+    assert not node.requests.pending and not node.core.open and not node.upstream.attempts.in_flight
     turn(lambda: ended(executor.held[0]) or executor.read() and ended(executor.held[0]))
 
 
@@ -182,7 +188,7 @@
     goes(sock)  # while it waits in the queue of the listening socket
     settle()
     turn(lambda: not node.downstream.open)
-    assert node.last_request_id == 0 and not executor.accept()
+    assert node.requests.last_request_id == 0 and not executor.accept()
 
 
 def test_the_second_request_of_a_client_that_left_during_the_first_goes_nowhere(
@@ -195,7 +201,7 @@
     executor.held[0].sendall(ANSWER)
     settle()
     turn(lambda: not node.downstream.open)
-    assert node.last_request_id == 1
+    assert node.requests.last_request_id == 1
 
 
 # What has not begun is called off, whatever settings say of cancelling.
@@ -204,14 +210,14 @@
 def gated(node):
     """Hold every attempt at its gate, as a record not yet on the disk does; return what opens it."""
     opened = []
-    real = node.upstream.send
+    real = node.upstream.attempts.send
 
     def gate():
         while not opened:
             yield (-1, 0, node.loop.now() + 1.0)
         return True
 
-    node.upstream.send = lambda order: real(replace(order, gate=gate))
+    node.upstream.attempts.send = lambda order: real(replace(order, await_durable=gate))
     return lambda: opened.append(True)
 
 
@@ -244,7 +250,7 @@
 
 
 def drains(node, sock):
-    tell(node, {"e1": node.upstream.peers["e1"].address}, EndpointState.DRAINING, ListUpdateKind.DELTA)
+    tell(node, {"e1": node.upstream.pool.servers["e1"].address}, EndpointState.DRAINING, ListUpdateKind.DELTA)
 
 
 def goes_cold(node, sock):
@@ -265,14 +271,14 @@
     (executor,) = stand("e1", backlog=0, ceilings=FORBIDDEN)
     release = hold(node if hold is gated else executor)
     sock = client(request_)
-    turn(lambda: node.upstream.out)
-    flight = next(iter(node.upstream.out.values()))
+    turn(lambda: node.upstream.attempts.in_flight)
+    flight = next(iter(node.upstream.attempts.in_flight.values()))
     settle()
-    assert not flight.begun
+    assert not flight.has_begun
     end(node, sock)
     turn(lambda: flight.task.done)
     # The server's count is right again: what moved has been sent anew, to its other address.
-    assert node.core.dispatcher.ours[node.core.index["e1"]] == len(node.upstream.out)
+    assert node.core.dispatcher.ours[node.core.index["e1"]] == len(node.upstream.attempts.in_flight)
     release()
     settle()
     while executor.accept():
@@ -288,9 +294,9 @@
     turn(lambda: b"abc" in executor.read())
     end(node, sock)
     settle()
-    assert node.upstream.out and not ended(executor.held[0])
+    assert node.upstream.attempts.in_flight and not ended(executor.held[0])
     executor.held[0].sendall(ANSWER)
-    turn(lambda: not node.upstream.out)
+    turn(lambda: not node.upstream.attempts.in_flight)
     assert not node.core.open
 
 
@@ -298,10 +304,10 @@
     (executor,) = stand("e1", backlog=0, ceilings=FORBIDDEN)
     release = full_queue(executor)
     client(REQUEST)
-    turn(lambda: node.upstream.out)
-    flight = next(iter(node.upstream.out.values()))
+    turn(lambda: node.upstream.attempts.in_flight)
+    flight = next(iter(node.upstream.attempts.in_flight.values()))
     goes_cold(node, None)
-    assert flight.task.done and not flight.begun
+    assert flight.task.done and not flight.has_begun
     release()
 
 
@@ -309,14 +315,14 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     release = gated(node)
     client(REQUEST)
-    turn(lambda: node.upstream.out)
-    flight = next(iter(node.upstream.out.values()))
+    turn(lambda: node.upstream.attempts.in_flight)
+    flight = next(iter(node.upstream.attempts.in_flight.values()))
     late = node.loop.now() + 10000.0
     node.loop.now = lambda: late  # the loop runs late: the gate opens in the turn in which the limit is over
     release()
     flight.task.step("ready")
     settle()
-    assert flight.task.done and not flight.begun and b"POST" not in executor.read()
+    assert flight.task.done and not flight.has_begun and b"POST" not in executor.read()
 
 
 def test_what_is_called_off_leaves_no_record_and_gives_its_keys_turn_on(node, client, stand, turn, settle):
@@ -333,13 +339,13 @@
         b"Host: h", b"Host: h\r\nIdempotency-Key: k%d"
     )
     first = client(asked % 1)
-    turn(lambda: node.upstream.out)
+    turn(lambda: node.upstream.attempts.in_flight)
     client((asked % 2).replace(b"9b", b"9c"))
-    turn(lambda: node.last_request_id == 2)
-    (flight,) = node.upstream.out.values()
+    turn(lambda: node.requests.last_request_id == 2)
+    (flight,) = node.upstream.attempts.in_flight.values()
     assert node.core.idempotency_records.known("k1", node.loop.now())
     first.close()
-    turn(lambda: flight.task.done and node.upstream.out)
+    turn(lambda: flight.task.done and node.upstream.attempts.in_flight)
     assert not node.core.idempotency_records.known("k1", node.loop.now())  # it provably never ran
     assert node.core.idempotency_records.known("k2", node.loop.now())  # and the key's next has its turn
     assert list(node.core.open) == ["2"]
@@ -358,17 +364,17 @@
     one, two = stand("e1", "e2", ceilings=NO_PROBES, requestClasses=[keyed])
     client(REQUEST.replace(b"Host: h", b"Host: h\r\nIdempotency-Key: k"))
     turn(lambda: b"abc" in one.read() + two.read())
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     release = gated(node)  # the next one, as a connection that does not come up
     (one if flight.server == "e1" else two).held[0].sendall(b"nonsense\r\n\r\n")
-    turn(lambda: flight.task.done and node.upstream.out)
-    (second,) = node.upstream.out.values()
+    turn(lambda: flight.task.done and node.upstream.attempts.in_flight)
+    (second,) = node.upstream.attempts.in_flight.values()
     late = node.loop.now() + 1000.0  # within the deadline
     node.loop.now = lambda: late
     release()
     second.task.step("ready")
     settle()
-    assert second.task.done and not second.begun
+    assert second.task.done and not second.has_begun
     assert b"abc" not in one.read() + two.read()
 
 
@@ -377,7 +383,7 @@
     sock = client(REQUEST)
     turn(lambda: b"/-/load" in executor.read())
     sock.close()
-    turn(lambda: not node.pending)
+    turn(lambda: not node.requests.pending)
     executor.held[0].sendall(b"HTTP/1.1 200 -\r\nContent-Length: 12\r\n\r\nTEXT queue=0")
     settle()
     assert b"POST" not in executor.read() and not node.core.open
@@ -388,9 +394,9 @@
     sock = client(REQUEST)
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(NEVER)  # between two tries: the only server is full
-    turn(lambda: not node.upstream.out and node.core.dispatcher.lines)
+    turn(lambda: not node.upstream.attempts.in_flight and node.core.dispatcher.lines)
     sock.close()
-    turn(lambda: not node.pending)
+    turn(lambda: not node.requests.pending)
     node.core.dispatcher.full[node.core.index["e1"]] = False
     node.core.dispatcher.pump()
     settle()
@@ -404,11 +410,11 @@
     first = client(asked)
     turn(lambda: b"abc" in executor.read())
     second = client(asked.replace(b"9b", b"9c"))
-    turn(lambda: node.last_request_id == 2)
+    turn(lambda: node.requests.last_request_id == 2)
     second.close()
-    turn(lambda: len(node.pending) == 1)
+    turn(lambda: len(node.requests.pending) == 1)
     executor.held[0].sendall(ANSWER)
-    turn(lambda: not node.pending)
+    turn(lambda: not node.requests.pending)
     settle()
     assert b"POST" not in executor.read() and not node.core.open and not node.core.dispatcher.turns
     assert first.recv(1000).startswith(b"HTTP/1.1 200 ")
@@ -436,7 +442,7 @@
     seen, write = [], Connection.message
 
     def message(connection, head, body, until_ms, *left):
-        if connection.what.startswith("executor"):
+        if connection.description.startswith("executor"):
             seen.append([ended(sock) for peer in (one, two) for sock in peer.held])
         return (yield from write(connection, head, body, until_ms, *left))
 
@@ -444,20 +450,20 @@
     # Both have a kept connection, on which the next can go out within the turn in which the one before ends.
     for name, peer in (("e1", one), ("e2", two)):
         until = node.loop.now() + 1000.0
-        node.upstream.send(AttemptOrder("0", 0, name, JOB, until, until))
+        node.upstream.attempts.send(AttemptOrder("0", 0, name, JOB, until, until))
         turn(lambda peer=peer: b"abc" in peer.read())
         peer.held[0].sendall(ANSWER.replace(b'"e1"', b'"%b"' % name.encode()))
-        turn(lambda name=name: node.upstream.peers[name].idle)
+        turn(lambda name=name: node.upstream.pool.servers[name].idle)
     seen.clear()
     client(REQUEST)
-    turn(lambda: node.upstream.out)
-    (flight,) = node.upstream.out.values()
+    turn(lambda: node.upstream.attempts.in_flight)
+    (flight,) = node.upstream.attempts.in_flight.values()
     sock = (one if flight.server == "e1" else two).held[0]
-    turn(lambda: flight.begun and b"abc" in one.read() + two.read())
+    turn(lambda: flight.has_begun and b"abc" in one.read() + two.read())
     if first is None:
         # Time itself is the subject: the server says nothing for as long as it may.
         late = node.loop.now
-        node.loop.now = lambda: late() + node.upstream.take_ms
+        node.loop.now = lambda: late() + node.upstream.timeouts.accept_ms
     else:
         sock.sendall(first)
     turn(lambda: len(seen) == 2)
@@ -480,15 +486,18 @@
     # next on its connection, it would have unsafe work run twice.
     (executor,) = stand("e1", ceilings=NO_PROBES)
     told = []
-    node.upstream.post = told.append
-    job = replace(JOB, exclusive=True)
+    node.upstream.attempts.post = told.append
+    job = replace(JOB, is_unsafe=True)
     for attempt_index in range(2):
         until = node.loop.now() + 5000.0
-        node.upstream.send(AttemptOrder("1", attempt_index, "e1", job, until, until))
+        node.upstream.attempts.send(AttemptOrder("1", attempt_index, "e1", job, until, until))
         turn(lambda: b"abc" in executor.read())
         executor.held[0].sendall(refusal)
         settle()
-    assert [event.outcome for event in told] == [Outcome.AT_CAPACITY] and ("1", 1) in node.upstream.out
+    assert [event.outcome for event in told] == [Outcome.AT_CAPACITY] and (
+        "1",
+        1,
+    ) in node.upstream.attempts.in_flight
     assert len(executor.held) == 2 and ended(executor.held[0]) and not ended(executor.held[1])
 
 
@@ -542,12 +551,12 @@
     monkeypatch.setattr(socket, "socket", small)
     turn(lambda: one.accept() or two.accept())
     first = one if one.held else two
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     read = bytearray()
     while len(read) < takes:
         turn(lambda: select.select(first.held, [], [], 0)[0])
         read += first.held[0].recv(takes - len(read))
-    assert not flight.begun and not node.counters.attempts  # its last byte has not gone out
+    assert not flight.has_begun and not node.counters.attempts  # its last byte has not gone out
     reset(first.held.pop())
     turn(lambda: flight.task.done)
     turn(lambda: one.accept() or two.accept())  # it never ran: unsafe work is sent once more, to either
@@ -556,8 +565,8 @@
 def test_a_probe_that_was_refused_leaves_no_connection_for_work(node, stand, turn):
     (executor,) = stand("e1")
     told = []
-    node.upstream.post = told.append
-    node.upstream.probe("e1")
+    node.upstream.health_checks.post = told.append
+    node.upstream.health_checks.start("e1")
     turn(lambda: b"/-/load" in executor.read())
     executor.held[0].sendall(NEVER)
     turn(lambda: told)
@@ -603,31 +612,31 @@
     stand("e1", ceilings=NO_PROBES)
     socks = [client(REQUEST.replace(b"9b", b"w%d" % i)) for i in range(20)]
     node.downstream.stop_listening()
-    turn(lambda: node.last_request_id == len(socks))
+    turn(lambda: node.requests.last_request_id == len(socks))
 
 
 def test_what_stands_in_the_queue_for_want_of_room_is_refused_as_the_listener_closes(
     node, client, settle, stand, reply
 ):
     stand("e1", ceilings=NO_PROBES)
-    node.downstream.room = replace(node.downstream.room, clients=1)
+    node.downstream.limits = replace(node.downstream.limits, clients=1)
     socks = []
     for i in range(4):
         socks.append(client(REQUEST.replace(b"9b", b"w%d" % i)))
         settle(5)
     node.downstream.stop_listening()
-    assert node.last_request_id == len(node.downstream.open) == 1  # no limit is passed
+    assert node.requests.last_request_id == len(node.downstream.open) == 1  # no limit is passed
     for sock in socks[1:]:
         assert reply(sock).startswith(b"HTTP/1.1 503 ") and sock.recv(1) == b""
         assert not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
 
 def test_a_request_on_its_way_as_the_node_ends_is_refused(node, client, turn, reply, monkeypatch):
-    for name in ("LISTEN_MS", "DRAIN_MOST_MS", "ANSWER_MS", "EXIT_MS"):
-        monkeypatch.setattr(node_module, name, 1.0)
+    for name in ("LISTEN_MS", "MAX_DRAIN_MS", "ANSWER_MS", "EXIT_MS"):
+        monkeypatch.setattr(graceful_shutdown, name, 1.0)
     sock = client(REQUEST[:-1])
     turn(lambda: node.downstream.reading)
-    node.close()
+    node.shutdown.begin()
     node.loop.run()
     assert reply(sock).startswith(b"HTTP/1.1 503 ") and ended(sock)
 
@@ -643,19 +652,19 @@
         )
     )
     began = node.loop.now()
-    node.close()
-    assert node.core.closes_ms - began == pytest.approx(1000.0 + node_module.ANSWER_MS, abs=50.0)
+    node.shutdown.begin()
+    assert node.core.closes_ms - began == pytest.approx(1000.0 + graceful_shutdown.ANSWER_MS, abs=50.0)
 
 
 def test_a_request_behind_one_that_is_answered_near_the_end_is_answered_too(node, client, turn, stand):
     stand("e1", ceilings=NO_PROBES)
     sock = client(REQUEST)
-    turn(lambda: node.last_request_id == 1)
+    turn(lambda: node.requests.last_request_id == 1)
     node.downstream.drain(0.0, 10000.0)
     sock.sendall(REQUEST.replace(b"9b", b"9c"))  # unread as the first is answered
-    node.answer("1", 200, [], b"")
-    turn(lambda: node.last_request_id == 2)
-    node.answer("2", 200, [], b"")
+    node.requests.answer("1", 200, [], b"")
+    turn(lambda: node.requests.last_request_id == 2)
+    node.requests.answer("2", 200, [], b"")
     turn(lambda: not node.downstream.open)
     data = sock.recv(1 << 16)
     assert data.count(b"HTTP/1.1 200 ") == 2 and data.count(b"Connection: close") == 1
@@ -673,7 +682,7 @@
     half = client(REQUEST[:-1])  # and this one never comes whole
     turn(lambda: node.downstream.reading)
     began = node.loop.now()
-    node.close()
+    node.shutdown.begin()
     clock = node.loop.now
     lead = [0.0]
     node.loop.now = lambda: clock() + lead[0]
@@ -682,20 +691,23 @@
         node.loop.at(node.loop.now(), lambda: None)
         node.loop.turn()
     kill_ms = min(longest_ms, 3000.0) + 700.0
-    assert node.loop.now() - began < kill_ms and not node.pending
+    assert node.loop.now() - began < kill_ms and not node.requests.pending
     assert reply(sock).startswith(b"HTTP/1.1 500 ")  # unsafe work that may have run
     assert reply(half)[:13] in (b"HTTP/1.1 503 ", b"HTTP/1.1 408 ")
 
 
 def test_a_second_sigterm_and_new_settings_change_nothing_of_the_end(node, client, turn, stand):
     stand("e1", ceilings=NO_PROBES)
-    node.close()
-    closes, draining = node.core.closes_ms, node.downstream.close_ms
-    node.close()
+    node.shutdown.begin()
+    closes, draining = node.core.closes_ms, node.downstream.close_answered_at_ms
+    node.shutdown.begin()
     node.reload()
-    assert (node.core.closes_ms, node.downstream.close_ms) == (closes, draining) and node.ending
+    assert (node.core.closes_ms, node.downstream.close_answered_at_ms) == (
+        closes,
+        draining,
+    ) and node.shutdown.is_ending
     client(REQUEST)
-    turn(lambda: node.last_request_id == 1)  # new connections still come
+    turn(lambda: node.requests.last_request_id == 1)  # new connections still come
     (state,) = node.core.open.values()
     assert state.request.deadline_at_ms <= closes
 
@@ -706,7 +718,7 @@
     (task,) = node.downstream.idle.values()
     sock.sendall(REQUEST)
     task.step("late")  # its time is over in the turn in which the request comes
-    turn(lambda: node.last_request_id == 1)
+    turn(lambda: node.requests.last_request_id == 1)
 
 
 # Room.
@@ -716,7 +728,7 @@
     sock = client(REQUEST[:-2])
     turn(lambda: node.downstream.reading)
     sock.sendall(REQUEST[-2:-1])  # unread: closing would reset the connection
-    assert node.downstream.make_room()
+    assert node.downstream.close_one()
     assert reply(sock).startswith(b"HTTP/1.1 503 ") and sock.recv(1) == b""
     assert not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)  # no reset
 
@@ -751,7 +763,7 @@
     deployment = deployment_from(options | {"guarantees": {"mustAskInUs": must_ask_us}})
     node.discovery.set(replace(node.config, deployment=deployment))
     begun = node.core
-    begun.reduce(0.0, core.NodeStarted(node_module.alone(deployment.settings), 1))
+    begun.reduce(0.0, core.NodeStarted(limits.settings_for_process(deployment.settings), 1))
     (timer,) = [
         e
         for e in begun.reduce(0.0, core.EndpointListUpdate(ListUpdateKind.FAILED, []))
@@ -759,7 +771,7 @@
     ]
     assert core.WatchEndpoints() in begun.reduce(timer.delay_ms, core.TimerFired(timer.timer_id))
     list_ms = 100.0  # a list on the way: the page's figures leave that much
-    late = min(node.discovery.call_ms, discovery_module.LATE_MOST_MS) + timer.delay_ms + list_ms
+    late = min(node.discovery.call_ms, discovery_module.MAX_WATCH_LATE_MS) + timer.delay_ms + list_ms
     assert late < 2000.0 and 2.0 * (node.discovery.call_ms + timer.delay_ms) < 6000.0
     assert node.discovery.wait_ms <= 60000.0
 
@@ -822,7 +834,7 @@
     deployment = deployment_from(options)
     node.discovery.set(replace(node.config, deployment=deployment))
     begun, seen = node.core, []
-    begun.reduce(0.0, core.NodeStarted(node_module.alone(deployment.settings), 1))
+    begun.reduce(0.0, core.NodeStarted(limits.settings_for_process(deployment.settings), 1))
     for _ in range(10):  # an outage that lasts
         seen += [
             e
@@ -831,7 +843,7 @@
         ]
     longest = max(timer.delay_ms for timer in seen)
     grace_ms = grace_us / 1000.0
-    assert longest + node.discovery.call_ms <= grace_ms and node.discovery.gap_ms <= grace_ms / 10.0
+    assert longest + node.discovery.call_ms <= grace_ms and node.discovery.min_watch_gap_ms <= grace_ms / 10.0
 
 
 @pytest.mark.parametrize("aims_us", [(0, 0), (0, 300000)])
@@ -839,8 +851,15 @@
     rows = [row | {"aimUs": aim} for row, aim in zip(OPTIONS["requestClasses"], aims_us, strict=True)]
     deployment = deployment_from(OPTIONS | {"requestClasses": rows})
     begun = node.core
-    begun.reduce(0.0, core.NodeStarted(node_module.alone(deployment.settings), 1))
+    begun.reduce(0.0, core.NodeStarted(limits.settings_for_process(deployment.settings), 1))
     module = begun.dispatcher
     assert min(module.sweep_ms, module.ask_ms, module.fresh_ms, module.queue_ms, module.mean_area) > 0.0
     node.upstream.configure(deployment, 64)
-    assert min(node.upstream.probe_ms, node.upstream.take_ms, node.upstream.end_ms) > 0.0
+    assert (
+        min(
+            node.upstream.timeouts.probe_ms,
+            node.upstream.timeouts.accept_ms,
+            node.upstream.timeouts.answer_end_ms,
+        )
+        > 0.0
+    )
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -20,7 +20,7 @@
 from conftest import ANSWER, OPTIONS
 from test_endings import (
     AHEAD,
-    AHEAD_MOST,
+    MAX_AHEAD_BYTES,
     NEVER,
     POSTING,
     REQUEST,
@@ -36,11 +36,12 @@
 from marlseam import core
 from marlseam.decisions.types import EndpointState, ListUpdateKind
 from marlseam.net import protocol
-from marlseam.net.connection import AHEAD_MS, Connection
+from marlseam.net.connection import AHEAD_CHECK_MS, Connection
 from marlseam.net.loop import READ as READ_MASK
 from marlseam.net.loop import READY
-from marlseam.net.protocol import BODY_MOST
-from marlseam.net.upstream import SECOND_MS, AttemptOrder
+from marlseam.net.protocol import MAX_BODY_BYTES
+from marlseam.net.upstream import AttemptOrder
+from marlseam.net.upstream.attempts import DUPLICATE_ANSWER_MS
 
 peers, settle, stand, turn = (
     test_endings.peers,
@@ -100,24 +101,26 @@
         for name, peer in self.upstream.items():
             until = self.node.loop.now() + 1000.0
             for attempt_index in range(2):
-                self.node.upstream.send(AttemptOrder("0", attempt_index, name, JOB, until, until))
+                self.node.upstream.attempts.send(AttemptOrder("0", attempt_index, name, JOB, until, until))
             self.turn(lambda peer=peer: peer.accept() and len(peer.held) == 2)
             for sock in peer.held:
                 sock.sendall(ANSWER.replace(b'"e1"', b'"%b"' % name.encode()))
-            self.turn(lambda name=name: len(self.node.upstream.peers[name].idle) == 2)
+            self.turn(lambda name=name: len(self.node.upstream.pool.servers[name].idle) == 2)
         assert self.read().count(b"abc") == 2 * len(names)
-        self.lead_ms += SECOND_MS  # what may not run twice uses no connection before
+        self.lead_ms += DUPLICATE_ANSWER_MS  # what may not run twice uses no connection before
 
     def ask(self, request=REQUEST, read=True):
         """Have the client that will go send its request; `read` what it sends ahead as far as a node does."""
-        before, units = set(self.node.downstream.open), self.node.last_request_id
+        before, units = set(self.node.downstream.open), self.node.requests.last_request_id
         self.sock = self.client(request + self.ahead)
         self.turn(lambda: set(self.node.downstream.open) - before)
         (self.door,) = set(self.node.downstream.open) - before
-        self.turn(lambda: self.node.last_request_id > units)
+        self.turn(lambda: self.node.requests.last_request_id > units)
         if read and self.ahead:
             much = self.ahead is AHEAD
-            self.turn(lambda: self.door.ahead() and (not much or len(self.door.buffer) >= AHEAD_MOST))
+            self.turn(
+                lambda: self.door.has_ahead() and (not much or len(self.door.buffer) >= MAX_AHEAD_BYTES)
+            )
             self.node.loop.at(self.node.loop.now(), lambda: None)
             self.node.loop.turn()  # else its bytes are still news, and its end comes in their place
 
@@ -170,7 +173,7 @@
 
     def message(connection, head, body, until_ms, *left):
         yield from write(connection, head, body, until_ms, *left)
-        made[-1].begun += connection.what.startswith("executor") and head.method == b"POST"
+        made[-1].begun += connection.description.startswith("executor") and head.method == b"POST"
 
     def begin(may_cancel, ahead=b""):
         made.append(Scene(node, client, turn, settle, stand, may_cancel))
@@ -189,10 +192,10 @@
 
 def a_dial(scene):
     scene.list("e1")
-    for connection, _ in scene.node.upstream.peers["e1"].idle:
+    for connection, _ in scene.node.upstream.pool.servers["e1"].idle:
         connection.eof = True  # closed by its server: a new one is dialled
     scene.ask(read=False)
-    (flight,) = scene.node.upstream.out.values()
+    (flight,) = scene.node.upstream.attempts.in_flight.values()
     comes(flight.task.fd, select.POLLOUT)  # it is up, and the node has not heard of it
     scene.within = lambda: flight.task.step(READY)
     return lambda: None
@@ -220,7 +223,7 @@
     scene.list("e1", "e2", requestClasses=[PATIENT[0], OPTIONS["requestClasses"][1]])  # time is left for two
     scene.ask()
     scene.running()
-    scene.late_ms = scene.node.upstream.take_ms
+    scene.late_ms = scene.node.upstream.timeouts.accept_ms
     return lambda: None
 
 
@@ -249,10 +252,10 @@
         yield (theirs.fileno(), READ_MASK, inf)  # the word that a record is on the disk
         return True
 
-    real = scene.node.upstream.send
-    scene.node.upstream.send = lambda order: real(replace(order, gate=gate))
+    real = scene.node.upstream.attempts.send
+    scene.node.upstream.attempts.send = lambda order: real(replace(order, await_durable=gate))
     scene.ask()
-    assert scene.node.upstream.out
+    assert scene.node.upstream.attempts.in_flight
     return lambda: ours.send(b"!")
 
 
@@ -271,7 +274,7 @@
     scene.client(asked.replace(b"9b", b"9a"))
     _, sock = scene.running()
     scene.ask(asked)
-    assert scene.node.last_request_id == 2
+    assert scene.node.requests.last_request_id == 2
     return lambda: sock.sendall(ANSWER.replace(b"9b", b"9a"))
 
 
@@ -295,7 +298,12 @@
 
 def over(node):
     """Say that nothing is left of work, and that the servers' counts are right."""
-    assert not node.pending and not node.core.open and not node.upstream.out and not node.downstream.ids
+    assert (
+        not node.requests.pending
+        and not node.core.open
+        and not node.upstream.attempts.in_flight
+        and not node.downstream.correlation_ids
+    )
     assert (
         not any(node.core.dispatcher.ours)
         and not node.core.dispatcher.turns
@@ -320,9 +328,9 @@
     scene.settle()
     scene.turn(lambda: scene.door not in node.downstream.open)
     scene.lead_ms += (
-        1000.0 if node.upstream.out else 0.0
+        1000.0 if node.upstream.attempts.in_flight else 0.0
     )  # what had begun runs on where cancelling is forbidden
-    scene.turn(lambda: not node.upstream.out)
+    scene.turn(lambda: not node.upstream.attempts.in_flight)
     assert scene.begun == begun and b"abc" not in scene.read()
     over(node)
 
@@ -402,8 +410,8 @@
     floods(scene.sock)
     goes(scene.sock)
     assert hidden(scene)
-    for _ in range(int(100.0 / AHEAD_MS) - 1):
-        scene.lead_ms += AHEAD_MS
+    for _ in range(int(100.0 / AHEAD_CHECK_MS) - 1):
+        scene.lead_ms += AHEAD_CHECK_MS
         scene.settle(3)
     assert scene.door not in node.downstream.open
     act()
@@ -414,12 +422,12 @@
 def test_an_end_behind_more_than_is_held_is_seen_before_work_is_taken(goes, scene, node, client, turn):
     scene = scene(True)
     scene.list("e1")
-    units, sock = node.last_request_id, client(b"")
+    units, sock = node.requests.last_request_id, client(b"")
     turn(lambda: node.downstream.idle)
     floods(sock, REQUEST + FAR)
     goes(sock)  # the node reads it later
     turn(lambda: not node.downstream.open)
-    assert node.last_request_id == units and b"abc" not in scene.read()
+    assert node.requests.last_request_id == units and b"abc" not in scene.read()
 
 
 def test_a_client_that_floods_and_stays_has_its_answer_whole(scene, node, turn, reply):
@@ -428,7 +436,7 @@
     scene.ask()
     _, executor = scene.running()
     floods(scene.sock)
-    turn(lambda: scene.door.shed)
+    turn(lambda: scene.door.has_discarded)
     executor.sendall(ANSWER)
     data = reply(scene.sock)
     assert data.startswith(b"HTTP/1.1 200 ") and b"\r\nConnection: close\r\n" in data
@@ -442,12 +450,12 @@
 def test_a_whole_request_of_the_largest_size_ahead_is_served(scene, node, turn, reply):
     scene = scene(True)
     scene.list("e1")
-    size = b"Length: %d" % BODY_MOST
-    large = REQUEST.replace(b"9b", b"9c").replace(b"Length: 3", size).replace(b"abc", b"b" * BODY_MOST)
+    size = b"Length: %d" % MAX_BODY_BYTES
+    large = REQUEST.replace(b"9b", b"9c").replace(b"Length: 3", size).replace(b"abc", b"b" * MAX_BODY_BYTES)
     scene.ahead = large
     scene.ask()
     _, executor = scene.running()
-    scene.lead_ms += 10.0 * AHEAD_MS
+    scene.lead_ms += 10.0 * AHEAD_CHECK_MS
     scene.settle()
     executor.sendall(ANSWER)
     assert reply(scene.sock).startswith(b"HTTP/1.1 200 ")
@@ -487,17 +495,17 @@
     }
     scene = scene(False)
     scene.list("e1", requestClasses=[keyed])
-    for connection, _ in node.upstream.peers["e1"].idle:
+    for connection, _ in node.upstream.pool.servers["e1"].idle:
         connection.eof = True  # closed by its server: a new one is dialled
     asked = REQUEST.replace(b"/statement", b"/statement?user=u").replace(
         b"Host: h", b"Host: h\r\nIdempotency-Key: k%d"
     )
     scene.ask(asked % 1, read=False)
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     first = scene.sock, scene.door
     scene.client((asked % 2).replace(b"9b", b"9c"))
-    flight.task.rest()  # its dial is not heard of until the next has come
-    turn(lambda: node.last_request_id == 2)
+    flight.task.clear_wait()  # its dial is not heard of until the next has come
+    turn(lambda: node.requests.last_request_id == 2)
     assert node.core.idempotency_records.known("k1", node.loop.now())
     begun = scene.begun
     scene.sock, scene.door = first
@@ -515,11 +523,11 @@
 def test_a_first_byte_that_the_system_does_not_take_has_not_begun(end, scene, node, turn):
     scene = scene(False)
     scene.list("e1")
-    (connection, _), (other, _) = node.upstream.peers["e1"].idle
+    (connection, _), (other, _) = node.upstream.pool.servers["e1"].idle
     for each in (connection, other):  # as if a server had answered what it did not read
         floods(each.sock, b"x" * (1 << 24))
     scene.ask(read=False)
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     assert not flight.task.done and scene.read().count(b"x") > 0
     if end == "drains":
         tell(node, {"e1": scene.upstream["e1"].address}, EndpointState.DRAINING, ListUpdateKind.DELTA)
@@ -618,9 +626,9 @@
         assert len(tried) <= node.core.dispatcher.settings.max_attempts
         raise KeyError("a fault")
 
-    monkeypatch.setattr(protocol, "job_headers", faulty)
+    monkeypatch.setattr(protocol, "attempt_headers", faulty)
     scene.ask(read=False)
-    turn(lambda: not node.pending)
+    turn(lambda: not node.requests.pending)
     assert len(tried) == node.core.dispatcher.settings.max_attempts
     over(node)
 
@@ -658,7 +666,7 @@
     monkeypatch.setattr(socket, "socket", Small)
     turn(peer.accept)
     (scene.door,) = node.downstream.open
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     turn(lambda: flight.task.fd >= 0 and select.select([peer.held[0]], [], [], 0)[0])
     read = 0
     if order == "room before the end":
@@ -693,6 +701,6 @@
         turn(lambda: faults)
     turn(lambda: scene.door not in node.downstream.open)  # it is told of the error first
     act()
-    turn(lambda: not node.upstream.out)
+    turn(lambda: not node.upstream.attempts.in_flight)
     assert scene.begun == begun and b"abc" not in scene.read() and len(faults) == 1
     assert not node.core.open and not any(node.core.dispatcher.ours)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,18 +20,20 @@
 from marlseam.decisions.types import ListUpdateKind, Outcome
 from marlseam.net import discovery as discovery_module
 from marlseam.net import downstream as server_module
-from marlseam.net import http
-from marlseam.net import node as node_module
-from marlseam.net import upstream as executors_module
+from marlseam.net import graceful_shutdown, http, limits
 from marlseam.net.buffer import Buffer
-from marlseam.net.connection import Ended, connect
-from marlseam.net.downstream import AdmissionLimits, PendingRequest
-from marlseam.net.log import BURST, Log, Reason
+from marlseam.net.connection import connect
+from marlseam.net.downstream import AdmissionLimits
+from marlseam.net.errors import ConnectionEndedError, MalformedMessageError
+from marlseam.net.log import MAX_BURST_LINES, Log, Reason
 from marlseam.net.loop import END, LATE, READ, WOKEN, Cancelled
-from marlseam.net.protocol import Job, Malformed
+from marlseam.net.pending_request import PendingRequest
+from marlseam.net.protocol import ClientRequest
 from marlseam.net.upstream import AttemptOrder
+from marlseam.net.upstream import attempts as attempts_module
+from marlseam.net.upstream import pool as pool_module
 
-JOB = Job("9b", "/statement", "k", b"abc", 0, "statement", 5000.0, 1.0)
+JOB = ClientRequest("9b", "/statement", "k", b"abc", 0, "statement", 5000.0, 1.0)
 REQUEST = (
     b"POST /statement HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: 9b\r\nX-Service-Class: statement\r\n"
     b"X-Time-Left: 0.5\r\nContent-Length: 3\r\n\r\nabc"
@@ -41,7 +43,7 @@
 def sent(parts, **limits):
     """Send one attempt and return the outcomes told."""
     now = parts.loop.now()
-    parts.send(AttemptOrder("1", 0, "e1", JOB, now + limits.get("until", 1000.0), now + 1000.0))
+    parts.attempts.send(AttemptOrder("1", 0, "e1", JOB, now + limits.get("until", 1000.0), now + 1000.0))
     return outcomes(parts)
 
 
@@ -196,7 +198,7 @@
 def test_a_flood_of_lines_is_dropped_and_counted(capsys):
     clock = [0.0]
     log = Log("n", lambda: clock[0])
-    for _ in range(int(BURST) + 7):
+    for _ in range(int(MAX_BURST_LINES) + 7):
         log.line("x")
     clock[0] = 1000.0
     log.line("y")
@@ -220,11 +222,11 @@
     parts = upstream(ANSWER)
     settings = replace(deployment.settings, only_draining_excludes=alone)
     parts.configure(replace(deployment, settings=settings), 64)
-    parts.listed(set(), {})
-    assert ("e1" in parts.peers) is kept
-    monkeypatch.setattr(executors_module, "FORGET_AFTER_POLLS", 0.0)  # its time is over
-    parts.listed(set(), {})
-    assert "e1" not in parts.peers
+    parts.update_endpoints(set(), {})
+    assert ("e1" in parts.pool.servers) is kept
+    monkeypatch.setattr(pool_module, "FORGET_AFTER_POLLS", 0.0)  # its time is over
+    parts.update_endpoints(set(), {})
+    assert "e1" not in parts.pool.servers
 
 
 def test_where_ipv6_is_refused_a_server_there_costs_its_own_work_alone(loop, refuse, capsys):
@@ -234,7 +236,7 @@
     def call():
         try:
             yield from connect(loop, Log("test", loop.now), ("::1", 9), "executor e6", loop.now() + 1000.0)
-        except Ended as ended:
+        except ConnectionEndedError as ended:
             caught.append(ended.reason)
 
     loop.spawn(call())
@@ -244,7 +246,7 @@
 def test_an_answer_completes(upstream):
     parts = upstream(ANSWER)
     assert sent(parts) == [Outcome.COMPLETED] and parts.events[0] == core.AttemptStarted("1", 0)
-    assert parts.events[1].result == b"r" and len(parts.peers["e1"].idle) == 1
+    assert parts.events[1].result == b"r" and len(parts.pool.servers["e1"].idle) == 1
 
 
 @pytest.mark.parametrize("at", range(1, len(ANSWER)))
@@ -312,7 +314,7 @@
     sent(parts, until=5.0)
     until(lambda: outcomes(parts))
     assert outcomes(parts) == [Outcome.TIMED_OUT] and reasons(capsys) == ["timed-out"]
-    assert not parts.out and not parts.peers["e1"].count
+    assert not parts.attempts.in_flight and not parts.pool.servers["e1"].count
 
 
 @pytest.mark.parametrize(
@@ -328,9 +330,11 @@
     upstream, until, begun, exclusive, outcome
 ):
     parts = upstream(*filter(None, [begun]), silent=True)
-    parts.take_ms = parts.gap_ms = 5.0
+    parts.timeouts.accept_ms = parts.timeouts.progress_gap_ms = 5.0
     now = parts.loop.now()
-    parts.send(AttemptOrder("1", 0, "e1", replace(JOB, exclusive=exclusive), now + 90000.0, now + 90000.0))
+    parts.attempts.send(
+        AttemptOrder("1", 0, "e1", replace(JOB, is_unsafe=exclusive), now + 90000.0, now + 90000.0)
+    )
     parts.loop.at(now + 51.0, lambda: None)
     until(lambda: parts.loop.now() > now + 50.0)
     assert outcomes(parts) == ([outcome] if outcome else [])
@@ -338,8 +342,8 @@
 
 def test_a_probe_looks_again_where_a_connection_falls_silent(upstream, until):
     parts = upstream(silent=True)
-    parts.probe_ms = 10.0
-    parts.probe("e1")
+    parts.timeouts.probe_ms = 10.0
+    parts.health_checks.start("e1")
     until(lambda: parts.events)
     assert len(parts.connections) == 2 and parts.events[0].outcome is Outcome.TIMED_OUT
 
@@ -347,13 +351,13 @@
 def test_giving_up_closes_the_connection(upstream):
     parts = upstream(silent=True)
     sent(parts)
-    parts.cancel("1", 0)
+    parts.attempts.cancel("1", 0)
     assert outcomes(parts) == [Outcome.CANCELLED] and not parts.connections[0].sock.open
 
 
 def test_a_server_not_listed_is_unreachable(upstream):
     parts = upstream(ANSWER)
-    parts.listed(set(), {})
+    parts.update_endpoints(set(), {})
     assert sent(parts) == [Outcome.UNREACHABLE] and not parts.connections
 
 
@@ -387,9 +391,9 @@
 
 def test_a_probe_looks_again_where_a_kept_connection_ends(upstream):
     parts = upstream(b"HTTP/1.1 200 -\r\nContent-Length: 0\r\n\r\n", silent=True)
-    parts.probe("e1")
+    parts.health_checks.start("e1")
     parts.connections[0].sock.takes = len(parts.connections[0].sock.sent)
-    parts.probe("e1")
+    parts.health_checks.start("e1")
     assert [event.outcome for event in parts.events] == [Outcome.COMPLETED] * 2 and len(
         parts.connections
     ) == 2
@@ -397,49 +401,49 @@
 
 def test_a_probe_that_finds_no_place_blames_nobody(upstream):
     parts = upstream()
-    parts.places = 0
-    parts.probe("e1")
+    parts.pool.max_connections = 0
+    parts.health_checks.start("e1")
     assert parts.events[0].outcome is Outcome.CANCELLED_UNSENT
 
 
 def test_an_unused_connection_is_closed_well_before_its_time(upstream, until, capsys):
     parts = upstream(ANSWER, silent=True)
-    parts.idle_ms = 1.0
+    parts.timeouts.idle_ms = 1.0
     sent(parts)
-    until(lambda: not parts.peers["e1"].count)
+    until(lambda: not parts.pool.servers["e1"].count)
     assert reasons(capsys) == ["idle"]
 
 
 def test_a_server_that_left_is_forgotten_once_nothing_is_out(upstream):
     parts = upstream(silent=True)
     sent(parts)
-    parts.listed(set(), {})
-    assert "e1" in parts.peers
-    parts.cancel("1", 0)
-    assert not parts.peers
+    parts.update_endpoints(set(), {})
+    assert "e1" in parts.pool.servers
+    parts.attempts.cancel("1", 0)
+    assert not parts.pool.servers
 
 
 def test_another_address_closes_the_unused_connections(upstream, capsys):
     parts = upstream(ANSWER, silent=True)
     sent(parts)
-    parts.listed({"e1"}, {"e1": ("127.0.0.2", 9)})
+    parts.update_endpoints({"e1"}, {"e1": ("127.0.0.2", 9)})
     assert reasons(capsys) == ["forgotten"]
 
 
 def test_connections_to_one_server_are_bounded(upstream):
     parts = upstream(silent=True)
-    for _ in range(parts.limit() + 1):
+    for _ in range(parts.pool.max_per_server() + 1):
         sent(parts)
-    assert outcomes(parts) == [Outcome.UNREACHABLE] and len(parts.connections) == parts.limit()
+    assert outcomes(parts) == [Outcome.UNREACHABLE] and len(parts.connections) == parts.pool.max_per_server()
 
 
 def test_the_longest_unused_connection_makes_room(upstream, capsys):
     parts = upstream(ANSWER, silent=True)
     sent(parts)
-    parts.places = 1
-    parts.listed({"e1", "e2"}, {"e2": ("127.0.0.1", 9)})
-    parts.probe("e2")
-    assert reasons(capsys) == ["crowded"] and parts.open() == 1
+    parts.pool.max_connections = 1
+    parts.update_endpoints({"e1", "e2"}, {"e2": ("127.0.0.1", 9)})
+    parts.health_checks.start("e2")
+    assert reasons(capsys) == ["crowded"] and parts.pool.open_count() == 1
 
 
 # Probes.
@@ -450,25 +454,25 @@
 )
 def test_a_probes_answer_carries_its_report(upstream, status, outcome):
     parts = upstream(b"HTTP/1.1 %d -\r\nContent-Length: 13\r\n\r\nTEXT x0=3.500" % status)
-    parts.probe("e1")
+    parts.health_checks.start("e1")
     (event,) = parts.events
     assert (event.outcome, event.report.free_slots) == (outcome, 3.5)
 
 
 def test_a_probe_times_out(upstream, until):
     parts = upstream(silent=True)
-    parts.probe_ms = 1.0
-    parts.probe("e1")
+    parts.timeouts.probe_ms = 1.0
+    parts.health_checks.start("e1")
     until(lambda: parts.events)
     assert parts.events[0].outcome is Outcome.TIMED_OUT
 
 
 def test_a_probe_has_places_of_its_own(upstream):
     parts = upstream(silent=True)
-    for _ in range(parts.limit()):
+    for _ in range(parts.pool.max_per_server()):
         sent(parts)
-    parts.probe("e1")
-    assert len(parts.connections) == parts.limit() + 1
+    parts.health_checks.start("e1")
+    assert len(parts.connections) == parts.pool.max_per_server() + 1
 
 
 # Connecting.
@@ -480,7 +484,7 @@
     def call():
         try:
             yield from connect(loop, Log("n", loop.now), ("127.0.0.1", 1), "x", loop.now() + 1000.0)
-        except Ended as ended:
+        except ConnectionEndedError as ended:
             failed.append(ended.reason)
 
     loop.spawn(call())
@@ -499,7 +503,7 @@
     unlimited = (resource.RLIM_INFINITY, resource.RLIM_INFINITY)
     monkeypatch.setattr(resource, "getrlimit", lambda _: unlimited)
     config = replace(node.config, sockets=sockets, memory_mb=memory_mb, admin=None)
-    assert node_module.connections(config) == places
+    assert limits.max_connections(config) == places
 
 
 def test_a_node_is_ready_once_it_holds_a_list(client, reply):
@@ -541,23 +545,23 @@
     ],
 )
 def test_bad_input_has_its_status_and_goes_no_further(node, client, reply, data, status):
-    assert reply(client(data)).startswith(b"HTTP/1.1 %d " % status) and not node.last_request_id
+    assert reply(client(data)).startswith(b"HTTP/1.1 %d " % status) and not node.requests.last_request_id
 
 
 def test_a_request_may_come_in_chunks(node, client):
     client(CHUNKED)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    assert node.pending["1"].job.body == b"abc"
+    assert node.requests.pending["1"].client_request.body == b"abc"
 
 
 def test_an_id_that_is_out_is_refused_and_the_first_goes_on(node, client, reply):
     first = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 409 ")
-    node.answer("1", 200, [], b"result")
-    assert reply(first).endswith(b"result") and not node.downstream.ids
+    node.requests.answer("1", 200, [], b"result")
+    assert reply(first).endswith(b"result") and not node.downstream.correlation_ids
 
 
 @pytest.mark.parametrize(
@@ -565,7 +569,7 @@
     [(b"", b"", "idle"), (REQUEST[:60], b"X", "timed-out"), (REQUEST[:-2], b"X", "timed-out")],
 )
 def test_a_first_request_has_its_time_from_connecting(node, client, capsys, monkeypatch, data, drop, code):
-    monkeypatch.setattr(server_module, "READ_MS", 500.0)
+    monkeypatch.setattr(server_module, "READ_TIMEOUT_MS", 500.0)
     sock = client(data)
     while not node.downstream.open:
         node.loop.turn()
@@ -578,11 +582,11 @@
 
 
 def test_a_usual_clients_connection_may_stand_idle(node, client, reply, monkeypatch):
-    monkeypatch.setattr(server_module, "READ_MS", 200.0)
+    monkeypatch.setattr(server_module, "READ_TIMEOUT_MS", 200.0)
     sock = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    node.answer("1", 200, [], b"")
+    node.requests.answer("1", 200, [], b"")
     reply(sock)
     end = node.loop.now() + 400.0
     node.loop.at(end, lambda: None)
@@ -593,14 +597,14 @@
 
 def test_connections_without_a_good_request_make_room_first(node, client, reply, capsys):
     usual = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    node.answer("1", 200, [], b"")
+    node.requests.answer("1", 200, [], b"")
     reply(usual)
     silent, half = client(b""), client(REQUEST[:60])
     while len(node.downstream.open) < 3:
         node.loop.turn()
-    node.downstream.room = AdmissionLimits(3, 1e9)
+    node.downstream.limits = AdmissionLimits(3, 1e9)
     for left in (half, usual):
         client(REQUEST[:60])
         while "crowded" not in reasons(capsys):
@@ -612,29 +616,29 @@
 
 def test_bodies_are_bounded_and_those_without_a_good_request_give_up_theirs(node, client, capsys):
     slow = client(REQUEST.replace(b"Length: 3", b"Length: 900"))
-    while not node.downstream.held:
+    while not node.downstream.reserved_bytes:
         node.loop.turn()
-    node.downstream.room = AdmissionLimits(9, 901.0)
+    node.downstream.limits = AdmissionLimits(9, 901.0)
     client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
     assert slow.recv(1000).startswith(b"HTTP/1.1 503 ") and slow.recv(1) == b""
     assert "crowded" in reasons(capsys)
-    assert list(node.downstream.held.values()) == [3]
+    assert list(node.downstream.reserved_bytes.values()) == [3]
 
 
 def test_a_body_waits_for_room_that_taken_work_has(node, client, reply):
-    node.downstream.room = AdmissionLimits(9, 3.0)
+    node.downstream.limits = AdmissionLimits(9, 3.0)
     client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
     client(REQUEST.replace(b"9b", b"9c"))
     while len(node.downstream.open) < 2:
         node.loop.turn()
-    node.loop.at(node.loop.now() + 50.0, lambda: node.answer("1", 200, [], b""))
-    while "2" not in node.pending:
+    node.loop.at(node.loop.now() + 50.0, lambda: node.requests.answer("1", 200, [], b""))
+    while "2" not in node.requests.pending:
         node.loop.turn()
-    assert "1" not in node.pending
+    assert "1" not in node.requests.pending
 
 
 def test_no_client_holds_the_loop(node, client):
@@ -648,10 +652,10 @@
 
 
 def test_a_flood_of_connections_is_accepted_in_parts(node, client):
-    for _ in range(2 * http.ACCEPTS):
+    for _ in range(2 * http.MAX_ACCEPTS_PER_TURN):
         client(b"")
     node.loop.turn()
-    assert len(node.downstream.open) <= http.ACCEPTS
+    assert len(node.downstream.open) <= http.MAX_ACCEPTS_PER_TURN
 
 
 @pytest.mark.parametrize(
@@ -665,9 +669,9 @@
 )
 def test_a_final_answer_reaches_the_client(node, client, reply, effect, start, part):
     sock = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    node_module.EFFECTS[type(effect)](node, effect)
+    node.effects.carry_out(effect)
     data = reply(sock)
     assert data.startswith(start) and part in data
 
@@ -678,9 +682,9 @@
     while not node.downstream.open:
         node.loop.turn()
     node.loop.at(node.loop.now(), lambda: sock.sendall(REQUEST[at:]))
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    assert node.pending["1"].job.body == b"abc"
+    assert node.requests.pending["1"].client_request.body == b"abc"
 
 
 def test_requests_in_one_packet_are_all_answered(node, client):
@@ -694,22 +698,22 @@
 
 def test_a_client_that_goes_is_told_to_the_reducer(node, client):
     sock = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
     sock.close()
     while node.downstream.open:
         node.loop.turn()
-    assert not node.pending and not node.core.open
+    assert not node.requests.pending and not node.core.open
 
 
 def test_an_answer_for_one_that_has_gone_is_dropped(node):
-    node.answer("9", 200, [], b"")
-    assert not node.pending
+    node.requests.answer("9", 200, [], b"")
+    assert not node.requests.pending
 
 
 def test_an_answer_given_before_the_wait_is_not_lost(node):
     pending = PendingRequest(JOB, 0.0)
-    pending.give(200, [], b"r")
+    pending.respond(200, [], b"r")
     assert pending.answer == (200, [], b"r")
 
 
@@ -717,7 +721,7 @@
     first = client(b"")
     while not node.downstream.idle:
         node.loop.turn()
-    node.downstream.room = AdmissionLimits(1, 1e9)
+    node.downstream.limits = AdmissionLimits(1, 1e9)
     client(b"")
     while "crowded" not in reasons(capsys):
         node.loop.turn()
@@ -726,11 +730,11 @@
 
 def test_a_full_node_leaves_new_clients_waiting_and_takes_them_later(node, client, reply):
     client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    node.downstream.room = AdmissionLimits(1, 1e9)
+    node.downstream.limits = AdmissionLimits(1, 1e9)
     second = client(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-    node.answer("1", 200, [("Connection", "close")], b"")
+    node.requests.answer("1", 200, [("Connection", "close")], b"")
     assert reply(second).startswith(b"HTTP/1.1 200 ")
 
 
@@ -739,8 +743,8 @@
     while not node.downstream.idle:
         node.loop.turn()
     sock.sendall(REQUEST)
-    assert not node.downstream.make_room()
-    while not node.pending:
+    assert not node.downstream.close_one()
+    while not node.requests.pending:
         node.loop.turn()
 
 
@@ -809,7 +813,7 @@
 
 
 def test_a_configured_list_that_is_odd_leaves_none(node):
-    with pytest.raises(Malformed, match="list"):
+    with pytest.raises(MalformedMessageError, match="list"):
         node.discovery.take({}, cached=True)
 
 
@@ -948,13 +952,13 @@
     rewrite(settings=classes("new"))
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 404 ")
     client(REQUEST.replace(b"statement", b"new"))
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
 
 
 def test_open_work_keeps_its_type_while_the_file_changes_or_drops_it(node, rewrite, client, reply):
     sock = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
     (state,) = node.core.open.values()
     taken = state.request_class
@@ -964,9 +968,9 @@
         and node.core.dispatcher.request_classes[state.request.class_index] != taken
     )
     rewrite(settings=classes("other"))
-    node.answer(next(iter(node.pending)), 200, [], b"r")
+    node.requests.answer(next(iter(node.requests.pending)), 200, [], b"r")
     assert reply(sock).startswith(b"HTTP/1.1 200 ")
-    assert node.counters.ends["statement"]["completed"] == 1
+    assert node.counters.answers["statement"]["completed"] == 1
 
 
 def test_a_new_configuration_is_applied_whole(node, rewrite, client, reply):
@@ -974,13 +978,13 @@
     rewrite(
         settings=OPTIONS | {"ceilings": ceilings, "requestClasses": OPTIONS["requestClasses"][1:]}, seed="9"
     )
-    assert node.upstream.idle_ms == 1400.0 and len(node.core.dispatcher.request_classes) == 2
+    assert node.upstream.timeouts.idle_ms == 1400.0 and len(node.core.dispatcher.request_classes) == 2
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 404 ")
 
 
 def test_limits_follow_a_new_configuration(node, rewrite):
     rewrite(limits={"sockets": 96, "memory_mb": 192})
-    assert (node.downstream.room.clients, node.upstream.places) == (24, 24)
+    assert (node.downstream.limits.clients, node.upstream.pool.max_connections) == (24, 24)
 
 
 def test_what_cannot_change_is_told_and_left(node, rewrite, capsys):
@@ -1008,55 +1012,55 @@
 
 
 def test_after_sigterm_a_client_may_use_its_connection_for_a_while(node, client, reply):
-    node.close()
+    node.shutdown.begin()
     assert b"Connection: close" not in reply(client(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"))
 
 
 def test_near_the_end_answers_close_their_connections(node, client, reply):
-    node.close()
+    node.shutdown.begin()
     node.downstream.drain(0.0, 0.0)
     data = reply(client(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"))
     assert data.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in data
 
 
 def test_sigterm_ends_an_idle_node_after_new_connections_have_ceased(node, monkeypatch):
-    monkeypatch.setattr(node_module, "LISTEN_MS", 1.0)
-    node.close()
+    monkeypatch.setattr(graceful_shutdown, "LISTEN_MS", 1.0)
+    node.shutdown.begin()
     node.loop.run()
     assert node.loop.stopped and node.downstream.sock.fileno() < 0
 
 
 def test_sigterm_answers_what_is_open_before_the_end(node, client, reply, monkeypatch):
-    monkeypatch.setattr(node_module, "LISTEN_MS", 1.0)
-    monkeypatch.setattr(node_module, "DRAIN_MOST_MS", 1.0)
-    monkeypatch.setattr(node_module, "ANSWER_MS", 1.0)
+    monkeypatch.setattr(graceful_shutdown, "LISTEN_MS", 1.0)
+    monkeypatch.setattr(graceful_shutdown, "MAX_DRAIN_MS", 1.0)
+    monkeypatch.setattr(graceful_shutdown, "ANSWER_MS", 1.0)
     sock = client(REQUEST)
-    while not node.pending:
+    while not node.requests.pending:
         node.loop.turn()
-    node.close()
+    node.shutdown.begin()
     assert reply(sock).startswith(b"HTTP/1.1 503 ")
 
 
-def test_a_failed_coroutine_still_closes_its_connection(upstream, loop, capsys):
+def test_a_failed_coroutine_still_closes_its_connection(upstream, loop, capsys, monkeypatch):
     loop.fault = lambda text: None
     parts = upstream(ANSWER)
-    parts.last_line = lambda *args: 1 / 0
+    monkeypatch.setattr(attempts_module.AttemptRun, "read_last_line", lambda *args: 1 / 0)
     assert sent(parts) == [Outcome.BROKEN] and reasons(capsys) == ["fault"]
 
 
 def test_waits_stop_reading_ahead_of_a_peer_that_sends_on(connection):
     made = connection(h11.SERVER)
-    assert made.waits()[1] == READ | END
+    assert made.wait_for_end()[1] == READ | END
     made.buffer.space(1 << 17)
     made.buffer.added(1 << 17)
-    assert made.waits()[1] == END  # its end alone is waited for; test_endings has both on sockets
+    assert made.wait_for_end()[1] == END  # its end alone is waited for; test_endings has both on sockets
 
 
 def test_a_connection_that_does_not_come_up_in_time_is_told(loop, capsys):
     server = socket.create_server(("127.0.0.1", 0))
     call = connect(loop, Log("n", loop.now), server.getsockname(), "x", inf)
     next(call)
-    with pytest.raises(Ended) as raised:
+    with pytest.raises(ConnectionEndedError) as raised:
         call.send(LATE)
     server.close()
     assert raised.value.reason is Reason.NO_CONNECT and reasons(capsys) == ["no-connect"]
@@ -1067,11 +1071,11 @@
     parts = upstream()
 
     def fails(*_):
-        raise Ended(reason)
+        raise ConnectionEndedError(reason)
         yield
 
-    monkeypatch.setattr(executors_module, "connect", fails)
-    assert sent(parts) == [Outcome.UNREACHABLE] and not parts.peers["e1"].count
+    monkeypatch.setattr(pool_module, "connect", fails)
+    assert sent(parts) == [Outcome.UNREACHABLE] and not parts.pool.servers["e1"].count
 
 
 def test_a_cancelled_connect_closes_its_socket(loop, capsys):
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -37,10 +37,11 @@
 from marlseam.decisions.types import EndpointState, ListUpdateKind, Outcome
 from marlseam.net import downstream
 from marlseam.net import node as node_module
-from marlseam.net.connection import Ended
-from marlseam.net.downstream import NEW_MS, WRITE_MS
+from marlseam.net.downstream import NEW_GRACE_MS, WRITE_TIMEOUT_MS
+from marlseam.net.errors import ConnectionEndedError
 from marlseam.net.loop import LATE, READY
-from marlseam.net.upstream import SECOND_MS, AttemptOrder
+from marlseam.net.upstream import AttemptOrder
+from marlseam.net.upstream.attempts import DUPLICATE_ANSWER_MS
 
 peers, settle, stand, turn = (
     test_endings.peers,
@@ -130,8 +131,8 @@
     first.held[0].sendall(b"nonsense\r\n\r\n")  # it may have run
     turn(lambda: other.accept())
     settle()
-    (flight,) = node.upstream.out.values()
-    assert not flight.begun  # it stands in the middle of its bytes
+    (flight,) = node.upstream.attempts.in_flight.values()
+    assert not flight.has_begun  # it stands in the middle of its bytes
     attempts = node.counters.attempts
     lead(1000.0)  # the memory is over, the deadline is not
     while reads == "with" and not select.select([], [flight.task.fd], [], 0)[1]:
@@ -140,7 +141,7 @@
     for _ in range(100):
         other.read()
         settle(2)
-    assert node.counters.attempts == attempts and not node.upstream.out
+    assert node.counters.attempts == attempts and not node.upstream.attempts.in_flight
 
 
 def test_what_waits_for_room_goes_out_no_more_once_its_time_is_over(connection):
@@ -149,7 +150,7 @@
     next(steps)
     late, gone = made.loop.now() + 5.0, made.sock.sent
     made.loop.now = lambda: late
-    with pytest.raises(Ended):
+    with pytest.raises(ConnectionEndedError):
         steps.send(READY)  # there is room in the turn in which the time is over
     assert made.sock.sent == gone
 
@@ -163,41 +164,47 @@
     ids=["never ran", "the same", "an error"],
 )
 @pytest.mark.parametrize(
-    "job", [replace(JOB, exclusive=True, once=True), replace(JOB, once=True)], ids=["exclusive", "receipted"]
+    "job",
+    [replace(JOB, is_unsafe=True, must_run_once=True), replace(JOB, must_run_once=True)],
+    ids=["exclusive", "receipted"],
 )
 def test_a_second_answer_after_a_good_one_proves_nothing_of_the_next(node, stand, turn, lead, second, job):
     (executor,) = stand("e1", ceilings=NO_PROBES)
     told = []
-    node.upstream.post = told.append
+    node.upstream.attempts.post = told.append
     until = node.loop.now() + 5000.0
-    node.upstream.send(AttemptOrder("1", 0, "e1", JOB, until, until))
+    node.upstream.attempts.send(AttemptOrder("1", 0, "e1", JOB, until, until))
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(ANSWER)
-    turn(lambda: node.upstream.peers["e1"].idle)
+    turn(lambda: node.upstream.pool.servers["e1"].idle)
     told.clear()
-    node.upstream.send(AttemptOrder("2", 0, "e1", job, until, until))  # in the turn in which the first ends
+    node.upstream.attempts.send(
+        AttemptOrder("2", 0, "e1", job, until, until)
+    )  # in the turn in which the first ends
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(second.replace(b"9b", b"9a"))
     turn(lambda: told)
     # It may run: neither sent again nor off the record. Its own answer is nobody's any more.
     assert [event.outcome for event in told] == [Outcome.BROKEN]
-    assert ended(executor.held[0]) and not node.upstream.peers["e1"].idle
+    assert ended(executor.held[0]) and not node.upstream.pool.servers["e1"].idle
 
 
-@pytest.mark.parametrize("wait_ms", [0.0, SECOND_MS], ids=["new", "rested"])
+@pytest.mark.parametrize("wait_ms", [0.0, DUPLICATE_ANSWER_MS], ids=["new", "rested"])
 def test_a_refusal_is_believed_where_no_second_answer_can_come(node, stand, turn, lead, wait_ms):
     (executor,) = stand("e1", ceilings=NO_PROBES)
     told = []
-    node.upstream.post = told.append
+    node.upstream.attempts.post = told.append
     until = node.loop.now() + 5000.0
     if wait_ms:
-        node.upstream.send(AttemptOrder("1", 0, "e1", JOB, until, until))
+        node.upstream.attempts.send(AttemptOrder("1", 0, "e1", JOB, until, until))
         turn(lambda: b"abc" in executor.read())
         executor.held[0].sendall(ANSWER)
-        turn(lambda: node.upstream.peers["e1"].idle)
+        turn(lambda: node.upstream.pool.servers["e1"].idle)
         lead(wait_ms)
         told.clear()
-    node.upstream.send(AttemptOrder("2", 0, "e1", replace(JOB, exclusive=True, once=True), until, until))
+    node.upstream.attempts.send(
+        AttemptOrder("2", 0, "e1", replace(JOB, is_unsafe=True, must_run_once=True), until, until)
+    )
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(NEVER)
     turn(lambda: told)
@@ -271,7 +278,7 @@
     answer = reply(sock)
     done = says is SPOILT["a report no float holds"]
     assert answer.startswith(b"HTTP/1.1 200 " if done else b"HTTP/1.1 500 ")
-    assert not node.upstream.out and node.counters.attempts == 1
+    assert not node.upstream.attempts.in_flight and node.counters.attempts == 1
     assert "Traceback" not in capsys.readouterr().err
 
 
@@ -283,8 +290,8 @@
 def test_a_spoilt_report_is_no_fault_of_the_node(node, stand, turn, capsys, says):
     (executor,) = stand("e1")
     told = []
-    node.upstream.post = told.append
-    node.upstream.probe("e1")
+    node.upstream.health_checks.post = told.append
+    node.upstream.health_checks.start("e1")
     turn(lambda: b"/-/load" in executor.read())
     executor.held[0].sendall(says)
     turn(lambda: told)
@@ -303,7 +310,7 @@
 
 @pytest.mark.parametrize("says", BAD.values(), ids=BAD)
 def test_a_bad_request_is_told_so_and_is_no_fault_of_the_node(node, client, reply, capsys, monkeypatch, says):
-    monkeypatch.setattr(downstream, "READ_MS", 300.0)
+    monkeypatch.setattr(downstream, "READ_TIMEOUT_MS", 300.0)
     sock = client(says)
     assert reply(sock)[:10] == b"HTTP/1.1 4"
     assert "Traceback" not in capsys.readouterr().err
@@ -331,7 +338,7 @@
 
 
 def by_room(node):
-    node.downstream.make_room()
+    node.downstream.close_one()
 
 
 def by_drain(node):
@@ -357,17 +364,19 @@
     if used:
         turn(lambda: b"abc" in executor.read())
         executor.held[0].sendall(ANSWER)
-        turn(lambda: node.last_request_id and not node.pending and node.downstream.idle)
+        turn(lambda: node.requests.last_request_id and not node.requests.pending and node.downstream.idle)
         assert sock.recv(1 << 16).startswith(b"HTTP/1.1 200 ")
     turn(lambda: node.downstream.idle)
-    lead(NEW_MS)
+    lead(NEW_GRACE_MS)
     crossed = []
     crossing(lambda: crossed.append(sock.sendall(REQUEST.replace(b"9b", b"9c"))))
     closes(node)
     if closes is not by_end:
         settle()
     assert crossed and ended(sock) and not node.downstream.open
-    assert node.last_request_id == used and b"abc" not in executor.read()  # its client may send it once more
+    assert (
+        node.requests.last_request_id == used and b"abc" not in executor.read()
+    )  # its client may send it once more
 
 
 def test_an_answer_that_ends_its_connection_is_whole_though_a_request_crosses_it(
@@ -379,14 +388,14 @@
     node.downstream.drain(0.0, 10000.0)
     crossing(lambda: sock.sendall(REQUEST.replace(b"9b", b"9c")))
     body = b"r" * 60000
-    node.answer("1", 200, [], body)
+    node.requests.answer("1", 200, [], body)
     turn(lambda: not node.downstream.open)
     answer = b""
     while len(answer) < len(body):
         more = sock.recv(1 << 16)
         assert more
         answer += more
-    assert answer.endswith(b"\r\n\r\n" + body) and node.last_request_id == 1
+    assert answer.endswith(b"\r\n\r\n" + body) and node.requests.last_request_id == 1
 
 
 def test_all_sockets_write_small_parts_at_once(node, client, stand, turn):
@@ -394,8 +403,8 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     client(REQUEST)
     turn(executor.accept)
-    (door,), (flight,) = node.downstream.open, node.upstream.out.values()
-    turn(lambda: flight.begun)
+    (door,), (flight,) = node.downstream.open, node.upstream.attempts.in_flight.values()
+    turn(lambda: flight.has_begun)
     made = [door.sock.fileno(), flight.task.fd]
     for number in made:
         sock = socket.socket(fileno=os.dup(number))
@@ -419,15 +428,15 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     sock = client(request_)
     turn(lambda: b"abc" in executor.read())
-    told, close, post = [], node.loop.close, node.upstream.post
-    node.upstream.post = lambda event: (told.append(event), post(event))
+    told, close, post = [], node.loop.close, node.upstream.attempts.post
+    node.upstream.attempts.post = lambda event: (told.append(event), post(event))
 
     def closes(closed):
         if executor.held and closed.fileno() == flight_fd:
             executor.held[0].sendall(says)
         close(closed)
 
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     flight_fd = flight.task.fd
     monkeypatch.setattr(node.loop, "close", closes)
     sock.close()
@@ -443,11 +452,11 @@
     (executor,) = stand("e1", ceilings=NO_PROBES)
     sock = client(REQUEST)
     turn(lambda: b"abc" in executor.read())
-    (flight,) = node.upstream.out.values()
+    (flight,) = node.upstream.attempts.in_flight.values()
     executor.held[0].sendall(ANSWER)
     while not select.select([flight.task.fd], [], [], 0)[0]:
         pass
-    lead(node.upstream.take_ms + 1.0)
+    lead(node.upstream.timeouts.accept_ms + 1.0)
     flight.task.step(seen)
     assert reply(sock).startswith(b"HTTP/1.1 200 ") and node.counters.attempts == 1
 
@@ -461,8 +470,8 @@
     good, hanging = stand("e1", "e2", ceilings=NO_PROBES)
     resting = [client(b"") for _ in range(200)]
     turn(lambda: len(node.downstream.idle) == len(resting))
-    lead(NEW_MS)
-    asked, refs = [], node.last_request_id
+    lead(NEW_GRACE_MS)
+    asked, refs = [], node.requests.last_request_id
 
     def ask(new):
         i = len(asked)
@@ -474,16 +483,18 @@
                 asked.append(resting.pop())
                 asked[-1].sendall(data)
 
-    part, end = node.downstream.part, node.end
-    node.downstream.part = lambda: (ask(False), part())  # in the moment in which the drain looks
-    node.end = lambda at_ms: (ask(False), end(at_ms))
+    part, end = node.downstream.close_idle, node.shutdown.finish
+    node.downstream.close_idle = lambda: (ask(False), part())  # in the moment in which the drain looks
+    node.shutdown.finish = lambda at_ms: (ask(False), end(at_ms))
     tell(node, {"e2": hanging.address})
     for _ in range(8):
         ask(False)
-    turn(lambda: node.last_request_id - refs == len(asked))  # unsafe work of before hangs up to the end
+    turn(
+        lambda: node.requests.last_request_id - refs == len(asked)
+    )  # unsafe work of before hangs up to the end
     tell(node, {"e1": good.address, "e2": hanging.address})
     began = node.loop.now()
-    node.close()
+    node.shutdown.begin()
     while not node.loop.stopped:
         ask(False)
         ask(True)
@@ -492,7 +503,7 @@
             node.loop.at(node.loop.now(), lambda: None)
             node.loop.turn()
             answer_all(good, b"e1")
-    assert node.loop.now() - began < 3700.0 and not node.pending  # the earliest SIGKILL
+    assert node.loop.now() - began < 3700.0 and not node.requests.pending  # the earliest SIGKILL
     node.loop.finish()
     answers = []
     for sock in asked:
@@ -502,7 +513,7 @@
     given = [answer for answer in answers if answer]
     assert {b"200", b"500"} <= {answer[9:12] for answer in given} <= {b"200", b"500", b"503"}
     assert all(b"\r\n\r\n" in answer for answer in given)
-    assert len(given) == node.last_request_id - refs and len(given) > 100
+    assert len(given) == node.requests.last_request_id - refs and len(given) > 100
 
 
 # Work that was never sent on is refused, within its time and half a second.
@@ -549,7 +560,7 @@
     (peer,) = stand("e1", backlog=0, ceilings=NO_PROBES, requestClasses=EFFECTS)
     why(node, peer)
     sock = client(request_.replace(b"Left: 5", b"Left: 0.9"))
-    turn(lambda: node.last_request_id)
+    turn(lambda: node.requests.last_request_id)
     began, answer = node.loop.now(), b""
     while not answer:
         for _ in range(10):
@@ -581,37 +592,37 @@
     for i, sock in enumerate(flood):
         (reset if i % 3 else socket.socket.close)(sock)
     good = client(REQUEST)
-    turn(lambda: any(p.job.id == "9b" for p in node.pending.values()))
+    turn(lambda: any(p.client_request.id == "9b" for p in node.requests.pending.values()))
     turn(lambda: len(node.downstream.open) == 1)
-    assert len(node.pending) == 1 and len(node.core.open) == 1
+    assert len(node.requests.pending) == 1 and len(node.core.open) == 1
     turn(lambda: b"9b" in executor.read())
     for sock in executor.held:
         with suppress(OSError):
             sock.sendall(ANSWER)
-    turn(lambda: not node.pending)
+    turn(lambda: not node.requests.pending)
     assert good.recv(1 << 16).startswith(b"HTTP/1.1 200 ")
     good.close()
-    turn(lambda: not node.downstream.open and not node.upstream.out)
-    node.upstream.close()
+    turn(lambda: not node.downstream.open and not node.upstream.attempts.in_flight)
+    node.upstream.pool.close()
     for sock in executor.held:
         sock.close()
-    assert len(os.listdir("/proc/self/fd")) <= before and not sum(node.downstream.held.values())
+    assert len(os.listdir("/proc/self/fd")) <= before and not sum(node.downstream.reserved_bytes.values())
 
 
 def test_a_burst_of_clients_that_leave_takes_all_its_work_along(node, client, stand, turn, settle):
     executors = stand("e1", "e2", "e3", ceilings=NO_PROBES)
     socks = [client(REQUEST.replace(b"9b", b"w%d" % i)) for i in range(120)]
-    turn(lambda: node.last_request_id == len(socks))
+    turn(lambda: node.requests.last_request_id == len(socks))
     settle()
-    assert node.core.dispatcher.lines and node.upstream.out
+    assert node.core.dispatcher.lines and node.upstream.attempts.in_flight
     for executor in executors:
         executor.read()
     for i, sock in enumerate(socks):
         (reset if i % 2 else socket.socket.close)(sock)
-    turn(lambda: not node.pending)
+    turn(lambda: not node.requests.pending)
     attempts = node.counters.attempts
     settle(100)
-    assert not node.core.open and not node.core.dispatcher.lines and not node.upstream.out
+    assert not node.core.open and not node.core.dispatcher.lines and not node.upstream.attempts.in_flight
     assert node.counters.attempts == attempts and not any(b"POST" in e.read() for e in executors)
 
 
@@ -628,13 +639,13 @@
     release = full_queue(slow)
     tell(node, {"e1": slow.address})  # all go there first
     sock = client(request_)
-    turn(lambda: node.upstream.out)
+    turn(lambda: node.upstream.attempts.in_flight)
     tell(node, {"e1": slow.address, "e2": good.address})
     node.core.dispatcher.full[node.core.index["e1"]] = True  # the next goes elsewhere
     second = client(request_.replace(b"9b", b"9c").replace(b"-Key: k", b"-Key: l"))
     turn(lambda: b"abc" in good.read())  # and is served while the first waits
     good.held[0].sendall(ANSWER.replace(b'"e1"', b'"e2"').replace(b"9b", b"9c"))
-    assert reply(second).startswith(b"HTTP/1.1 200 ") and node.upstream.out
+    assert reply(second).startswith(b"HTTP/1.1 200 ") and node.upstream.attempts.in_flight
     lead(node.config.deployment.connect_ms)
     turn(lambda: b"abc" in good.read())
     good.held[-1].sendall(ANSWER.replace(b'"e1"', b'"e2"'))
@@ -708,7 +719,7 @@
         node.turns(20)
         assert node.core.dispatcher.endpoint_state[node.core.index["e1"]] is state
         assert node.core.dispatcher.endpoint_state[node.core.index["e2"]] is EndpointState.READY
-        node.turns(lead_ms=node.discovery.gap_ms)
+        node.turns(lead_ms=node.discovery.min_watch_gap_ms)
     assert len(roster.held) == 1  # one watch
 
 
@@ -749,7 +760,7 @@
     if in_watch:
         roster.held[0].sendall(answer(listing(5, "active", dial=dial)))
         node.turns()
-        node.turns(lead_ms=node.discovery.gap_ms)
+        node.turns(lead_ms=node.discovery.min_watch_gap_ms)
         assert b"since=5" in roster.read()
     silent, told_ms = node.loop.now(), max(6000.0, node.discovery.wait_ms + 2000.0 if in_watch else 0.0)
     while len(roster.held) == 1:
@@ -763,7 +774,7 @@
     assert node.loop.now() - silent < told_ms
     client(REQUEST, node.downstream)
     node.turns(20)
-    assert node.last_request_id and not executor.accept()
+    assert node.requests.last_request_id and not executor.accept()
     tell(node, {"e1": executor.address})  # and goes there once it is ready again
     node.turns(20)
     assert executor.accept()
@@ -804,7 +815,7 @@
         sock.sendall(answer(listing(5, "active")))
     for node, _ in made:
         node.turns()
-        node.turns(lead_ms=node.discovery.gap_ms)
+        node.turns(lead_ms=node.discovery.min_watch_gap_ms)
     roster.read()
     for sock in roster.held:
         reset(sock)
@@ -834,7 +845,7 @@
     turn(lambda: b"abc" in first.read())  # it may run from here on
     for i in range(2):
         sock.close()
-        turn(lambda: not node.pending)
+        turn(lambda: not node.requests.pending)
         node.post(core.EndpointListUpdate(ListUpdateKind.FULL, entries))  # the other cell is free
         lead(100.0)
         sock = client(PAYMENT.replace(b"9b", b"a%d" % i).replace(b"Key: k", b"Key: k\r\nX-Repeat: 1"))
@@ -868,7 +879,7 @@
     for _ in range(8):  # past the next look at what stands in line
         lead(100.0)
         settle(5)
-    out = [flight for flight in node.upstream.out.values() if flight.begun]
+    out = [flight for flight in node.upstream.attempts.in_flight.values() if flight.has_begun]
     assert len(out) == 1 + copied and not ended(first.held[0])
     assert (b"abc" in other.read()) is copied
 
@@ -916,7 +927,7 @@
     with pytest.raises(ConnectionResetError):
         crossed[0].recv(1)  # its client knows at once; no bytes were read, nothing was sent on
     settle()
-    assert not node.last_request_id and not executor.accept()
+    assert not node.requests.last_request_id and not executor.accept()
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(address)
     crossed[0].close()
@@ -931,12 +942,12 @@
     sock = client(REQUEST)
     turn(lambda: b"abc" in executor.read())
     (door,) = node.downstream.open
-    node.answer("1", 200, [], b"r" * 3000000)
+    node.requests.answer("1", 200, [], b"r" * 3000000)
     settle()
     assert node.downstream.open
-    lead(WRITE_MS + 1.0)
+    lead(WRITE_TIMEOUT_MS + 1.0)
     turn(lambda: not node.downstream.open)
-    assert door.closed and node.last_request_id == 1 and b"abc" not in executor.read()
+    assert door.closed and node.requests.last_request_id == 1 and b"abc" not in executor.read()
     sock.close()
 
 
@@ -946,7 +957,7 @@
 def watching(node, roster):
     roster.held[0].sendall(answer(listing(5, "active")))
     node.turns()
-    node.turns(lead_ms=node.discovery.gap_ms)
+    node.turns(lead_ms=node.discovery.min_watch_gap_ms)
     assert b"since=5" in roster.read()
 
 
