--- a/marlseam/cli/load.py
+++ b/marlseam/cli/load.py
@@ -38,8 +38,9 @@
     """Send a day's work units to nodes and print what was counted; ends with 1 where the run is not valid."""
     from marlseam.configuration import address_from
     from marlseam.load import process
+    from marlseam.load.errors import TraceError
     from marlseam.load.generator import Generator
-    from marlseam.load.trace import BadTrace
+    from marlseam.load.tally import Tally
     from marlseam.load.verdict import merge, table
     from marlseam.records import Streams
     from marlseam.world.chance import stream
@@ -54,7 +55,7 @@
     where = {f"n{i}": (zones[i % len(zones)], address) for i, address in enumerate(nodes)}
     try:
         arrivals = process.arrivals_of(held, seed)
-    except BadTrace as error:
+    except TraceError as error:
         raise click.UsageError(str(error)) from None
     covered = {zone for zone, _ in where.values()}
     if any(arrival.zone not in covered for arrival in arrivals):
@@ -66,14 +67,16 @@
     writer = Streams(records, "clients").of("clients")
     generator = Generator(held, arrivals, where, writer, stream(seed, "clients"), connections)
 
-    def shown(now: float, tally: object) -> None:
-        common.progress(f"{now / 1000.0:.0f} s of {held.seconds:g}: {tally.sent} sent, {generator.open} out")
+    def shown(now: float, tally: Tally) -> None:
+        common.progress(
+            f"{now / 1000.0:.0f} s of {held.seconds:g}: {tally.sent} sent, {generator.open_tries} out"
+        )
 
     tally = generator.run(time.monotonic() + 0.2, shown)
     common.progress("", end=True)
     counted = merge([process.summary(tally)], len(arrivals))
     click.echo(table(counted))
-    if not counted.valid:
+    if not counted.is_valid:
         raise SystemExit(1)
 
 
@@ -87,7 +90,7 @@
     """Write the trace of an experiment's RUN folder to a file."""
     from marlseam import records
     from marlseam.load.process import arrivals_of
-    from marlseam.load.trace import written
+    from marlseam.load.trace import trace_lines
 
     try:
         seed = json.loads((run / "summary.json").read_text())["seed"]
@@ -98,4 +101,4 @@
     if wrong:
         raise click.UsageError("\n".join(wrong))
     with to.open("wb") as file:
-        file.writelines(written(found, arrivals_of(held, seed), retries))
+        file.writelines(trace_lines(found, arrivals_of(held, seed), retries))
--- a/marlseam/load/generator.py
+++ b/marlseam/load/generator.py
@@ -1,13 +1,11 @@
-"""The load generator.
+"""The load generator: one process on one core that sends tries at their intended times, open loop.
 
-One process on one core that sends tries at their intended times and never waits for answers.
-
-A plain epoll loop, as a send must not wait behind the work of another. Latency counts from the intended send;
-the count from the actual one stands beside it. The generator's own lag (it was busy) is told apart from a
-wait for a connection, where their number is limited.
+It never waits for answers: a slow node must not slow the load down. A plain epoll loop, as a send must not
+wait behind the work of another. Latency counts from the intended send; the count from the actual one stands
+beside it. The generator's own lag (it was busy) is told apart from a wait for a connection, where their
+number is limited.
 """
 
-import errno
 import heapq
 import resource
 import select
@@ -15,105 +13,48 @@
 import time
 from collections import deque
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field
 from math import inf
+from typing import NamedTuple
 
-import httptools
 import numpy as np
-from hdrh.histogram import HdrHistogram
 
 from marlseam import records
+from marlseam.load.connection import Address, Connection, PendingTry
+from marlseam.load.errors import ConnectionUnavailableError
+from marlseam.load.tally import Tally
 from marlseam.records import Writer
 from marlseam.world.clients import Client, Front, tried
 from marlseam.world.model import Day
 from marlseam.world.plan import Arrival
 
-LAG_MS = 5.0  # own lag that marks a second
-HDR_MOST_US, DIGITS = 600_000_000, 3
-LOOK_AGAIN_MS = 250.0  # how often a node that is down is tried
-SLACK_MS = 50.0  # how long past its limit a client waits for an answer that is on its way
-REQUEST = (
-    b"POST /%b%b HTTP/1.1\r\nHost: %b\r\nX-Correlation-Id: %b\r\nX-Service-Class: %b\r\nX-Time-Left: %.3f\r\n"
-    b"%bX-Facts: slots=%g,memory=%g\r\nContent-Length: %d\r\n\r\n%b"
-)
-
-
-@dataclass
-class Tally:
-    """What a generator counted; all latencies in microseconds."""
-
-    intended: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, HDR_MOST_US, DIGITS))
-    actual: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, HDR_MOST_US, DIGITS))
-    lag: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, HDR_MOST_US, DIGITS))
-    sent: int = 0
-    lagged: dict[int, list[float]] = field(default_factory=dict)  # by second: the most, how many sends
-    refused: dict[str, int] = field(default_factory=dict)  # why tries were not sent
+NODE_CHECK_INTERVAL_MS = 250.0  # how often a node that refused a connection is tried
+NODE_CHECK_TIMEOUT_S = 0.05
+ANSWER_GRACE_MS = 50.0  # how long past its deadline a client waits for an answer that is on its way
+MAX_POLL_MS = 200.0
+MAX_POLL_EVENTS = 256
+PROGRESS_INTERVAL_MS = 500.0
+SENDS_BETWEEN_CLOCK_READS = 64  # while many sends are due at once
+RESERVED_DESCRIPTORS = 32  # for files, the poll and the checks of nodes
 
 
-@dataclass
-class Out:
-    """A try on its way: who waits, since when it should have gone and when it went.
+class NodePlace(NamedTuple):
+    """A node's zone, and its address as HOST:PORT."""
 
-    Times in ms of the run.
-    """
-
-    client: Client
-    id: str
-    intended: float
-    node: str
-    sent: float = inf
-    open: bool = True
-    again: bool = False  # sent a second time over a new connection
-    line: "Line | None" = None
-
-
-class Line:
-    """One connection to a node."""
-
-    __slots__ = (
-        "body",
-        "connecting",
-        "fd",
-        "generator",
-        "headers",
-        "keep",
-        "node",
-        "out",
-        "parser",
-        "rest",
-        "sock",
-        "used",
-    )
-
-    def __init__(self, generator: "Generator", node: str) -> None:
-        self.generator, self.node = generator, node
-        self.sock = socket.socket()
-        self.sock.setblocking(False)
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.fd = self.sock.fileno()
-        self.rest, self.connecting, self.used, self.out = b"", True, False, None
-        self.fresh()
-
-    def fresh(self) -> None:
-        """Make ready for the next answer."""
-        self.parser, self.body, self.headers, self.keep = httptools.HttpResponseParser(self), b"", {}, True
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
-        self.headers[name.lower()] = value
-
-    def on_body(self, data: bytes) -> None:
-        """Keep a part of the body."""
-        self.body += data
-
-    def on_message_complete(self) -> None:
-        """An answer is whole."""
-        self.keep = self.parser.should_keep_alive()
-        self.generator.answered(self)
+    zone: str
+    address: str
 
 
 class Generator:
-    """Plays a part of a plan against nodes."""
+    """Sends a part of a day's arrivals to nodes, and records what its clients see.
+
+    Attributes:
+        day: the day that is played.
+        arrivals: what to send, in order of intended time.
+        writer: the stream that takes the clients' records.
+        tally: what was counted.
+        open_tries: how many tries have no answer yet and a client that waits.
+        max_descriptors: how many connections the process may have.
+    """
 
     def __init__(
         self,
@@ -122,322 +63,327 @@
         nodes: Mapping[str, tuple[str, str]],
         writer: Writer,
         chance: np.random.Generator,
-        connections: int = 0,
+        max_connections: int = 0,
     ) -> None:
-        """Make one.
+        """Make a generator.
 
-        `nodes` holds zone and address by name, `connections` is the most at once, 0 for as many as needed.
+        `nodes` holds zone and address by name; `max_connections` limits the connections at once, 0 for as
+        many as needed; `chance` draws the clients' waits before their retries.
         """
-        self.day, self.writer, self.chance, self.most = day, writer, chance, connections
-        self.types = day.types
-        self.addresses = {
-            name: (host, int(port)) for name, (_, a) in nodes.items() for host, _, port in [a.rpartition(":")]
-        }
-        by_zone: dict[str, list[str]] = {}
-        for name, (zone, _) in nodes.items():
-            by_zone.setdefault(zone, []).append(name)
-        self.front = Front(by_zone, 1000.0 * day.clients.notice_s)
-        self.tally, self.poll = Tally(), select.epoll()
-        self.lines: dict[int, Line] = {}
-        self.idle: dict[str, list[Line]] = {name: [] for name in nodes}
-        self.queue: deque[Out] = deque()  # for a connection, where their number is limited
-        self.timers: list[tuple[float, int, Callable[[], None]]] = []
-        self.count, self.open, self.retries = 0, 0, 0  # retries: those still to come
-        self.arrivals, self.next = arrivals, 0
-        soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-        self.descriptors = soft - 32
+        places = {name: NodePlace(*place) for name, place in nodes.items()}
+        self.day, self.arrivals, self.writer = day, arrivals, writer
+        self.tally = Tally()
+        self.open_tries = 0
+        self.max_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0] - RESERVED_DESCRIPTORS
+        self._chance, self._max_connections = chance, max_connections
+        self._addresses = {name: Address.parsed(place.address) for name, place in places.items()}
+        self._front = Front(_names_by_zone(places), 1000.0 * day.clients.notice_s)
+        self._poll = select.epoll()
+        self._connections: dict[int, Connection] = {}  # by file descriptor
+        self._idle: dict[str, list[Connection]] = {name: [] for name in nodes}
+        self._waiting: deque[PendingTry] = deque()  # for a connection, where their number is limited
+        self._timers: list[tuple[float, int, Callable[[], None]]] = []
+        self._timer_count = 0
+        self._scheduled_retries = 0
+        self._next_arrival = 0
+        self._zero_s = 0.0
 
     # Time.
 
-    def now(self) -> float:
+    def now_ms(self) -> float:
         """Return ms since the run's zero."""
-        return (time.monotonic() - self.zero) * 1000.0
-
-    def at(self, t: float, call: Callable[[], None]) -> None:
-        """Call at a time."""
-        self.count += 1
-        heapq.heappush(self.timers, (t, self.count, call))
-
-    def run(self, zero: float, progress: Callable[[float, Tally], None] | None = None) -> Tally:
-        """Play the plan from the run's zero on (seconds, monotonic clock) to the last answer."""
-        self.zero = zero
-        told = 0.0
-        while self.next < len(self.arrivals) or self.open or self.timers:
-            now = self.now()
-            while self.next < len(self.arrivals) and self.arrivals[self.next].at <= now:
-                self.begin(self.arrivals[self.next])
-                self.next += 1
-                if self.next % 64 == 0:
-                    now = self.now()
-            while self.timers and self.timers[0][0] <= now:
-                heapq.heappop(self.timers)[2]()
-            due = min(
-                self.arrivals[self.next].at if self.next < len(self.arrivals) else inf,
-                self.timers[0][0] if self.timers else inf,
-                now + 200.0,
-            )
-            # epoll counts whole milliseconds and rounds up: the last one before a send is spent looking.
-            pause = int(max(0.0, due - self.now())) / 1000.0
-            for fd, mask in self.poll.poll(pause, 256):
-                line = self.lines.get(fd)
-                if line is not None:
-                    self.ready(line, mask)
-            if progress is not None and now - told > 500.0:
-                told = now
-                progress(now, self.tally)
-            if self.next >= len(self.arrivals) and not self.open and not self.retries:
+        return (time.monotonic() - self._zero_s) * 1000.0
+
+    def _call_at(self, at_ms: float, call: Callable[[], None]) -> None:
+        """Call at a time; calls of the same time are made in the order in which they were asked for."""
+        self._timer_count += 1
+        heapq.heappush(self._timers, (at_ms, self._timer_count, call))
+
+    def run(self, zero_s: float, progress: Callable[[float, Tally], None] | None = None) -> Tally:
+        """Play the arrivals from the run's zero on (seconds, monotonic clock) to the last answer.
+
+        `progress` is called now and then with the time in ms and the tally.
+        """
+        self._zero_s = zero_s
+        progress_ms = 0.0
+        while self._has_arrivals() or self.open_tries or self._timers:
+            now_ms = self._send_due_arrivals()
+            self._run_due_timers(now_ms)
+            self._handle_sockets(now_ms)
+            if progress is not None and now_ms - progress_ms > PROGRESS_INTERVAL_MS:
+                progress_ms = now_ms
+                progress(now_ms, self.tally)
+            if not (self._has_arrivals() or self.open_tries or self._scheduled_retries):
                 break
-        for line in list(self.lines.values()):
-            self.close(line)
-        for second, (most, sends) in sorted(self.tally.lagged.items()):
-            row = records.Lagged(t=1000.0 * second, by=self.writer.by, most=most, sends=int(sends))
-            self.writer.add(row)
-        self.writer.end(self.now())
+        self._finish()
         return self.tally
 
+    def _has_arrivals(self) -> bool:
+        """Return whether any arrival is still to be sent."""
+        return self._next_arrival < len(self.arrivals)
+
+    def _send_due_arrivals(self) -> float:
+        """Send all arrivals whose time has come; return the time when the clock was last read, in ms."""
+        now_ms = self.now_ms()
+        while self._has_arrivals() and self.arrivals[self._next_arrival].at <= now_ms:
+            self._send_arrival(self.arrivals[self._next_arrival])
+            self._next_arrival += 1
+            if self._next_arrival % SENDS_BETWEEN_CLOCK_READS == 0:
+                now_ms = self.now_ms()
+        return now_ms
+
+    def _run_due_timers(self, now_ms: float) -> None:
+        """Make the calls whose time has come."""
+        while self._timers and self._timers[0][0] <= now_ms:
+            heapq.heappop(self._timers)[2]()
+
+    def _handle_sockets(self, now_ms: float) -> None:
+        """Wait for sockets until something is due, and handle those that are ready."""
+        due_ms = min(
+            self.arrivals[self._next_arrival].at if self._has_arrivals() else inf,
+            self._timers[0][0] if self._timers else inf,
+            now_ms + MAX_POLL_MS,
+        )
+        # epoll counts whole milliseconds and rounds up: the last one before a send is spent polling.
+        pause_s = int(max(0.0, due_ms - self.now_ms())) / 1000.0
+        for fd, mask in self._poll.poll(pause_s, MAX_POLL_EVENTS):
+            connection = self._connections.get(fd)
+            if connection is not None:
+                self._handle_ready(connection, mask)
+
+    def _finish(self) -> None:
+        """Close all connections and end the stream of records."""
+        for connection in list(self._connections.values()):
+            self._close(connection)
+        for number, second in sorted(self.tally.lagged.items()):
+            self.writer.add(
+                records.Lagged(
+                    t=1000.0 * number, by=self.writer.by, most=second.max_lag_ms, sends=second.sends
+                )
+            )
+        self.writer.end(self.now_ms())
+
     # Tries.
 
-    def begin(self, arrival: Arrival) -> None:
-        """Send a first try, or a trace's next one."""
-        lag = self.now() - arrival.at
-        self.tally.lag.record_value(max(1, int(lag * 1000.0)))
-        if lag > LAG_MS:
-            row = self.tally.lagged.setdefault(int(arrival.at // 1000.0), [0.0, 0])
-            row[0], row[1] = max(row[0], lag), row[1] + 1
-        client = Client(arrival, self.types[arrival.type], self.day.clients, replayed=bool(arrival.first))
-        self.try_now(client, arrival.at)
-
-    def try_now(self, client: Client, intended: float) -> None:
-        """Send a try to the node that the front deals it to."""
-        arrival, id, now = client.arrival, client.begin(), self.now()
-        node, _ = self.front.deal(arrival.zone, now)
-        out = Out(client, id, intended, node)
-        self.open += 1
-        self.writer.add(tried(client, id, self.writer.by, node, now))
-        until = client.leaves_at(now)
-        self.at(until + (SLACK_MS if until >= client.expires else 0.0), lambda: self.quit(out))
-        self.send(out)
-
-    def send(self, out: Out) -> None:
-        """Write a try on an unused connection or a new one; wait for one where no more are allowed."""
-        pool = self.idle[out.node]
-        if pool:
-            line = pool.pop()
-        elif self.most and len(self.lines) >= self.most:
-            self.queue.append(out)
+    def _send_arrival(self, arrival: Arrival) -> None:
+        """Send a request's first try, or a trace's next one."""
+        self.tally.record_lag(arrival.at, self.now_ms() - arrival.at)
+        request_class = self.day.types[arrival.type]
+        client = Client(arrival, request_class, self.day.clients, replayed=bool(arrival.first))
+        self._send_try(client, arrival.at)
+
+    def _send_try(self, client: Client, intended_ms: float) -> None:
+        """Send a client's next try to the node that the front picks."""
+        try_id, now_ms = client.begin(), self.now_ms()
+        node, _ = self._front.deal(client.arrival.zone, now_ms)
+        pending = PendingTry(client, try_id, intended_ms, node)
+        self.open_tries += 1
+        self.writer.add(tried(client, try_id, self.writer.by, node, now_ms))
+        leaves_ms = client.leaves_at(now_ms)
+        grace_ms = ANSWER_GRACE_MS if leaves_ms >= client.expires else 0.0
+        self._call_at(leaves_ms + grace_ms, lambda: self._client_leaves(pending))
+        self.send(pending)
+
+    def send(self, pending: PendingTry) -> None:
+        """Write a try on an idle connection or a new one; let it wait where no more are allowed."""
+        idle = self._idle[pending.node]
+        if idle:
+            connection = idle.pop()
+        elif self._max_connections and len(self._connections) >= self._max_connections:
+            self._waiting.append(pending)
             return
         else:
-            made = self.connect(out.node)
-            if isinstance(made, str):
-                self.unsent(out, made)
+            try:
+                connection = self._connect(pending.node)
+            except ConnectionUnavailableError as error:
+                self._fail_unsent(pending, error.reason)
                 return
-            line = made
-        line.out, out.line = out, line
-        if not line.connecting:
-            self.write(line)
-
-    def connect(self, node: str) -> Line | str:
-        """Begin a connection, or return why there is none."""
-        if len(self.lines) >= self.descriptors:
-            return "no descriptors"
-        try:
-            line = Line(self, node)
-        except OSError as error:
-            return "no descriptors" if error.errno in (errno.EMFILE, errno.ENFILE) else str(error)
-        error = line.sock.connect_ex(self.addresses[node])
-        if error not in (0, errno.EINPROGRESS):
-            line.sock.close()
-            return "refused"
-        self.lines[line.fd] = line
-        self.poll.register(line.fd, select.EPOLLIN | select.EPOLLOUT)
-        return line
-
-    def write(self, line: Line) -> None:
-        """Write a try's request."""
-        out, now = line.out, self.now()
-        arrival, type = out.client.arrival, out.client.type
-        name = type.name.encode()
-        receipt = f"Idempotency-Key: {arrival.receipt}\r\n" if arrival.receipt else ""
-        if out.client.tries + arrival.number > 1:
-            receipt += "X-Repeat: 1\r\n"
-        key = b"" if arrival.key is None else b"?user=" + arrival.key.encode()
-        body = b'{"work":%.3f,"slots":%g,"memory":%g}' % (arrival.work, arrival.slots, arrival.memory)
-        left = max(0.0, out.client.expires - now) / 1000.0
-        host = "{}:{}".format(*self.addresses[line.node]).encode()
-        line.rest = REQUEST % (
-            name,
-            key,
-            host,
-            out.id.encode(),
-            name,
-            left,
-            receipt.encode(),
-            arrival.slots,
-            arrival.memory,
-            len(body),
-            body,
-        )
-        out.sent = now
+        connection.pending, pending.connection = pending, connection
+        if not connection.is_connecting:
+            self._write(connection, pending)
+
+    def _connect(self, node: str) -> Connection:
+        """Begin a connection to a node, or raise ConnectionUnavailableError."""
+        if len(self._connections) >= self.max_descriptors:
+            raise ConnectionUnavailableError(ConnectionUnavailableError.NO_DESCRIPTORS)
+        connection = Connection(self, node, self._addresses[node])
+        self._connections[connection.fd] = connection
+        self._poll.register(connection.fd, select.EPOLLIN | select.EPOLLOUT)
+        return connection
+
+    def _write(self, connection: Connection, pending: PendingTry) -> None:
+        """Write a try's request to its connection."""
+        now_ms = self.now_ms()
+        connection.unsent = pending.request(self._addresses[connection.node], now_ms)
+        pending.sent_ms = now_ms
         self.tally.sent += 1
-        self.flush(line)
+        self._flush(connection)
 
-    def flush(self, line: Line) -> None:
-        """Write what is left to be written."""
+    def _flush(self, connection: Connection) -> None:
+        """Write what the socket takes, and wait for room where it does not take all."""
         try:
-            line.rest = line.rest[line.sock.send(line.rest) :]
-        except BlockingIOError:
-            pass
+            connection.flush()
         except OSError:
-            self.broken(line)
+            self._connection_lost(connection)
             return
-        mask = select.EPOLLIN | (select.EPOLLOUT if line.rest else 0)
-        self.poll.modify(line.fd, mask)
+        mask = select.EPOLLIN | (select.EPOLLOUT if connection.unsent else 0)
+        self._poll.modify(connection.fd, mask)
 
-    def ready(self, line: Line, mask: int) -> None:
+    def _handle_ready(self, connection: Connection, mask: int) -> None:
         """Go on at a connection on which something happened."""
-        if line.connecting:
-            if line.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) or mask & select.EPOLLHUP:
-                self.down(line)
-                return
-            line.connecting = False
-            self.poll.modify(line.fd, select.EPOLLIN)
-            if line.out is not None:
-                self.write(line)
+        if connection.is_connecting:
+            self._handle_connected(connection, mask)
             return
-        if mask & select.EPOLLOUT and line.rest:
-            self.flush(line)
-        if mask & (select.EPOLLIN | select.EPOLLHUP | select.EPOLLERR) and line.fd in self.lines:
-            try:
-                data = line.sock.recv(65536)
-                if data:
-                    line.parser.feed_data(data)
-            except BlockingIOError:
-                return
-            except (OSError, httptools.HttpParserError):
-                data = b""
-            if not data:
-                self.broken(line)
-
-    def answered(self, line: Line) -> None:
-        """An answer has come whole."""
-        out, status, now = line.out, line.parser.get_status_code(), self.now()
-        if out is None:
-            self.close(line)
+        if mask & select.EPOLLOUT and connection.unsent:
+            self._flush(connection)
+        readable = mask & (select.EPOLLIN | select.EPOLLHUP | select.EPOLLERR)
+        if readable and connection.fd in self._connections and not connection.receive():
+            self._connection_lost(connection)
+
+    def _handle_connected(self, connection: Connection, mask: int) -> None:
+        """Send the try that waits for a connection to be established, or note that the node refused it."""
+        if connection.connect_error() or mask & select.EPOLLHUP:
+            self._connection_refused(connection)
             return
-        line.out = out.line = None
-        keep, line.used = line.keep, True
-        how = {200: "completed", 429: "deferred", 503: "deferred"}.get(status, "aborted")
-        if how == "completed" and not line.body.startswith(out.id.encode()):
-            how = "garbled"
-        advice = 0.0
-        if how == "deferred":
-            try:
-                advice = 1000.0 * float(line.headers.get(b"retry-after", b"0"))
-            except ValueError:
-                advice = 0.0
-        line.fresh()
+        connection.is_connecting = False
+        self._poll.modify(connection.fd, select.EPOLLIN)
+        if connection.pending is not None:
+            self._write(connection, connection.pending)
+
+    def on_answer(self, connection: Connection) -> None:
+        """Take in the whole answer that a connection holds."""
+        pending, now_ms = connection.pending, self.now_ms()
+        if pending is None:
+            self._close(connection)
+            return
+        connection.pending = pending.connection = None
+        connection.was_used = True
+        how, keep_alive = connection.outcome(pending), connection.keep_alive
+        advice_ms = connection.advice_ms() if how == "deferred" else 0.0
+        connection.reset_parser()
         if how == "completed":
-            self.tally.intended.record_value(max(1, int((now - out.intended) * 1000.0)))
-            self.tally.actual.record_value(max(1, int((now - out.sent) * 1000.0)))
-        if keep:
-            self.idle[line.node].append(line)
+            self.tally.record_completed(now_ms - pending.intended_ms, now_ms - pending.sent_ms)
+        if keep_alive:
+            self._idle[connection.node].append(connection)
         else:
-            self.close(line)
-        self.ended(out, how, advice)
-        self.use_free()
-
-    def use_free(self) -> None:
-        """Give a connection to the next that waits for one."""
-        while self.queue:
-            out = self.queue.popleft()
-            if not out.open:
+            self._close(connection)
+        self._end_try(pending, how, advice_ms)
+        self._send_waiting()
+
+    def _send_waiting(self) -> None:
+        """Give connections to the tries that wait for one, in order, as far as there are any."""
+        while self._waiting:
+            pending = self._waiting.popleft()
+            if not pending.is_open:
                 continue
-            if not self.idle[out.node] and len(self.lines) >= self.most:
-                # Another node's connection stands unused: it makes room.
-                spare = next((pool for pool in self.idle.values() if pool), None)
+            if not self._idle[pending.node] and len(self._connections) >= self._max_connections:
+                # Another node's idle connection makes room.
+                spare = next((idle for idle in self._idle.values() if idle), None)
                 if spare is None:
-                    self.queue.appendleft(out)
+                    self._waiting.appendleft(pending)
                     return
-                self.close(spare[0])
-            self.send(out)
-
-    def ended(self, out: Out, how: str, advice_ms: float) -> None:
-        """A try has ended: note it and see whether its client tries again."""
-        out.open = False
-        self.open -= 1
-        now = self.now()
-        self.writer.add(records.Answered(t=now, by=self.writer.by, id=out.id, how=how, advice_ms=advice_ms))
-        wait = out.client.wait(now, how, advice_ms, self.chance)
-        if wait is not None:
-            self.retries += 1
-
-            def again() -> None:
-                self.retries -= 1
-                self.try_now(out.client, now + wait)
-
-            self.at(now + wait, again)
-
-    def unsent(self, out: Out, why: str) -> None:
-        """A try found no connection."""
-        self.tally.refused[why] = self.tally.refused.get(why, 0) + 1
-        self.ended(out, "unsent", 0.0)
-
-    def quit(self, out: Out) -> None:
-        """A client goes without an answer: its connection closes."""
-        if not out.open:
+                self._close(spare[0])
+            self.send(pending)
+
+    def _end_try(self, pending: PendingTry, how: str, advice_ms: float) -> None:
+        """Record how a try ended, and schedule its client's retry if there is one."""
+        pending.is_open = False
+        self.open_tries -= 1
+        now_ms = self.now_ms()
+        self.writer.add(
+            records.Answered(t=now_ms, by=self.writer.by, id=pending.id, how=how, advice_ms=advice_ms)
+        )
+        wait_ms = pending.client.wait(now_ms, how, advice_ms, self._chance)
+        if wait_ms is not None:
+            self._schedule_retry(pending.client, now_ms + wait_ms)
+
+    def _schedule_retry(self, client: Client, at_ms: float) -> None:
+        """Send a client's next try at a time."""
+
+        def retry() -> None:
+            self._scheduled_retries -= 1
+            self._send_try(client, at_ms)
+
+        self._scheduled_retries += 1
+        self._call_at(at_ms, retry)
+
+    def _fail_unsent(self, pending: PendingTry, reason: str) -> None:
+        """End a try for which there was no connection."""
+        self.tally.record_unsent(reason)
+        self._end_try(pending, "unsent", 0.0)
+
+    def _client_leaves(self, pending: PendingTry) -> None:
+        """Close the connection of a client that goes without an answer."""
+        if not pending.is_open:
             return
-        out.open = False
-        self.open -= 1
-        now = self.now()
-        self.writer.add(records.Quit(t=now, by=self.writer.by, id=out.id, early=now < out.client.expires))
-        if out.line is not None:
-            out.line.out = None
-            self.close(out.line)
-            self.use_free()
-
-    def down(self, line: Line) -> None:
-        """A node refuses connections: the front notices after its time, and tries it now and then."""
-        node, out = line.node, line.out
-        line.out = None
-        self.close(line)
-        if node not in self.front.down:
-            self.front.died(node, self.now())
-            self.at(self.now() + LOOK_AGAIN_MS, lambda: self.look_again(node))
-        if out is not None and out.open:
-            out.line = None
-            self.unsent(out, "refused")
-
-    def look_again(self, node: str) -> None:
-        """Try whether a node is back."""
-        if self.next >= len(self.arrivals) and not self.open:
+        pending.is_open = False
+        self.open_tries -= 1
+        now_ms = self.now_ms()
+        early = now_ms < pending.client.expires
+        self.writer.add(records.Quit(t=now_ms, by=self.writer.by, id=pending.id, early=early))
+        if pending.connection is not None:
+            pending.connection.pending = None
+            self._close(pending.connection)
+            self._send_waiting()
+
+    # Connections that fail.
+
+    def _connection_refused(self, connection: Connection) -> None:
+        """Fail the try of a refused connection; the front notices the node's failure after its time."""
+        node, pending = connection.node, connection.pending
+        connection.pending = None
+        self._close(connection)
+        if node not in self._front.down:
+            self._front.died(node, self.now_ms())
+            self._call_at(self.now_ms() + NODE_CHECK_INTERVAL_MS, lambda: self._check_node(node))
+        if pending is not None and pending.is_open:
+            pending.connection = None
+            self._fail_unsent(pending, ConnectionUnavailableError.REFUSED)
+
+    def _check_node(self, node: str) -> None:
+        """Try whether a node accepts connections again; check again later if it does not."""
+        if not self._has_arrivals() and not self.open_tries:
             return
         with socket.socket() as sock:
-            sock.settimeout(0.05)
-            if sock.connect_ex(self.addresses[node]) == 0:
-                self.front.back(node)
+            sock.settimeout(NODE_CHECK_TIMEOUT_S)
+            if sock.connect_ex(self._addresses[node]) == 0:
+                self._front.back(node)
                 return
-        self.at(self.now() + LOOK_AGAIN_MS, lambda: self.look_again(node))
-
-    def broken(self, line: Line) -> None:
-        """A connection ended: with a try on it that is lost, else it was unused."""
-        out = line.out
-        line.out = None
-        self.close(line)
-        if out is None or not out.open:
+        self._call_at(self.now_ms() + NODE_CHECK_INTERVAL_MS, lambda: self._check_node(node))
+
+    def _connection_lost(self, connection: Connection) -> None:
+        """Drop a connection that ended; a try on it is lost, or sent once more where that is harmless."""
+        pending = connection.pending
+        connection.pending = None
+        self._close(connection)
+        if pending is None or not pending.is_open:
             return
-        out.line = None
-        # A node may close an unused connection; what crossed that goes once more, if that is harmless.
-        crossed = line.used and not line.body and out.client.type.effect == "rerunnable" and not out.again
-        if line.rest or crossed:
-            out.again = crossed
-            self.send(out)
+        pending.connection = None
+        # A node may close an idle connection while a request is on its way to it.
+        closed_while_idle = (
+            connection.was_used
+            and not connection.body
+            and pending.client.type.effect == "rerunnable"
+            and not pending.was_resent
+        )
+        if connection.unsent or closed_while_idle:
+            pending.was_resent = closed_while_idle
+            self.send(pending)
         else:
-            self.ended(out, "lost", 0.0)
-
-    def close(self, line: Line) -> None:
-        """Close a connection."""
-        if self.lines.pop(line.fd, None) is not None:
-            if line in self.idle[line.node]:
-                self.idle[line.node].remove(line)
-            self.poll.unregister(line.fd)
-            line.sock.close()
+            self._end_try(pending, "lost", 0.0)
+
+    def _close(self, connection: Connection) -> None:
+        """Close a connection, if it is not closed yet."""
+        if self._connections.pop(connection.fd, None) is not None:
+            if connection in self._idle[connection.node]:
+                self._idle[connection.node].remove(connection)
+            self._poll.unregister(connection.fd)
+            connection.sock.close()
+
+
+def _names_by_zone(places: Mapping[str, NodePlace]) -> dict[str, list[str]]:
+    """Return the names of the nodes of each zone."""
+    by_zone: dict[str, list[str]] = {}
+    for name, place in places.items():
+        by_zone.setdefault(place.zone, []).append(name)
+    return by_zone
--- a/marlseam/load/process.py
+++ b/marlseam/load/process.py
@@ -7,13 +7,14 @@
 from pathlib import Path
 
 from marlseam.load import trace
-from marlseam.load.generator import Generator, Tally
+from marlseam.load.generator import Generator, NodePlace
+from marlseam.load.tally import Tally, TallySummary
 from marlseam.records import Streams
 from marlseam.world import plan, troubles
 from marlseam.world.chance import stream
 from marlseam.world.model import Day
 
-LEAD_S = 0.2
+START_DELAY_S = 0.2  # from the ready line to the run's zero, where no zero is handed in
 
 
 def arrivals_of(day: Day, seed: int) -> list[plan.Arrival]:
@@ -23,12 +24,12 @@
     return plan.make(day, seed, troubles.surges(troubles.schedule(day, seed)))
 
 
-def summary(tally: Tally) -> dict:
-    """Return what a generator counted, as JSON holds it; histograms are in HdrHistogram's own encoding."""
+def summary(tally: Tally) -> TallySummary:
+    """Return what a generator counted, as JSON holds it."""
     return {
         "sent": tally.sent,
         "lagged": sorted(tally.lagged),
-        "lagged_sends": sum(int(row[1]) for row in tally.lagged.values()),
+        "lagged_sends": sum(second.sends for second in tally.lagged.values()),
         "refused": tally.refused,
         "intended": tally.intended.encode().decode(),
         "actual": tally.actual.encode().decode(),
@@ -45,20 +46,24 @@
     part: str,
     connections: int,
 ) -> None:
-    """Play one part of a day's arrivals; print an empty line when ready, then what was counted."""
-    which, of = (int(number) for number in part.split("/"))
-    arrivals = arrivals_of(day, seed)[which - 1 :: of]
+    """Play one part of a day's arrivals; print an empty line when ready, then what was counted.
+
+    `nodes` holds zone and address by name, `folder` takes the records (None: they are dropped), `part` is
+    NUMBER/COUNT. The run's zero is shortly after with `now`, else read from standard input.
+    """
+    number, count = (int(word) for word in part.split("/"))
+    arrivals = arrivals_of(day, seed)[number - 1 :: count]
     streams = Streams(folder, "clients")
-    writer = streams.of(f"clients-{which}")
-    where = {name: (zone, address) for name, (zone, address) in nodes.items()}
-    generator = Generator(day, arrivals, where, writer, stream(seed, "clients", which), connections)
+    writer = streams.of(f"clients-{number}")
+    places = {name: NodePlace(zone, address) for name, (zone, address) in nodes.items()}
+    generator = Generator(day, arrivals, places, writer, stream(seed, "clients", number), connections)
     print(json.dumps({}), flush=True)
-    zero = time.monotonic() + LEAD_S if now else float(json.loads(sys.stdin.readline())["zero"])
-    # Guards the intended times: a collection of all that a long plan holds stops the process for long.
+    zero_s = time.monotonic() + START_DELAY_S if now else float(json.loads(sys.stdin.readline())["zero"])
+    # Guards against a late send: a collection of all that a long plan holds stops the process for long.
     gc.collect()
     gc.freeze()
     gc.disable()
-    tally = generator.run(zero)
+    tally = generator.run(zero_s)
     if writer.file is not None:
         writer.file.close()
     print(json.dumps(summary(tally)), flush=True)
--- /dev/null
+++ b/marlseam/load/tally.py
@@ -0,0 +1,85 @@
+"""What a load generator counts: latencies, its own lag, and why tries were not sent."""
+
+from dataclasses import dataclass, field
+from typing import Literal, TypedDict, get_args
+
+from hdrh.histogram import HdrHistogram
+
+MAX_LATENCY_US = 600_000_000
+SIGNIFICANT_DIGITS = 3
+LAG_MS = 5.0  # a send that is later than this by the generator's own fault marks its second as lagged
+
+HistogramName = Literal["intended", "actual", "lag"]
+HISTOGRAM_NAMES: tuple[HistogramName, ...] = get_args(HistogramName)
+
+
+def new_histogram() -> HdrHistogram:
+    """Return an empty histogram of latencies in microseconds."""
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
+
+
+@dataclass
+class LaggedSecond:
+    """A second in which the generator sent too late: by how many ms at most, and how many sends."""
+
+    max_lag_ms: float = 0.0
+    sends: int = 0
+
+
+@dataclass
+class Tally:
+    """What a generator counted.
+
+    Attributes:
+        intended: latencies from the intended send, in microseconds.
+        actual: latencies from the actual send, in microseconds.
+        lag: how late each request's first try was by the generator's own fault, in microseconds.
+        sent: how many tries were written to a connection.
+        lagged: the seconds in which the generator lagged, by their number.
+        refused: how many tries were not sent, by reason.
+    """
+
+    intended: HdrHistogram = field(default_factory=new_histogram)
+    actual: HdrHistogram = field(default_factory=new_histogram)
+    lag: HdrHistogram = field(default_factory=new_histogram)
+    sent: int = 0
+    lagged: dict[int, LaggedSecond] = field(default_factory=dict)
+    refused: dict[str, int] = field(default_factory=dict)
+
+    def record_lag(self, intended_ms: float, lag_ms: float) -> None:
+        """Count by how much a send was late through the generator's own fault."""
+        self.lag.record_value(_microseconds(lag_ms))
+        if lag_ms > LAG_MS:
+            second = self.lagged.setdefault(int(intended_ms // 1000.0), LaggedSecond())
+            second.max_lag_ms = max(second.max_lag_ms, lag_ms)
+            second.sends += 1
+
+    def record_completed(self, from_intended_ms: float, from_actual_ms: float) -> None:
+        """Count the latencies of a completed try."""
+        self.intended.record_value(_microseconds(from_intended_ms))
+        self.actual.record_value(_microseconds(from_actual_ms))
+
+    def record_unsent(self, reason: str) -> None:
+        """Count a try that was not sent."""
+        self.refused[reason] = self.refused.get(reason, 0) + 1
+
+
+def _microseconds(latency_ms: float) -> int:
+    """Return a latency in whole microseconds, 1 at least as a histogram needs."""
+    return max(1, int(latency_ms * 1000.0))
+
+
+class TallySummary(TypedDict):
+    """A tally as JSON, as one process hands it to another and as an experiment stores it.
+
+    Histograms are in HdrHistogram's own encoding, `lagged` holds the numbers of the lagged seconds and
+    `lagged_sends` how many sends these held.
+    """
+
+    sent: int
+    lagged: list[int]
+    lagged_sends: int
+    refused: dict[str, int]
+    intended: str
+    actual: str
+    lag: str
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -13,17 +13,18 @@
 from marlseam.experiment.processes import Process
 from marlseam.load import generator as generator_module
 from marlseam.load import trace
+from marlseam.load.errors import TraceError
 from marlseam.load.generator import Generator
 from marlseam.load.process import summary
 from marlseam.load.verdict import merge, table
-from marlseam.records import Answered, Tried, Writer
+from marlseam.records import Answered, End, Tried, Writer
 from marlseam.world import plan
 from marlseam.world.chance import stream
 
 ONE = {"fleet": {"zones": ["east"], "nodes": 1, "kinds": [{"name": "k", "executors": 1}]}}
 
 
-def made(held, arrivals, address="127.0.0.1:1", connections=0):
+def generator_of(held, arrivals, address="127.0.0.1:1", connections=0):
     return Generator(
         held, arrivals, {"n0": ("east", address)}, Writer("c", "clients"), stream(1), connections
     )
@@ -36,22 +37,25 @@
     class Clock:
         now = 1000.0
 
-        def poll(self, pause, most):
+        def poll(self, pause, _max_events):
             self.now += max(pause, 0.0001)
             return []
 
-    made = Clock()
-    monkeypatch.setattr(generator_module.time, "monotonic", lambda: made.now)
-    monkeypatch.setattr(generator_module.select, "epoll", lambda: made)
-    return made
+    fake = Clock()
+    monkeypatch.setattr(generator_module.time, "monotonic", lambda: fake.now)
+    monkeypatch.setattr(generator_module.select, "epoll", lambda: fake)
+    return fake
 
 
-def test_tries_go_out_at_their_intended_times_whatever_comes_back(clock, monkeypatch):
+@pytest.mark.usefixtures("clock")
+def test_tries_go_out_at_their_intended_times_whatever_comes_back(monkeypatch):
     held = day(seconds=3.0, rate=100.0, **ONE)
     arrivals = plan.make(held, 1)
     sent = []
-    monkeypatch.setattr(Generator, "send", lambda self, out: sent.append((self.now(), out.intended)))
-    made(held, arrivals).run(1000.0)
+    monkeypatch.setattr(
+        Generator, "send", lambda generator, pending: sent.append((generator.now_ms(), pending.intended_ms))
+    )
+    generator_of(held, arrivals).run(1000.0)
     assert len(sent) == len(arrivals)
     assert all(0.0 <= now - intended < 1.0 for now, intended in sent)
 
@@ -61,21 +65,21 @@
     held = day(seconds=4.0, load=load, **ONE)
     arrivals = plan.make(held, 1)
 
-    def send(self, out):
+    def send(_generator, _pending):
         clock.now += 0.004  # a generator that needs 4 ms a send sustains 250 a second
 
     monkeypatch.setattr(Generator, "send", send)
-    counted = merge([summary(made(held, arrivals).run(1000.0))], len(arrivals))
+    counted = merge([summary(generator_of(held, arrivals).run(1000.0))], len(arrivals))
     assert {1, 2} <= set(counted.lagged) and 0 not in counted.lagged
-    assert not counted.valid and counted.lag[100.0] > 900.0 and "not valid" in table(counted)
+    assert not counted.is_valid and counted.lag[100.0] > 900.0 and "not valid" in table(counted)
 
 
-def test_refused_connections_are_told_and_tried_again_and_the_run_ends():
+def test_refused_connections_are_counted_and_retried_and_the_run_ends():
     held = day(seconds=0.2, rate=100.0, clients={"tries": 2, "wait_ms": 1.0}, **ONE)
     arrivals = plan.make(held, 1)
-    part = made(held, arrivals)
-    counted = merge([summary(part.run(time.monotonic()))], len(arrivals))
-    rows = part.writer.kept
+    generator = generator_of(held, arrivals)
+    counted = merge([summary(generator.run(time.monotonic()))], len(arrivals))
+    rows = generator.writer.kept
     assert counted.refused == {"refused": 2 * len(arrivals)} and counted.sent == 0
     assert [r.how for r in rows if isinstance(r, Answered)] == ["unsent"] * 2 * len(arrivals)
     firsts = {r.first for r in rows if isinstance(r, Tried)}
@@ -85,10 +89,10 @@
 def test_more_connections_than_descriptors_make_the_run_not_valid():
     held = day(seconds=0.1, rate=100.0, clients={"tries": 1}, **ONE)
     arrivals = plan.make(held, 1)
-    part = made(held, arrivals)
-    part.descriptors = 0
-    counted = merge([summary(part.run(time.monotonic()))], len(arrivals))
-    assert counted.refused == {"no descriptors": len(arrivals)} and not counted.valid
+    generator = generator_of(held, arrivals)
+    generator.max_descriptors = 0
+    counted = merge([summary(generator.run(time.monotonic()))], len(arrivals))
+    assert counted.refused == {"no descriptors": len(arrivals)} and not counted.is_valid
 
 
 @pytest.fixture
@@ -103,11 +107,11 @@
 def test_all_is_answered_and_counted_over_few_connections_or_many(echo, connections):
     held = day(seconds=0.3, rate=400.0, **ONE)
     arrivals = plan.make(held, 1)
-    part = made(held, arrivals, echo, connections)
-    counted = merge([summary(part.run(time.monotonic()))], len(arrivals))
+    generator = generator_of(held, arrivals, echo, connections)
+    counted = merge([summary(generator.run(time.monotonic()))], len(arrivals))
     assert counted.sent == len(arrivals) == counted.histograms["intended"].get_total_count()
-    assert {r.how for r in part.writer.kept if isinstance(r, Answered)} == {"completed"}
-    assert type(part.writer.kept[-1]).__name__ == "End"
+    assert {r.how for r in generator.writer.kept if isinstance(r, Answered)} == {"completed"}
+    assert isinstance(generator.writer.kept[-1], End)
 
 
 # Traces.
@@ -125,7 +129,7 @@
 
 def test_a_trace_with_retries_inside_is_replayed_as_it_is():
     held = day(clients={"tries": 3, "wait_ms": 1.0}, load={"time_scale": 2.0})
-    found = trace.arrivals(trace.rows(lines(*ROWS), held), held)
+    found = trace.arrivals(trace.read_rows(lines(*ROWS), held), held)
     assert [(a.id, a.at, a.first, a.number) for a in found] == [
         ("a", 10.0, "a", 0),
         ("b", 40.0, "b", 0),
@@ -136,7 +140,7 @@
 
 def test_a_trace_is_cut_with_the_retries_of_what_was_cut_away():
     held = day(load={"from_s": 0.01})
-    assert [a.id for a in trace.arrivals(trace.rows(lines(*ROWS), held), held)] == ["b"]
+    assert [a.id for a in trace.arrivals(trace.read_rows(lines(*ROWS), held), held)] == ["b"]
 
 
 @pytest.mark.parametrize(
@@ -155,14 +159,14 @@
 )
 def test_a_bad_line_is_named_and_nothing_is_read(row, text):
     bad = {"t": 50.0, "id": "z", "type": "lookup", "zone": "east", "work": 1.0} | row
-    with pytest.raises(trace.BadTrace, match=text):
-        trace.rows(lines(*ROWS, bad), day())
+    with pytest.raises(TraceError, match=text):
+        trace.read_rows(lines(*ROWS, bad), day())
 
 
 @pytest.mark.parametrize("head", [{"trace": 2}, {"other": 1}, ROWS[0]])
 def test_a_trace_of_another_form_is_refused(head):
-    with pytest.raises(trace.BadTrace, match="line 1"):
-        trace.rows(lines(*ROWS, head=head), day())
+    with pytest.raises(TraceError, match="line 1"):
+        trace.read_rows(lines(*ROWS, head=head), day())
 
 
 def test_a_trace_written_from_records_reads_back(tmp_path):
@@ -171,8 +175,8 @@
     found = played(held)[3]
     for retries in (False, True):
         path = Path(tmp_path / "t.jsonl")
-        path.write_bytes(b"".join(trace.written(found, arrived, retries)))
-        again = trace.load(path, held)
+        path.write_bytes(b"".join(trace.trace_lines(found, arrived, retries)))
+        read_back = trace.load(path, held)
         tried = [r for r in found if isinstance(r, Tried) and (retries or not r.number)]
-        assert len(again) == len(tried) and {a.first for a in again} <= {"", *(a.id for a in arrived)}
-        assert [(a.work, a.slots) for a in again if not a.number] == [(a.work, a.slots) for a in arrived]
+        assert len(read_back) == len(tried) and {a.first for a in read_back} <= {"", *(a.id for a in arrived)}
+        assert [(a.work, a.slots) for a in read_back if not a.number] == [(a.work, a.slots) for a in arrived]
