--- a/marlseam/cli/common.py
+++ b/marlseam/cli/common.py
@@ -4,8 +4,7 @@
 from pathlib import Path
 
 from marlseam.experiment import file
-from marlseam.world.model import Day
-from marlseam.world.model import read as read_day
+from marlseam.world.model import Day, read_day
 
 
 def day(path: Path) -> Day:
--- a/marlseam/world/__init__.py
+++ b/marlseam/world/__init__.py
@@ -1,4 +1,5 @@
-"""A pure model of what marlseam serves.
+"""A model of what marlseam serves, without input or output.
 
-Executors, roster, network, clients and troubles, in anybody's time.
+Servers, endpoint list, network, clients and faults, in real or virtual time: whoever drives the model hands
+each time in.
 """
--- a/marlseam/world/chance.py
+++ b/marlseam/world/chance.py
@@ -1,4 +1,4 @@
-"""Chance of the world: numpy's counter-based Philox under a key made of the seed and a name.
+"""Random streams of the simulation: numpy's counter-based Philox, keyed by the seed and a name.
 
 Each thing that draws has a stream of its own, so that what one draws never moves what another does.
 """
@@ -6,18 +6,19 @@
 from hashlib import blake2b
 
 import numpy as np
+from numpy.typing import NDArray
 
 
 def stream(seed: int, *names: object) -> np.random.Generator:
-    """Return the stream of chance of something, the same in every process."""
+    """Return the random stream of something by its name, the same in every process."""
     text = "/".join(str(part) for part in (seed, *names)).encode()
     key = np.frombuffer(blake2b(text, digest_size=16).digest(), dtype=np.uint64)
     return np.random.Generator(np.random.Philox(key=key))
 
 
-def lognormal(chance: np.random.Generator, mean: float, cv: float, size: int) -> np.ndarray:
-    """Draw log-normal sizes of some mean and coefficient of variation, shape (size,)."""
-    if cv <= 0.0:
+def lognormal(chance: np.random.Generator, mean: float, variation: float, size: int) -> NDArray[np.float64]:
+    """Draw log-normal numbers of some mean and coefficient of variation, shape (size,)."""
+    if variation <= 0.0:
         return np.full(size, mean)
-    sigma2 = np.log(1.0 + cv * cv)
-    return chance.lognormal(np.log(mean) - sigma2 / 2.0, np.sqrt(sigma2), size)
+    variance_of_log = np.log(1.0 + variation * variation)
+    return chance.lognormal(np.log(mean) - variance_of_log / 2.0, np.sqrt(variance_of_log), size)
--- a/marlseam/world/executor.py
+++ b/marlseam/world/executor.py
@@ -1,15 +1,18 @@
-"""One executor, pure.
+"""A server, modelled without input or output.
 
-Slots and memory, a queue whose head blocks, speed that changes, cold start and fall, receipts.
+It has slots and memory, a queue whose head blocks, a speed that changes, a slow start in which it can be
+overloaded, and it remembers idempotency keys. `offer`, `withdraw`, `crash` and the faults change it;
+`advance` brings it to a time and returns what happened until then, in order; `due` says when something next
+happens by itself.
 
-`offer`, `withdraw`, `crash` and the troubles change it; `advance` brings it to a time and returns what
-happened until then, in order; `due` says when something next happens by itself. All jobs that run share one
-rate, so the executor keeps a clock of standard work, and a job ends when that clock has moved by the job's
-own work. While it warms the rate grows linearly, and the clock is a parabola with a closed inverse.
+All jobs that run share one rate, so the server keeps a clock of standard work, and a job ends when that clock
+has moved by the job's own work. During slow start the rate grows linearly, and the clock is a parabola with a
+closed inverse. Times are in ms, standard work in ms on a slot of speed 1.
 """
 
 import heapq
 from collections import deque
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from math import inf, sqrt
 from typing import NamedTuple
@@ -19,14 +22,20 @@
 from marlseam.decisions.types import LoadReport
 from marlseam.world.model import Kind
 
-QUICK = 0.02  # how much of its work a job has done when it fails quickly
-REPORT_HISTORY = 64  # samples kept
+QUICK_WORK_SHARE = 0.02  # of a job's work, that is spent where it fails at once or is known already
+MIN_WORK_MS = 0.01
+MAX_REPORT_SAMPLES = 64
 
 
-class Happening(NamedTuple):
-    """What happened to a job: started, progress, done, failed, lost, returned.
+class JobEvent(NamedTuple):
+    """Something that happened to a job.
 
-    `value` is a share or the work spent.
+    Attributes:
+        t: when, in ms.
+        what: started, progress, done, failed or lost.
+        id: the job's id.
+        value: for started 1, or 0 without effect; for progress the share done; else the work spent, in ms
+            times slots.
     """
 
     t: float
@@ -37,9 +46,23 @@
 
 @dataclass
 class Job:
-    """One allocation as an executor has it.
-
-    `work` in ms on a slot of speed 1, `unit` the work unit that it is of.
+    """One attempt as a server has it.
+
+    Attributes:
+        id: the attempt's id.
+        unit: the id of the try that it is of.
+        type: the name of its request class.
+        work: its standard work in ms.
+        slots: how many slots it takes.
+        memory: how much memory it takes, in units.
+        receipt: its idempotency key, None where it has none.
+        group: which servers share the memory of such keys: all, zone or cell.
+        memory_ms: for how long a key is remembered.
+        drop: whether its key was known at its start, so that it has no effect.
+        fails: whether it will fail.
+        withdrawn: whether its node cancelled it.
+        since: the clock of standard work at its start.
+        ends: that clock at its end.
     """
 
     id: str
@@ -51,175 +74,290 @@
     receipt: str | None = None
     group: str = "cell"
     memory_ms: float = 0.0
-    drop: bool = False  # a repeat whose receipt is known: no effect
+    drop: bool = False
     fails: bool = False
     withdrawn: bool = False
-    since: float = 0.0  # the standard clock at its start
-    ends: float = 0.0  # and at its end
+    since: float = 0.0
+    ends: float = 0.0
+
+    def progress_at(self, clock: float) -> float:
+        """Return which share of it is done when the clock of standard work shows a figure."""
+        return (clock - self.since) / max(1e-9, self.ends - self.since)
+
 
+class GroupMemory:
+    """What a group of servers shares.
 
-class Memory:
-    """The receipts that a group of executors knows, and the states that it has saved."""
+    Attributes:
+        receipts: when each idempotency key was first seen.
+        saved: the standard work of interrupted runs that was saved, by the try's id.
+    """
 
     def __init__(self) -> None:
+        """Make an empty memory."""
         self.receipts: dict[str, float] = {}
         self.saved: dict[str, float] = {}
 
-    def known(self, receipt: str, now: float, span_ms: float) -> bool:
-        """Return whether a receipt was first seen within its span, and note it if not."""
-        since = self.receipts.get(receipt)
-        if since is not None and now - since <= span_ms:
+    def known(self, receipt: str, now_ms: float, span_ms: float) -> bool:
+        """Return whether a key was first seen within its span, and note it if not."""
+        since_ms = self.receipts.get(receipt)
+        if since_ms is not None and now_ms - since_ms <= span_ms:
             return True
-        self.receipts[receipt] = now
+        self.receipts[receipt] = now_ms
         return False
 
 
 @dataclass
-class Ills:
-    """What a schedule of troubles makes of an executor."""
+class FaultEffects:
+    """What the faults that are on make of a server.
+
+    Attributes:
+        slowdown: divides its speed.
+        stolen_share: the share of its speed that another tenant takes.
+        error_share: the share of jobs that fail at once.
+        error_class: the one request class that fails, all where empty.
+        tail_share: the share of jobs that cost much more than usual.
+        tail_factor: how many times more these cost.
+        report_delay_ms: added to the age of its load reports.
+        reported_share: the share of its load that it reports.
+    """
+
+    slowdown: float = 1.0
+    stolen_share: float = 0.0
+    error_share: float = 0.0
+    error_class: str = ""
+    tail_share: float = 0.0
+    tail_factor: float = 1.0
+    report_delay_ms: float = 0.0
+    reported_share: float = 1.0
+
+
+@dataclass(frozen=True)
+class ReportSettings:
+    """How a server reports its load: how often a report is refreshed, its age, whether it tells the queue."""
+
+    period_ms: float
+    delay_ms: float
+    includes_queue: bool
+
+
+@dataclass(frozen=True)
+class ServerSettings:
+    """How servers of a day behave, whatever their kind.
+
+    Attributes:
+        reports: how they report their load.
+        fall_multiple: how many times what it can do a server in slow start bears before it is overloaded.
+        fall_ms: the window over which that is counted.
+        progress_ms: how often a running job shows progress, 0 for never.
+        checkpoint_ms: how often a running job's state is saved, 0 for never.
+    """
+
+    reports: ReportSettings
+    fall_multiple: float
+    fall_ms: float
+    progress_ms: float = 0.0
+    checkpoint_ms: float = 0.0
+
+
+class ReceivedWork(NamedTuple):
+    """Work that a server in slow start received: when, and how much, in ms times slots."""
+
+    at_ms: float
+    area: float
+
+
+class ReportSample(NamedTuple):
+    """A load report and when it was made, in ms."""
+
+    at_ms: float
+    report: LoadReport
+
 
-    slow: float = 1.0  # divides its speed
-    neighbour: float = 0.0  # share of its speed that another tenant takes
-    errors: float = 0.0  # share of jobs that fail at once
-    error_type: str = ""
-    tail: float = 0.0  # share of jobs that cost much more
-    tail_size: float = 1.0
-    late_ms: float = 0.0  # added to how late reports are
-    told: float = 1.0  # share of its load that it reports
+class _ScheduledEnd(NamedTuple):
+    """The end of a job, by the clock of standard work; `serial` keeps the order of equal ends."""
+
+    clock: float
+    serial: int
+    job_id: str
+
+
+class _ScheduledProgress(NamedTuple):
+    """A job's next sign of progress; `serial` keeps the order of those at the same time."""
+
+    at_ms: float
+    serial: int
+    job_id: str
 
 
 @dataclass
-class State:
-    """What is held, running and remembered; a new process begins with an empty one."""
+class ProcessState:
+    """What a server's process holds; a new process begins with an empty one.
+
+    Attributes:
+        queue: the jobs that wait, in order.
+        running: the jobs that run, by id.
+        finishing: a heap of the ends of jobs.
+        progress: a heap of the next signs of progress.
+        arrived: the work received within the window of the rule on slow start.
+    """
 
     queue: deque[Job] = field(default_factory=deque)
     running: dict[str, Job] = field(default_factory=dict)
-    finishing: list[tuple[float, int, str]] = field(default_factory=list)
-    progress: list[tuple[float, int, str, int]] = field(default_factory=list)
-    arrived: deque[tuple[float, float]] = field(default_factory=deque)
-
-
-class Executor:
-    """One executor. A job's id may be held once at a time."""
+    finishing: list[_ScheduledEnd] = field(default_factory=list)
+    progress: list[_ScheduledProgress] = field(default_factory=list)
+    arrived: deque[ReceivedWork] = field(default_factory=deque)
+
+
+class Server:
+    """One server. A job's id may be held once at a time.
+
+    Attributes:
+        name: its name.
+        kind: what it can do.
+        memories: the memories that it shares, by the group: all, zone, cell.
+        fall_multiple: how many times what it can do it bears in slow start; see ServerSettings.
+        ills: what faults make of it now.
+        draining: whether it takes no new jobs.
+        up: whether its process runs.
+        born: when its process started, None if that was long before the day.
+        fallen: the share of what it bears in slow start, at which it was overloaded; None if it was not.
+        at: the time that it was brought to, in ms.
+        clock: the clock of standard work at that time.
+        state: what its process holds.
+    """
 
     def __init__(
         self,
         name: str,
         kind: Kind,
-        memories: dict[str, Memory],
+        memories: Mapping[str, GroupMemory],
         chance: np.random.Generator,
-        reports: tuple[float, float, bool],
-        fall: tuple[float, float],
-        progress_ms: float,
-        checkpoint_ms: float = 0.0,
+        settings: ServerSettings,
         born: float | None = None,
-        now: float = 0.0,
     ) -> None:
-        """Make an executor.
-
-        `memories` by group word, `reports` is (period, lateness, queue told), `fall` (multiple, ms).
-        """
-        self.name, self.kind, self.memories, self.chance = name, kind, memories, chance
-        self.period, self.late, self.tells_queue = reports
-        self.fall_multiple, self.fall_ms = fall
-        self.progress_ms, self.checkpoint_ms = progress_ms, checkpoint_ms
-        self.ills, self.count = Ills(), 0
+        """Make a server whose process runs at time 0; `chance` draws failures and expensive jobs."""
+        self.name, self.kind, self.memories = name, kind, memories
+        self.fall_multiple = settings.fall_multiple
+        self.ills = FaultEffects()
         self.draining = False
-        self.up = True
-        self.fallen: float | None = None  # the load at which it fell
-        self.begin(now, born)
-
-    def begin(self, now: float, born: float | None) -> None:
-        """Start a process, cold if it was born at some time and not long ago."""
-        self.born, self.state, self.fallen, self.up = born, State(), None, True
+        self._chance, self._settings = chance, settings
+        self._last_serial = 0
+        self.begin(0.0, born)
+
+    def begin(self, now_ms: float, born: float | None) -> None:
+        """Start a process, in slow start if it was started at some time and not long ago."""
+        self.born, self.state, self.up = born, ProcessState(), True
+        self.fallen: float | None = None
         self.free_slots, self.free_memory = float(self.kind.slots), self.kind.memory
-        self.at, self.clock = now, 0.0
-        self.sampled = now
-        self.samples: deque[tuple[float, LoadReport]] = deque([(now, self.sample())], maxlen=REPORT_HISTORY)
-        self.happened: list[Happening] = []
+        self.at, self.clock = now_ms, 0.0
+        self._sampled_ms = now_ms
+        first_sample = ReportSample(now_ms, self._current_report())
+        self._samples: deque[ReportSample] = deque([first_sample], maxlen=MAX_REPORT_SAMPLES)
+        self._events: list[JobEvent] = []
 
     # Rates.
 
     def rate(self) -> float:
-        """Return standard work a ms and slot, warm."""
-        return self.kind.speed * (1.0 - self.ills.neighbour) / self.ills.slow
+        """Return standard work a ms and slot, after slow start."""
+        return self.kind.speed * (1.0 - self.ills.stolen_share) / self.ills.slowdown
 
-    def warmth(self, t: float) -> float:
-        """Return which share of its rate it has at a time."""
+    def warmth(self, at_ms: float) -> float:
+        """Return which share of its rate it has at a time; below 1 in slow start."""
         if self.born is None:
             return 1.0
-        age = min(max(0.0, t - self.born) / (1000.0 * self.kind.warm_s), 1.0)
+        age = min(max(0.0, at_ms - self.born) / (1000.0 * self.kind.warm_s), 1.0)
         return self.kind.cold_share + (1.0 - self.kind.cold_share) * age
 
-    def work_between(self, a: float, b: float) -> float:
-        """Return the standard work that a slot does between two times at today's rate."""
-        warm_at = -inf if self.born is None else self.born + 1000.0 * self.kind.warm_s
-        cold_end = min(max(a, warm_at), b)
-        cold = (self.warmth(a) + self.warmth(cold_end)) / 2.0 * (cold_end - a) if cold_end > a else 0.0
-        return self.rate() * (cold + (b - max(a, cold_end)))
+    def cold(self, now_ms: float) -> bool:
+        """Return whether it is in slow start."""
+        return self.born is not None and now_ms < self.born + 1000.0 * self.kind.warm_s
+
+    def _slow_start_end_ms(self) -> float:
+        """Return when slow start ends, minus infinity where there was none in this day."""
+        return -inf if self.born is None else self.born + 1000.0 * self.kind.warm_s
+
+    def work_between(self, from_ms: float, until_ms: float) -> float:
+        """Return the standard work that a slot does between two times at the rate as it is now."""
+        ramp_end_ms = min(max(from_ms, self._slow_start_end_ms()), until_ms)
+        ramp = 0.0
+        if ramp_end_ms > from_ms:
+            ramp = (self.warmth(from_ms) + self.warmth(ramp_end_ms)) / 2.0 * (ramp_end_ms - from_ms)
+        return self.rate() * (ramp + (until_ms - max(from_ms, ramp_end_ms)))
 
     def time_of(self, clock: float) -> float:
-        """Return when the standard clock will show a figure."""
-        todo = max(0.0, clock - self.clock) / self.rate()
-        warm_at = -inf if self.born is None else self.born + 1000.0 * self.kind.warm_s
-        if self.at < warm_at:
-            v0, v1, span = self.warmth(self.at), 1.0, warm_at - self.at
-            cold = (v0 + v1) / 2.0 * span
-            if todo < cold:
-                slope = (v1 - v0) / span
-                return self.at + (2.0 * todo / (v0 + sqrt(v0 * v0 + 2.0 * slope * todo)) if todo else 0.0)
-            return warm_at + todo - cold
-        return self.at + todo
-
-    def move(self, t: float) -> None:
-        """Bring the standard clock and the reports to a time at which nothing has happened yet."""
-        while self.sampled + self.period <= t:
+        """Return when the clock of standard work will show a figure, in ms."""
+        full_speed_ms = max(0.0, clock - self.clock) / self.rate()
+        ramp_end_ms = self._slow_start_end_ms()
+        if self.at >= ramp_end_ms:
+            return self.at + full_speed_ms
+        share, ramp_ms = self.warmth(self.at), ramp_end_ms - self.at
+        ramp_work = (share + 1.0) / 2.0 * ramp_ms
+        if full_speed_ms >= ramp_work:
+            return ramp_end_ms + full_speed_ms - ramp_work
+        if not full_speed_ms:
+            return self.at + 0.0
+        slope = (1.0 - share) / ramp_ms
+        return self.at + 2.0 * full_speed_ms / (share + sqrt(share * share + 2.0 * slope * full_speed_ms))
+
+    def _move(self, to_ms: float) -> None:
+        """Bring the clock of standard work and the reports to a time before which nothing happens."""
+        period_ms = self._settings.reports.period_ms
+        while self._sampled_ms + period_ms <= to_ms:
             # The state has not changed since the last event, so one sample stands for all that were due.
-            self.sampled += self.period * max(1.0, (t - self.sampled) // self.period)
-            self.samples.append((self.sampled, self.sample()))
-        self.clock += self.work_between(self.at, t)
-        self.at = t
+            self._sampled_ms += period_ms * max(1.0, (to_ms - self._sampled_ms) // period_ms)
+            self._samples.append(ReportSample(self._sampled_ms, self._current_report()))
+        self.clock += self.work_between(self.at, to_ms)
+        self.at = to_ms
 
     # Time.
 
     def due(self) -> float:
-        """Return when something next happens by itself."""
-        s = self.state
-        ends = self.time_of(s.finishing[0][0]) if s.finishing else inf
-        return min(ends, s.progress[0][0] if s.progress else inf) if self.up else inf
-
-    def advance(self, now: float) -> list[Happening]:
-        """Bring the executor to a time, and return what happened until then."""
-        while self.up and (due := self.due()) <= now:
-            self.move(max(due, self.at))
-            s = self.state
-            if s.progress and s.progress[0][0] <= self.at:
-                _, _, id, step = heapq.heappop(s.progress)
-                job = s.running.get(id)
-                if job is not None:
-                    share = (self.clock - job.since) / max(1e-9, job.ends - job.since)
-                    self.happened.append(Happening(self.at, "progress", id, min(1.0, share)))
-                    self.next_progress(id, step + 1)
-                continue
-            ends, _, id = heapq.heappop(s.finishing)
-            job = s.running.get(id)
-            if job is not None and job.ends == ends:
-                self.clock = max(self.clock, ends)
-                self.finish(job, "failed" if job.fails else "done")
-        if now > self.at:
-            self.move(now)
-        happened, self.happened = self.happened, []
-        return happened
-
-    def finish(self, job: Job, how: str) -> None:
-        """End a run and start what then fits."""
+        """Return when something next happens by itself, in ms; infinity where nothing does."""
+        if not self.up:
+            return inf
+        finishing, progress = self.state.finishing, self.state.progress
+        end_ms = self.time_of(finishing[0].clock) if finishing else inf
+        return min(end_ms, progress[0].at_ms if progress else inf)
+
+    def advance(self, now_ms: float) -> list[JobEvent]:
+        """Bring the server to a time, and return what happened until then."""
+        while self.up and (due_ms := self.due()) <= now_ms:
+            self._move(max(due_ms, self.at))
+            if self.state.progress and self.state.progress[0].at_ms <= self.at:
+                self._note_progress(heapq.heappop(self.state.progress))
+            else:
+                self._finish_scheduled(heapq.heappop(self.state.finishing))
+        if now_ms > self.at:
+            self._move(now_ms)
+        events, self._events = self._events, []
+        return events
+
+    def _note_progress(self, scheduled: _ScheduledProgress) -> None:
+        """Note a job's progress, if it still runs."""
+        job = self.state.running.get(scheduled.job_id)
+        if job is not None:
+            self._add_event("progress", job, min(1.0, job.progress_at(self.clock)))
+            self._schedule_progress(job)
+
+    def _finish_scheduled(self, scheduled: _ScheduledEnd) -> None:
+        """End a job, if it is still the run that the end was scheduled for, and start what then fits."""
+        job = self.state.running.get(scheduled.job_id)
+        if job is None or job.ends != scheduled.clock:
+            return
+        self.clock = max(self.clock, scheduled.clock)
         del self.state.running[job.id]
         self.free_slots += job.slots
         self.free_memory += job.memory
-        self.happened.append(Happening(self.at, how, job.id, (self.clock - job.since) * job.slots))
-        self.start()
+        how = "failed" if job.fails else "done"
+        self._add_event(how, job, (self.clock - job.since) * job.slots)
+        self._start_queued()
+
+    def _add_event(self, what: str, job: Job, value: float) -> None:
+        """Note what happens to a job now."""
+        self._events.append(JobEvent(self.at, what, job.id, value))
 
-    def start(self) -> None:
+    def _start_queued(self) -> None:
         """Start jobs in their order; the head waits until it fits, and blocks those behind it."""
         queue = self.state.queue
         while queue:
@@ -227,104 +365,123 @@
             if job.slots > self.free_slots or (self.kind.memory and job.memory > self.free_memory):
                 return
             queue.popleft()
-            self.run(job)
+            self._run(job)
 
-    def run(self, job: Job) -> None:
+    def _run(self, job: Job) -> None:
         """Start one job."""
         self.free_slots -= job.slots
         self.free_memory -= job.memory
-        work, ills = job.work, self.ills
-        draw = self.chance.random(2)
-        if draw[0] < ills.errors and ills.error_type in ("", job.type):
-            job.fails, work = True, QUICK * work
-        elif draw[1] < ills.tail:
-            work *= ills.tail_size
+        work = self._work_to_do(job)
+        job.since, job.ends = self.clock, self.clock + max(work, MIN_WORK_MS)
+        self.state.running[job.id] = job
+        heapq.heappush(self.state.finishing, _ScheduledEnd(job.ends, self._next_serial(), job.id))
+        self._add_event("started", job, 0.0 if job.drop else 1.0)
+        self._schedule_progress(job)
+
+    def _work_to_do(self, job: Job) -> float:
+        """Draw whether a job fails or costs more, look its key up, and return its standard work in ms."""
+        work, effects = job.work, self.ills
+        error_draw, tail_draw = self._chance.random(2)
+        if error_draw < effects.error_share and effects.error_class in ("", job.type):
+            job.fails, work = True, QUICK_WORK_SHARE * work
+        elif tail_draw < effects.tail_share:
+            work *= effects.tail_factor
         if job.receipt is not None:
             job.drop = self.memories[job.group].known(job.receipt, self.at, job.memory_ms)
-        work = QUICK * work if job.drop else work - self.memories["cell"].saved.get(job.unit, 0.0)
-        job.since, job.ends = self.clock, self.clock + max(work, 0.01)
-        self.count += 1
-        self.state.running[job.id] = job
-        heapq.heappush(self.state.finishing, (job.ends, self.count, job.id))
-        self.happened.append(Happening(self.at, "started", job.id, 0.0 if job.drop else 1.0))
-        self.next_progress(job.id, 1)
+        if job.drop:
+            return QUICK_WORK_SHARE * work
+        return work - self.memories["cell"].saved.get(job.unit, 0.0)
 
-    def next_progress(self, id: str, step: int) -> None:
-        """Set the next sign of progress."""
-        if self.progress_ms:
-            self.count += 1
-            heapq.heappush(self.state.progress, (self.at + self.progress_ms, self.count, id, step))
+    def _schedule_progress(self, job: Job) -> None:
+        """Set a job's next sign of progress."""
+        progress_ms = self._settings.progress_ms
+        if progress_ms:
+            scheduled = _ScheduledProgress(self.at + progress_ms, self._next_serial(), job.id)
+            heapq.heappush(self.state.progress, scheduled)
 
-    # What others do to it.
+    def _next_serial(self) -> int:
+        """Return a number greater than all before it."""
+        self._last_serial += 1
+        return self._last_serial
+
+    # What nodes and faults do to it.
 
     def load(self, extra: float) -> float:
-        """Return the share of what it can bear that a cold executor was sent over the rule's window.
+        """Return the share of what it bears in slow start that it received over the rule's window.
 
-        With some more.
+        `extra` is added to what it received, in ms times slots.
         """
-        since = self.at - self.fall_ms
-        while self.state.arrived and self.state.arrived[0][0] <= since:
-            self.state.arrived.popleft()
-        sent = extra + sum(area for _, area in self.state.arrived)
-        return sent / (
-            self.fall_multiple * self.kind.slots * self.kind.speed * self.warmth(self.at) * self.fall_ms
+        window_ms, arrived = self._settings.fall_ms, self.state.arrived
+        while arrived and arrived[0].at_ms <= self.at - window_ms:
+            arrived.popleft()
+        received = extra + sum(work.area for work in arrived)
+        return received / (
+            self.fall_multiple * self.kind.slots * self.kind.speed * self.warmth(self.at) * window_ms
         )
 
-    def cold(self, now: float) -> bool:
-        """Return whether it is still warming."""
-        return self.born is not None and now < self.born + 1000.0 * self.kind.warm_s
-
-    def offer(self, now: float, job: Job) -> bool:
-        """Hand in a job; return whether it is taken. Advance to this time first."""
+    def offer(self, now_ms: float, job: Job) -> bool:
+        """Hand in a job; return whether it is taken. The server must have been advanced to this time."""
         if self.draining or len(self.state.queue) >= self.kind.queue or job.slots > self.kind.slots:
             return False
-        if self.cold(now):
-            area = job.work * job.slots
-            load = self.load(area)
-            self.state.arrived.append((now, area))
-            if load > 1.0:
-                self.fallen = load
+        if self.cold(now_ms):
+            self._count_received(now_ms, job.work * job.slots)
         self.state.queue.append(job)
-        self.start()
+        self._start_queued()
         return True
 
-    def withdraw(self, id: str) -> bool:
-        """Take a waiting job out; one that runs goes on to its end. Return whether it was waiting."""
+    def _count_received(self, now_ms: float, area: float) -> None:
+        """Count work that is received in slow start, and note where it overloads the server."""
+        load = self.load(area)
+        self.state.arrived.append(ReceivedWork(now_ms, area))
+        if load > 1.0:
+            self.fallen = load
+
+    def withdraw(self, job_id: str) -> bool:
+        """Cancel a job; one that runs goes on to its end. Return whether it was still waiting."""
         queue = self.state.queue
         for job in queue:
-            if job.id == id:
+            if job.id == job_id:
                 queue.remove(job)
-                self.start()
+                self._start_queued()
                 return True
-        if id in self.state.running:
-            self.state.running[id].withdrawn = True
+        if job_id in self.state.running:
+            self.state.running[job_id].withdrawn = True
         return False
 
     def crash(self) -> None:
-        """End the process: what runs is lost, with the states that its cell has saved kept."""
-        s = self.state
-        for job in s.running.values():
-            done = self.clock - job.since
-            if self.checkpoint_ms and not job.drop:
-                saved = self.memories["cell"].saved
-                saved[job.unit] = saved.get(job.unit, 0.0) + done // self.checkpoint_ms * self.checkpoint_ms
-            self.happened.append(Happening(self.at, "lost", job.id, done * job.slots))
-        for job in s.queue:
-            self.happened.append(Happening(self.at, "lost", job.id, 0.0))
-        self.state, self.up = State(), False
+        """End the process: all jobs are lost, but for the states of runs that the cell has saved."""
+        for job in self.state.running.values():
+            self._save_checkpoint(job)
+            self._add_event("lost", job, (self.clock - job.since) * job.slots)
+        for job in self.state.queue:
+            self._add_event("lost", job, 0.0)
+        self.state, self.up = ProcessState(), False
+
+    def _save_checkpoint(self, job: Job) -> None:
+        """Save the work of a run up to its last checkpoint."""
+        checkpoint_ms = self._settings.checkpoint_ms
+        if checkpoint_ms and not job.drop:
+            saved = self.memories["cell"].saved
+            newly_saved = (self.clock - job.since) // checkpoint_ms * checkpoint_ms
+            saved[job.unit] = saved.get(job.unit, 0.0) + newly_saved
 
     # Reports.
 
-    def sample(self) -> LoadReport:
-        """Return the load as it is."""
-        told, slots = self.ills.told, self.kind.slots
-        queued = told * len(self.state.queue) if self.tells_queue else None
-        return LoadReport(queued=queued, free_slots=slots - told * (slots - self.free_slots))
+    def _current_report(self) -> LoadReport:
+        """Return the load as it is now."""
+        share, slots = self.ills.reported_share, self.kind.slots
+        queued = share * len(self.state.queue) if self._settings.reports.includes_queue else None
+        return LoadReport(queued=queued, free_slots=slots - share * (slots - self.free_slots))
 
-    def report(self, now: float) -> LoadReport:
+    def report(self, now_ms: float) -> LoadReport:
         """Return the load report that is to be had at a time: refreshed now and then, and late."""
-        known = now - self.late - self.ills.late_ms
-        for at, report in reversed(self.samples):
-            if at <= known:
-                return report
-        return self.samples[0][1]
+        newest_ms = now_ms - self._settings.reports.delay_ms - self.ills.report_delay_ms
+        for sample in reversed(self._samples):
+            if sample.at_ms <= newest_ms:
+                return sample.report
+        return self._samples[0].report
+
+
+# Names that other packages still use.
+Executor = Server
+Happening = JobEvent
--- a/marlseam/world/fleet.py
+++ b/marlseam/world/fleet.py
@@ -1,43 +1,45 @@
-"""A day's executors as pure objects, made alike for both drivers."""
+"""A day's servers as objects, made alike for real and for virtual time."""
 
 from collections import defaultdict
+from collections.abc import Iterable, Mapping
+from typing import Any
 
 from marlseam.world.chance import stream
-from marlseam.world.executor import Executor, Job, Memory
-from marlseam.world.model import Day, Kind, Type, executors
+from marlseam.world.executor import GroupMemory, Job, ReportSettings, Server, ServerSettings
+from marlseam.world.model import Day, Kind, Type, placed_servers
 from marlseam.world.plan import Arrival
-from marlseam.world.troubles import Met
+from marlseam.world.troubles import ScheduledFault
 
 
-def build(day: Day, seed: int, schedule: list[Met]) -> dict[str, Executor]:
-    """Return a day's executors by name; those that a `grow` brings are down until then."""
-    later = {name for met in schedule if met.trouble.what == "grow" for name in met.targets}
-    memories: dict[object, Memory] = defaultdict(Memory)
-    found = {}
-    for name, kind, _, zone, cell in executors(day):
-        groups = {"all": memories["all"], "zone": memories[zone], "cell": memories[cell]}
-        found[name] = executor(day, seed, name, kind, groups)
-        found[name].up = name not in later
-    return found
+def build(day: Day, seed: int, schedule: Iterable[ScheduledFault]) -> dict[str, Server]:
+    """Return a day's servers by name; those that a `grow` brings are down until then."""
+    later = {name for fault in schedule if fault.trouble.what == "grow" for name in fault.targets}
+    memories: dict[object, GroupMemory] = defaultdict(GroupMemory)
+    servers = {}
+    for placed in placed_servers(day):
+        groups = {"all": memories["all"], "zone": memories[placed.zone], "cell": memories[placed.cell]}
+        server = make_server(day, seed, placed.name, placed.kind, groups)
+        server.up = placed.name not in later
+        servers[placed.name] = server
+    return servers
 
 
-def executor(day: Day, seed: int, name: str, kind: Kind, memories: dict[str, Memory]) -> Executor:
-    """Return one executor of a day; `memories` are those of its groups."""
-    return Executor(
-        name,
-        kind,
-        memories,
-        stream(seed, "executor", name),
-        (day.reports.period_ms, day.reports.late_ms, day.reports.queue),
-        (day.rules.fall_multiple, day.rules.fall_ms),
-        1000.0 * day.fleet.progress_s,
-        1000.0 * day.fleet.checkpoint_s,
-        0.0 if day.fleet.cold else None,
+def make_server(day: Day, seed: int, name: str, kind: Kind, memories: Mapping[str, GroupMemory]) -> Server:
+    """Return one server of a day; `memories` are those of its groups."""
+    reports = ReportSettings(day.reports.period_ms, day.reports.late_ms, day.reports.queue)
+    settings = ServerSettings(
+        reports=reports,
+        fall_multiple=day.rules.fall_multiple,
+        fall_ms=day.rules.fall_ms,
+        progress_ms=1000.0 * day.fleet.progress_s,
+        checkpoint_ms=1000.0 * day.fleet.checkpoint_s,
     )
+    born = 0.0 if day.fleet.cold else None
+    return Server(name, kind, memories, stream(seed, "executor", name), settings, born)
 
 
 def job(arrival: Arrival, type: Type, id: str, alloc: object) -> Job:
-    """Return an arrival's job as one allocation of a try hands it to an executor."""
+    """Return an arrival's job as one attempt of a try hands it to a server."""
     return Job(
         id=f"{id}/{alloc}",
         unit=id,
@@ -51,8 +53,8 @@
     )
 
 
-def rules(day: Day, slack_ms: float) -> dict:
-    """Return what a judge must know of a day, for the driver's stream."""
+def rules(day: Day, slack_ms: float) -> dict[str, Any]:
+    """Return what the judge must know of a day, for the driver's stream of records."""
     return {
         "slack_ms": slack_ms,
         "grace_ms": day.rules.grace_ms,
@@ -61,5 +63,9 @@
         "in_turn": [type.name for type in day.types if type.in_turn],
         "turn_gap_ms": day.rules.turn_gap_ms,
         "drain_binds_alone": day.rules.drain_binds_alone,
-        "zones": {name: zone for name, _, _, zone, _ in executors(day)},
+        "zones": {placed.name: placed.zone for placed in placed_servers(day)},
     }
+
+
+# A name that other packages still use.
+executor = make_server
--- a/marlseam/world/model.py
+++ b/marlseam/world/model.py
@@ -1,10 +1,10 @@
-"""A day as its file describes it: fleet, project types, clients, network, roster, rules, troubles.
+"""A day as its file describes it: servers, request classes, clients, network, endpoint list, rules, faults.
 
-Times in seconds end in `_s`, in milliseconds in `_ms`. Standard work is what a slot of speed 1 does in that
-time.
+The names of the structs' fields are keys of experiment files. Times in seconds end in `_s`, in milliseconds
+in `_ms`. Standard work is what a slot of speed 1 does in that time.
 """
 
-from typing import Annotated, Literal
+from typing import Annotated, Any, Literal, NamedTuple
 
 import msgspec
 from msgspec import Meta, Struct, field
@@ -37,13 +37,15 @@
     "slow_link",
 )
 
+SEMANTICS_BY_EFFECT = {"rerunnable": "safe", "receipted": "keyed", "exclusive": "unsafe"}  # in settings
+
 
 class Strict(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """A table in which every key must be known."""
 
 
-class Kind(Strict):
-    """A kind of executor."""
+class Kind(Strict, frozen=True):
+    """A kind of server."""
 
     name: Name
     executors: Count
@@ -51,13 +53,13 @@
     speed: Positive = 1.0
     queue: int = 40
     memory: NotNegative = 0.0  # units, none where 0
-    cell: Count = 4  # executors that share which receipts they have seen
-    cold_share: Share = 0.4  # of its speed, that it starts with
-    warm_s: Positive = 5.0  # by when it is warm, linearly
+    cell: Count = 4  # servers that share which idempotency keys they have seen
+    cold_share: Share = 0.4  # of its speed, that slow start begins with
+    warm_s: Positive = 5.0  # how long slow start takes; the speed grows linearly
 
 
-class Type(Strict):
-    """A project type. A turnaround keeps its promise up to promised_ms plus `stretch` times its own work."""
+class Type(Strict, frozen=True):
+    """A request class. Its latency objective is promised_ms plus `stretch` times a request's own work."""
 
     name: Name
     share: Positive
@@ -71,35 +73,35 @@
     late_credit: Share = 0.5
     group: Literal["all", "zone", "cell"] = "cell"
     memory_ms: Positive = 30000.0
-    slots: tuple[Positive, ...] = (1.0,)  # shares of work units that take 1, 2, ... slots
+    slots: tuple[Positive, ...] = (1.0,)  # shares of requests that take 1, 2, ... slots
     memory: NotNegative = 0.0
     keys: Annotated[int, Meta(ge=0)] = (
-        0  # things that its work units need, the same for all types; 0 for none
+        0  # how many keys its requests have, the same for all classes; 0 for none
     )
-    key_skew: NotNegative = 1.1  # exponent of a thing's rank in how often it is asked for
-    in_turn: bool = False  # work of one key runs one at a time, in the order taken
+    key_skew: NotNegative = 1.1  # exponent of a key's rank in how often it is asked for
+    in_turn: bool = False  # requests of one key run one at a time, in order of arrival
 
 
-class Fleet(Strict):
-    """Executors and nodes, dealt to the zones in turn."""
+class Fleet(Strict, frozen=True):
+    """Servers and nodes, dealt to the zones in turn."""
 
     zones: Annotated[list[Name], Meta(min_length=1)]
     nodes: Count
     kinds: Annotated[list[Kind], Meta(min_length=1)]
-    connections: Count = 600  # that an executor holds
-    connect_ms: NotNegative = 3.0  # what a new one costs its first allocation
+    connections: Count = 600  # that a server holds
+    connect_ms: NotNegative = 3.0  # what a new one costs its first attempt
     checkpoint_s: NotNegative = 0.0  # how often a cell saves the state of its runs, 0 for never
     progress_s: NotNegative = 1.0
-    roll_s: NotNegative = 0.0  # from telling a node to end to its next start, at least
-    cold: bool = False  # whether all executors start cold with the day
+    roll_s: NotNegative = 0.0  # from a node's shutdown signal to its next start, at least
+    cold: bool = False  # whether all servers are in slow start as the day begins
 
 
-class Load(Strict):
+class Load(Strict, frozen=True):
     """Open-loop arrivals; `shape` scales `rate` over the day."""
 
     rate: Positive = 10.0  # first tries a second
     shape: Literal["steady", "ramp", "burst", "trace"] = "steady"
-    to_rate: NotNegative = 0.0  # where a ramp ends, or a burst stands
+    to_rate: NotNegative = 0.0  # at a ramp's end, or during a burst
     burst_at_s: NotNegative = 0.0
     burst_for_s: NotNegative = 0.0
     arrivals: Literal["poisson", "even"] = "poisson"
@@ -110,19 +112,19 @@
     to_s: NotNegative = 0.0
 
 
-class Clients(Strict):
-    """How clients behave: tries in all, the waits between them, who obeys advice and who leaves early."""
+class Clients(Strict, frozen=True):
+    """How clients behave: tries in all, waits between them, shares that honour Retry-After or leave early."""
 
     tries: Count = 3
     wait_ms: NotNegative = 40.0
     honour: Share = 0.8
     leave: Share = 0.0
     marks: bool = False  # whether nodes are told that clients mark their retries
-    resend: bool = False  # whether a receipted try whose connection broke goes out again under its key
+    resend: bool = False  # whether a keyed try whose connection broke is sent again under its key
     notice_s: NotNegative = 3.0  # after which a front has noticed a node's death
 
 
-class Network(Strict):
+class Network(Strict, frozen=True):
     """One-way delays."""
 
     same_ms: NotNegative = 0.2
@@ -131,18 +133,18 @@
     jitter: NotNegative = 0.2
 
 
-class Reports(Strict):
-    """How executors tell their load: refreshed so often, and heard of so late."""
+class Reports(Strict, frozen=True):
+    """How servers report their load: how often refreshed, and how late known."""
 
     period_ms: Positive = 60.0
     late_ms: NotNegative = 10.0
     probe_ms: NotNegative = 0.6
-    queue: bool = True  # whether a report tells the queue, beside free slots
+    queue: bool = True  # whether a report holds the queue's length, beside free slots
     answers: bool = False  # whether answers bring reports too, and probes the last one again
 
 
-class Roster(Strict):
-    """The list: how late it learns, and how many calls a second it works through."""
+class Roster(Strict, frozen=True):
+    """The endpoint list: how late it learns of a change, and how many calls a second it serves."""
 
     lag_ms: NotNegative = 800.0
     silent_lag_ms: NotNegative = 8000.0
@@ -150,8 +152,8 @@
     timeout_ms: Positive = 2000.0
 
 
-class Rules(Strict):
-    """The figures of the four rules, and what the settings permit."""
+class Rules(Strict, frozen=True):
+    """The figures of the rules, and what the settings permit."""
 
     grace_ms: Positive = 2500.0
     fall_multiple: Positive = 2.5
@@ -164,27 +166,27 @@
     max_advice_ms: NotNegative = 2000.0
     cross_price: NotNegative = 0.03
     tick_ms: Positive = 4.0
-    turn_gap_ms: NotNegative = 0.0  # how long a key rests after an allocation that may still be running
+    turn_gap_ms: NotNegative = 0.0  # how long a key is left unused after an attempt that may still run
     drain_binds_alone: bool = False
 
 
-class Trouble(Strict):
-    """One trouble of the schedule. What `size` means stands in docs/design/bench.md."""
+class Trouble(Strict, frozen=True):
+    """One fault of the schedule. What `size` means for each is in docs/design/bench.md."""
 
     what: Literal[TROUBLES]  # type: ignore[valid-type]
     at_s: NotNegative
     for_s: Positive = 10.0
-    share: Share = 0.2  # of the executors or nodes that it meets
+    share: Share = 0.2  # of the servers or nodes that it affects
     size: NotNegative = 4.0
-    type: str = ""  # for errors: the one project type that fails, all where empty
-    targets: tuple[str, ...] = ()  # whom it meets, by name; drawn from the seed where none are named
-    part: Share = 0.4  # share of a turn that is bad, of load that is told, or of messages lost
-    how: Literal["silent", "crash"] = "silent"  # what a turn of flapping is
-    by: Literal["any", "zone"] = "any"  # whether those met are of one zone
+    type: str = ""  # for errors: the one request class that fails, all where empty
+    targets: tuple[str, ...] = ()  # what it affects, by name; drawn from the seed where none are named
+    part: Share = 0.4  # share of a flap that is bad, of load that is reported, or of messages lost
+    how: Literal["silent", "crash"] = "silent"  # what happens in the bad part of a flap
+    by: Literal["any", "zone"] = "any"  # whether all that it affects are of one zone
 
 
-class Drawn(Strict):
-    """Troubles drawn from the seed: how many, overlapping or not."""
+class Drawn(Strict, frozen=True):
+    """Faults drawn from the seed: how many, overlapping or not."""
 
     count: int = 0
     of: tuple[Literal[TROUBLES], ...] = (  # type: ignore[valid-type]
@@ -198,7 +200,7 @@
     )
 
 
-class Day(Strict):
+class Day(Strict, frozen=True):
     """A whole day."""
 
     seconds: Positive
@@ -214,29 +216,54 @@
     drawn: Drawn = field(default_factory=Drawn)
 
 
-def executors(day: Day) -> list[tuple[str, Kind, int, str, int]]:
-    """Return name, kind, the kind's index, zone and cell of every executor; cells lie within a zone."""
-    found, cells = [], {}
-    for k, kind in enumerate(day.fleet.kinds):
-        for i in range(kind.executors):
-            zone = day.fleet.zones[len(found) % len(day.fleet.zones)]
-            of_zone = cells.setdefault((k, zone), [])
-            of_zone.append(i)
-            cell = 1000 * k + 100 * day.fleet.zones.index(zone) + (len(of_zone) - 1) // kind.cell
-            found.append((f"{kind.name}-{i}", kind, k, zone, cell))
-    return found
+class PlacedServer(NamedTuple):
+    """A server of a day and where it runs.
+
+    Attributes:
+        name: its name.
+        kind: its kind, and `kind_index` that kind's index in the day.
+        zone: its zone.
+        cell: the number of its cell, the servers of one kind and zone that share their memory.
+    """
+
+    name: str
+    kind: Kind
+    kind_index: int
+    zone: str
+    cell: int
+
+
+class PlacedNode(NamedTuple):
+    """A node of a day, and its zone."""
+
+    name: str
+    zone: str
 
 
-def nodes(day: Day) -> list[tuple[str, str]]:
-    """Return name and zone of every node."""
+def placed_servers(day: Day) -> list[PlacedServer]:
+    """Return every server of a day, dealt to the zones in turn; cells lie within a zone."""
     zones = day.fleet.zones
-    return [(f"n{i}", zones[i % len(zones)]) for i in range(day.fleet.nodes)]
+    servers: list[PlacedServer] = []
+    for kind_index, kind in enumerate(day.fleet.kinds):
+        count_by_zone = dict.fromkeys(zones, 0)
+        for number in range(kind.executors):
+            zone = zones[len(servers) % len(zones)]
+            cell_in_zone = count_by_zone[zone] // kind.cell
+            count_by_zone[zone] += 1
+            cell = 1000 * kind_index + 100 * zones.index(zone) + cell_in_zone
+            servers.append(PlacedServer(f"{kind.name}-{number}", kind, kind_index, zone, cell))
+    return servers
+
+
+def placed_nodes(day: Day) -> list[PlacedNode]:
+    """Return every node of a day, dealt to the zones in turn."""
+    zones = day.fleet.zones
+    return [PlacedNode(f"n{number}", zones[number % len(zones)]) for number in range(day.fleet.nodes)]
 
 
-def settings(day: Day, zone: str) -> dict:
-    """Return a day's settings for a node of some zone, in the platform's form."""
-    rules, warm = day.rules, max(kind.warm_s for kind in day.fleet.kinds)
-    words = {"rerunnable": "safe", "receipted": "keyed", "exclusive": "unsafe"}
+def node_settings(day: Day, zone: str) -> dict[str, Any]:
+    """Return a day's settings for a node of some zone, in the form of the operators' settings file."""
+    rules = day.rules
     return {
         "zone": zone,
         "dcs": day.fleet.zones,
@@ -244,49 +271,69 @@
         "fleetSize": day.fleet.nodes,
         "tickUs": rules.tick_ms * 1000.0,
         "registryMode": "subscribe",
-        "requestClasses": [
-            {
-                "name": type.name,
-                "aimUs": type.promised_ms * 1000.0,
-                "deadlineUs": type.limit_ms * 1000.0,
-                "semantics": words[type.effect],
-                "dedupScope": type.group,
-                "memorySpanUs": type.memory_ms * 1000.0,
-                "oneAtATime": type.in_turn,
-            }
-            for type in day.types
-        ],
-        "ceilings": {
-            "sendCap": rules.max_allocs,
-            "mayProbe": rules.probes,
-            "cancel": rules.cancel,
-            "secondCopies": rules.second_copies,
-            "retryAfter": rules.max_advice_ms > 0.0,
-            "maxRetryAfterUs": rules.max_advice_ms * 1000.0,
-            "keepaliveUs": 30e6,
-            "connectTimeoutUs": 250e3,
-        },
+        "requestClasses": [_request_class_settings(request_class) for request_class in day.types],
+        "ceilings": _ceilings(rules),
         "familyInfo": {
             "tellsStart": True,
             "progressUs": day.fleet.progress_s * 1e6,
-            "classStretch": [type.stretch for type in day.types],
+            "classStretch": [request_class.stretch for request_class in day.types],
             "reportX0": "free slots",
         },
-        "guarantees": {
-            "mustAskInUs": rules.must_ask_ms * 1000.0,
-            "warmWithinUs": warm * 1e6,
-            "startCapacity": min(kind.cold_share for kind in day.fleet.kinds),
-            "fallMultiple": rules.fall_multiple,
-            "tipAfterUs": rules.fall_ms * 1000.0,
-            "turnGapUs": rules.turn_gap_ms * 1000.0,
-            "drainBindsAlone": rules.drain_binds_alone,
-        },
+        "guarantees": _guarantees(day),
         "loadReport": {"how": "answers" if day.reports.answers else "probe", "fields": ["backlog", "x0"]},
         "penalties": {"crossZone": rules.cross_price},
         "clients": {"marksRetry": day.clients.marks},
     }
 
 
-def read(data: bytes) -> Day:
+def _request_class_settings(request_class: Type) -> dict[str, Any]:
+    """Return the settings of a request class."""
+    return {
+        "name": request_class.name,
+        "aimUs": request_class.promised_ms * 1000.0,
+        "deadlineUs": request_class.limit_ms * 1000.0,
+        "semantics": SEMANTICS_BY_EFFECT[request_class.effect],
+        "dedupScope": request_class.group,
+        "memorySpanUs": request_class.memory_ms * 1000.0,
+        "oneAtATime": request_class.in_turn,
+    }
+
+
+def _ceilings(rules: Rules) -> dict[str, Any]:
+    """Return the settings of what a node may do at most."""
+    return {
+        "sendCap": rules.max_allocs,
+        "mayProbe": rules.probes,
+        "cancel": rules.cancel,
+        "secondCopies": rules.second_copies,
+        "retryAfter": rules.max_advice_ms > 0.0,
+        "maxRetryAfterUs": rules.max_advice_ms * 1000.0,
+        "keepaliveUs": 30e6,
+        "connectTimeoutUs": 250e3,
+    }
+
+
+def _guarantees(day: Day) -> dict[str, Any]:
+    """Return the settings of what a node may rely on."""
+    rules, kinds = day.rules, day.fleet.kinds
+    return {
+        "mustAskInUs": rules.must_ask_ms * 1000.0,
+        "warmWithinUs": max(kind.warm_s for kind in kinds) * 1e6,
+        "startCapacity": min(kind.cold_share for kind in kinds),
+        "fallMultiple": rules.fall_multiple,
+        "tipAfterUs": rules.fall_ms * 1000.0,
+        "turnGapUs": rules.turn_gap_ms * 1000.0,
+        "drainBindsAlone": rules.drain_binds_alone,
+    }
+
+
+def read_day(data: bytes) -> Day:
     """Read a day from JSON, as a driver hands it to its processes."""
     return msgspec.json.decode(data, type=Day)
+
+
+# Names that other packages still use.
+executors = placed_servers
+nodes = placed_nodes
+settings = node_settings
+read = read_day
--- a/marlseam/world/troubles.py
+++ b/marlseam/world/troubles.py
@@ -1,9 +1,10 @@
-"""A day's troubles: a schedule, given or drawn from the seed, and whom each one meets.
+"""A day's faults: a schedule, given or drawn from the seed, and what each one affects.
 
-What each does to an executor is done here; what it does to lines, roster and nodes, by the driver that plays
-it.
+What a fault does to a server and to the endpoint list is decided here; what it does to links and nodes, by
+the driver that plays it.
 """
 
+from collections.abc import Iterable
 from math import inf
 from typing import NamedTuple
 
@@ -12,102 +13,162 @@
 
 from marlseam.decisions.types import EndpointState
 from marlseam.world.chance import stream
-from marlseam.world.executor import Ills
-from marlseam.world.model import Day, Trouble, executors, nodes
+from marlseam.world.executor import FaultEffects
+from marlseam.world.model import Day, Trouble, placed_nodes, placed_servers
+from marlseam.world.plan import Surge
 
-ON_NODES = ("node_kill", "node_roll", "node_reload")
-SIZES = {"slow": (2.0, 8.0), "errors": (0.4, 1.0), "tail": (5.0, 20.0), "neighbour": (0.3, 0.7)}
+NODE_FAULTS = ("node_kill", "node_roll", "node_reload")
+ZONE_FAULTS = ("zone_cut", "slow_link")
+UNTARGETED_FAULTS = ("roster_outage", "surge")
+LISTED_FAULTS = ("silent", "crash", "shrink", "grow")  # that change the endpoint list
+MAX_STOLEN_SHARE = 0.95
+TAIL_SHARE = 0.05  # of jobs that cost more during a `tail` fault
 
 
-class Met(NamedTuple):
-    """A trouble of the schedule with its targets; times in ms."""
+class SizeRange(NamedTuple):
+    """The bounds between which the size of a drawn fault lies."""
+
+    low: float
+    high: float
+
+
+SIZE_RANGES = {
+    "slow": SizeRange(2.0, 8.0),
+    "errors": SizeRange(0.4, 1.0),
+    "tail": SizeRange(5.0, 20.0),
+    "neighbour": SizeRange(0.3, 0.7),
+}
+DEFAULT_SIZE_RANGE = SizeRange(2.0, 6.0)
+
+
+class ScheduledFault(NamedTuple):
+    """A fault of the schedule with the names of what it affects; times in ms, the end not part of it."""
 
     trouble: Trouble
     at: float
     until: float
     targets: list[str]
 
-
-def drawn(day: Day, seed: int) -> list[Trouble]:
-    """Draw a day's own troubles: each begins in the middle of the day; two may overlap."""
-    chance, found = stream(seed, "troubles"), []
-    for _ in range(day.drawn.count):
-        what = day.drawn.of[int(chance.integers(len(day.drawn.of)))]
-        low, high = SIZES.get(what, (2.0, 6.0))
-        at = day.seconds * (0.15 + 0.5 * chance.random())
-        length = day.seconds * (0.15 + 0.2 * chance.random())
-        size, share = low + (high - low) * chance.random(), 0.1 + 0.2 * chance.random()
-        found.append(Trouble(what=what, at_s=at, for_s=length, share=share, size=size))
-    return found
+    def is_on(self, at_ms: float) -> bool:
+        """Return whether it is on at a time."""
+        return self.at <= at_ms < self.until
 
 
-def schedule(day: Day, seed: int) -> list[Met]:
-    """Return all troubles with their targets, in the order of their begin."""
-    names = [name for name, *_ in executors(day)]
-    found = []
-    for i, trouble in enumerate([*day.troubles, *drawn(day, seed)]):
-        chance = stream(seed, "targets", i)
-        if trouble.targets:
-            targets = list(trouble.targets)
-        elif trouble.what in ("zone_cut", "slow_link"):
-            targets = [day.fleet.zones[int(chance.integers(len(day.fleet.zones)))]]
-        elif trouble.what in ("roster_outage", "surge"):
-            targets = []
-        else:
-            pool = [name for name, _ in nodes(day)] if trouble.what in ON_NODES else names
-            count = max(1, round(trouble.share * len(pool)))
-            if trouble.by == "zone":
-                zone = day.fleet.zones[int(chance.integers(len(day.fleet.zones)))]
-                pool = [name for name, _, _, place, _ in executors(day) if place == zone]
-                count = min(count, len(pool))
-            targets = [pool[i] for i in sorted(chance.choice(len(pool), count, replace=False).tolist())]
-        at = trouble.at_s * 1000.0
-        found.append(Met(trouble, at, at + trouble.for_s * 1000.0, targets))
+def drawn(day: Day, seed: int) -> list[Trouble]:
+    """Draw a day's own faults: each begins in the middle of the day; two may overlap."""
+    chance = stream(seed, "troubles")
+    return [_drawn_fault(day, chance) for _ in range(day.drawn.count)]
+
+
+def _drawn_fault(day: Day, chance: np.random.Generator) -> Trouble:
+    """Draw one fault. The order of the draws is part of what a seed means."""
+    what = day.drawn.of[int(chance.integers(len(day.drawn.of)))]
+    sizes = SIZE_RANGES.get(what, DEFAULT_SIZE_RANGE)
+    at_s = day.seconds * (0.15 + 0.5 * chance.random())
+    for_s = day.seconds * (0.15 + 0.2 * chance.random())
+    size = sizes.low + (sizes.high - sizes.low) * chance.random()
+    share = 0.1 + 0.2 * chance.random()
+    return Trouble(what=what, at_s=at_s, for_s=for_s, share=share, size=size)
+
+
+def schedule(day: Day, seed: int) -> list[ScheduledFault]:
+    """Return all faults with their targets, in the order of their begin."""
+    faults: list[ScheduledFault] = []
+    for index, trouble in enumerate([*day.troubles, *drawn(day, seed)]):
+        chance = stream(seed, "targets", index)
+        targets = _targets(day, trouble, chance)
+        at_ms = trouble.at_s * 1000.0
+        fault = ScheduledFault(trouble, at_ms, at_ms + trouble.for_s * 1000.0, targets)
+        faults.append(fault)
         if trouble.what == "flapping":
-            found += turns(found[-1], chance)
-    return sorted(found, key=lambda met: met.at)
-
-
-def turns(met: Met, chance: np.random.Generator) -> list[Met]:
-    """Return the turns in which a trouble fails its targets, each at times of its own."""
-    found, turn = [], 1000.0 * met.trouble.size
-    bad = msgspec.structs.replace(met.trouble, what=met.trouble.how)
-    for name in met.targets:
-        t = met.at + turn * chance.random()
-        while t < met.until:
-            end = min(met.until, t + turn * met.trouble.part * (0.5 + chance.random()))
-            found.append(Met(bad, t, end, [name]))
-            t = end + turn * (1.0 - met.trouble.part) * (0.5 + chance.random())
-    return found
-
-
-def surges(met: list[Met]) -> list[tuple[float, float, float]]:
-    """Return the schedule's surges as `plan.times` takes them."""
-    return [(m.at, m.until, m.trouble.size) for m in met if m.trouble.what == "surge"]
-
-
-def ills(met: list[Met], executor: str, now: float) -> Ills:
-    """Return what the troubles that are on at a time make of an executor; overlapping ones add up."""
-    found = Ills()
-    for trouble in (m.trouble for m in met if m.at <= now < m.until and executor in m.targets):
-        if trouble.what == "slow":
-            found.slow *= max(1.0, trouble.size)
-        elif trouble.what == "neighbour":
-            found.neighbour = min(0.95, found.neighbour + trouble.size)
-        elif trouble.what == "errors":
-            found.errors, found.error_type = min(1.0, found.errors + trouble.size), trouble.type
-        elif trouble.what == "tail":
-            found.tail, found.tail_size = 0.05, max(found.tail_size, trouble.size)
-        elif trouble.what == "false_reports":
-            found.slow *= max(1.0, trouble.size)
-            found.told = min(found.told, trouble.part)
-        elif trouble.what == "late_reports":
-            found.late_ms += 1000.0 * trouble.size
+            faults += flaps(fault, chance)
+    return sorted(faults, key=lambda fault: fault.at)
+
+
+def _targets(day: Day, trouble: Trouble, chance: np.random.Generator) -> list[str]:
+    """Return the names of what a fault affects: those that it names, or drawn ones."""
+    if trouble.targets:
+        return list(trouble.targets)
+    if trouble.what in ZONE_FAULTS:
+        return [_drawn_zone(day, chance)]
+    if trouble.what in UNTARGETED_FAULTS:
+        return []
+    if trouble.what in NODE_FAULTS:
+        pool = [node.name for node in placed_nodes(day)]
+    else:
+        pool = [server.name for server in placed_servers(day)]
+    count = max(1, round(trouble.share * len(pool)))
+    if trouble.by == "zone":
+        zone = _drawn_zone(day, chance)
+        pool = [server.name for server in placed_servers(day) if server.zone == zone]
+        count = min(count, len(pool))
+    return [pool[i] for i in sorted(chance.choice(len(pool), count, replace=False).tolist())]
+
+
+def _drawn_zone(day: Day, chance: np.random.Generator) -> str:
+    """Draw one of a day's zones."""
+    return day.fleet.zones[int(chance.integers(len(day.fleet.zones)))]
+
+
+def flaps(fault: ScheduledFault, chance: np.random.Generator) -> list[ScheduledFault]:
+    """Return the short faults that a `flapping` fault consists of, each target at times of its own."""
+    trouble, period_ms = fault.trouble, 1000.0 * fault.trouble.size
+    short = msgspec.structs.replace(trouble, what=trouble.how)
+    found = []
+    for name in fault.targets:
+        at_ms = fault.at + period_ms * chance.random()
+        while at_ms < fault.until:
+            end_ms = min(fault.until, at_ms + period_ms * trouble.part * (0.5 + chance.random()))
+            found.append(ScheduledFault(short, at_ms, end_ms, [name]))
+            at_ms = end_ms + period_ms * (1.0 - trouble.part) * (0.5 + chance.random())
     return found
 
 
-class Listed(NamedTuple):
-    """A change of the roster: when it is listed, in ms, and what it says."""
+def surges(faults: Iterable[ScheduledFault]) -> list[Surge]:
+    """Return the schedule's surges of arrivals."""
+    return [
+        Surge(fault.at, fault.until, fault.trouble.size) for fault in faults if fault.trouble.what == "surge"
+    ]
+
+
+def fault_effects(faults: Iterable[ScheduledFault], server: str, now_ms: float) -> FaultEffects:
+    """Return what the faults that are on at a time make of a server; overlapping ones add up."""
+    effects = FaultEffects()
+    for fault in faults:
+        if fault.is_on(now_ms) and server in fault.targets:
+            _add_effect(effects, fault.trouble)
+    return effects
+
+
+def _add_effect(effects: FaultEffects, trouble: Trouble) -> None:
+    """Add the effect of one fault on a server to those of others."""
+    match trouble.what:
+        case "slow":
+            effects.slowdown *= max(1.0, trouble.size)
+        case "neighbour":
+            effects.stolen_share = min(MAX_STOLEN_SHARE, effects.stolen_share + trouble.size)
+        case "errors":
+            effects.error_share = min(1.0, effects.error_share + trouble.size)
+            effects.error_class = trouble.type
+        case "tail":
+            effects.tail_share = TAIL_SHARE
+            effects.tail_factor = max(effects.tail_factor, trouble.size)
+        case "false_reports":
+            effects.slowdown *= max(1.0, trouble.size)
+            effects.reported_share = min(effects.reported_share, trouble.part)
+        case "late_reports":
+            effects.report_delay_ms += 1000.0 * trouble.size
+
+
+class ListChange(NamedTuple):
+    """A change of the endpoint list.
+
+    Attributes:
+        at: when it is listed, in ms.
+        executor: the server's name.
+        state: the state that is listed.
+        born: when the server's process started, None if that was before the day.
+    """
 
     at: float
     executor: str
@@ -115,36 +176,53 @@
     born: float | None
 
 
-def listings(day: Day, met: list[Met]) -> list[Listed]:
-    """Return what the roster learns over a day, in order; silence takes longer to be noticed than an end."""
-    found = []
-    for m in met:
-        if m.trouble.what not in ("silent", "crash", "shrink", "grow"):
-            continue
-        for edge in (m.at, m.until):
-            quiet = m.trouble.what == "silent" and edge == m.at
-            lag = day.roster.silent_lag_ms if quiet else day.roster.lag_ms
-            if quiet and lag >= m.until - m.at:
-                continue
-            found += [Listed(edge + lag, name, *listed_at(met, name, edge)) for name in m.targets]
-    return sorted(found, key=lambda listed: listed.at)
+class ServerState(NamedTuple):
+    """A server's true state, and when its process started, None if that was before the day."""
+
+    state: EndpointState
+    born: float | None
 
 
-def listed_at(met: list[Met], executor: str, t: float) -> tuple[EndpointState, float | None]:
-    """Return an executor's true state at a time, and when its process was born if that was in this day."""
+def listings(day: Day, faults: list[ScheduledFault]) -> list[ListChange]:
+    """Return what the endpoint list learns over a day, in order.
+
+    That a server went silent takes longer to be noticed than that its process ended.
+    """
+    changes: list[ListChange] = []
+    for fault in faults:
+        if fault.trouble.what not in LISTED_FAULTS:
+            continue
+        for edge_ms in (fault.at, fault.until):
+            lag_ms = day.roster.lag_ms
+            if fault.trouble.what == "silent" and edge_ms == fault.at:
+                lag_ms = day.roster.silent_lag_ms
+                if lag_ms >= fault.until - fault.at:
+                    continue
+            changes += [
+                ListChange(edge_ms + lag_ms, name, *true_state(faults, name, edge_ms))
+                for name in fault.targets
+            ]
+    return sorted(changes, key=lambda change: change.at)
+
+
+def true_state(faults: Iterable[ScheduledFault], server: str, at_ms: float) -> ServerState:
+    """Return a server's true state at a time."""
     state, born = EndpointState.READY, None
-    for m in met:
-        if executor not in m.targets:
+    for fault in faults:
+        if server not in fault.targets:
             continue
-        on = m.at <= t < m.until
-        match m.trouble.what:
-            case "silent" | "crash" if on:
-                state = EndpointState.GONE
-            case "shrink" if t >= m.at:
-                state = EndpointState.DRAINING if on else EndpointState.GONE
-            case "grow" if t < m.at:
-                state = EndpointState.GONE
-        risen = {"crash": m.until, "grow": m.at}.get(m.trouble.what, inf)
-        if risen <= t:
-            born = max(born or 0.0, risen)
-    return state, born
+        what, is_on = fault.trouble.what, fault.is_on(at_ms)
+        if (what in ("silent", "crash") and is_on) or (what == "grow" and at_ms < fault.at):
+            state = EndpointState.GONE
+        elif what == "shrink" and at_ms >= fault.at:
+            state = EndpointState.DRAINING if is_on else EndpointState.GONE
+        started_ms = {"crash": fault.until, "grow": fault.at}.get(what, inf)
+        if started_ms <= at_ms:
+            born = max(born or 0.0, started_ms)
+    return ServerState(state, born)
+
+
+# Names that other packages still use.
+Met = ScheduledFault
+Listed = ListChange
+ills = fault_effects
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -21,18 +21,18 @@
 from marlseam.world import plan, troubles
 from marlseam.world.chance import stream
 from marlseam.world.clients import Client, Front
-from marlseam.world.executor import Executor, Ills, Job, Memory
+from marlseam.world.executor import FaultEffects, GroupMemory, Job, ReportSettings, Server, ServerSettings
 from marlseam.world.model import TROUBLES, Kind, Load, Trouble
-from marlseam.world.roster import Roster
+from marlseam.world.roster import EndpointList
+
+SETTINGS = ServerSettings(ReportSettings(50.0, 10.0, True), 2.5, 1000.0, 200.0, 100.0)
 
 
 def executor(born=None, memory=None, **kind):
-    shared = memory or Memory()
+    shared = memory or GroupMemory()
     memories = {"all": shared, "zone": shared, "cell": shared}
     made = Kind(**({"name": "k", "executors": 1, "slots": 3, "queue": 100} | kind))
-    return Executor(
-        "e", made, memories, stream(1, "e"), (50.0, 10.0, True), (2.5, 1000.0), 200.0, 100.0, born
-    )
+    return Server("e", made, memories, stream(1, "e"), SETTINGS, born)
 
 
 def job(i, work=100.0, slots=1.0, **more):
@@ -53,7 +53,7 @@
         now += gap
         happened += e.advance(now)
         if i == len(offers) // 2:
-            e.ills = Ills(slow=slow)
+            e.ills = FaultEffects(slowdown=slow)
         if e.offer(now, job(i, work, float(slots))):
             offered[f"{i}/0"] = (work, slots)
     happened += e.advance(1e9)
@@ -76,7 +76,7 @@
 @given(st.floats(0.0, 5000.0), st.floats(0.0, 5000.0), st.floats(0.05, 1.0))
 def test_the_standard_clock_and_its_inverse_agree_while_it_warms(a, work, cold):
     e = executor(0.0, cold_share=cold, warm_s=3.0)
-    e.move(a)
+    e.advance(a)
     there = e.time_of(e.clock + work)
     assert e.work_between(a, there) == pytest.approx(work, rel=1e-6, abs=1e-6)
 
@@ -118,7 +118,7 @@
 
 
 def test_a_crash_keeps_what_the_cell_saved():
-    shared = Memory()
+    shared = GroupMemory()
     e = executor(memory=shared)
     e.offer(0.0, job(1, 350.0))
     e.advance(230.0)
@@ -156,7 +156,7 @@
 
 
 def test_a_endpoint_list_tells_the_whole_list_then_changes_alone():
-    r = Roster([row("a"), row("b")], 100.0, 50.0)
+    r = EndpointList([row("a"), row("b")], 100.0, 50.0)
     version = r.version()
     assert r.news(0) == (True, [row("a"), row("b")]) and r.news(version) == (False, [])
     r.change(row("a", EndpointState.DRAINING))
@@ -166,7 +166,7 @@
 
 
 def test_a_swamped_endpoint_list_serves_in_turn_and_fails_what_waits_too_long():
-    r = Roster([], 100.0, 50.0)
+    r = EndpointList([], 100.0, 50.0)
     assert [r.call(0.0) for _ in range(6)] == [10.0, 20.0, 30.0, 40.0, 50.0, None]
     r.outages.append((100.0, 200.0))
     assert r.call(150.0) is None and r.call(200.0) is not None
@@ -180,7 +180,7 @@
         ]
     )
     met = troubles.schedule(held, 1)
-    assert [troubles.ills(met, "fast-0", t * 1000.0).slow for t in (0, 2, 4, 6, 8)] == [
+    assert [troubles.fault_effects(met, "fast-0", t * 1000.0).slowdown for t in (0, 2, 4, 6, 8)] == [
         1.0,
         2.0,
         6.0,
