--- a/marlseam/judge/rules.py
+++ b/marlseam/judge/rules.py
@@ -1,59 +1,21 @@
 """The rules, each checked against the records of all sides; every violation names its try or server.
 
-A rule's `margin` tells how near the run came to a violation. The names of the rules, the texts of `means` and
-of the violations are written into reports, and experiments compare the names.
+The names of the rules and the texts are written into reports, and experiments compare the names.
 """
 
 from collections import defaultdict
 from collections.abc import Iterator, Sequence
-from dataclasses import dataclass, field
 from itertools import pairwise
 from math import inf
 from typing import NamedTuple
 
 from marlseam.judge.book import RunRecords, find_gaps
+from marlseam.judge.verdict import Rule, Verdict
 from marlseam.records import Ended, Fell, Quit, Record, Refused, Told, Took, Tried, Withdrawn
 
 DEFAULT_EFFECT = ("exclusive", "cell")  # of a request class that the run's rules do not list
 
 
-class Violation(NamedTuple):
-    """One violation of a rule: the id of the try, or the name of the server, and what is wrong."""
-
-    subject: str
-    text: str
-
-
-@dataclass
-class Rule:
-    """What the check of one rule found.
-
-    Attributes:
-        name: the rule's name in reports.
-        means: what `margin` measures.
-        violations: each violation found.
-        margin: how near the run came; below 1 is kept, unless `means` says otherwise.
-    """
-
-    name: str
-    means: str
-    violations: list[Violation] = field(default_factory=list)
-    margin: float = 0.0
-
-    def add_violation(self, subject: str, text: str) -> None:
-        """Note a violation by a try or a server."""
-        self.violations.append(Violation(subject, text))
-
-    def raise_margin(self, margin: float) -> None:
-        """Note how near one case came to a violation."""
-        self.margin = max(self.margin, margin)
-
-    @property
-    def broken(self) -> list[Violation]:
-        """Return the violations: the name that other packages still use."""
-        return self.violations
-
-
 # Rule 1: one answer.
 
 
@@ -338,46 +300,6 @@
 # All rules.
 
 
-@dataclass
-class Verdict:
-    """What the check of a run found: the rules, or why it cannot tell.
-
-    Attributes:
-        rules: each rule as checked; empty where there are gaps.
-        gaps: what is missing from the records, a text each; nothing is checked then.
-    """
-
-    rules: list[Rule]
-    gaps: list[str]
-
-    @property
-    def is_judged(self) -> bool:
-        """Return whether the records were whole, so that the rules were checked."""
-        return not self.gaps
-
-    @property
-    def violation_count(self) -> int:
-        """Return how many violations of all rules there are."""
-        return sum(len(rule.violations) for rule in self.rules)
-
-    # Names that other packages still use.
-
-    @property
-    def missing(self) -> list[str]:
-        """Return the gaps."""
-        return self.gaps
-
-    @property
-    def judged(self) -> bool:
-        """Return whether the rules were checked."""
-        return self.is_judged
-
-    @property
-    def broken(self) -> int:
-        """Return how many violations of all rules there are."""
-        return self.violation_count
-
-
 class Judgement(NamedTuple):
     """A run's verdict, and its records as they were indexed for it."""
 
--- a/marlseam/load/trace.py
+++ b/marlseam/load/trace.py
@@ -123,14 +123,14 @@
     it is, and clients retry nothing on top.
     """
     begin_ms, end_ms = 1000.0 * day.load.from_s, 1000.0 * day.load.to_s or float("inf")
-    kept = [row for row in rows if begin_ms <= row.t < end_ms]
-    kept_ids = {row.id for row in kept}
-    kept = [row for row in kept if not row.first or row.first in kept_ids]
-    has_retries = any(row.first for row in kept)
+    selected = [row for row in rows if begin_ms <= row.t < end_ms]
+    selected_ids = {row.id for row in selected}
+    selected = [row for row in selected if not row.first or row.first in selected_ids]
+    has_retries = any(row.first for row in selected)
     index_by_class = {request_class.name: index for index, request_class in enumerate(day.types)}
     return [
         _arrival(row, index_by_class[row.type], (row.t - begin_ms) * day.load.time_scale, day, has_retries)
-        for row in kept
+        for row in selected
     ]
 
 
--- a/marlseam/records.py
+++ b/marlseam/records.py
@@ -1,16 +1,16 @@
-"""What happened, as written down by whoever it happened to.
+"""The records of a run: what happened, as written by whoever it happened to, one JSON object a line.
 
-One JSON object a line, a struct for each kind.
+Every writer (clients, servers, endpoint list, network, driver) leaves one stream: a `Begin`, its records with
+a number that counts up from 1, and an `End` with the last number, so that the judge can tell a whole stream
+from one with gaps. The names of the structs' fields and their tags are those of the files.
 
-Every writer (clients, executors, roster, network, driver) leaves one stream: a `Begin`, its records with a
-number that counts up from 1, and an `End` with the last number, so that a judge can tell a whole stream from
-one with holes. Times are float milliseconds since the run's zero, on one clock. `first` is the id of a work
-unit's first try.
+A request and its client retries are tries; `id` is a try's id, `first` that of the request's first try. An
+attempt is one send of a try to a server. Times are float milliseconds since the run's zero, on one clock.
 """
 
 from collections.abc import Iterable, Iterator
 from pathlib import Path
-from typing import IO
+from typing import IO, Any, NamedTuple
 
 import msgspec
 
@@ -18,7 +18,13 @@
 
 
 class Record(msgspec.Struct, tag_field="what", kw_only=True):
-    """One thing that happened: its number in the writer's stream, its time, and the writer's name."""
+    """One thing that happened.
+
+    Attributes:
+        n: its number in the writer's stream, from 1.
+        t: when, in ms.
+        by: the writer's name.
+    """
 
     n: int = 0
     t: float
@@ -33,7 +39,7 @@
 
     version: int = VERSION
     system: str = ""
-    rules: dict = {}
+    rules: dict[str, Any] = {}
 
 
 class End(Record, tag="end"):
@@ -44,9 +50,9 @@
 
 
 class Tried(Record, tag="tried"):
-    """A client's try went out.
+    """A client sent a try.
 
-    Turnarounds in ms count from `intended`, credit is what the first try asked for.
+    Turnarounds count from `intended`; `credit` is the priority weight of the request.
     """
 
     id: str
@@ -56,11 +62,11 @@
     zone: str
     type: str
     intended: float  # when the first try should have gone out
-    expires: float  # the hard limit, the same for all tries
-    promised: float  # the turnaround that earns the whole credit, in ms
+    expires: float  # the deadline, the same for all tries
+    promised: float  # the latency objective: the turnaround that earns the whole credit, in ms
     credit: float
-    late_credit: float  # share of it for an answer past the promise
-    receipt: str | None = None
+    late_credit: float  # share of it for an answer past the latency objective
+    receipt: str | None = None  # the idempotency key
     key: str | None = None
 
 
@@ -73,43 +79,40 @@
 
 
 class Quit(Record, tag="quit"):
-    """A client went away from a try without an answer; `early` if before its hard limit."""
+    """A client left a try without an answer; `early` if before its deadline."""
 
     id: str
     early: bool = False
 
 
 class Lagged(Record, tag="lagged"):
-    """A generator was late by itself in some second: the most in ms, and how many sends it touched."""
+    """A load generator lagged in some second: by how many ms at most, and how many sends were late."""
 
     most: float
     sends: int
 
 
-# Executors.
+# Servers.
 
 
 class Took(Record, tag="took"):
-    """An allocation's last byte came and the executor has it."""
+    """A server received an attempt whole."""
 
     id: str
     node: str = ""
     born: float | None = None
-    load: float = 0.0  # share of what this cold executor can bear over the rule's window, with this one
-    acting: str = ""  # on what it stands, as its node told it where it is of a fleet
+    load: float = 0.0  # share of what the server bears in slow start that it has received, with this attempt
+    acting: str = ""  # the configuration version that its node serves by, as the node says
 
 
 class Refused(Record, tag="refused"):
-    """An allocation was turned away or handed back unstarted: it never ran."""
+    """A server rejected an attempt, or handed it back unstarted: it never ran."""
 
     id: str
 
 
 class Ran(Record, tag="ran"):
-    """An allocation began to run.
-
-    Without effect where the executor knew its receipt and dropped the repeat.
-    """
+    """An attempt began to run; without effect where the server knew its idempotency key and dropped it."""
 
     id: str
     effect: bool = True
@@ -124,34 +127,31 @@
 
 
 class Withdrawn(Record, tag="withdrawn"):
-    """A node gave an allocation up.
-
-    As the executor named by `by` saw it, or the network's lines to `executor`.
-    """
+    """A node cancelled an attempt, as the server saw it, or the network on its link to `executor`."""
 
     id: str
     executor: str = ""
 
 
 class Asked(Record, tag="asked"):
-    """A probe was answered."""
+    """A server answered a probe."""
 
 
 class Born(Record, tag="born"):
-    """A process of an executor started, cold."""
+    """A server's process started, in slow start."""
 
 
 class Fell(Record, tag="fell"):
-    """A cold executor was pushed over: `load` is the share of what it can bear that it was sent."""
+    """A server in slow start was overloaded; `load` is the share of what it bears that it received."""
 
     load: float
 
 
-# Roster, network, driver.
+# Endpoint list, network, driver.
 
 
 class Told(Record, tag="told"):
-    """The roster told a node of an executor's state: ready, draining, gone."""
+    """A node was told a server's state by the endpoint list: ready, draining, gone."""
 
     node: str
     executor: str
@@ -159,14 +159,14 @@
 
 
 class Called(Record, tag="called"):
-    """A node called the roster; `served` unless it was down or its line too long."""
+    """A node called the endpoint list; `served` unless that was down or too many calls waited."""
 
     node: str
     served: bool
 
 
 class Cut(Record, tag="cut"):
-    """The network cut or mended a line between two names or zones."""
+    """The network cut or mended the link between two names or zones."""
 
     a: str
     b: str
@@ -174,7 +174,7 @@
 
 
 class Trouble(Record, tag="trouble"):
-    """A trouble of the schedule began; ends at `until`."""
+    """A fault of the schedule began; it ends at `until`."""
 
     kind: str
     until: float
@@ -183,10 +183,10 @@
 
 
 class Node(Record, tag="node"):
-    """A node of the dispatcher's began, ended or was killed."""
+    """A dispatcher node changed its state."""
 
     node: str
-    state: str  # began, closing, killed, ended; stopped: the system gave it no time, until then
+    state: str  # began, closing, killed, ended; stopped: not run by the operating system until `until`
     zone: str = ""
     until: float = 0.0
 
@@ -212,60 +212,78 @@
     | Trouble
     | Node
 )
-ENCODER, DECODER = msgspec.json.Encoder(), msgspec.json.Decoder(AnyRecord)
+ENCODER = msgspec.json.Encoder()
+DECODER: msgspec.json.Decoder[AnyRecord] = msgspec.json.Decoder(AnyRecord)
 
 
-class Writer:
-    """Writes one stream to a binary file, or keeps it in `kept` where there is none."""
+class StreamWriter:
+    """Writes one stream to a binary file, or keeps it where there is none.
+
+    Attributes:
+        by: the writer's name.
+        file: where records go, None to keep them.
+        kept: the records so far, where there is no file.
+    """
 
     def __init__(
-        self, by: str, system: str, file: IO[bytes] | None = None, rules: dict | None = None
+        self, by: str, system: str, file: IO[bytes] | None = None, rules: dict[str, Any] | None = None
     ) -> None:
-        self.by, self.file, self.count, self.kept = by, file, 0, list[Record]()
+        """Begin a stream; `rules` are the run's settings for the judge, in the driver's stream alone."""
+        self.by, self.file = by, file
+        self.kept: list[Record] = []
+        self._last_number = 0
         self.add(Begin(t=0.0, by=by, system=system, rules=rules or {}))
 
     def add(self, record: Record) -> None:
         """Write a record under the stream's next number."""
-        self.count += 1
-        record.n = self.count
+        self._last_number += 1
+        record.n = self._last_number
         if self.file is None:
             self.kept.append(record)
         else:
             self.file.write(ENCODER.encode(record) + b"\n")
 
-    def end(self, t: float) -> None:
+    def end(self, at_ms: float) -> None:
         """End the stream whole."""
-        self.add(End(t=t, by=self.by))
+        self.add(End(t=at_ms, by=self.by))
         if self.file is not None:
             self.file.flush()
 
 
-class Streams:
-    """Makes the writers of one process: by file in a folder, or all in memory; `end` closes them whole."""
+class RecordStreams:
+    """The streams of one process: a file each in a folder, or all in memory; `end` closes them whole.
 
-    def __init__(self, folder: Path | None, system: str, rules: dict | None = None) -> None:
+    Attributes:
+        folder: where the files go, None to keep all in memory.
+        system: which part of the run the process is: clients, executors, roster, network or driver.
+        rules: the run's settings for the judge, None in any stream but the driver's.
+        writers: the streams so far, by the writer's name.
+    """
+
+    def __init__(self, folder: Path | None, system: str, rules: dict[str, Any] | None = None) -> None:
+        """Make it without a stream."""
         self.folder, self.system, self.rules = folder, system, rules
-        self.writers: dict[str, Writer] = {}
+        self.writers: dict[str, StreamWriter] = {}
 
-    def of(self, by: str) -> Writer:
-        """Return the writer under a name."""
+    def of(self, by: str) -> StreamWriter:
+        """Return the stream of a writer, begun if it is new."""
         if by not in self.writers:
             file = None
             if self.folder is not None:
                 file = open(self.folder / f"{self.system}-{by}.jsonl", "wb")  # noqa: SIM115 - closed by `end`
-            self.writers[by] = Writer(by, self.system, file, self.rules)
+            self.writers[by] = StreamWriter(by, self.system, file, self.rules)
         return self.writers[by]
 
-    def end(self, t: float) -> None:
+    def end(self, at_ms: float) -> None:
         """End all streams whole."""
         for writer in self.writers.values():
-            writer.end(t)
+            writer.end(at_ms)
             if writer.file is not None:
                 writer.file.close()
 
 
-def read(lines: Iterable[bytes]) -> Iterator[Record]:
-    """Read records; a line that is none raises ValueError with its number."""
+def read_records(lines: Iterable[bytes]) -> Iterator[Record]:
+    """Yield the records of a stream; raise ValueError with the line's number for a line that is none."""
     for number, line in enumerate(lines, 1):
         try:
             yield DECODER.decode(line)
@@ -273,19 +291,25 @@
             raise ValueError(f"line {number}: {error}") from None
 
 
-def read_folder(folder: Path) -> tuple[list[Record], list[str]]:
-    """Return all records of a folder's streams, and what is wrong with them.
+class FolderRecords(NamedTuple):
+    """The records of a folder's streams, and what was wrong with the files, a text each."""
 
-    Holes, cut streams, odd lines.
-    """
-    found: list[Record] = []
-    wrong: list[str] = []
+    records: list[Record]
+    problems: list[str]
+
+
+def read_folder(folder: Path) -> FolderRecords:
+    """Return all records of a folder's streams; a file with a line that is no record is left out whole."""
+    found = FolderRecords([], [])
     for path in sorted(folder.glob("*.jsonl")):
         with path.open("rb") as file:
             try:
-                rows = list(read(file))
+                found.records.extend(list(read_records(file)))
             except ValueError as error:
-                wrong.append(f"{path.name}: {error}")
-                continue
-        found += rows
-    return found, wrong
+                found.problems.append(f"{path.name}: {error}")
+    return found
+
+
+# Names that other packages still use.
+Writer = StreamWriter
+Streams = RecordStreams
--- a/marlseam/world/executor.py
+++ b/marlseam/world/executor.py
@@ -20,93 +20,15 @@
 import numpy as np
 
 from marlseam.decisions.types import LoadReport
+from marlseam.world.job import GroupMemory, Job, JobEvent
 from marlseam.world.model import Kind
+from marlseam.world.server_settings import ServerSettings
 
 QUICK_WORK_SHARE = 0.02  # of a job's work, that is spent where it fails at once or is known already
 MIN_WORK_MS = 0.01
 MAX_REPORT_SAMPLES = 64
 
 
-class JobEvent(NamedTuple):
-    """Something that happened to a job.
-
-    Attributes:
-        t: when, in ms.
-        what: started, progress, done, failed or lost.
-        id: the job's id.
-        value: for started 1, or 0 without effect; for progress the share done; else the work spent, in ms
-            times slots.
-    """
-
-    t: float
-    what: str
-    id: str
-    value: float
-
-
-@dataclass
-class Job:
-    """One attempt as a server has it.
-
-    Attributes:
-        id: the attempt's id.
-        unit: the id of the try that it is of.
-        type: the name of its request class.
-        work: its standard work in ms.
-        slots: how many slots it takes.
-        memory: how much memory it takes, in units.
-        receipt: its idempotency key, None where it has none.
-        group: which servers share the memory of such keys: all, zone or cell.
-        memory_ms: for how long a key is remembered.
-        drop: whether its key was known at its start, so that it has no effect.
-        fails: whether it will fail.
-        withdrawn: whether its node cancelled it.
-        since: the clock of standard work at its start.
-        ends: that clock at its end.
-    """
-
-    id: str
-    unit: str
-    type: str
-    work: float
-    slots: float = 1.0
-    memory: float = 0.0
-    receipt: str | None = None
-    group: str = "cell"
-    memory_ms: float = 0.0
-    drop: bool = False
-    fails: bool = False
-    withdrawn: bool = False
-    since: float = 0.0
-    ends: float = 0.0
-
-    def progress_at(self, clock: float) -> float:
-        """Return which share of it is done when the clock of standard work shows a figure."""
-        return (clock - self.since) / max(1e-9, self.ends - self.since)
-
-
-class GroupMemory:
-    """What a group of servers shares.
-
-    Attributes:
-        receipts: when each idempotency key was first seen.
-        saved: the standard work of interrupted runs that was saved, by the try's id.
-    """
-
-    def __init__(self) -> None:
-        """Make an empty memory."""
-        self.receipts: dict[str, float] = {}
-        self.saved: dict[str, float] = {}
-
-    def known(self, receipt: str, now_ms: float, span_ms: float) -> bool:
-        """Return whether a key was first seen within its span, and note it if not."""
-        since_ms = self.receipts.get(receipt)
-        if since_ms is not None and now_ms - since_ms <= span_ms:
-            return True
-        self.receipts[receipt] = now_ms
-        return False
-
-
 @dataclass
 class FaultEffects:
     """What the faults that are on make of a server.
@@ -132,34 +54,6 @@
     reported_share: float = 1.0
 
 
-@dataclass(frozen=True)
-class ReportSettings:
-    """How a server reports its load: how often a report is refreshed, its age, whether it tells the queue."""
-
-    period_ms: float
-    delay_ms: float
-    includes_queue: bool
-
-
-@dataclass(frozen=True)
-class ServerSettings:
-    """How servers of a day behave, whatever their kind.
-
-    Attributes:
-        reports: how they report their load.
-        fall_multiple: how many times what it can do a server in slow start bears before it is overloaded.
-        fall_ms: the window over which that is counted.
-        progress_ms: how often a running job shows progress, 0 for never.
-        checkpoint_ms: how often a running job's state is saved, 0 for never.
-    """
-
-    reports: ReportSettings
-    fall_multiple: float
-    fall_ms: float
-    progress_ms: float = 0.0
-    checkpoint_ms: float = 0.0
-
-
 class ReceivedWork(NamedTuple):
     """Work that a server in slow start received: when, and how much, in ms times slots."""
 
--- a/marlseam/world/fleet.py
+++ b/marlseam/world/fleet.py
@@ -5,9 +5,11 @@
 from typing import Any
 
 from marlseam.world.chance import stream
-from marlseam.world.executor import GroupMemory, Job, ReportSettings, Server, ServerSettings
+from marlseam.world.executor import Server
+from marlseam.world.job import GroupMemory, Job
 from marlseam.world.model import Day, Kind, Type, placed_servers
 from marlseam.world.plan import Arrival
+from marlseam.world.server_settings import ReportSettings, ServerSettings
 from marlseam.world.troubles import ScheduledFault
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -21,9 +21,11 @@
 from marlseam.world import plan, troubles
 from marlseam.world.chance import stream
 from marlseam.world.clients import Client, Front
-from marlseam.world.executor import FaultEffects, GroupMemory, Job, ReportSettings, Server, ServerSettings
+from marlseam.world.executor import FaultEffects, Server
+from marlseam.world.job import GroupMemory, Job
 from marlseam.world.model import TROUBLES, Kind, Load, Trouble
 from marlseam.world.roster import EndpointList
+from marlseam.world.server_settings import ReportSettings, ServerSettings
 
 SETTINGS = ServerSettings(ReportSettings(50.0, 10.0, True), 2.5, 1000.0, 200.0, 100.0)
 
