--- a/marlseam/world/executor.py
+++ b/marlseam/world/executor.py
@@ -2,8 +2,8 @@
 
 It has slots and memory, a queue whose head blocks, a speed that changes, a slow start in which it can be
 overloaded, and it remembers idempotency keys. `offer`, `withdraw`, `crash` and the faults change it;
-`advance` brings it to a time and returns what happened until then, in order; `due` says when something next
-happens by itself.
+`advance` brings it to a time and returns what happened until then, in order; `due` says when
+something next happens by itself.
 
 All jobs that run share one rate, so the server keeps a clock of standard work, and a job ends when that clock
 has moved by the job's own work. During slow start the rate grows linearly, and the clock is a parabola with a
@@ -115,7 +115,7 @@
         draining: whether it takes no new jobs.
         up: whether its process runs.
         born: when its process started, None if that was long before the day.
-        fallen: the share of what it bears in slow start, at which it was overloaded; None if it was not.
+        fallen: the share of what it bears in slow start at which it was overloaded, or None.
         at: the time that it was brought to, in ms.
         clock: the clock of standard work at that time.
         state: what its process holds.
