--- a/marlseam/records.py
+++ b/marlseam/records.py
@@ -2,7 +2,8 @@
 
 Every writer (clients, servers, endpoint list, network, driver) leaves one stream: a `Begin`, its
 records with a number that counts up from 1, and an `End` with the last number, so that the judge can
-tell a whole stream from one with gaps. The names of the structs' fields and their tags are those of the files.
+tell a whole stream from one with gaps. The names of the structs' fields and their tags are those of the
+files.
 
 A request and its client retries are tries; `id` is a try's id, `first` that of the request's first try. An
 attempt is one send of a try to a server. Times are float milliseconds since the run's zero, on one clock.
--- a/marlseam/world/troubles.py
+++ b/marlseam/world/troubles.py
@@ -216,9 +216,9 @@
             state = EndpointState.GONE
         elif what == "shrink" and at_ms >= fault.at:
             state = EndpointState.DRAINING if is_on else EndpointState.GONE
-        started_ms = {"crash": fault.until, "grow": fault.at}.get(what, inf)
-        if started_ms <= at_ms:
-            born = max(born or 0.0, started_ms)
+        restart_ms = {"crash": fault.until, "grow": fault.at}.get(what, inf)
+        if restart_ms <= at_ms:
+            born = max(born or 0.0, restart_ms)
     return ServerState(state, born)
 
 
