--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,6 +1,6 @@
-"""The model's laws.
+"""Laws of the model.
 
-Work is conserved, queues are first in first out, slots hold one run, receipts drop in time.
+Work is conserved, queues are first in first out, slots hold one run, idempotency keys are forgotten in time.
 """
 
 import os
@@ -30,9 +30,9 @@
 SETTINGS = ServerSettings(ReportSettings(50.0, 10.0, True), 2.5, 1000.0, 200.0, 100.0)
 
 
-def executor(born=None, memory=None, **kind):
-    shared = memory or GroupMemory()
-    memories = {"all": shared, "zone": shared, "cell": shared}
+def make_server(born=None, memory=None, **kind):
+    memory_of_group = memory or GroupMemory()
+    memories = {"all": memory_of_group, "zone": memory_of_group, "cell": memory_of_group}
     made = Kind(**({"name": "k", "executors": 1, "slots": 3, "queue": 100} | kind))
     return Server("e", made, memories, stream(1, "e"), SETTINGS, born)
 
@@ -49,140 +49,141 @@
 @settings(max_examples=60, deadline=None)
 @given(OFFERS, st.sampled_from([None, 0.0]), st.floats(1.0, 6.0), st.floats(0.2, 3.0))
 def test_work_is_conserved_and_starts_first_in_first_out_within_its_slots(offers, born, slow, speed):
-    e, happened, offered, now = executor(born, speed=speed, cold_share=0.5, warm_s=2.0), [], {}, 0.0
-    e.fall_multiple = inf
+    server, events, offered, now = make_server(born, speed=speed, cold_share=0.5, warm_s=2.0), [], {}, 0.0
+    server.fall_multiple = inf
     for i, (gap, work, slots) in enumerate(offers):
         now += gap
-        happened += e.advance(now)
+        events += server.advance(now)
         if i == len(offers) // 2:
-            e.ills = FaultEffects(slowdown=slow)
-        if e.offer(now, job(i, work, float(slots))):
+            server.ills = FaultEffects(slowdown=slow)
+        if server.offer(now, job(i, work, float(slots))):
             offered[f"{i}/0"] = (work, slots)
-    happened += e.advance(1e9)
-    starts = [h.id for h in happened if h.what == "started"]
+    events += server.advance(1e9)
+    starts = [event.id for event in events if event.what == "started"]
     assert starts == list(offered)
     held, spent = 0.0, {}
-    for h in happened:
-        if h.what == "started":
-            held += offered[h.id][1]
-        elif h.what == "done":
-            held -= offered[h.id][1]
-            spent[h.id] = h.value
+    for event in events:
+        if event.what == "started":
+            held += offered[event.id][1]
+        elif event.what == "done":
+            held -= offered[event.id][1]
+            spent[event.id] = event.value
         assert held <= 3.0
-    assert [h.t for h in happened] == sorted(h.t for h in happened) and held == 0.0
+    assert [event.t for event in events] == sorted(event.t for event in events) and held == 0.0
     for id, (work, slots) in offered.items():
         assert spent[id] == pytest.approx(work * slots, rel=1e-6, abs=0.05)
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.floats(0.0, 5000.0), st.floats(0.0, 5000.0), st.floats(0.05, 1.0))
-def test_the_standard_clock_and_its_inverse_agree_while_it_warms(a, work, cold):
-    e = executor(0.0, cold_share=cold, warm_s=3.0)
-    e.advance(a)
-    there = e.time_of(e.clock + work)
-    assert e.work_between(a, there) == pytest.approx(work, rel=1e-6, abs=1e-6)
+def test_the_clock_of_standard_work_and_its_inverse_agree_in_slow_start(a, work, cold):
+    server = make_server(0.0, cold_share=cold, warm_s=3.0)
+    server.advance(a)
+    there = server.time_of(server.clock + work)
+    assert server.work_between(a, there) == pytest.approx(work, rel=1e-6, abs=1e-6)
 
 
 @given(st.floats(0.0, 20000.0))
-def test_a_receipt_drops_repeats_within_its_memory_and_not_after(gap):
-    e = executor()
-    e.offer(0.0, job(1, receipt="r", memory_ms=9000.0))
-    e.advance(5000.0)
-    e.advance(5000.0 + gap)
-    e.offer(5000.0 + gap, job(2, receipt="r", memory_ms=9000.0))
-    (started,) = [h for h in e.advance(5000.0 + gap) if h.what == "started"]
+def test_an_idempotency_key_drops_repeats_while_it_is_remembered_and_not_after(gap):
+    server = make_server()
+    server.offer(0.0, job(1, receipt="r", memory_ms=9000.0))
+    server.advance(5000.0)
+    server.advance(5000.0 + gap)
+    server.offer(5000.0 + gap, job(2, receipt="r", memory_ms=9000.0))
+    (started,) = [event for event in server.advance(5000.0 + gap) if event.what == "started"]
     assert started.value == (0.0 if 5000.0 + gap <= 9000.0 else 1.0)
 
 
 def test_the_head_of_the_queue_blocks_until_it_fits():
-    e = executor()
+    server = make_server()
     for i, slots in enumerate((2.0, 2.0, 1.0)):
-        e.offer(0.0, job(i, 100.0, slots))
-    assert [h.id for h in e.advance(50.0) if h.what == "started"] == ["0/0"]
+        server.offer(0.0, job(i, 100.0, slots))
+    assert [event.id for event in server.advance(50.0) if event.what == "started"] == ["0/0"]
 
 
-def test_memory_blocks_the_head_beside_a_free_slot():
-    e = executor(memory=None, slots=3)
-    e.kind, e.free_memory = Kind(name="k", executors=1, slots=3, memory=4.0), 4.0
-    e.offer(0.0, job(0, memory=3.0))
-    e.offer(0.0, job(1, memory=2.0))
-    assert [h.id for h in e.advance(1.0) if h.what == "started"] == ["0/0"]
+def test_missing_memory_blocks_the_head_beside_a_free_slot():
+    server = make_server(memory=None, slots=3)
+    server.kind, server.free_memory = Kind(name="k", executors=1, slots=3, memory=4.0), 4.0
+    server.offer(0.0, job(0, memory=3.0))
+    server.offer(0.0, job(1, memory=2.0))
+    assert [event.id for event in server.advance(1.0) if event.what == "started"] == ["0/0"]
 
 
-def test_a_cold_server_falls_only_past_its_bound():
-    e = executor(0.0, cold_share=0.2, warm_s=100.0)
+def test_a_server_in_slow_start_is_overloaded_only_past_its_bound():
+    server = make_server(0.0, cold_share=0.2, warm_s=100.0)
     bound = 2.5 * 3 * 0.2 * 1000.0
-    e.advance(1.0)
-    e.offer(1.0, job(0, bound * 0.9))
-    assert e.fallen is None
-    e.offer(1.0, job(1, bound * 0.2))
-    assert e.fallen > 1.0
-
-
-def test_a_crash_keeps_what_the_cell_saved():
-    shared = GroupMemory()
-    e = executor(memory=shared)
-    e.offer(0.0, job(1, 350.0))
-    e.advance(230.0)
-    e.crash()
-    again = executor(memory=shared)
-    again.offer(0.0, job(1, 350.0))
-    (done,) = [h for h in again.advance(1e6) if h.what == "done"]
+    server.advance(1.0)
+    server.offer(1.0, job(0, bound * 0.9))
+    assert server.fallen is None
+    server.offer(1.0, job(1, bound * 0.2))
+    assert server.fallen > 1.0
+
+
+def test_a_crash_keeps_the_checkpoints_that_the_cell_saved():
+    memory_of_group = GroupMemory()
+    server = make_server(memory=memory_of_group)
+    server.offer(0.0, job(1, 350.0))
+    server.advance(230.0)
+    server.crash()
+    restarted = make_server(memory=memory_of_group)
+    restarted.offer(0.0, job(1, 350.0))
+    (done,) = [event for event in restarted.advance(1e6) if event.what == "done"]
     assert done.t == pytest.approx(150.0)
 
 
-def test_reports_are_refreshed_and_late():
-    e = executor()
-    e.advance(95.0)
-    e.offer(95.0, job(1, 1000.0))
-    e.advance(105.0)
-    assert e.report(105.0).free_slots == 3.0
-    e.advance(111.0)
-    assert e.report(111.0).free_slots == 2.0
+def test_load_reports_are_refreshed_periodically_and_known_late():
+    server = make_server()
+    server.advance(95.0)
+    server.offer(95.0, job(1, 1000.0))
+    server.advance(105.0)
+    assert server.report(105.0).free_slots == 3.0
+    server.advance(111.0)
+    assert server.report(111.0).free_slots == 2.0
 
 
-def test_a_withdrawn_job_leaves_the_queue_and_a_running_one_goes_on():
-    e = executor(slots=1)
+def test_a_cancelled_job_leaves_the_queue_and_a_running_one_goes_on():
+    server = make_server(slots=1)
     for i in range(2):
-        e.offer(0.0, job(i))
-    e.advance(1.0)
-    assert e.withdraw("1/0") and not e.withdraw("0/0")
-    assert [h.id for h in e.advance(1e6) if h.what == "done"] == ["0/0"]
+        server.offer(0.0, job(i))
+    server.advance(1.0)
+    assert server.withdraw("1/0") and not server.withdraw("0/0")
+    assert [event.id for event in server.advance(1e6) if event.what == "done"] == ["0/0"]
 
 
-# Roster, troubles, clients, plan.
+# Endpoint list, faults, clients, plan.
 
 
-def row(name, state=EndpointState.READY, born=None):
+def entry(name, state=EndpointState.READY, born=None):
     return EndpointEntry(name, state, 0, 0, 0, born)
 
 
-def test_a_endpoint_list_tells_the_whole_list_then_changes_alone():
-    r = EndpointList([row("a"), row("b")], 100.0, 50.0)
-    version = r.version()
-    assert r.news(0) == (True, [row("a"), row("b")]) and r.news(version) == (False, [])
-    r.change(row("a", EndpointState.DRAINING))
-    r.change(row("a", EndpointState.GONE))
-    assert r.news(version) == (False, [row("a", EndpointState.GONE)])
-    assert r.news(0) == (True, [row("b")])
+def test_the_endpoint_list_answers_with_the_whole_list_then_with_changes_alone():
+    endpoint_list = EndpointList([entry("a"), entry("b")], 100.0, 50.0)
+    version = endpoint_list.version()
+    assert endpoint_list.news(0) == (True, [entry("a"), entry("b")])
+    assert endpoint_list.news(version) == (False, [])
+    endpoint_list.change(entry("a", EndpointState.DRAINING))
+    endpoint_list.change(entry("a", EndpointState.GONE))
+    assert endpoint_list.news(version) == (False, [entry("a", EndpointState.GONE)])
+    assert endpoint_list.news(0) == (True, [entry("b")])
 
 
-def test_a_swamped_endpoint_list_serves_in_turn_and_fails_what_waits_too_long():
-    r = EndpointList([], 100.0, 50.0)
-    assert [r.call(0.0) for _ in range(6)] == [10.0, 20.0, 30.0, 40.0, 50.0, None]
-    r.outages.append((100.0, 200.0))
-    assert r.call(150.0) is None and r.call(200.0) is not None
+def test_an_overloaded_endpoint_list_serves_calls_in_order_and_fails_those_that_wait_too_long():
+    endpoint_list = EndpointList([], 100.0, 50.0)
+    assert [endpoint_list.call(0.0) for _ in range(6)] == [10.0, 20.0, 30.0, 40.0, 50.0, None]
+    endpoint_list.outages.append((100.0, 200.0))
+    assert endpoint_list.call(150.0) is None and endpoint_list.call(200.0) is not None
 
 
-def test_overlapping_troubles_add_up_and_end():
+def test_overlapping_faults_add_up_and_end():
     held = day(
         troubles=[
             {"what": "slow", "at_s": 1, "for_s": 4, "share": 1.0, "size": 2},
             {"what": "slow", "at_s": 3, "for_s": 4, "share": 1.0, "size": 3},
         ]
     )
-    met = troubles.schedule(held, 1)
-    assert [troubles.fault_effects(met, "fast-0", t * 1000.0).slowdown for t in (0, 2, 4, 6, 8)] == [
+    faults = troubles.schedule(held, 1)
+    assert [troubles.fault_effects(faults, "fast-0", t * 1000.0).slowdown for t in (0, 2, 4, 6, 8)] == [
         1.0,
         2.0,
         6.0,
@@ -191,7 +192,7 @@
     ]
 
 
-def test_discovery_learns_late_and_a_server_that_rises_is_cold():
+def test_the_endpoint_list_learns_late_and_a_restarted_server_is_listed_with_its_start():
     held = day(troubles=[{"what": "crash", "at_s": 2, "for_s": 3, "share": 0.1}])
     gone, back = troubles.listings(held, troubles.schedule(held, 1))
     assert (gone.at, gone.state) == (2800.0, EndpointState.GONE)
@@ -230,27 +231,27 @@
         ("rerunnable", "completed", False),
     ],
 )
-def test_a_client_tries_again_only_what_is_harmless(effect, how, again):
-    c = client(effect)
-    assert c.begin() == "a"
-    wait = c.wait(10.0, how, 500.0, stream(1))
+def test_a_client_retries_only_what_is_harmless(effect, how, again):
+    caller = client(effect)
+    assert caller.begin() == "a"
+    wait = caller.wait(10.0, how, 500.0, stream(1))
     assert (wait is not None) == again and (wait is None or wait >= 500.0)
-    assert c.begin() == "a.1"
+    assert caller.begin() == "a.1"
 
 
-def test_a_client_stops_at_its_last_try_its_hard_limit_and_in_a_replay():
-    c = client("rerunnable", tries=2)
-    c.begin()
-    assert c.wait(c.expires - 1.0, "deferred", 0.0, stream(1)) is None
-    c.begin()
-    assert c.wait(0.0, "deferred", 0.0, stream(1)) is None
-    c = client("rerunnable")
-    c.replayed = True
-    c.begin()
-    assert c.wait(0.0, "deferred", 0.0, stream(1)) is None
+def test_a_client_stops_retrying_at_its_last_try_its_deadline_and_in_a_replay():
+    caller = client("rerunnable", tries=2)
+    caller.begin()
+    assert caller.wait(caller.expires - 1.0, "deferred", 0.0, stream(1)) is None
+    caller.begin()
+    assert caller.wait(0.0, "deferred", 0.0, stream(1)) is None
+    caller = client("rerunnable")
+    caller.replayed = True
+    caller.begin()
+    assert caller.wait(0.0, "deferred", 0.0, stream(1)) is None
 
 
-def test_a_front_deals_to_the_dead_until_it_notices():
+def test_a_front_load_balancer_picks_a_failed_node_until_it_notices():
     front = Front({"east": ["a", "b"]}, 1000.0)
     front.died("a", 0.0)
     assert Counter(front.deal("east", 500.0) for _ in range(4)) == {("a", False): 2, ("b", True): 2}
@@ -284,7 +285,7 @@
 
 
 @pytest.mark.parametrize("what", TROUBLES)
-def test_the_rules_hold_through_each_trouble(what):
+def test_the_rules_hold_through_each_fault(what):
     size = {"errors": 0.8, "neighbour": 0.5, "late_reports": 2.0}.get(what, 3.0)
     held = day(troubles=[Trouble(what=what, at_s=4.0, for_s=4.0, share=0.25, size=size)])
     verdict, book, figures, _ = played(held)
