--- a/marlseam/cli/load.py
+++ b/marlseam/cli/load.py
@@ -2,12 +2,19 @@
 
 import json
 import time
+from collections.abc import Sequence
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import click
 
 from marlseam.cli import common
 
+if TYPE_CHECKING:
+    from marlseam.load.generator import NodePlace
+    from marlseam.world.model import Day
+    from marlseam.world.plan import Arrival
+
 FILE = click.Path(path_type=Path, exists=True, dir_okay=False)
 
 
@@ -36,43 +43,28 @@
 )
 def run(day: Path, nodes: tuple[str, ...], seed: int, connections: int, records: Path | None) -> None:
     """Send a day's work units to nodes and print what was counted; ends with 1 where the run is not valid."""
-    from marlseam.configuration import address_from
     from marlseam.load import process
-    from marlseam.load.errors import TraceError
-    from marlseam.load.generator import Generator
+    from marlseam.load.generator import Generator, NodePlace
     from marlseam.load.tally import Tally
     from marlseam.load.verdict import merge, table
     from marlseam.records import Streams
     from marlseam.world.chance import stream
 
-    for address in nodes:
-        if address_from(address) is None:
-            raise click.BadParameter(
-                f"{address!r} is no address and port, as 127.0.0.1:8443", param_hint="--node"
-            )
-    held = common.day(day)
-    zones = held.fleet.zones
-    where = {f"n{i}": (zones[i % len(zones)], address) for i, address in enumerate(nodes)}
-    try:
-        arrivals = process.arrivals_of(held, seed)
-    except TraceError as error:
-        raise click.UsageError(str(error)) from None
-    covered = {zone for zone, _ in where.values()}
-    if any(arrival.zone not in covered for arrival in arrivals):
-        raise click.UsageError(
-            f"--node: {len(nodes)} given, expected one for each of {len(zones)} zones at least"
-        )
+    _check_addresses(nodes)
+    played_day = common.day(day)
+    zones = played_day.fleet.zones
+    places = {f"n{i}": NodePlace(zones[i % len(zones)], address) for i, address in enumerate(nodes)}
+    arrivals = _arrivals(played_day, seed, places)
     if records is not None:
         records.mkdir(parents=True, exist_ok=True)
     writer = Streams(records, "clients").of("clients")
-    generator = Generator(held, arrivals, where, writer, stream(seed, "clients"), connections)
+    generator = Generator(played_day, arrivals, places, writer, stream(seed, "clients"), connections)
 
-    def shown(now: float, tally: Tally) -> None:
-        common.progress(
-            f"{now / 1000.0:.0f} s of {held.seconds:g}: {tally.sent} sent, {generator.open_tries} out"
-        )
+    def show_progress(now_ms: float, tally: Tally) -> None:
+        sent, out = tally.sent, generator.open_tries
+        common.progress(f"{now_ms / 1000.0:.0f} s of {played_day.seconds:g}: {sent} sent, {out} out")
 
-    tally = generator.run(time.monotonic() + 0.2, shown)
+    tally = generator.run(time.monotonic() + process.START_DELAY_S, show_progress)
     common.progress("", end=True)
     counted = merge([process.summary(tally)], len(arrivals))
     click.echo(table(counted))
@@ -80,6 +72,35 @@
         raise SystemExit(1)
 
 
+def _check_addresses(addresses: Sequence[str]) -> None:
+    """Raise BadParameter for what is no address and port."""
+    from marlseam.configuration import address_from
+
+    for address in addresses:
+        if address_from(address) is None:
+            raise click.BadParameter(
+                f"{address!r} is no address and port, as 127.0.0.1:8443", param_hint="--node"
+            )
+
+
+def _arrivals(day: "Day", seed: int, places: "dict[str, NodePlace]") -> "list[Arrival]":
+    """Return a day's arrivals; raise UsageError for a bad trace, or a zone without a node."""
+    from marlseam.load.errors import TraceError
+    from marlseam.load.process import arrivals_of
+
+    try:
+        arrivals = arrivals_of(day, seed)
+    except TraceError as error:
+        raise click.UsageError(str(error)) from None
+    covered_zones = {place.zone for place in places.values()}
+    if any(arrival.zone not in covered_zones for arrival in arrivals):
+        zone_count = len(day.fleet.zones)
+        raise click.UsageError(
+            f"--node: {len(places)} given, expected one for each of {zone_count} zones at least"
+        )
+    return arrivals
+
+
 @group.command()
 @click.argument("run", type=click.Path(path_type=Path, exists=True, file_okay=False))
 @click.argument("to", type=click.Path(path_type=Path, dir_okay=False))
