--- a/marlseam/world/executor.py
+++ b/marlseam/world/executor.py
@@ -237,14 +237,14 @@
     def _finish_scheduled(self, scheduled: _ScheduledEnd) -> None:
         """End a job, if it is still the run that the end was scheduled for, and start what then fits."""
         job = self.state.running.get(scheduled.job_id)
-        if job is None or job.ends != scheduled.clock:
+        if job is None or job.end_clock != scheduled.clock:
             return
         self.clock = max(self.clock, scheduled.clock)
         del self.state.running[job.id]
         self.free_slots += job.slots
         self.free_memory += job.memory
-        how = "failed" if job.fails else "done"
-        self._add_event(how, job, (self.clock - job.since) * job.slots)
+        how = "failed" if job.will_fail else "done"
+        self._add_event(how, job, (self.clock - job.start_clock) * job.slots)
         self._start_queued()
 
     def _add_event(self, what: str, job: Job, value: float) -> None:
@@ -266,10 +266,10 @@
         self.free_slots -= job.slots
         self.free_memory -= job.memory
         work = self._work_to_do(job)
-        job.since, job.ends = self.clock, self.clock + max(work, MIN_WORK_MS)
+        job.start_clock, job.end_clock = self.clock, self.clock + max(work, MIN_WORK_MS)
         self.state.running[job.id] = job
-        heapq.heappush(self.state.finishing, _ScheduledEnd(job.ends, self._next_serial(), job.id))
-        self._add_event("started", job, 0.0 if job.drop else 1.0)
+        heapq.heappush(self.state.finishing, _ScheduledEnd(job.end_clock, self._next_serial(), job.id))
+        self._add_event("started", job, 0.0 if job.is_duplicate else 1.0)
         self._schedule_progress(job)
 
     def _work_to_do(self, job: Job) -> float:
@@ -277,14 +277,14 @@
         work, effects = job.work, self.ills
         error_draw, tail_draw = self._chance.random(2)
         if error_draw < effects.error_share and effects.error_class in ("", job.type):
-            job.fails, work = True, QUICK_WORK_SHARE * work
+            job.will_fail, work = True, QUICK_WORK_SHARE * work
         elif tail_draw < effects.tail_share:
             work *= effects.tail_factor
         if job.receipt is not None:
-            job.drop = self.memories[job.group].known(job.receipt, self.at, job.memory_ms)
-        if job.drop:
+            job.is_duplicate = self.memories[job.group].note_key(job.receipt, self.at, job.memory_ms)
+        if job.is_duplicate:
             return QUICK_WORK_SHARE * work
-        return work - self.memories["cell"].saved.get(job.unit, 0.0)
+        return work - self.memories["cell"].saved_work.get(job.unit, 0.0)
 
     def _schedule_progress(self, job: Job) -> None:
         """Set a job's next sign of progress."""
@@ -339,14 +339,14 @@
                 self._start_queued()
                 return True
         if job_id in self.state.running:
-            self.state.running[job_id].withdrawn = True
+            self.state.running[job_id].is_cancelled = True
         return False
 
     def crash(self) -> None:
         """End the process: all jobs are lost, but for the states of runs that the cell has saved."""
         for job in self.state.running.values():
             self._save_checkpoint(job)
-            self._add_event("lost", job, (self.clock - job.since) * job.slots)
+            self._add_event("lost", job, (self.clock - job.start_clock) * job.slots)
         for job in self.state.queue:
             self._add_event("lost", job, 0.0)
         self.state, self.up = ProcessState(), False
@@ -354,9 +354,9 @@
     def _save_checkpoint(self, job: Job) -> None:
         """Save the work of a run up to its last checkpoint."""
         checkpoint_ms = self._settings.checkpoint_ms
-        if checkpoint_ms and not job.drop:
-            saved = self.memories["cell"].saved
-            newly_saved = (self.clock - job.since) // checkpoint_ms * checkpoint_ms
+        if checkpoint_ms and not job.is_duplicate:
+            saved = self.memories["cell"].saved_work
+            newly_saved = (self.clock - job.start_clock) // checkpoint_ms * checkpoint_ms
             saved[job.unit] = saved.get(job.unit, 0.0) + newly_saved
 
     # Reports.
--- a/marlseam/world/job.py
+++ b/marlseam/world/job.py
@@ -35,11 +35,11 @@
         receipt: its idempotency key, None where it has none.
         group: which servers share the memory of such keys: all, zone or cell.
         memory_ms: for how long a key is remembered.
-        drop: whether its key was known at its start, so that it has no effect.
-        fails: whether it will fail.
-        withdrawn: whether its node cancelled it.
-        since: the clock of standard work at its start.
-        ends: that clock at its end.
+        is_duplicate: whether its key was known at its start, so that it has no effect.
+        will_fail: whether it will fail.
+        is_cancelled: whether its node cancelled it.
+        start_clock: the clock of standard work at its start.
+        end_clock: that clock at its end.
     """
 
     id: str
@@ -51,34 +51,34 @@
     receipt: str | None = None
     group: str = "cell"
     memory_ms: float = 0.0
-    drop: bool = False
-    fails: bool = False
-    withdrawn: bool = False
-    since: float = 0.0
-    ends: float = 0.0
+    is_duplicate: bool = False
+    will_fail: bool = False
+    is_cancelled: bool = False
+    start_clock: float = 0.0
+    end_clock: float = 0.0
 
     def progress_at(self, clock: float) -> float:
         """Return which share of it is done when the clock of standard work shows a figure."""
-        return (clock - self.since) / max(1e-9, self.ends - self.since)
+        return (clock - self.start_clock) / max(1e-9, self.end_clock - self.start_clock)
 
 
 class GroupMemory:
     """What a group of servers shares.
 
     Attributes:
-        receipts: when each idempotency key was first seen.
-        saved: the standard work of interrupted runs that was saved, by the try's id.
+        first_seen_ms: when each idempotency key was first seen.
+        saved_work: the standard work of interrupted runs that was saved, by the try's id.
     """
 
     def __init__(self) -> None:
         """Make an empty memory."""
-        self.receipts: dict[str, float] = {}
-        self.saved: dict[str, float] = {}
+        self.first_seen_ms: dict[str, float] = {}
+        self.saved_work: dict[str, float] = {}
 
-    def known(self, receipt: str, now_ms: float, span_ms: float) -> bool:
-        """Return whether a key was first seen within its span, and note it if not."""
-        since_ms = self.receipts.get(receipt)
+    def note_key(self, key: str, now_ms: float, span_ms: float) -> bool:
+        """Return whether a key was first seen within its span; if not, it is seen for the first time now."""
+        since_ms = self.first_seen_ms.get(key)
         if since_ms is not None and now_ms - since_ms <= span_ms:
             return True
-        self.receipts[receipt] = now_ms
+        self.first_seen_ms[key] = now_ms
         return False
