--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -276,7 +276,7 @@
         One that resumes and brings nothing new is not told: it shows no watch that lasts, so that rests grow.
         """
         answer = list_codec.list_answer_from(value, self.config.deployment)
-        whole = answer.listing is ListUpdateKind.FULL
+        whole = answer.kind is ListUpdateKind.FULL
         if (not whole or cached) and answer.version < self.version:
             return False
         self.place_starts(answer, cached)
@@ -300,9 +300,7 @@
         if resumed and not whole and not answer.entries:
             self.on_answer(False)
             return True
-        self.post(
-            EndpointListUpdate(ListUpdateKind.CACHED if cached else answer.listing, answer.entries, doubt)
-        )
+        self.post(EndpointListUpdate(ListUpdateKind.CACHED if cached else answer.kind, answer.entries, doubt))
         if not cached:
             self.on_answer(whole or bool(answer.entries))
         return True
--- a/marlseam/net/list_codec.py
+++ b/marlseam/net/list_codec.py
@@ -16,6 +16,13 @@
 }
 
 
+class InvalidEntry(NamedTuple):
+    """An entry that was left out: its host, "" where that cannot be told, and what is wrong with it."""
+
+    host: str
+    problem: str
+
+
 class AddressedEntry(NamedTuple):
     """An entry of the list and the server's address; None where the entry tells none."""
 
@@ -25,13 +32,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ListAnswer:
-    """One answer of discovery: what changed, or the whole list, with each server's address."""
+    """One answer of discovery.
+
+    Attributes:
+        version: of the list.
+        kind: whether it tells the whole list or what changed.
+        entries: those that are valid.
+        addresses: by server, where an entry tells one.
+        invalid: the others.
+
+    """
 
     version: int
-    listing: ListUpdateKind
+    kind: ListUpdateKind
     entries: list[EndpointEntry]
     addresses: dict[str, tuple[str, int]]
-    invalid: list[tuple[str, str]]  # the host, as far as it can be told, and what is wrong
+    invalid: list[InvalidEntry]
 
 
 def list_answer_from(value: object, deployment: Deployment) -> ListAnswer:
@@ -48,7 +64,8 @@
         try:
             entry, address = entry_from(row, deployment)
         except MalformedMessageError as error:
-            answer.invalid.append((str(row.get("host")) if isinstance(row, dict) else "", str(error)))
+            host = str(row.get("host")) if isinstance(row, dict) else ""
+            answer.invalid.append(InvalidEntry(host, str(error)))
             continue
         answer.entries.append(entry)
         if address is not None:
--- a/marlseam/net/protocol.py
+++ b/marlseam/net/protocol.py
@@ -33,7 +33,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request as its client wrote it: what goes on to servers unchanged, and what we read of it."""
+    """A request as its client wrote it: what goes on to servers unchanged, and what we read of it.
+
+    Attributes:
+        id: the client's correlation id.
+        target: path and query.
+        idempotency_key: None where the client gave none.
+        body: as it came.
+        class_index: of its request class, in the settings' order.
+        type_name: that class's name.
+        time_left_ms: how long the client waits, cut to the class's deadline.
+        slots: how much of a server it takes.
+        is_unsafe: whether its class was unsafe when it was taken.
+        must_run_once: likewise, whether it may not run twice everywhere.
+        resource_key: the thing that it needs; None for nothing.
+        may_be_retry: whether it may be a client's retry.
+
+    """
 
     id: str
     target: str
@@ -43,10 +59,10 @@
     type_name: str
     time_left_ms: float
     slots: float
-    is_unsafe: bool = False  # as its type's effect was when it was taken
-    must_run_once: bool = False  # likewise: it may not run twice everywhere
-    resource_key: str | None = None  # the thing that it needs
-    may_be_retry: bool = False  # it may be a client's retry
+    is_unsafe: bool = False
+    must_run_once: bool = False
+    resource_key: str | None = None
+    may_be_retry: bool = False
 
 
 class Head(Mapping[str, str]):
@@ -99,9 +115,9 @@
     takes several equal lengths for one, and joins folded lines; `raw` is the head as it came.
     """
     headers = list(headers)
-    head, names = Head(headers), [name for name, _ in headers]
+    head, header_names = Head(headers), [name for name, _ in headers]
     for name in SINGLE_HEADERS:
-        if names.count(name.lower().encode()) > 1:
+        if header_names.count(name.lower().encode()) > 1:
             raise MalformedMessageError(f"{name} comes more than once")
     if "Transfer-Encoding" in head and ("Content-Length" in head or version != b"1.1"):
         raise MalformedMessageError("Transfer-Encoding where it may not be")
@@ -219,17 +235,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """One line of a server's answer: a start, a share of progress, or an end."""
+class AnswerLine:
+    """One line of a server's answer.
+
+    Attributes:
+        has_started: whether it tells that the server has started.
+        progress: the share that is done; None where it tells none.
+        outcome: how the attempt ended; None before the last line.
+        result: what a complete attempt brought.
+        report: the server's load report; None where it holds none.
+
+    """
 
-    started: bool = False
-    share: float | None = None
-    end: Outcome | None = None
+    has_started: bool = False
+    progress: float | None = None
+    outcome: Outcome | None = None
     result: bytes = b""
     report: LoadReport | None = None
 
 
-def parse_line(raw: bytes, id: str, server: str, names: Mapping[str, str]) -> Line:
+def parse_line(raw: bytes, id: str, server: str, report_names: Mapping[str, str]) -> AnswerLine:
     """Read one line of a server's answer."""
     try:
         row = json.loads(raw)
@@ -238,17 +263,17 @@
     if not isinstance(row, dict) or row.get("id") != id or row.get("from") != server:
         raise MalformedMessageError("a line is not from this executor on this work unit")
     state, share, result = row.get("state"), row.get("share"), row.get("result")
-    report = report_from(row.get("load"), names)
+    report = report_from(row.get("load"), report_names)
     if state == "started":
-        return Line(started=True)
+        return AnswerLine(has_started=True)
     if state == "running" and finite(share) is not None:
-        return Line(share=finite(share))
+        return AnswerLine(progress=finite(share))
     outcome = OUTCOME_BY_STATE.get(state) if isinstance(state, str) else None
     if outcome is None or (state == "done" and not isinstance(result, str)):
         raise MalformedMessageError("a line tells no known state")
     text = str(result) if state == "done" else ""
     try:
-        return Line(end=outcome, result=text.encode(), report=report)
+        return AnswerLine(outcome=outcome, result=text.encode(), report=report)
     except UnicodeEncodeError:
         raise MalformedMessageError("a result is no text") from None
 
@@ -267,7 +292,7 @@
         return [line for line in lines if line.strip()]
 
 
-def report_from(value: object, names: Mapping[str, str]) -> LoadReport | None:
+def report_from(value: object, report_names: Mapping[str, str]) -> LoadReport | None:
     """Read a load report, as an object or as the text of a header; what is odd in it is passed by."""
     if isinstance(value, str):
         value = parse_pairs(value.strip().removeprefix("TEXT").removeprefix("JSON"))
@@ -275,25 +300,25 @@
         return None
     found = {}
     for name, figure in value.items():
-        if name in names:
+        if name in report_names:
             try:
                 figure = float(figure)
             except (TypeError, ValueError, OverflowError):
                 continue
             if isfinite(figure):
-                found[names[name]] = figure
+                found[report_names[name]] = figure
     return LoadReport(**found)
 
 
-def report_from_answer(body: bytes, head: Head, names: Mapping[str, str]) -> LoadReport | None:
+def report_from_answer(body: bytes, head: Head, report_names: Mapping[str, str]) -> LoadReport | None:
     """Read the load report that a probe's answer holds as its body or in its header."""
     text = body.decode("latin-1").strip()
     if text.startswith("{"):
         try:
-            return report_from(json.loads(text), names)
+            return report_from(json.loads(text), report_names)
         except (ValueError, RecursionError):
             return None
-    return report_from(text or head.get(LOAD), names)
+    return report_from(text or head.get(LOAD), report_names)
 
 
 # Discovery.
--- a/marlseam/net/upstream/attempts.py
+++ b/marlseam/net/upstream/attempts.py
@@ -17,7 +17,7 @@
 from marlseam.net.invariants import SendGuard
 from marlseam.net.log import Reason
 from marlseam.net.loop import Cancelled, Coroutine, Loop, Task
-from marlseam.net.protocol import ClientRequest, Head, Line
+from marlseam.net.protocol import AnswerLine, ClientRequest, Head
 from marlseam.net.upstream.pool import CONNECTION_LOST, ConnectionPool
 from marlseam.net.upstream.timeouts import UpstreamTimeouts
 
@@ -262,8 +262,8 @@
         self.is_reused = False
         if answer.status_code == 200:
             line = yield from self.read_last_line(connection)
-            self.outcome = line.end
-            self.settle(line.end, line.report, line.result)
+            self.outcome = line.outcome
+            self.settle(line.outcome, line.report, line.result)
         else:
             self.settle_refusal(answer.status_code, Head(answer.headers))
 
@@ -278,26 +278,26 @@
                 raise ConnectionEndedError(Reason.PEER_CLOSED)
             for raw in lines.feed(bytes(event.data)):
                 line = self.parse_line(raw, names, has_started)
-                if line.end is not None:
+                if line.outcome is not None:
                     return line
                 has_started = True
                 until_ms = self.silence_until_ms(self.attempts.timeouts.progress_gap_ms)
                 self.post_progress(line)
 
-    def parse_line(self, raw: bytes, names: Mapping[str, str], has_started: bool) -> Line:
+    def parse_line(self, raw: bytes, names: Mapping[str, str], has_started: bool) -> AnswerLine:
         """Parse one line; raises where it hands a request back unstarted that has started."""
         line = protocol.parse_line(raw, self.order.client_request.id, self.order.server, names)
-        if line.end is Outcome.AT_CAPACITY and has_started:
+        if line.outcome is Outcome.AT_CAPACITY and has_started:
             raise MalformedMessageError("handed back unstarted after a start")
         return line
 
-    def post_progress(self, line: Line) -> None:
+    def post_progress(self, line: AnswerLine) -> None:
         """Post what a line that is not the last one tells."""
         request_id, attempt_index = self.order.request_id, self.order.attempt_index
-        if line.started:
+        if line.has_started:
             self.attempts.post(AttemptStarted(request_id, attempt_index))
-        elif line.share is not None:
-            self.attempts.post(AttemptProgressed(request_id, attempt_index, line.share))
+        elif line.progress is not None:
+            self.attempts.post(AttemptProgressed(request_id, attempt_index, line.progress))
 
     def silence_until_ms(self, silence_ms: float) -> float:
         """Return until when to wait for a server's next word.
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -125,7 +125,7 @@
     ],
 )
 def test_a_last_line_tells_the_outcome(state, outcome):
-    assert line(state=state).end is outcome
+    assert line(state=state).outcome is outcome
 
 
 @pytest.mark.parametrize(
@@ -143,7 +143,7 @@
 
 
 def test_starts_and_progress_are_read():
-    assert line(state="started").started and line(state="running", share=0.4).share == 0.4
+    assert line(state="started").has_started and line(state="running", share=0.4).progress == 0.4
 
 
 @pytest.mark.parametrize(
@@ -228,7 +228,7 @@
 
 def test_one_that_has_left_needs_no_address(deployment):
     found = list_codec.list_answer_from(news({"host": "e1", "health": "left"}, whole=False), deployment)
-    assert (found.listing, found.entries[0].state, found.addresses) == (
+    assert (found.kind, found.entries[0].state, found.addresses) == (
         ListUpdateKind.DELTA,
         EndpointState.GONE,
         {},
