--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -340,7 +340,7 @@
     assert outcomes(parts) == ([outcome] if outcome else [])
 
 
-def test_a_probe_looks_again_where_a_connection_falls_silent(upstream, until):
+def test_a_probe_calls_again_where_a_connection_falls_silent(upstream, until):
     parts = upstream(silent=True)
     parts.timeouts.probe_ms = 10.0
     parts.health_checks.start("e1")
@@ -381,7 +381,7 @@
     ("begun", "outcome"),
     [(b"", Outcome.STALE_CONNECTION), (ANSWER[:60], Outcome.BROKEN), (ANSWER[:5], Outcome.STALE_CONNECTION)],
 )
-def test_a_kept_connection_that_ends_before_an_answer_is_told_apart(upstream, begun, outcome):
+def test_a_kept_connection_that_ends_before_an_answer_has_an_outcome_of_its_own(upstream, begun, outcome):
     parts = upstream(ANSWER, silent=True)
     sent(parts)
     sock = parts.connections[0].sock
@@ -389,7 +389,7 @@
     assert sent(parts)[-1] is outcome
 
 
-def test_a_probe_looks_again_where_a_kept_connection_ends(upstream):
+def test_a_probe_calls_again_where_a_kept_connection_ends(upstream):
     parts = upstream(b"HTTP/1.1 200 -\r\nContent-Length: 0\r\n\r\n", silent=True)
     parts.health_checks.start("e1")
     parts.connections[0].sock.takes = len(parts.connections[0].sock.sent)
@@ -478,7 +478,7 @@
 # Connecting.
 
 
-def test_a_refused_connection_is_told(loop, until, capsys):
+def test_a_refused_connection_is_logged(loop, until, capsys):
     failed = []
 
     def call():
@@ -696,7 +696,7 @@
             node.loop.turn()
 
 
-def test_a_client_that_goes_is_told_to_the_reducer(node, client):
+def test_a_client_that_leaves_is_posted_to_the_reducer(node, client):
     sock = client(REQUEST)
     while not node.requests.pending:
         node.loop.turn()
@@ -794,17 +794,17 @@
 
 
 @pytest.mark.parametrize("answer", [b"nonsense", b"[]", b'{"seq":9,"hosts":7}'])
-def test_an_odd_answer_leaves_the_last_good_list(node, roster, answer):
+def test_an_invalid_answer_leaves_the_last_valid_list(node, roster, answer):
     events = roster(listing(5, "e1"), answer)
     assert events[-1].update_kind is ListUpdateKind.FAILED and list(node.discovery.held) == ["e1"]
 
 
-def test_an_odd_entry_keeps_what_was_last_good_of_it(node, roster):
+def test_an_invalid_entry_keeps_what_was_last_valid_of_it(node, roster):
     roster(listing(5, "e1", "e2"), listing(6, "e1", dial="odd"))
     assert list(node.discovery.held) == ["e1"]
 
 
-def test_discovery_that_is_down_is_told(node, until):
+def test_discovery_that_is_down_is_posted(node, until):
     events = []
     node.discovery.post = events.append
     while not events:
@@ -812,7 +812,7 @@
     assert events == [core.EndpointListUpdate(ListUpdateKind.FAILED, [])]
 
 
-def test_a_configured_list_that_is_odd_leaves_none(node):
+def test_a_configured_list_that_is_invalid_leaves_none(node):
     with pytest.raises(MalformedMessageError, match="list"):
         node.discovery.take({}, cached=True)
 
@@ -829,7 +829,7 @@
     assert node.discovery.wait_ms == wait_ms
 
 
-def test_an_error_of_discovery_is_told(roster, monkeypatch, capsys):
+def test_an_error_of_discovery_is_logged(roster, monkeypatch, capsys):
     events = roster(b"", status=503)
     assert [event.update_kind for event in events] == [ListUpdateKind.FAILED] and reasons(capsys) == [
         "declined"
@@ -987,7 +987,7 @@
     assert (node.downstream.limits.clients, node.upstream.pool.max_connections) == (24, 24)
 
 
-def test_what_cannot_change_is_told_and_left(node, rewrite, capsys):
+def test_keys_that_cannot_change_are_logged_and_left(node, rewrite, capsys):
     rewrite(listen="127.0.0.1:7", name="other", seed="9")
     said = capsys.readouterr().err
     assert node.config.listen == ("127.0.0.1", 0) and node.config.name == "node"
@@ -1056,7 +1056,7 @@
     assert made.wait_for_end()[1] == END  # its end alone is waited for; test_endings has both on sockets
 
 
-def test_a_connection_that_does_not_come_up_in_time_is_told(loop, capsys):
+def test_a_connection_that_does_not_come_up_in_time_is_logged(loop, capsys):
     server = socket.create_server(("127.0.0.1", 0))
     call = connect(loop, Log("n", loop.now), server.getsockname(), "x", inf)
     next(call)
