--- a/examples/members.py
+++ b/examples/members.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from uuid import uuid4
 
-from marlseam.store.ledger_writer import first_life
+from marlseam.store.ledger_writer import create_ledger
 from marlseam.world.model import Day, Fleet, Kind, Type, settings
 
 NODES = 7
@@ -64,7 +64,7 @@
 def write_configuration(folder: Path, name: str, nodes: dict[str, NodeAddresses]) -> Path:
     """Write a node's configuration, with its cluster in a file of its own; return the path of the former."""
     ledger = ledger_of(folder, name)
-    first_life(ledger, name)
+    create_ledger(ledger, name)
     members = "\n".join(f'{member} = "{addresses.member}"' for member, addresses in nodes.items())
     cluster = f'[fleet]\nname = "example"\nfolder = "{ledger}"\nvoters = {json.dumps(VOTERS)}\n'
     settings_of(folder, name).write_text(f"{cluster}[fleet.members]\n{members}\n")
--- a/marlseam/__main__.py
+++ b/marlseam/__main__.py
@@ -83,9 +83,9 @@
     """Read a configuration and say what it holds; folders for state and ledger are tried."""
     config = configuration.load(path, own=own)
     if config.store is not None:
-        importlib.import_module("marlseam.store.check").test(config.store, config.name)
+        importlib.import_module("marlseam.store.check").check_state(config.store, config.name)
     if config.fleet is not None and config.fleet.folder is not None:
-        importlib.import_module("marlseam.store.check").test_ledger(config.fleet, config.name)
+        importlib.import_module("marlseam.store.check").check_ledger(config.fleet, config.name)
     deployment = config.deployment
     print(f"{config.name} listens on {config.listen[0]}:{config.listen[1]}", end=", ")
     print(f"{len(deployment.types)} request classes, {len(deployment.kinds)} kinds: good")
--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -15,7 +15,9 @@
 from marlseam.cluster import audit as auditing
 from marlseam.cluster.audit_log import ACTS, IntervalBegun
 from marlseam.store import ledger_audit
-from marlseam.store.state_directory import Disk, StateDirectory, code_of
+from marlseam.store.disk import Disk
+from marlseam.store.errors import code_of
+from marlseam.store.state_directory import StateDirectory
 
 Row = dict[str, Any]  # an interval, by the keys of `auditing.rows`
 
@@ -198,9 +200,9 @@
         folder = StateDirectory(Disk(path), None)
         state = folder.load(0.0)
         for sent in state.sent.get(key, ()):
-            interval = auditing.interval_at(found, folder.of or "", sent.sent_ms)
+            interval = auditing.interval_at(found, folder.owner or "", sent.sent_ms)
             basis = basis_cells(interval.begun) if interval is not None else ["not known"] * 4
-            rows.append([folder.of or "?", time_text(sent.sent_ms), sent.executor, *basis])
+            rows.append([folder.owner or "?", time_text(sent.sent_ms), sent.server, *basis])
     click.echo(table(rows) if len(rows) > 1 else f"nothing was sent under {key}, as far as is kept")
 
 
--- a/marlseam/cli/fleet.py
+++ b/marlseam/cli/fleet.py
@@ -16,8 +16,8 @@
 from marlseam.cli.audit import audit
 from marlseam.cli.door import ask, call
 from marlseam.cli.tables import table
-from marlseam.store.ledger_writer import first_life
-from marlseam.store.state_directory import code_of
+from marlseam.store.errors import code_of
+from marlseam.store.ledger_writer import create_ledger
 
 MINUTE_S, HOUR_S = 60.0, 3600.0
 ACCEPTED = 202  # HTTP status of a request that is carried out later
@@ -129,7 +129,7 @@
     Without this an empty folder counts as one whose content is lost, and its node does not vote at first.
     """
     try:
-        first_life(folder, node)
+        create_ledger(folder, node)
     except FileExistsError:
         raise click.ClickException(f"{folder}: there is a ledger already") from None
     except OSError as error:
@@ -248,8 +248,8 @@
     for seed, verdict in play_seeds(module, nodes, range(first, first + seeds)):
         for bound, share in verdict.nearest.items():
             nearest[bound] = max(nearest.get(bound, (0.0, seed)), (share, seed))
-        if verdict.broken:
-            violations.append((seed, verdict.broken[0]))
+        if verdict.violations:
+            violations.append((seed, verdict.violations[0]))
     for bound, (share, seed) in sorted(nearest.items()):
         click.echo(f"{bound}: nearest {share:.3f} of its bound, seed {seed}")
         print_faults(module.schedule(nodes, seed))
@@ -265,7 +265,7 @@
     from concurrent.futures import ProcessPoolExecutor
 
     with ProcessPoolExecutor() as pool:
-        verdicts = pool.map(module.hunted, [nodes] * len(seeds), seeds, chunksize=4)
+        verdicts = pool.map(module.play_seed, [nodes] * len(seeds), seeds, chunksize=4)
         return list(zip(seeds, verdicts, strict=True))
 
 
@@ -291,7 +291,7 @@
     if lending:
         found = explore_leasing.explore(depth, report=print_level)
     else:
-        found = explore_paxos.explore(depth, tell=print_level)
+        found = explore_paxos.explore(depth, report=print_level)
     for name in found.path:
         click.echo(f"  {name}")
     click.echo(f"{found.states} states, all up to {found.depth} steps" + (": BROKEN" if found.path else ""))
--- a/marlseam/cluster/audit_log.py
+++ b/marlseam/cluster/audit_log.py
@@ -298,40 +298,6 @@
             if self.interval is not None:
                 yield self.interval
 
-    # Names from before, for callers that have not followed yet.
-
-    take = apply
-    entries = records
-
-    @property
-    def bar(self) -> int | None:
-        """What is `votes_barred_up_to`."""
-        return self.votes_barred_up_to
-
-    @bar.setter
-    def bar(self, number: int | None) -> None:
-        self.votes_barred_up_to = number
-
-    @property
-    def hand(self) -> str | None:
-        """What is `operator_override`."""
-        return self.operator_override
-
-    @property
-    def handed_ms(self) -> float:
-        """What is `override_ms`."""
-        return self.override_ms
-
-    @property
-    def life(self) -> ProcessStarted | None:
-        """What is `process`."""
-        return self.process
-
-    @property
-    def acting(self) -> IntervalBegun | None:
-        """What is `interval`."""
-        return self.interval
-
 
 def recover_log(records: Iterable[LogRecord]) -> RecoveredLog:
     """Return what records add up to."""
@@ -339,9 +305,3 @@
     for record in records:
         recovered.apply(record)
     return recovered
-
-
-# Names from before, for callers that have not followed yet.
-added_up = recover_log
-linked = chain_record
-unlinked = parse_record
--- a/marlseam/cluster/checking/explore_paxos.py
+++ b/marlseam/cluster/checking/explore_paxos.py
@@ -278,9 +278,9 @@
     depth: int,
     rules: Rules | None = None,
     max_states: int = 10_000_000,
-    tell: Callable[[int, int], None] | None = None,
+    report: Callable[[int, int], None] | None = None,
 ) -> Explored:
-    """Visit each state up to a depth, nearest first; `tell` is called with each depth and count of states."""
+    """Visit each state up to a depth, nearest first; `report` is told each depth and count of states."""
     rules = rules or Rules()
     return search.explore(
         initial_state(rules),
@@ -288,7 +288,7 @@
         lambda s: is_broken(s, rules),
         depth,
         max_states,
-        tell,
+        report,
     )
 
 
@@ -308,4 +308,6 @@
 ) -> list[str]:
     """Take random steps; return a walk that leads to a broken state, or none."""
     begin = first or initial_state(rules)
-    return search.wander(begin, lambda s: steps(s, rules), lambda s: is_broken(s, rules), walks, length, seed)
+    return search.random_walks(
+        begin, lambda s: steps(s, rules), lambda s: is_broken(s, rules), walks, length, seed
+    )
--- a/marlseam/cluster/checking/fault_schedules.py
+++ b/marlseam/cluster/checking/fault_schedules.py
@@ -21,11 +21,11 @@
     """Random whole numbers, by a seed and a prefix that tells kinds of schedules apart."""
 
     def __init__(self, prefix: str, seed: int) -> None:
-        self.chance = RandomSource(f"{prefix}:{seed}")
+        self.random = RandomSource(f"{prefix}:{seed}")
 
     def __call__(self, below: int) -> int:
         """Return the next number, at least 0 and less than `below`."""
-        return int(self.chance() * below)
+        return int(self.random() * below)
 
 
 def draw_faults(
@@ -65,7 +65,7 @@
     at, options = 0, () if machine is None else (machine,)
     while at < len(faults):
         fewer = faults[:at] + faults[at + 1 :]
-        if play(nodes, seed, fewer, *options).broken:
+        if play(nodes, seed, fewer, *options).violations:
             faults = fewer
         else:
             at += 1
--- a/marlseam/cluster/checking/membership_schedules.py
+++ b/marlseam/cluster/checking/membership_schedules.py
@@ -67,11 +67,6 @@
     nearest: dict[str, float]
     duplicates: int
 
-    @property
-    def broken(self) -> list[str]:
-        """Return the violations, by their former name."""
-        return self.violations
-
 
 class MembershipSimulation(ClusterSimulation):
     """Members that find out which of them are alive.
@@ -145,10 +140,6 @@
                     found.append(f"{process.name} holds {name} as {state}")
         return found
 
-    # Former names, for modules that do not follow yet.
-
-    gone_at = property(lambda self: self.declared_dead)
-
 
 # The checker.
 
@@ -246,9 +237,3 @@
 def play_seed(nodes: int, seed: int) -> MembershipVerdict:
     """Play the schedule of a seed."""
     return play(nodes, seed, schedule(nodes, seed))
-
-
-# Former names, for modules that do not follow yet.
-
-hunted, drawn = play_seed, draw_faults
-detect_ms, heal_ms = detection_bound_ms, healing_bound_ms
--- a/marlseam/cluster/checking/quota_schedules.py
+++ b/marlseam/cluster/checking/quota_schedules.py
@@ -66,11 +66,6 @@
     violations: list[str]
     nearest: dict[str, float]
 
-    @property
-    def broken(self) -> list[str]:
-        """Return the violations, by their former name."""
-        return self.violations
-
 
 class QuotaSimulation(ClusterSimulation):
     """Members that share a limit.
@@ -110,7 +105,7 @@
         share = self.limit / len(self.names)
         state = self.rules.restarted(share, self.process_count, 0.0, () if is_first else recorded)
         return DemandEstimator(
-            name, self.names, self.rules, state, PERIOD_MS, seed, PERIOD_MS * self.chance()
+            name, self.names, self.rules, state, PERIOD_MS, seed, PERIOD_MS * self.random()
         )
 
     def apply_effects(self, process: SimulatedMember, effects: list[Any]) -> None:
@@ -119,7 +114,7 @@
             if not process.live:
                 return
             if isinstance(effect, PersistQuotaState):
-                self.at(self.now + MAX_DISK_MS * self.chance(), self.persist, process, effect)
+                self.at(self.now + MAX_DISK_MS * self.random(), self.persist, process, effect)
             else:
                 self.send_at_step(process, effect)
 
@@ -149,7 +144,7 @@
         """Write leases to a disk; of a process that was killed meanwhile they may be there or not."""
         if self.processes.get(process.name) is not process:
             return
-        if process.live or self.chance() < 0.5:
+        if process.live or self.random() < 0.5:
             written = {lease.lease_id for lease in effect.granted}
             before = self.disks[process.name] or ()
             others = [lease for lease in before if lease.lease_id not in written]
@@ -234,8 +229,3 @@
 def play_seed(nodes: int, seed: int) -> QuotaVerdict:
     """Play the schedule of a seed."""
     return play(nodes, seed, schedule(nodes, seed))
-
-
-# The former name, shared with `replication_schedules`.
-
-hunted = play_seed
--- a/marlseam/cluster/checking/replication_checker.py
+++ b/marlseam/cluster/checking/replication_checker.py
@@ -19,12 +19,12 @@
 class ReplicationVerdict(NamedTuple):
     """What a run showed.
 
-    broken: bounds that were broken, in words.
+    violations: bounds that were broken, in words.
     nearest: how near the run came to each bound, as a share of it.
     chosen: how many numbers were chosen.
     """
 
-    broken: list[str]
+    violations: list[str]
     nearest: dict[str, float]
     chosen: int
 
--- a/marlseam/cluster/checking/replication_schedules.py
+++ b/marlseam/cluster/checking/replication_schedules.py
@@ -11,16 +11,15 @@
 import msgspec
 
 from marlseam.cluster.audit_log import LedgerBegun, LogRecord, VotesBarred, recover_log
-from marlseam.cluster.checking.membership_schedules import (
+from marlseam.cluster.checking.fault_schedules import ScheduleDraws, draw_faults
+from marlseam.cluster.checking.replication_checker import ReplicationChecker, ReplicationVerdict
+from marlseam.cluster.checking.simulation import (
     DRIFT,
     PERIOD_MS,
+    ClusterSimulation,
     InjectedFault,
-    MembershipSimulation,
-    ScheduleDraws,
     SimulatedMember,
-    drawn,
 )
-from marlseam.cluster.checking.replication_checker import ReplicationChecker, ReplicationVerdict
 from marlseam.cluster.membership_codec import InvalidMessageError
 from marlseam.cluster.replication import messages
 from marlseam.cluster.replication.content import FORMAT, Content, write
@@ -69,12 +68,12 @@
     busy_until: float = 0.0
 
 
-def replica_of(seat: SimulatedMember) -> ConfigReplica:
+def replica_of(process: SimulatedMember) -> ConfigReplica:
     """Return the replica of a process of this simulation."""
-    return cast(ConfigReplica, seat.machine)
+    return cast(ConfigReplica, process.machine)
 
 
-class ReplicationSimulation(MembershipSimulation):
+class ReplicationSimulation(ClusterSimulation):
     """Members of a cluster with versions.
 
     Attributes:
@@ -91,11 +90,11 @@
         self,
         nodes: int,
         seed: int,
-        strikes: list[InjectedFault],
+        faults: list[InjectedFault],
         voters: int = 3,
         strict: bool = True,
         loss: float = 0.0,
-        doubles: float = 0.0,
+        duplication: float = 0.0,
         drift: float = DRIFT,
         machine: ReplicaFactory = ConfigReplica,
         lease_periods: float = LEASE_PERIODS,
@@ -114,147 +113,147 @@
         self.checker = ReplicationChecker(names, first_voters, lease_ms, bool(twists))
         self.applied_at_ms: dict[tuple[str, int], float] = {}
         self.without_memory: set[str] = set()
-        super().__init__(nodes, seed, strikes, loss, doubles, drift)
+        super().__init__(nodes, seed, faults, loss, duplication, drift)
         self.at(CHECK_PERIOD_MS, self.check)
 
     # The simulation's steps, for replicas.
 
-    def make(self, name: str, seed: int) -> ConfigReplica:
+    def new_machine(self, name: str, seed: int) -> ConfigReplica:
         """Return a process's replica, with what its disk holds."""
         recovered = recover_log(self.disks.setdefault(name, Disk()).records)
         replica = self.replica_factory(
-            name, self.names, self.settings, f"{name}/{self.lives}", seed, 0.0, recovered
+            name, self.names, self.settings, f"{name}/{self.process_count}", seed, 0.0, recovered
         )
-        replica.next_ms = PERIOD_MS * self.chance()
+        replica.next_ms = PERIOD_MS * self.random()
         return replica
 
     def replicas(self) -> list[ConfigReplica]:
         """Return all replicas, also those of processes that are down."""
-        return [replica_of(seat) for seat in self.seats.values()]
+        return [replica_of(process) for process in self.processes.values()]
 
-    def act(self, seat: SimulatedMember, effects: list[Effect]) -> None:
+    def apply_effects(self, process: SimulatedMember, effects: list[Effect]) -> None:
         """Carry out what a process asks for."""
         for effect in effects:
-            if not seat.live:
+            if not process.live:
                 return
             match effect:
                 case SendMessage():
-                    self.send_message(seat, effect)
+                    self.send_message(process, effect)
                 case Persist():
-                    self.begin_write(seat, effect)
+                    self.begin_write(process, effect)
                 case ApplyContent():
-                    self.applied_at_ms.setdefault((seat.name, effect.number), self.now)
+                    self.applied_at_ms.setdefault((process.name, effect.number), self.now)
 
-    def send_message(self, seat: SimulatedMember, effect: SendMessage) -> None:
+    def send_message(self, process: SimulatedMember, effect: SendMessage) -> None:
         """Send a message, unless a fault strikes at this step."""
-        strike = self.struck(seat, True, messages.kind_of(effect.message))
-        if strike is not None:
-            self.strike(strike, seat)
-        if seat.live:
+        fault = self.fault_at_step(process, True, messages.kind_of(effect.message))
+        if fault is not None:
+            self.inject(fault, process)
+        if process.live:
             message = self.maybe_corrupted(effect.message)
-            datagram = messages.ReplicationDatagram(messages.VERSION, CLUSTER, seat.name, message)
-            held_ms = strike.for_ms if strike is not None and strike.fault == "hold" else 0.0
-            self.send(seat, effect.recipient, messages.write(datagram), held_ms)
+            datagram = messages.ReplicationDatagram(messages.VERSION, CLUSTER, process.name, message)
+            held_ms = fault.for_ms if fault is not None and fault.fault == "hold" else 0.0
+            self.send(process, effect.recipient, messages.write(datagram), held_ms)
 
     def maybe_corrupted(self, message: messages.ReplicationMessage) -> messages.ReplicationMessage:
         """Return a message, or a chunk with one byte changed."""
         if not self.corrupted_share or not isinstance(message, messages.Chunk):
             return message
-        if self.chance() >= self.corrupted_share:
+        if self.random() >= self.corrupted_share:
             return message
-        at = int(self.chance() * len(message.data))
+        at = int(self.random() * len(message.data))
         data = message.data[:at] + bytes([message.data[at] ^ 1]) + message.data[at + 1 :]
         return msgspec.structs.replace(message, data=data)
 
-    def hear(self, seat: SimulatedMember, data: bytes) -> None:
+    def deliver(self, process: SimulatedMember, data: bytes) -> None:
         """Hand a datagram to a process."""
         try:
             datagram = messages.read(data, CLUSTER, self.names)
         except InvalidMessageError:
             return
-        strike = self.struck(seat, False, messages.kind_of(datagram.message))
-        if strike is not None:
-            self.strike(strike, seat)
-        if seat.live and seat.stopped_until <= self.now:
-            effects = replica_of(seat).receive(self.local(seat), datagram.sender, datagram.message)
-            self.act(seat, effects)
+        fault = self.fault_at_step(process, False, messages.kind_of(datagram.message))
+        if fault is not None:
+            self.inject(fault, process)
+        if process.live and process.stopped_until <= self.now:
+            effects = replica_of(process).receive(self.local(process), datagram.sender, datagram.message)
+            self.apply_effects(process, effects)
 
     # Disks.
 
-    def begin_write(self, seat: SimulatedMember, effect: Persist) -> None:
+    def begin_write(self, process: SimulatedMember, effect: Persist) -> None:
         """Begin to write, behind what is being written."""
-        disk = self.disks[seat.name]
+        disk = self.disks[process.name]
         # In order, as the node's writer process does.
-        disk.busy_until = max(disk.busy_until, self.now + MAX_DISK_MS * self.chance())
-        self.at(disk.busy_until, self.end_write, seat, effect)
+        disk.busy_until = max(disk.busy_until, self.now + MAX_DISK_MS * self.random())
+        self.at(disk.busy_until, self.end_write, process, effect)
 
-    def end_write(self, seat: SimulatedMember, effect: Persist) -> None:
+    def end_write(self, process: SimulatedMember, effect: Persist) -> None:
         """Have records on a disk: those of a process that was killed meanwhile may be there or not."""
-        disk = self.disks[seat.name]
-        if self.seats.get(seat.name) is not seat:
+        disk = self.disks[process.name]
+        if self.processes.get(process.name) is not process:
             return  # its folder is another process's by now
         if disk.full_until > self.now:
-            replica_of(seat).disk_fault = "full"
-            if seat.live:
-                replica_of(seat).persist_failed(effect.token)
+            replica_of(process).disk_fault = "full"
+            if process.live:
+                replica_of(process).persist_failed(effect.token)
             return
-        if seat.live or self.chance() < 0.5:
+        if process.live or self.random() < 0.5:
             disk.records = [*disk.records, *effect.records]
-            self.written(seat.name, effect.records)
-        if seat.stopped_until > self.now:
-            self.at(seat.stopped_until, self.confirm_write, seat, effect.token)
+            self.written(process.name, effect.records)
+        if process.stopped_until > self.now:
+            self.at(process.stopped_until, self.confirm_write, process, effect.token)
         else:
-            self.confirm_write(seat, effect.token)
+            self.confirm_write(process, effect.token)
 
     def written(self, name: str, records: tuple[LogRecord, ...]) -> None:
         """Have the checker see what a disk holds now."""
         self.checker.records_written(self.now, name, records, self.replicas())
 
-    def confirm_write(self, seat: SimulatedMember, token: int) -> None:
+    def confirm_write(self, process: SimulatedMember, token: int) -> None:
         """Tell a process that something is durable."""
-        if seat.live:
-            replica_of(seat).disk_fault = ""
-            self.act(seat, replica_of(seat).persisted(self.local(seat), token))
-            self.plan(seat)
+        if process.live:
+            replica_of(process).disk_fault = ""
+            self.apply_effects(process, replica_of(process).persisted(self.local(process), token))
+            self.schedule_tick(process)
 
     # Faults.
 
-    def strike(self, strike: InjectedFault, seat: SimulatedMember) -> None:
+    def inject(self, fault: InjectedFault, process: SimulatedMember) -> None:
         """Inject a fault."""
-        if strike.fault == "full":
-            self.fill_disk(seat.name, self.now + strike.for_ms)
-        elif strike.fault in ("old", "lost"):
-            self.lose_disk(seat, is_set_back=strike.fault == "old")
-        elif strike.fault == "halves":
-            self.cut_in_halves(self.now + strike.for_ms)
+        if fault.fault == "full":
+            self.fill_disk(process.name, self.now + fault.for_ms)
+        elif fault.fault in ("old", "lost"):
+            self.lose_disk(process, is_set_back=fault.fault == "old")
+        elif fault.fault == "halves":
+            self.cut_in_halves(self.now + fault.for_ms)
         else:
-            super().strike(strike, seat)
+            super().inject(fault, process)
 
     def fill_disk(self, name: str, until: float) -> None:
         """Have a disk take no more for a while."""
-        self.touched.append((self.now, until))
+        self.fault_spans.append((self.now, until))
         self.disks[name].full_until = until
         self.at(until, self.empty_disk, name)
 
     def empty_disk(self, name: str) -> None:
         """Have a disk take more again."""
         if self.disks[name].full_until <= self.now:
-            replica_of(self.seats[name]).disk_fault = ""
+            replica_of(self.processes[name]).disk_fault = ""
 
-    def lose_disk(self, seat: SimulatedMember, is_set_back: bool) -> None:
+    def lose_disk(self, process: SimulatedMember, is_set_back: bool) -> None:
         """Kill a process and lose what its disk holds, or set that back to an earlier state."""
-        self.touched.append((self.now, self.now + RESTART_MS))
-        seat.live = False
-        self.without_memory.add(seat.name)
-        records = self.disks[seat.name].records
+        self.fault_spans.append((self.now, self.now + RESTART_MS))
+        process.live = False
+        self.without_memory.add(process.name)
+        records = self.disks[process.name].records
         # Found out at the start (store/ledger_writer.py): the memory of votes is known not to be whole.
         left = records[: len(records) // 2] if is_set_back else []
-        self.disks[seat.name].records = [*left, VotesBarred(-1)]
-        self.at(self.now + RESTART_MS, self.again, seat.name, seat)
+        self.disks[process.name].records = [*left, VotesBarred(-1)]
+        self.at(self.now + RESTART_MS, self.restart, process.name, process)
 
     def cut_in_halves(self, until: float) -> None:
         """Cut a random half of the members off from the other half."""
-        self.touched.append((self.now, until))
+        self.fault_spans.append((self.now, until))
         order = sorted(self.names, key=lambda name: number(b"%d:%s" % (self.seed, name.encode())))
         half = len(order) // 2
         for name in order[:half]:
@@ -263,29 +262,29 @@
 
     # Checks and publications.
 
-    def is_running(self, seat: SimulatedMember) -> bool:
+    def is_running(self, process: SimulatedMember) -> bool:
         """Return whether a process is neither down nor stopped."""
-        return seat.live and seat.stopped_until <= self.now
+        return process.live and process.stopped_until <= self.now
 
     def check(self) -> None:
         """Check all replicas that run."""
-        for seat in self.seats.values():
-            if self.is_running(seat):
-                self.checker.check_replica(self.now, self.local(seat), replica_of(seat))
+        for process in self.processes.values():
+            if self.is_running(process):
+                self.checker.check_replica(self.now, self.local(process), replica_of(process))
         self.at(self.now + CHECK_PERIOD_MS, self.check)
 
     def stale_replicas(self) -> list[str]:
         """Return which members do not act on the newest version as proven."""
         return self.checker.stale_replicas(
-            (self.local(seat), replica_of(seat)) for seat in self.seats.values()
+            (self.local(process), replica_of(process)) for process in self.processes.values()
         )
 
     def publish(self, name: str, mark: int) -> None:
         """Have a member publish settings that carry a mark."""
-        seat = self.seats[name]
-        if not self.is_running(seat):
+        process = self.processes[name]
+        if not self.is_running(process):
             return
-        replica = replica_of(seat)
+        replica = replica_of(process)
         content = Content(
             FORMAT,
             replica.number + 1,
@@ -295,8 +294,8 @@
             name,
             self.settings_of(mark),
         )
-        self.act(seat, replica.publish(self.local(seat), write(content)))
-        self.plan(seat)
+        self.apply_effects(process, replica.publish(self.local(process), write(content)))
+        self.schedule_tick(process)
 
     def voters_of(self, replica: ConfigReplica, mark: int) -> list[str]:
         """Return the next voters: now and then a voter's place goes to another member."""
@@ -315,18 +314,6 @@
             settings["teams"] = rows | marked
         return settings
 
-    # Names from before, for callers that have not followed yet.
-
-    @property
-    def acting_at(self) -> dict[tuple[str, int], float]:
-        """What is `applied_at_ms`."""
-        return self.applied_at_ms
-
-    @property
-    def wrong(self) -> list[str]:
-        """What is `checker.findings`."""
-        return self.checker.findings
-
 
 def draw_step(draws: ScheduleDraws) -> tuple[messages.MessageKind, int]:
     """Return a kind of message and its count, at which a fault strikes: often early ones of agreement."""
@@ -336,13 +323,13 @@
 
 def schedule(nodes: int, seed: int, most: int = 4) -> list[InjectedFault]:
     """Return a random schedule of at most so many faults."""
-    return drawn(ScheduleDraws("trial", seed), nodes, draw_step, FAULTS, 45, most)
+    return draw_faults(ScheduleDraws("trial", seed), nodes, draw_step, FAULTS, 45, most)
 
 
 def play(
     nodes: int,
     seed: int,
-    strikes: list[InjectedFault],
+    faults: list[InjectedFault],
     machine: ReplicaFactory = ConfigReplica,
     strict: bool = True,
     rows: int = CONTENT_ROWS,
@@ -350,23 +337,25 @@
 ) -> ReplicationVerdict:
     """Play a schedule with publications by two at a time, wait until its last fault is over, and judge."""
     simulation = ReplicationSimulation(
-        nodes, seed, strikes, strict=strict, doubles=0.02, machine=machine, rows=rows, twists=twists
+        nodes, seed, faults, strict=strict, duplication=0.02, machine=machine, rows=rows, twists=twists
     )
     publish_all(simulation, nodes, seed)
-    ended_ms = simulation.last(strikes)
+    ended_ms = simulation.stop_faults(faults)
     simulation.run(ended_ms)
     bound_ms = heal_ms(PERIOD_MS) * (1.0 + 2.0 * DRIFT)
     stale = run_until_healed(simulation, ended_ms + bound_ms)
     checker = simulation.checker
-    broken = checker.findings[:3]
+    violations = checker.findings[:3]
     nearest = {"stale": checker.max_stale_ms / simulation.settings.lease_ms}
     if checker.may_vote_again(simulation.without_memory):
         # Where most voters have lost their memory nobody may vote again: a cluster of another name begins.
-        broken += [f"{bound_ms:.0f} ms after all healed {text}" for text in stale[:3]]
+        violations += [f"{bound_ms:.0f} ms after all healed {text}" for text in stale[:3]]
         nearest["alike after a heal"] = (simulation.now - ended_ms) / bound_ms
-    if not strikes and len(checker.chosen) < PUBLICATIONS:
-        broken.append(f"{len(checker.chosen)} of {PUBLICATIONS} publications were chosen with no fault there")
-    return ReplicationVerdict(broken, nearest, len(checker.chosen))
+    if not faults and len(checker.chosen) < PUBLICATIONS:
+        violations.append(
+            f"{len(checker.chosen)} of {PUBLICATIONS} publications were chosen with no fault there"
+        )
+    return ReplicationVerdict(violations, nearest, len(checker.chosen))
 
 
 def publish_all(simulation: ReplicationSimulation, nodes: int, seed: int) -> None:
@@ -390,6 +379,6 @@
     return stale
 
 
-def hunted(nodes: int, seed: int) -> ReplicationVerdict:
+def play_seed(nodes: int, seed: int) -> ReplicationVerdict:
     """Play the schedule of a seed."""
     return play(nodes, seed, schedule(nodes, seed))
--- a/marlseam/cluster/checking/search.py
+++ b/marlseam/cluster/checking/search.py
@@ -28,11 +28,6 @@
     depth: int
     path: list[str]
 
-    @property
-    def way(self) -> list[str]:
-        """Return the path, by its former name."""
-        return self.path
-
 
 def explore(
     first: State,
@@ -98,8 +93,3 @@
             if is_violation(state):
                 return path
     return []
-
-
-# The former name, for modules that do not follow yet.
-
-wander = random_walks
--- a/marlseam/cluster/checking/simulation.py
+++ b/marlseam/cluster/checking/simulation.py
@@ -46,11 +46,6 @@
     other: str
     for_ms: float
 
-    @property
-    def count(self) -> int:
-        """Return the ordinal, by its former name."""
-        return self.ordinal
-
 
 class Outage(NamedTuple):
     """A span in which a member could not be heard by any other."""
@@ -89,11 +84,6 @@
     datagrams: int = 0
     bytes: int = 0
 
-    @property
-    def letters(self) -> int:
-        """Return the datagrams sent, by their former name."""
-        return self.datagrams
-
 
 class ClusterSimulation:
     """A cluster in virtual time; times in ms.
@@ -123,7 +113,7 @@
         drift: float = DRIFT,
     ) -> None:
         """Start a process for each of so many members; clocks' rates differ from 1 by at most `drift`."""
-        self.seed, self.chance = seed, RandomSource(f"world:{seed}")
+        self.seed, self.random = seed, RandomSource(f"world:{seed}")
         self.now, self.call_count = 0.0, 0
         self.names = frozenset(f"n{i}" for i in range(nodes))
         self.loss, self.duplication, self.drift = loss, duplication, drift
@@ -171,10 +161,10 @@
     def start(self, name: str) -> SimulatedMember:
         """Start a process."""
         self.process_count += 1
-        rate = 1.0 + self.drift * (2.0 * self.chance() - 1.0)
+        rate = 1.0 + self.drift * (2.0 * self.random() - 1.0)
         seed = crc32(b"%d:%s:%d" % (self.seed, name.encode(), self.process_count))
         process = SimulatedMember(name, self.new_machine(name, seed), rate, self.now)
-        self.at(self.now + PERIOD_MS * self.chance(), self.tick, process)
+        self.at(self.now + PERIOD_MS * self.random(), self.tick, process)
         return process
 
     def local(self, process: SimulatedMember) -> float:
@@ -220,10 +210,10 @@
         process.bytes += len(data)
         if self.is_cut(process.name, to):
             return
-        copies = 1 + (self.chance() < self.duplication) + (hold_ms > 0.0)
+        copies = 1 + (self.random() < self.duplication) + (hold_ms > 0.0)
         for i in range(copies):
-            if self.chance() >= self.loss:
-                delay_ms = MIN_DELAY_MS + DELAY_SPAN_MS * self.chance() + (hold_ms if i else 0.0)
+            if self.random() >= self.loss:
+                delay_ms = MIN_DELAY_MS + DELAY_SPAN_MS * self.random() + (hold_ms if i else 0.0)
                 self.at(self.now + delay_ms, self.arrive, to, data)
 
     def is_cut(self, sender: str, receiver: str) -> bool:
@@ -239,7 +229,7 @@
         receivers = [process for process in candidates if process.name == to and process.live]
         if not receivers:
             return
-        process = receivers[int(self.chance() * len(receivers))]
+        process = receivers[int(self.random() * len(receivers))]
         if process.stopped_until > self.now:
             if len(process.buffered) < MAX_BUFFERED_DATAGRAMS:
                 process.buffered.append(data)
@@ -303,26 +293,3 @@
     def is_fault_free(self, since: float, until: float) -> bool:
         """Return whether no fault was there in a span."""
         return all(end < since or begin > until for begin, end in self.fault_spans)
-
-    # Former names, for modules that do not follow yet.
-
-    FORMER_HOOKS = {"make": "new_machine", "act": "apply_effects", "hear": "deliver", "strike": "inject"}
-
-    def __init_subclass__(cls) -> None:
-        """Take hooks that a subclass defines by their former names."""
-        for former, name in ClusterSimulation.FORMER_HOOKS.items():
-            if former in cls.__dict__:
-                setattr(cls, name, cls.__dict__[former])
-
-    act, hear, strike = apply_effects, deliver, inject
-    struck, plan, again, ends, last, calm = (
-        fault_at_step,
-        schedule_tick,
-        restart,
-        end,
-        stop_faults,
-        is_fault_free,
-    )
-    seats = property(lambda self: self.processes)
-    touched = property(lambda self: self.fault_spans)
-    lives = property(lambda self: self.process_count)
--- a/marlseam/cluster/membership.py
+++ b/marlseam/cluster/membership.py
@@ -74,7 +74,7 @@
     ) -> None:
         """Begin as a process of member `name`, whose generation differs from that of each earlier one."""
         self.cluster, self.name = cluster, name
-        self.chance = RandomSource(f"{seed}:{name}")
+        self.random = RandomSource(f"{seed}:{name}")
         self.period_ms, self.now_ms, self.last_event_ms = period_ms, now_ms, now_ms
         self.own_state = MemberState(0, generation, MemberStatus.ALIVE)
         self.members: dict[str, Member] = {}
@@ -127,7 +127,7 @@
         """Return up to `count` random members that are alive; few draws, however many members there are."""
         found: dict[str, None] = {}
         for _ in range(4 * count if self.names else 0):
-            name = self.names[int(self.chance() * len(self.names))]
+            name = self.names[int(self.random() * len(self.names))]
             if len(found) < count and name != excluded and self.is_alive(name):
                 found[name] = None
         return list(found)
@@ -145,7 +145,7 @@
 
     def shuffled(self, names: list[str]) -> list[str]:
         """Return names in a random order."""
-        return [name for _, name in sorted((self.chance(), name) for name in names)]
+        return [name for _, name in sorted((self.random(), name) for name in names)]
 
     # Events.
 
@@ -386,11 +386,3 @@
             return GossipEntry(name, member.state)
         by = self.name if self.name in member.suspected_by else next(iter(member.suspected_by), "")
         return GossipEntry(name, member.state, by)
-
-    # Former names, for callers that do not follow yet.
-
-    take = merge
-    heard = receive
-
-
-HEALTH_MOST = MAX_LOCAL_HEALTH
--- a/marlseam/cluster/quota/demand.py
+++ b/marlseam/cluster/quota/demand.py
@@ -73,7 +73,7 @@
         """Begin with a state, as `QuotaLeasing.restarted` returns it."""
         self.name, self.others = name, sorted(members - {name})
         self.rules, self.state = rules, state
-        self.period_ms, self.chance = period_ms, RandomSource(seed)
+        self.period_ms, self.random = period_ms, RandomSource(seed)
         self.demand, self.next_ms = 0.0, now_ms
         self.refusals: dict[str, int] = {}
 
@@ -92,7 +92,7 @@
         """Return what is in excess, renew what is needed, request what is lacking."""
         if now_ms < self.next_ms:
             return []
-        self.next_ms = now_ms + self.period_ms * (MIN_JITTER + JITTER_SPAN * self.chance())
+        self.next_ms = now_ms + self.period_ms * (MIN_JITTER + JITTER_SPAN * self.random())
         self.state = self.rules.without_expired(self.state, now_ms)
         usable = self.usable(now_ms)
         self.state = self.state._replace(used=min(self.demand, usable))
@@ -135,7 +135,7 @@
 
     def request_leases(self, now_ms: float, lacking: float) -> list[Effect]:
         """Request what is lacking from some members, last from those that had nothing before."""
-        order = sorted(self.others, key=lambda name: (self.refusals.get(name, 0), self.chance()))
+        order = sorted(self.others, key=lambda name: (self.refusals.get(name, 0), self.random()))
         effects: list[Effect] = []
         for name in order[:MAX_LENDERS_PER_PERIOD]:
             # Each may have only a part of it: what is in excess is returned.
--- a/marlseam/cluster/replication/content.py
+++ b/marlseam/cluster/replication/content.py
@@ -143,7 +143,7 @@
     return data
 
 
-def voters_fit(voters: list[str], members: frozenset[str]) -> str:
+def voters_fault(voters: list[str], members: frozenset[str]) -> str:
     """Return what is wrong with some voters, or nothing."""
     if len(set(voters)) != len(voters) or not members.issuperset(voters):
         return f"voters {sorted(voters)}: different names of members were expected"
@@ -190,6 +190,6 @@
         raise InvalidContentError(
             f"members: up to {MAX_MEMBERS} names of 1 to {MAX_NAME_CHARACTERS} characters were expected"
         )
-    fault = voters_fit(content.voters, frozenset(content.members) or members)
+    fault = voters_fault(content.voters, frozenset(content.members) or members)
     if fault:
         raise InvalidContentError(fault)
--- a/marlseam/cluster/replication/messages.py
+++ b/marlseam/cluster/replication/messages.py
@@ -125,11 +125,6 @@
     sender: str
     message: ReplicationMessage
 
-    @property
-    def say(self) -> ReplicationMessage:
-        """The message, by its former name."""
-        return self.message
-
 
 DECODER: msgspec.msgpack.Decoder[ReplicationDatagram] = msgspec.msgpack.Decoder(ReplicationDatagram)
 ENCODER = msgspec.msgpack.Encoder()
--- a/marlseam/cluster/replication/replica.py
+++ b/marlseam/cluster/replication/replica.py
@@ -330,18 +330,3 @@
         self.store.retain(wanted)
         self.fetcher.drop_up_to(number)
         self.voter.forget_requests(number)
-
-    # Names from before the division into parts, for callers that have not followed yet.
-
-    @property
-    def chance(self) -> RandomSource:
-        """What is `random`."""
-        return self.random
-
-    def told(self, now: float, sender: str, status: StatusResponse) -> list[Effect]:
-        """Do what `receive_status` does."""
-        return self.receive_status(now, sender, status)
-
-    def proved(self, now: float) -> bool:
-        """Return what `lease.is_proven` does."""
-        return self.lease.is_proven(now)
--- a/marlseam/cluster/replication/serving.py
+++ b/marlseam/cluster/replication/serving.py
@@ -16,11 +16,6 @@
     is_proven: bool
     code: str = ""
 
-    @property
-    def acts(self) -> bool:
-        """What is `is_serving`, for callers that have not followed yet."""
-        return self.is_serving
-
 
 class ServingRule:
     """Decides on service; a policy apart from the agreement.
--- a/marlseam/configuration/operator_settings.py
+++ b/marlseam/configuration/operator_settings.py
@@ -208,9 +208,9 @@
     if not isinstance(voters, list) or not all(isinstance(name, str) for name in voters):
         raise ConfigError(cluster.path("voters"), voters, "a list of members' names")
     # Imported here: a node of a cluster without versions needs nothing of it.
-    from marlseam.cluster.replication.content import voters_fit
+    from marlseam.cluster.replication.content import voters_fault
 
-    wrong = voters_fit(voters, frozenset(settings.members))
+    wrong = voters_fault(voters, frozenset(settings.members))
     if wrong:
         raise ConfigError(cluster.path("voters"), voters, f"3, 5 or 7 different members, or all ({wrong})")
     period_ms = settings.period_ms
--- a/marlseam/core/__init__.py
+++ b/marlseam/core/__init__.py
@@ -38,7 +38,7 @@
     ShutdownBegun,
     TimerFired,
 )
-from marlseam.core.reducer import EVENT_HANDLERS, FORGET_AFTER_POLLS, STEPS, Follower, Reducer
+from marlseam.core.reducer import EVENT_HANDLERS, FORGET_AFTER_POLLS, Follower, Reducer
 
 __all__ = [
     "AttemptEnded",
@@ -77,7 +77,6 @@
     "SetTimer",
     "SettingsChanged",
     "ShutdownBegun",
-    "STEPS",
     "TimerFired",
     "WatchEndpoints",
 ]
--- a/marlseam/core/effects.py
+++ b/marlseam/core/effects.py
@@ -25,11 +25,6 @@
     time_left_ms: float
     send_within_ms: float = inf
 
-    @property
-    def begin_ms(self) -> float:
-        """The former name of `send_within_ms`."""
-        return self.send_within_ms
-
 
 class CancelAttempt(NamedTuple):
     """Stop waiting for an attempt.
@@ -43,11 +38,6 @@
     attempt_index: int
     even_if_sent: bool = True
 
-    @property
-    def begun(self) -> bool:
-        """The former name of `even_if_sent`."""
-        return self.even_if_sent
-
 
 class Respond(NamedTuple):
     """Answer a request with the result of an attempt."""
@@ -75,15 +65,10 @@
     """
 
     request_id: str
-    unfit: bool = False
+    is_invalid: bool = False
     in_flight: tuple[int, ...] = ()
     retry_after_ms: float = 0.0
 
-    @property
-    def out(self) -> tuple[int, ...]:
-        """The former name of `in_flight`."""
-        return self.in_flight
-
 
 class Probe(NamedTuple):
     """Ask a server for its load report."""
@@ -111,11 +96,6 @@
     key: str
     record: AttemptRecord
 
-    @property
-    def trace(self) -> AttemptRecord:
-        """The former name of `record`."""
-        return self.record
-
 
 class ErasePersisted(NamedTuple):
     """Take an attempt under an idempotency key off the record: it provably never ran."""
--- a/marlseam/core/idempotency.py
+++ b/marlseam/core/idempotency.py
@@ -143,20 +143,6 @@
         first_until_ms = min(records[0].until_ms for records in self.records.values())
         return max(MIN_WAIT_FOR_KEY_MS, first_until_ms - now)
 
-    # The names that other parts still use.
-
-    note = add
-    known = attempts
-
-    @property
-    def most(self) -> int:
-        """The former name of `max_keys`."""
-        return self.max_keys
-
-    @most.setter
-    def most(self, max_keys: int) -> None:
-        self.max_keys = max_keys
-
 
 class UnavailableHistory:
     """Sources (another process, the store) whose keyed requests may have run and are not known here.
--- a/marlseam/core/reducer.py
+++ b/marlseam/core/reducer.py
@@ -341,32 +341,6 @@
         cost = dispatcher.mean_run_ms[class_index] * slots / dispatcher.mean_slot_ms
         return SlowStartFigures(budget, cost)
 
-    # The names that other parts still use.
-
-    avoided = avoided_count
-    slow_start = slow_start_figures
-    untold_still = is_history_incomplete
-
-    @property
-    def index(self) -> dict[str, int]:
-        """The former name of `servers.by_name`."""
-        return self.servers.by_name
-
-    @property
-    def open(self) -> dict[str, RequestState]:
-        """The former name of `open_requests`."""
-        return self.open_requests
-
-    @property
-    def untold(self) -> dict[str, float]:
-        """The former name of `unavailable_history.last_sent_ms`."""
-        return self.unavailable_history.last_sent_ms
-
-    @property
-    def closes_ms(self) -> float:
-        """The former name of `answer_by_ms`."""
-        return self.answer_by_ms
-
 
 EVENT_HANDLERS: dict[type, Callable[[Reducer, Any], None]] = {
     NodeStarted: Reducer.node_started,
@@ -389,4 +363,3 @@
     ClientLeft: Reducer.client_left,
     ShutdownBegun: Reducer.shutdown_begun,
 }
-STEPS = EVENT_HANDLERS  # the name that other parts still use
--- a/marlseam/decisions/admission.py
+++ b/marlseam/decisions/admission.py
@@ -68,7 +68,7 @@
         for server in list(self.monitored):
             self.check_server(server)
         served_share = max(MIN_SERVED_CHECK_SHARE, MIN_SUCCESS_INVERSE * self.probe_success_share)
-        self.dispatch_queue(inf if self.chance() < served_share else 0.0)
+        self.dispatch_queue(inf if self.random() < served_share else 0.0)
         if self.monitored or self.pending_queues:
             self.schedule_check()
 
--- a/marlseam/decisions/dispatcher.py
+++ b/marlseam/decisions/dispatcher.py
@@ -14,7 +14,6 @@
 
 from marlseam.decisions.eligibility import RESERVED_RUN_SHARE
 from marlseam.decisions.endpoints import EndpointList
-from marlseam.decisions.former_names import FormerDispatcherNames
 from marlseam.decisions.key_ordering import KeyQueue
 from marlseam.decisions.outlier_detection import EJECTION_BASE_IN_DEADLINES
 from marlseam.decisions.request_state import RequestState
@@ -34,13 +33,13 @@
 DEFAULT_DEADLINE_MS = 1000.0  # where no request class has one
 
 
-class Dispatcher(FormerDispatcherNames, EndpointList):
+class Dispatcher(EndpointList):
     """One node's dispatcher.
 
     Attributes:
         settings, request_classes: as configured last.
         port: through which it acts.
-        chance: the next number in [0, 1) of its sequence.
+        random: the next number in [0, 1) of its sequence.
         key_queues: by resource key, the requests of classes that ask for one at a time.
         request_state_type: what requests become; baselines in experiments set another.
     """
@@ -49,7 +48,7 @@
 
     def __init__(self, settings: Settings, seed: int, port: Port) -> None:
         super().__init__()
-        self.port, self.chance = port, RandomSource(seed)
+        self.port, self.random = port, RandomSource(seed)
         self.configure(settings)
         self.pending_queues, self.unplaced_entries = {}, None
         self.enqueued_count, self.next_poll_ms, self.is_check_scheduled = 0, 0.0, False
--- a/marlseam/decisions/eligibility.py
+++ b/marlseam/decisions/eligibility.py
@@ -2,7 +2,7 @@
 
 from marlseam.decisions.request_record import RequestRecord
 from marlseam.decisions.types import Attempt, DeduplicationScope, Idempotency
-from marlseam.recovery.saved_list import SURE
+from marlseam.recovery.saved_list import MAX_CERTAIN_DOUBT
 
 RESERVED_RUN_SHARE = 0.3  # the run, in means of its class, that a wait must still leave time for
 
@@ -59,7 +59,7 @@
         # Guards against a server that has taken over another's address in a cached list.
         if (
             self.request_class.idempotency is not Idempotency.SAFE
-            and dispatcher.identity_doubt[server] > SURE
+            and dispatcher.identity_doubt[server] > MAX_CERTAIN_DOUBT
         ):
             return False
         return not may_have_run or self.is_in_deduplication_scope(server, may_have_run[0].server)
--- a/marlseam/decisions/endpoints.py
+++ b/marlseam/decisions/endpoints.py
@@ -2,7 +2,7 @@
 
 from marlseam.decisions.admission import Admission
 from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind
-from marlseam.recovery.saved_list import SURE
+from marlseam.recovery.saved_list import MAX_CERTAIN_DOUBT
 
 WEIGHT_AGE_IN_LIST_PERIODS = 0.35  # how old a weight of the list is when it comes, in times between lists
 REFRESH_PERIOD_MEMORY = 5.0  # updates that the mean time between them remembers
@@ -64,7 +64,7 @@
         self.in_use_though_removed.pop(server, None)
         self.set_endpoint(endpoint)
         # Guards a server that may have started since a cached list was saved.
-        started_ms = self.port.now() if doubt > SURE else endpoint.process_started_ms
+        started_ms = self.port.now() if doubt > MAX_CERTAIN_DOUBT else endpoint.process_started_ms
         if started_ms is not None and started_ms != self.process_started_ms[server]:
             self.server_restarted(server, started_ms)
         elif started_ms is None and update_kind is not ListUpdateKind.CACHED:
@@ -86,7 +86,7 @@
     def back_off(self) -> None:
         """Poll again after a failure, in a time that doubles with each failure in a row, spread by chance."""
         now, longest_ms = self.port.now(), self.settings.max_poll_interval_ms
-        first_ms, spread = FIRST_BACKOFF_SHARE * longest_ms, 0.5 + self.chance()
+        first_ms, spread = FIRST_BACKOFF_SHARE * longest_ms, 0.5 + self.random()
         self.poll_backoff_ms = min(2.0 * self.poll_backoff_ms or first_ms, longest_ms)
         backoff_ms = min(spread * self.poll_backoff_ms, longest_ms)
         # The time that the failed call took is part of the backoff.
@@ -120,6 +120,6 @@
         self.reset_observations(server)
         self.process_started_ms[server] = started_ms
         self.adjust_sums(server, 1)
-        self.slow_start_tokens[server] = -self.chance()  # so that the nodes do not all begin at once
+        self.slow_start_tokens[server] = -self.random()  # so that the nodes do not all begin at once
         self.slow_start_refilled_ms[server] = self.port.now()
         self.retry_elsewhere(server, started_ms)
--- a/marlseam/decisions/health_checks.py
+++ b/marlseam/decisions/health_checks.py
@@ -7,7 +7,7 @@
 from marlseam.decisions.outlier_detection import OUTLIER_FAILURE_SHARE
 from marlseam.decisions.server_stats import HEALTHY_FAILURE_SHARE
 from marlseam.decisions.types import Attempt, LoadReport, Outcome, TrackedRequest
-from marlseam.recovery.saved_list import ANSWERED
+from marlseam.recovery.saved_list import DOUBT_SHARE_AFTER_ANSWER
 
 STALL_SILENCE_IN_PROGRESS_PERIODS = 2.2  # silence of a started attempt from which it counts as stalled
 
@@ -27,7 +27,7 @@
         self.probe_sent_ms[server] = None
         if outcome is Outcome.COMPLETED:
             self.last_report_ms[server] = self.port.now()
-            self.identity_doubt[server] *= ANSWERED  # some server is there
+            self.identity_doubt[server] *= DOUBT_SHARE_AFTER_ANSWER  # some server is there
             if self.is_unresponsive[server]:
                 self.readmit(server)
             if report is not None:
--- a/marlseam/decisions/placement.py
+++ b/marlseam/decisions/placement.py
@@ -138,7 +138,7 @@
             and not dispatcher.is_over_threshold(server, 1.0)
         ]
         if good:
-            return PlacementChoice(Decision.FORWARDED, good[int(dispatcher.chance() * len(good))])
+            return PlacementChoice(Decision.FORWARDED, good[int(dispatcher.random() * len(good))])
         if dispatcher.is_usable(self.home_server) and self.meets_latency_objective(self.home_server):
             return PlacementChoice(Decision.KEPT_AT_HOME, self.home_server)
         return PlacementChoice(Decision.QUEUED, -1)
--- a/marlseam/decisions/request_state.py
+++ b/marlseam/decisions/request_state.py
@@ -1,13 +1,12 @@
 """One request on this node: its record, and how it takes in what happens to its attempts."""
 
-from marlseam.decisions.former_names import FormerRequestNames
 from marlseam.decisions.key_ordering import MAY_STILL_RUN
 from marlseam.decisions.placement import ForwardProbing
 from marlseam.decisions.request_record import NEVER_RAN
 from marlseam.decisions.types import LoadReport, Outcome
 
 
-class RequestState(FormerRequestNames, ForwardProbing):
+class RequestState(ForwardProbing):
     """A request on this node, from its arrival to its one final answer.
 
     The rules of what may be attempted are in `eligibility`, the choice of a server in `placement`, further
--- a/marlseam/decisions/server_selection.py
+++ b/marlseam/decisions/server_selection.py
@@ -51,7 +51,7 @@
     def kind_draw(self, server: int, request: Request) -> float:
         """Return a number in [0, 1): by chance, or the same each time for a server and a resource key."""
         if request.resource_key is None:
-            return self.chance()
+            return self.random()
         key_hash = zlib.crc32(request.resource_key.encode())
         return zlib.crc32(b"%d" % self.gossip_id[server], key_hash) / 2.0**32
 
@@ -64,7 +64,7 @@
         """
         key = state.request.resource_key if state and self.settings.fetch_cost else None
         if state and key is not None:
-            yield from self.servers_near_key(key, state.request_class.kind, self.chance())
+            yield from self.servers_near_key(key, state.request_class.kind, self.random())
             if may_wait and state.can_wait_for_affinity():
                 return
         weight = 1.0
@@ -72,7 +72,7 @@
             weight += SAME_ZONE_PREFERENCE_PER_COST * self.settings.cross_zone_cost
         near, far = list(self.same_zone), list(self.other_zones)
         while near or far:
-            point = self.chance() * (weight * len(near) + len(far))
+            point = self.random() * (weight * len(near) + len(far))
             if point < weight * len(near):
                 pool, index = near, int(point / weight)
             else:
--- a/marlseam/decisions/server_stats.py
+++ b/marlseam/decisions/server_stats.py
@@ -69,7 +69,7 @@
 
     # Set by the dispatcher.
     port: Port
-    chance: Callable[[], float]
+    random: Callable[[], float]
     settings: Settings
     request_classes: tuple[RequestClass, ...]
     ejection_base_ms: float  # the first ejection of a server
--- a/marlseam/experiment/fleet.py
+++ b/marlseam/experiment/fleet.py
@@ -29,9 +29,9 @@
 from marlseam import records
 from marlseam.cluster.audit_log import RecoveredLog
 from marlseam.cluster.checking import membership_schedules
-from marlseam.cluster.checking.membership_schedules import FAULTS, detect_ms, heal_ms
+from marlseam.cluster.checking.membership_schedules import FAULTS, detection_bound_ms, healing_bound_ms
 from marlseam.cluster.checking.replication_schedules import ReplicationSimulation
-from marlseam.cluster.membership import HEALTH_MOST, Membership
+from marlseam.cluster.membership import MAX_LOCAL_HEALTH, Membership
 from marlseam.cluster.membership_codec import (
     DatagramKind,
     GossipEntry,
@@ -50,7 +50,7 @@
 from marlseam.load.process import arrivals_of
 from marlseam.random_source import RandomSource
 from marlseam.standin import clocks
-from marlseam.store.ledger_writer import first_life
+from marlseam.store.ledger_writer import create_ledger
 from marlseam.world.model import Count, Day, NotNegative, Positive, Share, Strict, nodes, settings
 
 SAID = re.compile(r"member (\S+) (here|suspect|gone|left) life=(\d+)")
@@ -144,7 +144,7 @@
         """Return the schedule of the seed, as `fleet hunt` has it, with times in this fleet's periods."""
         found = []
         for s in membership_schedules.schedule(len(self.names), self.seed):
-            step = f"{'sends' if s.sends else 'receives'} {s.kind.name.lower()} {s.count}"
+            step = f"{'sends' if s.sends else 'receives'} {s.kind.name.lower()} {s.ordinal}"
             for_ms = s.for_ms * self.table.period_ms / membership_schedules.PERIOD_MS
             found.append(Fault(s.node, step, "hold" if s.fault == "twin" else s.fault, s.other, for_ms))
         return found
@@ -167,7 +167,7 @@
         """Make a node's ledger, before its first start."""
         if self.table.voters:
             shutil.rmtree(self.ledger(name), ignore_errors=True)
-            first_life(self.ledger(name), name)
+            create_ledger(self.ledger(name), name)
 
     def module(self, name: str) -> str:
         """Return what a node runs as."""
@@ -265,7 +265,7 @@
         names = frozenset(self.names)
         try:
             if data[:1] == messages.DATAGRAM_PREFIX:
-                kind = int(messages.kind_of(messages.read(data, "rig", names).say))
+                kind = int(messages.kind_of(messages.read(data, "rig", names).message))
             else:
                 kind = int(read(data, "rig", names).kind)
         except InvalidMessageError:
@@ -459,12 +459,12 @@
     """Hold what nodes logged against the bounds; return figures and a table."""
     period = table.period_ms
     suspicion = Membership("rig", "n0", frozenset(rig.names), 0, 0, period, 0.0).suspicion_ms(0)
-    alone, many = (detect_ms(count, suspicion, period, h) + SLACK_MS for h in (0, HEALTH_MOST))
+    alone, many = (detection_bound_ms(count, suspicion, period, h) + SLACK_MS for h in (0, MAX_LOCAL_HEALTH))
     rows = [["node", "fault", "at, s", "for, s", "gone with the first, s", "with the last, s", "bound, s"]]
     past = slowest = held = 0.0
     for name, fault, since, until in rig.spells:
         # One that has doubted itself trusts itself again with each answer that it gets.
-        since_calm = since - (HEALTH_MOST + 1) * HEALTH_MOST * period
+        since_calm = since - (MAX_LOCAL_HEALTH + 1) * MAX_LOCAL_HEALTH * period
         beside = [s for s in rig.spells if s[0] != name and s[2] < since + alone and s[3] > since_calm]
         bound = many if beside else alone
         ill = {s[0] for s in beside}
@@ -494,7 +494,7 @@
     for at, _, _, what, _ in rig.told:
         calm = all(s[3] + many < at or s[2] > at for s in rig.spells)
         false += what == "gone" and calm and not table.loss
-    heal = heal_ms(count, period) + SLACK_MS
+    heal = healing_bound_ms(count, period) + SLACK_MS
     figures = {
         "faults": float(len(rig.spells)),
         "not_struck": float(len(rig.strikes)),
@@ -523,19 +523,22 @@
     began = time.process_time()
     world = membership_schedules.MembershipSimulation(count, seed, [], loss=loss)
     world.run(1000.0 * table.calm_s)
-    early = sum(map(len, world.gone_at.values()))
-    before = sum(seat.letters for seat in world.seats.values()), sum(s.bytes for s in world.seats.values())
-    world.ends(world.seats["n1"])
+    early = sum(map(len, world.declared_dead.values()))
+    before = (
+        sum(seat.datagrams for seat in world.processes.values()),
+        sum(s.bytes for s in world.processes.values()),
+    )
+    world.end(world.processes["n1"])
     killed = world.now
     world.run(killed + 1000.0 * table.watched_s)
     took = sorted(
-        min([t for t in world.gone_at.get((name, "n1"), ()) if t >= killed], default=world.now) - killed
+        min([t for t in world.declared_dead.get((name, "n1"), ()) if t >= killed], default=world.now) - killed
         for name in world.names - {"n1"}
     )
-    false = early + sum(len(times) for (_, of), times in world.gone_at.items() if of != "n1")
+    false = early + sum(len(times) for (_, of), times in world.declared_dead.items() if of != "n1")
     spent = count * table.watched_s
-    letters = sum(seat.letters for seat in world.seats.values()) - before[0]
-    size = sum(seat.bytes for seat in world.seats.values()) - before[1]
+    letters = sum(seat.datagrams for seat in world.processes.values()) - before[0]
+    size = sum(seat.bytes for seat in world.processes.values()) - before[1]
     return {
         "not_told": float(sum(t >= 1000.0 * table.watched_s for t in took)),
         "median_s": took[len(took) // 2] / 1000.0,
@@ -556,7 +559,7 @@
         before = tracemalloc.get_traced_memory()[0]
         machine = Membership("scale", "n0", names, 0, 0, membership_schedules.PERIOD_MS, 0.0)
         for name in names - {"n0"}:
-            machine.take(GossipEntry(name, MemberState(0, 1, 0)))
+            machine.merge(GossipEntry(name, MemberState(0, 1, 0)))
         terms = ReplicationSettings(
             frozenset(list(names)[:3]),
             membership_schedules.PERIOD_MS,
@@ -566,7 +569,7 @@
         )
         versions = ConfigReplica("n0", names, terms, "n0/1", 0, 0.0, RecoveredLog())
         for name in names - {"n0"}:
-            versions.told(0.0, name, StatusResponse(0, 0, "", 0, True, "", 0, 0, True, -1.0))
+            versions.receive_status(0.0, name, StatusResponse(0, 0, "", 0, True, "", 0, 0, True, -1.0))
         return (tracemalloc.get_traced_memory()[0] - before) / 1024.0
     finally:
         tracemalloc.stop()
@@ -576,16 +579,19 @@
     """Publish in one fleet, and tell how long it took until all act on it, and what was said."""
     world = ReplicationSimulation(count, seed, [], voters=min(7, count), loss=loss)
     world.run(1000.0 * table.calm_s)
-    before = sum(seat.letters for seat in world.seats.values()), sum(s.bytes for s in world.seats.values())
-    proved = sum(seat.machine.proved(world.local(seat)) for seat in world.seats.values())
+    before = (
+        sum(seat.datagrams for seat in world.processes.values()),
+        sum(s.bytes for s in world.processes.values()),
+    )
+    proved = sum(seat.machine.lease.is_proven(world.local(seat)) for seat in world.processes.values())
     world.run(2000.0 * table.calm_s)
     spent = count * table.calm_s
-    letters = sum(seat.letters for seat in world.seats.values()) - before[0]
-    size = sum(seat.bytes for seat in world.seats.values()) - before[1]
+    letters = sum(seat.datagrams for seat in world.processes.values()) - before[0]
+    size = sum(seat.bytes for seat in world.processes.values()) - before[1]
     world.publish("n7", 1)
     asked = world.now
     world.run(asked + 1000.0 * table.watched_s)
-    took = sorted(world.acting_at.get((name, 1), inf) - asked for name in world.names)
+    took = sorted(world.applied_at_ms.get((name, 1), inf) - asked for name in world.names)
     return {
         "not_acting": float(sum(t == inf for t in took)),
         "act_median_s": took[len(took) // 2] / 1000.0,
@@ -594,7 +600,7 @@
         "unproved": float(count - proved),
         "notes": letters / spent,
         "note_bytes": size / spent,
-        "versions_wrong": float(len(world.wrong)),
+        "versions_wrong": float(len(world.checker.findings)),
     }
 
 
@@ -636,7 +642,9 @@
             say(f"{count} members, {loss:.0%} lost")
             names = frozenset(f"n{i}" for i in range(count))
             machine = Membership("fleet", "n0", names, 0, 0, membership_schedules.PERIOD_MS, 0.0)
-            bound = detect_ms(count, machine.suspicion_ms(0), membership_schedules.PERIOD_MS, 0) / 1000.0
+            bound = (
+                detection_bound_ms(count, machine.suspicion_ms(0), membership_schedules.PERIOD_MS, 0) / 1000.0
+            )
             found |= {f"n{count}_loss{round(100 * loss)}_{key}": value for key, value in seen.items()}
             shown = [f"{seen[key]:.1f}" for key in ("median_s", "p99_s", "most_s")]
             rows.append(
@@ -698,7 +706,7 @@
                 if not on:
                     return {}, ""
                 if not ledger.exists():
-                    first_life(ledger, node)
+                    create_ledger(ledger, node)
                 head = f'[fleet]\nname = "cost"\nperiod_ms = {table.period_ms:g}\nfolder = "{ledger}"\n'
                 return {}, f"{head}voters = {json.dumps(names[:3])}\n[fleet.members]\n{members}\n"
 
--- a/marlseam/experiment/policies.py
+++ b/marlseam/experiment/policies.py
@@ -59,7 +59,7 @@
     def choice(self) -> int:
         """Return one at random."""
         ready = self.ready()
-        return ready[int(self.dispatcher.chance() * len(ready))] if ready else -1
+        return ready[int(self.dispatcher.random() * len(ready))] if ready else -1
 
 
 class RoundRobin(Baseline):
@@ -86,7 +86,7 @@
             return -1
         least = min(len(dispatcher.own_attempts[server]) for server in ready)
         equal = [server for server in ready if len(dispatcher.own_attempts[server]) == least]
-        return equal[int(dispatcher.chance() * len(equal))]
+        return equal[int(dispatcher.random() * len(equal))]
 
 
 class TwoChoices(Baseline):
@@ -97,7 +97,7 @@
         ready = self.ready()
         chosen: list[int] = []
         while ready and len(chosen) < 2:
-            chosen.append(ready.pop(int(self.dispatcher.chance() * len(ready))))
+            chosen.append(ready.pop(int(self.dispatcher.random() * len(ready))))
         if not chosen:
             self.enqueue()
         else:
--- a/marlseam/experiment/ready.py
+++ b/marlseam/experiment/ready.py
@@ -23,7 +23,7 @@
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import Played, Say, play
 from marlseam.experiment.processes import Process
-from marlseam.net.connection import Connection, Ended, Steps, connect
+from marlseam.net.connection import Connection, ConnectionEndedError, Steps, connect
 from marlseam.net.log import Log, Reason
 from marlseam.net.loop import Coroutine, sleep
 from marlseam.net.protocol import LIST_PATH, READY_PATH
@@ -133,7 +133,7 @@
             request = h11.Request(method="GET", target=READY_PATH, headers=[("Host", "front")])
             yield from connection.message(request, b"", until)
             return (yield from connection.answer(until)).status_code == 200
-        except Ended:
+        except ConnectionEndedError:
             return False
         finally:
             if connection is not None:
--- a/marlseam/experiment/recovering.py
+++ b/marlseam/experiment/recovering.py
@@ -26,7 +26,8 @@
 from marlseam.recovery import saved_list
 from marlseam.standin.disk import FAULTS, OVER, Faults
 from marlseam.store import file_format as form
-from marlseam.store.state_directory import Disk, StateDirectory, first_life
+from marlseam.store.disk import Disk
+from marlseam.store.state_directory import StateDirectory, create_state
 from marlseam.world.chance import stream
 from marlseam.world.model import Count, Day, NotNegative, Positive, Share, Strict, Trouble, executors
 
@@ -39,7 +40,7 @@
     """Play a day on loopback from empty state folders; return its figures, the generator's and the driver."""
     shutil.rmtree(out / "state", ignore_errors=True)
     (out / "state").mkdir(parents=True)
-    options.setdefault("prepare", lambda name, _: first_life(out / "state" / name, name))
+    options.setdefault("prepare", lambda name, _: create_state(out / "state" / name, name))
     driver = Sockets(day, seed, out, **options)
     counted = merge(driver.run(), len(arrivals_of(day, seed)))
     return plays.judged(*records.read_folder(out / "records"), driver="sockets"), counted, driver
@@ -245,7 +246,7 @@
         now = time.time() * 1000.0
         listed = form.ListStored(1, old_rows(day, dials, table), now - 1000.0 * table.age_s)
         folder = StateDirectory(Disk(path), name)
-        folder.snapshot([form.frame(listed)], now)
+        folder.snapshot([form.encode_record(listed)], now)
         folder.close()
 
     say("the roster up")
@@ -299,7 +300,7 @@
     total = len(executors(day)) / (1.0 - table.gone - table.reused)
     old = Old(
         round(total * (table.gone + table.reused)),
-        saved_list.doubt(1000.0 * table.age_s, saved_list.Turnover()),
+        saved_list.entry_doubt(1000.0 * table.age_s, saved_list.DepartureRate()),
     )
     troubled = msgspec.structs.replace(day, troubles=[*day.troubles, down])
     rows = [
--- a/marlseam/experiment/size_changes.py
+++ b/marlseam/experiment/size_changes.py
@@ -22,13 +22,8 @@
 import msgspec
 
 from marlseam.cluster.audit_log import RecoveredLog, VersionHeld, encode
-from marlseam.cluster.checking.membership_schedules import (
-    DRIFT,
-    PERIOD_MS,
-    MembershipSimulation,
-    SimulatedMember,
-)
 from marlseam.cluster.checking.replication_schedules import LEASE_PERIODS, MAX_DISK_MS
+from marlseam.cluster.checking.simulation import DRIFT, PERIOD_MS, ClusterSimulation, SimulatedMember
 from marlseam.cluster.replication import messages
 from marlseam.cluster.replication.content import FORMAT, Content, SettingsDigester, digest, read, write
 from marlseam.cluster.replication.effects import ApplyContent, Persist, SendMessage
@@ -42,7 +37,7 @@
 from marlseam.experiment.processes import Failed
 from marlseam.experiment.slope import Slope
 from marlseam.random_source import number as number_of
-from marlseam.store.ledger_writer import first_life
+from marlseam.store.ledger_writer import create_ledger
 from marlseam.world.model import Count, Positive, Strict
 
 TEAMS = 640  # that the operators plan for
@@ -131,7 +126,7 @@
 # Hollow nodes.
 
 
-class Hollow(MembershipSimulation):
+class Hollow(ClusterSimulation):
     """Members of a fleet with versions, in one process; times in ms, by the clock and as charged."""
 
     def __init__(
@@ -169,7 +164,7 @@
 
     # The world's steps, for these machines.
 
-    def make(self, name: str, seed: int) -> ConfigReplica:
+    def new_machine(self, name: str, seed: int) -> ConfigReplica:
         """Return a process's machine, which checks contents as a node does."""
 
         def wrong(content: Content) -> str:
@@ -179,9 +174,9 @@
                 return str(error)
             return ""
 
-        own = f"{name}/{self.lives}"
+        own = f"{name}/{self.process_count}"
         machine = self.kind(name, self.names, self.terms, own, seed, 0.0, RecoveredLog(begun=True), wrong)
-        machine.next_ms = PERIOD_MS * self.chance()
+        machine.next_ms = PERIOD_MS * self.random()
         return machine
 
     def deployment(self, name: str, shared: dict[str, Any]) -> Deployment:
@@ -191,13 +186,13 @@
 
     def work(
         self,
-        seat: SimulatedMember,
+        process: SimulatedMember,
         charged: float,
         call: Callable[..., list[Any]],
         *words: Any,  # noqa: ANN401
     ) -> None:
         """Have a node do something that is due, note its cost, and put on its way what comes of it."""
-        name, out = seat.name, list[tuple[str, bytes]]()
+        name, out = process.name, list[tuple[str, bytes]]()
         keeps, applies = list[Persist](), list[ApplyContent]()
         began = time.thread_time_ns()
         for effect in call(*words):
@@ -218,16 +213,16 @@
         for to, data in out:
             self.notes += 1
             self.sent[name] += len(data)
-            way = self.ways.least_ms + self.ways.spread_ms * self.chance()
+            way = self.ways.least_ms + self.ways.spread_ms * self.random()
             due = self.now + way
             if not self.ways.disorder:
                 due = self.lanes[name, to] = max(due, self.lanes[name, to])
             self.at(due, self.arrive, to, data, over + due - self.now)
         for keep in keeps:
-            took = self.ways.disk_ms * self.chance()
+            took = self.ways.disk_ms * self.random()
             self.disk[name] = max(self.disk[name], self.now) + took
             self.charged_disk[name] = max(self.charged_disk[name], over) + took
-            self.at(self.disk[name], self.go_on, seat, keep.token, self.charged_disk[name])
+            self.at(self.disk[name], self.go_on, process, keep.token, self.charged_disk[name])
             for entry in keep.records:
                 if type(entry) is VersionHeld:
                     self.two_contents += self.ids.setdefault(entry.number, entry.id) != entry.id
@@ -235,7 +230,7 @@
             self.acting_at[name, apply.number] = over
             if name != "n0":  # which has the whole from its operator
                 self.applied += 1
-                self.taken_in += self.took_in(seat, apply)
+                self.taken_in += self.took_in(process, apply)
         if name == "n0" and self.waits and not self.called:
             self.called = True
             self.at(self.now + self.ways.operator_ms, self.publish_next)
@@ -245,35 +240,35 @@
         self.deployments[name] = self.deployment(name, content.settings)
         self.meanings[name].digest(content.settings)
 
-    def took_in(self, seat: SimulatedMember, apply: ApplyContent) -> int:
+    def took_in(self, process: SimulatedMember, apply: ApplyContent) -> int:
         """Return how many values a node took in for a change: those of a whole content, or the edits."""
         whole = values(apply.content.settings) + len(apply.content.members)
-        came, before = seat.machine.store.transfer_counts, self.came.get(seat.name, Counter())
-        self.came[seat.name] = came.copy()
+        came, before = process.machine.store.transfer_counts, self.came.get(process.name, Counter())
+        self.came[process.name] = came.copy()
         return whole * (came["whole"] - before["whole"]) + came["edits"] - before["edits"]
 
-    def go_on(self, seat: SimulatedMember, token: int, charged: float) -> None:
+    def go_on(self, process: SimulatedMember, token: int, charged: float) -> None:
         """Tell a node that something is durable."""
-        self.work(seat, charged, seat.machine.persisted, self.local(seat), token)
-        self.plan(seat)
+        self.work(process, charged, process.machine.persisted, self.local(process), token)
+        self.schedule_tick(process)
 
-    def tick(self, seat: SimulatedMember) -> None:
+    def tick(self, process: SimulatedMember) -> None:
         """Wake a node whose time has come."""
-        seat.tick_at = inf
-        if seat.machine.next_ms <= self.local(seat) + 1e-6:
-            self.work(seat, self.now, seat.machine.tick, self.local(seat))
-        self.plan(seat)
+        process.tick_at = inf
+        if process.machine.next_ms <= self.local(process) + 1e-6:
+            self.work(process, self.now, process.machine.tick, self.local(process))
+        self.schedule_tick(process)
 
     def arrive(self, to: str, data: bytes, charged: float) -> None:
         """Bring a datagram to its node."""
-        seat = self.seats[to]
+        process = self.processes[to]
 
         def hear() -> list[Any]:
             note = messages.read(data, FLEET, self.names)
-            return seat.machine.receive(self.local(seat), note.sender, note.message)
+            return process.machine.receive(self.local(process), note.sender, note.message)
 
-        self.work(seat, charged, hear)
-        self.plan(seat)
+        self.work(process, charged, hear)
+        self.schedule_tick(process)
 
     # The play.
 
@@ -286,8 +281,8 @@
     def publish_next(self) -> None:
         """Have n0 publish what waits next, once it is not at another."""
         self.called = False
-        seat = self.seats["n0"]
-        machine = seat.machine
+        process = self.processes["n0"]
+        machine = process.machine
         busy = machine.publisher.publication is not None or machine.pending_version is not None
         if not self.waits or busy or machine.number < max(self.asked_at, default=0):
             return
@@ -301,10 +296,10 @@
             content = Content(FORMAT, number, machine.content_id, voters, why, "n0", given, self.listed)
             data = write(content)
             self.deployment("n0", read(data, machine.members).settings)
-            return machine.publish(self.local(seat), data)
+            return machine.publish(self.local(process), data)
 
-        self.work(seat, self.now, publish)
-        self.plan(seat)
+        self.work(process, self.now, publish)
+        self.schedule_tick(process)
 
     def settle(self) -> None:
         """Run until all act on what was asked for last, or for so long that it counts as missed."""
@@ -312,7 +307,7 @@
         while self.now < end:
             self.run(self.now + 100.0)
             newest = max(self.asked_at)
-            if not self.waits and all(s.machine.applied_number >= newest for s in self.seats.values()):
+            if not self.waits and all(s.machine.applied_number >= newest for s in self.processes.values()):
                 break
 
     def last_s(self, number: int) -> float:
@@ -390,10 +385,10 @@
         return (spell[what] - quiet[what] * spell["seconds"]) / max(1, changes)
 
     span = paced["seconds"]
-    missed = any(seat.machine.applied_number != newest for seat in world.seats.values())
+    missed = any(process.machine.applied_number != newest for process in world.processes.values())
     found = {
         "content_bytes": float(
-            len(world.seats["n0"].machine.store.contents[world.seats["n0"].machine.content_id])
+            len(world.processes["n0"].machine.store.contents[world.processes["n0"].machine.content_id])
         ),
         "idle_bytes_s": quiet["bytes"],
         "bytes_s": paced["bytes"] / span,
@@ -457,7 +452,7 @@
         rows = "\n".join(f'{name} = "{reserved()}"' for name in self.names)
         for i, name in enumerate(self.names):
             ledger = out / "ledgers" / name
-            first_life(ledger, name)
+            create_ledger(ledger, name)
             own = f'[fleet]\nname = "{FLEET}"\nperiod_ms = {PERIOD_MS:g}\nfolder = "{ledger}"\n'
             own += f"voters = {json.dumps(self.names[:VOTERS])}\nlease_ms = {LEASE_PERIODS * PERIOD_MS:g}\n"
             config = size.node_config(name, "127.0.0.1:9", table.real, seed + i)
--- a/marlseam/experiment/size_cold.py
+++ b/marlseam/experiment/size_cold.py
@@ -149,9 +149,9 @@
         self.sent += took[-1][1]
         self.units += 1
         node = flight.node.core.dispatcher
-        e = flight.node.core.index.get(executor.name)
+        e = flight.node.core.servers.by_name.get(executor.name)
         if node is not None and e is not None:
-            own = node.slots(e) / (node.run[arrival.type] * node.kind_pace[node.kind[e]])
+            own = node.slot_count(e) / (node.mean_run_ms[arrival.type] * node.kind_pace[node.kind[e]])
             kind = executor.kind
             self.over.append(own * self.day.types[arrival.type].work_ms / (kind.slots * kind.speed))
 
--- a/marlseam/experiment/size_roster.py
+++ b/marlseam/experiment/size_roster.py
@@ -34,9 +34,9 @@
 from marlseam.net import protocol
 from marlseam.net.connection import Connection
 from marlseam.net.discovery import Discovery
+from marlseam.net.limits import connection_limits, settings_for_process
 from marlseam.net.log import Log
 from marlseam.net.loop import LATE, READY, Loop
-from marlseam.net.node import alone, room
 from marlseam.net.upstream import Upstream
 from marlseam.standin.roster import HEALTH
 from marlseam.world.model import Count, Strict
@@ -317,11 +317,13 @@
         self.marks = self.probes = self.sends = 0
         self.due: list[tuple[float, int, core.Event]] = []
         log = Quiet("hollow", self.clock.due)
-        self.executors = Upstream(self.loop, log, config.deployment, room(config)[1], self.post, Counters())
+        self.executors = Upstream(
+            self.loop, log, config.deployment, connection_limits(config).servers, self.post, Counters()
+        )
         self.discovery = Discovery(self.loop, log, config, self.executors, self.post)
         self.stream = Stream()
         self.connection = Connection(self.loop, log, self.stream, h11.CLIENT, "discovery")
-        self.post(core.NodeStarted(alone(config.deployment.settings), config.seed))
+        self.post(core.NodeStarted(settings_for_process(config.deployment.settings), config.seed))
 
     def post(self, event: core.Event) -> None:
         """Hand an event to the reducer, and note what is due of what it asks for."""
@@ -375,15 +377,15 @@
         """Take in an answer, and return how many entries were looked at for it, and how often in all."""
         places, keys = Counter[int](), Counter[str]()
         node, executors = self.core.dispatcher, self.executors
-        state, zone, peers = node.endpoint_state, node.zone, executors.peers
+        state, zone, peers = node.endpoint_state, node.zone, executors.pool.servers
         node.endpoint_state, node.zone = Touched(state, places), Touched(zone, places)
-        executors.peers = TouchedDict(peers, keys)
+        executors.pool.servers = TouchedDict(peers, keys)
         self.take(data)
         node.endpoint_state, node.zone = (
             list(list.__iter__(node.endpoint_state)),
             list(list.__iter__(node.zone)),
         )
-        executors.peers = dict(dict.items(executors.peers))
+        executors.pool.servers = dict(dict.items(executors.pool.servers))
         return max(len(places), len(keys)), places.total() + keys.total()
 
     def work(self, units: int) -> None:
@@ -631,7 +633,7 @@
     """Return the bounds of figures: by the letter, by what a node takes, by how late a loop may be."""
     turns = ("whole", "one", "thousand", "thousand_back", "decision")
     found = {f"{name}_turn_ms": size.TURN_MS for name in turns}
-    return found | {"whole_bytes": float(protocol.LIST_MOST), "process_mb": size.MEMORY_MB}
+    return found | {"whole_bytes": float(protocol.MAX_LIST_BYTES), "process_mb": size.MEMORY_MB}
 
 
 def slopes(by_size: dict[int, dict[str, float]], real: bool = False) -> list[Slope]:
--- a/marlseam/experiment/virtual.py
+++ b/marlseam/experiment/virtual.py
@@ -16,8 +16,12 @@
 from marlseam.configuration import Deployment, deployment_from
 from marlseam.core import EndpointEntry, Reducer
 from marlseam.decisions.types import EndpointState, ListUpdateKind, Outcome, Request
-from marlseam.net.node import ANSWER_MS, DRAIN_MOST_MS
-from marlseam.net.upstream import GAP_PERIODS, PROBE_SHARE, TAKE_SHARE
+from marlseam.net.graceful_shutdown import ANSWER_MS, MAX_DRAIN_MS
+from marlseam.net.upstream import (
+    ACCEPT_TIMEOUT_IN_OBJECTIVES,
+    PROBE_TIMEOUT_IN_OBJECTIVES,
+    PROGRESS_GAP_IN_PERIODS,
+)
 from marlseam.records import Streams
 from marlseam.world import fleet, plan, troubles
 from marlseam.world.chance import stream
@@ -130,8 +134,11 @@
         self.driver, self.clients = self.writer("driver", "driver"), self.writer("clients", "clients")
         self.network, self.listing = self.writer("network", "network"), self.writer("roster", "roster")
         urgent = min(type.promised_ms for type in day.types)
-        self.take_ms, self.probe_ms = TAKE_SHARE * urgent, PROBE_SHARE * urgent
-        self.gap_ms = GAP_PERIODS * 1000.0 * day.fleet.progress_s or inf
+        self.take_ms, self.probe_ms = (
+            ACCEPT_TIMEOUT_IN_OBJECTIVES * urgent,
+            PROBE_TIMEOUT_IN_OBJECTIVES * urgent,
+        )
+        self.gap_ms = PROGRESS_GAP_IN_PERIODS * 1000.0 * day.fleet.progress_s or inf
         self.hosts: dict[str, Host] = {}
         rows = []
         made = fleet.build(day, seed, self.schedule)
@@ -431,7 +438,7 @@
         """A node gives up an allocation; it hears of that as of any other end."""
         for host in self.hosts.values():
             flight = host.flights.get(f"{effect.request_id}/{effect.attempt_index}")
-            if flight is not None and flight.node is seat and (effect.begun or not flight.written):
+            if flight is not None and flight.node is seat and (effect.even_if_sent or not flight.written):
                 outcome = Outcome.CANCELLED if flight.written else Outcome.CANCELLED_UNSENT
                 self.at(self.now, self.settle, flight, outcome)
                 return
@@ -661,7 +668,7 @@
             self.end_node(seat, "killed")
         elif what == "node_roll" and seat.up:
             seat.starts_ms = self.now + 1000.0 * self.day.fleet.roll_s
-            drain = min(DRAIN_MOST_MS, max(type.limit_ms for type in self.day.types)) + ANSWER_MS
+            drain = min(MAX_DRAIN_MS, max(type.limit_ms for type in self.day.types)) + ANSWER_MS
             self.post(seat, core.ShutdownBegun(drain))
             self.at(self.now + ROLL_OPEN_MS, self.front.died, seat.name, -inf)
             self.at(self.now + drain + 100.0, self.end_node, seat, "ended")
--- a/marlseam/net/action_ledger.py
+++ b/marlseam/net/action_ledger.py
@@ -192,11 +192,11 @@
     def write_records(self) -> None:
         """Hand over the records that are not; what the disk refused goes again, in order."""
         ledger, pending = self.ledger, self.pending_records
-        while pending and 0 < pending[0].number <= ledger.done and ledger.works:
+        while pending and 0 < pending[0].number <= ledger.done and ledger.accepts_records:
             pending.popleft()
-        if not ledger.works:
+        if not ledger.accepts_records:
             self.pending_records = deque(PendingRecord(0, row.record) for row in pending)
-        elif ledger.serves():
+        elif ledger.is_available():
             self.pending_records = deque(
                 PendingRecord(row.number or ledger.append(row.record), row.record) for row in pending
             )
@@ -222,9 +222,9 @@
     def settle_counts(self) -> None:
         """Forget counts that are durable; those that the disk refused are to be written again."""
         ledger = self.ledger
-        while self.pending_counts and self.pending_counts[0].number <= ledger.done and ledger.works:
+        while self.pending_counts and self.pending_counts[0].number <= ledger.done and ledger.accepts_records:
             self.pending_counts.popleft()
-        if not ledger.works:
+        if not ledger.accepts_records:
             for pending in self.pending_counts:
                 self.changed_intervals |= dict.fromkeys(pending.intervals)
             self.pending_counts.clear()
--- a/marlseam/net/admin_calls.py
+++ b/marlseam/net/admin_calls.py
@@ -37,7 +37,7 @@
     if service is not None:
         calls["/control/fleet/publish"] = AdminCall("POST", service.publish)
         calls["/control/fleet/out"] = AdminCall(
-            "POST", lambda why: service.by_hand(why.decode(errors="replace"))
+            "POST", lambda why: service.override_by_operator(why.decode(errors="replace"))
         )
-        calls["/control/fleet/in"] = AdminCall("POST", lambda _: service.by_hand(None))
+        calls["/control/fleet/in"] = AdminCall("POST", lambda _: service.override_by_operator(None))
     return calls
--- a/marlseam/net/cluster_link.py
+++ b/marlseam/net/cluster_link.py
@@ -37,7 +37,7 @@
         address = cluster.members[config.name]
         with config_error_on_failure("fleet.members", address, "a free address of this machine"):
             self.membership = MembershipService(node.loop, node.log, cluster, config.name, config.seed, port)
-        self.config_service = self.membership.acting
+        self.config_service = self.membership.config_service
 
     def load_config(self) -> Config:
         """Return the configuration under the version that the ledger holds, or as it is without one."""
--- a/marlseam/net/config_port.py
+++ b/marlseam/net/config_port.py
@@ -21,10 +21,10 @@
 
     """
 
-    wrong: Callable[[Mapping[str, Any]], str]
+    settings_fault: Callable[[Mapping[str, Any]], str]
     apply: Callable[[Mapping[str, Any]], None]
     serve: Callable[[bool], None]
-    listed: Callable[[], int]
+    endpoint_list_number: Callable[[], int]
     settings: Callable[[], Mapping[str, Any]]
-    prove: Callable[[int, str, float], None] = lambda *_: None
-    beside: bool = False
+    share_proof: Callable[[int, str, float], None] = lambda *_: None
+    may_write_beside: bool = False
--- a/marlseam/net/config_requests.py
+++ b/marlseam/net/config_requests.py
@@ -16,7 +16,7 @@
     is_single_step,
     read,
     settings_digest,
-    voters_fit,
+    voters_fault,
     write,
 )
 from marlseam.cluster.replication.replica import ConfigReplica, PeerStatus
@@ -164,7 +164,7 @@
             return f"voters {sorted(voters)}: two more or less, or one in another's place, were expected"
         if not is_single_step(replica.members, members, MAX_MEMBER_CHANGES):
             return f"members {sorted(members)}: one more, less, or in another's place was expected"
-        return voters_fit(sorted(voters), members)
+        return voters_fault(sorted(voters), members)
 
     def is_in_force(self, content: Content) -> bool:
         """Return whether the version held says the same already."""
@@ -192,7 +192,7 @@
         if why is not None and not is_reason(why):
             limit = messages.MAX_REASON_CHARACTERS
             raise RejectedRequestError(BAD_REQUEST, f"why in up to {limit} characters was expected")
-        if not service.ledger.serves():
+        if not service.ledger.is_available():
             raise RejectedRequestError(UNAVAILABLE, f"the ledger cannot be written: {service.ledger.code}")
         service.carry_out([replica.override_by_operator(why, service.ledger.wall_ms())])
         return Response(ACCEPTED, f"{service.name} is to be {'out' if why is not None else 'in'}\n")
--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -58,7 +58,7 @@
 
     """
 
-    FIRST = messages.DATAGRAM_PREFIX
+    DATAGRAM_PREFIX = messages.DATAGRAM_PREFIX
 
     def __init__(  # noqa: PLR0913 - what a service joins
         self,
@@ -96,7 +96,7 @@
 
     def load(self) -> Content | None:
         """Read the ledger if it can be had at once; return the content held last, if it can be used here."""
-        is_loaded = self.node_ledger.load(self.port.beside)
+        is_loaded = self.node_ledger.load(self.port.may_write_beside)
         if not is_loaded or self.replica is None or not self.replica.applied_number:
             return None
         return self.held_content()
@@ -179,7 +179,7 @@
         replica = self.replica
         if replica is not None and replica.lease.proof_ms > -inf:
             proof_ms = replica.lease.proof_ms + self.machine_offset_ms()
-            self.port.prove(replica.number, replica.content_id, proof_ms)
+            self.port.share_proof(replica.number, replica.content_id, proof_ms)
 
     def receive_proof(self, number: int, content_id: str, monotonic_ms: float) -> None:
         """Take over a proof from another process of this node, and what it holds if that is later."""
@@ -206,7 +206,7 @@
                     member_address(f"members.{name}", value, self.settings.trusted)
         except ConfigError as error:
             return str(error)
-        return self.port.wrong(content.settings)
+        return self.port.settings_fault(content.settings)
 
     def receive_datagram(self, data: bytes, names: frozenset[str]) -> None:
         """Take in a datagram from one of some members; raises InvalidMessageError."""
@@ -271,7 +271,7 @@
             return
         for record in effect.records:
             number = self.ledger.append(self.with_time(record))
-        if not (yield from self.ledger.durable(number)):
+        if not (yield from self.ledger.wait_durable(number)):
             replica.persist_failed(effect.token)
             return
         self.carry_out(replica.persisted(self.loop.now(), effect.token))
@@ -295,7 +295,10 @@
         """Return whether this node may serve; begin an interval where what actions stand on has changed."""
         now, replica = self.loop.now(), self.replica
         # The usual case, several times a request: nothing has changed.
-        is_same = self.port.settings() is self.last_settings and self.port.listed() == self.last_list_version
+        is_same = (
+            self.port.settings() is self.last_settings
+            and self.port.endpoint_list_number() == self.last_list_version
+        )
         if replica is None or (is_same and now < self.valid_until_ms):
             return self.serving_status
         if now >= self.valid_until_ms:
@@ -319,7 +322,7 @@
 
     def action_basis(self, replica: ConfigReplica) -> ActionBasis:
         """Return what actions stand on at this moment."""
-        status, list_version = self.serving_status, self.port.listed()
+        status, list_version = self.serving_status, self.port.endpoint_list_number()
         settings, self.last_list_version = self.port.settings(), list_version
         if self.last_settings is not settings:
             self.last_settings, self.last_settings_digest = settings, self.digester.digest(settings)
@@ -378,23 +381,3 @@
     def status(self) -> dict[str, Any]:
         """Return what this node acts on, and what others last said that they do."""
         return self.requests.status()
-
-    # Names from before, for callers that have not followed yet.
-
-    begin = start
-    by_hand = override_by_operator
-    ended = record_response
-    hear = receive_datagram
-    joined = on_address_acquired
-    may_take = may_accept
-    order = stamp_attempt
-    prove = share_proof
-    proved = receive_proof
-    published = has_version
-    refused = report_local_settings
-    took = record_accepted
-
-    @property
-    def stood(self) -> ServingStatus:
-        """What is `serving_status`."""
-        return self.serving_status
--- a/marlseam/net/connection.py
+++ b/marlseam/net/connection.py
@@ -28,9 +28,6 @@
 Headers = list[tuple[str, str]]
 Steps = Generator[Wait, str, Any]
 
-# The earlier names of these, for modules that have not been renamed yet.
-Ended, AHEAD_MOST = ConnectionEndedError, MAX_AHEAD_BYTES
-
 
 class Connection:
     """Reads and writes messages; whoever holds it closes it once, with a reason.
@@ -314,8 +311,6 @@
             return True
         return False
 
-    again = start_next_message  # the earlier name, for modules that have not been renamed yet
-
     def close(self, reason: Reason) -> None:
         """Close, and leave the one line."""
         if not self.closed:
--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -304,8 +304,3 @@
         if not cached:
             self.on_answer(whole or bool(answer.entries))
         return True
-
-    @property
-    def told(self) -> bool:
-        """The earlier name of `is_confirmed`, for modules that have not been renamed yet."""
-        return self.is_confirmed
--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -11,13 +11,13 @@
 
 from marlseam import core
 from marlseam.configuration import StoreSettings
-from marlseam.core.idempotency import AttemptRecord, told
+from marlseam.core.idempotency import AttemptRecord, portable_record
 from marlseam.net.connection import Steps
 from marlseam.net.discovery import ListSnapshot
 from marlseam.net.loop import sleep
 from marlseam.net.node_interface import StateHost
 from marlseam.recovery import saved_list
-from marlseam.recovery.saved_list import SavedList, Turnover
+from marlseam.recovery.saved_list import DepartureRate, SavedList
 from marlseam.store import file_format
 from marlseam.store.node_state import NodeState
 from marlseam.store.state_store import StateStore
@@ -44,7 +44,7 @@
     def __init__(self, node: StateHost, settings: StoreSettings) -> None:
         self.node, self.settings, self.clock = node, settings, node.loop.clock
         self.store = StateStore(node.loop, node.log, settings, node.config.name, self.recover_late)
-        self.turnover = Turnover()
+        self.departure_rate = DepartureRate()
         self.barriers: dict[str, int] = {}
         self.confirmed_written_ms = self.list_written_ms = -1e18
         self.confirmed_unix_ms = 0.0
@@ -64,7 +64,7 @@
         node = self.node
         gc.disable()  # guards the start: each collection looks at all the keys read so far
         state = self.store.load()
-        node.core.idempotency_records.most = self.settings.keys
+        node.core.idempotency_records.max_keys = self.settings.keys
         if state is None:
             node.post(core.HistoryUnavailable(SOURCE))
             node.log.line("what may have run under a key is not known yet: marked retries go nowhere for now")
@@ -92,9 +92,9 @@
         saved = self.list_to_restore(state)
         if saved is None:
             return False
-        age_ms = saved_list.age(saved, now_unix_ms)
-        doubt = saved_list.doubt(age_ms, self.turnover)
-        self.confirmed_unix_ms = saved.heard_ms or 0.0
+        age_ms = saved_list.list_age_ms(saved, now_unix_ms)
+        doubt = saved_list.entry_doubt(age_ms, self.departure_rate)
+        self.confirmed_unix_ms = saved.confirmed_ms or 0.0
         self.node.discovery.begin(ListSnapshot(saved.version, saved.rows), doubt)
         shown = "of unknown age" if age_ms is None else f"{age_ms / 1000.0:.0f} s old"
         took_ms = 1000.0 * (time.monotonic() - began_s)
@@ -109,20 +109,20 @@
         if state is None or state.listed is None:
             return None
         stored, known = state.listed, self.node.config.known
-        in_file = SavedList(stored.version, stored.rows, stored.heard_ms)
+        in_file = SavedList(stored.version, stored.rows, stored.confirmed_ms)
         configured = SavedList(int(known.get("seq", 0)), known.get("hosts", []), None) if known else None
-        return in_file if saved_list.choose(in_file, configured) is in_file else None
+        return in_file if saved_list.choose_list(in_file, configured) is in_file else None
 
     def restore_history(self, state: NodeState) -> Iterator[None]:
         """Hand what may have run to the reducer, in parts; then it is known, or known to be lost."""
         node, shift_ms = self.node, -self.clock.unix_zero_ms
-        self.turnover.departures += state.turnover.departures
-        self.turnover.lived_ms += state.turnover.lived_ms
+        self.departure_rate.departures += state.departure_rate.departures
+        self.departure_rate.lived_ms += state.departure_rate.lived_ms
         zones = node.config.deployment.zones
         names: dict[str, str] = {}  # each held once
 
         def attempt_of(row: file_format.AttemptSent) -> AttemptRecord:
-            name = names.setdefault(row.executor, row.executor)
+            name = names.setdefault(row.server, row.server)
             zone = zones.get(row.zone, -1)
             return AttemptRecord(name, zone, row.cell, row.sent_ms + shift_ms, row.until_ms + shift_ms)
 
@@ -144,7 +144,9 @@
         """Journal what may have run, or that it never did."""
         if isinstance(effect, core.PersistAttempt):
             zones = self.node.config.deployment.zones
-            row = file_format.AttemptSent(*told(effect.key, effect.trace, zones, self.clock.to_unix))
+            row = file_format.AttemptSent(
+                *portable_record(effect.key, effect.record, zones, self.clock.to_unix)
+            )
             self.barriers[effect.request_id] = self.store.append(row)
         else:
             sent_unix_ms = self.clock.to_unix(effect.sent_ms)
@@ -153,7 +155,7 @@
     def barrier(self, request_id: str) -> Callable[[], Steps] | None:
         """Return what waits until a request's record is durable, and returns whether it is; None for none."""
         number = self.barriers.pop(request_id, None)
-        return None if number is None else lambda: self.store.durable(number)
+        return None if number is None else lambda: self.store.wait_durable(number)
 
     # The endpoint list.
 
@@ -166,7 +168,9 @@
         if self.has_unwritten_change and now_ms - self.list_written_ms >= MIN_LIST_INTERVAL_MS:
             self.confirmed_written_ms = self.list_written_ms = now_ms
             self.has_unwritten_change = False
-            turnover = file_format.TurnoverNoted(self.turnover.departures, self.turnover.lived_ms)
+            turnover = file_format.DepartureRateStored(
+                self.departure_rate.departures, self.departure_rate.lived_ms
+            )
             self.store.append(self.list_record(), turnover)
         elif now_ms - self.confirmed_written_ms >= CONFIRMATION_INTERVAL_MS:
             self.confirmed_written_ms = now_ms
@@ -175,16 +179,11 @@
     def count_turnover(self, now_ms: float) -> None:
         """Count the time that servers have been on the list, and those that have left it."""
         held = set(self.node.discovery.held)
-        self.turnover.lived_ms += len(self.counted) * (now_ms - self.counted_ms)
-        self.turnover.departures += len(self.counted - held)
+        self.departure_rate.lived_ms += len(self.counted) * (now_ms - self.counted_ms)
+        self.departure_rate.departures += len(self.counted - held)
         self.counted, self.counted_ms = held, now_ms
 
     def list_record(self) -> file_format.ListStored:
         """Return the list as it is held, with the time at which discovery last confirmed it."""
         discovery = self.node.discovery
         return file_format.ListStored(max(0, discovery.version), discovery.rows(), self.confirmed_unix_ms)
-
-    @property
-    def keeper(self) -> StateStore:
-        """The earlier name of `store`, for modules that have not been renamed yet."""
-        return self.store
--- a/marlseam/net/effects.py
+++ b/marlseam/net/effects.py
@@ -42,8 +42,8 @@
             until_ms=now + effect.time_left_ms,
             deadline_at_ms=pending.deadline_at_ms,
             await_durable=await_durable,
-            stamp=node.config_service.order() if node.config_service is not None else None,
-            begin_until_ms=now + effect.begin_ms,
+            stamp=node.config_service.stamp_attempt() if node.config_service is not None else None,
+            begin_until_ms=now + effect.send_within_ms,
             has_client_left=lambda: node.requests.has_client_left(request_id, pending),
         )
         pending.was_sent = True
@@ -72,11 +72,13 @@
     def fail(self, effect: core.Fail) -> None:
         """Tell a client that its request may have run, unless none of it has begun: that is rejected."""
         attempts = self.node.upstream.attempts
-        if effect.out and not any(attempts.has_begun(effect.request_id, index) for index in effect.out):
+        if effect.in_flight and not any(
+            attempts.has_begun(effect.request_id, index) for index in effect.in_flight
+        ):
             headers = protocol.retry_after_headers(effect.retry_after_ms)
             self.node.requests.answer(effect.request_id, 503, headers, b"")
         else:
-            self.node.requests.answer(effect.request_id, 400 if effect.unfit else 500, [], b"")
+            self.node.requests.answer(effect.request_id, 400 if effect.is_invalid else 500, [], b"")
 
     def give_up(self, effect: GiveUp) -> None:
         """Answer a request that met an error of this program."""
--- a/marlseam/net/ledger_client.py
+++ b/marlseam/net/ledger_client.py
@@ -6,10 +6,12 @@
 from marlseam.cluster.audit_log import LogRecord, RecoveredLog, encode
 from marlseam.net.log import Log
 from marlseam.net.loop import Coroutine, Loop
+from marlseam.store.clock_era import unix_ms
+from marlseam.store.disk import Disk
+from marlseam.store.errors import code_of
 from marlseam.store.ledger_writer import LedgerWriter
 from marlseam.store.log_writer_client import LogWriterClient
-from marlseam.store.state_directory import Disk, code_of, unix_ms
-from marlseam.store.writer_process import APPEND
+from marlseam.store.writer_channel import APPEND
 
 MAX_FILE_MB = 1.0  # at which a file of the ledger is begun anew
 DISK_TIMEOUT_MS = 2000.0  # after which the disk counts as too slow
@@ -19,8 +21,8 @@
 class LedgerClient(LogWriterClient):
     """Keeps a helper that writes the ledger; `on_recovered` is called with what the ledger holds, once."""
 
-    helper, what = "marlseam.store.ledger_writer", "the ledger"
-    back_most_ms = MAX_BACKOFF_MS
+    writer_module, what = "marlseam.store.ledger_writer", "the ledger"
+    max_retry_delay_ms = MAX_BACKOFF_MS
 
     def __init__(
         self, loop: Loop, log: Log, path: Path, name: str, on_recovered: Callable[[RecoveredLog], None]
@@ -33,10 +35,10 @@
         """Read the ledger, and log what is wrong in it; raises OSError."""
         ledger = LedgerWriter(Disk(self.path), self.node)
         recovered = ledger.load()
-        self.known = True
+        self.is_loaded = True
         for finding in ledger.findings if report_findings else ():
             self.log.line(f"ledger file {finding.name or self.path} code={finding.code}: {finding.text}")
-            self.told_lost = self.told_lost or finding.code == "lost"
+            self.is_loss_logged = self.is_loss_logged or finding.code == "lost"
         self.on_recovered(recovered)
 
     def try_load(self, lock_timeout_s: float) -> OSError | None:
@@ -50,7 +52,7 @@
 
     def report(self, error: OSError) -> None:
         """Log why the ledger cannot be read."""
-        self.fail(code_of(error), error.strerror or str(error))
+        self.mark_unavailable(code_of(error), error.strerror or str(error))
 
     def read(self) -> Coroutine:
         """Read the ledger once its lock could be had: it is small."""
@@ -60,11 +62,11 @@
 
     def append(self, record: LogRecord) -> int:
         """Have a record written; return its number, 0 where the disk does not serve."""
-        return self.message(APPEND, encode(record)) if self.serves() else 0
+        return self.send_message(APPEND, encode(record)) if self.is_available() else 0
 
     def fault(self) -> str:
         """Return why nothing becomes durable at this moment, as a code, or nothing."""
-        return "" if self.serves() else self.code or "slow"
+        return "" if self.is_available() else self.code or "slow"
 
     def wall_ms(self) -> float:
         """Return Unix ms, by a clock that does not jump."""
--- a/marlseam/net/membership_service.py
+++ b/marlseam/net/membership_service.py
@@ -173,7 +173,7 @@
         self.loop.spawn(self.listen(sock))
         self.tick()
         if self.config_service is not None:
-            self.config_service.joined()
+            self.config_service.on_address_acquired()
 
     def bound_socket(self) -> socket.socket | None:
         """Return a socket at the member's address, None while another process has it; raises OSError."""
@@ -246,8 +246,8 @@
 
     def handle_datagram(self, data: bytes) -> None:
         """Handle a datagram of membership or of configuration versions; raises InvalidMessageError."""
-        if self.config_service is not None and data[:1] == self.config_service.FIRST:
-            self.config_service.hear(data, self.names)
+        if self.config_service is not None and data[:1] == self.config_service.DATAGRAM_PREFIX:
+            self.config_service.receive_datagram(data, self.names)
         else:
             datagram = read(data, self.settings.name, self.names)
             self.apply_effects(self.machine.receive(self.loop.now(), datagram))
--- a/marlseam/net/node.py
+++ b/marlseam/net/node.py
@@ -26,10 +26,9 @@
 from marlseam.net.discovery import Discovery, ListSnapshot
 from marlseam.net.downstream import DownstreamServer
 from marlseam.net.effects import EffectHandlers, NodeEffect
-from marlseam.net.graceful_shutdown import ANSWER_MS, MAX_DRAIN_MS, GracefulShutdown
+from marlseam.net.graceful_shutdown import GracefulShutdown
 from marlseam.net.invariants import SendGuard, Violations
 from marlseam.net.limits import (
-    OWN_SOCKETS,
     DescriptorShortage,
     connection_limits,
     settings_for_process,
@@ -37,7 +36,6 @@
 from marlseam.net.log import Log
 from marlseam.net.loop import Loop
 from marlseam.net.open_requests import GiveUp, OpenRequests
-from marlseam.net.operator_answer import OperatorAnswer
 from marlseam.net.service_state import ServiceState
 from marlseam.net.settings_reload import SettingsReload
 from marlseam.net.upstream import Upstream
@@ -49,12 +47,7 @@
     from marlseam.net.durable_state import DurableState
     from marlseam.net.membership_service import MembershipService
     from marlseam.net.process_handover import ProcessHandover
-    from marlseam.shadow_policy import Watch
-
-# The earlier names of these, for modules that have not been renamed yet.
-alone, room, DRAIN_MOST_MS = settings_for_process, connection_limits, MAX_DRAIN_MS
-
-__all__ = ["ANSWER_MS", "DRAIN_MOST_MS", "OWN_SOCKETS", "Node", "alone", "room"]
+    from marlseam.shadow_policy import ShadowPolicy
 
 
 def request_id_of(what: Event | NodeEffect) -> str:
@@ -130,13 +123,13 @@
         self.shadow_policy = self.make_shadow_policy()
         self.core = Reducer(self.shadow_policy)
 
-    def make_shadow_policy(self) -> "Watch | None":
+    def make_shadow_policy(self) -> "ShadowPolicy | None":
         """Return the shadow policy that the settings ask for."""
         if self.config.watch is None:
             return None
-        from marlseam.shadow_policy import Watch
+        from marlseam.shadow_policy import ShadowPolicy
 
-        shadow_policy = Watch(self.config.watch.change)
+        shadow_policy = ShadowPolicy(self.config.watch.change)
         self.schedule_shadow_log()
         return shadow_policy
 
@@ -147,7 +140,7 @@
         self.counters = Counters()
         self.counters.declare_classes(config.deployment.types)
         self.violations = Violations(log)
-        self.guard = SendGuard(self.violations, config.deployment, self.core.slow_start)
+        self.guard = SendGuard(self.violations, config.deployment, self.core.slow_start_figures)
         self.upstream = Upstream(
             loop, log, config.deployment, limits.servers, self.post, self.counters, self.guard
         )
@@ -194,7 +187,7 @@
             with self.listen_error():
                 self.downstream.listen()
         if self.config_service is not None:
-            self.config_service.begin()
+            self.config_service.start()
 
     def listen_error(self) -> AbstractContextManager[None]:
         """Return a context in which an error of the clients' socket names the key at fault."""
@@ -281,7 +274,7 @@
         now = {
             "pending": len(self.requests.pending),
             "members": len(held),
-            "members_unavailable": self.core.avoided(),
+            "members_unavailable": self.core.avoided_count(),
         }
         violations = {f"invariant_violations_total.{p.value}": n for p, n in self.violations.counts.items()}
         return self.counters.text(**now, **violations)
@@ -325,40 +318,3 @@
             except Exception:
                 self.loop.fault(traceback.format_exc())
                 self.requests.give_up(GiveUp(request_id_of(effect)))
-
-    # The earlier names of these, for modules that have not been renamed yet.
-
-    ready = is_ready
-
-    @property
-    def busy(self) -> bool:
-        """The earlier name of `is_reducing`."""
-        return self.is_reducing
-
-    @busy.setter
-    def busy(self, value: bool) -> None:
-        self.is_reducing = value
-
-    @property
-    def acting(self) -> "ConfigVersionService | None":
-        """The earlier name of `config_service`."""
-        return self.config_service
-
-    @property
-    def peers(self) -> "MembershipService | None":
-        """The earlier name of `membership`."""
-        return self.membership
-
-    @property
-    def memory(self) -> "DurableState | None":
-        """The earlier name of `durable_state`."""
-        return self.durable_state
-
-    @property
-    def outs(self) -> set[str]:
-        """The earlier name of `service.out_of_service_by`."""
-        return self.service.out_of_service_by
-
-    def enter_service(self, who: str) -> OperatorAnswer:
-        """Do what `service.enter` does, by its earlier name."""
-        return self.service.enter(who)
--- a/marlseam/net/node_interface.py
+++ b/marlseam/net/node_interface.py
@@ -21,7 +21,7 @@
     from marlseam.net.open_requests import OpenRequests
     from marlseam.net.process_handover import ProcessHandover
     from marlseam.net.service_state import ServiceState
-    from marlseam.shadow_policy import Watch
+    from marlseam.shadow_policy import ShadowPolicy
 
 
 class StateHost(Protocol):
@@ -54,10 +54,10 @@
 class VersionProofs(Protocol):
     """What the handover uses of the service of configuration versions."""
 
-    def prove(self) -> None:
+    def share_proof(self) -> None:
         """Tell other processes of this node when the version held was in force."""
 
-    def proved(self, number: int, id: str, mono_ms: float) -> None:
+    def receive_proof(self, number: int, id: str, mono_ms: float) -> None:
         """Take over such a proof; `mono_ms` is by the machine's monotonic clock."""
 
 
@@ -104,7 +104,7 @@
         """The end of the process."""
 
     @property
-    def shadow_policy(self) -> "Watch | None":
+    def shadow_policy(self) -> "ShadowPolicy | None":
         """The settings that are watched without effect."""
 
     @property
--- a/marlseam/net/node_ledger.py
+++ b/marlseam/net/node_ledger.py
@@ -13,9 +13,9 @@
 from marlseam.net.ledger_client import LedgerClient
 from marlseam.net.log import Log
 from marlseam.net.loop import Loop
+from marlseam.store.disk import Disk
 from marlseam.store.ledger_writer import BESIDE, LedgerWriter
-from marlseam.store.log_writer_client import LOCK_S
-from marlseam.store.state_directory import Disk
+from marlseam.store.log_writer_client import MAX_LOCK_WAIT_S
 
 OnRecovered = Callable[[RecoveredLog], None]
 
@@ -51,7 +51,7 @@
 
         Where another process has it, read and write beside it if that is allowed.
         """
-        error = self.current.try_load(0.0 if may_write_beside else LOCK_S)
+        error = self.current.try_load(0.0 if may_write_beside else MAX_LOCK_WAIT_S)
         if error is None:
             return True
         if error.errno == errno.EAGAIN and may_write_beside and self.write_beside_main():
@@ -66,7 +66,7 @@
         try:
             self.current.take_lock()
             self.current.load(report_findings=False)
-            self.current.told_lost = True  # it never had a memory of votes
+            self.current.is_loss_logged = True  # it never had a memory of votes
         except OSError:
             return False
         self.log.line("fleet: another process has the ledger, writes beside it until that has ended")
--- a/marlseam/net/open_requests.py
+++ b/marlseam/net/open_requests.py
@@ -38,10 +38,10 @@
         self.last_request_id += 1
         request_id = str(self.last_request_id)
         self.pending[request_id] = pending
-        may_take = node.config_service is None or node.config_service.may_take()
+        may_take = node.config_service is None or node.config_service.may_accept()
         if node.config_service is not None:
-            node.config_service.took()
-        is_recordable = may_take and (node.durable_state is None or node.durable_state.store.serves())
+            node.config_service.record_accepted()
+        is_recordable = may_take and (node.durable_state is None or node.durable_state.store.is_available())
         request = Request(
             request_id,
             client_request.class_index,
@@ -83,7 +83,7 @@
         if pending is not None:
             self.node.counters.count_answer(pending.client_request.type_name, status)
             if self.node.config_service is not None:
-                self.node.config_service.ended(status)
+                self.node.config_service.record_response(status)
             pending.respond(status, headers, body)
 
     def give_up(self, fault: GiveUp) -> None:
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from marlseam import core
-from marlseam.core.idempotency import AttemptRecord, told
+from marlseam.core.idempotency import AttemptRecord, portable_record
 from marlseam.net.discovery import ListSnapshot
 from marlseam.net.errors import MalformedMessageError
 from marlseam.net.http import CAPACITY_RETRY_MS
@@ -106,11 +106,11 @@
             sock.connect(str(path))
         except ConnectionRefusedError:
             path.unlink(missing_ok=True)
-            if path.name in self.node.core.untold:
+            if path.name in self.node.core.unavailable_history.last_sent_ms:
                 self.mark_unknown(path.name, self.loop.now())
         except BlockingIOError:
             # It is there and does not even listen; it may go on at any time, and then tells.
-            if path.name not in self.node.core.untold:
+            if path.name not in self.node.core.unavailable_history.last_sent_ms:
                 self.mark_unknown(path.name, None)
                 self.log_fault("silent", f"{path.name} does not listen")
             self.loop.at(self.loop.now() + SNAPSHOT_TIMEOUT_MS, lambda: self.connect(path))
@@ -125,7 +125,7 @@
 
     def mark_unknown(self, source: str, since_ms: float | None) -> None:
         """Note that what another process has sent is not known, the last of it at some time or to come."""
-        if source not in self.node.core.untold:
+        if source not in self.node.core.unavailable_history.last_sent_ms:
             self.log.line(HISTORY_UNKNOWN)
         self.node.post(core.HistoryUnavailable(source, since_ms))
 
@@ -152,7 +152,9 @@
         """Begin to talk with another process."""
         self.peers[peer] = None
         is_in_cluster, epoch_ms = self.node.config_service is not None, self.loop.clock.epoch_ms()
-        peer.unsent += handover_codec.hello(self.node.config.name, os.getpid(), is_in_cluster, epoch_ms)
+        peer.unsent += handover_codec.encode_hello(
+            self.node.config.name, os.getpid(), is_in_cluster, epoch_ms
+        )
         if not peer.is_called:
             peer.unsent += b"".join(self.snapshot())
         peer.task = self.loop.spawn(self.exchange(peer), first=True)
@@ -163,7 +165,7 @@
         records = node.core.idempotency_records
         records.expire(self.loop.now())
         attempts = (self.message_of(key, trace) for key, trace in records)
-        return handover_codec.snapshot(max(0, node.discovery.version), node.discovery.rows(), attempts)
+        return handover_codec.encode_snapshot(max(0, node.discovery.version), node.discovery.rows(), attempts)
 
     def finish_if_complete(self) -> None:
         """Finish once every process connected to has told all."""
@@ -227,7 +229,7 @@
         if not peer.is_snapshot_complete and peer.received_bytes > MAX_SNAPSHOT_BYTES:
             raise InvalidLineError("too-large", "its snapshot is too large")
         for raw in peer.lines.feed(data):
-            for item in handover_codec.read(raw):
+            for item in handover_codec.parse_line(raw):
                 self.receive(peer, item)
 
     def receive(self, peer: PeerProcess, item: HandoverItem) -> None:
@@ -242,7 +244,7 @@
             raise InvalidLineError("foreign", f"it is {item.node:.80}")
         peer.hello = item
         if item.fleet and self.node.config_service is not None:
-            self.node.config_service.prove()
+            self.node.config_service.share_proof()
 
     def receive_list_part(self, peer: PeerProcess, item: ListPart) -> None:
         """Take in some entries of the endpoint list."""
@@ -257,7 +259,7 @@
     def receive_never_ran(self, peer: PeerProcess, item: AttemptNeverRan) -> None:
         """Take in that an attempt provably never ran."""
         sent_ms = self.local_ms(peer, item.sent_ms)
-        self.node.post(core.PeerAttemptNeverRan(item.key, item.executor, sent_ms))
+        self.node.post(core.PeerAttemptNeverRan(item.key, item.server, sent_ms))
 
     def receive_snapshot_end(self, peer: PeerProcess, _item: SnapshotEnd) -> None:
         """Note that all that the other process holds has come."""
@@ -281,23 +283,23 @@
     def receive_proof(self, _peer: PeerProcess, item: VersionProof) -> None:
         """Take over a proof of when the cluster's version was in force."""
         if self.node.config_service is not None:
-            self.node.config_service.proved(item.number, item.id, item.mono_ms)
+            self.node.config_service.receive_proof(item.number, item.id, item.mono_ms)
 
     def tell(self, effect: core.PersistAttempt | core.ErasePersisted) -> None:
         """Tell all others of an attempt that may run from now on, or that provably never did."""
         if not self.peers:
             return
         if isinstance(effect, core.PersistAttempt):
-            text = handover_codec.sent([self.message_of(effect.key, effect.trace)])
+            text = handover_codec.encode_sent([self.message_of(effect.key, effect.record)])
         else:
             sent_unix_ms = self.loop.clock.to_unix(effect.sent_ms)
-            text = handover_codec.never(AttemptNeverRan(effect.key, effect.server, sent_unix_ms))
+            text = handover_codec.encode_never(AttemptNeverRan(effect.key, effect.server, sent_unix_ms))
         self.write(text, list(self.peers))
 
     def prove(self, number: int, id: str, mono_ms: float) -> None:
         """Tell those in a cluster when its version was in force, by the machine's monotonic clock."""
         in_cluster = [peer for peer in self.peers if peer.hello is not None and peer.hello.fleet]
-        self.write(handover_codec.proof(VersionProof(number, id, mono_ms)), in_cluster)
+        self.write(handover_codec.encode_proof(VersionProof(number, id, mono_ms)), in_cluster)
 
     def write(self, text: bytes, peers: list[PeerProcess]) -> None:
         """Write a line to some."""
@@ -350,7 +352,7 @@
     def close(self) -> None:
         """Tell others that nothing more is sent, and leave nothing behind in the directory."""
         for peer in self.peers:
-            peer.unsent += handover_codec.OVER
+            peer.unsent += handover_codec.GOODBYE_LINE
             with suppress(OSError):
                 peer.flush()
         if self.sock is not None:
@@ -364,13 +366,13 @@
     def message_of(self, key: str, trace: AttemptRecord) -> AttemptSent:
         """Return an attempt as it is told."""
         zones = self.node.config.deployment.zones
-        return AttemptSent(*told(key, trace, zones, self.loop.clock.to_unix))
+        return AttemptSent(*portable_record(key, trace, zones, self.loop.clock.to_unix))
 
     def record_of(self, peer: PeerProcess, row: AttemptSent) -> AttemptRecord:
         """Return an attempt by this process's clock."""
         zone = self.node.config.deployment.zones.get(row.zone, -1)
         sent_ms, until_ms = self.local_ms(peer, row.sent_ms), self.local_ms(peer, row.until_ms)
-        return AttemptRecord(row.executor, zone, row.cell, sent_ms, until_ms)
+        return AttemptRecord(row.server, zone, row.cell, sent_ms, until_ms)
 
     def local_ms(self, peer: PeerProcess, unix_ms: float) -> float:
         """Return a Unix time as another process tells it by this process's clock."""
--- a/marlseam/net/protocol.py
+++ b/marlseam/net/protocol.py
@@ -19,7 +19,6 @@
 MAX_BODY_BYTES = 65536  # bytes of a request's body, and of a server's answer
 MAX_LINE_BYTES = 2 * MAX_BODY_BYTES  # bytes of one line, which is a body in JSON
 MAX_LIST_BYTES = 1 << 22  # bytes of a whole list
-LIST_MOST = MAX_LIST_BYTES  # the earlier name, for modules that have not been renamed yet
 SINGLE_HEADERS = (ID, TYPE, TIME_LEFT, RECEIPT, FACTS, "Host", "Content-Length", "Transfer-Encoding")
 MAX_ID_LENGTH = 256
 MAX_TIME_LEFT_IN_DEADLINES = 100.0  # time left that can be meant, in deadlines of the request class
--- a/marlseam/net/service_state.py
+++ b/marlseam/net/service_state.py
@@ -24,7 +24,7 @@
     def listen(self) -> None:
         """Take clients from the socket that is shared, once this process may: another may still do so."""
         service = self.node.config_service
-        self.is_waiting_for_version = service is not None and not service.stood.acts
+        self.is_waiting_for_version = service is not None and not service.serving_status.is_serving
         if not self.is_waiting_for_version:
             self.node.downstream.listen()
 
--- a/marlseam/net/settings_reload.py
+++ b/marlseam/net/settings_reload.py
@@ -38,7 +38,7 @@
         node, before = self.node, self.node.config
         config = configuration.load(before.path, before=before)
         service, cluster = node.config_service, before.fleet
-        if service is not None and cluster is not None and service.published() and not cluster.local:
-            service.refused(config.settings)
+        if service is not None and cluster is not None and service.has_version() and not cluster.local:
+            service.report_local_settings(config.settings)
             config = configuration.with_settings(config, before.settings)
         return config
--- a/marlseam/net/stamped_attempt.py
+++ b/marlseam/net/stamped_attempt.py
@@ -23,8 +23,3 @@
     def record_sent(self) -> None:
         """Count that it was sent."""
         self.actions.count(Action.SENT, self.interval)
-
-    # Names from before, for callers that have not followed yet.
-
-    goes = stamp_if_serving
-    went = record_sent
--- a/marlseam/net/upstream/__init__.py
+++ b/marlseam/net/upstream/__init__.py
@@ -14,15 +14,10 @@
     UpstreamTimeouts,
 )
 
-# The earlier names of these, for modules that have not been renamed yet.
-TAKE_SHARE = ACCEPT_TIMEOUT_IN_OBJECTIVES
-PROBE_SHARE = PROBE_TIMEOUT_IN_OBJECTIVES
-GAP_PERIODS = PROGRESS_GAP_IN_PERIODS
-
 __all__ = [
-    "GAP_PERIODS",
-    "PROBE_SHARE",
-    "TAKE_SHARE",
+    "ACCEPT_TIMEOUT_IN_OBJECTIVES",
+    "PROBE_TIMEOUT_IN_OBJECTIVES",
+    "PROGRESS_GAP_IN_PERIODS",
     "AttemptOrder",
     "AttemptStamp",
     "ConnectionPool",
--- a/marlseam/net/upstream/attempts.py
+++ b/marlseam/net/upstream/attempts.py
@@ -27,10 +27,10 @@
 class AttemptStamp(Protocol):
     """The configuration version that an attempt is sent under, as a cluster knows it."""
 
-    def goes(self) -> str:
+    def stamp_if_serving(self) -> str:
         """Return the header that tells the version, or "" where the attempt must not go out."""
 
-    def went(self) -> None:
+    def record_sent(self) -> None:
         """Count the attempt: it has gone out."""
 
 
@@ -183,7 +183,7 @@
             self.settle_not_durable()
             return
         connection = yield from self.acquire()
-        stamp = order.stamp.goes() if order.stamp is not None else ""
+        stamp = order.stamp.stamp_if_serving() if order.stamp is not None else ""
         if order.stamp is not None and not stamp:
             self.release(connection)
             self.settle_not_durable()
@@ -243,7 +243,7 @@
         )
         self.flight.has_begun = True
         if order.stamp is not None:
-            order.stamp.went()
+            order.stamp.record_sent()
         self.attempts.counters.attempts += 1
 
     def is_allowed(self, headers: Headers, now: float) -> bool:
--- a/marlseam/net/upstream/client.py
+++ b/marlseam/net/upstream/client.py
@@ -10,7 +10,7 @@
 from marlseam.net.loop import Loop
 from marlseam.net.upstream.attempts import Attempts
 from marlseam.net.upstream.health_checks import HealthChecks
-from marlseam.net.upstream.pool import ConnectionPool, ServerConnections
+from marlseam.net.upstream.pool import ConnectionPool
 from marlseam.net.upstream.timeouts import UpstreamTimeouts
 
 
@@ -58,16 +58,3 @@
         moved = self.pool.update_addresses(addresses)
         self.pool.retain_listed(names)
         self.attempts.cancel_unbegun(moved)
-
-    # The earlier names of these, for modules that have not been renamed yet.
-
-    listed = update_endpoints
-
-    @property
-    def peers(self) -> dict[str, ServerConnections]:
-        """The pool's servers."""
-        return self.pool.servers
-
-    @peers.setter
-    def peers(self, servers: dict[str, ServerConnections]) -> None:
-        self.pool.servers = servers
--- a/marlseam/recovery/handover_codec.py
+++ b/marlseam/recovery/handover_codec.py
@@ -96,11 +96,6 @@
     sent_ms: float
     until_ms: float
 
-    @property
-    def executor(self) -> str:
-        """Return `server`, under the name that other packages still use."""
-        return self.server
-
 
 class AttemptNeverRan(NamedTuple):
     """An attempt, known by key, server and time (Unix ms), provably never ran."""
@@ -109,11 +104,6 @@
     server: str
     sent_ms: float
 
-    @property
-    def executor(self) -> str:
-        """Return `server`, under the name that other packages still use."""
-        return self.server
-
 
 class SnapshotEnd(NamedTuple):
     """The snapshot ends."""
@@ -292,14 +282,3 @@
     ("sent", _parse_sent),
     ("never", _parse_never),
 )
-
-# Names that other packages still use.
-OVER, line, hello, proof, sent, never = (
-    GOODBYE_LINE,
-    encode_line,
-    encode_hello,
-    encode_proof,
-    encode_sent,
-    encode_never,
-)
-snapshot, read = encode_snapshot, parse_line
--- a/marlseam/recovery/saved_list.py
+++ b/marlseam/recovery/saved_list.py
@@ -31,11 +31,6 @@
     rows: list[dict[str, Any]]
     confirmed_ms: float | None
 
-    @property
-    def heard_ms(self) -> float | None:
-        """Return `confirmed_ms`, under the name that other packages still use."""
-        return self.confirmed_ms
-
 
 @dataclass
 class DepartureRate:
@@ -81,9 +76,3 @@
     if configured is not None and configured.rows and configured.version > stored.version:
         return configured
     return stored
-
-
-# Names that other packages still use.
-SURE, ANSWERED = MAX_CERTAIN_DOUBT, DOUBT_SHARE_AFTER_ANSWER
-Turnover = DepartureRate
-age, doubt, choose = list_age_ms, entry_doubt, choose_list
--- a/marlseam/shadow_policy.py
+++ b/marlseam/shadow_policy.py
@@ -285,6 +285,3 @@
 def has_probed_others(state: RequestState) -> bool:
     """Return whether servers besides home were probed for a request."""
     return state.probed_servers not in ([], [state.home_server])
-
-
-Watch = ShadowPolicy  # the name that other parts still use
--- a/marlseam/simhost/instance.py
+++ b/marlseam/simhost/instance.py
@@ -152,7 +152,7 @@
 
 def cancel(name: str, effect: core.CancelAttempt) -> str:
     """Write that an attempt is given up; the wire knows none that has not begun."""
-    return f"stop_attempt {name} {effect.request_id} {effect.attempt_index}" if effect.begun else ""
+    return f"stop_attempt {name} {effect.request_id} {effect.attempt_index}" if effect.even_if_sent else ""
 
 
 def reject(name: str, effect: core.Reject) -> str:
--- a/marlseam/standin/base.py
+++ b/marlseam/standin/base.py
@@ -19,7 +19,7 @@
 
 import h11
 
-from marlseam.net.connection import Connection, Ended, Steps
+from marlseam.net.connection import Connection, ConnectionEndedError, Steps
 from marlseam.net.log import Log, Reason
 from marlseam.net.loop import READ, Cancelled, Coroutine, Loop, Task
 from marlseam.records import Streams
@@ -93,9 +93,9 @@
             while type(request := (yield from connection.event(inf))) is h11.Request:
                 body = yield from connection.body(BODY_MOST, inf)
                 yield from self.handler(connection, request, body)
-                if not connection.again():
+                if not connection.start_next_message():
                     break
-        except (Ended, h11.LocalProtocolError) as ended:
+        except (ConnectionEndedError, h11.LocalProtocolError) as ended:
             reason = getattr(ended, "reason", Reason.FAULT)
         except Cancelled:
             reason = Reason.DRAINING
--- a/marlseam/standin/disk.py
+++ b/marlseam/standin/disk.py
@@ -99,7 +99,7 @@
         from marlseam.__main__ import main as marlseam
         from marlseam.store.state_store import StateStore
 
-        StateStore.helper = "marlseam.standin.disk"
+        StateStore.writer_module = "marlseam.standin.disk"
         marlseam()
         return
     writer_process.main(disk_type=Faulty)
--- a/marlseam/standin/executors.py
+++ b/marlseam/standin/executors.py
@@ -8,7 +8,7 @@
 
 from marlseam import records
 from marlseam.decisions.types import LoadReport
-from marlseam.net.connection import AHEAD_MOST, Connection, Ended, Steps
+from marlseam.net.connection import MAX_AHEAD_BYTES, Connection, ConnectionEndedError, Steps
 from marlseam.net.log import Reason
 from marlseam.net.loop import READ, READY, sleep
 from marlseam.net.protocol import ACTING, ID, LOAD_PATH, NEVER_RAN, RECEIPT, TYPE, Head
@@ -218,12 +218,12 @@
     def wait(self) -> Steps:
         """Wait for the next line, or for the node to go."""
         connection = self.connection
-        read = not connection.eof and len(connection.buffer) < AHEAD_MOST
+        read = not connection.eof and len(connection.buffer) < MAX_AHEAD_BYTES
         came = yield (connection.sock.fileno(), READ, inf) if read else (-1, 0, inf)
         if came == READY:
             connection.fill()
             if connection.eof:
-                raise Ended(Reason.PEER_CLOSED)
+                raise ConnectionEndedError(Reason.PEER_CLOSED)
 
 
 def load_of(report: LoadReport) -> dict[str, float]:
--- a/marlseam/standin/faulty.py
+++ b/marlseam/standin/faulty.py
@@ -105,14 +105,14 @@
     from marlseam import core
 
     kind = getattr(core, faults.decision)
-    real, chance = core.STEPS[kind], random.Random(faults.seed + 1)
+    real, chance = core.EVENT_HANDLERS[kind], random.Random(faults.seed + 1)
 
     def step(*words: Any) -> None:  # noqa: ANN401
         if chance.random() < faults.decision_share:
             raise RuntimeError("planted by the soak")
         real(*words)
 
-    core.STEPS[kind] = step
+    core.EVENT_HANDLERS[kind] = step
 
 
 def main() -> None:
--- a/marlseam/store/check.py
+++ b/marlseam/store/check.py
@@ -84,13 +84,9 @@
         ledger = LedgerWriter(disk, node)
         recovered = ledger.load()
         number = recovered.held.number if recovered.held is not None else 0
-        votes = "votes" if recovered.bar is not None else "does not vote at first"
+        votes = "votes" if recovered.votes_barred_up_to is not None else "does not vote at first"
         return DirectorySummary(f"ledger in {disk.path}: version {number}, {votes}", ledger.findings)
 
     if settings.folder is None:
         raise ConfigError("fleet.folder", "", "a folder")
     check_directory(Path(settings.folder), "fleet.folder", summarize)
-
-
-# Names that other packages still use.
-test, test_ledger = check_state, check_ledger
--- a/marlseam/store/file_format.py
+++ b/marlseam/store/file_format.py
@@ -59,11 +59,6 @@
     rows: list[dict[str, Any]]
     confirmed_ms: float
 
-    @property
-    def heard_ms(self) -> float:
-        """Return `confirmed_ms`, under the name that other packages still use."""
-        return self.confirmed_ms
-
 
 class ListConfirmed(msgspec.Struct, tag="heard", array_like=True):
     """Discovery has confirmed the stored list as it is (Unix ms)."""
@@ -90,11 +85,6 @@
     sent_ms: float
     until_ms: float
 
-    @property
-    def executor(self) -> str:
-        """Return `server`, under the name that other packages still use."""
-        return self.server
-
 
 class AttemptBatch(msgspec.Struct, tag="batch", array_like=True):
     """Many attempts in one frame, as a snapshot holds them: read several times as fast as one by one."""
@@ -301,9 +291,3 @@
     if contents.unread_bytes or not records or records[-1] != SnapshotEnd(len(records) - 1):
         raise UnusableFileError("torn", "it is not whole")
     return contents._replace(records=records[:-1])
-
-
-# Names that other packages still use.
-TurnoverNoted = DepartureRateStored
-frame = encode_record
-payloads = iterate_payloads
--- a/marlseam/store/ledger_audit.py
+++ b/marlseam/store/ledger_audit.py
@@ -7,8 +7,8 @@
 
 from marlseam.cluster import audit
 from marlseam.cluster.audit_log import LogRecord
+from marlseam.store.disk import Disk
 from marlseam.store.ledger_writer import BESIDE, LedgerWriter
-from marlseam.store.state_directory import Disk
 
 
 def is_being_written(folder: Path) -> bool:
@@ -49,7 +49,7 @@
         node = files[-1].node
         if is_running:
             running_nodes.append(node)
-        ledgers.setdefault(node, []).append([record for file in files for record in file.entries])
+        ledgers.setdefault(node, []).append([record for file in files for record in file.records])
     result = audit.read(ledgers, running_nodes, error_ms)
     result.findings = findings + result.findings
     return result
--- a/marlseam/store/ledger_writer.py
+++ b/marlseam/store/ledger_writer.py
@@ -3,7 +3,7 @@
     lock       held by the process that writes here (flock)
     ledger-N   a header as in `file_format`, then frames with the records of `cluster.audit_log`
 
-Each file begins with what the earlier ones add up to; the newest FILES of them are retained.
+Each file begins with what the earlier ones add up to; the newest MAX_LEDGER_FILES of them are retained.
 
 A directory that was set back to an older copy of itself is detected: a file notes its inode number, and each
 write notes its time, which must match the file system's time of the file's last change. (An image of a whole
@@ -24,9 +24,9 @@
     FileOpened,
     LogRecord,
     RecoveredLog,
+    chain_record,
     encode,
-    linked,
-    unlinked,
+    parse_record,
 )
 from marlseam.store.clock_era import ClockEra, current_era, unix_ms
 from marlseam.store.disk import Disk, directory_lock, write_all
@@ -47,7 +47,7 @@
 
 LEDGER = "ledger"
 FILE_NAME = re.compile(r"ledger-(\d{10})$")
-FILES = 16  # the newest that are retained
+MAX_LEDGER_FILES = 16  # the newest that are retained
 BESIDE = "beside"  # the subdirectory in which a process writes while another of its node has the ledger
 MAX_WRITE_TIME_DIFFERENCE_MS = 10000.0  # between a write's own time and the file system's
 
@@ -65,7 +65,7 @@
         number: the file's.
         node: whose ledger it is.
         before: the digest that its first record is chained to.
-        entries: its records, as far as the chain is whole.
+        records: what it holds, as far as the chain is whole.
         last: the digest of the last of these records.
         findings: what is wrong with it.
     """
@@ -73,7 +73,7 @@
     number: int
     node: str
     before: bytes = START
-    entries: list[LogRecord] = field(default_factory=list)
+    records: list[LogRecord] = field(default_factory=list)
     last: bytes = START
     findings: list[Finding] = field(default_factory=list)
 
@@ -84,17 +84,17 @@
     def take_record(self, linked_record: bytes) -> bool:
         """Add a record with the digest that it is chained to; return whether the chain is whole so far."""
         try:
-            before, entry = unlinked(linked_record)
+            before, entry = parse_record(linked_record)
         except ValueError as error:
             self.note("damaged", f"a record that cannot be read: {error}")
             return False
-        if self.entries and before != self.last:
+        if self.records and before != self.last:
             self.note("chain", "a record is not chained to the one before it")
             return False
-        if not self.entries:
+        if not self.records:
             self.before = before
-        self.entries.append(entry)
-        self.last = linked(before, linked_record[len(before) :])[1]
+        self.records.append(entry)
+        self.last = chain_record(before, linked_record[len(before) :])[1]
         return True
 
 
@@ -162,7 +162,7 @@
             file = self._read_file(number, number == numbers[-1])
             if file is None:
                 continue
-            if files and file.entries and file.before != files[-1].last:
+            if files and file.records and file.before != files[-1].last:
                 file.note("chain", "is not chained to the file before it")
             self.findings += file.findings
             files.append(file)
@@ -192,12 +192,12 @@
         files = self.files(numbers[-2] if len(numbers) > 1 else 0)
         recovered = RecoveredLog()
         for file in files:
-            for entry in file.entries:
-                recovered.take(entry)
+            for entry in file.records:
+                recovered.apply(entry)
         loss = self._loss(files, recovered)
         if loss:
             self.findings.append(Finding("", "lost", f"{loss}: what was promised is not known"))
-            recovered.bar = None
+            recovered.votes_barred_up_to = None
         self.number, self.last = max(numbers, default=0), files[-1].last if files else START
         return recovered
 
@@ -211,10 +211,10 @@
             return "its beginning is not known"
         newest = files[-1]
         inode, changed_ms = self.disk.identity(file_name(newest.number))
-        noted_inode = next((entry.inode for entry in newest.entries if type(entry) is FileOpened), None)
+        noted_inode = next((entry.inode for entry in newest.records if type(entry) is FileOpened), None)
         if noted_inode is not None and noted_inode != inode:
             return "the folder is a copy"
-        last = newest.entries[-1] if newest.entries else None
+        last = newest.records[-1] if newest.records else None
         if type(last) is BatchWritten:
             difference_ms = abs(changed_ms - last.wall_ms)
             if difference_ms > MAX_WRITE_TIME_DIFFERENCE_MS:
@@ -229,7 +229,7 @@
             raise OSError(errno.ENOENT, "no file is open")
         last, frames = self.last, []
         for part in (*parts, encode(BatchWritten(unix_ms(current_era())))):
-            record, last = linked(last, part)
+            record, last = chain_record(last, part)
             frames.append(encode_frame(record))
         data = b"".join(frames)
         write_all(self.disk, self.fd, data)
@@ -256,8 +256,8 @@
             data = encode_header(header)
             write_all(self.disk, fd, data)
             self.fd, self.size, self.number = fd, len(data), number
-            entries = [FileOpened(self.disk.identity(name).inode), *recovered.entries()]
-            self.append([encode(entry) for entry in entries], True)
+            records = [FileOpened(self.disk.identity(name).inode), *recovered.records()]
+            self.append([encode(entry) for entry in records], True)
             self.disk.sync_folder()
         except OSError:
             self.close()
@@ -267,7 +267,7 @@
             with contextlib.suppress(OSError):
                 self.disk.remove(name)
             raise
-        for old in self.numbers()[:-FILES]:
+        for old in self.numbers()[:-MAX_LEDGER_FILES]:
             self.disk.remove(file_name(old))
 
     def close(self) -> None:
@@ -290,8 +290,5 @@
         ledger.close()
 
 
-first_life = create_ledger  # the name that other packages still use
-
-
 if __name__ == "__main__":
     main(LedgerWriter)
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -49,29 +49,29 @@
     """Runs a writer process for a directory, sends it records and tells what became durable.
 
     Attributes:
-        helper: the module that is run; stand-ins for a disk set another.
+        writer_module: the module that is run; stand-ins for a disk set another.
         what: the name of what is written, in log lines.
-        back_most_ms: the longest delay between tries of a disk that failed.
+        max_retry_delay_ms: the longest delay between tries of a disk that failed.
         era: the scale of the times in the directory.
-        known: whether what the directory holds was read.
+        is_loaded: whether what the directory holds was read.
         sent: how many messages were sent, over all writer processes.
         done: how many of these were answered; those of a process that ended count as answered.
         done_before: how many of these earlier writer processes had.
         unanswered_since_ms: since when messages have waited for an answer (ms on the loop's clock).
-        works: whether records are sent on. From the process's start, not from its first answer: it
+        accepts_records: whether records are sent on. From the process's start, not from its first answer: it
             compacts what is there before them. Guards what is sent in a node's first moments against being
             on no record.
         is_compacting: whether a file that has grown too large is being replaced.
         is_success_logged: whether the log has said that records become durable, since the last failure.
-        told_lost: whether the log has said that something in the directory is lost.
+        is_loss_logged: whether the log has said that something in the directory is lost.
         retry_delay_ms: the delay before the next try of a disk that failed.
         code: why records do not become durable, empty where they do.
-        lock: the descriptor of the directory's lock, None while this process does not have it.
+        lock_fd: the descriptor of the directory's lock, None while this process does not have it.
     """
 
-    helper = "marlseam.store.writer_process"
+    writer_module = "marlseam.store.writer_process"
     what = "state"
-    back_most_ms = MAX_RETRY_DELAY_MS
+    max_retry_delay_ms = MAX_RETRY_DELAY_MS
 
     def __init__(
         self, loop: Loop, log: Log, path: Path, node: str, sync: str, max_file_mb: float, max_wait_ms: float
@@ -84,18 +84,18 @@
         self.loop, self.log, self.path, self.node = loop, log, path, node
         self.sync, self.max_file_mb, self.max_wait_ms = sync, max_file_mb, max_wait_ms
         self.era = current_era(loop.clock.to_unix(loop.now()))
-        self.known = False
+        self.is_loaded = False
         self.sent = self.done = self.done_before = 0
         self.unanswered_since_ms = 0.0
-        self.works = self.is_compacting = False
-        self.is_success_logged = self.told_lost = False
+        self.accepts_records = self.is_compacting = False
+        self.is_success_logged = self.is_loss_logged = False
         self.wait_queue = DurabilityWaitQueue()
         self.outgoing = bytearray()
         self.channel: socket.socket | None = None
         self.process: subprocess.Popen[bytes] | None = None
         self.retry_delay_ms, self.code = MIN_RETRY_DELAY_MS, ""
         self.send_task: Task | None = None
-        self.lock: int | None = None
+        self.lock_fd: int | None = None
         self.supervise_task: Task | None = None
 
     # The directory.
@@ -106,16 +106,16 @@
         `within_s` is how long to wait for it; None takes MAX_LOCK_WAIT_S.
         """
         end = time.monotonic() + (MAX_LOCK_WAIT_S if within_s is None else within_s)
-        while self.lock is None:
+        while self.lock_fd is None:
             try:
-                self.lock = lock_directory(self.path)
+                self.lock_fd = lock_directory(self.path)
             except OSError as error:
                 if error.errno != errno.EAGAIN or time.monotonic() >= end:
                     raise
                 time.sleep(LOCK_RETRY_S)  # nothing else waits
 
     def read(self) -> Coroutine:
-        """Read what is there, before anything is written, and set `known`; raises OSError."""
+        """Read what is there, before anything is written, and set `is_loaded`; raises OSError."""
         raise NotImplementedError
 
     def begin(self) -> None:
@@ -127,9 +127,9 @@
         if self.supervise_task is not None:
             self.supervise_task.cancel()
         self.stop_process()
-        if self.lock is not None:
-            os.close(self.lock)
-            self.lock = None
+        if self.lock_fd is not None:
+            os.close(self.lock_fd)
+            self.lock_fd = None
 
     # The writer process.
 
@@ -140,7 +140,7 @@
                 channel = yield from self.open()
             except OSError as error:
                 self.fail_by(error)
-                if self.lock is None and error.errno == errno.EAGAIN:
+                if self.lock_fd is None and error.errno == errno.EAGAIN:
                     yield from sleep(self.loop.now() + LOCK_POLL_MS)
                     continue
             else:
@@ -155,10 +155,10 @@
     def open(self) -> Steps:
         """Lock the directory, read it, and start a writer process; return the channel to it."""
         descriptors = self.loop.descriptors
-        if self.lock is None:
-            self.lock = descriptors.opened(lambda: lock_directory(self.path), own=True)
-        lock_fd = self.lock
-        if not self.known:
+        if self.lock_fd is None:
+            self.lock_fd = descriptors.opened(lambda: lock_directory(self.path), own=True)
+        lock_fd = self.lock_fd
+        if not self.is_loaded:
             yield from self.read()
         return descriptors.opened(lambda: self.start_process(lock_fd), own=True)
 
@@ -170,7 +170,7 @@
         arguments += [self.era.boot, repr(self.era.zero_ms)]
         try:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", self.helper, *arguments],
+                [sys.executable, "-m", self.writer_module, *arguments],
                 pass_fds=(theirs.fileno(), lock_fd),
                 stdin=subprocess.DEVNULL,
                 stdout=subprocess.DEVNULL,
@@ -180,7 +180,7 @@
             raise
         finally:
             theirs.close()
-        self.channel, self.send_task, self.works = ours, None, True
+        self.channel, self.send_task, self.accepts_records = ours, None, True
         self.done_before = self.done = self.sent
         self.outgoing.clear()
         return ours
@@ -192,7 +192,7 @@
             self.channel = None
         if self.process is not None:
             self.process.poll()
-        self.works = False
+        self.accepts_records = False
         self.wait_queue.resolve_up_to(inf, False)
 
     def close(self) -> None:
@@ -213,14 +213,14 @@
 
     def compact(self) -> None:
         """Have the writer process begin a new file with what the directory holds."""
-        self.message(COMPACT, b"")
+        self.send_message(COMPACT, b"")
 
-    def message(self, command: int, payload: bytes) -> int:
+    def send_message(self, command: int, payload: bytes) -> int:
         """Send a message on, with all others of this turn of the loop.
 
         Return its number, under which `wait_durable` knows it; 0 where it is not sent.
         """
-        if self.channel is None or (command == APPEND and not self.works):
+        if self.channel is None or (command == APPEND and not self.accepts_records):
             return 0
         if self.sent == self.done:
             self.unanswered_since_ms = self.loop.now()
@@ -281,7 +281,7 @@
             *lines, partial_line = (partial_line + data).split(b"\n")
             for line in lines:
                 self.handle_answer(decode_answer(line))
-        if self.works:
+        if self.accepts_records:
             self.mark_unavailable("helper", "the writing process ended")
 
     def handle_answer(self, answer: Answer) -> None:
@@ -304,11 +304,11 @@
         self.wait_queue.resolve_up_to(self.done, True)
         if not self.is_success_logged:
             self.log.line(f"{self.what} is kept in {self.path}")
-        self.works, self.is_success_logged = True, True
+        self.accepts_records, self.is_success_logged = True, True
         self.retry_delay_ms, self.code = MIN_RETRY_DELAY_MS, ""
         for text in answer.losses or ():
-            if not self.told_lost:
-                self.told_lost = True
+            if not self.is_loss_logged:
+                self.is_loss_logged = True
                 self.log.line(f"{self.what} file {self.path} code=lost: {text}")
         if answer.file_bytes <= self.max_file_mb * BYTES_PER_MB:
             self.is_compacting = False
@@ -322,14 +322,14 @@
         """Return whether a record sent now should become durable in time, as far as is known."""
         waited_ms = self.loop.now() - self.unanswered_since_ms
         is_late = self.sent > self.done and waited_ms > self.max_wait_ms
-        return self.works and not is_late
+        return self.accepts_records and not is_late
 
     def wait_durable(self, number: int) -> Steps:
         """Wait until the message of a number is durable; return whether it is.
 
         False after `max_wait_ms`, though it may still be written, as an attempt that may have run.
         """
-        if not number or not self.works:
+        if not number or not self.accepts_records:
             return False
         until_ms = self.loop.now() + self.max_wait_ms
         task = self.loop.current
@@ -351,7 +351,7 @@
     def mark_unavailable(self, code: str, text: str) -> None:
         """Note that nothing can be written: what waits for it is not durable."""
         self.log_failure(code, text)
-        self.works = False
+        self.accepts_records = False
         self.wait_queue.resolve_up_to(inf, False)
 
     def fail_by(self, error: OSError) -> None:
@@ -360,10 +360,4 @@
 
     def increase_retry_delay(self) -> None:
         """Double the delay before the next try, up to its bound."""
-        self.retry_delay_ms = min(2.0 * self.retry_delay_ms, self.back_most_ms)
-
-    # Names that other packages still use.
-    serves, durable, fail = is_available, wait_durable, mark_unavailable
-
-
-LOCK_S = MAX_LOCK_WAIT_S  # the name that other packages still use
+        self.retry_delay_ms = min(2.0 * self.retry_delay_ms, self.max_retry_delay_ms)
--- a/marlseam/store/node_state.py
+++ b/marlseam/store/node_state.py
@@ -38,11 +38,6 @@
     sent: dict[str, list[AttemptSent]] = field(default_factory=dict)
     lost_ms: float | None = None
 
-    @property
-    def turnover(self) -> DepartureRateStored:
-        """Return `departure_rate`, under the name that other packages still use."""
-        return self.departure_rate
-
     def apply(self, record: StateRecord) -> None:
         """Change the state as a record says."""
         match record:
--- a/marlseam/store/state_directory.py
+++ b/marlseam/store/state_directory.py
@@ -15,7 +15,7 @@
 
 from marlseam.store.clock_era import ClockEra, current_era, unix_ms
 from marlseam.store.disk import Disk, directory_lock, write_all
-from marlseam.store.errors import Finding, code_of
+from marlseam.store.errors import Finding
 from marlseam.store.file_format import (
     FORMAT_VERSION,
     FileHeader,
@@ -26,17 +26,6 @@
 from marlseam.store.node_state import NodeState
 from marlseam.store.state_reader import FILE_NAME, JOURNAL, SNAPSHOT, StateReader, file_name, file_numbers
 
-__all__ = [
-    "ClockEra",
-    "Disk",
-    "Finding",
-    "StateDirectory",
-    "code_of",
-    "create_state",
-    "first_life",
-    "unix_ms",
-]
-
 SNAPSHOTS_RETAINED = 2
 UNFINISHED_SUFFIX = ".new"
 
@@ -71,11 +60,6 @@
         self.unusable: set[str] = set()
         self.owner = ""
 
-    @property
-    def of(self) -> str:
-        """Return `owner`, under the name that other packages still use."""
-        return self.owner
-
     def files(self, kind: str) -> list[int]:
         """Return the numbers of the files of a kind, in order."""
         return file_numbers(self.disk, kind)
@@ -191,6 +175,3 @@
             raise FileExistsError(errno.EEXIST, "there is a state")
         directory.snapshot([], unix_ms(directory.era))
         directory.close()
-
-
-first_life = create_state  # the name that other packages still use
--- a/marlseam/store/state_store.py
+++ b/marlseam/store/state_store.py
@@ -71,10 +71,10 @@
 
     def note_read(self, directory: StateDirectory) -> None:
         """Note that the directory was read, and log what is wrong with its files."""
-        self.known = True
+        self.is_loaded = True
         for finding in directory.findings:
             self.log.line(f"state file {finding.name or self.path} code={finding.code}: {finding.text}")
-            self.told_lost = self.told_lost or finding.code == "lost"
+            self.is_loss_logged = self.is_loss_logged or finding.code == "lost"
 
     def read(self) -> Coroutine:
         """Read in steps, while the node serves, and have it taken in before anything is written."""
@@ -104,4 +104,4 @@
 
         Return the number under which they become durable, 0 where they never do.
         """
-        return self.message(APPEND, b"".join(encode_record(record) for record in records))
+        return self.send_message(APPEND, b"".join(encode_record(record) for record in records))
--- a/marlseam/store/writer_process.py
+++ b/marlseam/store/writer_process.py
@@ -31,8 +31,6 @@
     encode_answer,
 )
 
-__all__ = ["APPEND", "NodeBoundDisk", "NodeGoneError", "WritableLog", "WriterProcess", "main"]
-
 MAX_RECEIVE_BYTES = 1 << 20
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -324,7 +324,7 @@
         events: list[Event] = []
         parts = Upstream(loop, Log("test", loop.now), deployment, 64, events.append, Counters())
         parts.events, parts.connections = events, []
-        parts.listed({"e1"}, {"e1": ("127.0.0.1", 9)})
+        parts.update_endpoints({"e1"}, {"e1": ("127.0.0.1", 9)})
         return parts
 
     return build
@@ -354,7 +354,7 @@
     path.write_text(json.dumps(values))
     made = Node(load(str(path), {}))
     yield made
-    made.busy = True
+    made.is_reducing = True
     made.loop.finish()
 
 
@@ -422,7 +422,7 @@
                 made.http.send(h11.Response(status_code=200, headers=[("Content-Length", "0")]))
                 made.http.send(h11.EndOfMessage())
                 yield from made.write(done, inf)
-                made.again()
+                made.start_next_message()
 
         def accept() -> Steps:
             while True:
@@ -430,7 +430,7 @@
                 node.loop.spawn(talk(server.accept()[0]))
 
         node.loop.spawn(accept())
-        node.upstream.listed({"e1"}, {"e1": server.getsockname()})
+        node.upstream.update_endpoints({"e1"}, {"e1": server.getsockname()})
         return asked
 
     yield stand
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -331,21 +331,21 @@
 
 def test_what_the_module_avoids_is_its_own_account(node, figures):
     module = node.core.dispatcher
-    module.enter(Endpoint(0, EndpointState.DRAINING, 0, 0, 0, None))
+    module.set_endpoint(Endpoint(0, EndpointState.DRAINING, 0, 0, 0, None))
     assert figures()["members_unavailable"] == 1
-    module.enter(Endpoint(0, EndpointState.READY, 0, 0, 0, None))
-    module.suspend(0, "outcomes", False)
+    module.set_endpoint(Endpoint(0, EndpointState.READY, 0, 0, 0, None))
+    module.eject(0, "outcomes")
     assert figures()["members_unavailable"] == 1
-    module.recover(0)
+    module.readmit(0)
     assert figures()["members_unavailable"] == 0
 
 
 def test_the_figures_change_nothing_of_a_cold_servers_budget(node, figures):
     module = node.core.dispatcher
-    module.born[0], module.tokens[0] = node.loop.now(), -1.0
-    before = module.tokens[0], module.token_ms[0]
+    module.process_started_ms[0], module.slow_start_tokens[0] = node.loop.now(), -1.0
+    before = module.slow_start_tokens[0], module.slow_start_refilled_ms[0]
     assert figures()["members_unavailable"] == 0
-    assert (module.tokens[0], module.token_ms[0]) == before
+    assert (module.slow_start_tokens[0], module.slow_start_refilled_ms[0]) == before
 
 
 def test_the_figures_have_the_names_and_the_order_that_operators_know(node):
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -25,7 +25,7 @@
 
 def test_no_interleaving_of_few_steps_gives_one_number_two_contents():
     found = explore(8)
-    assert found.way == [] and found.depth == 8 and found.states > 10000
+    assert found.path == [] and found.depth == 8 and found.states > 10000
 
 
 def test_long_random_walks_find_no_broken_state():
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -7,8 +7,9 @@
 import pytest
 
 from marlseam.cluster.audit_log import RecoveredLog
-from marlseam.cluster.checking.membership_schedules import MembershipSimulation, ScheduleDraws
-from marlseam.cluster.checking.search import wander
+from marlseam.cluster.checking.fault_schedules import ScheduleDraws
+from marlseam.cluster.checking.membership_schedules import MembershipSimulation
+from marlseam.cluster.checking.search import random_walks
 from marlseam.cluster.membership import Membership
 from marlseam.cluster.quota.demand import DemandEstimator
 from marlseam.cluster.quota.leasing import QuotaLeasing, QuotaState
@@ -63,10 +64,10 @@
     if of == "ways":
         # Where a way goes in a square without end tells what was drawn.
         steps = lambda at: ((f"{i:03}", at + 1) for i in range(128))  # noqa: E731
-        way = wander(0, steps, lambda at: at == count, 1, count, seed)
+        way = random_walks(0, steps, lambda at: at == count, 1, count, seed)
         return [(int(name) + 0.5) / 128.0 for name in way]
     chance = {"node": node, "members": members, "versions": versions, "room": room, "world": world}[of](seed)
-    return [chance.chance() for _ in range(count)]
+    return [chance.random() for _ in range(count)]
 
 
 ALL = ("node", "members", "versions", "room", "world", "draws", "ways")
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -517,7 +517,7 @@
 @pytest.mark.parametrize("seed", [0, 3, 17, 42, 81])
 def test_a_mixed_cluster_sends_whole_contents_to_programs_that_know_no_deltas(seed):
     strikes = replication_schedules.schedule(7, seed) if seed else []
-    assert replication_schedules.play(7, seed, strikes, mixed).broken == []
+    assert replication_schedules.play(7, seed, strikes, mixed).violations == []
 
 
 def test_in_a_mixed_cluster_programs_that_know_deltas_receive_them():
@@ -527,7 +527,7 @@
         world.publish("n1", mark)
         world.run(world.now + 6000.0)
     assert world.stale_replicas() == [] and world.checker.findings == [] and len(world.checker.chosen) == 8
-    came = {name: seat.machine.store.transfer_counts for name, seat in world.seats.items()}
+    came = {name: seat.machine.store.transfer_counts for name, seat in world.processes.items()}
     assert all(came[name]["whole"] == 8 and not came[name]["chains"] for name in ("n0", "n3", "n5"))
     # An older program sends them the whole; others, past the first version, deltas.
     assert all(came[name]["chains"] >= 3 for name in ("n2", "n4", "n6"))
@@ -539,7 +539,7 @@
 @pytest.mark.parametrize("seed", [2, 9, 33, 145])
 def test_corrupted_chunks_break_no_bound(seed):
     found = replication_schedules.play(7, seed, replication_schedules.schedule(7, seed), twists=0.1)
-    assert found.broken == []
+    assert found.violations == []
 
 
 class UncheckedStore(ContentStore):
@@ -632,8 +632,8 @@
 @pytest.mark.parametrize(("replica_type", "seed", "twists", "rows"), PLANTED)
 def test_a_planted_defect_is_found(replica_type, seed, twists, rows):
     strikes = replication_schedules.schedule(7, seed)
-    assert replication_schedules.play(7, seed, strikes, replica_type, twists=twists, rows=rows).broken
-    assert replication_schedules.play(7, seed, strikes, twists=twists, rows=rows).broken == []
+    assert replication_schedules.play(7, seed, strikes, replica_type, twists=twists, rows=rows).violations
+    assert replication_schedules.play(7, seed, strikes, twists=twists, rows=rows).violations == []
 
 
 class WithoutOwnDeltas(ContentStore):
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -237,7 +237,7 @@
 
 def a_probe(scene):
     scene.list("e1", probes=True)
-    scene.node.core.dispatcher.heard_ms[scene.node.core.index["e1"]] = -inf
+    scene.node.core.dispatcher.last_report_ms[scene.node.core.servers.by_name["e1"]] = -inf
     scene.ask()
     _, sock = scene.running(b"/-/load")
     return lambda: sock.sendall(LOAD)
@@ -264,7 +264,7 @@
     at = {"e1": scene.upstream["e1"].address}
     tell(scene.node, at, EndpointState.DRAINING, ListUpdateKind.DELTA)
     scene.ask()
-    assert scene.node.core.dispatcher.lines
+    assert scene.node.core.dispatcher.pending_queues
     return scene.bell(lambda: tell(scene.node, at, EndpointState.READY, ListUpdateKind.DELTA))
 
 
@@ -300,14 +300,14 @@
     """Say that nothing is left of work, and that the servers' counts are right."""
     assert (
         not node.requests.pending
-        and not node.core.open
+        and not node.core.open_requests
         and not node.upstream.attempts.in_flight
         and not node.downstream.correlation_ids
     )
     assert (
-        not any(node.core.dispatcher.ours)
-        and not node.core.dispatcher.turns
-        and not node.core.dispatcher.lines
+        not any(node.core.dispatcher.own_slots)
+        and not node.core.dispatcher.key_queues
+        and not node.core.dispatcher.pending_queues
     )
 
 
@@ -506,13 +506,13 @@
     scene.client((asked % 2).replace(b"9b", b"9c"))
     flight.task.clear_wait()  # its dial is not heard of until the next has come
     turn(lambda: node.requests.last_request_id == 2)
-    assert node.core.idempotency_records.known("k1", node.loop.now())
+    assert node.core.idempotency_records.attempts("k1", node.loop.now())
     begun = scene.begun
     scene.sock, scene.door = first
     scene.leave(socket.socket.close)
     flight.task.step(READY)
-    assert not node.core.idempotency_records.known("k1", node.loop.now())  # it provably never ran
-    assert node.core.idempotency_records.known("k2", node.loop.now())
+    assert not node.core.idempotency_records.attempts("k1", node.loop.now())  # it provably never ran
+    assert node.core.idempotency_records.attempts("k2", node.loop.now())
     turn(lambda: scene.begun > begun)
     data = scene.read()
     assert b"k2" in data and b"k1" not in data and scene.begun == begun + 1
@@ -703,4 +703,4 @@
     act()
     turn(lambda: not node.upstream.attempts.in_flight)
     assert scene.begun == begun and b"abc" not in scene.read() and len(faults) == 1
-    assert not node.core.open and not any(node.core.dispatcher.ours)
+    assert not node.core.open_requests and not any(node.core.dispatcher.own_slots)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -664,7 +664,7 @@
         (core.Respond("1", b"result"), b"HTTP/1.1 200 ", b"\r\n\r\nresult"),
         (core.Reject("1", 250.0), b"HTTP/1.1 503 ", b"Retry-After: 0.250\r\n"),
         (core.Fail("1"), b"HTTP/1.1 500 ", b"Content-Length: 0\r\n"),
-        (core.Fail("1", unfit=True), b"HTTP/1.1 400 ", b"Connection: close\r\n"),
+        (core.Fail("1", is_invalid=True), b"HTTP/1.1 400 ", b"Connection: close\r\n"),
     ],
 )
 def test_a_final_answer_reaches_the_client(node, client, reply, effect, start, part):
@@ -703,7 +703,7 @@
     sock.close()
     while node.downstream.open:
         node.loop.turn()
-    assert not node.requests.pending and not node.core.open
+    assert not node.requests.pending and not node.core.open_requests
 
 
 def test_an_answer_for_one_that_has_gone_is_dropped(node):
@@ -960,7 +960,7 @@
     sock = client(REQUEST)
     while not node.requests.pending:
         node.loop.turn()
-    (state,) = node.core.open.values()
+    (state,) = node.core.open_requests.values()
     taken = state.request_class
     rewrite(settings=classes("statement", semantics="unsafe", aimUs=1, deadlineUs=1000000))
     assert (
--- a/tests/test_own_faults.py
+++ b/tests/test_own_faults.py
@@ -34,7 +34,7 @@
     """Return a function that has the reducer or an adapter fail at one kind of event or effect."""
 
     def begin(kind: type) -> None:
-        table = core.STEPS if kind in core.STEPS else effects.HANDLERS
+        table = core.EVENT_HANDLERS if kind in core.EVENT_HANDLERS else effects.HANDLERS
         monkeypatch.setitem(table, kind, fails)
 
     return begin
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -23,8 +23,8 @@
 
 
 def test_the_same_seed_draws_the_same(make_dispatcher):
-    assert [make_dispatcher(0.0).chance() for _ in range(3)] == [
-        make_dispatcher(0.0).chance() for _ in range(3)
+    assert [make_dispatcher(0.0).random() for _ in range(3)] == [
+        make_dispatcher(0.0).random() for _ in range(3)
     ]
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -307,7 +307,7 @@
 def test_a_whole_list_at_the_full_size_fits_what_a_node_takes():
     listing = size_roster.Listing(size.FULL)
     listing.fill()
-    assert len(listing.answer(0, True)) < protocol.LIST_MOST
+    assert len(listing.answer(0, True)) < protocol.MAX_LIST_BYTES
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -228,7 +228,7 @@
     node.discovery.take({"seq": 5, "whole": True, "hosts": [row]})
     row = row | {"health": "leaving"} | spoilt
     node.discovery.take({"seq": 6, "whole": whole, "hosts": [row]})
-    assert node.core.dispatcher.endpoint_state[node.core.index["e1"]] is EndpointState.DRAINING
+    assert node.core.dispatcher.endpoint_state[node.core.servers.by_name["e1"]] is EndpointState.DRAINING
 
 
 @pytest.mark.parametrize("field", ["born_ms", "share", "block"])
@@ -443,7 +443,7 @@
     turn(lambda: flight.task.done)
     settle()
     assert [event.outcome for event in told if type(event) is core.AttemptEnded] == [Outcome.CANCELLED]
-    assert not node.core.open and b"abc" not in executor.read()
+    assert not node.core.open_requests and b"abc" not in executor.read()
 
 
 @pytest.mark.parametrize("seen", [READY, LATE])
@@ -594,7 +594,7 @@
     good = client(REQUEST)
     turn(lambda: any(p.client_request.id == "9b" for p in node.requests.pending.values()))
     turn(lambda: len(node.downstream.open) == 1)
-    assert len(node.requests.pending) == 1 and len(node.core.open) == 1
+    assert len(node.requests.pending) == 1 and len(node.core.open_requests) == 1
     turn(lambda: b"9b" in executor.read())
     for sock in executor.held:
         with suppress(OSError):
@@ -614,7 +614,7 @@
     socks = [client(REQUEST.replace(b"9b", b"w%d" % i)) for i in range(120)]
     turn(lambda: node.requests.last_request_id == len(socks))
     settle()
-    assert node.core.dispatcher.lines and node.upstream.attempts.in_flight
+    assert node.core.dispatcher.pending_queues and node.upstream.attempts.in_flight
     for executor in executors:
         executor.read()
     for i, sock in enumerate(socks):
@@ -622,7 +622,11 @@
     turn(lambda: not node.requests.pending)
     attempts = node.counters.attempts
     settle(100)
-    assert not node.core.open and not node.core.dispatcher.lines and not node.upstream.attempts.in_flight
+    assert (
+        not node.core.open_requests
+        and not node.core.dispatcher.pending_queues
+        and not node.upstream.attempts.in_flight
+    )
     assert node.counters.attempts == attempts and not any(b"POST" in e.read() for e in executors)
 
 
@@ -641,7 +645,7 @@
     sock = client(request_)
     turn(lambda: node.upstream.attempts.in_flight)
     tell(node, {"e1": slow.address, "e2": good.address})
-    node.core.dispatcher.full[node.core.index["e1"]] = True  # the next goes elsewhere
+    node.core.dispatcher.at_capacity[node.core.servers.by_name["e1"]] = True  # the next goes elsewhere
     second = client(request_.replace(b"9b", b"9c").replace(b"-Key: k", b"-Key: l"))
     turn(lambda: b"abc" in good.read())  # and is served while the first waits
     good.held[0].sendall(ANSWER.replace(b'"e1"', b'"e2"').replace(b"9b", b"9c"))
@@ -717,8 +721,8 @@
             roster.held[0].sendall(says[at : at + size])
             node.turns(3)
         node.turns(20)
-        assert node.core.dispatcher.endpoint_state[node.core.index["e1"]] is state
-        assert node.core.dispatcher.endpoint_state[node.core.index["e2"]] is EndpointState.READY
+        assert node.core.dispatcher.endpoint_state[node.core.servers.by_name["e1"]] is state
+        assert node.core.dispatcher.endpoint_state[node.core.servers.by_name["e2"]] is EndpointState.READY
         node.turns(lead_ms=node.discovery.min_watch_gap_ms)
     assert len(roster.held) == 1  # one watch
 
@@ -741,7 +745,7 @@
     roster.read()
     roster.held[1].sendall(answer(listing(5, "leaving")))
     node.turns()
-    assert node.core.dispatcher.endpoint_state[node.core.index["e1"]] is EndpointState.DRAINING
+    assert node.core.dispatcher.endpoint_state[node.core.servers.by_name["e1"]] is EndpointState.DRAINING
     assert "Traceback" not in capsys.readouterr().err
 
 
@@ -754,7 +758,7 @@
     node, roster = followed(
         registryMode=mode, guarantees={"stopSendingWithinUs": 400000, "mustAskInUs": 60000000}
     )
-    node.core.dispatcher.chance = lambda: 1.0 - 1e-9  # the longest rests
+    node.core.dispatcher.random = lambda: 1.0 - 1e-9  # the longest rests
     tell(node, {"e1": executor.address})
     roster.read()
     if in_watch:
@@ -791,7 +795,7 @@
 def test_one_node_adds_little_to_a_herd_at_discovery(followed, mode, most, says):
     # Twenty seconds in which each call fails at once, at the soonest rests that chance can give.
     node, roster = followed(registryMode=mode, guarantees={"stopSendingWithinUs": 20000000})
-    node.core.dispatcher.chance = lambda: 0.0
+    node.core.dispatcher.random = lambda: 0.0
     calls = 1
     for _ in range(2000):
         roster.accept()
@@ -822,8 +826,8 @@
     roster.held.clear()
     for node, _ in made:
         node.turns(2)
-    due = sorted(node.core.dispatcher.next_ask - node.loop.now() for node, _ in made)
-    rest = made[0][0].core.dispatcher.backoff
+    due = sorted(node.core.dispatcher.next_poll_ms - node.loop.now() for node, _ in made)
+    rest = made[0][0].core.dispatcher.poll_backoff_ms
     most = max(sum(at <= other < at + 0.1 * rest for other in due) for at in due)
     assert most <= len(due) // 3  # of 24 in a tenth of the span; evenly it would be 3
 
@@ -972,7 +976,7 @@
     node.turns()
     assert (
         node.discovery.task is None
-        and node.core.dispatcher.backoff == node.core.dispatcher.settings.max_poll_interval_ms
+        and node.core.dispatcher.poll_backoff_ms == node.core.dispatcher.settings.max_poll_interval_ms
     )
 
 
@@ -987,7 +991,7 @@
     followed, peers, when, mode, grace_us
 ):
     node, roster = followed(registryMode=mode, guarantees={"stopSendingWithinUs": grace_us})
-    node.core.dispatcher.chance = lambda: 1.0 - 1e-9  # the longest rests
+    node.core.dispatcher.random = lambda: 1.0 - 1e-9  # the longest rests
     roster.read()
     when(node, roster)
     moved = peers["moved"] = Peer()
@@ -1004,5 +1008,5 @@
     node.turns(lead_ms=100.0)  # lists come late
     moved.held[0].sendall(answer(listing(1, "leaving")))  # another discovery's versions
     node.turns()
-    assert node.core.dispatcher.endpoint_state[node.core.index["e1"]] is EndpointState.DRAINING
+    assert node.core.dispatcher.endpoint_state[node.core.servers.by_name["e1"]] is EndpointState.DRAINING
     assert node.loop.now() - began < 4000.0 and not any(not ended(sock) for sock in roster.held)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -370,8 +370,8 @@
     yield build
     for store in made:
         store.close()
-        if store.lock is not None:
-            os.close(store.lock)
+        if store.lock_fd is not None:
+            os.close(store.lock_fd)
 
 
 @pytest.fixture
@@ -437,8 +437,8 @@
     assert wait_for(second_store, "b", []) == [("b", False)]
     first_store.process.kill()
     first_store.process.wait()
-    os.close(first_store.lock)
-    first_store.lock = None
+    os.close(first_store.lock_fd)
+    first_store.lock_fd = None
     until(lambda: second_store.is_success_logged)
     assert set(second_store.taken[0].sent) == {"a"}
     assert on_disk(second_store) == {"a"}
@@ -555,7 +555,7 @@
     directory.close()
     turns = []
     store.begin()
-    while not store.known:
+    while not store.is_loaded:
         turns.append(loop.now())
         loop.turn()
     until(lambda: store.is_success_logged)
@@ -599,17 +599,17 @@
 
     yield made
     for node in nodes:
-        node.busy = True
-        node.memory.keeper.close()
+        node.is_reducing = True
+        node.durable_state.store.close()
         node.loop.finish()
-        if node.memory.keeper.lock is not None:
-            os.close(node.memory.keeper.lock)
+        if node.durable_state.store.lock_fd is not None:
+            os.close(node.durable_state.store.lock_fd)
 
 
 def decided(node, key, marked):
     """Take a payment and return the effects that are asked for at once, and its attempts."""
     request = Request(key, 2, node.loop.now() + 5000.0, idempotency_key=key, may_be_retry=marked)
-    request = replace(request, is_recordable=node.memory.keeper.is_available())
+    request = replace(request, is_recordable=node.durable_state.store.is_available())
     effects = node.core.reduce(node.loop.now(), core.RequestArrived(request))
     return [type(e) for e in effects if type(e) in (core.SendAttempt, core.Reject, core.Fail)]
 
@@ -637,7 +637,7 @@
     # Guards against accepting them before, and counting their time from the end of reading.
     node = live(f"127.0.0.1:{port}")
     assert seen == [errno.ECONNREFUSED]
-    assert node.ready()
+    assert node.is_ready()
 
 
 @pytest.mark.parametrize("started", [0, 1])
@@ -650,43 +650,45 @@
     other = live() if started else None  # two processes started on one folder at once
     held = lock_directory(path) if not started else None
     node = live()
-    assert node.ready()
-    assert not node.memory.keeper.is_available()
+    assert node.is_ready()
+    assert not node.durable_state.store.is_available()
     for _ in range(3):
         assert decided(node, "old", True) == [core.Fail]
         assert decided(node, "new", False) == [core.Reject]
         node.loop.turn()
     if other is not None:
-        number = other.memory.keeper.append(sent("old", far - 1000.0, "gone", far))
-        turned(other, lambda: other.memory.keeper.done >= number)
-        other.memory.keeper.close()
-        os.close(other.memory.keeper.lock)
-        other.memory.keeper.lock = None
+        number = other.durable_state.store.append(sent("old", far - 1000.0, "gone", far))
+        turned(other, lambda: other.durable_state.store.done >= number)
+        other.durable_state.store.close()
+        os.close(other.durable_state.store.lock_fd)
+        other.durable_state.store.lock_fd = None
     else:
         directory = StateDirectory(Disk(path), "node")
         directory.number = 1
         directory.snapshot(form.encode_records([sent("old", far - 1000.0, "gone", far)]), 0.0)
         directory.close()
         os.close(held)
-    turned(node, node.memory.keeper.is_available)
+    turned(node, node.durable_state.store.is_available)
     # The retry is bound to the pod that may have run it, which is gone; what is new goes out.
     assert decided(node, "old", True) == []
-    assert not node.core.untold
-    assert "old" in on_disk(node.memory.keeper)
+    assert not node.core.unavailable_history.last_sent_ms
+    assert "old" in on_disk(node.durable_state.store)
 
 
 def test_a_node_that_lost_its_state_says_so_until_servers_have_forgotten_and_after_a_restart(live):
     for _ in range(2):
         node = live()  # on a folder that nobody began
-        assert node.core.untold  # in its second life by what the first has put on record
-        turned(node, node.memory.keeper.is_available)
+        assert (
+            node.core.unavailable_history.last_sent_ms
+        )  # in its second life by what the first has put on record
+        turned(node, node.durable_state.store.is_available)
         assert decided(node, "old", True) == [core.Fail]
-        ends = max(node.core.untold.values()) + 30000.0
+        ends = max(node.core.unavailable_history.last_sent_ms.values()) + 30000.0
         assert node.core.reduce(ends + 1.0, core.HistoryAvailable("none")) == []
-        assert not node.core.untold_still()
-        node.memory.keeper.close()
-        os.close(node.memory.keeper.lock)
-        node.memory.keeper.lock = None
+        assert not node.core.is_history_incomplete()
+        node.durable_state.store.close()
+        os.close(node.durable_state.store.lock_fd)
+        node.durable_state.store.lock_fd = None
 
 
 # Settings and operators' commands.
--- a/tests/test_stored_by_earlier_programs.py
+++ b/tests/test_stored_by_earlier_programs.py
@@ -11,10 +11,12 @@
 from click.testing import CliRunner
 
 from marlseam.cli.state import group
-from marlseam.cluster.audit_log import added_up
+from marlseam.cluster.audit_log import recover_log
 from marlseam.simhost.__main__ import main
+from marlseam.store.clock_era import ClockEra
+from marlseam.store.disk import Disk
 from marlseam.store.ledger_writer import LedgerWriter
-from marlseam.store.state_directory import ClockEra, Disk, StateDirectory
+from marlseam.store.state_directory import StateDirectory
 
 DATA = Path(__file__).parent / "data"
 ERA = ClockEra("a-start-of-the-machine", 1.0e12)
@@ -51,27 +53,27 @@
 
 def test_a_state_folder_is_opened_whole(state):
     kept = json.loads((DATA / "state.json").read_text())
-    assert plain(state.listed) == kept["list"] and plain(state.turnover) == kept["turnover"]
+    assert plain(state.listed) == kept["list"] and plain(state.departure_rate) == kept["turnover"]
     assert {key: [plain(row) for row in rows] for key, rows in state.sent.items()} == kept["sent"]
     assert state.lost_ms is kept["lost"] is None
 
 
 def test_a_ledger_is_opened_whole(ledger_files):
     kept = json.loads((DATA / "ledger.json").read_text())
-    files = [[file.number, file.before.hex(), file.last.hex(), len(file.entries)] for file in ledger_files]
+    files = [[file.number, file.before.hex(), file.last.hex(), len(file.records)] for file in ledger_files]
     assert files == kept["files"]
-    assert as_kept([plain(entry) for file in ledger_files for entry in file.entries]) == kept["entries"]
+    assert as_kept([plain(entry) for file in ledger_files for entry in file.records]) == kept["entries"]
 
 
 def test_a_ledger_adds_up_to_the_same(ledger_files):
     kept = json.loads((DATA / "ledger.json").read_text())["kept"]
-    found = added_up(entry for file in ledger_files for entry in file.entries)
-    assert plain(found.held) == kept["held"] and plain(found.life) == kept["life"]
-    assert plain(found.acting) == kept["acting"]
+    found = recover_log(entry for file in ledger_files for entry in file.records)
+    assert plain(found.held) == kept["held"] and plain(found.process) == kept["life"]
+    assert plain(found.interval) == kept["acting"]
     assert {id: data.hex() for id, data in found.contents.items()} == kept["contents"]
     promises = {str(n): [p.ballot, p.accepted, p.value] for n, p in found.promises.items()}
     assert as_kept(promises) == kept["promises"]
-    rest = found.bar, found.hand, found.handed_ms, found.ended, found.begun
+    rest = found.votes_barred_up_to, found.operator_override, found.override_ms, found.ended, found.begun
     assert rest == tuple(kept[name] for name in ("bar", "hand", "handed_ms", "ended", "begun"))
 
 
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -23,6 +23,7 @@
 
 from marlseam.decisions import dispatcher
 from marlseam.decisions.types import ListUpdateKind
+from marlseam.net import limits
 from marlseam.net import node as node_module
 from marlseam.net.discovery import OVERDUE
 
@@ -145,7 +146,7 @@
         return self.node.discovery.version
 
     def close(self) -> None:
-        self.node.busy = True
+        self.node.is_reducing = True
         self.node.loop.finish()
         self.service.close()
 
@@ -389,7 +390,7 @@
     one = led(**settings)
     call = one.settle(one.service.asked)
     one.lead(one.failed, 2500.0)
-    assert not one.node.discovery.told
+    assert not one.node.discovery.is_confirmed
     call.sendall(whole(OLD))
     one.settle(lambda: one.version() == 5)
     assert not one.failed()  # it goes on to watch, and nobody calls beside it
@@ -442,7 +443,7 @@
             one.turn()
             one.service.asked()
             open_calls = len(one.node.discovery.overdue) + 1
-            assert open_calls <= 10 < node_module.OWN_SOCKETS / 2
+            assert open_calls <= 10 < limits.OWN_SOCKETS / 2
 
 
 @pytest.mark.parametrize("settings", SETS.values(), ids=SETS)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -194,18 +194,18 @@
 
 
 def hello(node="node", process=1):
-    return form.hello(node, process)
+    return form.encode_hello(node, process)
 
 
 def now_ms():
     return time.time() * 1000.0
 
 
-def sending(key="k", executor="e1", cell=0):
-    return AttemptSent(key, executor, "here", cell, now_ms(), now_ms() + 30000.0)
+def sending(key="k", server="e1", cell=0):
+    return AttemptSent(key, server, "here", cell, now_ms(), now_ms() + 30000.0)
 
 
-WHOLE = form.line({"whole": True})
+WHOLE = form.encode_line({"whole": True})
 SECOND = HOSTS[0] | {"host": "e2", "dial": "127.0.0.1:2", "health": "leaving"}
 PAYMENT = (
     b"POST /payment HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: p1\r\nX-Service-Class: payment\r\n"
@@ -218,12 +218,12 @@
     sock = socket.create_connection(held.getsockname())
     sock.sendall(PAYMENT % repeat)
     turn(node, lambda: node.requests.pending)
-    return node.core.open[next(iter(node.requests.pending))], sock
+    return node.core.open_requests[next(iter(node.requests.pending))], sock
 
 
 @pytest.mark.parametrize(("version", "held_now"), [(41, {"e1", "e2"}), (0, {"e1"})])
 def test_a_new_process_takes_the_newer_list_and_the_sendings(made, old, version, held_now):
-    talk = old(hello(), *form.snapshot(version, [*HOSTS, SECOND], [sending()]))
+    talk = old(hello(), *form.encode_snapshot(version, [*HOSTS, SECOND], [sending()]))
     node = made()
     assert not node.is_ready()
     talk()
@@ -235,12 +235,12 @@
 
 def test_a_retry_goes_where_the_other_process_has_sent_the_first(made, old, held):
     hosts = [*HOSTS, HOSTS[0] | {"host": "e5", "block": 5}]
-    talk = old(hello(), *form.snapshot(2, hosts, [sending(executor="gone", cell=5)]))
+    talk = old(hello(), *form.encode_snapshot(2, hosts, [sending(server="gone", cell=5)]))
     node = made(settings=PAYMENTS)
     talk()
     turn(node, node.is_ready)
     state, sock = pay(node, held)
-    assert [state.fits(node.core.index[name]) for name in ("e1", "e5")] == [False, True]
+    assert [state.is_eligible(node.core.servers.by_name[name]) for name in ("e1", "e5")] == [False, True]
     sock.close()
 
 
@@ -250,11 +250,11 @@
     node = made(settings=PAYMENTS)
     peer = talk()
     turn(node, node.is_ready)
-    peer.sendall(form.sent([sending(executor="e9", cell=5)]))
+    peer.sendall(form.encode_sent([sending(server="e9", cell=5)]))
     for other in node.handover.peers:
         other.task.cancel()  # only what work asks for is read from here on
     state, sock = pay(node, held)
-    assert len(state.attempts) == 1 and not state.fits(node.core.index["e1"])
+    assert len(state.attempts) == 1 and not state.is_eligible(node.core.servers.by_name["e1"])
     sock.close()
 
 
@@ -266,12 +266,12 @@
     began = now_ms() + step_ms
     row = AttemptSent("k", "gone", "here", 5, began, began + 4000.0)
     hosts = [*HOSTS, HOSTS[0] | {"host": "e5", "block": 5}]
-    talk = old(form.line(told), *form.snapshot(2, hosts, [row]))
+    talk = old(form.encode_line(told), *form.encode_snapshot(2, hosts, [row]))
     node = made(settings=PAYMENTS)
     talk()
     turn(node, node.is_ready)
     state, sock = pay(node, held)
-    assert [state.fits(node.core.index[name]) for name in ("e1", "e5")] == [False, True]
+    assert [state.is_eligible(node.core.servers.by_name[name]) for name in ("e1", "e5")] == [False, True]
     ((_, trace),) = node.core.idempotency_records
     assert abs(trace.until_ms - node.loop.now() - 4000.0) < 2000.0
     sock.close()
@@ -286,8 +286,8 @@
     row = sending()
     talk = old(
         hello(),
-        *form.snapshot(2, HOSTS, [row]),
-        form.never(AttemptNeverRan(row.key, row.executor, row.sent_ms)),
+        *form.encode_snapshot(2, HOSTS, [row]),
+        form.encode_never(AttemptNeverRan(row.key, row.server, row.sent_ms)),
     )
     node = made()
     talk()
@@ -299,17 +299,17 @@
     [
         ([], True, "cut"),
         ([hello()], True, "cut"),
-        ([hello(), form.line({"seq": 2, "hosts": HOSTS})[:-9]], True, "cut"),
-        ([form.line({"marlseam": 2, "node": "node", "process": 1})], False, "version"),
+        ([hello(), form.encode_line({"seq": 2, "hosts": HOSTS})[:-9]], True, "cut"),
+        ([form.encode_line({"marlseam": 2, "node": "node", "process": 1})], False, "version"),
         ([hello("other")], False, "foreign"),
         ([hello(), b"{\n"], False, "odd"),
         ([hello(), b"[]\n"], False, "odd"),
-        ([form.line({"whole": True})], False, "odd"),
-        ([hello(), form.line({"sent": [["k", "e1", "here", 0, 1, float("inf")]]})], False, "odd"),
-        ([hello(), form.line({"sent": [["k" * 999, "e1", "here", 0, 1, 2]]})], False, "odd"),
-        ([hello(), form.line({"sent": [[1]]})], False, "odd"),
-        ([hello(), form.line({"hosts": [1], "seq": 1})], False, "odd"),
-        ([hello(), form.line({"hosts": [], "seq": True})], False, "odd"),
+        ([form.encode_line({"whole": True})], False, "odd"),
+        ([hello(), form.encode_line({"sent": [["k", "e1", "here", 0, 1, float("inf")]]})], False, "odd"),
+        ([hello(), form.encode_line({"sent": [["k" * 999, "e1", "here", 0, 1, 2]]})], False, "odd"),
+        ([hello(), form.encode_line({"sent": [[1]]})], False, "odd"),
+        ([hello(), form.encode_line({"hosts": [1], "seq": 1})], False, "odd"),
+        ([hello(), form.encode_line({"hosts": [], "seq": True})], False, "odd"),
         ([hello(), b"x" * 200000], False, "odd"),
         ([hello()], False, "silent"),
     ],
@@ -323,7 +323,7 @@
     talk()
     turn(node, node.is_ready)
     assert f"code={code}" in capsys.readouterr().err
-    assert node.core.untold and set(node.discovery.held) == {"e1"}
+    assert node.core.unavailable_history.last_sent_ms and set(node.discovery.held) == {"e1"}
 
 
 def test_a_marked_retry_is_refused_at_once_where_the_first_may_have_run_untold(made, old, held):
@@ -339,20 +339,20 @@
     assert sock.recv(4096).startswith(b"HTTP/1.1 500 ")
     sock.close()
     state, sock = pay(node, held)
-    assert state.fits(node.core.index["e1"])
+    assert state.is_eligible(node.core.servers.by_name["e1"])
     sock.close()
 
 
-@pytest.mark.parametrize(("last", "known"), [([form.OVER], True), ([], False)])
+@pytest.mark.parametrize(("last", "known"), [([form.GOODBYE_LINE], True), ([], False)])
 def test_one_that_ends_without_saying_so_may_have_sent_what_it_did_not_tell(made, old, capsys, last, known):
     talk = old(hello(), WHOLE, *last)
     node = made(settings=PAYMENTS)
     peer = talk()
     turn(node, node.is_ready)
-    assert not node.core.untold
+    assert not node.core.unavailable_history.last_sent_ms
     peer.close()
     turn(node, lambda: not node.handover.peers)
-    assert ("code=cut" not in capsys.readouterr().err) is known is not node.core.untold_still()
+    assert ("code=cut" not in capsys.readouterr().err) is known is not node.core.is_history_incomplete()
 
 
 def test_one_that_tells_all_late_is_believed(made, old, monkeypatch):
@@ -361,9 +361,9 @@
     node = made(settings=PAYMENTS)
     peer = talk()
     turn(node, node.is_ready)
-    assert node.core.untold_still()
+    assert node.core.is_history_incomplete()
     peer.sendall(WHOLE)
-    turn(node, lambda: not node.core.untold)
+    turn(node, lambda: not node.core.unavailable_history.last_sent_ms)
 
 
 def test_a_process_that_does_not_even_listen_is_told_of(made, tmp_path, capsys):
@@ -380,7 +380,7 @@
             break
     node = made()
     turn(node, node.is_ready)
-    assert "code=silent" in capsys.readouterr().err and node.core.untold
+    assert "code=silent" in capsys.readouterr().err and node.core.unavailable_history.last_sent_ms
     for sock in (full, *calls):
         sock.close()
 
@@ -411,7 +411,7 @@
     own.bind(str(tmp_path / f"marlseam-{os.getpid()}.new"))
     own.close()
     node = made()
-    assert node.is_ready() and not node.core.untold
+    assert node.is_ready() and not node.core.unavailable_history.last_sent_ms
     assert [path.name for path in tmp_path.glob("marlseam-*")] == [f"marlseam-{os.getpid()}.sock"]
 
 
@@ -429,7 +429,7 @@
     refuse(socket.AF_UNIX, errno.ENOSYS)
     node = made()
     assert node.is_ready() and capsys.readouterr().err.count("code=unheard") == 2
-    assert node.core.untold  # what the other knows stays unknown
+    assert node.core.unavailable_history.last_sent_ms  # what the other knows stays unknown
 
 
 def caller(tmp_path):
@@ -458,19 +458,19 @@
 
 def test_a_later_process_is_told_what_there_is_and_what_comes(made, tmp_path):
     node = made(settings=PAYMENTS)
-    node.core.idempotency_records.note(
+    node.core.idempotency_records.add(
         "k8", AttemptRecord("e1", 0, 4, node.loop.now(), node.loop.now() + 9999.0)
     )
     later = caller(tmp_path)
-    rows = [item for raw in told(node, later, b'"whole"') for item in form.read(raw)]
+    rows = [item for raw in told(node, later, b'"whole"') for item in form.parse_line(raw)]
     assert [type(row).__name__ for row in rows] == ["Hello", "ListPart", "AttemptSent", "SnapshotEnd"]
     node.effects.record(
         core.PersistAttempt("9", "k9", AttemptRecord("e1", 0, 4, node.loop.now(), node.loop.now() + 1.0))
     )
-    (row,) = form.read(told(node, later, b"k9")[-1])
-    assert (row.key, row.executor, row.zone, row.cell) == ("k9", "e1", "here", 4)
+    (row,) = form.parse_line(told(node, later, b"k9")[-1])
+    assert (row.key, row.server, row.zone, row.cell) == ("k9", "e1", "here", 4)
     node.effects.record(core.ErasePersisted("k9", "e1", node.loop.now()))
-    assert type(form.read(told(node, later, b"never")[-1])[0]) is AttemptNeverRan
+    assert type(form.parse_line(told(node, later, b"never")[-1])[0]) is AttemptNeverRan
     later.close()
 
 
@@ -482,7 +482,7 @@
 def test_what_a_later_process_is_told_has_the_form_of_53bfa1a(made, tmp_path):
     node = made(settings=PAYMENTS)
     trace = AttemptRecord("e1", 0, 4, node.loop.now(), node.loop.now() + 9999.0)
-    node.core.idempotency_records.note("k8", trace)
+    node.core.idempotency_records.add("k8", trace)
     later = caller(tmp_path)
     lines = told(node, later, b'"whole"')
     node.effects.record(core.PersistAttempt("9", "k9", trace))
@@ -508,7 +508,7 @@
     node = made(settings=PAYMENTS)
     talk()
     turn(node, lambda: node.is_ready() and not node.handover.peers)
-    assert node.discovery.version == 41 and not node.core.untold
+    assert node.discovery.version == 41 and not node.core.unavailable_history.last_sent_ms
     ((key, trace),) = node.core.idempotency_records
     assert (key, trace.server, trace.zone, trace.cell) == ("k1", "e1", 0, 4)
     assert abs(trace.until_ms - node.loop.now() - 9000.0) < 2000.0
@@ -582,14 +582,14 @@
     )
 )
 def test_sendings_come_back_as_they_were_told(rows):
-    raws = list(form.snapshot(1, [], rows))
-    assert [item for raw in raws for item in form.read(raw)] == [*rows, form.SnapshotEnd()]
+    raws = list(form.encode_snapshot(1, [], rows))
+    assert [item for raw in raws for item in form.parse_line(raw)] == [*rows, form.SnapshotEnd()]
 
 
 @given(st.binary(max_size=300))
 def test_no_line_does_more_than_be_refused(raw):
     try:
-        assert isinstance(form.read(raw), list)
+        assert isinstance(form.parse_line(raw), list)
     except form.InvalidLineError as odd:
         assert odd.code in ("odd", "version")
 
