--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -37,7 +37,7 @@
 )
 from marlseam.cluster.audit_log import IntervalBegun as Interval
 from marlseam.cluster.checking import replication_schedules
-from marlseam.cluster.checking.membership_schedules import InjectedFault
+from marlseam.cluster.checking.simulation import InjectedFault
 from marlseam.cluster.membership_codec import Datagram, InvalidMessageError, MemberState
 from marlseam.cluster.membership_codec import DatagramKind as LetterKind
 from marlseam.cluster.replication import messages
@@ -73,8 +73,9 @@
 from marlseam.net.node import Node
 from marlseam.store import file_format as form
 from marlseam.store import ledger_audit as ledgers
-from marlseam.store.ledger_writer import LedgerWriter, first_life
-from marlseam.store.state_directory import Disk, StateDirectory
+from marlseam.store.disk import Disk
+from marlseam.store.ledger_writer import LedgerWriter, create_ledger
+from marlseam.store.state_directory import StateDirectory
 
 NAMES = frozenset("abcdefg")
 LEASE = 15000.0
@@ -121,7 +122,8 @@
 def test_no_schedule_breaks_a_bound(seed, rows):
     # 1287 and 2130 drew other schedules with an earlier random source: these are played below.
     assert (
-        replication_schedules.play(7, seed, replication_schedules.schedule(7, seed), rows=rows).broken == []
+        replication_schedules.play(7, seed, replication_schedules.schedule(7, seed), rows=rows).violations
+        == []
     )
 
 
@@ -146,12 +148,12 @@
 def test_schedules_found_by_earlier_searches_break_no_bound(seed, mark, linear):
     strikes = replication_schedules.schedule(7, seed)
     assert crc32(plain(strikes).encode()) == mark  # two contents of a number; all without a proof
-    assert replication_schedules.play(7, seed, strikes, rows=0).broken == []
+    assert replication_schedules.play(7, seed, strikes, rows=0).violations == []
 
 
 def test_without_faults_all_publications_are_chosen_and_applied():
     found = replication_schedules.play(7, 0, [])
-    assert found.broken == [] and found.chosen == 6
+    assert found.violations == [] and found.chosen == 6
 
 
 def test_with_message_loss_all_members_apply_the_newest_version():
@@ -284,15 +286,15 @@
 def test_a_planted_defect_is_found(replica_type, seed):
     strikes = replication_schedules.schedule(7, seed) if isinstance(seed, int) else seed
     number = seed if isinstance(seed, int) else 9
-    assert replication_schedules.play(7, number, strikes, replica_type, rows=0).broken
-    assert replication_schedules.play(7, number, strikes, rows=0).broken == []
+    assert replication_schedules.play(7, number, strikes, replica_type, rows=0).violations
+    assert replication_schedules.play(7, number, strikes, rows=0).violations == []
 
 
 @pytest.mark.parametrize(("replica_type", "seed"), [(NoLease, 18), (NeverFinishes, 57), (FirstVoters, 3)])
 def test_a_planted_defect_is_found_where_deltas_are_sent_too(replica_type, seed):
     strikes = replication_schedules.schedule(7, seed)
-    assert replication_schedules.play(7, seed, strikes, replica_type).broken
-    assert replication_schedules.play(7, seed, strikes).broken == []
+    assert replication_schedules.play(7, seed, strikes, replica_type).violations
+    assert replication_schedules.play(7, seed, strikes).violations == []
 
 
 # One replica_type.
@@ -602,7 +604,7 @@
 def folder(tmp_path):
     """Return a ledger's folder with two files of a node's life."""
     path = tmp_path / "n"
-    first_life(path, "n")
+    create_ledger(path, "n")
     ledger = LedgerWriter(Disk(path), "n")
     ledger.renew()
     ledger.append(
@@ -663,7 +665,7 @@
 def test_a_record_left_out_breaks_the_chain(folder):
     path = max(folder.glob("ledger-*"))
     data = path.read_bytes()
-    ends = [end for end, _ in form.payloads(data)]
+    ends = [end for end, _ in form.iterate_payloads(data)]
     path.write_bytes(data[: ends[-3]] + data[ends[-2] :])
     assert "chain" in {f.code for f in loaded(folder)[1].findings}
 
@@ -705,7 +707,7 @@
 
 
 def test_ledgers_are_bounded(folder, monkeypatch):
-    monkeypatch.setattr("marlseam.store.ledger_writer.FILES", 3)
+    monkeypatch.setattr("marlseam.store.ledger_writer.MAX_LEDGER_FILES", 3)
     _, ledger = loaded(folder)
     for _ in range(6):
         ledger.renew()
@@ -847,23 +849,23 @@
         sock.close()
     found = {}
     for i, name in enumerate("abc"):
-        first_life(tmp_path / name, name)
+        create_ledger(tmp_path / name, name)
         settings = ClusterSettings(
             "f", members, 20.0, str(tmp_path / name), tuple("abc"), 300.0, True, 3000.0
         )
         stage = Stage()
         found[name] = MembershipService(loop, Log(name, loop.now), settings, name, i, stage.port()), stage
-        found[name][0].acting.load()
-        found[name][0].acting.start()
+        found[name][0].config_service.load()
+        found[name][0].config_service.start()
     yield found
     for peers, _ in found.values():
         peers.close()
-        os.close(peers.acting.ledger.lock)
+        os.close(peers.config_service.ledger.lock_fd)
 
 
 def test_three_nodes_agree_on_a_version_apply_it_and_record_it_in_their_ledgers(fleet, until, tmp_path):
     until(lambda: all(stage.serving for _, stage in fleet.values()))
-    first = fleet["a"][0].acting
+    first = fleet["a"][0].config_service
     assert first.may_accept()
     first.actions.count(Action.TAKEN)
     order = first.stamp_attempt()
@@ -872,13 +874,13 @@
     changed = dict(OPTIONS) | {"note": 1}
     status, text = first.publish(json.dumps({"settings": changed, "why": "try"}).encode())
     assert status == 202, text
-    until(lambda: all(peers.acting.replica.applied_number == 1 for peers, _ in fleet.values()))
+    until(lambda: all(peers.config_service.replica.applied_number == 1 for peers, _ in fleet.values()))
     assert all(settings_digest(stage.settings) == settings_digest(changed) for _, stage in fleet.values())
     assert first.publish(json.dumps({"settings": changed, "why": "again"}).encode())[0] == 409
     said = json.loads(fleet["b"][0].status())["acting"]
     assert (said["acting"], said["serving"], said["local"]) == (1, True, False)
     for peers, _ in fleet.values():
-        peers.acting.close()
+        peers.config_service.close()
     found = ledgers.read([tmp_path / name for name in "abc"], 50.0)
     assert found.findings == [] and list(found.first_held_ms) == [1] and len(found.first_held_ms[1]) == 1
     assert sum(row["sent"] for row in audit.rows(found, node="a")) == 1
@@ -903,12 +905,17 @@
 
 def test_nodes_on_sockets_receive_a_version_as_deltas_and_store_the_whole(fleet, until, tmp_path):
     until(lambda: all(stage.serving for _, stage in fleet.values()))
-    first, rows = fleet["a"][0].acting, {f"team-{i}": {"quota": i, "urgent": False} for i in range(200)}
+    first, rows = (
+        fleet["a"][0].config_service,
+        {f"team-{i}": {"quota": i, "urgent": False} for i in range(200)},
+    )
 
     def publish(number, teams):
         body = {"settings": OPTIONS | {"teams": teams}, "why": f"change {number}"}
         assert first.publish(json.dumps(body).encode())[0] == 202
-        until(lambda: all(peers.acting.replica.applied_number == number for peers, _ in fleet.values()))
+        until(
+            lambda: all(peers.config_service.replica.applied_number == number for peers, _ in fleet.values())
+        )
         until(lambda: not first.replica.publisher.publication)
 
     publish(1, rows)
@@ -917,7 +924,7 @@
     told = {name: json.loads(peers.status())["acting"] for name, (peers, _) in fleet.items()}
     for name in "bc":
         assert told[name]["contents"]["whole"] == 1 and told[name]["contents"]["chains"] == 2
-        replica = fleet[name][0].acting.replica
+        replica = fleet[name][0].config_service.replica
         assert digest(replica.store.contents[replica.content_id]) == replica.content_id
         assert fleet[name][1].settings["teams"]["team-7"]["quota"] == 1003
         assert told[name]["meaning"] == settings_digest(fleet[name][1].settings)
@@ -928,10 +935,10 @@
 
 def test_a_node_whose_lease_has_ended_accepts_and_sends_nothing(fleet, until):
     until(lambda: all(stage.serving for _, stage in fleet.values()))
-    acting, stage = fleet["a"][0].acting, fleet["a"][1]
+    acting, stage = fleet["a"][0].config_service, fleet["a"][1]
     for name in "bc":
-        fleet[name][0].acting.replica.next_ms = inf
-        fleet[name][0].send = fleet[name][0].acting.send = lambda to, data: None
+        fleet[name][0].config_service.replica.next_ms = inf
+        fleet[name][0].send = fleet[name][0].config_service.send = lambda to, data: None
     until(lambda: not acting.may_accept())
     assert (
         acting.stamp_attempt().stamp_if_serving() == ""
@@ -952,15 +959,17 @@
     ],
 )
 def test_a_request_that_cannot_be_published_is_rejected_at_once(fleet, body, what):
-    status, text = fleet["a"][0].acting.publish(body)
-    assert status == 400 and what in text and fleet["a"][0].acting.replica.publisher.publication is None
+    status, text = fleet["a"][0].config_service.publish(body)
+    assert (
+        status == 400 and what in text and fleet["a"][0].config_service.replica.publisher.publication is None
+    )
     fleet["a"][1].fault = "settings.dcs: 3, expected a list of names"
-    status, text = fleet["a"][0].acting.publish(b'{"settings": {}, "why": "w"}')
+    status, text = fleet["a"][0].config_service.publish(b'{"settings": {}, "why": "w"}')
     assert status == 400 and "settings.dcs" in text
 
 
 def test_an_operators_override_shuts_a_node_out_and_brings_it_back(fleet, until):
-    acting, stage = fleet["a"][0].acting, fleet["a"][1]
+    acting, stage = fleet["a"][0].config_service, fleet["a"][1]
     until(lambda: stage.serving)
     assert acting.override_by_operator("sick")[0] == 202 and acting.override_by_operator("")[0] == 400
     until(lambda: stage.serving is False)
@@ -1003,7 +1012,7 @@
         "settings": OPTIONS,
     }
     path.write_text(json.dumps(values))
-    first_life(tmp_path / "ledger", "n")
+    create_ledger(tmp_path / "ledger", "n")
     own.write_text(
         f'[fleet]\nname = "f"\nperiod_ms = 20\nfolder = "{tmp_path}/ledger"\nvoters = ["n"]\n'
         f'[fleet.members]\nn = "{address}"\n'
@@ -1015,10 +1024,10 @@
         return made[-1]
 
     def stop(node):
-        node.busy = True
-        node.peers.close()
+        node.is_reducing = True
+        node.membership.close()
         node.loop.finish()
-        os.close(node.acting.ledger.lock)
+        os.close(node.config_service.ledger.lock_fd)
 
     yield start, stop, path
     for node in made[-1:]:
@@ -1036,10 +1045,10 @@
 def test_a_node_applies_a_published_version_after_a_restart_and_refuses_a_local_file(single, capsys):
     start, stop, path = single
     node = start()
-    turned(node, lambda: node.acting.serving_status.is_serving)
+    turned(node, lambda: node.config_service.serving_status.is_serving)
     settings = json.loads(json.dumps(OPTIONS))
     settings["requestClasses"][0]["aimUs"] = 777000.0
-    node.acting.publish(json.dumps({"settings": settings, "why": "slower"}).encode())
+    node.config_service.publish(json.dumps({"settings": settings, "why": "slower"}).encode())
     turned(node, lambda: node.config.deployment.settings.request_classes[0].latency_objective_ms == 777.0)
     node.reload()  # the file says what it said
     assert node.config.deployment.settings.request_classes[0].latency_objective_ms == 777.0
@@ -1048,18 +1057,18 @@
     node = start()
     assert (
         node.config.deployment.settings.request_classes[0].latency_objective_ms == 777.0
-        and node.acting.replica.applied_number == 1
+        and node.config_service.replica.applied_number == 1
     )
 
 
 def test_a_node_shut_out_by_an_override_cannot_be_put_in_service_otherwise(single):
     start, _, _ = single
     node = start()
-    turned(node, lambda: node.acting.serving_status.is_serving)
-    node.acting.override_by_operator("sick")
-    turned(node, lambda: not node.acting.serving_status.is_serving)
-    assert not node.ready() and node.outs == {"fleet"}
-    assert node.enter_service("operator")[1].startswith("still out of service by fleet")
+    turned(node, lambda: node.config_service.serving_status.is_serving)
+    node.config_service.override_by_operator("sick")
+    turned(node, lambda: not node.config_service.serving_status.is_serving)
+    assert not node.is_ready() and node.service.out_of_service_by == {"fleet"}
+    assert node.service.enter("operator")[1].startswith("still out of service by fleet")
 
 
 def test_a_later_process_of_a_node_serves_at_once_and_takes_over_ledger_and_votes(
@@ -1068,8 +1077,8 @@
     # Both act, and the audit shows the actions of each, none twice or missing.
     until(lambda: all(stage.serving for _, stage in fleet.values()))
     peers, stage = fleet["a"][0], Stage()
-    old, port = peers.acting, stage.port()
-    port.beside = True
+    old, port = peers.config_service, stage.port()
+    port.may_write_beside = True
     new = ConfigVersionService(
         loop,
         Log("new", loop.now),
@@ -1089,13 +1098,13 @@
         acting.actions.count(Action.TAKEN)
     until(lambda: not new.actions.pending_counts and not new.actions.changed_intervals)
     old.close()
-    os.close(old.ledger.lock)
+    os.close(old.ledger.lock_fd)
     until(lambda: new.node_ledger.main is None)
     assert new.replica.voter.may_vote(1)
     new.actions.count(Action.TAKEN)
-    until(lambda: new.ledger.serves() and not new.actions.pending_records)
+    until(lambda: new.ledger.is_available() and not new.actions.pending_records)
     new.close()
-    old.ledger.lock, new.ledger.lock = new.ledger.lock, None
+    old.ledger.lock_fd, new.ledger.lock_fd = new.ledger.lock, None
     found = ledgers.read([tmp_path / "a"], 50.0)
     assert found.findings == [] and [process.ended for process in found.processes["a"]] == [True, True]
     taken = [sum(row.counts[0] for row in process.intervals.values()) for process in found.processes["a"]]
@@ -1119,7 +1128,7 @@
 
     def publish(**more):
         body = json.dumps({"settings": settings, "why": "w"} | more).encode()
-        return a.acting.publish(body)
+        return a.config_service.publish(body)
 
     addresses = json.loads(a.status())["addresses"]
     two_more = addresses | {"d": "127.0.0.1:9", "e": "127.0.0.1:8"}
@@ -1130,20 +1139,20 @@
     members = addresses | {"d": "{}:{}".format(*address)}
     assert publish(members=members)[0] == 202
     until(lambda: all("d" in peers.machine.members for peers, _ in fleet.values()))
-    first_life(tmp_path / "d", "d")
+    create_ledger(tmp_path / "d", "d")
     joining = ClusterSettings(
         "f", a.settings.members | {"d": address}, 20.0, str(tmp_path / "d"), tuple("abc"), 300.0, True, 3000.0
     )
     stage = Stage()
     fleet["d"] = MembershipService(loop, Log("d", loop.now), joining, "d", 4, stage.port()), stage
-    fleet["d"][0].acting.load()
-    fleet["d"][0].acting.start()
-    until(lambda: stage.serving and fleet["d"][0].acting.replica.applied_number == 1)
-    until(lambda: not a.acting.replica.publisher.publication)
+    fleet["d"][0].config_service.load()
+    fleet["d"][0].config_service.start()
+    until(lambda: stage.serving and fleet["d"][0].config_service.replica.applied_number == 1)
+    until(lambda: not a.config_service.replica.publisher.publication)
     assert publish(members={n: x for n, x in members.items() if n != "d"}, why="too many")[0] == 202
     until(lambda: all("d" not in peers.machine.members for n, (peers, _) in fleet.items() if n != "d"))
-    until(lambda: fleet["d"][0].acting.serving_status.code == "removed" and not stage.serving)
-    assert a.machine.heard(loop.now(), LETTER) == []
+    until(lambda: fleet["d"][0].config_service.serving_status.code == "removed" and not stage.serving)
+    assert a.machine.receive(loop.now(), LETTER) == []
 
 
 LETTER = Datagram(1, "f", "d", MemberState(0, 1, 0), LetterKind.PING, 1, "")
@@ -1164,7 +1173,7 @@
     state = StateDirectory(Disk(tmp_path / "state"), "n")
     (tmp_path / "state").mkdir()
     state.snapshot([], 0.0)
-    state.append([form.frame(form.AttemptSent("key-1", "pod-3", "here", 1, 1200.0, 9e15))], True)
+    state.append([form.encode_record(form.AttemptSent("key-1", "pod-3", "here", 1, 1200.0, 9e15))], True)
     state.close()
     words = ["audit", str(folder), "--store", str(tmp_path / "state"), "--unit"]
     told = CliRunner().invoke(command.group, [*words, "key-1"]).output
@@ -1177,15 +1186,17 @@
     own = path.with_name("own.toml")
     own.write_text(own.read_text().replace('voters = ["n"]', 'voters = ["n"]\nlocal = "allow"'))
     node = start()
-    turned(node, lambda: node.acting.serving_status.is_serving)
+    turned(node, lambda: node.config_service.serving_status.is_serving)
     settings = json.loads(json.dumps(OPTIONS))
     settings["requestClasses"][0]["aimUs"] = 777000.0
-    node.acting.publish(json.dumps({"settings": settings, "why": "slower"}).encode())
-    turned(node, lambda: node.acting.replica.applied_number == 1)
-    before = node.acting.actions.interval.interval
+    node.config_service.publish(json.dumps({"settings": settings, "why": "slower"}).encode())
+    turned(node, lambda: node.config_service.replica.applied_number == 1)
+    before = node.config_service.actions.interval.interval
     node.reload()
-    node.acting.refresh()
-    assert node.acting.status()["local"] and node.acting.actions.interval.interval == before + 1
+    node.config_service.refresh()
+    assert (
+        node.config_service.status()["local"] and node.config_service.actions.interval.interval == before + 1
+    )
 
 
 @pytest.mark.parametrize(
