--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -8,7 +8,6 @@
 from pathlib import Path
 
 import pytest
-from marlseam.world.chance import stream
 from worlds import day, played
 
 from marlseam.experiment.processes import Process
@@ -20,6 +19,7 @@
 from marlseam.load.verdict import merge, table
 from marlseam.records import Answered, End, Tried, Writer
 from marlseam.world import plan
+from marlseam.world.chance import stream
 
 ONE = {"fleet": {"zones": ["east"], "nodes": 1, "kinds": [{"name": "k", "executors": 1}]}}
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1104,7 +1104,7 @@
     new.actions.count(Action.TAKEN)
     until(lambda: new.ledger.is_available() and not new.actions.pending_records)
     new.close()
-    old.ledger.lock_fd, new.ledger.lock_fd = new.ledger.lock, None
+    old.ledger.lock_fd, new.ledger.lock_fd = new.ledger.lock_fd, None
     found = ledgers.read([tmp_path / "a"], 50.0)
     assert found.findings == [] and [process.ended for process in found.processes["a"]] == [True, True]
     taken = [sum(row.counts[0] for row in process.intervals.values()) for process in found.processes["a"]]
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -13,13 +13,13 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from marlseam.world.chance import stream
 from worlds import day, played
 
 from marlseam.core import EndpointEntry
 from marlseam.decisions.types import EndpointState
 from marlseam.records import ENCODER
 from marlseam.world import plan, troubles
+from marlseam.world.chance import stream
 from marlseam.world.clients import Client, Front
 from marlseam.world.executor import FaultEffects, Server
 from marlseam.world.job import GroupMemory, Job
