--- a/examples/members.py
+++ b/examples/members.py
@@ -22,7 +22,7 @@
 from uuid import uuid4
 
 from marlseam.store.ledger_writer import create_ledger
-from marlseam.world.model import Day, Fleet, Kind, Type, settings
+from marlseam.world.model import Day, Fleet, Kind, Type, node_settings
 
 NODES = 7
 VOTERS = ["n0", "n1", "n2"]
@@ -73,7 +73,7 @@
         "listen": nodes[name].listen,
         "admin": nodes[name].admin,
         "discovery": DISCOVERY,
-        "settings": settings(DAY, "here"),
+        "settings": node_settings(DAY, "here"),
     }
     path = folder / f"{name}.json"
     path.write_text(json.dumps(configuration))
--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -10,7 +10,7 @@
 
 import click
 
-from marlseam.cli.door import ask
+from marlseam.cli.door import fleet_status
 from marlseam.cli.tables import table
 from marlseam.cluster import audit as auditing
 from marlseam.cluster.audit_log import ACTS, IntervalBegun
@@ -154,7 +154,7 @@
 def read_ledgers(folders: tuple[Path, ...], address: str | None, error_ms: float) -> auditing.Audit:
     """Return the audit of some folders, and of the ledger of the node at an address."""
     if address is not None:
-        folder = ask(address).get("acting", {}).get("ledger")
+        folder = fleet_status(address).get("acting", {}).get("ledger")
         if folder is None or not Path(folder).is_dir():
             raise click.ClickException(f"{address}: a node with a ledger on this machine was expected")
         folders = (*folders, Path(folder))
--- a/marlseam/cli/door.py
+++ b/marlseam/cli/door.py
@@ -37,7 +37,3 @@
         raise click.ClickException(f"{address}: {status}, a node with a door and a fleet was expected")
     found: dict[str, Any] = json.loads(body)
     return found
-
-
-# A name that other packages still use.
-ask = fleet_status
--- a/marlseam/cli/experiment.py
+++ b/marlseam/cli/experiment.py
@@ -43,7 +43,7 @@
     """
     from marlseam.experiment import file, measures, plays
     from marlseam.experiment.processes import Failed
-    from marlseam.load.trace import BadTrace
+    from marlseam.load.errors import TraceError
 
     measures.register()
     try:
@@ -55,7 +55,7 @@
         }
         experiment.head = msgspec.structs.replace(experiment.head, **changes)
         code, missed = plays.run(experiment, out, common.progress)
-    except (file.FileError, BadTrace) as error:
+    except (file.FileError, TraceError) as error:
         fail(error)
     except Failed as error:
         click.echo(f"marlseam: {error}; logs are in {out / 'logs'}", err=True)
--- a/marlseam/cli/fleet.py
+++ b/marlseam/cli/fleet.py
@@ -14,7 +14,7 @@
 import click
 
 from marlseam.cli.audit import audit
-from marlseam.cli.door import ask, call
+from marlseam.cli.door import call, fleet_status
 from marlseam.cli.tables import table
 from marlseam.store.errors import code_of
 from marlseam.store.ledger_writer import create_ledger
@@ -51,7 +51,7 @@
 @click.option("--json", "raw", is_flag=True, help="Print what the nodes say, a line each.")
 def status(addresses: tuple[str, ...], *, raw: bool) -> None:
     """Say who is there, as one node holds it or several do; ends with 1 where any holds one as not here."""
-    statuses = [ask(address) for address in addresses]
+    statuses = [fleet_status(address) for address in addresses]
     for node_status in statuses:
         if raw:
             click.echo(json.dumps(node_status))
@@ -166,13 +166,13 @@
         "voters": voters.split(",") if voters else None,
     }
     if added or removed:
-        members = dict(ask(address)["addresses"])
+        members = dict(fleet_status(address)["addresses"])
         members |= dict(text.partition("=")[::2] for text in added)
         body["members"] = {name: at for name, at in members.items() if name not in removed}
     post(address, "/control/fleet/publish", json.dumps(body).encode())
     deadline_s = time.monotonic() + wait_s
     while time.monotonic() < deadline_s:
-        result = ask(address)["acting"]["publication"]
+        result = fleet_status(address)["acting"]["publication"]
         if result != "open":
             click.echo(result)
             sys.exit(0 if result.startswith("version") else 1)
@@ -199,7 +199,7 @@
 
 def post_to_node(node: str, address: str, path: str, why: str) -> None:
     """Send a command to a node, after a check that the address is its own, and print the answer."""
-    name = ask(address)["by"]
+    name = fleet_status(address)["by"]
     if name != node:
         raise click.ClickException(f"{address} is the door of {name}, {node}'s was expected")
     click.echo(post(address, path, why.encode()).strip())
--- a/marlseam/cli/load.py
+++ b/marlseam/cli/load.py
@@ -47,7 +47,7 @@
     from marlseam.load.generator import Generator, NodePlace
     from marlseam.load.tally import Tally
     from marlseam.load.verdict import merge, table
-    from marlseam.records import Streams
+    from marlseam.records import RecordStreams
     from marlseam.world.chance import stream
 
     _check_addresses(nodes)
@@ -57,7 +57,7 @@
     arrivals = _arrivals(played_day, seed, places)
     if records is not None:
         records.mkdir(parents=True, exist_ok=True)
-    writer = Streams(records, "clients").of("clients")
+    writer = RecordStreams(records, "clients").of("clients")
     generator = Generator(played_day, arrivals, places, writer, stream(seed, "clients"), connections)
 
     def show_progress(now_ms: float, tally: Tally) -> None:
--- a/marlseam/experiment/file.py
+++ b/marlseam/experiment/file.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from marlseam.world.model import Day, Strict, executors, nodes
+from marlseam.world.model import Day, Strict, placed_nodes, placed_servers
 
 
 class FileError(Exception):
@@ -141,7 +141,7 @@
     for names, key in ((types, "day.types"), ([k.name for k in day.fleet.kinds], "day.fleet.kinds")):
         if len(set(names)) < len(names):
             raise FileError(f"{key}: a name comes twice")
-    known = {name for name, *_ in (*executors(day), *nodes(day))} | set(day.fleet.zones)
+    known = {name for name, *_ in (*placed_servers(day), *placed_nodes(day))} | set(day.fleet.zones)
     for i, trouble in enumerate(day.troubles):
         for name in trouble.targets:
             if name not in known:
--- a/marlseam/experiment/fleet.py
+++ b/marlseam/experiment/fleet.py
@@ -51,7 +51,7 @@
 from marlseam.random_source import RandomSource
 from marlseam.standin import clocks
 from marlseam.store.ledger_writer import create_ledger
-from marlseam.world.model import Count, Day, NotNegative, Positive, Share, Strict, nodes, settings
+from marlseam.world.model import Count, Day, NotNegative, Positive, Share, Strict, node_settings, placed_nodes
 
 SAID = re.compile(r"member (\S+) (here|suspect|gone|left) life=(\d+)")
 ACTED = re.compile(r"acts on version (\d+)|(in service)$|fleet code=(\S+): out of service")
@@ -297,7 +297,7 @@
             self.driver.fell(name, fault.for_ms if fault.fault == "kill" else 0.0)
             os.kill(pid, signal.SIGKILL)
         elif fault.fault == "stop":
-            row = records.Node(t=now, by="driver", node=name, state="stopped", until=until)
+            row = records.NodeStateChanged(t=now, by="driver", node=name, state="stopped", until=until)
             self.driver.note(row)
             os.kill(pid, signal.SIGSTOP)
             threading.Timer(fault.for_ms / 1000.0, os.kill, (pid, signal.SIGCONT)).start()
@@ -351,8 +351,8 @@
         """Have a node publish a change, and note what comes of it."""
         now, count = self.driver.now(), len(self.published)
         self.published.append((now, name, "asked"))
-        zone = dict(nodes(self.driver.day))[name]
-        changed = settings(self.driver.day, zone)
+        zone = dict(placed_nodes(self.driver.day))[name]
+        changed = node_settings(self.driver.day, zone)
         changed["requestClasses"][0]["aimUs"] += 1000.0 * (count + 1)
         body = {"settings": changed, "why": f"change {count + 1}"}
         text = self.post(name, "/control/fleet/publish", json.dumps(body).encode())
@@ -402,7 +402,7 @@
     day: Day, seed: int, table: Fleet, out: Path, say: Say, wrong: Callable[[Rig], list[str]]
 ) -> tuple[Rig, list[float]]:
     """Play a day under the rig's faults; return it, and how long after the last one nothing was wrong."""
-    rig = Rig([name for name, _ in nodes(day)], table, seed, out)
+    rig = Rig([name for name, _ in placed_nodes(day)], table, seed, out)
     driver = rig.driver = Sockets(
         day,
         seed,
@@ -688,7 +688,7 @@
     """Measure what membership costs a node: CPU time a work unit and latency, in pairs."""
     table: Cost = experiment.tables["fleet_cost"]
     day, seed = experiment.day, experiment.head.seed
-    names = [name for name, _ in nodes(day)]
+    names = [name for name, _ in placed_nodes(day)]
     arrivals = arrivals_of(day, seed)
     rows = [["pair", "off: CPU a job, ms", "p99, ms", "on: CPU a job, ms", "p99, ms", "CPU on over off"]]
     ratios, found = [], {"rules_broken": 0.0}
--- a/marlseam/experiment/measures.py
+++ b/marlseam/experiment/measures.py
@@ -39,7 +39,7 @@
 from marlseam.judge.service import figures
 from marlseam.load.process import arrivals_of
 from marlseam.load.verdict import Counted, merge
-from marlseam.records import Streams
+from marlseam.records import RecordStreams
 from marlseam.world.model import Count, Day, Positive, Share, Strict
 
 CPUS = 8  # runs side by side
@@ -119,7 +119,7 @@
         "share_off": abs(seen / expected - 1.0),
         "share_over_actual": hidden,
         "latency_p99_actual": counted.actual[99.0],
-        "generator_valid": float(counted.valid),
+        "generator_valid": float(counted.is_valid),
         "lag_p99": counted.lag[99.0],
         "sent": float(counted.sent),
     }
@@ -160,7 +160,7 @@
             counted = against_echo(
                 day, experiment.head.seed, out, processes, processes, table.connections, []
             )
-            good = counted.lag[99.0] < table.lag_ms and counted.valid
+            good = counted.lag[99.0] < table.lag_ms and counted.is_valid
             rows.append(
                 [
                     str(processes),
@@ -224,7 +224,7 @@
                 f"{counted.lag[99.0]:.2f}",
             ]
         )
-        if served < table.in_time or not counted.valid:
+        if served < table.in_time or not counted.is_valid:
             break
         best = rate
         found = {"cpu_ms_a_job": 1000.0 * cpu / jobs, "latency_p99": counted.intended[99.0]}
@@ -332,7 +332,7 @@
     for k in table.times:
         say(f"{k} times the fleet")
         day = times_over(experiment.day, k)
-        streams = Streams(None, "driver")
+        streams = RecordStreams(None, "driver")
         began = time.perf_counter()
         driver = Virtual(day, experiment.head.seed, streams)
         driver.run()
@@ -381,10 +381,10 @@
 
 def one_run(day: Day, seed: int, name: str) -> dict[str, float]:
     """Play one day by one policy; return its figures."""
-    streams = Streams(None, "driver")
+    streams = RecordStreams(None, "driver")
     Virtual(day, seed, streams, POLICIES[name]).run()
     verdict, book = judge([r for w in streams.writers.values() for r in w.kept])
-    broken = {"rules_broken": float(verdict.broken), "judged": float(verdict.judged)}
+    broken = {"rules_broken": float(verdict.violation_count), "judged": float(verdict.is_judged)}
     margins = {"margin_" + rule.name.replace(" ", "_"): rule.margin for rule in verdict.rules}
     return figures(book) | broken | margins
 
--- a/marlseam/experiment/plays.py
+++ b/marlseam/experiment/plays.py
@@ -17,10 +17,11 @@
 from marlseam.experiment import report
 from marlseam.experiment.file import Experiment, FileError, nearest
 from marlseam.experiment.slope import Slope
-from marlseam.judge.book import Book
-from marlseam.judge.rules import Verdict, judge
-from marlseam.judge.service import figures, turnarounds
-from marlseam.records import Record, Streams
+from marlseam.judge.book import RunRecords
+from marlseam.judge.rules import judge
+from marlseam.judge.service import figures, request_outcomes
+from marlseam.judge.verdict import Verdict
+from marlseam.records import Record, RecordStreams
 
 DRIVERS = ("virtual", "sockets")
 EXAMPLES = 5  # breaches shown of each rule
@@ -33,7 +34,7 @@
 
     figures: dict[str, float]
     verdict: Verdict | None = None
-    book: Book | None = None
+    book: RunRecords | None = None
     tables: list[tuple[str, list[list[str]]]] = field(default_factory=list)  # title, and rows with a head
     driver: str = ""
     slopes: list[Slope] = field(default_factory=list)  # drawn in the report, each with its bound
@@ -57,7 +58,7 @@
     """Judge records and count their figures."""
     verdict, book = judge(list(found), wrong)
     counted = figures(book)
-    counted["rules_broken"] = float(verdict.broken)
+    counted["rules_broken"] = float(verdict.violation_count)
     for rule in verdict.rules:
         counted["margin_" + rule.name.replace(" ", "_")] = rule.margin
     return Played(counted, verdict, book, driver=driver)
@@ -75,7 +76,7 @@
         old.unlink()
     (out / "day.json").write_bytes(msgspec.json.encode(day))
     began = time.perf_counter()
-    driver = Virtual(day, seed, Streams(folder, "driver"))
+    driver = Virtual(day, seed, RecordStreams(folder, "driver"))
     driver.run(arrivals_of(day, seed))
     wall = time.perf_counter() - began
     played = judged(*records.read_folder(folder), driver="virtual")
@@ -102,7 +103,7 @@
     (out / "histograms.json").write_bytes(msgspec.json.encode(counts))
     played = judged(*records.read_folder(out / "records"), driver="sockets")
     played.figures |= {
-        "generator_valid": float(counted.valid),
+        "generator_valid": float(counted.is_valid),
         "generator_lag_p99": counted.lag[99.0],
         "node_cpu_s": sum(driver.cpu_s.values()),
     }
@@ -135,15 +136,17 @@
     )
     rows = [["figure", "virtual", "sockets"]]
     rows += [[name, f"{one.figures[name]:.3f}", f"{two.figures[name]:.3f}"] for name in shown]
-    seen = [[(t.kind, tuple(t.targets)) for t in played.book.of(records.Trouble)] for played in (one, two)]
-    verdict = Verdict(two.verdict.rules, one.verdict.missing + two.verdict.missing)
+    seen = [
+        [(t.kind, tuple(t.targets)) for t in played.book.of_type(records.FaultBegan)] for played in (one, two)
+    ]
+    verdict = Verdict(two.verdict.rules, one.verdict.gaps + two.verdict.gaps)
     found = {f"virtual_{name}": value for name, value in one.figures.items()}
     found |= two.figures | {
         "service_apart": abs(one.figures["service"] - two.figures["service"]),
         "rules_broken": one.figures["rules_broken"] + two.figures["rules_broken"],
         "rules_apart": float(
             sum(
-                bool(a.broken) != bool(b.broken)
+                bool(a.violations) != bool(b.violations)
                 for a, b in zip(one.verdict.rules, two.verdict.rules, strict=True)
             )
         ),
@@ -175,9 +178,11 @@
         )
     missed, expected = [], []
     if played.verdict is not None:
-        missed += [f"not judged: {hole}" for hole in played.verdict.missing]
+        missed += [f"not judged: {hole}" for hole in played.verdict.gaps]
         for rule in played.verdict.rules:
-            missed += [f"rule '{rule.name}' broken by {who}: {what}" for who, what in rule.broken[:EXAMPLES]]
+            missed += [
+                f"rule '{rule.name}' broken by {who}: {what}" for who, what in rule.violations[:EXAMPLES]
+            ]
     for name, bound in head.expect.items():
         value = played.figures[name]
         expected.append({"figure": name, "expected": str(bound), "seen": value, "holds": bound.holds(value)})
@@ -215,13 +220,13 @@
     found = []
     for rule in played.verdict.rules:
         examples = [
-            {"who": who, "what": what, "story": played.book.story(first_of(played.book, who))}
-            for who, what in rule.broken[:EXAMPLES]
+            {"who": who, "what": what, "story": played.book.timeline(first_of(played.book, who))}
+            for who, what in rule.violations[:EXAMPLES]
         ]
         found.append(
             {
                 "name": rule.name,
-                "broken": len(rule.broken),
+                "broken": len(rule.violations),
                 "margin": rule.margin,
                 "means": rule.means,
                 "examples": examples,
@@ -230,12 +235,12 @@
     return found
 
 
-def first_of(book: Book, id: str) -> str:
+def first_of(book: RunRecords, id: str) -> str:
     """Return the first try of a try."""
     return book.tries[id].first if id in book.tries else id
 
 
-def units(book: Book) -> list[tuple[str, float, float, float | None]]:
+def units(book: RunRecords) -> list[tuple[str, float, float, float | None]]:
     """Return each work unit's first try, credit, credit earned in time, and turnaround in ms.
 
     For comparing runs.
@@ -247,7 +252,7 @@
             first.credit if took is not None and took <= first.promised else 0.0,
             took,
         )
-        for first, _, took in turnarounds(book)
+        for first, _, took in request_outcomes(book)
     ]
 
 
--- a/marlseam/experiment/ready.py
+++ b/marlseam/experiment/ready.py
@@ -28,7 +28,7 @@
 from marlseam.net.loop import Coroutine, sleep
 from marlseam.net.protocol import LIST_PATH, READY_PATH
 from marlseam.standin.base import Door, Quiet, Stand, reply
-from marlseam.world.model import Count, Day, Fleet, Kind, Positive, Strict, Type, settings
+from marlseam.world.model import Count, Day, Fleet, Kind, Positive, Strict, Type, node_settings
 
 ASK_MS = 20.0  # between two looks of the front whether a node is ready
 MOST_S = 30.0  # after which it is not (STANDING)
@@ -193,7 +193,7 @@
         "discovery": service.door.address,
         "seed": f"{number + 1:x}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "settings": settings(day, "here"),
+        "settings": node_settings(day, "here"),
         "known": service.list if case.listed else {"seq": 0, "whole": True, "hosts": []},
     }
 
--- a/marlseam/experiment/recovering.py
+++ b/marlseam/experiment/recovering.py
@@ -19,17 +19,17 @@
 from marlseam.experiment.plays import Played, Say, play
 from marlseam.experiment.sockets import Sockets
 from marlseam.experiment.virtual import Old, Virtual
-from marlseam.judge.book import Book
+from marlseam.judge.book import RunRecords
 from marlseam.load.process import arrivals_of
 from marlseam.load.verdict import Counted, merge
-from marlseam.records import Streams
+from marlseam.records import RecordStreams
 from marlseam.recovery import saved_list
 from marlseam.standin.disk import FAULTS, OVER, Faults
 from marlseam.store import file_format as form
 from marlseam.store.disk import Disk
 from marlseam.store.state_directory import StateDirectory, create_state
 from marlseam.world.chance import stream
-from marlseam.world.model import Count, Day, NotNegative, Positive, Share, Strict, Trouble, executors
+from marlseam.world.model import Count, Day, NotNegative, Positive, Share, Strict, Trouble, placed_servers
 
 STORE = '[store]\nfolder = "{{folder}}"\nsync = "{sync}"\nwait_ms = 1000\n'
 EFFECTS = "no effect twice"
@@ -72,7 +72,7 @@
         journals[-1].write_bytes(data)
 
 
-def not_on_record(book: Book, day: Day, path: Path, name: str, now: float) -> list[str]:
+def not_on_record(book: RunRecords, day: Day, path: Path, name: str, now: float) -> list[str]:
     """Return the keys that executors took, and still know, of which the node's folder knows nothing.
 
     What the folder says is lost is no such key: the next life takes it as perhaps run.
@@ -82,11 +82,15 @@
         return []
     memory = {type.name: type.memory_ms for type in day.types if type.effect == "receipted"}
     found = []
-    for id, sends in book.took.items():
+    for id, sends in book.attempts.items():
         tried = book.tries.get(id)
         if tried is None or tried.receipt is None or tried.receipt in state.sent:
             continue
-        ran = [t for t in sends if not any(isinstance(e, records.Refused) for e in book.ends.get(id, ()))]
+        ran = [
+            t
+            for t in sends
+            if not any(isinstance(e, records.AttemptRefused) for e in book.attempt_ends.get(id, ()))
+        ]
         if any(now - t.t < memory.get(tried.type, 0.0) - READING_MS for t in ran):
             found.append(tried.receipt)
     return found
@@ -119,9 +123,11 @@
     missing = [
         key for name in driver.nodes for key in not_on_record(book, day, out / "state" / name, name, now)
     ]
-    twice = [what for rule in played.verdict.rules if rule.name == EFFECTS for what in rule.broken]
+    twice = [what for rule in played.verdict.rules if rule.name == EFFECTS for what in rule.violations]
     keyed = {tried.id for tried in book.tries.values() if tried.receipt is not None}
-    refused = sum(r.how in ("deferred", "aborted") and r.id in keyed for r in book.of(records.Answered))
+    refused = sum(
+        r.how in ("deferred", "aborted") and r.id in keyed for r in book.of_type(records.TryAnswered)
+    )
     found = {
         "repeats": float(len(twice)),
         "missing": float(len(missing)),
@@ -172,8 +178,8 @@
     for name, own in (("on", STORE.format(sync=table.sync)), ("off", "")):
         say(f"store {name}")
         played, _, _ = on_sockets(day, head.seed, out / f"store-{name}", own=own)
-        twice = [what for rule in played.verdict.rules if rule.name == EFFECTS for what in rule.broken]
-        lost = sum(r.how == "lost" for r in played.book.of(records.Answered))
+        twice = [what for rule in played.verdict.rules if rule.name == EFFECTS for what in rule.violations]
+        lost = sum(r.how == "lost" for r in played.book.of_type(records.TryAnswered))
         found |= {f"{name}_repeats": float(len(twice)), f"{name}_lost": float(lost)}
         found[f"{name}_service"] = played.figures["service"]
         rows.append(
@@ -214,7 +220,7 @@
 
     Those that live, some that are gone, and some whose address is another's now.
     """
-    live = executors(day)
+    live = placed_servers(day)
     total = len(live) / (1.0 - table.gone - table.reused)
     rows = []
     for name, kind, _, zone, cell in live:
@@ -256,7 +262,7 @@
     own = STORE.format(sync="durable")
     played, _, driver = on_sockets(troubled, head.seed, out / "down", own=own, prepare=prepare)
     back = 1000.0 * table.down_s
-    calls = played.book.of(records.Called)
+    calls = played.book.of_type(records.EndpointListCalled)
     after = {}
     for call in calls:
         if call.served and call.t >= back:
@@ -286,7 +292,7 @@
 
 def one_start(day: Day, seed: int, old: Old | None) -> dict[str, float]:
     """Play one day in virtual time from an old list; return its figures."""
-    streams = Streams(None, "driver")
+    streams = RecordStreams(None, "driver")
     Virtual(day, seed, streams, old=old).run()
     return plays.judged((r for w in streams.writers.values() for r in w.kept), [], "virtual").figures
 
@@ -297,7 +303,7 @@
     An address that is another's now counts as gone.
     """
     day, seed = experiment.day, experiment.head.seed
-    total = len(executors(day)) / (1.0 - table.gone - table.reused)
+    total = len(placed_servers(day)) / (1.0 - table.gone - table.reused)
     old = Old(
         round(total * (table.gone + table.reused)),
         saved_list.entry_doubt(1000.0 * table.age_s, saved_list.DepartureRate()),
--- a/marlseam/experiment/report.py
+++ b/marlseam/experiment/report.py
@@ -7,9 +7,9 @@
 import numpy as np
 
 from marlseam.experiment.slope import Slope
-from marlseam.judge.book import Book
-from marlseam.judge.service import turnarounds
-from marlseam.records import Took, Trouble
+from marlseam.judge.book import RunRecords
+from marlseam.judge.service import request_outcomes
+from marlseam.records import AttemptReceived, FaultBegan
 
 WIDTH, HEIGHT, LEFT, BOTTOM, TOP = 940, 270, 64, 26, 52
 LANES = 4  # of the names of troubles, above a chart
@@ -75,7 +75,7 @@
                 f'<text x="{self.x(t):.1f}" y="{HEIGHT - 8}" text-anchor="middle">{t:g} s</text>'
             )
 
-    def bands(self, troubles: list[Trouble]) -> None:
+    def bands(self, troubles: list[FaultBegan]) -> None:
         """Draw troubles."""
         for i, trouble in enumerate(troubles):
             a, b = self.x(trouble.t / 1000.0), self.x(trouble.until / 1000.0)
@@ -127,9 +127,9 @@
     )
 
 
-def charts(book: Book) -> str:
+def charts(book: RunRecords) -> str:
     """Draw arrivals and answers, latencies, and each executor's work."""
-    rows, troubles = turnarounds(book), book.of(Trouble)
+    rows, troubles = request_outcomes(book), book.of_type(FaultBegan)
     if not rows:
         return ""
     last = max([first.intended for first, _, _ in rows] + [t.until for t in troubles])
@@ -165,9 +165,9 @@
     return "\n".join(parts)
 
 
-def work(book: Book, seconds: int) -> str:
+def work(book: RunRecords, seconds: int) -> str:
     """Draw what each executor took: a row each, darker where more came."""
-    took = book.of(Took)
+    took = book.of_type(AttemptReceived)
     names = sorted({row.by for row in took})[:120]
     if not names:
         return ""
@@ -250,7 +250,7 @@
     return f"<h2>{escape(title)}</h2>{shown}{drawing(HEIGHT, title, parts)}"
 
 
-def page(summary: dict, book: Book | None, slopes: Sequence[Slope] = ()) -> str:
+def page(summary: dict, book: RunRecords | None, slopes: Sequence[Slope] = ()) -> str:
     """Return the whole report of a run."""
     good = summary["code"] == 0
     word = "all that was expected holds" if good else "something was missed"
--- a/marlseam/experiment/size.py
+++ b/marlseam/experiment/size.py
@@ -25,7 +25,7 @@
 from marlseam.experiment.file import FileError
 from marlseam.experiment.processes import Failed, Process
 from marlseam.experiment.slope import Slope
-from marlseam.world.model import Day, Fleet, Kind, Type, settings
+from marlseam.world.model import Day, Fleet, Kind, Type, node_settings
 
 # What the operators plan for (docs/CAPACITY.md), and what one node may spend on control.
 FULL = 21000  # workers
@@ -237,7 +237,7 @@
         "seed": f"{seed:x}",
         "limits": {"memory_mb": 192, "sockets": 1024},
         "known": {"seq": 0, "whole": True, "hosts": []},
-        "settings": settings(day, ZONES[0]),
+        "settings": node_settings(day, ZONES[0]),
     }
 
 
--- a/marlseam/experiment/size_cold.py
+++ b/marlseam/experiment/size_cold.py
@@ -24,9 +24,9 @@
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import Played, Say, play
 from marlseam.experiment.virtual import Flight, Host, Seat, Virtual
-from marlseam.records import Streams, Writer
+from marlseam.records import RecordStreams, StreamWriter
 from marlseam.world.chance import stream
-from marlseam.world.clients import Front
+from marlseam.world.clients import FrontLoadBalancer
 from marlseam.world.model import (
     Count,
     Day,
@@ -37,7 +37,7 @@
     Strict,
     Trouble,
     Type,
-    settings,
+    node_settings,
 )
 
 WORKERS = 4  # processes that play at a time
@@ -64,41 +64,41 @@
     executors_a_node: Share = 1.0  # over those of the file, for fleets larger than the first
 
 
-class Muted(Writer):
+class Muted(StreamWriter):
     """Keeps nothing."""
 
     def add(self, record: records.Record) -> None:
         """Drop a record."""
 
 
-class Quiet(Streams):
+class Quiet(RecordStreams):
     """Writers that keep nothing: a long play of hundreds of nodes would fill the memory."""
 
-    def of(self, by: str) -> Writer:
+    def of(self, by: str) -> StreamWriter:
         """Return a writer that keeps nothing."""
         return self.writers.setdefault(by, Muted(by, self.system, None, self.rules))
 
 
-class Uneven(Front):
+class Uneven(FrontLoadBalancer):
     """Deals by parts: a node may get several times the mean."""
 
-    def __init__(self, front: Front, seed: int) -> None:
+    def __init__(self, front: FrontLoadBalancer, seed: int) -> None:
         super().__init__(front.by_zone, front.notice_ms)
         self.chance, self.parts = stream(seed, "front"), {}
         for zone, names in front.by_zone.items():
             drawn = [stream(seed, "part", name).lognormal(0.0, UNEVEN) for name in names]
             self.parts[zone] = np.cumsum(drawn) / sum(drawn)
 
-    def deal(self, zone: str, now: float) -> tuple[str, bool]:
+    def pick_node(self, zone: str, now: float) -> tuple[str, bool]:
         """Return a node drawn by its part, or the next that is not noticed as down."""
         names = self.by_zone[zone]
         first = min(int(np.searchsorted(self.parts[zone], self.chance.random())), len(names) - 1)
         for i in range(len(names)):
             name = names[(first + i) % len(names)]
-            since = self.down.get(name)
+            since = self.down_since_by_node.get(name)
             if since is None or now - since < self.notice_ms:
                 return name, since is None
-        return names[first], names[first] not in self.down
+        return names[first], names[first] not in self.down_since_by_node
 
 
 class Ramp(Virtual):
@@ -120,27 +120,27 @@
 
     def seat(self, name: str, zone: str) -> Seat:
         """Make a node's place with the settings that it is told."""
-        return Seat(name, zone, deployment_from(settings(self.told, zone)), self.make_core())
+        return Seat(name, zone, deployment_from(node_settings(self.told, zone)), self.make_core())
 
     def budget(self, host: Host, t: float) -> float:
         """Return how many work units of mean size the settings allow a host in their window at a time."""
         kind, rules = host.executor.kind, self.day.rules
-        rate = kind.slots * kind.speed * host.executor.warmth(t)
+        rate = kind.slots * kind.speed * host.executor.speed_share(t)
         return rules.fall_multiple * rate * rules.fall_ms / self.mean
 
     def deliver(self, flight: Flight) -> None:
         """Take into account what comes to a cold executor."""
         host, executor = flight.host, flight.host.executor
-        came = flight.written and flight.open and self.hears(flight.node, host) and executor.up
+        came = flight.written and flight.open and self.hears(flight.node, host) and executor.is_up
         super().deliver(flight)
-        if not came or not executor.cold(self.now):
+        if not came or not executor.is_in_slow_start(self.now):
             return
         arrival = self.arrivals[flight.ref]
         took, since = self.took[executor.name], self.now - self.day.rules.fall_ms
         took.append((self.now, self.day.types[arrival.type].work_ms * arrival.slots / self.mean))
-        while took[0][0] <= since or took[0][0] < executor.born:
+        while took[0][0] <= since or took[0][0] < executor.started_ms:
             took.popleft()
-        executor.load(0.0)  # drops what has left the window
+        executor.slow_start_load(0.0)  # drops what has left the window
         worked = sum(area for _, area in executor.state.arrived) / self.mean
         got, n = sum(size for _, size in took), self.budget(host, self.now)
         chance = n + 2.0 * math.sqrt(n) + 2.0
@@ -168,10 +168,10 @@
     def close(self, host: Host) -> None:
         """Add up what a life was allowed while it was cold."""
         executor = host.executor
-        if executor.born is not None and executor.up:
-            end = min(self.now, executor.born + 1000.0 * executor.kind.warm_s)
-            middle = self.budget(host, (executor.born + end) / 2.0)  # warmth is linear
-            self.allowed += middle * max(0.0, end - executor.born) / self.day.rules.fall_ms
+        if executor.started_ms is not None and executor.is_up:
+            end = min(self.now, executor.started_ms + 1000.0 * executor.kind.warm_s)
+            middle = self.budget(host, (executor.started_ms + end) / 2.0)  # warmth is linear
+            self.allowed += middle * max(0.0, end - executor.started_ms) / self.day.rules.fall_ms
 
     def played(self) -> dict[str, float]:
         """Play, and return what cold executors got."""
--- a/marlseam/experiment/size_roster.py
+++ b/marlseam/experiment/size_roster.py
@@ -40,7 +40,7 @@
 from marlseam.net.upstream import Upstream
 from marlseam.standin.roster import HEALTH
 from marlseam.world.model import Count, Strict
-from marlseam.world.roster import Roster
+from marlseam.world.roster import EndpointList
 
 THOUSAND = 1000  # changes in one answer: a zone of 22, as the letter's faults go
 UNIT_MS, RUN_MS, WAY_MS = 5.0, 1.5, 1.0  # between work units, of a run, of a probe and its answer
@@ -75,7 +75,7 @@
         """Make one; `dial` is the address of all executors, one each where none is given."""
         self.dial = dial
         self.count, self.turn, self.births = count, 0, 0
-        self.roster = Roster([], 1e9, 1e9)
+        self.roster = EndpointList([], 1e9, 1e9)
         self.whole = False  # whether the next answer is the whole list
         self.names = [f"w-{i:05}" for i in range(count)]
 
@@ -87,13 +87,13 @@
     def fill(self) -> None:
         """List all, at once."""
         for i in range(self.count):
-            self.roster.change(self.entry(i, EndpointState.READY, None))
+            self.roster.add_entry(self.entry(i, EndpointState.READY, None))
 
     def change(self) -> None:
         """Change one entry: it is to leave, then gone, then back as another process; then the next."""
         i, step = divmod(self.turn, 3)
         state = (EndpointState.DRAINING, EndpointState.GONE, EndpointState.READY)[step]
-        self.roster.change(self.entry(i % self.count, state, self.born() if step == 2 else None))
+        self.roster.add_entry(self.entry(i % self.count, state, self.born() if step == 2 else None))
         self.turn += 1
 
     def born(self) -> float:
@@ -104,11 +104,11 @@
     def zone(self, state: EndpointState) -> None:
         """Have up to a thousand entries be gone, or back, at once."""
         for i in range(min(THOUSAND, self.count)):
-            self.roster.change(self.entry(i, state, self.born() if state is EndpointState.READY else None))
+            self.roster.add_entry(self.entry(i, state, self.born() if state is EndpointState.READY else None))
 
     def body(self, since: int, whole: bool) -> bytes:
         """Return an answer's body: what is newer than a version, or all."""
-        _, rows = self.roster.news(0 if whole else since)
+        _, rows = self.roster.answer_since(0 if whole else since)
         hosts = [
             {
                 "host": row.server,
--- a/marlseam/experiment/soak.py
+++ b/marlseam/experiment/soak.py
@@ -15,7 +15,7 @@
 from marlseam.experiment.file import register as register_table
 from marlseam.experiment.plays import Played, Say, judged, play
 from marlseam.experiment.processes import Failed
-from marlseam.judge.rules import Verdict
+from marlseam.judge.verdict import Verdict
 from marlseam.standin.faulty import FAULTS, Failure, Faults
 from marlseam.world.model import Count, Day, Strict, Trouble
 
@@ -104,7 +104,7 @@
     played = judged(*records.read_folder(out / "records"), driver="sockets")
     found = findings(out, bool(made.faults.decision))
     for rule in played.verdict.rules:
-        found += [f"rule {rule.name}: {what}" for what in rule.broken[:3]]
+        found += [f"rule {rule.name}: {what}" for what in rule.violations[:3]]
     return made, found, played.verdict
 
 
--- a/marlseam/experiment/sockets.py
+++ b/marlseam/experiment/sockets.py
@@ -19,10 +19,10 @@
 from marlseam.configuration import FOLDER, SOCKET
 from marlseam.experiment.processes import Failed, Process
 from marlseam.net.protocol import READY_PATH
-from marlseam.records import Streams
+from marlseam.records import RecordStreams
 from marlseam.world import fleet, plan, troubles
 from marlseam.world.chance import stream
-from marlseam.world.model import Day, nodes, settings
+from marlseam.world.model import Day, node_settings, placed_nodes
 
 SLACK_MS = 50.0
 LEAD_S = 0.3  # between the begin line and the run's zero
@@ -81,7 +81,7 @@
             old.unlink()
         self.file = out / "day.json"
         self.file.write_bytes(msgspec.json.encode(day))
-        self.streams = Streams(out / "records", "driver", fleet.rules(day, SLACK_MS))
+        self.streams = RecordStreams(out / "records", "driver", fleet.rules(day, SLACK_MS))
         self.cpu_s: dict[str, float] = {}
         self.held: list[socket.socket] = []
         self.noting = threading.Lock()
@@ -102,7 +102,7 @@
             "seed": f"{int(stream(self.seed, 'node', name, time.monotonic_ns()).integers(1 << 62)):x}",
             "limits": {"memory_mb": 192, "sockets": 1024},
             "known": {"seq": 0, "whole": True, "hosts": []},
-            "settings": settings(self.day, zone),
+            "settings": node_settings(self.day, zone),
         }
         own = self.own
         if self.more is not None:
@@ -203,7 +203,7 @@
         roster = self.start("roster", "--dials", str(path))
         self.rosters = roster.line()["rosters"]
         stands.append(roster)
-        for name, zone in nodes(self.day):
+        for name, zone in placed_nodes(self.day):
             if self.prepare is not None:
                 self.prepare(name, dials[zone])
             listen = self.reserve()
@@ -214,13 +214,15 @@
             self.nodes[name] = self.node(name, zone, listen)
             self.began[name] = self.began_s
         # Only now: nodes of one fleet may need each other to be ready.
-        for name, _ in nodes(self.day):
+        for name, _ in placed_nodes(self.day):
             self.ready(name)
             self.ready_s.append(time.monotonic() - self.began[name])
         if arrivals is None:
             arrivals = plan.make(self.day, self.seed, troubles.surges(self.schedule))
         path = self.out / "nodes.json"
-        path.write_text(json.dumps({name: (zone, self.addresses[name]) for name, zone in nodes(self.day)}))
+        path.write_text(
+            json.dumps({name: (zone, self.addresses[name]) for name, zone in placed_nodes(self.day)})
+        )
         players = [
             self.start(
                 "load",
@@ -239,8 +241,8 @@
         for process in (*stands, *players):
             process.begin(self.zero)
         before = {name: process.cpu_s() for name, process in self.nodes.items()}
-        for name, zone in nodes(self.day):
-            self.note(records.Node(t=0.0, by="driver", node=name, state="began", zone=zone))
+        for name, zone in placed_nodes(self.day):
+            self.note(records.NodeStateChanged(t=0.0, by="driver", node=name, state="began", zone=zone))
         self.follow(players, progress)
         counts = [player.line(TAIL_S) for player in players]
         self.cpu_s = {
@@ -258,7 +260,7 @@
             if met.trouble.what.startswith("node_"):
                 steps += [(met.at, met.trouble.what, met, name) for name in met.targets]
         steps.sort(key=lambda step: step[0])
-        zones = dict(nodes(self.day))
+        zones = dict(placed_nodes(self.day))
         end = self.zero + self.day.seconds + max(type.limit_ms for type in self.day.types) / 1000.0 + TAIL_S
         told = 0.0
         while any(player.process.poll() is None and not self.spoke(player) for player in players):
@@ -269,7 +271,7 @@
                 _, what, met, name = steps.pop(0)
                 if what == "begin":
                     self.note(
-                        records.Trouble(
+                        records.FaultBegan(
                             t=now,
                             by="driver",
                             kind=met.trouble.what,
@@ -292,11 +294,19 @@
             ]:
                 self.back.remove(row)
                 name = row[1]
-                self.note(records.Node(t=self.now(), by="driver", node=name, state="ended", zone=zones[name]))
+                self.note(
+                    records.NodeStateChanged(
+                        t=self.now(), by="driver", node=name, state="ended", zone=zones[name]
+                    )
+                )
                 if self.between is not None:
                     self.between(name)
                 self.nodes[name] = self.node(name, zones[name], self.addresses[name])
-                self.note(records.Node(t=self.now(), by="driver", node=name, state="began", zone=zones[name]))
+                self.note(
+                    records.NodeStateChanged(
+                        t=self.now(), by="driver", node=name, state="began", zone=zones[name]
+                    )
+                )
             for name, process in self.nodes.items():
                 if process.process.poll() is not None and not any(row[1] == name for row in self.back):
                     raise Failed(f"node {name} ended by itself: {process.tail()}")
@@ -307,7 +317,7 @@
 
     def upgrade(self, name: str) -> None:
         """Start a later process of a node, and tell the earlier one to end once that is ready."""
-        earlier, zone = self.nodes[name], dict(nodes(self.day))[name]
+        earlier, zone = self.nodes[name], dict(placed_nodes(self.day))[name]
         later = self.node(name, zone, self.addresses[name])
         time.sleep(OVERLAP_S)  # as the platform does, which knows no more
         self.nodes[name] = later
@@ -316,7 +326,9 @@
     def fell(self, name: str, away_ms: float, state: str = "killed") -> None:
         """Note that a node is about to be ended by a fault, to be started again after a time."""
         now = self.now()
-        row = records.Node(t=now, by="driver", node=name, state=state, zone=dict(nodes(self.day))[name])
+        row = records.NodeStateChanged(
+            t=now, by="driver", node=name, state=state, zone=dict(placed_nodes(self.day))[name]
+        )
         self.note(row)
         self.back.append((now + away_ms, name))
 
--- a/marlseam/experiment/versions.py
+++ b/marlseam/experiment/versions.py
@@ -15,8 +15,8 @@
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.fleet import Fleet, Rig, run
 from marlseam.experiment.plays import Played, Say, play
-from marlseam.judge.book import Book
-from marlseam.judge.service import turnarounds
+from marlseam.judge.book import RunRecords
+from marlseam.judge.service import request_outcomes
 from marlseam.store import ledger_audit as ledgers
 from marlseam.world.model import Count
 
@@ -72,10 +72,10 @@
         self.times: dict[IntervalKey, list[float]] = defaultdict(list)
         self.without_stamp = 0
         for record in all_records:
-            if isinstance(record, records.Took):
+            if isinstance(record, records.AttemptReceived):
                 self.note_taken(record)
 
-    def note_taken(self, record: records.Took) -> None:
+    def note_taken(self, record: records.AttemptReceived) -> None:
         """Take in that a server took an attempt."""
         if not record.acting:
             self.without_stamp += 1
@@ -238,9 +238,9 @@
     return 0.0 if acting >= newest and serving else inf
 
 
-def at_nodes(book: Book, names: set[str]) -> float:
+def at_nodes(book: RunRecords, names: set[str]) -> float:
     """Return the service of work that was first tried at some nodes."""
-    rows = [(first, took) for first, _, took in turnarounds(book) if first.node in names]
+    rows = [(first, took) for first, _, took in request_outcomes(book) if first.node in names]
     good = sum(first.credit for first, took in rows if took is not None and took <= first.promised)
     return good / (sum(first.credit for first, _ in rows) or 1.0)
 
--- a/marlseam/experiment/virtual.py
+++ b/marlseam/experiment/virtual.py
@@ -22,15 +22,16 @@
     PROBE_TIMEOUT_IN_OBJECTIVES,
     PROGRESS_GAP_IN_PERIODS,
 )
-from marlseam.records import Streams
+from marlseam.records import RecordStreams
 from marlseam.world import fleet, plan, troubles
 from marlseam.world.chance import stream
-from marlseam.world.clients import Client, Front, tried
-from marlseam.world.executor import Executor, Happening
-from marlseam.world.model import Day, executors, nodes, settings
-from marlseam.world.network import Lines
-from marlseam.world.roster import Roster
-from marlseam.world.troubles import Listed, Met
+from marlseam.world.clients import Client, FrontLoadBalancer, try_record
+from marlseam.world.executor import Server
+from marlseam.world.job import JobEvent
+from marlseam.world.model import Day, node_settings, placed_nodes, placed_servers
+from marlseam.world.network import Links
+from marlseam.world.roster import EndpointList
+from marlseam.world.troubles import ListChange, ScheduledFault
 
 SLACK_TICKS = 5.0  # that answers and sends may come late by, for the way between client and node
 WATCH_GAP_MS = 100.0  # least time between two words of a watch
@@ -73,7 +74,7 @@
 class Host:
     """An executor's place in the fleet."""
 
-    executor: Executor
+    executor: Server
     kind: int
     zone: str
     cell: int
@@ -119,7 +120,7 @@
         self,
         day: Day,
         seed: int,
-        streams: Streams,
+        streams: RecordStreams,
         make_core: Callable[[], Reducer] = Reducer,
         old: Old | None = None,
     ) -> None:
@@ -127,7 +128,7 @@
         self.heap: list[tuple[float, int, Callable, tuple]] = []
         self.count, self.now, self.events = 0, 0.0, 0
         self.schedule = troubles.schedule(day, seed)
-        self.lines = Lines(day.network, stream(seed, "network"))
+        self.lines = Links(day.network, stream(seed, "network"))
         self.retries = stream(seed, "clients")
         streams.rules = fleet.rules(day, SLACK_TICKS * day.rules.tick_ms)
         self.streams = streams
@@ -142,27 +143,27 @@
         self.hosts: dict[str, Host] = {}
         rows = []
         made = fleet.build(day, seed, self.schedule)
-        for name, _, kind, zone, cell in executors(day):
+        for name, _, kind, zone, cell in placed_servers(day):
             self.hosts[name] = host = Host(made[name], kind, zone, cell)
             self.writer(name, "executors")
-            if host.executor.up:
+            if host.executor.is_up:
                 rows.append(self.row(name, EndpointState.READY, None))
         self.doubt, self.ghosts = (old.doubt, []) if old is not None else (0.0, [])
         for i in range(old.gone if old is not None else 0):
-            name, (_, kind, number, zone, _) = f"gone-{i}", executors(day)[i % len(made)]
-            ghost = fleet.executor(day, seed, name, kind, {})
-            ghost.up = False
+            name, (_, kind, number, zone, _) = f"gone-{i}", placed_servers(day)[i % len(made)]
+            ghost = fleet.make_server(day, seed, name, kind, {})
+            ghost.is_up = False
             self.hosts[name] = Host(ghost, number, zone, 9000 + i)
             self.ghosts.append(self.row(name, EndpointState.READY, None))
-        self.roster = Roster(rows, day.roster.calls_per_s, day.roster.timeout_ms)
-        self.seats = {name: self.seat(name, zone) for name, zone in nodes(day)}
+        self.roster = EndpointList(rows, day.roster.calls_per_s, day.roster.timeout_ms)
+        self.seats = {name: self.seat(name, zone) for name, zone in placed_nodes(day)}
         by_zone: dict[str, list[str]] = {}
-        for name, zone in nodes(day):
+        for name, zone in placed_nodes(day):
             by_zone.setdefault(zone, []).append(name)
-        self.front = Front(by_zone, 1000.0 * day.clients.notice_s)
+        self.front = FrontLoadBalancer(by_zone, 1000.0 * day.clients.notice_s)
         self.arrivals: dict[str, plan.Arrival] = {}  # by try, also of those that are over
 
-    def writer(self, by: str, system: str) -> records.Writer:
+    def writer(self, by: str, system: str) -> records.StreamWriter:
         """Return the stream of a part of the world."""
         if by not in self.streams.writers:
             self.streams.system = system
@@ -199,19 +200,21 @@
 
     def seat(self, name: str, zone: str) -> Seat:
         """Make a node's place."""
-        return Seat(name, zone, deployment_from(settings(self.day, zone)), self.make_core())
+        return Seat(name, zone, deployment_from(node_settings(self.day, zone)), self.make_core())
 
     def begin_node(self, seat: Seat) -> None:
         """Start a node from nothing, with the list as it was."""
         seat.life += 1
         seat.core, seat.up, seat.watching = self.make_core(), True, False
         seat.idle, seat.tries, seat.version = {}, {}, 0
-        self.driver.add(records.Node(t=self.now, by="driver", node=seat.name, state="began", zone=seat.zone))
+        self.driver.add(
+            records.NodeStateChanged(t=self.now, by="driver", node=seat.name, state="began", zone=seat.zone)
+        )
         number = int(stream(self.seed, "node", seat.name, seat.life).integers(1 << 62))
         self.post(seat, core.NodeStarted(seat.deployment.settings, number))
-        listed = [*self.roster.news(0)[1], *self.ghosts]
+        listed = [*self.roster.answer_since(0)[1], *self.ghosts]
         self.post(seat, core.EndpointListUpdate(ListUpdateKind.CACHED, listed, self.doubt))
-        self.front.back(seat.name) if seat.life > 1 else None
+        self.front.mark_up(seat.name) if seat.life > 1 else None
 
     def post(self, seat: Seat, event: core.Event) -> None:
         """Hand an event to a node's reducer and carry out what it asks for."""
@@ -231,8 +234,10 @@
 
     def end_node(self, seat: Seat, state: str) -> None:
         """End a node's life: what it held is lost to its clients and to executors."""
-        self.driver.add(records.Node(t=self.now, by="driver", node=seat.name, state=state, zone=seat.zone))
-        self.front.died(seat.name, self.now)
+        self.driver.add(
+            records.NodeStateChanged(t=self.now, by="driver", node=seat.name, state=state, zone=seat.zone)
+        )
+        self.front.mark_down(seat.name, self.now)
         seat.up = False
         for host in self.hosts.values():
             host.connections -= seat.idle.get(host.executor.name, 0)
@@ -252,11 +257,11 @@
     def try_now(self, client: Client) -> None:
         """A client sends a try to the node that its front deals it to."""
         arrival, id = client.arrival, client.begin()
-        name, there = self.front.deal(arrival.zone, self.now)
+        name, there = self.front.pick_node(arrival.zone, self.now)
         seat = self.seats[name]
         out = Try(client, id, seat, seat.life)
         self.arrivals[id] = arrival
-        self.clients.add(tried(client, id, "clients", name, self.now))
+        self.clients.add(try_record(client, id, "clients", name, self.now))
         delay = self.lines.client_delay()
         if there and seat.up:
             seat.tries[id] = out
@@ -291,7 +296,9 @@
             return
         was_open, out.open = out.open, False
         out.seat.tries.pop(out.id, None)
-        self.clients.add(records.Answered(t=self.now, by="clients", id=out.id, how=how, advice_ms=advice_ms))
+        self.clients.add(
+            records.TryAnswered(t=self.now, by="clients", id=out.id, how=how, advice_ms=advice_ms)
+        )
         wait = out.client.wait(self.now, how, advice_ms, self.retries) if was_open else None
         if wait is not None:
             self.at(self.now + wait, self.try_now, out.client)
@@ -302,7 +309,7 @@
             return
         out.open = False
         early = self.now < out.client.expires
-        self.clients.add(records.Quit(t=self.now, by="clients", id=out.id, early=early))
+        self.clients.add(records.ClientLeft(t=self.now, by="clients", id=out.id, early=early))
         self.at(self.now + self.lines.client_delay(), self.left, out)
 
     def left(self, out: Try) -> None:
@@ -331,7 +338,7 @@
         elif not there:
             self.at(min(limit, now + seat.deployment.connect_ms), self.settle, flight, Outcome.UNREACHABLE)
             return
-        elif not host.executor.up or host.connections >= self.day.fleet.connections:
+        elif not host.executor.is_up or host.connections >= self.day.fleet.connections:
             self.at(now + 2.0 * way, self.settle, flight, Outcome.UNREACHABLE)
             return
         else:
@@ -342,11 +349,11 @@
 
     def reaches(self, seat: Seat, host: Host) -> bool:
         """Return whether a node and an executor hear each other."""
-        return self.lines.passes(seat.zone, host.executor.name, host.zone)
+        return self.lines.is_reachable(seat.zone, host.executor.name, host.zone)
 
     def hears(self, seat: Seat, host: Host) -> bool:
         """Return whether one message comes through between a node and an executor."""
-        return self.reaches(seat, host) and not self.lines.loses(seat.zone, host.zone)
+        return self.reaches(seat, host) and not self.lines.is_lost(seat.zone, host.zone)
 
     def write(self, flight: Flight) -> None:
         """A new connection is up and the job written to it."""
@@ -357,7 +364,7 @@
         host, seat = flight.host, flight.node
         if not flight.written or not flight.open or not self.hears(seat, host):
             return  # given up on its way, or lost there
-        if not host.executor.up:
+        if not host.executor.is_up:
             outcome = Outcome.STALE_CONNECTION if flight.kept else Outcome.BROKEN
             self.at(self.now + self.lines.delay(seat.zone, host.zone), self.settle, flight, outcome)
             return
@@ -366,13 +373,15 @@
         arrival = self.arrivals[flight.ref]
         job = fleet.job(arrival, self.day.types[arrival.type], flight.ref, flight.alloc)
         taken = executor.offer(self.now, job)
-        load = executor.load(0.0) if executor.cold(self.now) else 0.0
+        load = executor.slow_start_load(0.0) if executor.is_in_slow_start(self.now) else 0.0
         writer = self.streams.writers[name]
         writer.add(
-            records.Took(t=self.now, by=name, id=flight.ref, node=seat.name, born=executor.born, load=load)
+            records.AttemptReceived(
+                t=self.now, by=name, id=flight.ref, node=seat.name, born=executor.started_ms, load=load
+            )
         )
         if not taken:
-            writer.add(records.Refused(t=self.now, by=name, id=flight.ref))
+            writer.add(records.AttemptRefused(t=self.now, by=name, id=flight.ref))
             self.at(
                 self.now + self.lines.delay(seat.zone, host.zone), self.settle, flight, Outcome.AT_CAPACITY
             )
@@ -380,8 +389,8 @@
             # The head of the answer says that it has the job; silence counts again from its start.
             flight.silent_at = inf
         self.look(host)
-        if executor.fallen is not None and executor.up:
-            writer.add(records.Fell(t=self.now, by=name, load=executor.fallen))
+        if executor.overload_share is not None and executor.is_up:
+            writer.add(records.ServerOverloaded(t=self.now, by=name, load=executor.overload_share))
             self.crash(host)
 
     def patience(self, flight: Flight) -> None:
@@ -422,7 +431,7 @@
         host.flights.pop(flight.key, None)
         if flight.written:
             host.connections -= 1
-            gone = records.Withdrawn(t=self.now, by="network", id=flight.ref, executor=name)
+            gone = records.AttemptCancelled(t=self.now, by="network", id=flight.ref, executor=name)
             self.network.add(gone)
             if self.reaches(flight.node, host):
                 way = self.lines.delay(flight.node.zone, host.zone)
@@ -431,7 +440,7 @@
     def withdrawn(self, host: Host, key: str) -> None:
         """An executor sees that an allocation was given up."""
         self.look(host)
-        host.executor.withdraw(key)
+        host.executor.cancel(key)
         self.look(host)
 
     def cancel(self, seat: Seat, effect: core.CancelAttempt) -> None:
@@ -449,7 +458,7 @@
         """Bring an executor to now, pass on what happened, and note when it is next to be looked at."""
         for happening in host.executor.advance(self.now):
             self.happened(host, happening)
-        due = host.executor.due()
+        due = host.executor.next_event_ms()
         if due < host.next:
             host.next = due
             self.at(due, self.due, host, due)
@@ -460,15 +469,15 @@
             host.next = inf
             self.look(host)
 
-    def happened(self, host: Host, h: Happening) -> None:
+    def happened(self, host: Host, h: JobEvent) -> None:
         """Write down what happened to a job, and tell its node."""
         ref, _, alloc = h.id.rpartition("/")
         name = host.executor.name
         writer = self.streams.writers[name]
         if h.what == "started":
-            writer.add(records.Ran(t=h.t, by=name, id=ref, effect=h.value > 0.0))
+            writer.add(records.AttemptStarted(t=h.t, by=name, id=ref, effect=h.value > 0.0))
         elif h.what != "progress":
-            writer.add(records.Ended(t=h.t, by=name, id=ref, how=h.what, work=h.value))
+            writer.add(records.AttemptEnded(t=h.t, by=name, id=ref, how=h.what, work=h.value))
         flight = host.flights.get(h.id)
         if flight is None or not self.hears(flight.node, host):
             return
@@ -516,8 +525,8 @@
 
     def rise(self, host: Host) -> None:
         """An executor's process starts, cold."""
-        host.executor.begin(self.now, self.now)
-        self.streams.writers[host.executor.name].add(records.Born(t=self.now, by=host.executor.name))
+        host.executor.start_process(self.now, self.now)
+        self.streams.writers[host.executor.name].add(records.ServerStarted(t=self.now, by=host.executor.name))
 
     # Probes.
 
@@ -529,12 +538,12 @@
         def asked() -> None:
             if not self.hears(seat, host) or self.now + back > sent + self.probe_ms:
                 self.at(sent + self.probe_ms, told, Outcome.TIMED_OUT, None)
-            elif not host.executor.up:
+            elif not host.executor.is_up:
                 self.at(self.now + back, told, Outcome.UNREACHABLE, None)
             else:
                 self.look(host)
                 name = host.executor.name
-                self.streams.writers[name].add(records.Asked(t=self.now, by=name))
+                self.streams.writers[name].add(records.ProbeAnswered(t=self.now, by=name))
                 report = host.executor.report(self.now)
                 self.at(self.now + back + self.day.reports.probe_ms, told, Outcome.COMPLETED, report)
 
@@ -550,9 +559,9 @@
         host = self.hosts[name]
         return EndpointEntry(name, state, host.kind, self.day.fleet.zones.index(host.zone), host.cell, born)
 
-    def listed(self, news: Listed) -> None:
+    def listed(self, news: ListChange) -> None:
         """The roster has learned of a change, and tells who watches."""
-        self.roster.change(self.row(news.executor, news.state, news.born))
+        self.roster.add_entry(self.row(news.server, news.state, news.started_ms))
         for seat in self.seats.values():
             if seat.watching and not seat.word_due:
                 seat.word_due = True
@@ -567,8 +576,10 @@
 
     def watch(self, seat: Seat, effect: core.WatchEndpoints) -> None:
         """A node asks for the list and its changes."""
-        served = self.roster.call(self.now)
-        called = records.Called(t=self.now, by="roster", node=seat.name, served=served is not None)
+        served = self.roster.take_call(self.now)
+        called = records.EndpointListCalled(
+            t=self.now, by="roster", node=seat.name, served=served is not None
+        )
         self.listing.add(called)
         if served is None:
             fail = self.now + min(self.day.roster.timeout_ms, 50.0)
@@ -584,23 +595,25 @@
 
     def tell(self, seat: Seat) -> None:
         """Tell a node what is news to it."""
-        whole, rows = self.roster.news(seat.version)
+        whole, rows = self.roster.answer_since(seat.version)
         seat.version, seat.told_at = self.roster.version(), self.now
-        for executor, state in self.roster.told(seat.name, whole, rows):
+        for executor, state in self.roster.departure_notices(seat.name, whole, rows):
             self.listing.add(
-                records.Told(t=self.now, by="roster", node=seat.name, executor=executor, state=state.value)
+                records.ServerStateHeard(
+                    t=self.now, by="roster", node=seat.name, executor=executor, state=state.value
+                )
             )
         listing = ListUpdateKind.FULL if whole else ListUpdateKind.DELTA
         self.post(seat, core.EndpointListUpdate(listing, rows))
 
     # Troubles.
 
-    def trouble(self, met: Met, on: bool) -> None:
+    def trouble(self, met: ScheduledFault, on: bool) -> None:
         """A trouble begins or ends."""
         what, size = met.trouble.what, met.trouble.size
         if on:
             self.driver.add(
-                records.Trouble(
+                records.FaultBegan(
                     t=self.now, by="driver", kind=what, until=met.until, targets=met.targets, size=size
                 )
             )
@@ -608,17 +621,21 @@
         if what in ("slow", "errors", "tail", "neighbour", "late_reports", "false_reports"):
             for host in hosts:
                 self.look(host)
-                host.executor.ills = troubles.ills(self.schedule, host.executor.name, self.now)
+                host.executor.fault_effects = troubles.fault_effects(
+                    self.schedule, host.executor.name, self.now
+                )
                 host.next = inf
                 self.look(host)
         elif what == "silent":
             for host in hosts:
-                self.lines.block(self.lines.silent, host.executor.name, on)
+                self.lines.set_blocked(self.lines.silent, host.executor.name, on)
         elif what == "zone_cut":
-            self.lines.block(self.lines.cut_zones, met.targets[0], on)
-            self.network.add(records.Cut(t=self.now, by="network", a=met.targets[0], b="*", mended=not on))
+            self.lines.set_blocked(self.lines.cut_zones, met.targets[0], on)
+            self.network.add(
+                records.LinkChanged(t=self.now, by="network", a=met.targets[0], b="*", mended=not on)
+            )
         elif what == "slow_link":
-            self.lines.slow_way(met.targets[0], size, met.trouble.part, on)
+            self.lines.set_zone_slow(met.targets[0], size, met.trouble.part, on)
         elif what == "roster_outage" and on:
             self.roster.outages.append((met.at, met.until))
             for seat in self.seats.values():
@@ -642,9 +659,9 @@
         """
         if what == "shrink" and on:
             self.look(host)
-            host.executor.draining = True
+            host.executor.is_draining = True
         elif (what == "crash" and on) or what == "shrink":
-            if host.executor.up:
+            if host.executor.is_up:
                 self.crash(host)
         elif what == "crash" or on:
             self.rise(host)
@@ -656,7 +673,9 @@
         for flight in list(host.flights.values()):
             if flight.written:
                 name = host.executor.name
-                self.network.add(records.Withdrawn(t=self.now, by="network", id=flight.ref, executor=name))
+                self.network.add(
+                    records.AttemptCancelled(t=self.now, by="network", id=flight.ref, executor=name)
+                )
                 self.withdrawn(host, flight.key)
                 self.at(self.now, self.settle, flight, Outcome.BROKEN)
 
@@ -670,7 +689,7 @@
             seat.starts_ms = self.now + 1000.0 * self.day.fleet.roll_s
             drain = min(MAX_DRAIN_MS, max(type.limit_ms for type in self.day.types)) + ANSWER_MS
             self.post(seat, core.ShutdownBegun(drain))
-            self.at(self.now + ROLL_OPEN_MS, self.front.died, seat.name, -inf)
+            self.at(self.now + ROLL_OPEN_MS, self.front.mark_down, seat.name, -inf)
             self.at(self.now + drain + 100.0, self.end_node, seat, "ended")
 
 
--- a/marlseam/judge/book.py
+++ b/marlseam/judge/book.py
@@ -6,19 +6,19 @@
 from typing import Any, NamedTuple, TypeVar
 
 from marlseam.records import (
-    Answered,
-    Begin,
-    End,
-    Ended,
-    Node,
-    Quit,
-    Ran,
+    AttemptCancelled,
+    AttemptEnded,
+    AttemptReceived,
+    AttemptRefused,
+    AttemptStarted,
+    ClientLeft,
+    NodeStateChanged,
     Record,
-    Refused,
-    Told,
-    Took,
-    Tried,
-    Withdrawn,
+    ServerStateHeard,
+    StreamBegan,
+    StreamEnded,
+    TryAnswered,
+    TrySent,
 )
 
 RecordType = TypeVar("RecordType", bound=Record)
@@ -45,7 +45,7 @@
     for writer, stream in sorted(streams.items()):
         stream.sort(key=lambda record: record.n)
         begin = stream[0]
-        if begin.n == 1 and isinstance(begin, Begin):
+        if begin.n == 1 and isinstance(begin, StreamBegan):
             begun_systems.add(begin.system)
         gaps += _gaps_of_stream(writer, stream)
     return gaps + [f"{system}: no stream" for system in REQUIRED_SYSTEMS if system not in begun_systems]
@@ -54,9 +54,9 @@
 def _gaps_of_stream(writer: str, stream: Sequence[Record]) -> list[str]:
     """Return what is missing from one stream, whose records are in order of number."""
     gaps = []
-    if stream[0].n != 1 or not isinstance(stream[0], Begin):
+    if stream[0].n != 1 or not isinstance(stream[0], StreamBegan):
         gaps.append(f"{writer}: no begin")
-    if not isinstance(stream[-1], End):
+    if not isinstance(stream[-1], StreamEnded):
         gaps.append(f"{writer}: no end")
     after_gap = [later.n for earlier, later in pairwise(stream) if later.n != earlier.n + 1]
     if after_gap:
@@ -90,14 +90,16 @@
         """Index a run's records."""
         self.records = sorted(records, key=lambda record: (record.t, record.by, record.n))
         self.rules: dict[str, Any] = {}
-        self.tries: dict[str, Tried] = {}
-        self.tries_by_first: dict[str, list[Tried]] = defaultdict(list)
-        self.answers: dict[str, list[Answered]] = defaultdict(list)
-        self.quits: dict[str, Quit] = {}
-        self.attempts: dict[str, list[Took]] = defaultdict(list)
-        self.runs: dict[str, list[Ran]] = defaultdict(list)
-        self.attempt_ends: dict[str, list[Refused | Ended | Withdrawn]] = defaultdict(list)
-        self.state_notices: dict[tuple[str, str], list[Told]] = defaultdict(list)
+        self.tries: dict[str, TrySent] = {}
+        self.tries_by_first: dict[str, list[TrySent]] = defaultdict(list)
+        self.answers: dict[str, list[TryAnswered]] = defaultdict(list)
+        self.quits: dict[str, ClientLeft] = {}
+        self.attempts: dict[str, list[AttemptReceived]] = defaultdict(list)
+        self.runs: dict[str, list[AttemptStarted]] = defaultdict(list)
+        self.attempt_ends: dict[str, list[AttemptRefused | AttemptEnded | AttemptCancelled]] = defaultdict(
+            list
+        )
+        self.state_notices: dict[tuple[str, str], list[ServerStateHeard]] = defaultdict(list)
         self.node_kills: dict[str, list[float]] = defaultdict(list)
         self.node_pauses: dict[str, list[NodePause]] = defaultdict(list)
         for record in self.records:
@@ -107,27 +109,27 @@
     def _index(self, record: Record) -> None:
         """Add a record to the table of its kind."""
         match record:
-            case Begin():
+            case StreamBegan():
                 self.rules = record.rules or self.rules
-            case Tried():
+            case TrySent():
                 self.tries[record.id] = record
                 self.tries_by_first[record.first].append(record)
-            case Answered():
+            case TryAnswered():
                 self.answers[record.id].append(record)
-            case Quit():
+            case ClientLeft():
                 self.quits[record.id] = record
-            case Took():
+            case AttemptReceived():
                 self.attempts[record.id].append(record)
-            case Ran():
+            case AttemptStarted():
                 self.runs[record.id].append(record)
-            case Refused() | Ended() | Withdrawn():
+            case AttemptRefused() | AttemptEnded() | AttemptCancelled():
                 self.attempt_ends[record.id].append(record)
-            case Told():
+            case ServerStateHeard():
                 self.state_notices[record.node, record.executor].append(record)
-            case Node():
+            case NodeStateChanged():
                 self._index_node_state(record)
 
-    def _index_node_state(self, record: Node) -> None:
+    def _index_node_state(self, record: NodeStateChanged) -> None:
         """Add a node's pause or end to its table."""
         if record.state == "stopped":
             self.node_pauses[record.node].append(NodePause(record.t, record.until))
@@ -138,15 +140,17 @@
         """Return all records of exactly one type, in order."""
         return [record for record in self.records if type(record) is record_type]
 
-    def final_answers(self, try_id: str) -> list[Answered]:
+    def final_answers(self, try_id: str) -> list[TryAnswered]:
         """Return a try's final answers, in order; a correct dispatcher gives one at most."""
         return [answer for answer in self.answers.get(try_id, ()) if answer.how in FINAL_ANSWERS]
 
-    def final_answer(self, try_id: str) -> Answered | None:
+    def final_answer(self, try_id: str) -> TryAnswered | None:
         """Return a try's first final answer, or None where it got none."""
         return next(iter(self.final_answers(try_id)), None)
 
-    def ends_at_server(self, try_id: str, server: str) -> list[Refused | Ended | Withdrawn]:
+    def ends_at_server(
+        self, try_id: str, server: str
+    ) -> list[AttemptRefused | AttemptEnded | AttemptCancelled]:
         """Return what closed a try's attempts at one server, in order.
 
         A withdrawal that the network noted names its server; any other end was noted by the server itself.
@@ -166,20 +170,6 @@
             if (record_id := getattr(record, "id", None)) in ids
         ]
 
-    # Names that other packages still use.
-    of = of_type
-    story = timeline
-
-    @property
-    def took(self) -> dict[str, list[Took]]:
-        """Return the attempts."""
-        return self.attempts
-
-    @property
-    def ends(self) -> dict[str, list[Refused | Ended | Withdrawn]]:
-        """Return the ends of attempts."""
-        return self.attempt_ends
-
 
 def _timeline_line(record: Record, try_id: str) -> str:
     """Return a line that shows a record of a try to people."""
@@ -187,7 +177,3 @@
     shown = " ".join(f"{name}={value}" for name, value in fields.items() if value not in (None, ""))
     what = record.__struct_config__.tag
     return f"{record.t:10.1f} ms  {record.by:<16} {what:<9} {try_id} {shown}".rstrip()
-
-
-# A name that other packages still use.
-Book = RunRecords
--- a/marlseam/judge/rules.py
+++ b/marlseam/judge/rules.py
@@ -11,7 +11,17 @@
 
 from marlseam.judge.book import RunRecords, find_gaps
 from marlseam.judge.verdict import Rule, Verdict
-from marlseam.records import Ended, Fell, Quit, Record, Refused, Told, Took, Tried, Withdrawn
+from marlseam.records import (
+    AttemptCancelled,
+    AttemptEnded,
+    AttemptReceived,
+    AttemptRefused,
+    ClientLeft,
+    Record,
+    ServerOverloaded,
+    ServerStateHeard,
+    TrySent,
+)
 
 DEFAULT_EFFECT = ("exclusive", "cell")  # of a request class that the run's rules do not list
 
@@ -38,7 +48,7 @@
     return rule
 
 
-def _check_answer_time(rule: Rule, run: RunRecords, tried: Tried, answered_ms: float) -> None:
+def _check_answer_time(rule: Rule, run: RunRecords, tried: TrySent, answered_ms: float) -> None:
     """Check that a try's answer came before its deadline and that no server got an attempt after it."""
     rule.raise_margin((answered_ms - tried.t) / max(1.0, tried.expires - tried.t))
     if answered_ms > tried.expires + run.slack_ms and not _is_node_paused_at_deadline(run, tried):
@@ -49,7 +59,7 @@
             rule.add_violation(tried.id, f"sent to {attempt.by} {late_ms:.0f} ms after its answer")
 
 
-def _is_missing_answer_excused(run: RunRecords, tried: Tried) -> bool:
+def _is_missing_answer_excused(run: RunRecords, tried: TrySent) -> bool:
     """Return whether a try may have no final answer.
 
     It never reached a node, its client left early, or its node was killed, or paused at its deadline.
@@ -67,7 +77,7 @@
     return killed or _is_node_paused_at_deadline(run, tried)
 
 
-def _is_node_paused_at_deadline(run: RunRecords, tried: Tried) -> bool:
+def _is_node_paused_at_deadline(run: RunRecords, tried: TrySent) -> bool:
     """Return whether a try's node was paused at the try's deadline, so that it could not answer."""
     return any(
         pause.from_ms <= tried.expires + run.slack_ms and pause.until_ms >= tried.expires - run.slack_ms
@@ -95,7 +105,7 @@
     return rule
 
 
-def _check_single_effect(rule: Rule, run: RunRecords, tries: Sequence[Tried], effect: str) -> None:
+def _check_single_effect(rule: Rule, run: RunRecords, tries: Sequence[TrySent], effect: str) -> None:
     """Check that all tries of a request together had one effect at most."""
     runs = [started for tried in tries for started in run.runs.get(tried.id, ()) if started.effect]
     rule.raise_margin(float(len(runs)))
@@ -104,7 +114,7 @@
         rule.add_violation(tries[0].first, f"{len(runs)} effects of {effect} work: {servers}")
 
 
-def _check_no_rejection_after_run(rule: Rule, run: RunRecords, tries: Sequence[Tried], effect: str) -> None:
+def _check_no_rejection_after_run(rule: Rule, run: RunRecords, tries: Sequence[TrySent], effect: str) -> None:
     """Check that no try of a request was rejected, as if safe to retry, although a server ran it."""
     for tried in tries:
         final, runs = run.final_answer(tried.id), run.runs.get(tried.id)
@@ -112,7 +122,7 @@
             rule.add_violation(tried.first, f"{effect} work deferred though {runs[0].by} ran it")
 
 
-def _check_no_overlap(rule: Rule, run: RunRecords, tries: Sequence[Tried]) -> None:
+def _check_no_overlap(rule: Rule, run: RunRecords, tries: Sequence[TrySent]) -> None:
     """Check that no try of a request had two attempts in flight at once."""
     for tried in tries:
         overlap = find_overlap(run, tried.id)
@@ -168,7 +178,9 @@
     return rule
 
 
-def _leaving_known_since(notices: Sequence[Told], until_ms: float, draining_binds: bool) -> float | None:
+def _leaving_known_since(
+    notices: Sequence[ServerStateHeard], until_ms: float, draining_binds: bool
+) -> float | None:
     """Return since when a node knew, at some time, that a server leaves; None if it is listed as ready.
 
     The first notice of leaving counts, until the server is listed as ready again.
@@ -191,8 +203,8 @@
 def check_slow_start(run: RunRecords) -> Rule:
     """Check rule 4: all nodes together do not overload a server in slow start."""
     rule = Rule("cold spared", "largest share of what a cold executor bears that it was sent")
-    rule.margin = max((attempt.load for attempt in run.of_type(Took)), default=0.0)
-    for overload in run.of_type(Fell):
+    rule.margin = max((attempt.load for attempt in run.of_type(AttemptReceived)), default=0.0)
+    for overload in run.of_type(ServerOverloaded):
         rule.raise_margin(overload.load)
         last = _last_attempt_before(run, overload)
         subject = overload.by if last is None else last.id
@@ -200,10 +212,12 @@
     return rule
 
 
-def _last_attempt_before(run: RunRecords, overload: Fell) -> Took | None:
+def _last_attempt_before(run: RunRecords, overload: ServerOverloaded) -> AttemptReceived | None:
     """Return the last attempt that a server received before it was overloaded, or None."""
     before = [
-        attempt for attempt in run.of_type(Took) if attempt.by == overload.by and attempt.t <= overload.t
+        attempt
+        for attempt in run.of_type(AttemptReceived)
+        if attempt.by == overload.by and attempt.t <= overload.t
     ]
     return before[-1] if before else None
 
@@ -233,10 +247,10 @@
     return rule
 
 
-def _tries_by_node_and_key(run: RunRecords) -> Iterator[list[Tried]]:
+def _tries_by_node_and_key(run: RunRecords) -> Iterator[list[TrySent]]:
     """Yield the tries of each key at each node, by time; only of classes that ask for order."""
     ordered_classes = set(run.rules.get("in_turn", ()))
-    by_node_and_key: dict[tuple[str, str], list[Tried]] = defaultdict(list)
+    by_node_and_key: dict[tuple[str, str], list[TrySent]] = defaultdict(list)
     for tried in run.tries.values():
         if tried.type in ordered_classes and tried.key is not None:
             by_node_and_key[tried.node, tried.key].append(tried)
@@ -245,8 +259,8 @@
 
 
 def _tries_to_wait_for(
-    run: RunRecords, earlier_tries: Sequence[Tried], tried: Tried, attempt: Took
-) -> Iterator[Tried]:
+    run: RunRecords, earlier_tries: Sequence[TrySent], tried: TrySent, attempt: AttemptReceived
+) -> Iterator[TrySent]:
     """Yield the tries of a key that a later try's attempt must have waited for."""
     for earlier in earlier_tries:
         if earlier.t + run.slack_ms >= tried.t:
@@ -260,7 +274,9 @@
             yield earlier
 
 
-def _check_after_release(rule: Rule, run: RunRecords, earlier: Tried, attempt: Took, gap_ms: float) -> None:
+def _check_after_release(
+    rule: Rule, run: RunRecords, earlier: TrySent, attempt: AttemptReceived, gap_ms: float
+) -> None:
     """Check that an attempt was sent after an earlier try of its key had released the key."""
     release = _key_release(run, earlier.id, attempt.t)
     if release.needs_gap and gap_ms:
@@ -286,15 +302,15 @@
 def _client_done_ms(run: RunRecords, try_id: str) -> float:
     """Return when a try's client had an answer or left, infinity if neither."""
     done_ms = [answer.t for answer in run.answers.get(try_id, ())]
-    quit_record: Quit | None = run.quits.get(try_id)
+    quit_record: ClientLeft | None = run.quits.get(try_id)
     if quit_record is not None:
         done_ms.append(quit_record.t)
     return min(done_ms, default=inf)
 
 
-def _may_still_run(end: Refused | Ended | Withdrawn | None) -> bool:
+def _may_still_run(end: AttemptRefused | AttemptEnded | AttemptCancelled | None) -> bool:
     """Return whether a server may still run an attempt for a while after its end: cancelled, or lost."""
-    return isinstance(end, Withdrawn) or (isinstance(end, Ended) and end.how == "lost")
+    return isinstance(end, AttemptCancelled) or (isinstance(end, AttemptEnded) and end.how == "lost")
 
 
 # All rules.
@@ -321,7 +337,3 @@
         check_key_order(run),
     ]
     return Judgement(Verdict(rules, gaps), run)
-
-
-# A name that other packages still use.
-answers = check_one_answer
--- a/marlseam/judge/service.py
+++ b/marlseam/judge/service.py
@@ -13,7 +13,7 @@
 from numpy.typing import NDArray
 
 from marlseam.judge.book import RunRecords
-from marlseam.records import Asked, Ended, Lagged, Took, Tried
+from marlseam.records import AttemptEnded, AttemptReceived, GeneratorLagged, ProbeAnswered, TrySent
 
 Key = TypeVar("Key", bound=Hashable)
 
@@ -32,7 +32,7 @@
         turnaround_ms: from the intended send of the first try to the answer; None if it was not completed.
     """
 
-    first: Tried
+    first: TrySent
     how: str
     turnaround_ms: float | None
 
@@ -66,7 +66,7 @@
     return [_request_outcome(run, tries) for tries in run.tries_by_first.values()]
 
 
-def _request_outcome(run: RunRecords, tries: Sequence[Tried]) -> RequestOutcome:
+def _request_outcome(run: RunRecords, tries: Sequence[TrySent]) -> RequestOutcome:
     """Return how a request ended that was sent with these tries."""
     first = min(tries, key=lambda tried: tried.number)
     how = "none"
@@ -89,7 +89,7 @@
     by_class = _weight_by(outcomes, [outcome.first.type for outcome in outcomes])
     attempts = [attempt for of_try in run.attempts.values() for attempt in of_try]
     try_count = max(1, len(run.tries))
-    lags = run.of_type(Lagged)
+    lags = run.of_type(GeneratorLagged)
     latencies_ms = _completed_latencies_ms(outcomes)
     ended = Counter(outcome.how for outcome in outcomes)
     found = {
@@ -100,7 +100,7 @@
         "worst_type": min((weight.share for weight in by_class.values()), default=0.0),
         "waste": _wasted_work_share(run),
         "crossings": _cross_zone_share(run, attempts),
-        "probes_per_try": len(run.of_type(Asked)) / try_count,
+        "probes_per_try": len(run.of_type(ProbeAnswered)) / try_count,
         "allocations_per_try": len(attempts) / try_count,
         "latency_max": float(latencies_ms.max()),
         "lag_max": max((lag.most for lag in lags), default=0.0),
@@ -148,7 +148,7 @@
 
 def _wasted_work_share(run: RunRecords) -> float:
     """Return the share of the servers' work that went into no completed answer."""
-    all_work = sum(end.work for end in run.of_type(Ended))
+    all_work = sum(end.work for end in run.of_type(AttemptEnded))
     useful_work = sum(
         _useful_work(run, tried.id) for tried in run.tries.values() if _is_completed(run, tried.id)
     )
@@ -163,11 +163,13 @@
 
 def _useful_work(run: RunRecords, try_id: str) -> float:
     """Return the work of the one run that answered a try: the largest of those that were done."""
-    done = (end for end in run.attempt_ends.get(try_id, ()) if isinstance(end, Ended) and end.how == "done")
+    done = (
+        end for end in run.attempt_ends.get(try_id, ()) if isinstance(end, AttemptEnded) and end.how == "done"
+    )
     return max((end.work for end in done), default=0.0)
 
 
-def _cross_zone_share(run: RunRecords, attempts: Sequence[Took]) -> float:
+def _cross_zone_share(run: RunRecords, attempts: Sequence[AttemptReceived]) -> float:
     """Return the share of attempts that went to a server of another zone than their client's."""
     zones: dict[str, str] = run.rules.get("zones", {})
     crossed = sum(
@@ -182,7 +184,3 @@
     """Return the turnarounds of the completed requests, shape (n,); a single 0 where there is none."""
     latencies = [outcome.turnaround_ms for outcome in outcomes if outcome.turnaround_ms is not None]
     return np.array(latencies or [0.0])
-
-
-# A name that other packages still use.
-turnarounds = request_outcomes
--- a/marlseam/judge/verdict.py
+++ b/marlseam/judge/verdict.py
@@ -35,11 +35,6 @@
         """Note how near one case came to a violation."""
         self.margin = max(self.margin, margin)
 
-    @property
-    def broken(self) -> list[Violation]:
-        """Return the violations: the name that other packages still use."""
-        return self.violations
-
 
 @dataclass
 class Verdict:
@@ -62,20 +57,3 @@
     def violation_count(self) -> int:
         """Return how many violations of all rules there are."""
         return sum(len(rule.violations) for rule in self.rules)
-
-    # Names that other packages still use.
-
-    @property
-    def missing(self) -> list[str]:
-        """Return the gaps."""
-        return self.gaps
-
-    @property
-    def judged(self) -> bool:
-        """Return whether the rules were checked."""
-        return self.is_judged
-
-    @property
-    def broken(self) -> int:
-        """Return how many violations of all rules there are."""
-        return self.violation_count
--- a/marlseam/load/generator.py
+++ b/marlseam/load/generator.py
@@ -22,8 +22,8 @@
 from marlseam.load.connection import Address, Connection, PendingTry
 from marlseam.load.errors import ConnectionUnavailableError
 from marlseam.load.tally import Tally
-from marlseam.records import Writer
-from marlseam.world.clients import Client, Front, tried
+from marlseam.records import StreamWriter
+from marlseam.world.clients import Client, FrontLoadBalancer, try_record
 from marlseam.world.model import Day
 from marlseam.world.plan import Arrival
 
@@ -61,7 +61,7 @@
         day: Day,
         arrivals: list[Arrival],
         nodes: Mapping[str, tuple[str, str]],
-        writer: Writer,
+        writer: StreamWriter,
         chance: np.random.Generator,
         max_connections: int = 0,
     ) -> None:
@@ -77,7 +77,7 @@
         self.max_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0] - RESERVED_DESCRIPTORS
         self._chance, self._max_connections = chance, max_connections
         self._addresses = {name: Address.parsed(place.address) for name, place in places.items()}
-        self._front = Front(_names_by_zone(places), 1000.0 * day.clients.notice_s)
+        self._front = FrontLoadBalancer(_names_by_zone(places), 1000.0 * day.clients.notice_s)
         self._poll = select.epoll()
         self._connections: dict[int, Connection] = {}  # by file descriptor
         self._idle: dict[str, list[Connection]] = {name: [] for name in nodes}
@@ -157,7 +157,7 @@
             self._close(connection)
         for number, second in sorted(self.tally.lagged.items()):
             self.writer.add(
-                records.Lagged(
+                records.GeneratorLagged(
                     t=1000.0 * number, by=self.writer.by, most=second.max_lag_ms, sends=second.sends
                 )
             )
@@ -175,10 +175,10 @@
     def _send_try(self, client: Client, intended_ms: float) -> None:
         """Send a client's next try to the node that the front picks."""
         try_id, now_ms = client.begin(), self.now_ms()
-        node, _ = self._front.deal(client.arrival.zone, now_ms)
+        node, _ = self._front.pick_node(client.arrival.zone, now_ms)
         pending = PendingTry(client, try_id, intended_ms, node)
         self.open_tries += 1
-        self.writer.add(tried(client, try_id, self.writer.by, node, now_ms))
+        self.writer.add(try_record(client, try_id, self.writer.by, node, now_ms))
         leaves_ms = client.leaves_at(now_ms)
         grace_ms = ANSWER_GRACE_MS if leaves_ms >= client.expires else 0.0
         self._call_at(leaves_ms + grace_ms, lambda: self._client_leaves(pending))
@@ -291,7 +291,7 @@
         self.open_tries -= 1
         now_ms = self.now_ms()
         self.writer.add(
-            records.Answered(t=now_ms, by=self.writer.by, id=pending.id, how=how, advice_ms=advice_ms)
+            records.TryAnswered(t=now_ms, by=self.writer.by, id=pending.id, how=how, advice_ms=advice_ms)
         )
         wait_ms = pending.client.wait(now_ms, how, advice_ms, self._chance)
         if wait_ms is not None:
@@ -320,7 +320,7 @@
         self.open_tries -= 1
         now_ms = self.now_ms()
         early = now_ms < pending.client.expires
-        self.writer.add(records.Quit(t=now_ms, by=self.writer.by, id=pending.id, early=early))
+        self.writer.add(records.ClientLeft(t=now_ms, by=self.writer.by, id=pending.id, early=early))
         if pending.connection is not None:
             pending.connection.pending = None
             self._close(pending.connection)
@@ -333,8 +333,8 @@
         node, pending = connection.node, connection.pending
         connection.pending = None
         self._close(connection)
-        if node not in self._front.down:
-            self._front.died(node, self.now_ms())
+        if node not in self._front.down_since_by_node:
+            self._front.mark_down(node, self.now_ms())
             self._call_at(self.now_ms() + NODE_CHECK_INTERVAL_MS, lambda: self._check_node(node))
         if pending is not None and pending.is_open:
             pending.connection = None
@@ -347,7 +347,7 @@
         with socket.socket() as sock:
             sock.settimeout(NODE_CHECK_TIMEOUT_S)
             if sock.connect_ex(self._addresses[node]) == 0:
-                self._front.back(node)
+                self._front.mark_up(node)
                 return
         self._call_at(self.now_ms() + NODE_CHECK_INTERVAL_MS, lambda: self._check_node(node))
 
--- a/marlseam/load/process.py
+++ b/marlseam/load/process.py
@@ -9,7 +9,7 @@
 from marlseam.load import trace
 from marlseam.load.generator import Generator, NodePlace
 from marlseam.load.tally import Tally, TallySummary
-from marlseam.records import Streams
+from marlseam.records import RecordStreams
 from marlseam.world import plan, troubles
 from marlseam.world.chance import stream
 from marlseam.world.model import Day
@@ -53,7 +53,7 @@
     """
     number, count = (int(word) for word in part.split("/"))
     arrivals = arrivals_of(day, seed)[number - 1 :: count]
-    streams = Streams(folder, "clients")
+    streams = RecordStreams(folder, "clients")
     writer = streams.of(f"clients-{number}")
     places = {name: NodePlace(zone, address) for name, (zone, address) in nodes.items()}
     generator = Generator(day, arrivals, places, writer, stream(seed, "clients", number), connections)
--- a/marlseam/load/trace.py
+++ b/marlseam/load/trace.py
@@ -14,7 +14,7 @@
 from msgspec import UNSET, UnsetType
 
 from marlseam.load.errors import TraceError
-from marlseam.records import Record, Tried
+from marlseam.records import Record, TrySent
 from marlseam.world.model import Day, NotNegative, Positive
 from marlseam.world.plan import Arrival
 
@@ -174,13 +174,13 @@
     """
     arrival_by_id = {arrival.id: arrival for arrival in run_arrivals}
     yield msgspec.json.encode(Head(VERSION)) + b"\n"
-    tries = [record for record in records if isinstance(record, Tried)]
+    tries = [record for record in records if isinstance(record, TrySent)]
     for tried in sorted(tries, key=lambda tried: tried.t):
         if with_retries or not tried.number:
             yield msgspec.json.encode(_row(tried, arrival_by_id[tried.first])) + b"\n"
 
 
-def _row(tried: Tried, arrival: Arrival) -> Row:
+def _row(tried: TrySent, arrival: Arrival) -> Row:
     """Return the row of a try; a first try stands at its intended time."""
     return Row(
         t=round(tried.t if tried.number else tried.intended, 3),
@@ -196,7 +196,3 @@
         first=tried.first if tried.number else "",
         number=tried.number,
     )
-
-
-# A name that other packages still use.
-BadTrace = TraceError
--- a/marlseam/load/verdict.py
+++ b/marlseam/load/verdict.py
@@ -45,11 +45,6 @@
             and ConnectionUnavailableError.NO_DESCRIPTORS not in self.refused
         )
 
-    @property
-    def valid(self) -> bool:
-        """Return whether the load is valid: the name that other packages still use."""
-        return self.is_valid
-
     def share_over(self, name: HistogramName, limit_ms: float) -> float:
         """Return the share of latencies, counted from `intended` or `actual` sends, that lie over a limit."""
         histogram = self.histograms[name]
--- a/marlseam/records.py
+++ b/marlseam/records.py
@@ -1,7 +1,7 @@
 """The records of a run: what happened, as written by whoever it happened to, one JSON object a line.
 
-Every writer (clients, servers, endpoint list, network, driver) leaves one stream: a `Begin`, its
-records with a number that counts up from 1, and an `End` with the last number, so that the judge can
+Every writer (clients, servers, endpoint list, network, driver) leaves one stream: a `StreamBegan`, its
+records with a number that counts up from 1, and a `StreamEnded` with the last number, so that the judge can
 tell a whole stream from one with gaps. The names of the structs' fields and their tags are those of the
 files.
 
@@ -32,7 +32,7 @@
     by: str
 
 
-class Begin(Record, tag="begin"):
+class StreamBegan(Record, tag="begin"):
     """A stream begins.
 
     `rules` are the run's settings as the judge reads them, in the driver's stream alone.
@@ -43,14 +43,14 @@
     rules: dict[str, Any] = {}
 
 
-class End(Record, tag="end"):
+class StreamEnded(Record, tag="end"):
     """A stream ends whole."""
 
 
 # Clients.
 
 
-class Tried(Record, tag="tried"):
+class TrySent(Record, tag="tried"):
     """A client sent a try.
 
     Turnarounds count from `intended`; `credit` is the priority weight of the request.
@@ -71,7 +71,7 @@
     key: str | None = None
 
 
-class Answered(Record, tag="answered"):
+class TryAnswered(Record, tag="answered"):
     """A try's final answer came: completed, deferred, aborted; or it ended without: lost, unsent."""
 
     id: str
@@ -79,14 +79,14 @@
     advice_ms: float = 0.0
 
 
-class Quit(Record, tag="quit"):
+class ClientLeft(Record, tag="quit"):
     """A client left a try without an answer; `early` if before its deadline."""
 
     id: str
     early: bool = False
 
 
-class Lagged(Record, tag="lagged"):
+class GeneratorLagged(Record, tag="lagged"):
     """A load generator lagged in some second: by how many ms at most, and how many sends were late."""
 
     most: float
@@ -96,7 +96,7 @@
 # Servers.
 
 
-class Took(Record, tag="took"):
+class AttemptReceived(Record, tag="took"):
     """A server received an attempt whole."""
 
     id: str
@@ -106,20 +106,20 @@
     acting: str = ""  # the configuration version that its node serves by, as the node says
 
 
-class Refused(Record, tag="refused"):
+class AttemptRefused(Record, tag="refused"):
     """A server rejected an attempt, or handed it back unstarted: it never ran."""
 
     id: str
 
 
-class Ran(Record, tag="ran"):
+class AttemptStarted(Record, tag="ran"):
     """An attempt began to run; without effect where the server knew its idempotency key and dropped it."""
 
     id: str
     effect: bool = True
 
 
-class Ended(Record, tag="ended"):
+class AttemptEnded(Record, tag="ended"):
     """A run ended: done, failed, lost; `work` is the standard work spent on it, in ms times slots."""
 
     id: str
@@ -127,22 +127,22 @@
     work: float = 0.0
 
 
-class Withdrawn(Record, tag="withdrawn"):
+class AttemptCancelled(Record, tag="withdrawn"):
     """A node cancelled an attempt, as the server saw it, or the network on its link to `executor`."""
 
     id: str
     executor: str = ""
 
 
-class Asked(Record, tag="asked"):
+class ProbeAnswered(Record, tag="asked"):
     """A server answered a probe."""
 
 
-class Born(Record, tag="born"):
+class ServerStarted(Record, tag="born"):
     """A server's process started, in slow start."""
 
 
-class Fell(Record, tag="fell"):
+class ServerOverloaded(Record, tag="fell"):
     """A server in slow start was overloaded; `load` is the share of what it bears that it received."""
 
     load: float
@@ -151,7 +151,7 @@
 # Endpoint list, network, driver.
 
 
-class Told(Record, tag="told"):
+class ServerStateHeard(Record, tag="told"):
     """A node was told a server's state by the endpoint list: ready, draining, gone."""
 
     node: str
@@ -159,14 +159,14 @@
     state: str
 
 
-class Called(Record, tag="called"):
+class EndpointListCalled(Record, tag="called"):
     """A node called the endpoint list; `served` unless that was down or too many calls waited."""
 
     node: str
     served: bool
 
 
-class Cut(Record, tag="cut"):
+class LinkChanged(Record, tag="cut"):
     """The network cut or mended the link between two names or zones."""
 
     a: str
@@ -174,7 +174,7 @@
     mended: bool = False
 
 
-class Trouble(Record, tag="trouble"):
+class FaultBegan(Record, tag="trouble"):
     """A fault of the schedule began; it ends at `until`."""
 
     kind: str
@@ -183,7 +183,7 @@
     size: float = 0.0
 
 
-class Node(Record, tag="node"):
+class NodeStateChanged(Record, tag="node"):
     """A dispatcher node changed its state."""
 
     node: str
@@ -193,25 +193,25 @@
 
 
 AnyRecord = (
-    Begin
-    | End
-    | Tried
-    | Answered
-    | Quit
-    | Lagged
-    | Took
-    | Refused
-    | Ran
-    | Ended
-    | Withdrawn
-    | Asked
-    | Born
-    | Fell
-    | Called
-    | Told
-    | Cut
-    | Trouble
-    | Node
+    StreamBegan
+    | StreamEnded
+    | TrySent
+    | TryAnswered
+    | ClientLeft
+    | GeneratorLagged
+    | AttemptReceived
+    | AttemptRefused
+    | AttemptStarted
+    | AttemptEnded
+    | AttemptCancelled
+    | ProbeAnswered
+    | ServerStarted
+    | ServerOverloaded
+    | EndpointListCalled
+    | ServerStateHeard
+    | LinkChanged
+    | FaultBegan
+    | NodeStateChanged
 )
 ENCODER = msgspec.json.Encoder()
 DECODER: msgspec.json.Decoder[AnyRecord] = msgspec.json.Decoder(AnyRecord)
@@ -233,7 +233,7 @@
         self.by, self.file = by, file
         self.kept: list[Record] = []
         self._last_number = 0
-        self.add(Begin(t=0.0, by=by, system=system, rules=rules or {}))
+        self.add(StreamBegan(t=0.0, by=by, system=system, rules=rules or {}))
 
     def add(self, record: Record) -> None:
         """Write a record under the stream's next number."""
@@ -246,7 +246,7 @@
 
     def end(self, at_ms: float) -> None:
         """End the stream whole."""
-        self.add(End(t=at_ms, by=self.by))
+        self.add(StreamEnded(t=at_ms, by=self.by))
         if self.file is not None:
             self.file.flush()
 
@@ -309,8 +309,3 @@
             except ValueError as error:
                 found.problems.append(f"{path.name}: {error}")
     return found
-
-
-# Names that other packages still use.
-Writer = StreamWriter
-Streams = RecordStreams
--- a/marlseam/standin/base.py
+++ b/marlseam/standin/base.py
@@ -22,7 +22,7 @@
 from marlseam.net.connection import Connection, ConnectionEndedError, Steps
 from marlseam.net.log import Log, Reason
 from marlseam.net.loop import READ, Cancelled, Coroutine, Loop, Task
-from marlseam.records import Streams
+from marlseam.records import RecordStreams
 
 BODY_MOST = 1 << 20  # bytes of a request's body
 Handler = Callable[[Connection, h11.Request, bytes], Steps]
@@ -118,7 +118,7 @@
     def __init__(self, system: str, folder: Path | None) -> None:
         self.loop = Loop(lambda text: print(text, file=sys.stderr, flush=True))
         self.log = Quiet(system, self.loop.now)
-        self.streams = Streams(folder, system)
+        self.streams = RecordStreams(folder, system)
         self.zero: float | None = None
         self.schedule: list[tuple[float, Callable[[], None]]] = []
 
--- a/marlseam/standin/executors.py
+++ b/marlseam/standin/executors.py
@@ -14,9 +14,10 @@
 from marlseam.net.protocol import ACTING, ID, LOAD_PATH, NEVER_RAN, RECEIPT, TYPE, Head
 from marlseam.standin.base import Door, Stand, reply
 from marlseam.world import fleet, troubles
-from marlseam.world.executor import Executor, Happening, Job
+from marlseam.world.executor import Server
+from marlseam.world.job import Job, JobEvent
 from marlseam.world.model import Day
-from marlseam.world.troubles import Met
+from marlseam.world.troubles import ScheduledFault
 
 
 class Order(msgspec.Struct):
@@ -30,7 +31,7 @@
 class Host:
     """One executor behind its door."""
 
-    def __init__(self, stand: Stand, executor: Executor, day: Day, nodelay: bool) -> None:
+    def __init__(self, stand: Stand, executor: Server, day: Day, nodelay: bool) -> None:
         self.stand, self.executor, self.day = stand, executor, day
         self.name = executor.name
         self.types = {type.name: type for type in day.types}
@@ -38,7 +39,7 @@
         self.silent, self.next, self.count = False, inf, 0
         self.calls: dict[str, Call] = {}
         self.door = Door(stand, executor.name, self.answer, nodelay=nodelay)
-        if not executor.up:
+        if not executor.is_up:
             self.door.shut()
 
     def note(self, kind: type, **values: object) -> None:
@@ -47,9 +48,9 @@
 
     def look(self) -> None:
         """Bring the executor to now, pass on what happened, and note when it is next to be looked at."""
-        for h in self.executor.advance(max(self.stand.now(), self.executor.at)):
+        for h in self.executor.advance(max(self.stand.now(), self.executor.at_ms)):
             self.happened(h)
-        due = self.executor.due()
+        due = self.executor.next_event_ms()
         if due < self.next:
             self.next = due
             self.stand.at(due, lambda: self.come_due(due))
@@ -60,13 +61,13 @@
             self.next = inf
             self.look()
 
-    def happened(self, h: Happening) -> None:
+    def happened(self, h: JobEvent) -> None:
         """Write down what happened to a job and have its call tell it."""
         ref = h.id.rpartition("/")[0]
         if h.what == "started":
-            self.note(records.Ran, id=ref, effect=h.value > 0.0)
+            self.note(records.AttemptStarted, id=ref, effect=h.value > 0.0)
         elif h.what != "progress":
-            self.note(records.Ended, id=ref, how=h.what, work=h.value)
+            self.note(records.AttemptEnded, id=ref, how=h.what, work=h.value)
         call = self.calls.get(h.id)
         if call is not None:
             call.tell(h)
@@ -77,7 +78,7 @@
             yield from sleep(self.stand.loop.now() + 50.0)
         if request.method == b"GET":
             self.look()
-            self.note(records.Asked)
+            self.note(records.ProbeAnswered)
             known = request.target.decode("latin-1") == LOAD_PATH
             text = load_text(self.executor.report(self.stand.now())) if known else ""
             yield from reply(connection, 200 if known else 404, text.encode())
@@ -94,28 +95,30 @@
         self.count += 1
         job = Job(
             id=f"{head[ID]}/{self.count}",
-            unit=head[ID],
-            type=type.name,
+            try_id=head[ID],
+            class_name=type.name,
             work=order.work,
             slots=order.slots,
             memory=order.memory,
-            receipt=head.get(RECEIPT),
-            group=type.group,
-            memory_ms=type.memory_ms,
+            idempotency_key=head.get(RECEIPT),
+            key_group=type.group,
+            key_memory_ms=type.memory_ms,
         )
         yield from Call(self, connection, job, head.get(ACTING, "")).run()
 
     def offer(self, job: Job, acting: str = "") -> bool:
         """Hand the executor a job, note it, and see whether that pushed it over."""
         self.look()
-        now = self.executor.at
+        now = self.executor.at_ms
         taken = self.executor.offer(now, job)
-        load = self.executor.load(0.0) if self.executor.cold(now) else 0.0
-        self.note(records.Took, id=job.unit, born=self.executor.born, load=load, acting=acting)
+        load = self.executor.slow_start_load(0.0) if self.executor.is_in_slow_start(now) else 0.0
+        self.note(
+            records.AttemptReceived, id=job.try_id, born=self.executor.started_ms, load=load, acting=acting
+        )
         if not taken:
-            self.note(records.Refused, id=job.unit)
-        if self.executor.fallen is not None and self.executor.up:
-            self.note(records.Fell, load=self.executor.fallen)
+            self.note(records.AttemptRefused, id=job.try_id)
+        if self.executor.overload_share is not None and self.executor.is_up:
+            self.note(records.ServerOverloaded, load=self.executor.overload_share)
             self.stand.loop.soon(self.crash)
         return taken
 
@@ -123,7 +126,7 @@
 
     def crash(self) -> None:
         """End the process: connections break, new ones are refused."""
-        if self.executor.up:
+        if self.executor.is_up:
             self.look()
             self.executor.crash()
             self.look()
@@ -132,11 +135,11 @@
 
     def rise(self, t: float) -> None:
         """Start the process anew, cold since some time."""
-        self.executor.begin(self.stand.now(), t)
-        self.note(records.Born)
+        self.executor.start_process(self.stand.now(), t)
+        self.note(records.ServerStarted)
         self.door.listen()
 
-    def trouble(self, met: Met, on: bool, schedule: list[Met]) -> None:
+    def trouble(self, met: ScheduledFault, on: bool, schedule: list[ScheduledFault]) -> None:
         """Begin or end a trouble."""
         self.look()
         t = met.at if on else met.until
@@ -149,13 +152,13 @@
             case ("reset", True):
                 self.door.reset()
             case ("shrink", True):
-                self.executor.draining = True
+                self.executor.is_draining = True
             case ("crash", True) | ("shrink", False):
                 self.crash()
             case ("crash", False) | ("grow", True):
                 self.rise(t)
             case _:
-                self.executor.ills = troubles.ills(schedule, self.name, t)
+                self.executor.fault_effects = troubles.fault_effects(schedule, self.name, t)
                 self.next = inf
                 self.look()
 
@@ -169,13 +172,13 @@
         self.over = False
         self.task = host.stand.loop.current
 
-    def tell(self, h: Happening) -> None:
+    def tell(self, h: JobEvent) -> None:
         """Queue a line."""
-        row: dict = {"id": self.job.unit, "from": self.host.name, "state": h.what}
+        row: dict = {"id": self.job.try_id, "from": self.host.name, "state": h.what}
         if h.what == "progress":
             row |= {"state": "running", "share": h.value}
         elif h.what == "done":
-            row["result"] = f"{self.job.unit} by {self.host.name}"
+            row["result"] = f"{self.job.try_id} by {self.host.name}"
         self.over = self.over or h.what in ("done", "failed", "lost")
         if self.over and self.host.day.reports.answers:
             row["load"] = load_of(self.host.executor.report(self.host.stand.now()))
@@ -209,10 +212,10 @@
                     yield from self.wait()
         finally:
             del host.calls[self.job.id]
-            if not finished and host.executor.up:
-                host.note(records.Withdrawn, id=self.job.unit)
+            if not finished and host.executor.is_up:
+                host.note(records.AttemptCancelled, id=self.job.try_id)
                 host.look()
-                host.executor.withdraw(self.job.id)
+                host.executor.cancel(self.job.id)
                 host.look()
 
     def wait(self) -> Steps:
--- a/marlseam/standin/network.py
+++ b/marlseam/standin/network.py
@@ -15,8 +15,8 @@
 from marlseam.standin.base import Stand
 from marlseam.world import troubles
 from marlseam.world.chance import stream
-from marlseam.world.model import Day, executors
-from marlseam.world.network import Lines
+from marlseam.world.model import Day, placed_servers
+from marlseam.world.network import Links
 
 CHUNK = 65536
 
@@ -89,7 +89,7 @@
     """The way from one zone to one executor."""
 
     def __init__(
-        self, stand: Stand, lines: Lines, zone: str, executor: str, place: str, to: tuple[str, int]
+        self, stand: Stand, lines: Links, zone: str, executor: str, place: str, to: tuple[str, int]
     ) -> None:
         self.stand, self.lines, self.zone, self.executor, self.place, self.to = (
             stand,
@@ -107,7 +107,7 @@
 
     def passes(self) -> bool:
         """Return whether bytes pass."""
-        return self.lines.passes(self.zone, self.executor, self.place)
+        return self.lines.is_reachable(self.zone, self.executor, self.place)
 
     def delay(self) -> float:
         """Return how long bytes take, in ms; within a zone the loopback's own time stands for it."""
@@ -115,7 +115,7 @@
 
     def loses(self) -> bool:
         """Return whether what comes now is lost."""
-        return self.lines.loses(self.zone, self.place)
+        return self.lines.is_lost(self.zone, self.place)
 
     def held(self) -> Coroutine:
         """Wait until bytes pass."""
@@ -163,23 +163,23 @@
     """Run a day's network until the end."""
     stand = Stand("network", folder)
     writer = stand.streams.of("network")
-    lines = Lines(day.network, stream(seed, "network"))
+    lines = Links(day.network, stream(seed, "network"))
     passages: dict[tuple[str, str], Passage] = {}
     for zone in day.fleet.zones:
-        for name, _, _, place, _ in executors(day):
+        for name, _, _, place, _ in placed_servers(day):
             host, _, port = addresses[name].rpartition(":")
             passages[zone, name] = Passage(stand, lines, zone, name, place, (host, int(port)))
 
-    def cut(met: troubles.Met, on: bool) -> None:
-        lines.block(lines.cut_zones, met.targets[0], on)
-        writer.add(records.Cut(t=stand.now(), by="network", a=met.targets[0], b="*", mended=not on))
+    def cut(met: troubles.ScheduledFault, on: bool) -> None:
+        lines.set_blocked(lines.cut_zones, met.targets[0], on)
+        writer.add(records.LinkChanged(t=stand.now(), by="network", a=met.targets[0], b="*", mended=not on))
         if not on:
             for passage in passages.values():
                 if (passage.zone == met.targets[0]) != (passage.place == met.targets[0]):
                     passage.mend()
 
-    def slow(met: troubles.Met, on: bool) -> None:
-        lines.slow_way(met.targets[0], met.trouble.size, met.trouble.part, on)
+    def slow(met: troubles.ScheduledFault, on: bool) -> None:
+        lines.set_zone_slow(met.targets[0], met.trouble.size, met.trouble.part, on)
 
     for met in troubles.schedule(day, seed):
         if met.trouble.what == "slow_link":
--- a/marlseam/standin/roster.py
+++ b/marlseam/standin/roster.py
@@ -19,8 +19,8 @@
 from marlseam.net.protocol import LIST_PATH
 from marlseam.standin.base import Door, Stand, reply
 from marlseam.world import troubles
-from marlseam.world.model import Day, executors, nodes
-from marlseam.world.roster import Roster
+from marlseam.world.model import Day, placed_nodes, placed_servers
+from marlseam.world.roster import EndpointList
 
 HEALTH = {EndpointState.READY: "active", EndpointState.DRAINING: "leaving", EndpointState.GONE: "left"}
 
@@ -32,7 +32,7 @@
         self,
         stand: Stand,
         day: Day,
-        schedule: list[troubles.Met],
+        schedule: list[troubles.ScheduledFault],
         dials: Mapping[str, Mapping[str, str]],
         port: int = 0,
     ) -> None:
@@ -41,21 +41,23 @@
         `dials` holds an address of each executor for each zone, `port` the first node's door.
         """
         self.stand, self.day, self.dials = stand, day, dials
-        self.places = {name: (kind.name, zone, cell) for name, kind, _, zone, cell in executors(day)}
+        self.places = {name: (kind.name, zone, cell) for name, kind, _, zone, cell in placed_servers(day)}
         self.numbers = {
-            name: (k, day.fleet.zones.index(zone), cell) for name, _, k, zone, cell in executors(day)
+            name: (k, day.fleet.zones.index(zone), cell) for name, _, k, zone, cell in placed_servers(day)
         }
         later = {name for met in schedule if met.trouble.what == "grow" for name in met.targets}
         rows = [self.row(name, EndpointState.READY, None) for name in self.places if name not in later]
-        self.roster = Roster(rows, day.roster.calls_per_s, day.roster.timeout_ms)
+        self.roster = EndpointList(rows, day.roster.calls_per_s, day.roster.timeout_ms)
         self.roster.outages = [(m.at, m.until) for m in schedule if m.trouble.what == "roster_outage"]
         self.writer = stand.streams.of("roster")
         self.waiting: dict[Task, None] = {}
         self.doors: dict[str, Door] = {}
-        for name, zone in nodes(day):
+        for name, zone in placed_nodes(day):
             self.doors[name] = Door(stand, name, self.handler(name, zone), 0 if self.doors else port)
         for news in troubles.listings(day, schedule):
-            stand.at(news.at, lambda news=news: self.change(self.row(news.executor, news.state, news.born)))
+            stand.at(
+                news.at, lambda news=news: self.change(self.row(news.server, news.state, news.started_ms))
+            )
         for begin, _ in self.roster.outages:
             stand.at(begin, self.wake)
 
@@ -65,7 +67,7 @@
 
     def change(self, row: EndpointEntry) -> None:
         """List a change and tell who waits."""
-        self.roster.change(row)
+        self.roster.add_entry(row)
         self.wake()
 
     def wake(self) -> None:
@@ -83,8 +85,10 @@
                 return
             asked = parse_qs(target.query)
             since = int(asked.get("since", ["0"])[0])
-            served = self.roster.call(self.stand.now())
-            called = records.Called(t=self.stand.now(), by="roster", node=node, served=served is not None)
+            served = self.roster.take_call(self.stand.now())
+            called = records.EndpointListCalled(
+                t=self.stand.now(), by="roster", node=node, served=served is not None
+            )
             self.writer.add(called)
             if served is None:
                 yield from reply(connection, 503, b"")
@@ -92,7 +96,7 @@
             yield from sleep(self.stand.loop.now() + served - self.stand.now())
             if "since" in asked:
                 yield from self.watch(connection, since, float(asked.get("timeout_ms", ["0"])[0]))
-            if self.roster.out(self.stand.now()) > self.stand.now():
+            if self.roster.down_until_ms(self.stand.now()) > self.stand.now():
                 yield from reply(connection, 503, b"")
                 return
             yield from reply(connection, 200, self.news(node, zone, since))
@@ -106,7 +110,7 @@
         self.waiting[task] = None
         try:
             while self.roster.version() <= since and self.stand.loop.now() < until:
-                if self.roster.out(self.stand.now()) > self.stand.now():
+                if self.roster.down_until_ms(self.stand.now()) > self.stand.now():
                     return
                 came = yield (connection.sock.fileno(), READ, until)
                 if came == READY:
@@ -118,10 +122,12 @@
 
     def news(self, node: str, zone: str, since: int) -> bytes:
         """Return an answer, and note what it tells."""
-        whole, rows = self.roster.news(since)
-        for executor, state in self.roster.told(node, whole, rows):
+        whole, rows = self.roster.answer_since(since)
+        for executor, state in self.roster.departure_notices(node, whole, rows):
             self.writer.add(
-                records.Told(t=self.stand.now(), by="roster", node=node, executor=executor, state=state.value)
+                records.ServerStateHeard(
+                    t=self.stand.now(), by="roster", node=node, executor=executor, state=state.value
+                )
             )
         hosts = [self.entry(row, zone) for row in rows]
         return json.dumps({"seq": self.roster.version(), "whole": whole, "hosts": hosts}).encode()
--- a/marlseam/world/clients.py
+++ b/marlseam/world/clients.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from marlseam.records import Tried
+from marlseam.records import TrySent
 from marlseam.world.model import Clients, Type
 from marlseam.world.plan import Arrival
 
@@ -84,10 +84,10 @@
         return how in ("aborted", "lost") and self.type.effect == "rerunnable"
 
 
-def tried(client: Client, id: str, by: str, node: str, now: float) -> Tried:
+def try_record(client: Client, id: str, by: str, node: str, now: float) -> TrySent:
     """Return the record of a try that goes out to a node now."""
     arrival, request_class = client.arrival, client.type
-    return Tried(
+    return TrySent(
         t=now,
         by=by,
         id=id,
@@ -113,7 +113,7 @@
     is_up: bool
 
 
-class Front:
+class FrontLoadBalancer:
     """A front load balancer: spreads a zone's tries over its nodes, round robin.
 
     It notices a node's failure only after a while, as it finds out by health checks of its own.
@@ -121,31 +121,31 @@
     Attributes:
         by_zone: the names of the nodes of each zone.
         notice_ms: after which time it notices a failure.
-        down: since when a node is down, by name.
-        turn: how many tries were given to the nodes of each zone.
+        down_since_by_node: since when a node is down, by name.
+        pick_counts: how many tries were given to the nodes of each zone.
     """
 
     def __init__(self, by_zone: dict[str, list[str]], notice_ms: float) -> None:
         """Make one whose nodes are all up."""
         self.by_zone, self.notice_ms = by_zone, notice_ms
-        self.down: dict[str, float] = {}
-        self.turn = dict.fromkeys(by_zone, 0)
+        self.down_since_by_node: dict[str, float] = {}
+        self.pick_counts = dict.fromkeys(by_zone, 0)
 
-    def died(self, node: str, now_ms: float) -> None:
+    def mark_down(self, node: str, now_ms: float) -> None:
         """Note that a node failed or stopped listening."""
-        self.down.setdefault(node, now_ms)
+        self.down_since_by_node.setdefault(node, now_ms)
 
-    def back(self, node: str) -> None:
+    def mark_up(self, node: str) -> None:
         """Note that a node is ready again."""
-        self.down.pop(node, None)
+        self.down_since_by_node.pop(node, None)
 
-    def deal(self, zone: str, now_ms: float) -> NodePick:
+    def pick_node(self, zone: str, now_ms: float) -> NodePick:
         """Pick the node for a try; one that is down is picked until its failure is noticed."""
         nodes = self.by_zone[zone]
         for _ in nodes:
-            self.turn[zone] += 1
-            node = nodes[self.turn[zone] % len(nodes)]
-            down_since_ms = self.down.get(node)
+            self.pick_counts[zone] += 1
+            node = nodes[self.pick_counts[zone] % len(nodes)]
+            down_since_ms = self.down_since_by_node.get(node)
             if down_since_ms is None or now_ms - down_since_ms < self.notice_ms:
                 return NodePick(node, down_since_ms is None)
-        return NodePick(nodes[0], nodes[0] not in self.down)
+        return NodePick(nodes[0], nodes[0] not in self.down_since_by_node)
--- a/marlseam/world/executor.py
+++ b/marlseam/world/executor.py
@@ -1,8 +1,8 @@
 """A server, modelled without input or output.
 
 It has slots and memory, a queue whose head blocks, a speed that changes, a slow start in which it can be
-overloaded, and it remembers idempotency keys. `offer`, `withdraw`, `crash` and the faults change it;
-`advance` brings it to a time and returns what happened until then, in order; `due` says when
+overloaded, and it remembers idempotency keys. `offer`, `cancel`, `crash` and the faults change it;
+`advance` brings it to a time and returns what happened until then, in order; `next_event_ms` says when
 something next happens by itself.
 
 All jobs that run share one rate, so the server keeps a clock of standard work, and a job ends when that clock
@@ -111,12 +111,12 @@
         kind: what it can do.
         memories: the memories that it shares, by the group: all, zone, cell.
         fall_multiple: how many times what it can do it bears in slow start; see ServerSettings.
-        ills: what faults make of it now.
-        draining: whether it takes no new jobs.
-        up: whether its process runs.
-        born: when its process started, None if that was long before the day.
-        fallen: the share of what it bears in slow start at which it was overloaded, or None.
-        at: the time that it was brought to, in ms.
+        fault_effects: what faults make of it now.
+        is_draining: whether it takes no new jobs.
+        is_up: whether its process runs.
+        started_ms: when its process started, None if that was long before the day.
+        overload_share: the share of what it bears in slow start at which it was overloaded, or None.
+        at_ms: the time that it was brought to, in ms.
         clock: the clock of standard work at that time.
         state: what its process holds.
     """
@@ -128,23 +128,23 @@
         memories: Mapping[str, GroupMemory],
         chance: np.random.Generator,
         settings: ServerSettings,
-        born: float | None = None,
+        started_ms: float | None = None,
     ) -> None:
         """Make a server whose process runs at time 0; `chance` draws failures and expensive jobs."""
         self.name, self.kind, self.memories = name, kind, memories
         self.fall_multiple = settings.fall_multiple
-        self.ills = FaultEffects()
-        self.draining = False
+        self.fault_effects = FaultEffects()
+        self.is_draining = False
         self._chance, self._settings = chance, settings
         self._last_serial = 0
-        self.begin(0.0, born)
+        self.start_process(0.0, started_ms)
 
-    def begin(self, now_ms: float, born: float | None) -> None:
+    def start_process(self, now_ms: float, started_ms: float | None) -> None:
         """Start a process, in slow start if it was started at some time and not long ago."""
-        self.born, self.state, self.up = born, ProcessState(), True
-        self.fallen: float | None = None
+        self.started_ms, self.state, self.is_up = started_ms, ProcessState(), True
+        self.overload_share: float | None = None
         self.free_slots, self.free_memory = float(self.kind.slots), self.kind.memory
-        self.at, self.clock = now_ms, 0.0
+        self.at_ms, self.clock = now_ms, 0.0
         self._sampled_ms = now_ms
         first_sample = ReportSample(now_ms, self._current_report())
         self._samples: deque[ReportSample] = deque([first_sample], maxlen=MAX_REPORT_SAMPLES)
@@ -154,45 +154,45 @@
 
     def rate(self) -> float:
         """Return standard work a ms and slot, after slow start."""
-        return self.kind.speed * (1.0 - self.ills.stolen_share) / self.ills.slowdown
+        return self.kind.speed * (1.0 - self.fault_effects.stolen_share) / self.fault_effects.slowdown
 
-    def warmth(self, at_ms: float) -> float:
+    def speed_share(self, at_ms: float) -> float:
         """Return which share of its rate it has at a time; below 1 in slow start."""
-        if self.born is None:
+        if self.started_ms is None:
             return 1.0
-        age = min(max(0.0, at_ms - self.born) / (1000.0 * self.kind.warm_s), 1.0)
+        age = min(max(0.0, at_ms - self.started_ms) / (1000.0 * self.kind.warm_s), 1.0)
         return self.kind.cold_share + (1.0 - self.kind.cold_share) * age
 
-    def cold(self, now_ms: float) -> bool:
+    def is_in_slow_start(self, now_ms: float) -> bool:
         """Return whether it is in slow start."""
-        return self.born is not None and now_ms < self.born + 1000.0 * self.kind.warm_s
+        return self.started_ms is not None and now_ms < self.started_ms + 1000.0 * self.kind.warm_s
 
     def _slow_start_end_ms(self) -> float:
         """Return when slow start ends, minus infinity where there was none in this day."""
-        return -inf if self.born is None else self.born + 1000.0 * self.kind.warm_s
+        return -inf if self.started_ms is None else self.started_ms + 1000.0 * self.kind.warm_s
 
     def work_between(self, from_ms: float, until_ms: float) -> float:
         """Return the standard work that a slot does between two times at the rate as it is now."""
         ramp_end_ms = min(max(from_ms, self._slow_start_end_ms()), until_ms)
         ramp = 0.0
         if ramp_end_ms > from_ms:
-            ramp = (self.warmth(from_ms) + self.warmth(ramp_end_ms)) / 2.0 * (ramp_end_ms - from_ms)
+            ramp = (self.speed_share(from_ms) + self.speed_share(ramp_end_ms)) / 2.0 * (ramp_end_ms - from_ms)
         return self.rate() * (ramp + (until_ms - max(from_ms, ramp_end_ms)))
 
     def time_of(self, clock: float) -> float:
         """Return when the clock of standard work will show a figure, in ms."""
         full_speed_ms = max(0.0, clock - self.clock) / self.rate()
         ramp_end_ms = self._slow_start_end_ms()
-        if self.at >= ramp_end_ms:
-            return self.at + full_speed_ms
-        share, ramp_ms = self.warmth(self.at), ramp_end_ms - self.at
+        if self.at_ms >= ramp_end_ms:
+            return self.at_ms + full_speed_ms
+        share, ramp_ms = self.speed_share(self.at_ms), ramp_end_ms - self.at_ms
         ramp_work = (share + 1.0) / 2.0 * ramp_ms
         if full_speed_ms >= ramp_work:
             return ramp_end_ms + full_speed_ms - ramp_work
         if not full_speed_ms:
-            return self.at + 0.0
+            return self.at_ms + 0.0
         slope = (1.0 - share) / ramp_ms
-        return self.at + 2.0 * full_speed_ms / (share + sqrt(share * share + 2.0 * slope * full_speed_ms))
+        return self.at_ms + 2.0 * full_speed_ms / (share + sqrt(share * share + 2.0 * slope * full_speed_ms))
 
     def _move(self, to_ms: float) -> None:
         """Bring the clock of standard work and the reports to a time before which nothing happens."""
@@ -201,14 +201,14 @@
             # The state has not changed since the last event, so one sample stands for all that were due.
             self._sampled_ms += period_ms * max(1.0, (to_ms - self._sampled_ms) // period_ms)
             self._samples.append(ReportSample(self._sampled_ms, self._current_report()))
-        self.clock += self.work_between(self.at, to_ms)
-        self.at = to_ms
+        self.clock += self.work_between(self.at_ms, to_ms)
+        self.at_ms = to_ms
 
     # Time.
 
-    def due(self) -> float:
+    def next_event_ms(self) -> float:
         """Return when something next happens by itself, in ms; infinity where nothing does."""
-        if not self.up:
+        if not self.is_up:
             return inf
         finishing, progress = self.state.finishing, self.state.progress
         end_ms = self.time_of(finishing[0].clock) if finishing else inf
@@ -216,13 +216,13 @@
 
     def advance(self, now_ms: float) -> list[JobEvent]:
         """Bring the server to a time, and return what happened until then."""
-        while self.up and (due_ms := self.due()) <= now_ms:
-            self._move(max(due_ms, self.at))
-            if self.state.progress and self.state.progress[0].at_ms <= self.at:
+        while self.is_up and (due_ms := self.next_event_ms()) <= now_ms:
+            self._move(max(due_ms, self.at_ms))
+            if self.state.progress and self.state.progress[0].at_ms <= self.at_ms:
                 self._note_progress(heapq.heappop(self.state.progress))
             else:
                 self._finish_scheduled(heapq.heappop(self.state.finishing))
-        if now_ms > self.at:
+        if now_ms > self.at_ms:
             self._move(now_ms)
         events, self._events = self._events, []
         return events
@@ -249,7 +249,7 @@
 
     def _add_event(self, what: str, job: Job, value: float) -> None:
         """Note what happens to a job now."""
-        self._events.append(JobEvent(self.at, what, job.id, value))
+        self._events.append(JobEvent(self.at_ms, what, job.id, value))
 
     def _start_queued(self) -> None:
         """Start jobs in their order; the head waits until it fits, and blocks those behind it."""
@@ -274,23 +274,25 @@
 
     def _work_to_do(self, job: Job) -> float:
         """Draw whether a job fails or costs more, look its key up, and return its standard work in ms."""
-        work, effects = job.work, self.ills
+        work, effects = job.work, self.fault_effects
         error_draw, tail_draw = self._chance.random(2)
-        if error_draw < effects.error_share and effects.error_class in ("", job.type):
+        if error_draw < effects.error_share and effects.error_class in ("", job.class_name):
             job.will_fail, work = True, QUICK_WORK_SHARE * work
         elif tail_draw < effects.tail_share:
             work *= effects.tail_factor
-        if job.receipt is not None:
-            job.is_duplicate = self.memories[job.group].note_key(job.receipt, self.at, job.memory_ms)
+        if job.idempotency_key is not None:
+            job.is_duplicate = self.memories[job.key_group].note_key(
+                job.idempotency_key, self.at_ms, job.key_memory_ms
+            )
         if job.is_duplicate:
             return QUICK_WORK_SHARE * work
-        return work - self.memories["cell"].saved_work.get(job.unit, 0.0)
+        return work - self.memories["cell"].saved_work.get(job.try_id, 0.0)
 
     def _schedule_progress(self, job: Job) -> None:
         """Set a job's next sign of progress."""
         progress_ms = self._settings.progress_ms
         if progress_ms:
-            scheduled = _ScheduledProgress(self.at + progress_ms, self._next_serial(), job.id)
+            scheduled = _ScheduledProgress(self.at_ms + progress_ms, self._next_serial(), job.id)
             heapq.heappush(self.state.progress, scheduled)
 
     def _next_serial(self) -> int:
@@ -300,24 +302,24 @@
 
     # What nodes and faults do to it.
 
-    def load(self, extra: float) -> float:
+    def slow_start_load(self, extra: float) -> float:
         """Return the share of what it bears in slow start that it received over the rule's window.
 
         `extra` is added to what it received, in ms times slots.
         """
         window_ms, arrived = self._settings.fall_ms, self.state.arrived
-        while arrived and arrived[0].at_ms <= self.at - window_ms:
+        while arrived and arrived[0].at_ms <= self.at_ms - window_ms:
             arrived.popleft()
         received = extra + sum(work.area for work in arrived)
         return received / (
-            self.fall_multiple * self.kind.slots * self.kind.speed * self.warmth(self.at) * window_ms
+            self.fall_multiple * self.kind.slots * self.kind.speed * self.speed_share(self.at_ms) * window_ms
         )
 
     def offer(self, now_ms: float, job: Job) -> bool:
         """Hand in a job; return whether it is taken. The server must have been advanced to this time."""
-        if self.draining or len(self.state.queue) >= self.kind.queue or job.slots > self.kind.slots:
+        if self.is_draining or len(self.state.queue) >= self.kind.queue or job.slots > self.kind.slots:
             return False
-        if self.cold(now_ms):
+        if self.is_in_slow_start(now_ms):
             self._count_received(now_ms, job.work * job.slots)
         self.state.queue.append(job)
         self._start_queued()
@@ -325,12 +327,12 @@
 
     def _count_received(self, now_ms: float, area: float) -> None:
         """Count work that is received in slow start, and note where it overloads the server."""
-        load = self.load(area)
+        slow_start_load = self.slow_start_load(area)
         self.state.arrived.append(ReceivedWork(now_ms, area))
-        if load > 1.0:
-            self.fallen = load
+        if slow_start_load > 1.0:
+            self.overload_share = slow_start_load
 
-    def withdraw(self, job_id: str) -> bool:
+    def cancel(self, job_id: str) -> bool:
         """Cancel a job; one that runs goes on to its end. Return whether it was still waiting."""
         queue = self.state.queue
         for job in queue:
@@ -349,7 +351,7 @@
             self._add_event("lost", job, (self.clock - job.start_clock) * job.slots)
         for job in self.state.queue:
             self._add_event("lost", job, 0.0)
-        self.state, self.up = ProcessState(), False
+        self.state, self.is_up = ProcessState(), False
 
     def _save_checkpoint(self, job: Job) -> None:
         """Save the work of a run up to its last checkpoint."""
@@ -357,25 +359,20 @@
         if checkpoint_ms and not job.is_duplicate:
             saved = self.memories["cell"].saved_work
             newly_saved = (self.clock - job.start_clock) // checkpoint_ms * checkpoint_ms
-            saved[job.unit] = saved.get(job.unit, 0.0) + newly_saved
+            saved[job.try_id] = saved.get(job.try_id, 0.0) + newly_saved
 
     # Reports.
 
     def _current_report(self) -> LoadReport:
         """Return the load as it is now."""
-        share, slots = self.ills.reported_share, self.kind.slots
+        share, slots = self.fault_effects.reported_share, self.kind.slots
         queued = share * len(self.state.queue) if self._settings.reports.includes_queue else None
         return LoadReport(queued=queued, free_slots=slots - share * (slots - self.free_slots))
 
     def report(self, now_ms: float) -> LoadReport:
         """Return the load report that is to be had at a time: refreshed now and then, and late."""
-        newest_ms = now_ms - self._settings.reports.delay_ms - self.ills.report_delay_ms
+        newest_ms = now_ms - self._settings.reports.delay_ms - self.fault_effects.report_delay_ms
         for sample in reversed(self._samples):
             if sample.at_ms <= newest_ms:
                 return sample.report
         return self._samples[0].report
-
-
-# Names that other packages still use.
-Executor = Server
-Happening = JobEvent
--- a/marlseam/world/fleet.py
+++ b/marlseam/world/fleet.py
@@ -21,7 +21,7 @@
     for placed in placed_servers(day):
         groups = {"all": memories["all"], "zone": memories[placed.zone], "cell": memories[placed.cell]}
         server = make_server(day, seed, placed.name, placed.kind, groups)
-        server.up = placed.name not in later
+        server.is_up = placed.name not in later
         servers[placed.name] = server
     return servers
 
@@ -44,14 +44,14 @@
     """Return an arrival's job as one attempt of a try hands it to a server."""
     return Job(
         id=f"{id}/{alloc}",
-        unit=id,
-        type=type.name,
+        try_id=id,
+        class_name=type.name,
         work=arrival.work,
         slots=arrival.slots,
         memory=arrival.memory,
-        receipt=arrival.receipt,
-        group=type.group,
-        memory_ms=type.memory_ms,
+        idempotency_key=arrival.receipt,
+        key_group=type.group,
+        key_memory_ms=type.memory_ms,
     )
 
 
@@ -67,7 +67,3 @@
         "drain_binds_alone": day.rules.drain_binds_alone,
         "zones": {placed.name: placed.zone for placed in placed_servers(day)},
     }
-
-
-# A name that other packages still use.
-executor = make_server
--- a/marlseam/world/job.py
+++ b/marlseam/world/job.py
@@ -27,14 +27,14 @@
 
     Attributes:
         id: the attempt's id.
-        unit: the id of the try that it is of.
-        type: the name of its request class.
+        try_id: the id of the try that it is of.
+        class_name: the name of its request class.
         work: its standard work in ms.
         slots: how many slots it takes.
         memory: how much memory it takes, in units.
-        receipt: its idempotency key, None where it has none.
-        group: which servers share the memory of such keys: all, zone or cell.
-        memory_ms: for how long a key is remembered.
+        idempotency_key: its idempotency key, None where it has none.
+        key_group: which servers share the memory of such keys: all, zone or cell.
+        key_memory_ms: for how long a key is remembered.
         is_duplicate: whether its key was known at its start, so that it has no effect.
         will_fail: whether it will fail.
         is_cancelled: whether its node cancelled it.
@@ -43,14 +43,14 @@
     """
 
     id: str
-    unit: str
-    type: str
+    try_id: str
+    class_name: str
     work: float
     slots: float = 1.0
     memory: float = 0.0
-    receipt: str | None = None
-    group: str = "cell"
-    memory_ms: float = 0.0
+    idempotency_key: str | None = None
+    key_group: str = "cell"
+    key_memory_ms: float = 0.0
     is_duplicate: bool = False
     will_fail: bool = False
     is_cancelled: bool = False
--- a/marlseam/world/model.py
+++ b/marlseam/world/model.py
@@ -330,10 +330,3 @@
 def read_day(data: bytes) -> Day:
     """Read a day from JSON, as a driver hands it to its processes."""
     return msgspec.json.decode(data, type=Day)
-
-
-# Names that other packages still use.
-executors = placed_servers
-nodes = placed_nodes
-settings = node_settings
-read = read_day
--- a/marlseam/world/network.py
+++ b/marlseam/world/network.py
@@ -54,13 +54,13 @@
         usual_ms = self.figures.same_ms if zone == other_zone else self.figures.cross_ms
         return usual_ms * self.jitter() + added_ms
 
-    def loses(self, zone: str, other_zone: str) -> bool:
+    def is_lost(self, zone: str, other_zone: str) -> bool:
         """Return whether a message between two zones is lost."""
         return any(
             self._chance.random() < slow.lost_share for slow in self._slow_zones_between(zone, other_zone)
         )
 
-    def slow_way(self, zone: str, ms: float, lost: float, on: bool) -> None:
+    def set_zone_slow(self, zone: str, ms: float, lost: float, on: bool) -> None:
         """Let a zone's links to the others become slow and lossy, or be as before."""
         change = self.slow.append if on else self.slow.remove
         change(SlowZone(zone, ms, lost))
@@ -69,18 +69,14 @@
         """Return how long a message between a client and its node takes, in ms."""
         return self.figures.client_ms * self.jitter()
 
-    def passes(self, zone: str, server: str, server_zone: str) -> bool:
+    def is_reachable(self, zone: str, server: str, server_zone: str) -> bool:
         """Return whether messages pass between a node's zone and a server."""
         if server in self.silent:
             return False
         return zone == server_zone or not (zone in self.cut_zones or server_zone in self.cut_zones)
 
-    def block(self, table: dict[str, int], name: str, on: bool) -> None:
+    def set_blocked(self, table: dict[str, int], name: str, on: bool) -> None:
         """Cut or mend a zone or a server in `cut_zones` or `silent`; cuts that overlap are counted."""
         table[name] = table.get(name, 0) + (1 if on else -1)
         if table[name] <= 0:
             del table[name]
-
-
-# A name that other packages still use.
-Lines = Links
--- a/marlseam/world/roster.py
+++ b/marlseam/world/roster.py
@@ -1,7 +1,7 @@
 """The service that lists the endpoints, modelled without input or output.
 
 A list with versions, learned late; calls served one after another; outages. A driver hands in changes with
-`change`, and calls with `call`; `news` says what a call that is served brings.
+`add_entry`, and calls with `take_call`; `answer_since` says what a call that is served brings.
 """
 
 from collections.abc import Iterable
@@ -39,7 +39,7 @@
     Attributes:
         rows: the newest entry of each server, by name.
         log: all entries; version v is the state after the first v of them.
-        busy_until: until when the calls that were taken keep the service busy, in ms.
+        busy_until_ms: until when the calls that were taken keep the service busy, in ms.
         outages: when no call is served, as pairs (from ms, until ms).
         leaving: the servers of which a node was last told that they leave, by node.
     """
@@ -49,7 +49,7 @@
         self.log: list[EndpointEntry] = list(rows)
         self.rows = {entry.server: entry for entry in self.log}
         self._call_cost_ms, self._timeout_ms = 1000.0 / calls_per_s, timeout_ms
-        self.busy_until = 0.0
+        self.busy_until_ms = 0.0
         self.leaving: dict[str, set[str]] = {}
         self.outages: list[tuple[float, float]] = []
 
@@ -57,12 +57,12 @@
         """Return the newest version."""
         return len(self.log)
 
-    def change(self, entry: EndpointEntry) -> None:
+    def add_entry(self, entry: EndpointEntry) -> None:
         """List a change."""
         self.rows[entry.server] = entry
         self.log.append(entry)
 
-    def out(self, now_ms: float) -> float:
+    def down_until_ms(self, now_ms: float) -> float:
         """Return until when the service is down, minus infinity where it is not."""
         outages = (Outage(*outage) for outage in self.outages)
         return max(
@@ -70,14 +70,14 @@
             default=-inf,
         )
 
-    def call(self, now_ms: float) -> float | None:
+    def take_call(self, now_ms: float) -> float | None:
         """Take a call; return when it is served, or None where it fails: down, or too many calls wait."""
-        if self.out(now_ms) > now_ms:
+        if self.down_until_ms(now_ms) > now_ms:
             return None
-        self.busy_until = max(self.busy_until, now_ms) + self._call_cost_ms
-        return None if self.busy_until - now_ms > self._timeout_ms else self.busy_until
+        self.busy_until_ms = max(self.busy_until_ms, now_ms) + self._call_cost_ms
+        return None if self.busy_until_ms - now_ms > self._timeout_ms else self.busy_until_ms
 
-    def news(self, since: int) -> ListAnswer:
+    def answer_since(self, since: int) -> ListAnswer:
         """Return the answer to a caller that has a version: what changed since, last state only.
 
         A caller without a version (0), or with an unknown one, gets the whole list of those not gone.
@@ -88,7 +88,7 @@
         changed = dict.fromkeys(entry.server for entry in self.log[since:])
         return ListAnswer(is_whole=False, entries=[self.rows[server] for server in changed])
 
-    def told(self, node: str, whole: bool, rows: list[EndpointEntry]) -> list[StateNotice]:
+    def departure_notices(self, node: str, whole: bool, rows: list[EndpointEntry]) -> list[StateNotice]:
         """Return what an answer tells a node that the judge must know: departures, and the end of each.
 
         A whole list tells of all that are gone by leaving them out; that the others are ready is no news.
@@ -107,7 +107,3 @@
             else:
                 leaving.add(notice.server)
         return notices
-
-
-# A name that other packages still use.
-Roster = EndpointList
--- a/marlseam/world/troubles.py
+++ b/marlseam/world/troubles.py
@@ -165,22 +165,22 @@
 
     Attributes:
         at: when it is listed, in ms.
-        executor: the server's name.
+        server: the server's name.
         state: the state that is listed.
-        born: when the server's process started, None if that was before the day.
+        started_ms: when the server's process started, None if that was before the day.
     """
 
     at: float
-    executor: str
+    server: str
     state: EndpointState
-    born: float | None
+    started_ms: float | None
 
 
 class ServerState(NamedTuple):
     """A server's true state, and when its process started, None if that was before the day."""
 
     state: EndpointState
-    born: float | None
+    started_ms: float | None
 
 
 def listings(day: Day, faults: list[ScheduledFault]) -> list[ListChange]:
@@ -207,7 +207,7 @@
 
 def true_state(faults: Iterable[ScheduledFault], server: str, at_ms: float) -> ServerState:
     """Return a server's true state at a time."""
-    state, born = EndpointState.READY, None
+    state, started_ms = EndpointState.READY, None
     for fault in faults:
         if server not in fault.targets:
             continue
@@ -218,11 +218,5 @@
             state = EndpointState.DRAINING if is_on else EndpointState.GONE
         restart_ms = {"crash": fault.until, "grow": fault.at}.get(what, inf)
         if restart_ms <= at_ms:
-            born = max(born or 0.0, restart_ms)
-    return ServerState(state, born)
-
-
-# Names that other packages still use.
-Met = ScheduledFault
-Listed = ListChange
-ills = fault_effects
+            started_ms = max(started_ms or 0.0, restart_ms)
+    return ServerState(state, started_ms)
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize("name", POLICIES)
 def test_baselines_keep_the_rules_in_the_same_world(name):
     verdict, _, figures, _ = played(day(seconds=8.0, rate=15.0), make_core=POLICIES[name])
-    assert verdict.judged and not verdict.broken and figures["service"] > 0.4
+    assert verdict.is_judged and not verdict.violation_count and figures["service"] > 0.4
 
 
 FILES = sorted((Path(__file__).parent.parent / "experiments").glob("*.toml"))
@@ -156,6 +156,6 @@
 def test_a_day_whose_records_have_holes_ends_with_1(run, monkeypatch):
     from marlseam import records
 
-    monkeypatch.setattr(records.Writer, "end", lambda self, t: self.file.flush())
+    monkeypatch.setattr(records.StreamWriter, "end", lambda self, t: self.file.flush())
     result, _ = run()
     assert result.exit_code == 1 and "not judged" in result.output
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -9,10 +9,19 @@
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.request_state import RequestState
 from marlseam.decisions.types import Idempotency, Outcome
-from marlseam.judge.book import Book
+from marlseam.judge.book import RunRecords
 from marlseam.judge.rules import judge
 from marlseam.judge.service import figures
-from marlseam.records import Answered, Asked, Begin, End, Ended, Took, Tried, Withdrawn
+from marlseam.records import (
+    AttemptCancelled,
+    AttemptEnded,
+    AttemptReceived,
+    ProbeAnswered,
+    StreamBegan,
+    StreamEnded,
+    TryAnswered,
+    TrySent,
+)
 
 
 def dispatcher(state_type, **methods):
@@ -119,12 +128,12 @@
 @pytest.mark.parametrize("name", WRONG)
 def test_a_dispatcher_that_breaks_a_rule_is_caught_by_name(name):
     rule, core, changes = WRONG[name]
-    assert not played(day(**changes))[0].broken
+    assert not played(day(**changes))[0].violation_count
     verdict, book, _, _ = played(day(**changes), make_core=core)
-    broken = {r.name: r.broken for r in verdict.rules}
-    assert verdict.judged and broken[rule], {name: rows[:2] for name, rows in broken.items()}
+    broken = {r.name: r.violations for r in verdict.rules}
+    assert verdict.is_judged and broken[rule], {name: rows[:2] for name, rows in broken.items()}
     who, what = broken[rule][0]
-    assert what and (book.story(who) or who in book.took or any(t.by == who for t in book.records))
+    assert what and (book.timeline(who) or who in book.attempts or any(t.by == who for t in book.records))
 
 
 # Records as such.
@@ -137,8 +146,11 @@
         mine = [r for r in rows if r.by == system]
         rules = {"slack_ms": 10.0, "grace_ms": 100.0, "effects": {"t": ("exclusive", "cell")}}
         rules |= {"in_turn": ["u"], "turn_gap_ms": 50.0}
-        stream = [Begin(t=0.0, by=system, system=system, rules=rules if system == "driver" else {}), *mine]
-        stream.append(End(t=99.0, by=system))
+        stream = [
+            StreamBegan(t=0.0, by=system, system=system, rules=rules if system == "driver" else {}),
+            *mine,
+        ]
+        stream.append(StreamEnded(t=99.0, by=system))
         for n, record in enumerate(stream, 1):
             record.n = n
         found += stream
@@ -147,18 +159,18 @@
 
 def tried(id="a", first="a", number=0, t=0.0, **more):
     values = {"node": "n0", "zone": "z", "type": "t", "intended": 0.0, "expires": 1000.0, "promised": 100.0}
-    return Tried(
+    return TrySent(
         t=t, by="clients", id=id, first=first, number=number, credit=2.0, late_credit=0.5, **values | more
     )
 
 
 def answered(t, how="completed", id="a"):
-    return Answered(t=t, by="clients", id=id, how=how)
+    return TryAnswered(t=t, by="clients", id=id, how=how)
 
 
 def rules(*rows):
     verdict, book = judge(run(*rows))
-    assert verdict.judged
+    assert verdict.is_judged
     return {rule.name: rule for rule in verdict.rules}, book
 
 
@@ -168,15 +180,15 @@
     wrong = ["clients.jsonl: line 3: odd"] if spoil == "line" else []
     match spoil:
         case "number":
-            found = [r for r in found if not isinstance(r, Answered)]
+            found = [r for r in found if not isinstance(r, TryAnswered)]
         case "begin":
             del found[0]
         case "end":
-            found = [r for r in found if not (isinstance(r, End) and r.by == "clients")]
+            found = [r for r in found if not (isinstance(r, StreamEnded) and r.by == "clients")]
         case "system":
             found = [r for r in found if r.by != "roster"]
     verdict, _ = judge(found, wrong)
-    assert not verdict.judged and not verdict.rules and verdict.missing
+    assert not verdict.is_judged and not verdict.rules and verdict.gaps
 
 
 @pytest.mark.parametrize(
@@ -186,14 +198,14 @@
         ([answered(50.0, "lost")], "ended without"),
         ([answered(1020.0)], "after its"),
         ([answered(50.0), answered(60.0, "aborted")], "2 final answers"),
-        ([records.Quit(t=1010.0, by="clients", id="a")], "no answer"),
+        ([records.ClientLeft(t=1010.0, by="clients", id="a")], "no answer"),
     ],
 )
 def test_a_request_without_its_one_answer_in_time_breaks_the_first_rule(ends, what):
     found, _ = rules(tried(), *ends)
-    assert [who for who, _ in found["one answer"].broken] == ["a"] and what in found["one answer"].broken[0][
-        1
-    ]
+    assert [who for who, _ in found["one answer"].violations] == ["a"] and what in found[
+        "one answer"
+    ].violations[0][1]
 
 
 @pytest.mark.parametrize(
@@ -201,19 +213,19 @@
     [
         [answered(1005.0)],
         [answered(0.0, "unsent")],
-        [records.Quit(t=90.0, by="clients", id="a", early=True)],
-        [answered(50.0, "lost"), records.Node(t=48.0, by="driver", node="n0", state="killed")],
+        [records.ClientLeft(t=90.0, by="clients", id="a", early=True)],
+        [answered(50.0, "lost"), records.NodeStateChanged(t=48.0, by="driver", node="n0", state="killed")],
     ],
 )
 def test_what_is_no_breach_of_the_first_rule(ends):
-    assert not rules(tried(), *ends)[0]["one answer"].broken
+    assert not rules(tried(), *ends)[0]["one answer"].violations
 
 
 def ran(t, by, id="a"):
     return [
-        records.Took(t=t, by="executors", id=id),
-        records.Ran(t=t, by="executors", id=id),
-        records.Ended(t=t + 1.0, by="executors", id=id, how="done"),
+        records.AttemptReceived(t=t, by="executors", id=id),
+        records.AttemptStarted(t=t, by="executors", id=id),
+        records.AttemptEnded(t=t + 1.0, by="executors", id=id, how="done"),
     ]
 
 
@@ -226,19 +238,21 @@
         *ran(12.0, "e", "a.1"),
         answered(20.0, id="a.1"),
     )
-    texts = [what for _, what in found["no effect twice"].broken]
+    texts = [what for _, what in found["no effect twice"].violations]
     assert any("2 effects" in text for text in texts) and any("deferred though" in text for text in texts)
-    assert len(book.story("a")) == 10
+    assert len(book.timeline("a")) == 10
 
 
 def test_a_send_after_the_grace_breaks_the_third_rule_until_it_is_ready_again():
     told = [
-        records.Told(t=t, by="roster", node="n0", executor="executors", state=state)
+        records.ServerStateHeard(t=t, by="roster", node="n0", executor="executors", state=state)
         for t, state in ((10.0, "draining"), (400.0, "ready"))
     ]
     for sent, broken in ((100.0, False), (300.0, True), (500.0, False)):
-        found, _ = rules(tried(), *told, records.Took(t=sent, by="executors", id="a"), answered(600.0))
-        assert bool(found["drains kept"].broken) == broken
+        found, _ = rules(
+            tried(), *told, records.AttemptReceived(t=sent, by="executors", id="a"), answered(600.0)
+        )
+        assert bool(found["drains kept"].violations) == broken
 
 
 LINE = {"node": "n0", "type": "u", "key": "k"}
@@ -248,12 +262,12 @@
 @pytest.mark.parametrize(
     ("end", "over", "took", "broken"),
     [
-        (Ended(t=300.0, how="done", **END), 300.0, 310.0, False),
-        (Ended(t=300.0, how="done", **END), 300.0, 250.0, True),  # it was still out
-        (Ended(t=300.0, how="done", **END), 900.0, 500.0, True),  # it had no answer
-        (Withdrawn(t=300.0, **END), 300.0, 330.0, True),  # the rest was cut short
-        (Withdrawn(t=300.0, **END), 300.0, 345.0, False),
-        (Ended(t=300.0, how="lost", **END), 300.0, 330.0, True),
+        (AttemptEnded(t=300.0, how="done", **END), 300.0, 310.0, False),
+        (AttemptEnded(t=300.0, how="done", **END), 300.0, 250.0, True),  # it was still out
+        (AttemptEnded(t=300.0, how="done", **END), 900.0, 500.0, True),  # it had no answer
+        (AttemptCancelled(t=300.0, **END), 300.0, 330.0, True),  # the rest was cut short
+        (AttemptCancelled(t=300.0, **END), 300.0, 345.0, False),
+        (AttemptEnded(t=300.0, how="lost", **END), 300.0, 330.0, True),
         (None, 300.0, 800.0, True),  # nothing ever told of its end
     ],
 )
@@ -261,14 +275,14 @@
     rows = [
         tried(**LINE),
         tried("b", "b", t=100.0, **LINE),
-        Took(t=50.0, by="executors", id="a"),
+        AttemptReceived(t=50.0, by="executors", id="a"),
         answered(over),
-        Took(t=took, by="executors", id="b"),
-        Ended(t=took + 5.0, by="executors", id="b", how="done"),
+        AttemptReceived(t=took, by="executors", id="b"),
+        AttemptEnded(t=took + 5.0, by="executors", id="b", how="done"),
         answered(took + 5.0, id="b"),
     ]
     found = rules(*rows, *([end] if end else []))[0]
-    assert bool(found["in turn"].broken) is broken
+    assert bool(found["in turn"].violations) is broken
 
 
 def test_service_counts_retries_with_their_first_try_from_the_intended_send():
@@ -281,15 +295,15 @@
         answered(130.0, id="b"),
         tried("c", "c"),
         answered(50.0, "aborted", "c"),
-        Asked(t=1.0, by="executors"),
+        ProbeAnswered(t=1.0, by="executors"),
     )
-    found = figures(Book(rows))
+    found = figures(RunRecords(rows))
     assert (found["work_units"], found["tries"]) == (3.0, 4.0)
     assert found["service"] == pytest.approx(2.0 / 6.0) and found["late"] == pytest.approx(1.0 / 6.0)
     assert found["latency_max"] == 130.0 and found["aborted"] == 1.0
 
 
 def test_an_odd_line_is_told_with_its_number(tmp_path):
-    (tmp_path / "x.jsonl").write_bytes(msgspec.json.encode(Begin(t=0.0, by="x", n=1)) + b"\nnonsense\n")
+    (tmp_path / "x.jsonl").write_bytes(msgspec.json.encode(StreamBegan(t=0.0, by="x", n=1)) + b"\nnonsense\n")
     _, wrong = records.read_folder(tmp_path)
     assert len(wrong) == 1 and "line 2" in wrong[0]
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -17,7 +17,7 @@
 from marlseam.load.generator import Generator
 from marlseam.load.process import summary
 from marlseam.load.verdict import merge, table
-from marlseam.records import Answered, End, Tried, Writer
+from marlseam.records import StreamEnded, StreamWriter, TryAnswered, TrySent
 from marlseam.world import plan
 from marlseam.world.chance import stream
 
@@ -26,7 +26,7 @@
 
 def generator_of(held, arrivals, address="127.0.0.1:1", connections=0):
     return Generator(
-        held, arrivals, {"n0": ("east", address)}, Writer("c", "clients"), stream(1), connections
+        held, arrivals, {"n0": ("east", address)}, StreamWriter("c", "clients"), stream(1), connections
     )
 
 
@@ -81,8 +81,8 @@
     counted = merge([summary(generator.run(time.monotonic()))], len(arrivals))
     rows = generator.writer.kept
     assert counted.refused == {"refused": 2 * len(arrivals)} and counted.sent == 0
-    assert [r.how for r in rows if isinstance(r, Answered)] == ["unsent"] * 2 * len(arrivals)
-    firsts = {r.first for r in rows if isinstance(r, Tried)}
+    assert [r.how for r in rows if isinstance(r, TryAnswered)] == ["unsent"] * 2 * len(arrivals)
+    firsts = {r.first for r in rows if isinstance(r, TrySent)}
     assert firsts == {arrival.id for arrival in arrivals}
 
 
@@ -110,8 +110,8 @@
     generator = generator_of(held, arrivals, echo, connections)
     counted = merge([summary(generator.run(time.monotonic()))], len(arrivals))
     assert counted.sent == len(arrivals) == counted.histograms["intended"].get_total_count()
-    assert {r.how for r in generator.writer.kept if isinstance(r, Answered)} == {"completed"}
-    assert isinstance(generator.writer.kept[-1], End)
+    assert {r.how for r in generator.writer.kept if isinstance(r, TryAnswered)} == {"completed"}
+    assert isinstance(generator.writer.kept[-1], StreamEnded)
 
 
 # Traces.
@@ -177,6 +177,6 @@
         path = Path(tmp_path / "t.jsonl")
         path.write_bytes(b"".join(trace.trace_lines(found, arrived, retries)))
         read_back = trace.load(path, held)
-        tried = [r for r in found if isinstance(r, Tried) and (retries or not r.number)]
+        tried = [r for r in found if isinstance(r, TrySent) and (retries or not r.number)]
         assert len(read_back) == len(tried) and {a.first for a in read_back} <= {"", *(a.id for a in arrived)}
         assert [(a.work, a.slots) for a in read_back if not a.number] == [(a.work, a.slots) for a in arrived]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -35,11 +35,19 @@
 from marlseam.configuration import ClusterSettings, ConfigError, load
 from marlseam.experiment.file import FileError
 from marlseam.experiment.fleet import Fault, Fleet, Rig
-from marlseam.judge.book import Book
-from marlseam.judge.rules import answers
+from marlseam.judge.book import RunRecords
+from marlseam.judge.rules import check_one_answer
 from marlseam.net.log import Log
 from marlseam.net.membership_service import MembershipService
-from marlseam.records import Answered, Begin, End, Node, Quit, Took, Tried
+from marlseam.records import (
+    AttemptReceived,
+    ClientLeft,
+    NodeStateChanged,
+    StreamBegan,
+    StreamEnded,
+    TryAnswered,
+    TrySent,
+)
 
 NAMES = frozenset({"a", "b", "c"})
 STATES = st.builds(MemberState, st.integers(0, 3), st.integers(1, 2), st.integers(0, 3))
@@ -342,7 +350,7 @@
 
 def test_status_exits_with_1_where_a_member_is_not_alive(peers, until, monkeypatch):
     until(lambda: len(peers["a"].machine.alive_members()) == 2)
-    monkeypatch.setattr(command, "ask", lambda _address: json.loads(peers["a"].status()))
+    monkeypatch.setattr(command, "fleet_status", lambda _address: json.loads(peers["a"].status()))
     good = CliRunner().invoke(command.group, ["status", "--at", "x"])
     assert good.exit_code == 0 and "as a holds it" in good.output
     peers["a"].machine.merge(GossipEntry("b", MemberState(9, 9, MemberStatus.DEAD)))
@@ -422,7 +430,7 @@
 
 @pytest.mark.parametrize(("until", "broken"), [(1500.0, 1), (2500.0, 0)])
 def test_a_stopped_node_answers_nothing_and_only_then_is_excused(until, broken):
-    tried = Tried(
+    tried = TrySent(
         n=1,
         t=1000.0,
         by="c",
@@ -440,15 +448,20 @@
     )
     rules = {"slack_ms": 50.0, "types": {"t": {"effect": "rerunnable", "group": "all", "memory_ms": 1.0}}}
     found = [
-        Begin(t=0.0, by="driver", system="driver", rules=rules),
-        Node(n=1, t=900.0, by="driver", node="n0", state="stopped", until=until),
-        End(n=1, t=3000.0, by="driver"),
-        Begin(t=0.0, by="c"),
+        StreamBegan(t=0.0, by="driver", system="driver", rules=rules),
+        NodeStateChanged(n=1, t=900.0, by="driver", node="n0", state="stopped", until=until),
+        StreamEnded(n=1, t=3000.0, by="driver"),
+        StreamBegan(t=0.0, by="c"),
         tried,
-        Quit(n=2, t=2000.0, by="c", id="1"),
-        End(n=2, t=3000.0, by="c"),
+        ClientLeft(n=2, t=2000.0, by="c", id="1"),
+        StreamEnded(n=2, t=3000.0, by="c"),
     ]
-    assert len(answers(Book(found)).broken) == broken
+    assert len(check_one_answer(RunRecords(found)).violations) == broken
     # What is sent after an answer is excused by nothing.
-    sent = [Answered(n=3, t=1500.0, by="c", id="1", how="deferred"), Took(n=1, t=1900.0, by="e", id="1")]
-    assert any("after its answer" in what for _, what in answers(Book([*found, *sent])).broken)
+    sent = [
+        TryAnswered(n=3, t=1500.0, by="c", id="1", how="deferred"),
+        AttemptReceived(n=1, t=1900.0, by="e", id="1"),
+    ]
+    assert any(
+        "after its answer" in what for _, what in check_one_answer(RunRecords([*found, *sent])).violations
+    )
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -20,7 +20,7 @@
 from marlseam.records import ENCODER
 from marlseam.world import plan, troubles
 from marlseam.world.chance import stream
-from marlseam.world.clients import Client, Front
+from marlseam.world.clients import Client, FrontLoadBalancer
 from marlseam.world.executor import FaultEffects, Server
 from marlseam.world.job import GroupMemory, Job
 from marlseam.world.model import TROUBLES, Kind, Load, Trouble
@@ -38,7 +38,7 @@
 
 
 def job(i, work=100.0, slots=1.0, **more):
-    return Job(id=f"{i}/0", unit=str(i), type="t", work=work, slots=slots, **more)
+    return Job(id=f"{i}/0", try_id=str(i), class_name="t", work=work, slots=slots, **more)
 
 
 OFFERS = st.lists(
@@ -55,7 +55,7 @@
         now += gap
         events += server.advance(now)
         if i == len(offers) // 2:
-            server.ills = FaultEffects(slowdown=slow)
+            server.fault_effects = FaultEffects(slowdown=slow)
         if server.offer(now, job(i, work, float(slots))):
             offered[f"{i}/0"] = (work, slots)
     events += server.advance(1e9)
@@ -86,10 +86,10 @@
 @given(st.floats(0.0, 20000.0))
 def test_an_idempotency_key_drops_repeats_while_it_is_remembered_and_not_after(gap):
     server = make_server()
-    server.offer(0.0, job(1, receipt="r", memory_ms=9000.0))
+    server.offer(0.0, job(1, idempotency_key="r", key_memory_ms=9000.0))
     server.advance(5000.0)
     server.advance(5000.0 + gap)
-    server.offer(5000.0 + gap, job(2, receipt="r", memory_ms=9000.0))
+    server.offer(5000.0 + gap, job(2, idempotency_key="r", key_memory_ms=9000.0))
     (started,) = [event for event in server.advance(5000.0 + gap) if event.what == "started"]
     assert started.value == (0.0 if 5000.0 + gap <= 9000.0 else 1.0)
 
@@ -114,9 +114,9 @@
     bound = 2.5 * 3 * 0.2 * 1000.0
     server.advance(1.0)
     server.offer(1.0, job(0, bound * 0.9))
-    assert server.fallen is None
+    assert server.overload_share is None
     server.offer(1.0, job(1, bound * 0.2))
-    assert server.fallen > 1.0
+    assert server.overload_share > 1.0
 
 
 def test_a_crash_keeps_the_checkpoints_that_the_cell_saved():
@@ -146,7 +146,7 @@
     for i in range(2):
         server.offer(0.0, job(i))
     server.advance(1.0)
-    assert server.withdraw("1/0") and not server.withdraw("0/0")
+    assert server.cancel("1/0") and not server.cancel("0/0")
     assert [event.id for event in server.advance(1e6) if event.what == "done"] == ["0/0"]
 
 
@@ -160,19 +160,19 @@
 def test_the_endpoint_list_answers_with_the_whole_list_then_with_changes_alone():
     endpoint_list = EndpointList([entry("a"), entry("b")], 100.0, 50.0)
     version = endpoint_list.version()
-    assert endpoint_list.news(0) == (True, [entry("a"), entry("b")])
-    assert endpoint_list.news(version) == (False, [])
-    endpoint_list.change(entry("a", EndpointState.DRAINING))
-    endpoint_list.change(entry("a", EndpointState.GONE))
-    assert endpoint_list.news(version) == (False, [entry("a", EndpointState.GONE)])
-    assert endpoint_list.news(0) == (True, [entry("b")])
+    assert endpoint_list.answer_since(0) == (True, [entry("a"), entry("b")])
+    assert endpoint_list.answer_since(version) == (False, [])
+    endpoint_list.add_entry(entry("a", EndpointState.DRAINING))
+    endpoint_list.add_entry(entry("a", EndpointState.GONE))
+    assert endpoint_list.answer_since(version) == (False, [entry("a", EndpointState.GONE)])
+    assert endpoint_list.answer_since(0) == (True, [entry("b")])
 
 
 def test_an_overloaded_endpoint_list_serves_calls_in_order_and_fails_those_that_wait_too_long():
     endpoint_list = EndpointList([], 100.0, 50.0)
-    assert [endpoint_list.call(0.0) for _ in range(6)] == [10.0, 20.0, 30.0, 40.0, 50.0, None]
+    assert [endpoint_list.take_call(0.0) for _ in range(6)] == [10.0, 20.0, 30.0, 40.0, 50.0, None]
     endpoint_list.outages.append((100.0, 200.0))
-    assert endpoint_list.call(150.0) is None and endpoint_list.call(200.0) is not None
+    assert endpoint_list.take_call(150.0) is None and endpoint_list.take_call(200.0) is not None
 
 
 def test_overlapping_faults_add_up_and_end():
@@ -196,7 +196,7 @@
     held = day(troubles=[{"what": "crash", "at_s": 2, "for_s": 3, "share": 0.1}])
     gone, back = troubles.listings(held, troubles.schedule(held, 1))
     assert (gone.at, gone.state) == (2800.0, EndpointState.GONE)
-    assert (back.at, back.state, back.born) == (5800.0, EndpointState.READY, 5000.0)
+    assert (back.at, back.state, back.started_ms) == (5800.0, EndpointState.READY, 5000.0)
 
 
 def client(effect, tries=3, **arrival):
@@ -252,12 +252,12 @@
 
 
 def test_a_front_load_balancer_picks_a_failed_node_until_it_notices():
-    front = Front({"east": ["a", "b"]}, 1000.0)
-    front.died("a", 0.0)
-    assert Counter(front.deal("east", 500.0) for _ in range(4)) == {("a", False): 2, ("b", True): 2}
-    assert {front.deal("east", 1500.0) for _ in range(4)} == {("b", True)}
-    front.back("a")
-    assert {front.deal("east", 1500.0)[0] for _ in range(4)} == {"a", "b"}
+    front = FrontLoadBalancer({"east": ["a", "b"]}, 1000.0)
+    front.mark_down("a", 0.0)
+    assert Counter(front.pick_node("east", 500.0) for _ in range(4)) == {("a", False): 2, ("b", True): 2}
+    assert {front.pick_node("east", 1500.0) for _ in range(4)} == {("b", True)}
+    front.mark_up("a")
+    assert {front.pick_node("east", 1500.0)[0] for _ in range(4)} == {"a", "b"}
 
 
 @pytest.mark.parametrize(
@@ -289,7 +289,7 @@
     size = {"errors": 0.8, "neighbour": 0.5, "late_reports": 2.0}.get(what, 3.0)
     held = day(troubles=[Trouble(what=what, at_s=4.0, for_s=4.0, share=0.25, size=size)])
     verdict, book, figures, _ = played(held)
-    assert verdict.judged and not verdict.broken, [rule.broken[:2] for rule in verdict.rules]
+    assert verdict.is_judged and not verdict.violation_count, [rule.violations[:2] for rule in verdict.rules]
     assert figures["work_units"] > 150 and figures["service"] > (0.3 if what == "surge" else 0.9)
     assert figures["none"] == 0.0
 
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -5,7 +5,7 @@
 from marlseam.experiment.virtual import Virtual
 from marlseam.judge.rules import judge
 from marlseam.judge.service import figures
-from marlseam.records import Streams
+from marlseam.records import RecordStreams
 from marlseam.world.model import Day
 
 TYPES = [
@@ -46,7 +46,7 @@
 
 def played(held, seed=1, make_core=None):
     """Play a day in virtual time; return verdict, book, figures and records."""
-    streams = Streams(None, "driver")
+    streams = RecordStreams(None, "driver")
     driver = Virtual(held, seed, streams, *([make_core] if make_core else []))
     driver.run()
     found = [record for writer in streams.writers.values() for record in writer.kept]
