--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -87,7 +87,8 @@
 )
 def test_what_is_no_call_is_told_so(call, method, path, headers, status, part):
     found, text, head = call(method, path, headers)
-    assert found == status and part in head + text
+    assert found == status
+    assert part in head + text
 
 
 def test_no_call_works_at_the_clients_address(client, reply):
@@ -97,7 +98,8 @@
 def test_one_call_to_a_connection(node, client, reply):
     sock = client(b"GET /control/ready HTTP/1.1\r\nHost: h\r\n\r\n" * 2, node.admin)
     data = reply(sock) + read(node, sock)
-    assert b"Connection: close" in data and data.count(b"HTTP/1.1 200") == 1
+    assert b"Connection: close" in data
+    assert data.count(b"HTTP/1.1 200") == 1
 
 
 def test_a_call_that_does_not_come_in_time_is_told(node, client, reply, monkeypatch):
@@ -112,7 +114,8 @@
     began = node.loop.now()
     assert call("GET", "/control/ready")[0] == 200
     assert node.loop.now() - began < admin_module.CALL_MS
-    assert len(node.admin.open) <= limits.OPERATOR_CONNECTIONS and read(node, silent[0]) == b""
+    assert len(node.admin.open) <= limits.OPERATOR_CONNECTIONS
+    assert read(node, silent[0]) == b""
 
 
 def test_a_call_that_comes_in_a_long_turn_is_answered_within_it(node, client):
@@ -136,7 +139,8 @@
     for i, sock in enumerate(socks):
         sock.sendall(REQUEST.replace(b"9b", b"w%d" % i))
     node.loop.turn()
-    assert len(seen) == 10 and order[:1] in ([1], [2])
+    assert len(seen) == 10
+    assert order[:1] in ([1], [2])
 
 
 def test_without_an_address_there_is_no_door(node):
@@ -166,7 +170,8 @@
     assert call("POST", "/control/out-of-service")[0] == 200
     for _ in range(2):
         data = reply(client(READY))
-        assert data.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in data
+        assert data.startswith(b"HTTP/1.1 503 ")
+        assert b"Connection: close" in data
         assert call("GET", "/control/ready")[0] == 503
         node.reload()
     taken(node, client)  # the front still sends some
@@ -177,7 +182,9 @@
     call("POST", "/control/out-of-service")
     node.requests.answer(request_id, 200, [], b"r")
     data = reply(sock)
-    assert data.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in data and read(node, sock) == b""
+    assert data.startswith(b"HTTP/1.1 200 ")
+    assert b"Connection: close" in data
+    assert read(node, sock) == b""
 
 
 def test_unused_connections_are_closed_after_a_while_and_not_at_once(node, client, reply, call):
@@ -185,7 +192,8 @@
     began = node.loop.now()
     call("POST", "/control/out-of-service")
     assert node.downstream.idle
-    assert read(node, sock) == b"" and node.loop.now() - began >= graceful_shutdown.IDLE_GRACE_MS
+    assert read(node, sock) == b""
+    assert node.loop.now() - began >= graceful_shutdown.IDLE_GRACE_MS
 
 
 def test_a_connection_that_comes_late_in_a_drain_may_speak_first(node, client, reply, call, monkeypatch):
@@ -195,7 +203,8 @@
     while not node.downstream.idle:
         node.loop.turn()
     opened = node.loop.now()
-    assert read(node, sock) == b"" and node.loop.now() - opened >= 0.9 * server_module.NEW_GRACE_MS
+    assert read(node, sock) == b""
+    assert node.loop.now() - opened >= 0.9 * server_module.NEW_GRACE_MS
 
 
 def test_a_request_that_comes_in_pieces_during_a_drain_is_served(node, client, reply, call, monkeypatch):
@@ -218,7 +227,8 @@
     data = b""
     while more := read(node, sock):
         data += more
-    assert data.count(b"HTTP/1.1 503 ") == 3 and data.count(b"Connection: close") == 1
+    assert data.count(b"HTTP/1.1 503 ") == 3
+    assert data.count(b"Connection: close") == 1
 
 
 def test_back_in_service_all_is_as_before(node, client, reply, call):
@@ -226,7 +236,8 @@
     call("POST", "/control/out-of-service")
     assert call("POST", "/control/in-service")[0] == call("POST", "/control/in-service")[0] == 200
     data = reply(client(READY))
-    assert data.startswith(b"HTTP/1.1 200 ") and b"Connection: close" not in data
+    assert data.startswith(b"HTTP/1.1 200 ")
+    assert b"Connection: close" not in data
     end = node.loop.now() + graceful_shutdown.IDLE_GRACE_MS + 2 * server_module.DRAIN_CHECK_MS
     node.loop.at(end, lambda: None)
     while node.loop.now() < end:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -10,20 +10,23 @@
 def test_a_request_that_would_be_late_waits(make_dispatcher, make_request):
     dispatcher = make_dispatcher(40.0)
     make_request(dispatcher).place()
-    assert not dispatcher.port.did("send") and waiting(dispatcher) == 1
+    assert not dispatcher.port.did("send")
+    assert waiting(dispatcher) == 1
 
 
 def test_further_attempts_wait_in_a_queue_of_their_own(make_dispatcher, make_request):
     dispatcher = make_dispatcher(40.0)
     make_request(dispatcher, 0, ((0, Outcome.AT_CAPACITY),)).enqueue()
-    assert not waiting(dispatcher) and waiting(dispatcher, True) == 1
+    assert not waiting(dispatcher)
+    assert waiting(dispatcher, True) == 1
 
 
 def test_a_node_with_nothing_in_flight_sets_no_timer(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0, subscribes_to_endpoints=False)
     assert not dispatcher.port.timers
     make_request(dispatcher).send(0)
-    assert dispatcher.is_check_scheduled and len(dispatcher.port.timers) == 1
+    assert dispatcher.is_check_scheduled
+    assert len(dispatcher.port.timers) == 1
 
 
 def test_one_waiting_request_probes_at_a_time(make_dispatcher, make_request):
@@ -42,7 +45,8 @@
     looks = []
     dispatcher.draw_server = lambda *_: looks.append(1) or -1
     dispatcher.dispatch_queue()
-    assert len(looks) < 10 and waiting(dispatcher) == 200
+    assert len(looks) < 10
+    assert waiting(dispatcher) == 200
 
 
 def test_an_unsuccessful_placement_for_one_kind_holds_up_no_other_kind(make_dispatcher, make_request):
@@ -52,7 +56,8 @@
     bound.enqueue()
     make_request(dispatcher).enqueue()
     dispatcher.dispatch_queue()
-    assert len(dispatcher.port.did("send")) == 1 and waiting(dispatcher) == 1
+    assert len(dispatcher.port.did("send")) == 1
+    assert waiting(dispatcher) == 1
 
 
 def test_after_a_successful_probe_the_next_request_is_placed(make_dispatcher, make_request):
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -25,7 +25,9 @@
 
 def test_no_interleaving_of_few_steps_gives_one_number_two_contents():
     found = explore(8)
-    assert found.path == [] and found.depth == 8 and found.states > 10000
+    assert found.path == []
+    assert found.depth == 8
+    assert found.states > 10000
 
 
 def test_long_random_walks_find_no_broken_state():
@@ -218,16 +220,15 @@
     assert operator.handle(Promise(2, (0, "1"), "a", NO_BALLOT, "")) is None  # nothing has begun
     operator.begin_round()
     for number, place, voter in ((2, "1", "z"), (3, "1", "a"), (2, "2", "a")):
-        assert (
-            operator.handle(Promise(number, (1, place), voter, NO_BALLOT, "")) is None
-            and not operator.promises
-        )
+        assert operator.handle(Promise(number, (1, place), voter, NO_BALLOT, "")) is None
+        assert not operator.promises
     assert operator.handle(Refused(2, (1, "1"), (4, "2"))) == Prepare(2, (5, "1"))
     operator.handle(Promise(2, (5, "1"), "a", (3, "2"), "y"))
     assert operator.handle(Promise(2, (5, "1"), "b", (1, "1"), "x")) == Accept(2, (5, "1"), "y")
     for voter in "ab":
         operator.handle(Accepted(2, (5, "1"), voter, "y"))
-    assert operator.chosen == "y" and operator.handle(Accepted(2, (5, "1"), "c", "y")) is None
+    assert operator.chosen == "y"
+    assert operator.handle(Accepted(2, (5, "1"), "c", "y")) is None
 
 
 def test_two_contents_are_detected_where_a_majority_accepted_each():
--- a/tests/test_bytes.py
+++ b/tests/test_bytes.py
@@ -51,7 +51,8 @@
 def test_a_stream_is_read_the_same_however_it_is_cut(cuts):
     cuts = [0, *sorted(cuts), len(STREAM)]
     pieces = tuple(STREAM[a:b] for a, b in zip(cuts, cuts[1:], strict=False))
-    assert calls(pieces, 4) == WHOLE and [call[3] for call in WHOLE] == [b"abc", b"abc", b"", b"abc"]
+    assert calls(pieces, 4) == WHOLE
+    assert [call[3] for call in WHOLE] == [b"abc", b"abc", b"", b"abc"]
 
 
 def descriptors():
@@ -73,11 +74,9 @@
         assert node.loop.now() < end
         node.loop.at(node.loop.now() + 5.0, lambda: None)
         node.loop.turn()
-    assert (
-        not node.requests.pending
-        and not node.downstream.reserved_bytes
-        and not node.downstream.correlation_ids
-    )
+    assert not node.requests.pending
+    assert not node.downstream.reserved_bytes
+    assert not node.downstream.correlation_ids
     assert descriptors() <= before
 
 
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -142,7 +142,8 @@
     from marlseam.random_source import RandomSource, number
 
     drawn = RandomSource(7)
-    assert drawn() == number(b"7:1") / 2.0**32 and drawn() == number(b"7:2") / 2.0**32
+    assert drawn() == number(b"7:1") / 2.0**32
+    assert drawn() == number(b"7:2") / 2.0**32
     code = (
         "from marlseam.random_source import RandomSource; c = RandomSource(7); print([c() for _ in range(5)])"
     )
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -47,14 +47,17 @@
     assert code == 0, missed
     runs = [plays.PLAYS["size_changes"](experiment, tmp_path / name, lambda text: None) for name in "ab"]
     counts = [{key: value for key, value in run.figures.items() if counted(key)} for run in runs]
-    assert counts[0] == counts[1] and len(counts[0]) > 30
+    assert counts[0] == counts[1]
+    assert len(counts[0]) > 30
 
 
 def test_an_experiment_that_needs_too_much_is_refused_with_what_would_fit(tmp_path):
     path = tmp_path / "big.toml"
     path.write_text(SHORT.read_text().replace("nodes = 12", "nodes = 60000"))
     result = CliRunner().invoke(main, ["experiment", "run", str(path), "--out", str(tmp_path / "out")])
-    assert result.exit_code == 2 and "would fit" in result.output and not (tmp_path / "out" / "band").exists()
+    assert result.exit_code == 2
+    assert "would fit" in result.output
+    assert not (tmp_path / "out" / "band").exists()
 
 
 @pytest.mark.parametrize("mark", [0, 1, 1000])
@@ -94,7 +97,8 @@
     assert shared == document
     link = delta.DeltaLink(digest(before), found)
     chained = delta.apply_chain(base, digest(before), delta.encode_chain([link]), digest(after))
-    assert chained.data == after and chained.document == document
+    assert chained.data == after
+    assert chained.document == document
     assert base == delta.decode_document(before)  # not changed in place
 
 
@@ -191,7 +195,8 @@
     kept = [
         name for name, row in found["settings"]["teams"].items() if row is base["settings"]["teams"][name]
     ]
-    assert len(kept) == 299 and found["settings"]["kinds"] is base["settings"]["kinds"]
+    assert len(kept) == 299
+    assert found["settings"]["kinds"] is base["settings"]["kinds"]
 
 
 @given(SETTINGS, SETTINGS)
@@ -278,12 +283,14 @@
     count, size = exchange(
         source, reader, reader.receive_status(0.0, "b", status_response(6, digest(datas[-1])))
     )
-    assert reader.number == 6 and reader.store.contents[reader.content_id] == datas[-1]
+    assert reader.number == 6
+    assert reader.store.contents[reader.content_id] == datas[-1]
     assert (count, reader.store.transfer_counts["chains"], reader.store.transfer_counts["whole"]) == (
         1,
         1,
         0,
-    ) and size < 1024 < len(datas[-1])
+    )
+    assert size < 1024 < len(datas[-1])
     assert reader.content.settings == read(datas[-1], NAMES).settings
     # And it can pass on what it was sent.
     assert reader.store.delta_chain(digest(datas[0]), digest(datas[-1])) == source.store.delta_chain(
@@ -296,21 +303,23 @@
     count, size = exchange(
         source, reader, reader.receive_status(0.0, "b", status_response(60, digest(datas[-1])))
     )
-    assert reader.number == 60 and reader.store.transfer_counts["whole"] == 1 and size == len(datas[-1])
-    assert source.store.delta_links_bytes <= len(datas[-1]) and len(source.store.delta_links) < 59
+    assert reader.number == 60
+    assert reader.store.transfer_counts["whole"] == 1
+    assert size == len(datas[-1])
+    assert source.store.delta_links_bytes <= len(datas[-1])
+    assert len(source.store.delta_links) < 59
     late = make_replica("e")
     exchange(source, late, late.receive_status(0.0, "b", status_response(60, digest(datas[-1]))))
-    assert late.number == 60 and late.store.transfer_counts["whole"] == 1
+    assert late.number == 60
+    assert late.store.transfer_counts["whole"] == 1
 
 
 def test_a_replica_that_received_the_whole_can_send_the_delta():
     source, reader, datas = source_and_reader(count=3, place=2)
     source.store.delta_links.clear()
     exchange(source, reader, reader.receive_status(0.0, "b", status_response(3, digest(datas[-1]))))
-    assert (
-        reader.store.transfer_counts["whole"] == 1
-        and reader.store.delta_chain(digest(datas[1]), digest(datas[2])) is not None
-    )
+    assert reader.store.transfer_counts["whole"] == 1
+    assert reader.store.delta_chain(digest(datas[1]), digest(datas[2])) is not None
 
 
 def test_wrong_deltas_are_detected_and_the_whole_is_requested():
@@ -321,14 +330,14 @@
     effects = reader.receive_status(0.0, "b", status_response(6, digest(datas[-1])))
     (piece,) = [e.message for e in source.fetcher.send_chunks("d", effects[0].message)]
     log, again = reader.receive_chunk(0.0, "b", piece)
-    assert "code=changes" in log.text and again.message == FetchRequest(digest(datas[-1]), 0, "")
-    assert (
-        reader.number == 1
-        and reader.store.transfer_counts["changes"] == 1
-        and reader.store.transfer_counts["edits"] == 0
-    )
+    assert "code=changes" in log.text
+    assert again.message == FetchRequest(digest(datas[-1]), 0, "")
+    assert reader.number == 1
+    assert reader.store.transfer_counts["changes"] == 1
+    assert reader.store.transfer_counts["edits"] == 0
     exchange(source, reader, [again])
-    assert reader.number == 6 and reader.store.contents[reader.content_id] == datas[-1]
+    assert reader.number == 6
+    assert reader.store.contents[reader.content_id] == datas[-1]
 
 
 def test_deltas_to_a_content_that_was_dropped_are_requested_anew():
@@ -337,9 +346,11 @@
     pieces = [e.message for e in source.fetcher.send_chunks("d", effects[0].message)]
     hold(reader, datas[1], 2)
     (again,) = reader.receive_chunk(0.0, "b", pieces[0])
-    assert again.message.have == digest(datas[1]) and reader.store.transfer_counts["gone"] == 1
+    assert again.message.have == digest(datas[1])
+    assert reader.store.transfer_counts["gone"] == 1
     exchange(source, reader, [again])
-    assert reader.number == 6 and reader.store.transfer_counts["chains"] == 1
+    assert reader.number == 6
+    assert reader.store.transfer_counts["chains"] == 1
 
 
 def test_a_voter_receives_a_candidate_as_deltas_and_accepts_it_once_the_whole_is_durable():
@@ -352,7 +363,8 @@
     (piece,) = [e.message for e in source.fetcher.send_chunks("d", effects[0].message)]
     (persist,) = voter.receive_chunk(0.0, "b", piece)
     stored = [e for e in persist.records if type(e) is ContentStored]
-    assert stored == [ContentStored(digest(data), data)] and voter.store.transfer_counts["chains"] == 1
+    assert stored == [ContentStored(digest(data), data)]
+    assert voter.store.transfer_counts["chains"] == 1
     assert [e.message.kind for e in voter.persisted(0.0, persist.token)] == ["accepted"]
 
 
@@ -388,12 +400,14 @@
         exchange(source, reader, effects, meddle)
         assert reader.number in (place, 6)
         for fetch in reader.fetcher.fetches.values():
-            assert len(fetch.ahead) <= WINDOW_CHUNKS and len(fetch.received) <= max(map(len, datas))
+            assert len(fetch.ahead) <= WINDOW_CHUNKS
+            assert len(fetch.received) <= max(map(len, datas))
         if reader.number == 6:
             break
         now += 2000.0
         effects = [e for e in reader.tick(now) if type(getattr(e, "message", None)) is FetchRequest]
-    assert reader.number == 6 and reader.store.contents[reader.content_id] == datas[-1]
+    assert reader.number == 6
+    assert reader.store.contents[reader.content_id] == datas[-1]
 
 
 @pytest.mark.parametrize("chained", [True, False])
@@ -427,7 +441,8 @@
         pieces = [e.message for want in wants for e in source.fetcher.send_chunks("d", want)][::-1]
         said = [e for piece in pieces for e in settle(reader, reader.receive_chunk(0.0, "b", piece))]
         wants = [e.message for e in said if type(e) is SendMessage and type(e.message) is FetchRequest]
-    assert reader.number == 6 and rounds == -(-len(datas[-1]) // (WINDOW_CHUNKS * messages.CHUNK_BYTES))
+    assert reader.number == 6
+    assert rounds == -(-len(datas[-1]) // (WINDOW_CHUNKS * messages.CHUNK_BYTES))
 
 
 @pytest.mark.parametrize(
@@ -448,9 +463,8 @@
     assert reader.receive_chunk(0.0, "e", piece(digest(datas[-1]), reader.content_id)) == []
     after = dict(reader.store.contents), {id: fetch.next_request() for id, fetch in fetches.items()}
     assert after == before
-    assert reader.store.transfer_counts[code] == 1 and not any(
-        f.ahead for f in reader.fetcher.fetches.values()
-    )
+    assert reader.store.transfer_counts[code] == 1
+    assert not any(f.ahead for f in reader.fetcher.fetches.values())
 
 
 def test_a_wrong_size_delays_a_fetch_by_at_most_the_stalled_periods():
@@ -526,7 +540,9 @@
     for mark in range(1, 9):
         world.publish("n1", mark)
         world.run(world.now + 6000.0)
-    assert world.stale_replicas() == [] and world.checker.findings == [] and len(world.checker.chosen) == 8
+    assert world.stale_replicas() == []
+    assert world.checker.findings == []
+    assert len(world.checker.chosen) == 8
     came = {name: seat.machine.store.transfer_counts for name, seat in world.processes.items()}
     assert all(came[name]["whole"] == 8 and not came[name]["chains"] for name in ("n0", "n3", "n5"))
     # An older program sends them the whole; others, past the first version, deltas.
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -54,9 +54,10 @@
 
 def test_what_is_missing_is_least_generous():
     settings = deployment_from({"requestClasses": [{"name": "x"}]}).settings
-    assert not (
-        settings.may_cancel or settings.may_probe or settings.may_hedge or settings.max_retry_after_ms
-    )
+    assert not (settings.may_cancel)
+    assert not (settings.may_probe)
+    assert not (settings.may_hedge)
+    assert not (settings.max_retry_after_ms)
 
 
 def test_order_and_drains_are_read_and_off_without_them():
@@ -104,7 +105,8 @@
 def test_a_bad_entry_is_named(write, key, value, shown):
     with pytest.raises(ConfigError, match=".") as raised:
         load(write(key, value), {})
-    assert str(raised.value).startswith(shown) and ", expected " in str(raised.value)
+    assert str(raised.value).startswith(shown)
+    assert ", expected " in str(raised.value)
 
 
 def test_a_bad_configuration_ends_with_2_and_one_line(write):
@@ -147,15 +149,12 @@
     rows = [OPTIONS["requestClasses"][1], OPTIONS["requestClasses"][0] | {"name": "new"}]
     changed = OPTIONS | {"requestClasses": rows, "dcs": ["far", "there"], "kinds": ["big", "plain"]}
     after = deployment_from(changed, before=before)
-    assert (
-        after.types == {"posting": 1, "new": 2}
-        and after.settings.request_classes[1] == before.settings.request_classes[1]
-    )
+    assert after.types == {"posting": 1, "new": 2}
+    assert after.settings.request_classes[1] == before.settings.request_classes[1]
     assert (after.zones["there"], after.kinds["plain"], after.kinds["big"]) == (1, 0, 1)
     again = deployment_from(OPTIONS, before=after)
-    assert (
-        again.types == before.types and again.settings.request_classes[:2] == before.settings.request_classes
-    )
+    assert again.types == before.types
+    assert again.settings.request_classes[:2] == before.settings.request_classes
 
 
 def test_a_request_class_offered_no_more_sets_no_times(write):
@@ -169,7 +168,8 @@
     loaded = subprocess.run(
         [sys.executable, "-c", script], capture_output=True, text=True, check=True
     ).stdout.split()
-    assert "h11" in loaded and not {"numpy", "msgspec", "hdrh", "httptools", "asyncio"} & set(loaded)
+    assert "h11" in loaded
+    assert not {"numpy", "msgspec", "hdrh", "httptools", "asyncio"} & set(loaded)
 
 
 # What deployments of another shape set.
@@ -192,7 +192,8 @@
         now.reports_in_responses,
         now.fetch_cost,
         now.weight_by_size,
-    ) == shape and not now.may_gossip
+    ) == shape
+    assert not now.may_gossip
 
 
 @pytest.mark.parametrize(
@@ -215,5 +216,7 @@
 )
 def test_a_faulty_setting_of_another_shape_ends_with_one_line(write, key, value, named):
     done = CliRunner().invoke(main, ["check", "--config", write("settings." + key, value)])
-    assert done.exit_code == 2 and done.stderr.count("\n") == 1
-    assert done.stderr.startswith(f"marlseam: {named}: ") and "expected" in done.stderr
+    assert done.exit_code == 2
+    assert done.stderr.count("\n") == 1
+    assert done.stderr.startswith(f"marlseam: {named}: ")
+    assert "expected" in done.stderr
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -47,7 +47,8 @@
 
 def test_an_arrival_is_sent_to_a_listed_server(begun):
     (sent,) = of(take(begun), core.SendAttempt)
-    assert (sent.request_id, sent.attempt_index, sent.time_left_ms) == ("1", 0, 4998.0) and sent.server in (
+    assert (sent.request_id, sent.attempt_index, sent.time_left_ms) == ("1", 0, 4998.0)
+    assert sent.server in (
         "e1",
         "e2",
     )
@@ -117,7 +118,9 @@
 def test_a_request_after_the_shutdown_is_answered_at_once(begun):
     begun.reduce(-200.0, core.ShutdownBegun(100.0))
     effects = take(begun)
-    assert of(effects, core.Reject) and not of(effects, core.SendAttempt) and not begun.open_requests
+    assert of(effects, core.Reject)
+    assert not of(effects, core.SendAttempt)
+    assert not begun.open_requests
 
 
 def test_a_server_long_gone_is_forgotten(begun):
@@ -138,11 +141,9 @@
     begun.reduce(10.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e2")]))
     begun.reduce(1e6, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e2")]))
     begun.reduce(1e6, core.EndpointListUpdate(ListUpdateKind.DELTA, [entry("e3")]))
-    assert (
-        begun.servers.by_name == {"e2": 1, "e3": 0}
-        and not begun.dispatcher.at_capacity[0]
-        and begun.dispatcher.others_slots[0] is None
-    )
+    assert begun.servers.by_name == {"e2": 1, "e3": 0}
+    assert not begun.dispatcher.at_capacity[0]
+    assert begun.dispatcher.others_slots[0] is None
 
 
 def test_equal_events_give_equal_effects(deployment):
@@ -179,9 +180,8 @@
     ]  # what is learned stays, a guess follows the settings
     assert of(take(begun, "2", class_index=2), core.SendAttempt)
     assert begun.reduce(9.0, end("1", Outcome.COMPLETED, b"x"))[0] == core.Respond("1", b"x")
-    assert (
-        begun.dispatcher.ready_count == [2, 0, 0, 0] and begun.dispatcher.settings.max_retry_after_ms == 9.0
-    )
+    assert begun.dispatcher.ready_count == [2, 0, 0, 0]
+    assert begun.dispatcher.settings.max_retry_after_ms == 9.0
 
 
 @pytest.mark.parametrize("alone", [False, True])
@@ -191,5 +191,6 @@
     for t in (3.0, 4.0 + core.FORGET_AFTER_POLLS * deployment.settings.list_max_age_ms):
         begun.reduce(t, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e1")]))
     node = begun.dispatcher
-    assert list(begun.servers.by_name) == ["e1"] and not node.in_use_though_removed
+    assert list(begun.servers.by_name) == ["e1"]
+    assert not node.in_use_though_removed
     assert (node.ready_count[0], node.reported_count[0]) == (1, 1)
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -213,7 +213,8 @@
     fleet.lead(1000.0 * NODES / CALLS_PER_S + 2 * QUEUE_MS)
     declined = fleet.discovery.declined
     fleet.lead(5000.0)
-    assert fleet.discovery.declined == declined and len(fleet.discovery.watches) == NODES
+    assert fleet.discovery.declined == declined
+    assert len(fleet.discovery.watches) == NODES
 
 
 # What the first call of a node asks for: the whole list, or what has changed since the version that it holds.
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -386,7 +386,8 @@
     before = sum(here.ended(sock) for sock in here.clients)  # by a call that was due meanwhile, and refused
     here.discovery.listen()
     here.until(lambda: here.discovery.asked or "no-sockets" in here.codes("discovery"))
-    assert here.discovery.asked and here.discovery.asked[0].startswith(LIST)
+    assert here.discovery.asked
+    assert here.discovery.asked[0].startswith(LIST)
     assert "no-sockets" not in here.codes("discovery")
     given = sum(here.ended(sock) for sock in here.clients)
     assert given - before <= 1 <= given  # one, and no more than that
@@ -399,7 +400,8 @@
     here.full()
     before = len(here.executor.asked)
     here.served(here.clients[-1])  # on a connection that it has; to the server a new one is needed
-    assert len(here.executor.asked) == before + 1 and "no-sockets" not in here.codes("executor e1")
+    assert len(here.executor.asked) == before + 1
+    assert "no-sockets" not in here.codes("executor e1")
     assert here.ended(here.clients[0])  # the one that rested for longest
     here.gives_all_back()
 
@@ -538,7 +540,8 @@
     here.path.write_text(json.dumps(here.values | {"limits": here.values["limits"] | {"memory_mb": 200}}))
     here.process.send_signal(signal.SIGHUP)
     here.until(lambda: "new configuration" in here.text)  # said among the ends of the crowd's connections
-    assert "no-sockets" not in here.text and here.fds() <= LIMIT
+    assert "no-sockets" not in here.text
+    assert here.fds() <= LIMIT
     here.step = step
     here.gives_all_back()
 
@@ -577,14 +580,18 @@
     (_, old), (_, new) = silent(node, client), silent(node, client)
     old.opened_ms -= NEW_GRACE_MS
     silent(node, client)
-    assert old.closed and not new.closed and not any(door.closed for door in kept)
+    assert old.closed
+    assert not new.closed
+    assert not any(door.closed for door in kept)
 
 
 def test_those_who_rest_give_way_before_a_few_new_ones(node, client, resting, reply):
     kept = [*node.downstream.idle]
     (sock, first), (_, second) = silent(node, client), silent(node, client)
     silent(node, client)
-    assert not first.closed and not second.closed and [door.closed for door in kept] == [True] + 5 * [False]
+    assert not first.closed
+    assert not second.closed
+    assert [door.closed for door in kept] == [True] + 5 * [False]
     sock.sendall(REQUEST)
     assert reply(sock).startswith(b"HTTP/1.1 200 ")
 
@@ -609,7 +616,8 @@
             raise OSError(fails.pop(), "none")
         return "open"
 
-    assert descriptors.opened(opens) == "open" and len(given) == 3
+    assert descriptors.opened(opens) == "open"
+    assert len(given) == 3
 
 
 def test_what_fails_for_another_reason_costs_nobody_anything():
@@ -641,12 +649,15 @@
 def test_spares_are_for_the_nodes_own_needs_and_come_back(monkeypatch):
     descriptors = Descriptors()
     descriptors.hold_spares()
-    assert len(descriptors.spares) == SPARE_COUNT and not descriptors.release_one()
-    assert descriptors.release_one(own=True) and len(descriptors.spares) == SPARE_COUNT - 1
+    assert len(descriptors.spares) == SPARE_COUNT
+    assert not descriptors.release_one()
+    assert descriptors.release_one(own=True)
+    assert len(descriptors.spares) == SPARE_COUNT - 1
     with monkeypatch.context() as patch:
         patch.setattr(os, "dup", lambda number: (_ for _ in ()).throw(OSError(errno.EMFILE, "none")))
         assert not descriptors.hold_all_spares()
-    assert descriptors.hold_all_spares() and len(descriptors.spares) == SPARE_COUNT
+    assert descriptors.hold_all_spares()
+    assert len(descriptors.spares) == SPARE_COUNT
     descriptors.drop_spares()
 
 
@@ -661,7 +672,8 @@
             node.loop.at(node.loop.now(), lambda: None)
             node.loop.turn()
         assert not taken
-    assert node.downstream.has_capacity(False) and len(node.loop.descriptors.spares) == SPARE_COUNT
+    assert node.downstream.has_capacity(False)
+    assert len(node.loop.descriptors.spares) == SPARE_COUNT
     node.loop.descriptors.drop_spares()
 
 
@@ -676,7 +688,8 @@
             caught.append(ended.reason)
 
     loop.spawn(call())
-    assert caught == [Reason.NO_SOCKETS] and "code=no-sockets" in capsys.readouterr().err
+    assert caught == [Reason.NO_SOCKETS]
+    assert "code=no-sockets" in capsys.readouterr().err
 
 
 def test_accepting_goes_on_at_once_where_an_idle_client_could_be_given_up(node, client):
@@ -704,7 +717,8 @@
     for _ in range(http.MAX_ACCEPTS_PER_TURN):
         client(b"")
     node.loop.turn()
-    assert len(taken) >= http.MAX_ACCEPTS_PER_TURN - 1 and not before & {*node.downstream.open}
+    assert len(taken) >= http.MAX_ACCEPTS_PER_TURN - 1
+    assert not before & {*node.downstream.open}
     node.downstream.listener.sock = real
 
 
@@ -714,4 +728,5 @@
         log.connection_ended("client", Reason.CROWDED, 0)
     log.line("new configuration")
     lines = capsys.readouterr().err.splitlines()
-    assert lines[-1] == "marlseam n: new configuration" and len(lines) < MAX_BURST_LINES
+    assert lines[-1] == "marlseam n: new configuration"
+    assert len(lines) < MAX_BURST_LINES
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -52,20 +52,25 @@
 def test_an_unsafe_request_that_may_have_run_is_failed(make_dispatcher, make_request, outcome):
     dispatcher = make_dispatcher(0.0, 0.0)
     make_request(dispatcher, 2, ((0, None),)).attempt_ended(0, outcome, False, None)
-    assert dispatcher.port.did("fail") and not dispatcher.port.did("reject")
+    assert dispatcher.port.did("fail")
+    assert not dispatcher.port.did("reject")
 
 
 @pytest.mark.parametrize("outcome", NEVER)
 def test_an_unsafe_request_that_never_ran_may_be_retried(make_dispatcher, make_request, outcome):
     dispatcher = make_dispatcher(0.0, 0.0)
     state = make_request(dispatcher, 2, ((0, outcome),))
-    assert state.may_attempt() and state.may_reject_safely() and state.is_eligible(1)
+    assert state.may_attempt()
+    assert state.may_reject_safely()
+    assert state.is_eligible(1)
 
 
 def test_a_keyed_request_is_retried_only_in_its_cell(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0, 0.0, 0.0, cells=(0, 0, 1))
     state = make_request(dispatcher, 1, ((0, Outcome.ERROR),))
-    assert state.is_eligible(1) and not state.is_eligible(2) and not state.may_reject_safely()
+    assert state.is_eligible(1)
+    assert not state.is_eligible(2)
+    assert not state.may_reject_safely()
 
 
 def test_a_keyed_request_is_not_retried_past_the_deduplication_window(make_dispatcher, make_request):
@@ -90,9 +95,8 @@
     state = make_request(dispatcher, type, ((0, None),))
     state.attempt_ended(0, Outcome.INVALID_REQUEST, False, None)
     assert dispatcher.port.acts == [("fail", state.request.request_id)]
-    assert (
-        dispatcher.log_likelihood_ratio[0] == 0.0 and dispatcher.last_response_ms[0] == dispatcher.port.now()
-    )
+    assert dispatcher.log_likelihood_ratio[0] == 0.0
+    assert dispatcher.last_response_ms[0] == dispatcher.port.now()
 
 
 def test_a_lost_attempt_is_cancelled_to_go_elsewhere_where_hedging_is_forbidden(
@@ -109,6 +113,7 @@
     dispatcher = make_dispatcher(0.0, 0.0, 0.0, may_hedge=True)
     state = make_request(dispatcher, attempts=((0, None), (1, None)))
     state.attempt_ended(0, Outcome.CANCELLED_UNSENT, False, None)
-    assert not dispatcher.port.did("send") and state.in_flight_count() == 1
+    assert not dispatcher.port.did("send")
+    assert state.in_flight_count() == 1
     state.attempt_ended(1, Outcome.CANCELLED_UNSENT, False, None)
     assert len(dispatcher.port.did("send")) == 1
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -177,7 +177,9 @@
     )
     goes(sock)
     turn(lambda: not node.downstream.open)
-    assert not node.requests.pending and not node.core.open_requests and not node.upstream.attempts.in_flight
+    assert not node.requests.pending
+    assert not node.core.open_requests
+    assert not node.upstream.attempts.in_flight
     turn(lambda: ended(executor.held[0]) or executor.read() and ended(executor.held[0]))
 
 
@@ -188,7 +190,8 @@
     goes(sock)  # while it waits in the queue of the listening socket
     settle()
     turn(lambda: not node.downstream.open)
-    assert node.requests.last_request_id == 0 and not executor.accept()
+    assert node.requests.last_request_id == 0
+    assert not executor.accept()
 
 
 def test_the_second_request_of_a_client_that_left_during_the_first_goes_nowhere(
@@ -296,7 +299,8 @@
     turn(lambda: b"abc" in executor.read())
     end(node, sock)
     settle()
-    assert node.upstream.attempts.in_flight and not ended(executor.held[0])
+    assert node.upstream.attempts.in_flight
+    assert not ended(executor.held[0])
     executor.held[0].sendall(ANSWER)
     turn(lambda: not node.upstream.attempts.in_flight)
     assert not node.core.open_requests
@@ -309,7 +313,8 @@
     turn(lambda: node.upstream.attempts.in_flight)
     flight = next(iter(node.upstream.attempts.in_flight.values()))
     goes_cold(node, None)
-    assert flight.task.done and not flight.has_begun
+    assert flight.task.done
+    assert not flight.has_begun
     release()
 
 
@@ -324,7 +329,9 @@
     release()
     flight.task.step("ready")
     settle()
-    assert flight.task.done and not flight.has_begun and b"POST" not in executor.read()
+    assert flight.task.done
+    assert not flight.has_begun
+    assert b"POST" not in executor.read()
 
 
 def test_what_is_called_off_leaves_no_record_and_gives_its_keys_turn_on(node, client, stand, turn, settle):
@@ -376,7 +383,8 @@
     release()
     second.task.step("ready")
     settle()
-    assert second.task.done and not second.has_begun
+    assert second.task.done
+    assert not second.has_begun
     assert b"abc" not in one.read() + two.read()
 
 
@@ -388,7 +396,8 @@
     turn(lambda: not node.requests.pending)
     executor.held[0].sendall(b"HTTP/1.1 200 -\r\nContent-Length: 12\r\n\r\nTEXT queue=0")
     settle()
-    assert b"POST" not in executor.read() and not node.core.open_requests
+    assert b"POST" not in executor.read()
+    assert not node.core.open_requests
 
 
 def test_work_whose_client_leaves_while_it_stands_in_line_goes_nowhere(node, client, stand, turn, settle):
@@ -402,11 +411,9 @@
     node.core.dispatcher.at_capacity[node.core.servers.by_name["e1"]] = False
     node.core.dispatcher.dispatch_queue()
     settle()
-    assert (
-        b"POST" not in executor.read()
-        and not node.core.open_requests
-        and not node.core.dispatcher.pending_queues
-    )
+    assert b"POST" not in executor.read()
+    assert not node.core.open_requests
+    assert not node.core.dispatcher.pending_queues
 
 
 def test_work_whose_client_leaves_before_its_keys_turn_goes_nowhere(node, client, stand, turn, settle):
@@ -422,9 +429,9 @@
     executor.held[0].sendall(ANSWER)
     turn(lambda: not node.requests.pending)
     settle()
-    assert (
-        b"POST" not in executor.read() and not node.core.open_requests and not node.core.dispatcher.key_queues
-    )
+    assert b"POST" not in executor.read()
+    assert not node.core.open_requests
+    assert not node.core.dispatcher.key_queues
     assert first.recv(1000).startswith(b"HTTP/1.1 200 ")
 
 
@@ -475,7 +482,8 @@
     else:
         sock.sendall(first)
     turn(lambda: len(seen) == 2)
-    assert seen[0] == [False, False] and seen[1].count(True) == 1
+    assert seen[0] == [False, False]
+    assert seen[1].count(True) == 1
 
 
 # What surely never ran.
@@ -502,11 +510,14 @@
         turn(lambda: b"abc" in executor.read())
         executor.held[0].sendall(refusal)
         settle()
-    assert [event.outcome for event in told] == [Outcome.AT_CAPACITY] and (
+    assert [event.outcome for event in told] == [Outcome.AT_CAPACITY]
+    assert (
         "1",
         1,
     ) in node.upstream.attempts.in_flight
-    assert len(executor.held) == 2 and ended(executor.held[0]) and not ended(executor.held[1])
+    assert len(executor.held) == 2
+    assert ended(executor.held[0])
+    assert not ended(executor.held[1])
 
 
 @pytest.mark.parametrize(
@@ -564,7 +575,8 @@
     while len(read) < takes:
         turn(lambda: select.select(first.held, [], [], 0)[0])
         read += first.held[0].recv(takes - len(read))
-    assert not flight.has_begun and not node.counters.attempts  # its last byte has not gone out
+    assert not flight.has_begun
+    assert not node.counters.attempts
     reset(first.held.pop())
     turn(lambda: flight.task.done)
     turn(lambda: one.accept() or two.accept())  # it never ran: unsafe work is sent once more, to either
@@ -578,7 +590,8 @@
     turn(lambda: b"/-/load" in executor.read())
     executor.held[0].sendall(NEVER)
     turn(lambda: told)
-    assert told[0].outcome is Outcome.AT_CAPACITY and ended(executor.held[0])
+    assert told[0].outcome is Outcome.AT_CAPACITY
+    assert ended(executor.held[0])
 
 
 # A peer that never ends.
@@ -593,7 +606,8 @@
     sent(parts)
     assert parts.connections[0].sock.replies  # it has let go before all was read
     loop.turn()
-    assert turns and not outcomes(parts)
+    assert turns
+    assert not outcomes(parts)
 
 
 @pytest.mark.parametrize(
@@ -610,7 +624,8 @@
     assert not outcomes(parts)
     clock = count(loop.now() + 1000.0, 0.001)  # the limit is over while it still comes
     until(lambda: outcomes(parts))
-    assert outcomes(parts) == [Outcome.TIMED_OUT] and parts.connections[0].sock.replies
+    assert outcomes(parts) == [Outcome.TIMED_OUT]
+    assert parts.connections[0].sock.replies
 
 
 # The end of the node.
@@ -635,7 +650,8 @@
     node.downstream.stop_listening()
     assert node.requests.last_request_id == len(node.downstream.open) == 1  # no limit is passed
     for sock in socks[1:]:
-        assert reply(sock).startswith(b"HTTP/1.1 503 ") and sock.recv(1) == b""
+        assert reply(sock).startswith(b"HTTP/1.1 503 ")
+        assert sock.recv(1) == b""
         assert not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
 
@@ -646,7 +662,8 @@
     turn(lambda: node.downstream.reading)
     node.shutdown.begin()
     node.loop.run()
-    assert reply(sock).startswith(b"HTTP/1.1 503 ") and ended(sock)
+    assert reply(sock).startswith(b"HTTP/1.1 503 ")
+    assert ended(sock)
 
 
 def test_a_type_that_is_offered_no_more_does_not_lengthen_the_end(node, monkeypatch):
@@ -675,7 +692,8 @@
     node.requests.answer("2", 200, [], b"")
     turn(lambda: not node.downstream.open)
     data = sock.recv(1 << 16)
-    assert data.count(b"HTTP/1.1 200 ") == 2 and data.count(b"Connection: close") == 1
+    assert data.count(b"HTTP/1.1 200 ") == 2
+    assert data.count(b"Connection: close") == 1
     assert not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
 
@@ -699,7 +717,8 @@
         node.loop.at(node.loop.now(), lambda: None)
         node.loop.turn()
     kill_ms = min(longest_ms, 3000.0) + 700.0
-    assert node.loop.now() - began < kill_ms and not node.requests.pending
+    assert node.loop.now() - began < kill_ms
+    assert not node.requests.pending
     assert reply(sock).startswith(b"HTTP/1.1 500 ")  # unsafe work that may have run
     assert reply(half)[:13] in (b"HTTP/1.1 503 ", b"HTTP/1.1 408 ")
 
@@ -713,7 +732,8 @@
     assert (node.core.answer_by_ms, node.downstream.close_answered_at_ms) == (
         closes,
         draining,
-    ) and node.shutdown.is_ending
+    )
+    assert node.shutdown.is_ending
     client(REQUEST)
     turn(lambda: node.requests.last_request_id == 1)  # new connections still come
     (state,) = node.core.open_requests.values()
@@ -737,7 +757,8 @@
     turn(lambda: node.downstream.reading)
     sock.sendall(REQUEST[-2:-1])  # unread: closing would reset the connection
     assert node.downstream.close_one()
-    assert reply(sock).startswith(b"HTTP/1.1 503 ") and sock.recv(1) == b""
+    assert reply(sock).startswith(b"HTTP/1.1 503 ")
+    assert sock.recv(1) == b""
     assert not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)  # no reset
 
 
@@ -780,7 +801,8 @@
     assert core.WatchEndpoints() in begun.reduce(timer.delay_ms, core.TimerFired(timer.timer_id))
     list_ms = 100.0  # a list on the way: the page's figures leave that much
     late = min(node.discovery.call_ms, discovery_module.MAX_WATCH_LATE_MS) + timer.delay_ms + list_ms
-    assert late < 2000.0 and 2.0 * (node.discovery.call_ms + timer.delay_ms) < 6000.0
+    assert late < 2000.0
+    assert 2.0 * (node.discovery.call_ms + timer.delay_ms) < 6000.0
     assert node.discovery.wait_ms <= 60000.0
 
 
@@ -851,7 +873,8 @@
         ]
     longest = max(timer.delay_ms for timer in seen)
     grace_ms = grace_us / 1000.0
-    assert longest + node.discovery.call_ms <= grace_ms and node.discovery.min_watch_gap_ms <= grace_ms / 10.0
+    assert longest + node.discovery.call_ms <= grace_ms
+    assert node.discovery.min_watch_gap_ms <= grace_ms / 10.0
 
 
 @pytest.mark.parametrize("aims_us", [(0, 0), (0, 300000)])
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -43,7 +43,8 @@
         dispatcher.eject(0, "test")
         dispatcher.retry_elsewhere(0)
         dispatcher.port.clock = dispatcher.ejected_until_ms[0]
-        assert ready(dispatcher) == [1] and dispatcher.endpoint_state[0] is EndpointState.GONE
+        assert ready(dispatcher) == [1]
+        assert dispatcher.endpoint_state[0] is EndpointState.GONE
         dispatcher.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, None)])
         assert 0 in ready(dispatcher)
 
@@ -54,10 +55,8 @@
     stale, _ = dispatcher.port.timers[-1]
     dispatcher.update_endpoints(ListUpdateKind.FAILED, [])
     (due, call) = dispatcher.port.timers[-1]
-    assert (
-        dispatcher.port.clock < stale
-        and dispatcher.port.clock < due == dispatcher.next_poll_ms < dispatcher.port.clock + 10000.0
-    )
+    assert dispatcher.port.clock < stale
+    assert dispatcher.port.clock < due == dispatcher.next_poll_ms < dispatcher.port.clock + 10000.0
     for _, older in dispatcher.port.timers[:-1]:
         older()
     assert not dispatcher.port.did("watch_endpoints")  # one call, however many failures were told
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -93,30 +93,39 @@
 )
 def test_the_exit_code_says_what_came_of_it(run, more, code, text):
     result, out = run(more)
-    assert result.exit_code == code and text in result.output
+    assert result.exit_code == code
+    assert text in result.output
     if code < 2:
         summary = json.loads((out / "summary.json").read_text())
-        assert summary["code"] == code and summary["versions"]["numpy"] and summary["seed"] == 1
+        assert summary["code"] == code
+        assert summary["versions"]["numpy"]
+        assert summary["seed"] == 1
 
 
 def test_a_figure_for_what_never_came_is_told_as_missed(run, monkeypatch):
     endless = plays.Played({"heal_s": float("inf")})
     monkeypatch.setitem(plays.PLAYS, "endless", lambda experiment, out, say: endless)
     result, _ = run("[expect]\nheal_s = { most = 5 }", play="endless")
-    assert result.exit_code == 1 and "MISSED heal_s: at most 5, seen inf" in result.output
-    assert "Traceback" not in result.output and isinstance(result.exception, SystemExit)
+    assert result.exit_code == 1
+    assert "MISSED heal_s: at most 5, seen inf" in result.output
+    assert "Traceback" not in result.output
+    assert isinstance(result.exception, SystemExit)
 
 
 @pytest.mark.parametrize(("play", "text"), [("dya", "play: 'dya' is none, the nearest is day"), ('day"', "")])
 def test_a_wrong_play_or_a_file_that_is_no_toml_ends_with_2(run, play, text):
     result, _ = run(play=play)
-    assert result.exit_code == 2 and text in result.output and "Traceback" not in result.output
+    assert result.exit_code == 2
+    assert text in result.output
+    assert "Traceback" not in result.output
 
 
 def test_the_report_stands_alone_and_shows_what_happened(run):
     _, out = run('[[day.troubles]]\nwhat = "slow"\nat_s = 1')
     page = (out / "report.html").read_text()
-    assert "prefers-color-scheme: dark" in page and "://" not in page and "src=" not in page
+    assert "prefers-color-scheme: dark" in page
+    assert "://" not in page
+    assert "src=" not in page
     for part in ("Arrivals and answers", "Latency from the intended send", "slow", "one answer", "<svg"):
         assert part in page
 
@@ -125,10 +134,13 @@
     _, one = run()
     _, two = run('[[day.troubles]]\nwhat = "slow"\nat_s = 0\nfor_s = 4\nshare = 1.0\nsize = 30')
     same, paired = compare.differences(one, one)
-    assert paired and all(d.noise for d in same)
+    assert paired
+    assert all(d.noise for d in same)
     found, paired = compare.differences(one, two)
     worse = {d.name: d for d in found}["service"]
-    assert paired and worse.b < worse.a and not worse.noise
+    assert paired
+    assert worse.b < worse.a
+    assert not worse.noise
     assert "differs" in compare.text(one, two)
     with pytest.raises(compare.Unlike):
         compare.differences(one, one.parent)
@@ -137,7 +149,9 @@
 @pytest.mark.parametrize("name", POLICIES)
 def test_baselines_keep_the_rules_in_the_same_world(name):
     verdict, _, figures, _ = played(day(seconds=8.0, rate=15.0), make_core=POLICIES[name])
-    assert verdict.is_judged and not verdict.violation_count and figures["service"] > 0.4
+    assert verdict.is_judged
+    assert not verdict.violation_count
+    assert figures["service"] > 0.4
 
 
 FILES = sorted((Path(__file__).parent.parent / "experiments").glob("*.toml"))
@@ -147,10 +161,13 @@
 def test_the_experiments_of_the_project_read_and_their_days_keep_the_rules(path):
     measures.register()
     experiment = file.load(path)
-    assert experiment.head.name == path.stem and experiment.head.play in plays.PLAYS
+    assert experiment.head.name == path.stem
+    assert experiment.head.play in plays.PLAYS
     if experiment.head.play == "policies":
         found = measures.one_run(experiment.day, experiment.head.seed, "marlseam")
-        assert found["judged"] and not found["rules_broken"] and found["none"] == 0.0
+        assert found["judged"]
+        assert not found["rules_broken"]
+        assert found["none"] == 0.0
 
 
 def test_a_day_whose_records_have_holes_ends_with_1(run, monkeypatch):
@@ -158,4 +175,5 @@
 
     monkeypatch.setattr(records.StreamWriter, "end", lambda self, t: self.file.flush())
     result, _ = run()
-    assert result.exit_code == 1 and "not judged" in result.output
+    assert result.exit_code == 1
+    assert "not judged" in result.output
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -31,7 +31,8 @@
     assert dispatcher.count(0) == count
     dispatcher.port.clock += 2.0 * dispatcher.peer_silence_limit_ms
     listed(dispatcher, None)
-    assert dispatcher.count(0) == 0.0 and not dispatcher.peer_slots
+    assert dispatcher.count(0) == 0.0
+    assert not dispatcher.peer_slots
 
 
 def test_gossip_of_a_forgotten_server_counts_for_none(make_dispatcher):
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -57,13 +57,15 @@
 
 def test_usual_attempts_break_nothing(guarded):
     one = guarded()
-    assert one.begins(0.0) and one.begins(10.0, "e2")
+    assert one.begins(0.0)
+    assert one.begins(10.0, "e2")
     one.guard.note_outcome("r", 1, Outcome.BROKEN)
     assert one.begins(20.0)
     one.guard.note_outcome("r", 2, Outcome.COMPLETED)
     one.guard.note_outcome("r", 3, Outcome.CANCELLED)
     one.guard.note_end("r", Invariant.AFTER_ANSWER, 30.0)
-    assert not one.violations.total() and not one.guard.requests
+    assert not one.violations.total()
+    assert not one.guard.requests
 
 
 @pytest.mark.parametrize("out", [False, True], ids=["forgotten", "with one out"])
@@ -72,7 +74,8 @@
     if out:
         one.begins(0.0)
     one.guard.note_end("r", Invariant.AFTER_ANSWER, 10.0)
-    assert not one.begins(20.0) and one.broke(Invariant.AFTER_ANSWER)
+    assert not one.begins(20.0)
+    assert one.broke(Invariant.AFTER_ANSWER)
 
 
 def test_an_attempt_after_the_client_left_is_refused(guarded):
@@ -80,7 +83,8 @@
     one.begins(0.0)
     one.guard.note_end("r", Invariant.AFTER_LEAVING, 10.0)
     assert one.begins(100.0, "e2")
-    assert not one.begins(111.0, "e2") and one.broke(Invariant.AFTER_LEAVING)
+    assert not one.begins(111.0, "e2")
+    assert one.broke(Invariant.AFTER_LEAVING)
 
 
 @pytest.mark.parametrize("outcome", [None, Outcome.BROKEN, Outcome.TIMED_OUT, Outcome.ERROR])
@@ -89,7 +93,8 @@
     one.begins(0.0)
     if outcome is not None:
         one.guard.note_outcome("r", 1, outcome)
-    assert not one.begins(10.0, "e2") and one.broke(Invariant.REPEAT)
+    assert not one.begins(10.0, "e2")
+    assert one.broke(Invariant.REPEAT)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.AT_CAPACITY, Outcome.UNREACHABLE, Outcome.CANCELLED_UNSENT])
@@ -97,7 +102,8 @@
     one = guarded(Idempotency.UNSAFE)
     one.begins(0.0)
     one.guard.note_outcome("r", 1, outcome)
-    assert one.begins(10.0, "e2") and not one.violations.total()
+    assert one.begins(10.0, "e2")
+    assert not one.violations.total()
 
 
 def test_a_keyed_request_is_not_repeated_after_its_window(guarded):
@@ -106,7 +112,8 @@
     one.guard.note_outcome("r", 1, Outcome.BROKEN)
     assert one.begins(900.0)
     one.guard.note_outcome("r", 2, Outcome.BROKEN)
-    assert not one.begins(1001.0) and one.broke(Invariant.REPEAT)
+    assert not one.begins(1001.0)
+    assert one.broke(Invariant.REPEAT)
 
 
 @pytest.mark.parametrize("how", ["drains", "left"])
@@ -118,8 +125,10 @@
         else {"e2": entry("e2")}
     )
     one.guard.note_endpoints(held, 100.0)
-    assert one.begins(450.0) and one.begins(600.0, "e2")
-    assert not one.begins(501.0) and one.broke(Invariant.DRAIN)
+    assert one.begins(450.0)
+    assert one.begins(600.0, "e2")
+    assert not one.begins(501.0)
+    assert one.broke(Invariant.DRAIN)
     one.guard.note_endpoints({"e1": entry("e1"), "e2": entry("e2")}, 600.0)
     assert one.begins(700.0)
 
@@ -127,14 +136,16 @@
 def test_no_more_time_is_told_than_the_client_has(guarded):
     one = guarded()
     assert one.begins(500.0, told_ms=1600.0)
-    assert not one.begins(500.0, told_ms=1700.0) and one.broke(Invariant.DEADLINE)
+    assert not one.begins(500.0, told_ms=1700.0)
+    assert one.broke(Invariant.DEADLINE)
 
 
 @pytest.mark.parametrize(("budget", "most"), [(4.0, 13), (36.0, 50)], ids=["small", "large"])
 def test_one_node_alone_sends_no_more_than_a_whole_slow_start_budget(guarded, budget, most):
     one = guarded(budget=budget)
     assert all(one.begins(10.0) for _ in range(most))
-    assert not one.begins(10.0) and one.broke(Invariant.SLOW_START)
+    assert not one.begins(10.0)
+    assert one.broke(Invariant.SLOW_START)
     assert one.begins(11.0 + one.guard.deployment.settings.overload_window_ms)
 
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -133,7 +133,8 @@
     broken = {r.name: r.violations for r in verdict.rules}
     assert verdict.is_judged and broken[rule], {name: rows[:2] for name, rows in broken.items()}
     who, what = broken[rule][0]
-    assert what and (book.timeline(who) or who in book.attempts or any(t.by == who for t in book.records))
+    assert what
+    assert book.timeline(who) or who in book.attempts or any(t.by == who for t in book.records)
 
 
 # Records as such.
@@ -188,7 +189,9 @@
         case "system":
             found = [r for r in found if r.by != "roster"]
     verdict, _ = judge(found, wrong)
-    assert not verdict.is_judged and not verdict.rules and verdict.gaps
+    assert not verdict.is_judged
+    assert not verdict.rules
+    assert verdict.gaps
 
 
 @pytest.mark.parametrize(
@@ -203,9 +206,8 @@
 )
 def test_a_request_without_its_one_answer_in_time_breaks_the_first_rule(ends, what):
     found, _ = rules(tried(), *ends)
-    assert [who for who, _ in found["one answer"].violations] == ["a"] and what in found[
-        "one answer"
-    ].violations[0][1]
+    assert [who for who, _ in found["one answer"].violations] == ["a"]
+    assert what in found["one answer"].violations[0][1]
 
 
 @pytest.mark.parametrize(
@@ -239,7 +241,8 @@
         answered(20.0, id="a.1"),
     )
     texts = [what for _, what in found["no effect twice"].violations]
-    assert any("2 effects" in text for text in texts) and any("deferred though" in text for text in texts)
+    assert any("2 effects" in text for text in texts)
+    assert any("deferred though" in text for text in texts)
     assert len(book.timeline("a")) == 10
 
 
@@ -299,11 +302,14 @@
     )
     found = figures(RunRecords(rows))
     assert (found["work_units"], found["tries"]) == (3.0, 4.0)
-    assert found["service"] == pytest.approx(2.0 / 6.0) and found["late"] == pytest.approx(1.0 / 6.0)
-    assert found["latency_max"] == 130.0 and found["aborted"] == 1.0
+    assert found["service"] == pytest.approx(2.0 / 6.0)
+    assert found["late"] == pytest.approx(1.0 / 6.0)
+    assert found["latency_max"] == 130.0
+    assert found["aborted"] == 1.0
 
 
 def test_an_odd_line_is_told_with_its_number(tmp_path):
     (tmp_path / "x.jsonl").write_bytes(msgspec.json.encode(StreamBegan(t=0.0, by="x", n=1)) + b"\nnonsense\n")
     _, wrong = records.read_folder(tmp_path)
-    assert len(wrong) == 1 and "line 2" in wrong[0]
+    assert len(wrong) == 1
+    assert "line 2" in wrong[0]
--- a/tests/test_key_ordering.py
+++ b/tests/test_key_ordering.py
@@ -107,7 +107,8 @@
     world.take("b")
     world.settle("a", outcome)
     world.wait(49.0)
-    assert world.sent == ["a"] and world.over["a"]
+    assert world.sent == ["a"]
+    assert world.over["a"]
     world.wait(1.0)
     assert world.sent == ["a", "b"]
 
@@ -116,7 +117,8 @@
     world.take("a", limit=700.0)
     world.take("b", limit=3000.0)
     world.wait(699.0)
-    assert world.over["a"] and world.sent == ["a"]
+    assert world.over["a"]
+    assert world.sent == ["a"]
     world.wait(30.0)
     world.settle("a", Outcome.CANCELLED)
     world.wait(50.0)
@@ -129,7 +131,8 @@
     world.take("b", limit=600.0)
     world.settle("a", Outcome.BROKEN)
     world.wait(600.0)
-    assert ("Reject", "b") in world.ended and world.sent == ["a"]
+    assert ("Reject", "b") in world.ended
+    assert world.sent == ["a"]
     world.wait(300.0)
     assert world.queue_count() == 0
 
@@ -149,19 +152,22 @@
         world.over[request_id] = True
     while out := [request_id for request_id, attempts in world.out.items() if attempts]:
         world.settle(out[0])
-    assert world.sent == list(sent) and not world.wrong
+    assert world.sent == list(sent)
+    assert not world.wrong
 
 
 def test_a_queue_of_hundreds_ends_with_its_node_and_a_late_request_is_answered_at_once(world):
     for i in range(600):
         world.take(f"w{i}")
-    assert 0 < len(world.ended) < 600 and world.sent == ["w0"]
+    assert 0 < len(world.ended) < 600
+    assert world.sent == ["w0"]
     world.post(core.ShutdownBegun(10.0))
     world.wait(10.0)
     assert all(world.over.values())
     world.settle("w0", Outcome.CANCELLED)
     world.wait(50.0)
-    assert world.queue_count() == 0 and not world.wrong
+    assert world.queue_count() == 0
+    assert not world.wrong
 
 
 def test_a_reload_without_the_order_keeps_queues_and_one_with_it_orders_open_requests(world):
@@ -180,7 +186,8 @@
     world.post(core.RequestArrived(Request("e", 0, world.clock + 5000.0, resource_key="k")))
     for request_id in "abcd":
         world.settle(request_id)
-    assert world.sent == ["a", "c", "d", "b", "e"] and not world.wrong
+    assert world.sent == ["a", "c", "d", "b", "e"]
+    assert not world.wrong
 
 
 def test_no_queue_is_held_for_a_key_without_requests(world):
@@ -192,7 +199,8 @@
         if i % 5000 == 0:
             world.wait(500.0)
     world.wait(500.0)
-    assert world.queue_count() == 0 and not world.core.open_requests
+    assert world.queue_count() == 0
+    assert not world.core.open_requests
 
 
 STEPS = st.lists(
@@ -226,4 +234,5 @@
             world.settle(request_id)
         world.wait(1000.0)
     world.wait(100.0)
-    assert not world.wrong and world.queue_count() == 0
+    assert not world.wrong
+    assert world.queue_count() == 0
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -57,12 +57,14 @@
 )
 def test_the_run_fails_where_the_list_is_not_true(tmp_path, lines, says):
     status, printed = play(tmp_path, *lines)
-    assert status == 1 and says in printed
+    assert status == 1
+    assert says in printed
 
 
 def test_a_list_without_failures_fails_a_run_that_passes(tmp_path):
     status, printed = play(tmp_path, BAD, tests="def test_bad(): pass")
-    assert status == 1 and "does not fail any more" in printed
+    assert status == 1
+    assert "does not fail any more" in printed
 
 
 def test_part_of_the_tests_can_be_run_without_the_listed_ones(tmp_path):
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -298,17 +298,13 @@
 
 def over(node):
     """Say that nothing is left of work, and that the servers' counts are right."""
-    assert (
-        not node.requests.pending
-        and not node.core.open_requests
-        and not node.upstream.attempts.in_flight
-        and not node.downstream.correlation_ids
-    )
-    assert (
-        not any(node.core.dispatcher.own_slots)
-        and not node.core.dispatcher.key_queues
-        and not node.core.dispatcher.pending_queues
-    )
+    assert not node.requests.pending
+    assert not node.core.open_requests
+    assert not node.upstream.attempts.in_flight
+    assert not node.downstream.correlation_ids
+    assert not any(node.core.dispatcher.own_slots)
+    assert not node.core.dispatcher.key_queues
+    assert not node.core.dispatcher.pending_queues
 
 
 @HOLD
@@ -324,14 +320,16 @@
 def goes_nowhere(scene, begun):
     """Say that nothing has begun since, on the wire or on its way there, and that all ends."""
     node = scene.node
-    assert scene.begun == begun and b"abc" not in scene.read()
+    assert scene.begun == begun
+    assert b"abc" not in scene.read()
     scene.settle()
     scene.turn(lambda: scene.door not in node.downstream.open)
     scene.lead_ms += (
         1000.0 if node.upstream.attempts.in_flight else 0.0
     )  # what had begun runs on where cancelling is forbidden
     scene.turn(lambda: not node.upstream.attempts.in_flight)
-    assert scene.begun == begun and b"abc" not in scene.read()
+    assert scene.begun == begun
+    assert b"abc" not in scene.read()
     over(node)
 
 
@@ -427,7 +425,8 @@
     floods(sock, REQUEST + FAR)
     goes(sock)  # the node reads it later
     turn(lambda: not node.downstream.open)
-    assert node.requests.last_request_id == units and b"abc" not in scene.read()
+    assert node.requests.last_request_id == units
+    assert b"abc" not in scene.read()
 
 
 def test_a_client_that_floods_and_stays_has_its_answer_whole(scene, node, turn, reply):
@@ -439,7 +438,8 @@
     turn(lambda: scene.door.has_discarded)
     executor.sendall(ANSWER)
     data = reply(scene.sock)
-    assert data.startswith(b"HTTP/1.1 200 ") and b"\r\nConnection: close\r\n" in data
+    assert data.startswith(b"HTTP/1.1 200 ")
+    assert b"\r\nConnection: close\r\n" in data
     floods(scene.sock)  # what still comes resets nothing
     scene.settle()
     assert not scene.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -515,7 +515,9 @@
     assert node.core.idempotency_records.attempts("k2", node.loop.now())
     turn(lambda: scene.begun > begun)
     data = scene.read()
-    assert b"k2" in data and b"k1" not in data and scene.begun == begun + 1
+    assert b"k2" in data
+    assert b"k1" not in data
+    assert scene.begun == begun + 1
     turn(lambda: scene.door not in node.downstream.open)
 
 
@@ -528,7 +530,8 @@
         floods(each.sock, b"x" * (1 << 24))
     scene.ask(read=False)
     (flight,) = node.upstream.attempts.in_flight.values()
-    assert not flight.task.done and scene.read().count(b"x") > 0
+    assert not flight.task.done
+    assert scene.read().count(b"x") > 0
     if end == "drains":
         tell(node, {"e1": scene.upstream["e1"].address}, EndpointState.DRAINING, ListUpdateKind.DELTA)
     else:
@@ -683,7 +686,9 @@
     while not ended(peer.held[0]):  # what the system had of it, and the end
         read += peer.read().count(b"b")
         scene.settle(1)
-    assert read < LONG and not node.counters.attempts and len(sends) == parts > 0
+    assert read < LONG
+    assert not node.counters.attempts
+    assert len(sends) == parts > 0
     if order != "answered":
         turn(lambda: not node.downstream.open)
     over(node)
@@ -702,5 +707,8 @@
     turn(lambda: scene.door not in node.downstream.open)  # it is told of the error first
     act()
     turn(lambda: not node.upstream.attempts.in_flight)
-    assert scene.begun == begun and b"abc" not in scene.read() and len(faults) == 1
-    assert not node.core.open_requests and not any(node.core.dispatcher.own_slots)
+    assert scene.begun == begun
+    assert b"abc" not in scene.read()
+    assert len(faults) == 1
+    assert not node.core.open_requests
+    assert not any(node.core.dispatcher.own_slots)
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -70,8 +70,11 @@
 
     monkeypatch.setattr(Generator, "send", send)
     counted = merge([summary(generator_of(held, arrivals).run(1000.0))], len(arrivals))
-    assert {1, 2} <= set(counted.lagged) and 0 not in counted.lagged
-    assert not counted.is_valid and counted.lag[100.0] > 900.0 and "not valid" in table(counted)
+    assert {1, 2} <= set(counted.lagged)
+    assert 0 not in counted.lagged
+    assert not counted.is_valid
+    assert counted.lag[100.0] > 900.0
+    assert "not valid" in table(counted)
 
 
 def test_refused_connections_are_counted_and_retried_and_the_run_ends():
@@ -80,7 +83,8 @@
     generator = generator_of(held, arrivals)
     counted = merge([summary(generator.run(time.monotonic()))], len(arrivals))
     rows = generator.writer.kept
-    assert counted.refused == {"refused": 2 * len(arrivals)} and counted.sent == 0
+    assert counted.refused == {"refused": 2 * len(arrivals)}
+    assert counted.sent == 0
     assert [r.how for r in rows if isinstance(r, TryAnswered)] == ["unsent"] * 2 * len(arrivals)
     firsts = {r.first for r in rows if isinstance(r, TrySent)}
     assert firsts == {arrival.id for arrival in arrivals}
@@ -92,7 +96,8 @@
     generator = generator_of(held, arrivals)
     generator.max_descriptors = 0
     counted = merge([summary(generator.run(time.monotonic()))], len(arrivals))
-    assert counted.refused == {"no descriptors": len(arrivals)} and not counted.is_valid
+    assert counted.refused == {"no descriptors": len(arrivals)}
+    assert not counted.is_valid
 
 
 @pytest.fixture
@@ -135,7 +140,8 @@
         ("b", 40.0, "b", 0),
         ("a.1", 80.0, "a", 1),
     ]
-    assert found[1].credit == 7.0 and found[0].credit == 1.0
+    assert found[1].credit == 7.0
+    assert found[0].credit == 1.0
 
 
 def test_a_trace_is_cut_with_the_retries_of_what_was_cut_away():
@@ -178,5 +184,6 @@
         path.write_bytes(b"".join(trace.trace_lines(found, arrived, retries)))
         read_back = trace.load(path, held)
         tried = [r for r in found if isinstance(r, TrySent) and (retries or not r.number)]
-        assert len(read_back) == len(tried) and {a.first for a in read_back} <= {"", *(a.id for a in arrived)}
+        assert len(read_back) == len(tried)
+        assert {a.first for a in read_back} <= {"", *(a.id for a in arrived)}
         assert [(a.work, a.slots) for a in read_back if not a.number] == [(a.work, a.slots) for a in arrived]
--- a/tests/test_load_estimates.py
+++ b/tests/test_load_estimates.py
@@ -20,7 +20,8 @@
     dispatcher = make_dispatcher(0.0)
     make_request(dispatcher, attempts=((0, None),)).attempts[0].started_ms = 0.0
     dispatcher.merge_report(0, LoadReport(queued=2.0, free_slots=1.0), dispatcher.port.now())
-    assert dispatcher.others_slots[0] == 4.0 and dispatcher.count(0) == 5.0
+    assert dispatcher.others_slots[0] == 4.0
+    assert dispatcher.count(0) == 5.0
 
 
 def test_wide_requests_count_by_the_slots_that_are_not_free(make_dispatcher):
@@ -53,7 +54,8 @@
     state = make_request(dispatcher, attempts=((0, None), (0, None)))
     state.attempts[0].started_ms = state.attempts[1].started_ms = dispatcher.port.clock - 1000.0
     dispatcher.merge_report(0, LoadReport(held=0.0), dispatcher.port.now())
-    assert dispatcher.report_distrust > 0.0 and dispatcher.others_slots[0] > -2.0
+    assert dispatcher.report_distrust > 0.0
+    assert dispatcher.others_slots[0] > -2.0
 
 
 def test_distrusted_reports_are_renewed_less_often(make_dispatcher):
@@ -71,7 +73,8 @@
     dispatcher.update_endpoints(ListUpdateKind.DELTA, [Endpoint(1, EndpointState.GONE, 0, 0, 0, None)])
     dispatcher.eject(2, "test")
     dispatcher.retry_elsewhere(2)
-    assert dispatcher.threshold(0) == 3 and (
+    assert dispatcher.threshold(0) == 3
+    assert (
         dispatcher.ready_count[0],
         dispatcher.others_slots_sum[0],
         dispatcher.own_slots_sum[0],
@@ -91,7 +94,8 @@
     dispatcher.max_free_slots[0] = 1.0
     dispatcher.port.clock += 2.0 * dispatcher.report_max_age_ms
     wide = make_request(dispatcher, slots=4.0)
-    assert wide.is_eligible(0) and wide.meets_latency_objective(0)
+    assert wide.is_eligible(0)
+    assert wide.meets_latency_objective(0)
 
 
 def test_first_runs_seen_soon_outweigh_the_guess(make_dispatcher, make_request):
@@ -116,9 +120,9 @@
     listed(dispatcher, 3.0, 3.0)
     dispatcher.at_capacity[0] = dispatcher.forwarded_since_report[0] = True
     listed(dispatcher, 3.0, 1.5)  # size over one plus held a core: the second holds one a slot
-    assert dispatcher.count(0) < dispatcher.count(1) < 4.0 and not (
-        dispatcher.at_capacity[0] or dispatcher.forwarded_since_report[0]
-    )
+    assert dispatcher.count(0) < dispatcher.count(1) < 4.0
+    assert not (dispatcher.at_capacity[0])
+    assert not (dispatcher.forwarded_since_report[0])
 
 
 def test_the_others_slots_follow_our_own_requests_at_once(make_dispatcher, make_request):
@@ -128,7 +132,8 @@
     for e in (0, 0, 1, 1):
         make_request(dispatcher, attempts=((e, None),))
     assert before == (0.0, 0.0)
-    assert dispatcher.threshold(0) >= 8.0 and dispatcher.count(1) > 6.0  # four others who do as we do
+    assert dispatcher.threshold(0) >= 8.0
+    assert dispatcher.count(1) > 6.0
     for e in (0, 1):
         for state, _ in list(dispatcher.own_attempts[e]):
             state.attempt_ended(0, Outcome.COMPLETED, True, None)
@@ -152,7 +157,8 @@
     for _ in range(3):
         make_request(dispatcher, attempts=((0, None),))
     dispatcher.merge_report(0, LoadReport(queued=0.0, free_slots=4.0), dispatcher.port.now())
-    assert dispatcher.is_over_threshold(0) and not dispatcher.is_over_threshold(1)
+    assert dispatcher.is_over_threshold(0)
+    assert not dispatcher.is_over_threshold(1)
     assert dispatcher.count(0) - dispatcher.own_slots[0] > 1.5 * dispatcher.count(1)
     for state, _ in list(dispatcher.own_attempts[0]):
         state.attempt_ended(0, Outcome.COMPLETED, True, LoadReport(queued=0.0, free_slots=4.0))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -108,10 +108,8 @@
     a.merge(GossipEntry("b", MemberState(0, 9, MemberStatus.SUSPECT), "c"))
     ends = a.members["b"].suspicion_ends_ms
     a.tick(ends + 60000.0)  # a minute late
-    assert (
-        a.members["b"].state.status == MemberStatus.SUSPECT
-        and a.members["b"].suspicion_ends_ms > ends + 50000.0
-    )
+    assert a.members["b"].state.status == MemberStatus.SUSPECT
+    assert a.members["b"].suspicion_ends_ms > ends + 50000.0
     a.receive(ends + 60001.0, datagram(state=(1, 9, 0)))
     assert set(a.alive_members()) == {"b", "c"}
 
@@ -123,9 +121,8 @@
     for name in sorted(names - {me}):
         machine.merge(GossipEntry(name, MemberState(1 << 50, 1 << 50, MemberStatus.SUSPECT), me))
     effects = machine.tick(5000.0)
-    assert effects and all(
-        len(write(e.datagram)) <= MAX_DATAGRAM_BYTES for e in effects if hasattr(e, "datagram")
-    )
+    assert effects
+    assert all(len(write(e.datagram)) <= MAX_DATAGRAM_BYTES for e in effects if hasattr(e, "datagram"))
 
 
 def test_a_member_whose_state_changes_again_and_again_costs_no_memory():
@@ -133,7 +130,8 @@
     for i in range(5000):
         a.merge(GossipEntry("b", MemberState(i, 9, i % 4)))
         a.piggyback("c")
-    assert len(a.gossip.order) == len(a.gossip.send_counts) <= 2 and len(a.members["b"].suspected_by) <= 1
+    assert len(a.gossip.order) == len(a.gossip.send_counts) <= 2
+    assert len(a.members["b"].suspected_by) <= 1
 
 
 # Bounds, and a checker that is known to check.
@@ -328,7 +326,8 @@
 def test_a_second_process_of_a_member_waits_until_the_first_has_left(peers, loop, until, capsys):
     until(lambda: all(len(p.machine.alive_members()) == 2 for p in peers.values()))
     new = MembershipService(loop, Log("new", loop.now), peers["c"].settings, "c", 9)
-    assert new.sock is None and "code=in-use" in capsys.readouterr().err
+    assert new.sock is None
+    assert "code=in-use" in capsys.readouterr().err
     assert json.loads(new.status())["members"][2]["standing"] == "out"
     peers["c"].close()
     until(lambda: new.sock is not None)
@@ -352,22 +351,27 @@
     until(lambda: len(peers["a"].machine.alive_members()) == 2)
     monkeypatch.setattr(command, "fleet_status", lambda _address: json.loads(peers["a"].status()))
     good = CliRunner().invoke(command.group, ["status", "--at", "x"])
-    assert good.exit_code == 0 and "as a holds it" in good.output
+    assert good.exit_code == 0
+    assert "as a holds it" in good.output
     peers["a"].machine.merge(GossipEntry("b", MemberState(9, 9, MemberStatus.DEAD)))
     bad = CliRunner().invoke(command.group, ["status", "--at", "x"])
-    assert bad.exit_code == 1 and "gone" in bad.output
+    assert bad.exit_code == 1
+    assert "gone" in bad.output
     raw = CliRunner().invoke(command.group, ["status", "--at", "x", "--json"])
     assert json.loads(raw.output)["fleet"] == "f"
 
 
 def test_an_address_that_does_not_answer_is_named():
     result = CliRunner().invoke(command.group, ["status", "--at", "127.0.0.1:1"])
-    assert result.exit_code == 1 and "127.0.0.1:1" in result.output
+    assert result.exit_code == 1
+    assert "127.0.0.1:1" in result.output
 
 
 def test_hunt_prints_the_schedule_that_came_nearest_to_each_bound():
     result = CliRunner().invoke(command.group, ["hunt", "--seeds", "2", "--nodes", "4"])
-    assert result.exit_code == 0 and "heal: nearest" in result.output and "0 break" in result.output
+    assert result.exit_code == 0
+    assert "heal: nearest" in result.output
+    assert "0 break" in result.output
 
 
 # Settings, and what is off.
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -67,14 +67,17 @@
     for part in (b"abc", b"defg", b"hijklmnop"):
         buffer.space(len(part))[: len(part)] = part
         buffer.added(len(part))
-    assert buffer.take(5) + buffer.take(100) == b"abcdefghijklmnop" and not len(buffer)
+    assert buffer.take(5) + buffer.take(100) == b"abcdefghijklmnop"
+    assert not len(buffer)
 
 
 def test_a_buffer_is_compacted_before_it_grows():
     buffer = Buffer(8)
     buffer.added(8)
     buffer.take(6)
-    assert len(buffer.space(6)) == 6 and len(buffer.bytes) == 8 and len(buffer) == 2
+    assert len(buffer.space(6)) == 6
+    assert len(buffer.bytes) == 8
+    assert len(buffer) == 2
 
 
 # Loop.
@@ -142,7 +145,8 @@
             seen.append("end")
 
     loop.spawn(wait()).cancel()
-    assert seen == ["end"] and not loop.tasks
+    assert seen == ["end"]
+    assert not loop.tasks
 
 
 def test_an_error_in_one_coroutine_or_call_leaves_the_others(loop, until):
@@ -240,13 +244,16 @@
             caught.append(ended.reason)
 
     loop.spawn(call())
-    assert caught == [Reason.NO_SOCKETS] and "code=no-sockets" in capsys.readouterr().err
+    assert caught == [Reason.NO_SOCKETS]
+    assert "code=no-sockets" in capsys.readouterr().err
 
 
 def test_an_answer_completes(upstream):
     parts = upstream(ANSWER)
-    assert sent(parts) == [Outcome.COMPLETED] and parts.events[0] == core.AttemptStarted("1", 0)
-    assert parts.events[1].result == b"r" and len(parts.pool.servers["e1"].idle) == 1
+    assert sent(parts) == [Outcome.COMPLETED]
+    assert parts.events[0] == core.AttemptStarted("1", 0)
+    assert parts.events[1].result == b"r"
+    assert len(parts.pool.servers["e1"].idle) == 1
 
 
 @pytest.mark.parametrize("at", range(1, len(ANSWER)))
@@ -275,7 +282,8 @@
     sent(parts)
     until(lambda: outcomes(parts))
     data = parts.connections[0].sock.sent
-    assert outcomes(parts) == [Outcome.COMPLETED] and data.endswith(b"\r\n\r\nabc")
+    assert outcomes(parts) == [Outcome.COMPLETED]
+    assert data.endswith(b"\r\n\r\nabc")
 
 
 @pytest.mark.parametrize(
@@ -292,7 +300,8 @@
     parts = upstream(head + lines)
     sent(parts)
     until(lambda: outcomes(parts))  # what is long comes in several turns
-    assert outcomes(parts) == [Outcome.BROKEN] and reasons(capsys) == ["bad-message"]
+    assert outcomes(parts) == [Outcome.BROKEN]
+    assert reasons(capsys) == ["bad-message"]
 
 
 @pytest.mark.parametrize(
@@ -313,8 +322,10 @@
     parts = upstream(silent=True)
     sent(parts, until=5.0)
     until(lambda: outcomes(parts))
-    assert outcomes(parts) == [Outcome.TIMED_OUT] and reasons(capsys) == ["timed-out"]
-    assert not parts.attempts.in_flight and not parts.pool.servers["e1"].count
+    assert outcomes(parts) == [Outcome.TIMED_OUT]
+    assert reasons(capsys) == ["timed-out"]
+    assert not parts.attempts.in_flight
+    assert not parts.pool.servers["e1"].count
 
 
 @pytest.mark.parametrize(
@@ -345,20 +356,23 @@
     parts.timeouts.probe_ms = 10.0
     parts.health_checks.start("e1")
     until(lambda: parts.events)
-    assert len(parts.connections) == 2 and parts.events[0].outcome is Outcome.TIMED_OUT
+    assert len(parts.connections) == 2
+    assert parts.events[0].outcome is Outcome.TIMED_OUT
 
 
 def test_giving_up_closes_the_connection(upstream):
     parts = upstream(silent=True)
     sent(parts)
     parts.attempts.cancel("1", 0)
-    assert outcomes(parts) == [Outcome.CANCELLED] and not parts.connections[0].sock.open
+    assert outcomes(parts) == [Outcome.CANCELLED]
+    assert not parts.connections[0].sock.open
 
 
 def test_a_server_not_listed_is_unreachable(upstream):
     parts = upstream(ANSWER)
     parts.update_endpoints(set(), {})
-    assert sent(parts) == [Outcome.UNREACHABLE] and not parts.connections
+    assert sent(parts) == [Outcome.UNREACHABLE]
+    assert not parts.connections
 
 
 # The pool.
@@ -368,13 +382,15 @@
     parts = upstream(ANSWER, silent=True)
     sent(parts)
     parts.connections[0].sock.upon_send.append(ANSWER)
-    assert sent(parts) == [Outcome.COMPLETED] * 2 and len(parts.connections) == 1
+    assert sent(parts) == [Outcome.COMPLETED] * 2
+    assert len(parts.connections) == 1
 
 
 def test_a_pooled_connection_that_was_closed_is_not_used(upstream):
     parts = upstream(ANSWER)
     sent(parts)
-    assert sent(parts) == [Outcome.COMPLETED] * 2 and len(parts.connections) == 2
+    assert sent(parts) == [Outcome.COMPLETED] * 2
+    assert len(parts.connections) == 2
 
 
 @pytest.mark.parametrize(
@@ -394,9 +410,8 @@
     parts.health_checks.start("e1")
     parts.connections[0].sock.takes = len(parts.connections[0].sock.sent)
     parts.health_checks.start("e1")
-    assert [event.outcome for event in parts.events] == [Outcome.COMPLETED] * 2 and len(
-        parts.connections
-    ) == 2
+    assert [event.outcome for event in parts.events] == [Outcome.COMPLETED] * 2
+    assert len(parts.connections) == 2
 
 
 def test_a_probe_that_finds_no_place_blames_nobody(upstream):
@@ -434,7 +449,8 @@
     parts = upstream(silent=True)
     for _ in range(parts.pool.max_per_server() + 1):
         sent(parts)
-    assert outcomes(parts) == [Outcome.UNREACHABLE] and len(parts.connections) == parts.pool.max_per_server()
+    assert outcomes(parts) == [Outcome.UNREACHABLE]
+    assert len(parts.connections) == parts.pool.max_per_server()
 
 
 def test_the_longest_unused_connection_makes_room(upstream, capsys):
@@ -443,7 +459,8 @@
     parts.pool.max_connections = 1
     parts.update_endpoints({"e1", "e2"}, {"e2": ("127.0.0.1", 9)})
     parts.health_checks.start("e2")
-    assert reasons(capsys) == ["crowded"] and parts.pool.open_count() == 1
+    assert reasons(capsys) == ["crowded"]
+    assert parts.pool.open_count() == 1
 
 
 # Probes.
@@ -489,7 +506,8 @@
 
     loop.spawn(call())
     until(lambda: failed)
-    assert failed == [Reason.REFUSED] and reasons(capsys) == ["refused"]
+    assert failed == [Reason.REFUSED]
+    assert reasons(capsys) == ["refused"]
 
 
 # Clients.
@@ -545,7 +563,8 @@
     ],
 )
 def test_bad_input_has_its_status_and_goes_no_further(node, client, reply, data, status):
-    assert reply(client(data)).startswith(b"HTTP/1.1 %d " % status) and not node.requests.last_request_id
+    assert reply(client(data)).startswith(b"HTTP/1.1 %d " % status)
+    assert not node.requests.last_request_id
 
 
 def test_a_request_may_come_in_chunks(node, client):
@@ -561,7 +580,8 @@
         node.loop.turn()
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 409 ")
     node.requests.answer("1", 200, [], b"result")
-    assert reply(first).endswith(b"result") and not node.downstream.correlation_ids
+    assert reply(first).endswith(b"result")
+    assert not node.downstream.correlation_ids
 
 
 @pytest.mark.parametrize(
@@ -610,8 +630,10 @@
         while "crowded" not in reasons(capsys):
             node.loop.turn()
         assert all(c.fileno() >= 0 for c in (left, usual))
-    assert silent.recv(1) == b"" and len(node.downstream.idle) == 1
-    assert half.recv(1000).startswith(b"HTTP/1.1 503 ") and half.recv(1) == b""
+    assert silent.recv(1) == b""
+    assert len(node.downstream.idle) == 1
+    assert half.recv(1000).startswith(b"HTTP/1.1 503 ")
+    assert half.recv(1) == b""
 
 
 def test_bodies_are_bounded_and_those_without_a_good_request_give_up_theirs(node, client, capsys):
@@ -622,7 +644,8 @@
     client(REQUEST)
     while not node.requests.pending:
         node.loop.turn()
-    assert slow.recv(1000).startswith(b"HTTP/1.1 503 ") and slow.recv(1) == b""
+    assert slow.recv(1000).startswith(b"HTTP/1.1 503 ")
+    assert slow.recv(1) == b""
     assert "crowded" in reasons(capsys)
     assert list(node.downstream.reserved_bytes.values()) == [3]
 
@@ -673,7 +696,8 @@
         node.loop.turn()
     node.effects.carry_out(effect)
     data = reply(sock)
-    assert data.startswith(start) and part in data
+    assert data.startswith(start)
+    assert part in data
 
 
 @pytest.mark.parametrize("at", range(1, len(REQUEST)))
@@ -703,7 +727,8 @@
     sock.close()
     while node.downstream.open:
         node.loop.turn()
-    assert not node.requests.pending and not node.core.open_requests
+    assert not node.requests.pending
+    assert not node.core.open_requests
 
 
 def test_an_answer_for_one_that_has_gone_is_dropped(node):
@@ -796,7 +821,8 @@
 @pytest.mark.parametrize("answer", [b"nonsense", b"[]", b'{"seq":9,"hosts":7}'])
 def test_an_invalid_answer_leaves_the_last_valid_list(node, roster, answer):
     events = roster(listing(5, "e1"), answer)
-    assert events[-1].update_kind is ListUpdateKind.FAILED and list(node.discovery.held) == ["e1"]
+    assert events[-1].update_kind is ListUpdateKind.FAILED
+    assert list(node.discovery.held) == ["e1"]
 
 
 def test_an_invalid_entry_keeps_what_was_last_valid_of_it(node, roster):
@@ -819,7 +845,8 @@
 
 def test_a_watch_that_is_answered_at_once_is_not_called_again_at_once(roster, capsys):
     empty = listing(5, whole=False)
-    assert len(roster(listing(5, "e1"), *[empty] * 20)) == 2 and not reasons(capsys)
+    assert len(roster(listing(5, "e1"), *[empty] * 20)) == 2
+    assert not reasons(capsys)
 
 
 @pytest.mark.parametrize(("nodes", "wait_ms"), [(1, 3000.0), (4, 4000.0), (300, 5000.0)])
@@ -831,9 +858,8 @@
 
 def test_an_error_of_discovery_is_logged(roster, monkeypatch, capsys):
     events = roster(b"", status=503)
-    assert [event.update_kind for event in events] == [ListUpdateKind.FAILED] and reasons(capsys) == [
-        "declined"
-    ]
+    assert [event.update_kind for event in events] == [ListUpdateKind.FAILED]
+    assert reasons(capsys) == ["declined"]
 
 
 # A new configuration.
@@ -855,8 +881,11 @@
     events = roster(listing(5, "e1"), silent=True)
     watch = node.discovery.task
     rewrite(discovery="127.0.0.1:2")
-    assert watch.done and events[-1].update_kind is ListUpdateKind.FAILED and reasons(capsys) == ["forgotten"]
-    assert list(node.discovery.held) == ["e1"] and node.discovery.config.discovery == ("127.0.0.1", 2)
+    assert watch.done
+    assert events[-1].update_kind is ListUpdateKind.FAILED
+    assert reasons(capsys) == ["forgotten"]
+    assert list(node.discovery.held) == ["e1"]
+    assert node.discovery.config.discovery == ("127.0.0.1", 2)
 
 
 def test_versions_of_another_discovery_are_not_compared(node, connection, roster, rewrite):
@@ -871,7 +900,8 @@
 def test_an_unchanged_configuration_leaves_the_watch(node, rewrite):
     watch = node.discovery.task
     rewrite()
-    assert node.discovery.task is watch and not watch.done
+    assert node.discovery.task is watch
+    assert not watch.done
 
 
 @pytest.mark.parametrize("text", ["{", "[" * 100000, '{"listen": "127.0.0.1:0"}', None])
@@ -879,7 +909,8 @@
     path, before = Path(node.config.path), node.config
     path.unlink() if text is None else path.write_text(text)
     node.reload()
-    assert node.config is before and "the configuration stays as it was: " in capsys.readouterr().err
+    assert node.config is before
+    assert "the configuration stays as it was: " in capsys.readouterr().err
 
 
 def classes(*names, **changes):
@@ -925,10 +956,12 @@
 def test_settings_that_are_broken_change_nothing(node, rewrite, capsys, settings):
     before, served = node.config, node.core.dispatcher.request_classes
     rewrite(settings=settings, discovery="127.0.0.1:9")
-    assert node.config is before and node.core.dispatcher.request_classes == served
+    assert node.config is before
+    assert node.core.dispatcher.request_classes == served
     assert (node.counters.reloads, node.counters.reload_errors) == (0, 1)
     (line,) = [line for line in capsys.readouterr().err.splitlines() if "stays as it was" in line]
-    assert "settings." in line and "expected" in line
+    assert "settings." in line
+    assert "expected" in line
 
 
 @pytest.mark.parametrize("part", ["listen", "discovery", "known", "settings", "admin", *range(0, 400, 7)])
@@ -963,10 +996,8 @@
     (state,) = node.core.open_requests.values()
     taken = state.request_class
     rewrite(settings=classes("statement", semantics="unsafe", aimUs=1, deadlineUs=1000000))
-    assert (
-        state.request_class is taken
-        and node.core.dispatcher.request_classes[state.request.class_index] != taken
-    )
+    assert state.request_class is taken
+    assert node.core.dispatcher.request_classes[state.request.class_index] != taken
     rewrite(settings=classes("other"))
     node.requests.answer(next(iter(node.requests.pending)), 200, [], b"r")
     assert reply(sock).startswith(b"HTTP/1.1 200 ")
@@ -978,7 +1009,8 @@
     rewrite(
         settings=OPTIONS | {"ceilings": ceilings, "requestClasses": OPTIONS["requestClasses"][1:]}, seed="9"
     )
-    assert node.upstream.timeouts.idle_ms == 1400.0 and len(node.core.dispatcher.request_classes) == 2
+    assert node.upstream.timeouts.idle_ms == 1400.0
+    assert len(node.core.dispatcher.request_classes) == 2
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 404 ")
 
 
@@ -990,7 +1022,8 @@
 def test_keys_that_cannot_change_are_logged_and_left(node, rewrite, capsys):
     rewrite(listen="127.0.0.1:7", name="other", seed="9")
     said = capsys.readouterr().err
-    assert node.config.listen == ("127.0.0.1", 0) and node.config.name == "node"
+    assert node.config.listen == ("127.0.0.1", 0)
+    assert node.config.name == "node"
     assert all(f"{key}: cannot change" in said for key in ("listen", "name", "seed"))
 
 
@@ -1020,14 +1053,16 @@
     node.shutdown.begin()
     node.downstream.drain(0.0, 0.0)
     data = reply(client(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"))
-    assert data.startswith(b"HTTP/1.1 503 ") and b"Connection: close" in data
+    assert data.startswith(b"HTTP/1.1 503 ")
+    assert b"Connection: close" in data
 
 
 def test_sigterm_ends_an_idle_node_after_new_connections_have_ceased(node, monkeypatch):
     monkeypatch.setattr(graceful_shutdown, "LISTEN_MS", 1.0)
     node.shutdown.begin()
     node.loop.run()
-    assert node.loop.stopped and node.downstream.sock.fileno() < 0
+    assert node.loop.stopped
+    assert node.downstream.sock.fileno() < 0
 
 
 def test_sigterm_answers_what_is_open_before_the_end(node, client, reply, monkeypatch):
@@ -1045,7 +1080,8 @@
     loop.fault = lambda text: None
     parts = upstream(ANSWER)
     monkeypatch.setattr(attempts_module.AttemptRun, "read_last_line", lambda *args: 1 / 0)
-    assert sent(parts) == [Outcome.BROKEN] and reasons(capsys) == ["fault"]
+    assert sent(parts) == [Outcome.BROKEN]
+    assert reasons(capsys) == ["fault"]
 
 
 def test_waits_stop_reading_ahead_of_a_peer_that_sends_on(connection):
@@ -1063,7 +1099,8 @@
     with pytest.raises(ConnectionEndedError) as raised:
         call.send(LATE)
     server.close()
-    assert raised.value.reason is Reason.NO_CONNECT and reasons(capsys) == ["no-connect"]
+    assert raised.value.reason is Reason.NO_CONNECT
+    assert reasons(capsys) == ["no-connect"]
 
 
 @pytest.mark.parametrize("reason", [Reason.NO_CONNECT, Reason.REFUSED, Reason.NO_SOCKETS])
@@ -1075,7 +1112,8 @@
         yield
 
     monkeypatch.setattr(pool_module, "connect", fails)
-    assert sent(parts) == [Outcome.UNREACHABLE] and not parts.pool.servers["e1"].count
+    assert sent(parts) == [Outcome.UNREACHABLE]
+    assert not parts.pool.servers["e1"].count
 
 
 def test_a_cancelled_connect_closes_its_socket(loop, capsys):
@@ -1101,7 +1139,8 @@
             turns += 1
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    assert turns < 30 and reply(sock).startswith(b"HTTP/1.1 200 ")
+    assert turns < 30
+    assert reply(sock).startswith(b"HTTP/1.1 200 ")
 
 
 # The whole way.
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -26,7 +26,8 @@
         outcome = Outcome.COMPLETED if i % 5 in (1, 3) else Outcome.ERROR
         make_request(dispatcher, attempts=((i % 6, None),)).attempt_ended(0, outcome, False, None)
         dispatcher.port.clock += 20.0
-    assert len(dispatcher.port.did("log")) - rests <= 2 and len(ready(dispatcher)) >= 5
+    assert len(dispatcher.port.did("log")) - rests <= 2
+    assert len(ready(dispatcher)) >= 5
     for _ in range(3):  # a type that does not fail elsewhere still tells of a sick one
         make_request(dispatcher, 1, ((3, None),)).attempt_ended(0, Outcome.ERROR, False, None)
     assert 3 not in ready(dispatcher)
@@ -48,9 +49,11 @@
     assert ready(dispatcher) == []
     dispatcher.port.clock = dispatcher.ejected_until_ms[0]
     make_request(dispatcher).place()
-    assert dispatcher.port.did("probe") and not dispatcher.port.did("send")
+    assert dispatcher.port.did("probe")
+    assert not dispatcher.port.did("send")
     dispatcher.probe_ended(0, Outcome.COMPLETED, 1.0, LoadReport(held=0.0))
-    assert dispatcher.ejected_until_ms[0] is None and dispatcher.port.did("send")
+    assert dispatcher.ejected_until_ms[0] is None
+    assert dispatcher.port.did("send")
 
 
 def test_a_server_with_an_overdue_probe_is_avoided(make_dispatcher):
@@ -88,7 +91,8 @@
     make_request(dispatcher, attempts=((0, None),))
     dispatcher.record_outcome(0, 99.0)
     dispatcher.probe_ended(0, Outcome.BROKEN, 1.0, None)
-    assert 0 not in ready(dispatcher) and not dispatcher.port.did("cancel")
+    assert 0 not in ready(dispatcher)
+    assert not dispatcher.port.did("cancel")
     dispatcher.probe_ended(0, Outcome.TIMED_OUT, 1.0, None)
     assert dispatcher.port.did("cancel") == [("cancel", "w0", 0)]
 
@@ -102,7 +106,8 @@
     dispatcher.eject(0, "test")
     dispatcher.retry_elsewhere(0)
     dispatcher.port.clock = dispatcher.ejected_until_ms[0] + 3.0 * dispatcher.report_max_age_ms
-    assert ready(dispatcher) == [0] and not dispatcher.is_stalled(0)
+    assert ready(dispatcher) == [0]
+    assert not dispatcher.is_stalled(0)
     make_request(dispatcher, 1, ((0, None),))
     assert ready(dispatcher) == []
 
--- a/tests/test_own_faults.py
+++ b/tests/test_own_faults.py
@@ -58,7 +58,9 @@
     plant(core.AttemptEnded)
     began = time.monotonic()
     assert reply(client(request_bytes)).startswith(says)
-    assert time.monotonic() - began < 2.0 and not node.requests.pending and asked.count(b"POST") == 1
+    assert time.monotonic() - began < 2.0
+    assert not node.requests.pending
+    assert asked.count(b"POST") == 1
 
 
 @pytest.mark.parametrize("kind", [core.AttemptEnded, core.ClientLeft, core.TimerFired, core.ProbeEnded])
@@ -69,7 +71,8 @@
     plant(kind)
     for _ in range(3):
         assert reply(client(POSTING)).startswith((b"HTTP/1.1 200", b"HTTP/1.1 500", b"HTTP/1.1 503"))
-    assert asked.count(b"POST") <= 3 and not node.requests.pending
+    assert asked.count(b"POST") <= 3
+    assert not node.requests.pending
 
 
 def test_an_error_while_a_request_is_read_is_told_to_its_client(node, client, reply, executor, monkeypatch):
@@ -90,7 +93,9 @@
     plant(core.SendAttempt)
     began = time.monotonic()
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 503")
-    assert time.monotonic() - began < 2.0 and not node.requests.pending and b"POST" not in asked
+    assert time.monotonic() - began < 2.0
+    assert not node.requests.pending
+    assert b"POST" not in asked
 
 
 def test_a_close_over_an_unanswered_request_is_counted(node, client, executor, monkeypatch):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -18,7 +18,8 @@
     state = make_request(dispatcher)
     state.home_server = 0
     state.place_at_home(state.decide_at_home(state.home_server))
-    assert len(dispatcher.port.did("probe")) == 2 and ("probe", 0) not in dispatcher.port.acts
+    assert len(dispatcher.port.did("probe")) == 2
+    assert ("probe", 0) not in dispatcher.port.acts
 
 
 def test_a_probed_server_with_an_unreported_forwarded_request_is_not_picked(make_dispatcher, make_request):
@@ -42,7 +43,8 @@
     dispatcher = make_dispatcher(0.0)
     dispatcher.port.clock += 2.0 * dispatcher.report_max_age_ms
     make_request(dispatcher).place()
-    assert dispatcher.port.did("probe") == [("probe", 0)] and not dispatcher.port.did("send")
+    assert dispatcher.port.did("probe") == [("probe", 0)]
+    assert not dispatcher.port.did("send")
 
 
 def test_an_unanswered_probe_delays_no_request_past_its_timeout(make_dispatcher, make_request):
@@ -73,7 +75,8 @@
     state = make_request(dispatcher)
     state.home_server = 0
     state.place_at_home(state.decide_at_home(state.home_server))
-    assert not dispatcher.port.did("probe") and waiting(dispatcher) == 1
+    assert not dispatcher.port.did("probe")
+    assert waiting(dispatcher) == 1
 
 
 def test_home_is_first_sought_where_slots_are_free(make_dispatcher, make_request):
@@ -92,11 +95,13 @@
     state = make_request(dispatcher)
     state.has_waited, state.home_server = True, 0
     state.place_at_home(state.decide_at_home(state.home_server))
-    assert not dispatcher.port.did("probe") and not dispatcher.port.did("send")
+    assert not dispatcher.port.did("probe")
+    assert not dispatcher.port.did("send")
 
 
 def test_a_short_time_left_is_tried_where_a_short_run_still_fits(make_dispatcher):
     dispatcher = make_dispatcher(0.0)
     dispatcher.mean_run_ms[0] = 400.0
     dispatcher.accept(Request("w", 0, dispatcher.port.now() + 150.0))
-    assert dispatcher.port.did("send") and not dispatcher.port.did("reject")
+    assert dispatcher.port.did("send")
+    assert not dispatcher.port.did("reject")
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -143,7 +143,8 @@
 
 
 def test_starts_and_progress_are_read():
-    assert line(state="started").has_started and line(state="running", share=0.4).progress == 0.4
+    assert line(state="started").has_started
+    assert line(state="running", share=0.4).progress == 0.4
 
 
 @pytest.mark.parametrize(
@@ -221,9 +222,8 @@
 
 def test_an_entry_is_read(deployment):
     found = list_codec.list_answer_from(news(HOST), deployment)
-    assert found.entries == [("e1", EndpointState.READY, 0, 1, 3, 5000.0, None)] and found.addresses == {
-        "e1": ("127.0.0.1", 9)
-    }
+    assert found.entries == [("e1", EndpointState.READY, 0, 1, 3, 5000.0, None)]
+    assert found.addresses == {"e1": ("127.0.0.1", 9)}
 
 
 def test_one_that_has_left_needs_no_address(deployment):
@@ -250,7 +250,8 @@
 )
 def test_an_odd_entry_is_left_out(deployment, change):
     found = list_codec.list_answer_from(news(HOST | {"host": "e0"}, HOST | change), deployment)
-    assert [entry.server for entry in found.entries] == ["e0"] and len(found.invalid) == 1
+    assert [entry.server for entry in found.entries] == ["e0"]
+    assert len(found.invalid) == 1
 
 
 @pytest.mark.parametrize("value", [None, [], {}, news(seq="x"), news(hosts={})])
--- a/tests/test_quota_leasing.py
+++ b/tests/test_quota_leasing.py
@@ -23,7 +23,9 @@
 
 def test_no_interleaving_of_few_steps_goes_over():
     found = explore(8)
-    assert found.path == [] and found.depth == 8 and found.states > 20000
+    assert found.path == []
+    assert found.depth == 8
+    assert found.states > 20000
 
 
 def test_long_random_walks_do_not_go_over_either():
@@ -273,7 +275,9 @@
     )
     simulation.run(6000.0)
     at, used, wanted = simulation.samples[-1]
-    assert used >= 0.95 * wanted == 0.95 * 56.0 and at < 6001.0 and simulation.max_usable <= 70.0 + 1e-9
+    assert used >= 0.95 * wanted == 0.95 * 56.0
+    assert at < 6001.0
+    assert simulation.max_usable <= 70.0 + 1e-9
 
 
 def test_a_member_cut_off_keeps_its_own_share_and_no_more():
@@ -284,7 +288,8 @@
     simulation.cuts += [("n3", "", 1e9), ("", "n3", 1e9)]
     simulation.run(6000.0 + 2.0 * quota_schedules.LEASE_PERIODS * 1000.0)
     process = simulation.processes["n3"]
-    assert process.machine.usable(simulation.local(process)) == 10.0 and simulation.max_usable <= 70.0 + 1e-9
+    assert process.machine.usable(simulation.local(process)) == 10.0
+    assert simulation.max_usable <= 70.0 + 1e-9
 
 
 @pytest.mark.parametrize(
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -105,13 +105,15 @@
     turn(lambda: asks(discovery))
     discovery.held[-1].sendall(ANSWER)
     turn(node.is_ready)
-    assert len(discovery.held) >= 2 and node.loop.now() - before < 8000.0  # of the ten seconds
+    assert len(discovery.held) >= 2
+    assert node.loop.now() - before < 8000.0
 
 
 @pytest.mark.parametrize("settings", [OPTIONS, PUSHED], ids=["asked", "pushed"])
 def test_with_a_list_a_node_is_ready_before_discovery_is_asked(bare, discovery, settings):
     node, _ = bare(settings, {"seq": 1, "whole": True, "hosts": HOSTS})
-    assert node.is_ready() and not discovery.held
+    assert node.is_ready()
+    assert not discovery.held
 
 
 # Thirty real processes at once.
@@ -128,4 +130,5 @@
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
 def test_nine_in_ten_of_thirty_processes_are_ready_in_time(case, tmp_path):
     found, _ = ready.started(case, Ready(processes=30, slow_s=3.0, after_s=0.0), tmp_path / "logs")
-    assert found["ready_90"] <= 10.0 and found["ready_100"] < ready.MOST_S
+    assert found["ready_90"] <= 10.0
+    assert found["ready_100"] < ready.MOST_S
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -44,7 +44,8 @@
     assert saved_list.entry_doubt(0.0, calm) == 0.0
     assert 0.0 < saved_list.entry_doubt(1000.0, calm) < saved_list.MAX_CERTAIN_DOUBT
     assert saved_list.entry_doubt(day, calm) == pytest.approx(1.0 - exp(-1.0))
-    assert saved_list.entry_doubt(day, busy) > 0.99 and saved_list.entry_doubt(None, calm) == 1.0
+    assert saved_list.entry_doubt(day, busy) > 0.99
+    assert saved_list.entry_doubt(None, calm) == 1.0
     assert saved_list.list_age_ms(saved(1, heard=5000.0), 1000.0) is None  # the clock was set back
     assert saved_list.list_age_ms(saved(1, heard=500.0), 1000.0) == 500.0
 
@@ -93,19 +94,20 @@
         "e",
         "f",
         "g",
-    ] and idempotency_records.attempts("b", 15.0)
-    assert (
-        not idempotency_records.attempts("b", 20.0)
-        and idempotency_records.attempts("a", 49.0)
-        and not idempotency_records.attempts("a", 50.0)
-    )
+    ]
+    assert idempotency_records.attempts("b", 15.0)
+    assert not idempotency_records.attempts("b", 20.0)
+    assert idempotency_records.attempts("a", 49.0)
+    assert not idempotency_records.attempts("a", 50.0)
 
 
 def test_at_the_maximum_a_key_can_be_added_only_once_another_expires():
     idempotency_records = IdempotencyRecords(1)
     idempotency_records.add("a", AttemptRecord("e", 0, 0, 0.0, 100.0))
-    assert idempotency_records.wait_for_key_ms(40.0) == 60.0 and idempotency_records.attempts("a", 40.0)
-    assert idempotency_records.wait_for_key_ms(100.0) == 0.0 and not idempotency_records.attempts("a", 100.0)
+    assert idempotency_records.wait_for_key_ms(40.0) == 60.0
+    assert idempotency_records.attempts("a", 40.0)
+    assert idempotency_records.wait_for_key_ms(100.0) == 0.0
+    assert not idempotency_records.attempts("a", 100.0)
 
 
 # The reducer and its dispatcher.
@@ -170,7 +172,8 @@
 def test_a_restored_key_whose_server_is_gone_is_failed_and_runs_nowhere(node):
     node(1.0, core.HistoryRecovered({"k": [AttemptRecord("gone", 0, 9, 0.0, 9000.0)]}))
     effects = node(2.0, unit("1"))
-    assert not sends(effects) and not any(type(e) is core.Probe for e in effects)
+    assert not sends(effects)
+    assert not any(type(e) is core.Probe for e in effects)
     due = [e for e in effects if type(e) is core.SetTimer]
     effects += [more for e in due for more in node(4999.0, core.TimerFired(e.timer_id))]
     assert [type(e) for e in effects if type(e) in (core.Fail, core.Reject)] == [core.Fail]
@@ -209,7 +212,8 @@
     node.core.idempotency_records.max_keys = 1
     assert sends(answered(node, 1.0, node(1.0, unit("1", key="old"))))
     (refused,) = node(2.0, unit("2", key="new"))
-    assert type(refused) is core.Reject and refused.retry_after_ms > 0.0
+    assert type(refused) is core.Reject
+    assert refused.retry_after_ms > 0.0
     # Called off, as the pod's other server, if it has one, need not have room.
     node(2.5, core.ClientLeft("1"))
     node(2.5, core.AttemptEnded("1", 0, Outcome.CANCELLED, True, None))
@@ -224,11 +228,13 @@
     node(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, old, 0.6))
     decider = node.core.dispatcher
     e = node.core.servers.by_name["x"]
-    assert decider.slow_start_budget(e) < float("inf") and decider.identity_doubt[e] == 0.6
+    assert decider.slow_start_budget(e) < float("inf")
+    assert decider.identity_doubt[e] == 0.6
     decider.slow_start_tokens[e] = 1.0
     assert not sends(answered(node, 2.0, node(2.0, unit("1"))))
     plain = answered(node, 3.0, node(3.0, unit("2", type=0, key=None)))
-    assert sends(plain) == ["x"] and 0.0 < decider.identity_doubt[e] < 0.6  # somebody answered its probe
+    assert sends(plain) == ["x"]
+    assert 0.0 < decider.identity_doubt[e] < 0.6
     node(4.0, core.AttemptStarted("2", 0))
     assert decider.identity_doubt[e] == 0.0
 
@@ -238,7 +244,8 @@
     e = node.core.servers.by_name["x"]
     node(2.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("x", 5), entry("a", 1)]))
     decider = node.core.dispatcher
-    assert decider.identity_doubt[e] == 0.0 and decider.slow_start_budget(e) == float("inf")
+    assert decider.identity_doubt[e] == 0.0
+    assert decider.slow_start_budget(e) == float("inf")
     assert decider.endpoint_state[node.core.servers.by_name["b"]] is EndpointState.GONE
 
 
@@ -274,11 +281,12 @@
         "born_ms": 0,
     }
     assert live.take({"seq": 90, "whole": True, "hosts": [row | {"host": "old"}]}, cached=True, doubt=0.6)
-    assert heard[-1].update_kind is ListUpdateKind.CACHED and heard[-1].doubt == 0.6
+    assert heard[-1].update_kind is ListUpdateKind.CACHED
+    assert heard[-1].doubt == 0.6
     assert live.take({"seq": 3, "whole": True, "hosts": [row | {"host": "new"}]})
-    assert (
-        set(live.held) == {"new"} and heard[-1].update_kind is ListUpdateKind.FULL and heard[-1].doubt == 0.0
-    )
+    assert set(live.held) == {"new"}
+    assert heard[-1].update_kind is ListUpdateKind.FULL
+    assert heard[-1].doubt == 0.0
 
 
 # What is not known, or cannot be put on record.
@@ -332,7 +340,8 @@
         )
 
     (refused,) = [e for e in node(1.0, request("1", 1)) if answers([e])]
-    assert type(refused) is core.Reject and refused.retry_after_ms > 0.0  # nothing of it ran
+    assert type(refused) is core.Reject
+    assert refused.retry_after_ms > 0.0
     assert core.SendAttempt in answers(answered(node, 2.0, node(2.0, request("2", 0))))
     assert core.SendAttempt in answers(answered(node, 3.0, node(3.0, request("3", 2, key=None))))
     node(4.0, core.HistoryRecovered({"old": [AttemptRecord("a", 0, 1, 0.0, 9000.0)]}))
@@ -343,7 +352,8 @@
     (first,) = sends(answered(node, 1.0, node(1.0, unit("1"))))
     effects = node(2.0, core.NotDurable("1", 0))
     assert [type(e) for e in effects if type(e) is not core.SetTimer] == [core.ErasePersisted, core.Reject]
-    assert not node.core.idempotency_records.attempts("k", 3.0) and "1" not in node.core.open_requests
+    assert not node.core.idempotency_records.attempts("k", 3.0)
+    assert "1" not in node.core.open_requests
 
 
 def test_records_restored_late_go_before_those_added_meanwhile():
@@ -354,8 +364,6 @@
         {"a": [AttemptRecord("e", 0, 0, 0.0, 50.0)], "c": [AttemptRecord("f", 0, 0, 1.0, 40.0)]}
     )
     assert [t.server for t in idempotency_records.attempts("a", 20.0)] == ["e", "g"]
-    assert (
-        idempotency_records.expire(45.0) == ["c"]
-        and idempotency_records.expire(65.0) == ["a"]
-        and idempotency_records.attempts("b", 65.0)
-    )
+    assert idempotency_records.expire(45.0) == ["c"]
+    assert idempotency_records.expire(65.0) == ["a"]
+    assert idempotency_records.attempts("b", 65.0)
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -19,7 +19,8 @@
     dispatcher.hash_ring = {-1: [(0, 1), (1 << 32, 1)]}
     dispatcher.others_slots[1] = 90.0
     state.arrived_ms += 9999.0  # so there is time to wait
-    assert state.can_wait_for_affinity() and state.choose_initial_placement().server == home
+    assert state.can_wait_for_affinity()
+    assert state.choose_initial_placement().server == home
 
 
 def test_the_same_seed_draws_the_same(make_dispatcher):
@@ -55,7 +56,8 @@
         state = RequestState(dispatcher, Request("w", 0, 9e9, resource_key="calendar-7"))
         return {dispatcher.draw_server(lambda _server: True, state) for _ in range(60)}
 
-    assert least <= len(homes(1)) <= most and (not price or homes(1) == homes(2))
+    assert least <= len(homes(1)) <= most
+    assert not price or homes(1) == homes(2)
 
 
 def test_requests_for_any_kind_leave_a_kind_to_requests_bound_to_it(make_dispatcher, make_request):
--- a/tests/test_shadow_policy.py
+++ b/tests/test_shadow_policy.py
@@ -79,7 +79,8 @@
 )
 def test_a_shadow_policy_changes_no_effect(changes):
     watch = other(**changes)
-    assert play(watch) == play() and watch.decided > 60
+    assert play(watch) == play()
+    assert watch.decided > 60
 
 
 def test_without_their_settings_weights_and_keys_change_no_effect():
@@ -93,9 +94,8 @@
         (Decision.PROBE_HOME, Decision.HOME),
         (Decision.HOME, Decision.PROBE_HOME),
     }  # another home was drawn
-    assert set(watch.otherwise) <= by_chance and all(
-        not state.is_answered or state.in_flight_count() for state in watch.open_requests.values()
-    )
+    assert set(watch.otherwise) <= by_chance
+    assert all(not state.is_answered or state.in_flight_count() for state in watch.open_requests.values())
 
 
 def test_a_known_difference_is_counted():
@@ -103,7 +103,8 @@
     made.reduce(0.0, core.NodeStarted(SETTINGS, 7))
     made.reduce(1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e0")]))
     made.reduce(2.0, core.RequestArrived(Request("w", 0, 5000.0)))
-    assert made.follower.otherwise == {(Decision.PROBE_HOME, Decision.HOME): 1} and made.follower.decided == 1
+    assert made.follower.otherwise == {(Decision.PROBE_HOME, Decision.HOME): 1}
+    assert made.follower.decided == 1
     assert made.follower.lines()[1] == "watch: 1 times home asked where it would be home"
 
 
@@ -125,7 +126,8 @@
 
 def test_the_shadow_settings_stand_beside_those_in_force(own):
     config = own('[watch]\nweights = "live"\nreports = "answers"\n')
-    assert own("").watch is None and not config.deployment.settings.live_weights
+    assert own("").watch is None
+    assert not config.deployment.settings.live_weights
     changed = config.watch.change(config.deployment.settings)
     assert (changed.live_weights, changed.reports_in_responses, changed.fetch_cost) == (True, True, 0.0)
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -24,7 +24,8 @@
 
 def test_a_line_is_found_again_and_its_miss_is_none():
     found = slope.fit([(n, 3.0 + 0.25 * n) for n in (300, 1000, 3000, 10000, 21000)])
-    assert found.a == pytest.approx(3.0) and found.b == pytest.approx(0.25)
+    assert found.a == pytest.approx(3.0)
+    assert found.b == pytest.approx(0.25)
     assert found.miss == pytest.approx(0.0, abs=1e-9)
 
 
@@ -51,22 +52,28 @@
 
 
 def test_what_was_found_at_the_full_size_goes_before_the_line():
-    assert made().value == 12.0 and made().ratio is None
+    assert made().value == 12.0
+    assert made().ratio is None
     assert made(6.0).ratio == 2.0
     assert made(full=10000.0).value == pytest.approx(made().fit.at(10000.0))
 
 
 def test_slopes_become_figures_and_rows_with_the_worst_first():
     found = slope.figures([made(6.0)])
-    assert found["turn_ms_10"] == 1.0 and found["turn_ms_over"] == 2.0 and found["turn_ms_full"] == 12.0
+    assert found["turn_ms_10"] == 1.0
+    assert found["turn_ms_over"] == 2.0
+    assert found["turn_ms_full"] == 12.0
     rows = slope.rows([made(), made(24.0), made(6.0)])
     assert [row[-1] for row in rows[1:]] == ["2", "0.5", "-"]
 
 
 def test_the_report_draws_points_line_and_bound():
     drawn = report.slope_chart(made(6.0))
-    assert drawn.count("<circle") == 3 and "bound 6" in drawn and "largest miss" in drawn
-    assert "bound" not in report.slope_chart(made()) and "<svg" in report.slope_chart(made())
+    assert drawn.count("<circle") == 3
+    assert "bound 6" in drawn
+    assert "largest miss" in drawn
+    assert "bound" not in report.slope_chart(made())
+    assert "<svg" in report.slope_chart(made())
     nothing = slope.Slope("none", "ms", "hollow", [(10.0, 0.0)], 100.0)
     assert report.slope_chart(nothing) == ""
 
@@ -170,7 +177,8 @@
     try:
         end = time.monotonic() + 60.0
         while not (tmp_path / "pid").exists() or not (tmp_path / "pid").read_text():
-            assert holder.poll() is None and time.monotonic() < end
+            assert holder.poll() is None
+            assert time.monotonic() < end
             time.sleep(0.02)
         pid = int((tmp_path / "pid").read_text())
         os.kill(pid, 0)
@@ -191,8 +199,11 @@
     assert clock.now_ms < 140.0  # what sleeps uses none
     assert clock.do(sum, range(300000)) == sum(range(300000))
     spent = clock.cpu_ms
-    assert clock.longest_ms > 0.5 and clock.now_ms == pytest.approx(100.0 + spent) and clock.turns == 2
-    assert clock.mark() == spent and clock.longest_ms == 0.0
+    assert clock.longest_ms > 0.5
+    assert clock.now_ms == pytest.approx(100.0 + spent)
+    assert clock.turns == 2
+    assert clock.mark() == spent
+    assert clock.longest_ms == 0.0
 
 
 def test_what_is_due_while_a_hollow_node_is_busy_is_late_and_told_its_due_time():
@@ -202,7 +213,8 @@
     first = clock.late_ms
     clock.wait(100.0)  # due at the same time as what went before it
     clock.do(sum, range(300000))
-    assert clock.due() == 100.0 and clock.late_ms > first > 0.0
+    assert clock.due() == 100.0
+    assert clock.late_ms > first > 0.0
     assert clock.late_ms == pytest.approx(clock.cpu_ms)
 
 
@@ -276,7 +288,8 @@
         assert result.exit_code == 0, result.output
         summary = json.loads((out / "summary.json").read_text())
         slopes = {row["name"]: row["points"] for row in summary["slopes"] if row["how"] == "counted"}
-        assert slopes and not (out / "band").exists()
+        assert slopes
+        assert not (out / "band").exists()
         assert "<svg" in (out / "report.html").read_text()
         return slopes, summary
 
@@ -292,7 +305,8 @@
     slopes, summary = counted(ROSTER.format(real=2))
     assert slopes["touched"] == [[300.0, 300.0], [1000.0, 1000.0]]
     figures = summary["figures"]
-    assert figures["real_whole_ms_1000"] > 0.0 and figures["true_one_ms_300"] > 0.0
+    assert figures["real_whole_ms_1000"] > 0.0
+    assert figures["true_one_ms_300"] > 0.0
     assert [title for title, _ in summary["tables"]] == ["Slopes", "Hollow beside 2 real nodes"]
 
 
@@ -300,8 +314,10 @@
     path = tmp_path / "x.toml"
     path.write_text(ROSTER.format(real=20).replace("sizes = [300, 1000]", "sizes = [300, 300000]"))
     result = CliRunner().invoke(main, ["experiment", "run", str(path), "--out", str(tmp_path / "out")])
-    assert result.exit_code == 2 and "size_roster.sizes: 300000 needs" in result.output
-    assert "would fit" in result.output and not (tmp_path / "out" / "band").exists()
+    assert result.exit_code == 2
+    assert "size_roster.sizes: 300000 needs" in result.output
+    assert "would fit" in result.output
+    assert not (tmp_path / "out" / "band").exists()
 
 
 def test_a_whole_list_at_the_full_size_fits_what_a_node_takes():
@@ -325,7 +341,8 @@
     try:
         end, log = time.monotonic() + 60.0, out / "band" / "logs" / "n1.log"
         while not log.exists() or "listens on" not in log.read_text():
-            assert run.poll() is None and time.monotonic() < end
+            assert run.poll() is None
+            assert time.monotonic() < end
             time.sleep(0.02)
         children = Path(f"/proc/{run.pid}/task/{run.pid}/children").read_text().split()
         assert len(children) >= 2
@@ -334,7 +351,8 @@
     finally:
         run.kill()
         run.wait()
-    assert all(gone(pid) for pid in children) and not (out / "band").exists()
+    assert all(gone(pid) for pid in children)
+    assert not (out / "band").exists()
 
 
 def test_the_service_ends_a_watch_without_news_in_the_time_asked_for():
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -107,7 +107,8 @@
     dispatcher.has_budget(0)
     size = 3.0
     dispatcher.slow_start_tokens[0] = MIN_SAVED_COST_SHARE * size * (1.0 - 1.0 / size) - 1e-6
-    assert dispatcher.has_budget(0) and not dispatcher.has_budget(0, size)
+    assert dispatcher.has_budget(0)
+    assert not dispatcher.has_budget(0, size)
     dispatcher.slow_start_tokens[0] += 1e-5
     assert dispatcher.has_budget(0, size)
 
@@ -120,7 +121,8 @@
     dispatcher.slow_start_tokens[0], dispatcher.slow_start_refilled_ms[0] = 0.05, dispatcher.port.clock
     state = dispatcher.request_state_type(dispatcher, Request("w", 0, dispatcher.port.clock + 5000.0))
     dispatcher.mean_run_ms[0] = 0.1 * dispatcher.mean_slot_ms
-    assert dispatcher.is_usable(0) and state.is_eligible(0)
+    assert dispatcher.is_usable(0)
+    assert state.is_eligible(0)
     dispatcher.mean_run_ms[0] = 0.9 * dispatcher.mean_slot_ms
     assert not state.is_eligible(0)
 
@@ -132,7 +134,8 @@
     again.port.clock = dispatcher.port.clock
     again.max_free_slots[0] = SLOTS
     again.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, BORN)])
-    assert again.slow_start_tokens[0] <= 0.0 and not again.has_budget(0)
+    assert again.slow_start_tokens[0] <= 0.0
+    assert not again.has_budget(0)
 
 
 @pytest.fixture
@@ -154,5 +157,7 @@
     first, second = (play(tmp_path, nodes=[20], seeds=1) for _ in range(2))
     counts = {k: v for k, v in first.figures.items() if not k.endswith("cpu_s")}
     assert counts == {k: v for k, v in second.figures.items() if not k.endswith("cpu_s")}
-    assert counts["units"] > 1000 and counts["lives"] == 48
-    assert counts["most"] <= 1.0 and counts["used"] > 0.2
+    assert counts["units"] > 1000
+    assert counts["lives"] == 48
+    assert counts["most"] <= 1.0
+    assert counts["used"] > 0.2
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -84,4 +84,7 @@
     day = read(tomllib.loads(FILE.read_text())).day
     day = msgspec.structs.replace(day, seconds=4.0)
     made, found, verdict = soak.one(day, 2, tmp_path)
-    assert made.faults.decision and found == [] and verdict is not None and not verdict.violation_count
+    assert made.faults.decision
+    assert found == []
+    assert verdict is not None
+    assert not verdict.violation_count
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -141,7 +141,8 @@
     for _ in range(100):
         other.read()
         settle(2)
-    assert node.counters.attempts == attempts and not node.upstream.attempts.in_flight
+    assert node.counters.attempts == attempts
+    assert not node.upstream.attempts.in_flight
 
 
 def test_what_waits_for_room_goes_out_no_more_once_its_time_is_over(connection):
@@ -186,7 +187,8 @@
     turn(lambda: told)
     # It may run: neither sent again nor off the record. Its own answer is nobody's any more.
     assert [event.outcome for event in told] == [Outcome.BROKEN]
-    assert ended(executor.held[0]) and not node.upstream.pool.servers["e1"].idle
+    assert ended(executor.held[0])
+    assert not node.upstream.pool.servers["e1"].idle
 
 
 @pytest.mark.parametrize("wait_ms", [0.0, DUPLICATE_ANSWER_MS], ids=["new", "rested"])
@@ -208,7 +210,8 @@
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(NEVER)
     turn(lambda: told)
-    assert [event.outcome for event in told] == [Outcome.AT_CAPACITY] and len(executor.held) == 1
+    assert [event.outcome for event in told] == [Outcome.AT_CAPACITY]
+    assert len(executor.held) == 1
 
 
 # The list.
@@ -278,7 +281,8 @@
     answer = reply(sock)
     done = says is SPOILT["a report no float holds"]
     assert answer.startswith(b"HTTP/1.1 200 " if done else b"HTTP/1.1 500 ")
-    assert not node.upstream.attempts.in_flight and node.counters.attempts == 1
+    assert not node.upstream.attempts.in_flight
+    assert node.counters.attempts == 1
     assert "Traceback" not in capsys.readouterr().err
 
 
@@ -295,7 +299,8 @@
     turn(lambda: b"/-/load" in executor.read())
     executor.held[0].sendall(says)
     turn(lambda: told)
-    assert told[0].outcome is Outcome.COMPLETED and "Traceback" not in capsys.readouterr().err
+    assert told[0].outcome is Outcome.COMPLETED
+    assert "Traceback" not in capsys.readouterr().err
 
 
 ASKS = b"POST /statement HTTP/1.1\r\nHost: h\r\n"
@@ -373,10 +378,11 @@
     closes(node)
     if closes is not by_end:
         settle()
-    assert crossed and ended(sock) and not node.downstream.open
-    assert (
-        node.requests.last_request_id == used and b"abc" not in executor.read()
-    )  # its client may send it once more
+    assert crossed
+    assert ended(sock)
+    assert not node.downstream.open
+    assert node.requests.last_request_id == used
+    assert b"abc" not in executor.read()
 
 
 def test_an_answer_that_ends_its_connection_is_whole_though_a_request_crosses_it(
@@ -395,7 +401,8 @@
         more = sock.recv(1 << 16)
         assert more
         answer += more
-    assert answer.endswith(b"\r\n\r\n" + body) and node.requests.last_request_id == 1
+    assert answer.endswith(b"\r\n\r\n" + body)
+    assert node.requests.last_request_id == 1
 
 
 def test_all_sockets_write_small_parts_at_once(node, client, stand, turn):
@@ -443,7 +450,8 @@
     turn(lambda: flight.task.done)
     settle()
     assert [event.outcome for event in told if type(event) is core.AttemptEnded] == [Outcome.CANCELLED]
-    assert not node.core.open_requests and b"abc" not in executor.read()
+    assert not node.core.open_requests
+    assert b"abc" not in executor.read()
 
 
 @pytest.mark.parametrize("seen", [READY, LATE])
@@ -458,7 +466,8 @@
         pass
     lead(node.upstream.timeouts.accept_ms + 1.0)
     flight.task.step(seen)
-    assert reply(sock).startswith(b"HTTP/1.1 200 ") and node.counters.attempts == 1
+    assert reply(sock).startswith(b"HTTP/1.1 200 ")
+    assert node.counters.attempts == 1
 
 
 # From SIGTERM up to the end, on every connection that stays open.
@@ -503,7 +512,8 @@
             node.loop.at(node.loop.now(), lambda: None)
             node.loop.turn()
             answer_all(good, b"e1")
-    assert node.loop.now() - began < 3700.0 and not node.requests.pending  # the earliest SIGKILL
+    assert node.loop.now() - began < 3700.0
+    assert not node.requests.pending
     node.loop.finish()
     answers = []
     for sock in asked:
@@ -513,7 +523,8 @@
     given = [answer for answer in answers if answer]
     assert {b"200", b"500"} <= {answer[9:12] for answer in given} <= {b"200", b"500", b"503"}
     assert all(b"\r\n\r\n" in answer for answer in given)
-    assert len(given) == node.requests.last_request_id - refs and len(given) > 100
+    assert len(given) == node.requests.last_request_id - refs
+    assert len(given) > 100
 
 
 # Work that was never sent on is refused, within its time and half a second.
@@ -571,7 +582,8 @@
             break
         assert node.loop.now() - began < 900.0 + 500.0 + 50.0
         lead(late_ms if late_ms > 1.0 else 20.0)
-    assert answer.startswith(b"HTTP/1.1 503 ") and node.loop.now() - began < 900.0 + 500.0
+    assert answer.startswith(b"HTTP/1.1 503 ")
+    assert node.loop.now() - began < 900.0 + 500.0
     assert not node.counters.attempts
 
 
@@ -594,7 +606,8 @@
     good = client(REQUEST)
     turn(lambda: any(p.client_request.id == "9b" for p in node.requests.pending.values()))
     turn(lambda: len(node.downstream.open) == 1)
-    assert len(node.requests.pending) == 1 and len(node.core.open_requests) == 1
+    assert len(node.requests.pending) == 1
+    assert len(node.core.open_requests) == 1
     turn(lambda: b"9b" in executor.read())
     for sock in executor.held:
         with suppress(OSError):
@@ -606,7 +619,8 @@
     node.upstream.pool.close()
     for sock in executor.held:
         sock.close()
-    assert len(os.listdir("/proc/self/fd")) <= before and not sum(node.downstream.reserved_bytes.values())
+    assert len(os.listdir("/proc/self/fd")) <= before
+    assert not sum(node.downstream.reserved_bytes.values())
 
 
 def test_a_burst_of_clients_that_leave_takes_all_its_work_along(node, client, stand, turn, settle):
@@ -614,7 +628,8 @@
     socks = [client(REQUEST.replace(b"9b", b"w%d" % i)) for i in range(120)]
     turn(lambda: node.requests.last_request_id == len(socks))
     settle()
-    assert node.core.dispatcher.pending_queues and node.upstream.attempts.in_flight
+    assert node.core.dispatcher.pending_queues
+    assert node.upstream.attempts.in_flight
     for executor in executors:
         executor.read()
     for i, sock in enumerate(socks):
@@ -622,12 +637,11 @@
     turn(lambda: not node.requests.pending)
     attempts = node.counters.attempts
     settle(100)
-    assert (
-        not node.core.open_requests
-        and not node.core.dispatcher.pending_queues
-        and not node.upstream.attempts.in_flight
-    )
-    assert node.counters.attempts == attempts and not any(b"POST" in e.read() for e in executors)
+    assert not node.core.open_requests
+    assert not node.core.dispatcher.pending_queues
+    assert not node.upstream.attempts.in_flight
+    assert node.counters.attempts == attempts
+    assert not any(b"POST" in e.read() for e in executors)
 
 
 # Slow dials.
@@ -649,14 +663,16 @@
     second = client(request_.replace(b"9b", b"9c").replace(b"-Key: k", b"-Key: l"))
     turn(lambda: b"abc" in good.read())  # and is served while the first waits
     good.held[0].sendall(ANSWER.replace(b'"e1"', b'"e2"').replace(b"9b", b"9c"))
-    assert reply(second).startswith(b"HTTP/1.1 200 ") and node.upstream.attempts.in_flight
+    assert reply(second).startswith(b"HTTP/1.1 200 ")
+    assert node.upstream.attempts.in_flight
     lead(node.config.deployment.connect_ms)
     turn(lambda: b"abc" in good.read())
     good.held[-1].sendall(ANSWER.replace(b'"e1"', b'"e2"'))
     assert reply(sock).startswith(b"HTTP/1.1 200 ")
     release()
     settle()
-    assert b"POST" not in slow.read() and node.counters.attempts == 2
+    assert b"POST" not in slow.read()
+    assert node.counters.attempts == 2
 
 
 # The list, on real sockets: a discovery of the test's, and time led.
@@ -778,7 +794,8 @@
     assert node.loop.now() - silent < told_ms
     client(REQUEST, node.downstream)
     node.turns(20)
-    assert node.requests.last_request_id and not executor.accept()
+    assert node.requests.last_request_id
+    assert not executor.accept()
     tell(node, {"e1": executor.address})  # and goes there once it is ready again
     node.turns(20)
     assert executor.accept()
@@ -858,7 +875,8 @@
             lead(10.0)
             settle(3)
             got += first.read()
-        assert b"abc" in got and b"abc" not in other.read()
+        assert b"abc" in got
+        assert b"abc" not in other.read()
 
 
 @pytest.mark.parametrize(
@@ -884,7 +902,8 @@
         lead(100.0)
         settle(5)
     out = [flight for flight in node.upstream.attempts.in_flight.values() if flight.has_begun]
-    assert len(out) == 1 + copied and not ended(first.held[0])
+    assert len(out) == 1 + copied
+    assert not ended(first.held[0])
     assert (b"abc" in other.read()) is copied
 
 
@@ -931,7 +950,8 @@
     with pytest.raises(ConnectionResetError):
         crossed[0].recv(1)  # its client knows at once; no bytes were read, nothing was sent on
     settle()
-    assert not node.requests.last_request_id and not executor.accept()
+    assert not node.requests.last_request_id
+    assert not executor.accept()
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(address)
     crossed[0].close()
@@ -951,7 +971,9 @@
     assert node.downstream.open
     lead(WRITE_TIMEOUT_MS + 1.0)
     turn(lambda: not node.downstream.open)
-    assert door.closed and node.requests.last_request_id == 1 and b"abc" not in executor.read()
+    assert door.closed
+    assert node.requests.last_request_id == 1
+    assert b"abc" not in executor.read()
     sock.close()
 
 
@@ -974,10 +996,8 @@
             node.turns(2, lead_ms=10.0)
     reset(roster.held.pop())
     node.turns()
-    assert (
-        node.discovery.task is None
-        and node.core.dispatcher.poll_backoff_ms == node.core.dispatcher.settings.max_poll_interval_ms
-    )
+    assert node.discovery.task is None
+    assert node.core.dispatcher.poll_backoff_ms == node.core.dispatcher.settings.max_poll_interval_ms
 
 
 def calling(node, roster):
@@ -1009,4 +1029,5 @@
     moved.held[0].sendall(answer(listing(1, "leaving")))  # another discovery's versions
     node.turns()
     assert node.core.dispatcher.endpoint_state[node.core.servers.by_name["e1"]] is EndpointState.DRAINING
-    assert node.loop.now() - began < 4000.0 and not any(not ended(sock) for sock in roster.held)
+    assert node.loop.now() - began < 4000.0
+    assert not any(not ended(sock) for sock in roster.held)
--- a/tests/test_stored_by_earlier_programs.py
+++ b/tests/test_stored_by_earlier_programs.py
@@ -38,7 +38,8 @@
     """Return the state that a folder of 53bfa1a holds, read with nothing found amiss."""
     folder = StateDirectory(Disk(DATA / "state"), "n1", ERA)
     found = folder.load(NOW_MS)
-    assert not folder.findings and not folder.unusable
+    assert not folder.findings
+    assert not folder.unusable
     return found
 
 
@@ -53,7 +54,8 @@
 
 def test_a_state_folder_is_opened_whole(state):
     kept = json.loads((DATA / "state.json").read_text())
-    assert plain(state.listed) == kept["list"] and plain(state.departure_rate) == kept["turnover"]
+    assert plain(state.listed) == kept["list"]
+    assert plain(state.departure_rate) == kept["turnover"]
     assert {key: [plain(row) for row in rows] for key, rows in state.sent.items()} == kept["sent"]
     assert state.lost_ms is kept["lost"] is None
 
@@ -68,7 +70,8 @@
 def test_a_ledger_adds_up_to_the_same(ledger_files):
     kept = json.loads((DATA / "ledger.json").read_text())["kept"]
     found = recover_log(entry for file in ledger_files for entry in file.records)
-    assert plain(found.held) == kept["held"] and plain(found.process) == kept["life"]
+    assert plain(found.held) == kept["held"]
+    assert plain(found.process) == kept["life"]
     assert plain(found.interval) == kept["acting"]
     assert {id: data.hex() for id, data in found.contents.items()} == kept["contents"]
     promises = {str(n): [p.ballot, p.accepted, p.value] for n, p in found.promises.items()}
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -145,7 +145,9 @@
     asked = executor()
     made = failing(name, number)
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 200")
-    assert asked.count(b"POST") == 1 and made and made[0].failing.left == 0
+    assert asked.count(b"POST") == 1
+    assert made
+    assert made[0].failing.left == 0
 
 
 @pytest.mark.parametrize("number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
@@ -217,7 +219,8 @@
         told = os.read(reader, 65536).decode()
     signal.setitimer(signal.ITIMER_REAL, 0.0)
     os.close(reader)
-    assert "1 lines dropped" in told and "and read" in told
+    assert "1 lines dropped" in told
+    assert "and read" in told
 
 
 def test_a_long_line_is_cut_to_what_goes_out_at_once(capfd):
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -398,7 +398,9 @@
     one.lead(one.service.asked, 1000.0)
     end = one.clock + one.node.discovery.wait_ms
     one.lead(lambda: one.clock >= end)
-    assert not one.service.asked() and len(one.service.held) == 1 and one.calls <= calls + 1
+    assert not one.service.asked()
+    assert len(one.service.held) == 1
+    assert one.calls <= calls + 1
 
 
 @pytest.mark.parametrize("settings", SETS.values(), ids=SETS)
@@ -420,7 +422,8 @@
         one.settle(lambda: one.version() == 6)
         old.sendall(whole(OLD))
     one.settle(lambda: not one.node.discovery.overdue)
-    assert one.version() == 6 and not one.failed()
+    assert one.version() == 6
+    assert not one.failed()
 
 
 @pytest.mark.parametrize("settings", SETS.values(), ids=SETS)
@@ -463,7 +466,8 @@
             sock.sendall(last)
             one.settle(one.failed)
             served += 1
-    assert one.version() == 6 and 18 <= served <= 28
+    assert one.version() == 6
+    assert 18 <= served <= 28
 
 
 @pytest.mark.parametrize("seeds", [NEAR, FAR], ids=["near", "far"])
@@ -481,7 +485,8 @@
     for back in range(9000, 11500, 250):
         fleet = Fleet(seeds, takes_ms, float(back), per_s)
         fleet.run(back + 30000.0)
-        assert len(fleet.told) == len(fleet.nodes) and max(fleet.told.values()) - back < within_ms
+        assert len(fleet.told) == len(fleet.nodes)
+        assert max(fleet.told.values()) - back < within_ms
 
 
 class Fleet:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -228,7 +228,8 @@
     assert not node.is_ready()
     talk()
     turn(node, node.is_ready)
-    assert set(node.discovery.held) == held_now and node.discovery.version == max(1, version)
+    assert set(node.discovery.held) == held_now
+    assert node.discovery.version == max(1, version)
     assert version == 0 or node.discovery.held["e2"].state is EndpointState.DRAINING
     assert [trace.server for _, trace in node.core.idempotency_records] == ["e1"]
 
@@ -254,7 +255,8 @@
     for other in node.handover.peers:
         other.task.cancel()  # only what work asks for is read from here on
     state, sock = pay(node, held)
-    assert len(state.attempts) == 1 and not state.is_eligible(node.core.servers.by_name["e1"])
+    assert len(state.attempts) == 1
+    assert not state.is_eligible(node.core.servers.by_name["e1"])
     sock.close()
 
 
@@ -323,7 +325,8 @@
     talk()
     turn(node, node.is_ready)
     assert f"code={code}" in capsys.readouterr().err
-    assert node.core.unavailable_history.last_sent_ms and set(node.discovery.held) == {"e1"}
+    assert node.core.unavailable_history.last_sent_ms
+    assert set(node.discovery.held) == {"e1"}
 
 
 def test_a_marked_retry_is_refused_at_once_where_the_first_may_have_run_untold(made, old, held):
@@ -380,7 +383,8 @@
             break
     node = made()
     turn(node, node.is_ready)
-    assert "code=silent" in capsys.readouterr().err and node.core.unavailable_history.last_sent_ms
+    assert "code=silent" in capsys.readouterr().err
+    assert node.core.unavailable_history.last_sent_ms
     for sock in (full, *calls):
         sock.close()
 
@@ -391,7 +395,8 @@
     node.shutdown.begin()
     talk()
     node.loop.run()
-    assert node.downstream.listener is None and not node.is_ready()
+    assert node.downstream.listener is None
+    assert not node.is_ready()
 
 
 def test_a_reload_before_it_has_begun_is_taken(made, old):
@@ -400,7 +405,8 @@
     node.reload()
     talk()
     turn(node, node.is_ready)
-    assert node.counters.reloads == 1 and node.core.dispatcher.settings.process_share == 0.5
+    assert node.counters.reloads == 1
+    assert node.core.dispatcher.settings.process_share == 0.5
 
 
 def test_a_name_that_a_killed_process_left_is_removed(made, tmp_path):
@@ -411,14 +417,16 @@
     own.bind(str(tmp_path / f"marlseam-{os.getpid()}.new"))
     own.close()
     node = made()
-    assert node.is_ready() and not node.core.unavailable_history.last_sent_ms
+    assert node.is_ready()
+    assert not node.core.unavailable_history.last_sent_ms
     assert [path.name for path in tmp_path.glob("marlseam-*")] == [f"marlseam-{os.getpid()}.sock"]
 
 
 def test_a_folder_that_cannot_be_used_stands_in_nobodys_way(held, path, tmp_path, capsys):
     env = {"EDGE_SOCKET_FD": str(os.dup(held.fileno())), "TMPDIR": str(tmp_path / "none")}
     node = Node(load(str(path), env))
-    assert node.is_ready() and "code=unheard" in capsys.readouterr().err
+    assert node.is_ready()
+    assert "code=unheard" in capsys.readouterr().err
     node.is_reducing = True
     node.loop.finish()
 
@@ -428,7 +436,8 @@
     (tmp_path / "marlseam-9.sock").touch()
     refuse(socket.AF_UNIX, errno.ENOSYS)
     node = made()
-    assert node.is_ready() and capsys.readouterr().err.count("code=unheard") == 2
+    assert node.is_ready()
+    assert capsys.readouterr().err.count("code=unheard") == 2
     assert node.core.unavailable_history.last_sent_ms  # what the other knows stays unknown
 
 
@@ -508,7 +517,8 @@
     node = made(settings=PAYMENTS)
     talk()
     turn(node, lambda: node.is_ready() and not node.handover.peers)
-    assert node.discovery.version == 41 and not node.core.unavailable_history.last_sent_ms
+    assert node.discovery.version == 41
+    assert not node.core.unavailable_history.last_sent_ms
     ((key, trace),) = node.core.idempotency_records
     assert (key, trace.server, trace.zone, trace.cell) == ("k1", "e1", 0, 4)
     assert abs(trace.until_ms - node.loop.now() - 9000.0) < 2000.0
@@ -529,7 +539,8 @@
     assert (
         node.downstream.limits.clients,
         node.upstream.pool.max_connections,
-    ) == whole and node.core.dispatcher.settings.process_share == 1.0
+    ) == whole
+    assert node.core.dispatcher.settings.process_share == 1.0
 
 
 def test_a_second_upgrade_during_the_first_shares_with_both(made, tmp_path):
@@ -563,7 +574,8 @@
         node.effects.record(core.PersistAttempt(str(i), f"key {i}", trace))
         if not node.handover.peers:
             break
-    assert not node.handover.peers and "code=behind" in capsys.readouterr().err
+    assert not node.handover.peers
+    assert "code=behind" in capsys.readouterr().err
     later.close()
 
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -153,7 +153,8 @@
 
 def test_without_faults_all_publications_are_chosen_and_applied():
     found = replication_schedules.play(7, 0, [])
-    assert found.violations == [] and found.chosen == 6
+    assert found.violations == []
+    assert found.chosen == 6
 
 
 def test_with_message_loss_all_members_apply_the_newest_version():
@@ -161,7 +162,9 @@
     world.run(5000.0)
     world.publish("n7", 1)
     world.run(20000.0)
-    assert world.stale_replicas() == [] and world.checker.findings == [] and len(world.checker.chosen) == 1
+    assert world.stale_replicas() == []
+    assert world.checker.findings == []
+    assert len(world.checker.chosen) == 1
 
 
 class HastyVoter(Voter):
@@ -305,10 +308,13 @@
     good = write(content())
     replica.receive_status(0.0, "b", status_response(0, number=1, id=digest(good)))
     effects = replica.receive_chunk(0.0, "b", Chunk(digest(good), len(good), 0, b"x" * len(good)))
-    assert "code=digest" in effects[0].text and replica.number == 0
+    assert "code=digest" in effects[0].text
+    assert replica.number == 0
     effects = replica.receive_chunk(0.0, "b", Chunk(digest(good), len(good), 0, good))
-    assert type(effects[0]) is Persist and replica.number == 0  # not before it is durable
-    assert type(replica.persisted(1.0, effects[0].token)[0]) is ApplyContent and replica.applied_number == 1
+    assert type(effects[0]) is Persist
+    assert replica.number == 0
+    assert type(replica.persisted(1.0, effects[0].token)[0]) is ApplyContent
+    assert replica.applied_number == 1
 
 
 def test_a_voter_refuses_a_content_that_fails_its_check_and_no_number_is_used_up():
@@ -318,10 +324,12 @@
     accept = VoteMessage("accept", 1, 1, "a/1", value=digest(data))
     voter.store.contents[digest(data)] = data
     (refusal,) = [e.message for e in voter.voter.receive_request(0.0, "a", accept)]
-    assert refusal.kind == "refused" and "aimUs" in refusal.why
+    assert refusal.kind == "refused"
+    assert "aimUs" in refusal.why
     for name in "bc":
         operator.publisher.receive_vote(0.0, name, refusal)
-    assert operator.publisher.result.startswith("refused by most voters") and operator.number == 0
+    assert operator.publisher.result.startswith("refused by most voters")
+    assert operator.number == 0
     assert voter.voter.acceptor.promises == {}
 
 
@@ -338,11 +346,9 @@
 
 def test_leases_of_members_end_one_after_another():
     ends = sorted(make_replica(name).lease.duration_ms() for name in NAMES)
-    assert (
-        ends[0] >= 0.49 * LEASE
-        and ends[-1] < LEASE
-        and min(b - a for a, b in zip(ends, ends[1:], strict=False)) > 0.0
-    )
+    assert ends[0] >= 0.49 * LEASE
+    assert ends[-1] < LEASE
+    assert min(b - a for a, b in zip(ends, ends[1:], strict=False)) > 0.0
 
 
 def test_a_node_that_cannot_use_a_version_leaves_service_unless_most_cannot():
@@ -363,7 +369,8 @@
             serving == 0,
             False,
             code,
-        ) and replica.applied_number == 0
+        )
+        assert replica.applied_number == 0
 
 
 def test_a_node_serves_again_only_after_a_while_without_fault():
@@ -374,7 +381,8 @@
     replica.disk_fault = "full"
     assert replica.serving.evaluate(2.0).code == "disk"
     replica.disk_fault = ""
-    assert not replica.serving.evaluate(3.0).is_serving and replica.serving.evaluate(2100.0).is_serving
+    assert not replica.serving.evaluate(3.0).is_serving
+    assert replica.serving.evaluate(2100.0).is_serving
 
 
 def test_an_operators_override_holds_once_durable_and_across_restarts():
@@ -391,10 +399,8 @@
 
 def test_a_voter_without_its_memory_votes_only_above_what_it_may_have_promised():
     replica = make_replica("a", RecoveredLog(votes_barred_up_to=None))
-    assert (
-        not replica.voter.may_vote(1)
-        and replica.voter.receive_request(0.0, "b", VoteMessage("prepare", 1, 1, "b/1")) == []
-    )
+    assert not replica.voter.may_vote(1)
+    assert replica.voter.receive_request(0.0, "b", VoteMessage("prepare", 1, 1, "b/1")) == []
     assert not replica.send_status(0.0, "b", 1)[0].message.votes
     replica.tick(0.0)
     replica.receive_status(1.0, "b", status_response(1, top=4))
@@ -402,9 +408,9 @@
     persist = replica.receive_status(1.0, "c", status_response(1, top=3))[-1]
     assert persist.records == (VotesBarred(5),)
     replica.persisted(2.0, persist.token)
-    assert (
-        replica.voter.votes_barred_up_to == 5 and not replica.voter.may_vote(5) and replica.voter.may_vote(6)
-    )
+    assert replica.voter.votes_barred_up_to == 5
+    assert not replica.voter.may_vote(5)
+    assert replica.voter.may_vote(6)
 
 
 def test_a_refused_round_sends_nothing_until_the_next_begins():
@@ -431,24 +437,21 @@
             vote = VoteMessage(kind, 1, 1, "d/1", value=digest(data) if kind == "accepted" else "")
             effects = operator.publisher.receive_vote(0.0, name, vote)
     persist = next(effect for effect in effects if type(effect) is Persist)
-    assert (
-        operator.publisher.publication is None
-        and operator.number == 0
-        and operator.publisher.result.startswith("version 1 is")
-    )
+    assert operator.publisher.publication is None
+    assert operator.number == 0
+    assert operator.publisher.result.startswith("version 1 is")
     following = content(settings={"x": 2})
     assert operator.publish(1.0, write(following)) == []
-    assert (
-        operator.publisher.busy_reason() == "busy: version 1 is being written here"
-        and operator.publisher.publication is None
-    )
+    assert operator.publisher.busy_reason() == "busy: version 1 is being written here"
+    assert operator.publisher.publication is None
     assert operator.publisher.result.startswith(
         "version 1 is"
     )  # which whoever published it still waits to read
     operator.persisted(2.0, persist.token)
     following = content(2, operator.content_id)
     operator.publish(3.0, write(following))
-    assert operator.publisher.result == "open" and operator.publisher.publication.proposer.number == 2
+    assert operator.publisher.result == "open"
+    assert operator.publisher.publication.proposer.number == 2
     assert operator.publisher.busy_reason() == "busy: a publication is under way here"
 
 
@@ -464,12 +467,12 @@
     persist = operator.receive_status(1.0, "b", status_response(0, number=number, id=digest(other)))[-1]
     assert operator.publisher.result == "open"
     operator.persisted(2.0, persist.token)
-    assert operator.publisher.publication is None and operator.publisher.result.startswith(result)
+    assert operator.publisher.publication is None
+    assert operator.publisher.result.startswith(result)
     following = content(number + 1, operator.content_id)
     operator.publish(3.0, write(following))
-    assert (
-        operator.publisher.result == "open" and operator.publisher.publication.proposer.number == number + 1
-    )
+    assert operator.publisher.result == "open"
+    assert operator.publisher.publication.proposer.number == number + 1
 
 
 def test_a_repeated_request_is_answered_only_once_the_promise_is_durable():
@@ -536,11 +539,9 @@
                 effects += replica.persisted(now, effect.token)
         assert not [e for e in effects if type(e) is ApplyContent]  # no content of theirs is whole
         replica.serving.evaluate(now)
-    assert (
-        len(replica.store.contents) <= 10
-        and len(replica.fetcher.fetches) <= 3
-        and len(replica.voter.awaiting_content) <= 3
-    )
+    assert len(replica.store.contents) <= 10
+    assert len(replica.fetcher.fetches) <= 3
+    assert len(replica.voter.awaiting_content) <= 3
 
 
 def test_accept_requests_that_wait_for_contents_are_bounded():
@@ -632,12 +633,10 @@
 def test_a_ledger_recovers_what_was_written_over_several_files(folder):
     for _ in range(3):
         kept, ledger = loaded(folder)
-        assert (
-            kept.votes_barred_up_to == 0
-            and kept.operator_override == "w"
-            and kept.promises[3].ballot == (2, "p")
-            and not ledger.findings
-        )
+        assert kept.votes_barred_up_to == 0
+        assert kept.operator_override == "w"
+        assert kept.promises[3].ballot == (2, "p")
+        assert not ledger.findings
         ledger.renew()
         ledger.close()
 
@@ -649,7 +648,8 @@
         with path.open("r+b") as file:
             file.truncate(size)
         kept, ledger = loaded(folder)
-        assert not [f for f in ledger.findings if f.code in ("chain", "damaged")] and kept.begun
+        assert not [f for f in ledger.findings if f.code in ("chain", "damaged")]
+        assert kept.begun
         assert kept.votes_barred_up_to == 0 or [f.code for f in ledger.findings] == ["lost"]
 
 
@@ -659,7 +659,8 @@
     data[len(data) // 2] ^= 1
     path.write_bytes(data)
     kept, ledger = loaded(folder)
-    assert kept.votes_barred_up_to is None and {"damaged", "lost"} <= {f.code for f in ledger.findings}
+    assert kept.votes_barred_up_to is None
+    assert {"damaged", "lost"} <= {f.code for f in ledger.findings}
 
 
 def test_a_record_left_out_breaks_the_chain(folder):
@@ -677,7 +678,8 @@
     copy.write_bytes(data)
     copy.rename(path)
     kept, ledger = loaded(folder)
-    assert kept.votes_barred_up_to is None and "copy" in ledger.findings[-1].text
+    assert kept.votes_barred_up_to is None
+    assert "copy" in ledger.findings[-1].text
     assert loaded(tmp_path)[0].votes_barred_up_to is None  # no first life was begun there
     assert stat.st_ino != path.stat().st_ino
 
@@ -688,7 +690,8 @@
         Disk, "identity", lambda disk, name: (real(disk, name)[0], real(disk, name)[1] + 60000.0)
     )
     kept, ledger = loaded(folder)
-    assert kept.votes_barred_up_to is None and "changed by another" in ledger.findings[-1].text
+    assert kept.votes_barred_up_to is None
+    assert "changed by another" in ledger.findings[-1].text
 
 
 def test_a_full_disk_leaves_no_file_behind_that_hides_the_last_good_one(folder):
@@ -702,7 +705,9 @@
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, (soft, hard))
     kept, ledger = loaded(folder)
-    assert kept.votes_barred_up_to == 0 and kept.operator_override == "w" and ledger.renew() == []
+    assert kept.votes_barred_up_to == 0
+    assert kept.operator_override == "w"
+    assert ledger.renew() == []
     ledger.close()
 
 
@@ -712,7 +717,8 @@
     for _ in range(6):
         ledger.renew()
     ledger.close()
-    assert len(list(folder.glob("ledger-*"))) == 3 and loaded(folder)[0].operator_override == "w"
+    assert len(list(folder.glob("ledger-*"))) == 3
+    assert loaded(folder)[0].operator_override == "w"
     found = ledgers.read([folder], 10.0)
     assert found.findings == []
 
@@ -732,7 +738,8 @@
     )
     rows = audit.rows(found)
     assert [(r["taken"], r["sent"], r["unknown_after"]) for r in rows] == [(3, 2, False), (1, 1, True)]
-    assert found.processes["n"][0].unknown == (2500.0, inf) and not found.findings
+    assert found.processes["n"][0].unknown == (2500.0, inf)
+    assert not found.findings
     assert audit_of(interval(1, 1000.0), ProcessEnded(7, 3000.0, 0.0)).processes["n"][0].unknown is None
     assert audit.interval_at(found, "n", 1500.0).begun.interval == 1
     assert audit.interval_at(found, "n", 500.0) is None
@@ -799,14 +806,17 @@
 ):
     page = tmp_path / "page.html"
     good = CliRunner().invoke(command.group, ["audit", str(folder), "--html", str(page)])
-    assert good.exit_code == 0 and "acts after" in good.output and "svg" in page.read_text()
+    assert good.exit_code == 0
+    assert "acts after" in good.output
+    assert "svg" in page.read_text()
     row = json.loads(CliRunner().invoke(command.group, ["audit", str(folder), "--json"]).output)
     assert (row["node"], row["sent"]) == ("n", 4)
     path = max(folder.glob("ledger-*"))
     data = path.read_bytes()
     path.write_bytes(data[:300] + b"x" + data[301:])
     bad = CliRunner().invoke(command.group, ["audit", str(folder)])
-    assert bad.exit_code == 1 and "WRONG" in bad.output
+    assert bad.exit_code == 1
+    assert "WRONG" in bad.output
     assert CliRunner().invoke(command.group, ["audit"]).exit_code == 1
 
 
@@ -814,7 +824,8 @@
     words = ["begin", str(tmp_path / "l"), "n"]
     assert CliRunner().invoke(command.group, words).exit_code == 0
     again = CliRunner().invoke(command.group, words)
-    assert again.exit_code == 1 and "ledger already" in again.output
+    assert again.exit_code == 1
+    assert "ledger already" in again.output
 
 
 # Nodes on one loop.
@@ -882,7 +893,9 @@
     for peers, _ in fleet.values():
         peers.config_service.close()
     found = ledgers.read([tmp_path / name for name in "abc"], 50.0)
-    assert found.findings == [] and list(found.first_held_ms) == [1] and len(found.first_held_ms[1]) == 1
+    assert found.findings == []
+    assert list(found.first_held_ms) == [1]
+    assert len(found.first_held_ms[1]) == 1
     assert sum(row["sent"] for row in audit.rows(found, node="a")) == 1
 
 
@@ -923,7 +936,8 @@
         publish(number, rows | {"team-7": {"quota": 1000 + number, "urgent": True}})
     told = {name: json.loads(peers.status())["acting"] for name, (peers, _) in fleet.items()}
     for name in "bc":
-        assert told[name]["contents"]["whole"] == 1 and told[name]["contents"]["chains"] == 2
+        assert told[name]["contents"]["whole"] == 1
+        assert told[name]["contents"]["chains"] == 2
         replica = fleet[name][0].config_service.replica
         assert digest(replica.store.contents[replica.content_id]) == replica.content_id
         assert fleet[name][1].settings["teams"]["team-7"]["quota"] == 1003
@@ -940,11 +954,9 @@
         fleet[name][0].config_service.replica.next_ms = inf
         fleet[name][0].send = fleet[name][0].config_service.send = lambda to, data: None
     until(lambda: not acting.may_accept())
-    assert (
-        acting.stamp_attempt().stamp_if_serving() == ""
-        and stage.serving is False
-        and acting.serving_status.code == "unproved"
-    )
+    assert acting.stamp_attempt().stamp_if_serving() == ""
+    assert stage.serving is False
+    assert acting.serving_status.code == "unproved"
 
 
 @pytest.mark.parametrize(
@@ -960,18 +972,20 @@
 )
 def test_a_request_that_cannot_be_published_is_rejected_at_once(fleet, body, what):
     status, text = fleet["a"][0].config_service.publish(body)
-    assert (
-        status == 400 and what in text and fleet["a"][0].config_service.replica.publisher.publication is None
-    )
+    assert status == 400
+    assert what in text
+    assert fleet["a"][0].config_service.replica.publisher.publication is None
     fleet["a"][1].fault = "settings.dcs: 3, expected a list of names"
     status, text = fleet["a"][0].config_service.publish(b'{"settings": {}, "why": "w"}')
-    assert status == 400 and "settings.dcs" in text
+    assert status == 400
+    assert "settings.dcs" in text
 
 
 def test_an_operators_override_shuts_a_node_out_and_brings_it_back(fleet, until):
     acting, stage = fleet["a"][0].config_service, fleet["a"][1]
     until(lambda: stage.serving)
-    assert acting.override_by_operator("sick")[0] == 202 and acting.override_by_operator("")[0] == 400
+    assert acting.override_by_operator("sick")[0] == 202
+    assert acting.override_by_operator("")[0] == 400
     until(lambda: stage.serving is False)
     assert acting.status()["code"] == "hand"
     acting.override_by_operator(None)
@@ -1055,10 +1069,8 @@
     assert "code=local-refused" in capsys.readouterr().err
     stop(node)
     node = start()
-    assert (
-        node.config.deployment.settings.request_classes[0].latency_objective_ms == 777.0
-        and node.config_service.replica.applied_number == 1
-    )
+    assert node.config.deployment.settings.request_classes[0].latency_objective_ms == 777.0
+    assert node.config_service.replica.applied_number == 1
 
 
 def test_a_node_shut_out_by_an_override_cannot_be_put_in_service_otherwise(single):
@@ -1067,7 +1079,8 @@
     turned(node, lambda: node.config_service.serving_status.is_serving)
     node.config_service.override_by_operator("sick")
     turned(node, lambda: not node.config_service.serving_status.is_serving)
-    assert not node.is_ready() and node.service.out_of_service_by == {"fleet"}
+    assert not node.is_ready()
+    assert node.service.out_of_service_by == {"fleet"}
     assert node.service.enter("operator")[1].startswith("still out of service by fleet")
 
 
@@ -1091,9 +1104,11 @@
     )
     new.load()
     new.start()
-    assert new.is_beside and not new.serving_status.is_serving
+    assert new.is_beside
+    assert not new.serving_status.is_serving
     new.receive_proof(0, "", 1000.0 * loop.clock.zero + old.replica.lease.proof_ms)
-    assert new.serving_status.is_serving and not new.replica.voter.may_vote(1)
+    assert new.serving_status.is_serving
+    assert not new.replica.voter.may_vote(1)
     for acting in (old, new, new):
         acting.actions.count(Action.TAKEN)
     until(lambda: not new.actions.pending_counts and not new.actions.changed_intervals)
@@ -1106,7 +1121,8 @@
     new.close()
     old.ledger.lock_fd, new.ledger.lock_fd = new.ledger.lock_fd, None
     found = ledgers.read([tmp_path / "a"], 50.0)
-    assert found.findings == [] and [process.ended for process in found.processes["a"]] == [True, True]
+    assert found.findings == []
+    assert [process.ended for process in found.processes["a"]] == [True, True]
     taken = [sum(row.counts[0] for row in process.intervals.values()) for process in found.processes["a"]]
     assert taken == [1, 3]
 
@@ -1118,7 +1134,8 @@
     )
     twin.load()
     twin.start()
-    assert not twin.may_accept() and "code=locked" in capsys.readouterr().err
+    assert not twin.may_accept()
+    assert "code=locked" in capsys.readouterr().err
     twin.ledger.leave()
 
 
@@ -1132,7 +1149,8 @@
 
     addresses = json.loads(a.status())["addresses"]
     two_more = addresses | {"d": "127.0.0.1:9", "e": "127.0.0.1:8"}
-    assert publish(members=two_more)[0] == 400 and publish(members=addresses | {"d": "10.0.0.1:9"})[0] == 400
+    assert publish(members=two_more)[0] == 400
+    assert publish(members=addresses | {"d": "10.0.0.1:9"})[0] == 400
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
         address = sock.getsockname()
@@ -1163,10 +1181,12 @@
     words = [sys.executable, "-m", "marlseam", "check", "--config", str(path), "--settings"]
     own = path.with_name("own.toml")
     good = subprocess.run([*words, str(own)], capture_output=True, text=True, timeout=60)
-    assert good.returncode == 0 and "version 0, votes" in good.stdout
+    assert good.returncode == 0
+    assert "version 0, votes" in good.stdout
     own.write_text(own.read_text().replace(f"{path.parent}/ledger", "/proc/no"))
     bad = subprocess.run([*words, str(own)], capture_output=True, text=True, timeout=60)
-    assert bad.returncode == 2 and "fleet.folder" in bad.stderr
+    assert bad.returncode == 2
+    assert "fleet.folder" in bad.stderr
 
 
 def test_the_audit_tells_which_node_sent_a_keyed_request_and_on_which_version(folder, tmp_path):
@@ -1177,7 +1197,9 @@
     state.close()
     words = ["audit", str(folder), "--store", str(tmp_path / "state"), "--unit"]
     told = CliRunner().invoke(command.group, [*words, "key-1"]).output
-    assert "pod-3" in told and "0 m" in told and "not known" not in told.splitlines()[1]
+    assert "pod-3" in told
+    assert "0 m" in told
+    assert "not known" not in told.splitlines()[1]
     assert "nothing was sent under other" in CliRunner().invoke(command.group, [*words, "other"]).output
 
 
@@ -1194,9 +1216,8 @@
     before = node.config_service.actions.interval.interval
     node.reload()
     node.config_service.refresh()
-    assert (
-        node.config_service.status()["local"] and node.config_service.actions.interval.interval == before + 1
-    )
+    assert node.config_service.status()["local"]
+    assert node.config_service.actions.interval.interval == before + 1
 
 
 @pytest.mark.parametrize(
@@ -1219,7 +1240,9 @@
     replica.store.contents[digest(data)] = data
     persist = replica.hold_durably(1, digest(data))[-1]
     replica.persisted(0.0, persist.token)
-    assert replica.number == 1 and replica.unusable_reason and not replica.voter.may_vote(2)
+    assert replica.number == 1
+    assert replica.unusable_reason
+    assert not replica.voter.may_vote(2)
     replica.tick(replica.next_ms)
     for name in "bc":
         replica.receive_status(
@@ -1245,7 +1268,8 @@
     ledger.renew()
     ledger.close()
     kept, _ = loaded(folder)
-    assert kept.operator_override is None and kept.override_ms == 99.0
+    assert kept.operator_override is None
+    assert kept.override_ms == 99.0
 
 
 def test_actions_after_the_last_counts_are_reported_as_unknown_though_an_interval_began_later():
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -88,12 +88,14 @@
     tell(node, host("e1", 0.0), host("e2", unix_ms - 60000.0))
     tell(node, host("e1", unix_ms - HOUR_MS), whole=False)
     tell(node, host("e3", unix_ms - HOUR_MS), whole=False)
-    assert in_slow_start(node, "e1") and in_slow_start(node, "e3")
+    assert in_slow_start(node, "e1")
+    assert in_slow_start(node, "e3")
 
 
 def test_a_server_whose_clock_is_ahead_makes_no_other_warm(node, unix_ms):
     tell(node, host("e1", unix_ms + HOUR_MS), host("e2", unix_ms - 500.0))
-    assert in_slow_start(node, "e1") and in_slow_start(node, "e2")
+    assert in_slow_start(node, "e1")
+    assert in_slow_start(node, "e2")
 
 
 def test_a_start_keeps_its_time_whatever_is_learned_of_clocks_later(node, unix_ms):
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -69,7 +69,8 @@
             held -= offered[event.id][1]
             spent[event.id] = event.value
         assert held <= 3.0
-    assert [event.t for event in events] == sorted(event.t for event in events) and held == 0.0
+    assert [event.t for event in events] == sorted(event.t for event in events)
+    assert held == 0.0
     for id, (work, slots) in offered.items():
         assert spent[id] == pytest.approx(work * slots, rel=1e-6, abs=0.05)
 
@@ -146,7 +147,8 @@
     for i in range(2):
         server.offer(0.0, job(i))
     server.advance(1.0)
-    assert server.cancel("1/0") and not server.cancel("0/0")
+    assert server.cancel("1/0")
+    assert not server.cancel("0/0")
     assert [event.id for event in server.advance(1e6) if event.what == "done"] == ["0/0"]
 
 
@@ -172,7 +174,8 @@
     endpoint_list = EndpointList([], 100.0, 50.0)
     assert [endpoint_list.take_call(0.0) for _ in range(6)] == [10.0, 20.0, 30.0, 40.0, 50.0, None]
     endpoint_list.outages.append((100.0, 200.0))
-    assert endpoint_list.take_call(150.0) is None and endpoint_list.take_call(200.0) is not None
+    assert endpoint_list.take_call(150.0) is None
+    assert endpoint_list.take_call(200.0) is not None
 
 
 def test_overlapping_faults_add_up_and_end():
@@ -235,7 +238,8 @@
     caller = client(effect)
     assert caller.begin() == "a"
     wait = caller.wait(10.0, how, 500.0, stream(1))
-    assert (wait is not None) == again and (wait is None or wait >= 500.0)
+    assert (wait is not None) == again
+    assert wait is None or wait >= 500.0
     assert caller.begin() == "a.1"
 
 
@@ -278,7 +282,8 @@
 
 def test_poisson_arrivals_have_the_rate_and_spread_of_chance():
     steps = np.diff(plan.times(Load(rate=200.0), 60.0, 3))
-    assert steps.mean() == pytest.approx(5.0, rel=0.05) and steps.std() == pytest.approx(5.0, rel=0.1)
+    assert steps.mean() == pytest.approx(5.0, rel=0.05)
+    assert steps.std() == pytest.approx(5.0, rel=0.1)
 
 
 # Whole days.
@@ -290,7 +295,8 @@
     held = day(troubles=[Trouble(what=what, at_s=4.0, for_s=4.0, share=0.25, size=size)])
     verdict, book, figures, _ = played(held)
     assert verdict.is_judged and not verdict.violation_count, [rule.violations[:2] for rule in verdict.rules]
-    assert figures["work_units"] > 150 and figures["service"] > (0.3 if what == "surge" else 0.9)
+    assert figures["work_units"] > 150
+    assert figures["service"] > (0.3 if what == "surge" else 0.9)
     assert figures["none"] == 0.0
 
 
