--- a/marlseam/__main__.py
+++ b/marlseam/__main__.py
@@ -84,8 +84,8 @@
     config = configuration.load(path, own=own)
     if config.store is not None:
         importlib.import_module("marlseam.store.check").check_state(config.store, config.name)
-    if config.fleet is not None and config.fleet.folder is not None:
-        importlib.import_module("marlseam.store.check").check_ledger(config.fleet, config.name)
+    if config.cluster is not None and config.cluster.folder is not None:
+        importlib.import_module("marlseam.store.check").check_ledger(config.cluster, config.name)
     deployment = config.deployment
     print(f"{config.name} listens on {config.listen[0]}:{config.listen[1]}", end=", ")
     print(f"{len(deployment.types)} request classes, {len(deployment.kinds)} kinds: good")
--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -189,7 +189,7 @@
         for process in processes if node in (None, name) else ():
             if process.unknown is not None:
                 first, last = map(time_text, process.unknown)
-                killed = f"{name}: life {process.started.process_number} was killed"
+                killed = f"{name}: life {process.started.generation} was killed"
                 click.echo(f"{killed}, its acts after {first} are not known, to {last} at most")
 
 
--- a/marlseam/cluster/action_stamp.py
+++ b/marlseam/cluster/action_stamp.py
@@ -12,17 +12,17 @@
     """
 
     node: str
-    process_number: int
+    generation: int
     interval: int
     number: int
     is_proven: bool
 
     def text(self) -> str:
         """Return the stamp as it is sent."""
-        return f"{self.node}/{self.process_number}/{self.interval}/{self.number}/{int(self.is_proven)}"
+        return f"{self.node}/{self.generation}/{self.interval}/{self.number}/{int(self.is_proven)}"
 
     @classmethod
     def parse(cls, text: str) -> Self:
         """Return a stamp that was sent; raises ValueError."""
-        node, process_number, interval, number, is_proven = text.split("/")
-        return cls(node, int(process_number), int(interval), int(number), is_proven == "1")
+        node, generation, interval, number, is_proven = text.split("/")
+        return cls(node, int(generation), int(interval), int(number), is_proven == "1")
--- a/marlseam/cluster/audit.py
+++ b/marlseam/cluster/audit.py
@@ -24,7 +24,7 @@
 )
 
 FIELDS_BY_KEY = {
-    "life": "process_number",
+    "life": "generation",
     "interval": "interval",
     "program": "program",
     "number": "number",
@@ -178,11 +178,11 @@
     def read_start(self, record: ProcessStarted, is_past_first_batch: bool) -> Process:
         """Take in that a process started."""
         # Also from another chain: it moved on when the node's ledger was its own.
-        is_known = record.process_number in self.processes
+        is_known = record.generation in self.processes
         shift_ms = self.audit.boot_zero_ms.setdefault(record.boot, record.zero_ms) - record.zero_ms
         started = replace(record, wall_ms=record.wall_ms + shift_ms)
         process = self.processes.setdefault(
-            record.process_number,
+            record.generation,
             Process(started, shift_ms, last_ms=started.wall_ms, counted_ms=started.wall_ms),
         )
         # What stands in a file's first batch is told again: a process may have begun in a file that is gone.
@@ -202,7 +202,7 @@
 
     def read_action_record(self, record: IntervalBegun | ActionCounts | ProcessEnded) -> None:
         """Take in what a process wrote of its actions."""
-        process = self.processes.get(record.process_number)
+        process = self.processes.get(record.generation)
         if process is None:
             return
         shifted = replace(record, wall_ms=record.wall_ms + process.shift_ms)
@@ -219,7 +219,7 @@
         """Take in that an interval began."""
         interval = process.intervals.setdefault(record.interval, Interval(record))
         if interval.begun != record:
-            self.report(f"two intervals {record.interval} of life {record.process_number}")
+            self.report(f"two intervals {record.interval} of life {record.generation}")
 
     def read_counts(self, record: ActionCounts, process: Process) -> None:
         """Take in the counts of some intervals."""
@@ -227,13 +227,13 @@
         for number, *row in record.rows:
             interval, counts = process.intervals.get(number), tuple(row)
             if interval is None:
-                self.report(f"acts in interval {number} of life {record.process_number}, which is missing")
+                self.report(f"acts in interval {number} of life {record.generation}, which is missing")
                 continue
             # In one chain they only grow; another chain's may come later here and be earlier.
-            earlier = self.chain_counts.get((record.process_number, number), ())
+            earlier = self.chain_counts.get((record.generation, number), ())
             if any(count < before for count, before in zip(counts, earlier, strict=False)):
-                self.report(f"fewer acts in interval {number} of life {record.process_number} than before")
-            self.chain_counts[record.process_number, number] = counts
+                self.report(f"fewer acts in interval {number} of life {record.generation} than before")
+            self.chain_counts[record.generation, number] = counts
             interval.counts = tuple(map(max, counts, interval.counts))
             interval.marks.append(CountMark(record.wall_ms, counts))
 
@@ -263,9 +263,7 @@
     first = min(numbers) if numbers and not process.is_complete else 1
     missing = sorted(set(range(first, max(numbers, default=0) + 1)) - numbers)
     if missing:
-        audit.findings.append(
-            f"{node}: intervals {missing} of life {process.started.process_number} are missing"
-        )
+        audit.findings.append(f"{node}: intervals {missing} of life {process.started.generation} are missing")
 
 
 def find_two_contents(audit: Audit) -> None:
@@ -279,9 +277,7 @@
     """Report processes of one name of which the later was not to run beside the earlier."""
     for earlier, later in pairwise(audit.processes[node]):
         if earlier.last_ms > later.started.wall_ms + error_ms and not later.started.beside:
-            overlap = (
-                f"life {later.started.process_number} began before {earlier.started.process_number} was over"
-            )
+            overlap = f"life {later.started.generation} began before {earlier.started.generation} was over"
             audit.findings.append(f"{node}: {overlap}")
 
 
@@ -296,7 +292,7 @@
             if count and begun.proved:
                 audit.findings.append(
                     f"{node}: {count} acts on version {begun.number}, as proved, in interval "
-                    f"{begun.interval} of life {process.started.process_number}, past {lease_ms:.0f} ms"
+                    f"{begun.interval} of life {process.started.generation}, past {lease_ms:.0f} ms"
                 )
 
 
--- a/marlseam/cluster/audit_log.py
+++ b/marlseam/cluster/audit_log.py
@@ -45,7 +45,7 @@
     """A process begins.
 
     Attributes:
-        process_number: its own among the node's processes, as in membership.
+        generation: its own among the node's processes, as in membership.
         program: the program's version.
         boot: the start of the machine that it runs on.
         lease_ms: for how long after a newer version was chosen it may act on an older one as proven.
@@ -54,7 +54,7 @@
 
     """
 
-    process_number: int
+    generation: int
     program: str
     boot: str
     wall_ms: float
@@ -79,7 +79,7 @@
 
     """
 
-    process_number: int
+    generation: int
     interval: int
     program: str
     number: int
@@ -96,7 +96,7 @@
 class ActionCounts(msgspec.Struct, tag="mark", array_like=True, frozen=True):
     """Counts of some intervals so far: (interval, taken, sent, answered, refused)."""
 
-    process_number: int
+    generation: int
     rows: list[tuple[int, int, int, int, int]]
     wall_ms: float
     mono_ms: float
@@ -105,7 +105,7 @@
 class ProcessEnded(msgspec.Struct, tag="ended", array_like=True, frozen=True):
     """A process ended by itself: its counts are complete."""
 
-    process_number: int
+    generation: int
     wall_ms: float
     mono_ms: float
 
@@ -136,7 +136,7 @@
     wall_ms: float = 0.0
 
 
-class VotesBarred(msgspec.Struct, tag="barred", array_like=True, frozen=True):
+class VotesExcluded(msgspec.Struct, tag="barred", array_like=True, frozen=True):
     """No vote on numbers up to this, as memory of them was lost; -1 where it is not known up to which."""
 
     number: int
@@ -161,7 +161,7 @@
     | AcceptorPromise
     | ContentStored
     | VersionHeld
-    | VotesBarred
+    | VotesExcluded
     | OperatorOverride
 )
 ENCODER = msgspec.msgpack.Encoder()
@@ -211,7 +211,7 @@
         held: the version held.
         contents: the bytes of contents, by id.
         promises: the acceptor's state, by version number.
-        votes_barred_up_to: votes on no number up to it; None: on none until it is known.
+        votes_excluded_up_to: votes on no number up to it; None: on none until it is known.
         operator_override: why an operator shut the node out; None where none did.
         override_ms: when an operator last shut it out or brought it back, 0 for never.
         process: the last process.
@@ -225,7 +225,7 @@
     held: VersionHeld | None = None
     contents: dict[str, bytes] = field(default_factory=dict)
     promises: dict[int, AcceptorState] = field(default_factory=dict)
-    votes_barred_up_to: int | None = 0
+    votes_excluded_up_to: int | None = 0
     operator_override: str | None = None
     override_ms: float = 0.0
     process: ProcessStarted | None = None
@@ -262,8 +262,8 @@
             case VersionHeld():
                 if self.held is None or record.number > self.held.number:
                     self.held = record
-            case VotesBarred():
-                self.votes_barred_up_to = None if record.number < 0 else record.number
+            case VotesExcluded():
+                self.votes_excluded_up_to = None if record.number < 0 else record.number
             case OperatorOverride():
                 self.operator_override = record.why if record.out else None
                 self.override_ms = record.wall_ms
@@ -288,7 +288,7 @@
             yield self.held
         for number, state in self.promises.items():
             yield AcceptorPromise(number, *state.ballot, *state.accepted, state.value)
-        yield VotesBarred(-1 if self.votes_barred_up_to is None else self.votes_barred_up_to)
+        yield VotesExcluded(-1 if self.votes_excluded_up_to is None else self.votes_excluded_up_to)
         if self.override_ms:
             # Also that it was brought back: an older override in the ledger beside this one is not the last.
             why = self.operator_override
--- a/marlseam/cluster/checking/replication_schedules.py
+++ b/marlseam/cluster/checking/replication_schedules.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from marlseam.cluster.audit_log import LedgerBegun, LogRecord, VotesBarred, recover_log
+from marlseam.cluster.audit_log import LedgerBegun, LogRecord, VotesExcluded, recover_log
 from marlseam.cluster.checking.fault_schedules import ScheduleDraws, draw_faults
 from marlseam.cluster.checking.replication_checker import ReplicationChecker, ReplicationVerdict
 from marlseam.cluster.checking.simulation import (
@@ -248,7 +248,7 @@
         records = self.disks[process.name].records
         # Found out at the start (store/ledger_writer.py): the memory of votes is known not to be whole.
         left = records[: len(records) // 2] if is_set_back else []
-        self.disks[process.name].records = [*left, VotesBarred(-1)]
+        self.disks[process.name].records = [*left, VotesExcluded(-1)]
         self.at(self.now + RESTART_MS, self.restart, process.name, process)
 
     def cut_in_halves(self, until: float) -> None:
--- a/marlseam/cluster/replication/quorum_lease.py
+++ b/marlseam/cluster/replication/quorum_lease.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 from zlib import crc32
 
-from marlseam.cluster.audit_log import VotesBarred
+from marlseam.cluster.audit_log import VotesExcluded
 from marlseam.cluster.replication import paxos
 from marlseam.cluster.replication.effects import Effect, LogLine, SendMessage
 from marlseam.cluster.replication.messages import StatusRequest, StatusResponse
@@ -143,18 +143,17 @@
         It may have promised for the number after the newest chosen, which most of the others know of.
         """
         replica, voter = self.replica, self.replica.voter
-        if voter.votes_barred_up_to is not None or voter.memory_is_elsewhere:
+        if voter.votes_excluded_up_to is not None or voter.memory_is_elsewhere:
             return []
         if read.number != replica.number or len(read.highest_promised) < paxos.majority(read.voters):
             return []
-        barred = max(*read.highest_promised.values(), replica.number) + 1
+        excluded_up_to = max(*read.highest_promised.values(), replica.number) + 1
 
         def record_bar(_now: float) -> list[Effect]:
-            voter.votes_barred_up_to = barred
+            voter.votes_excluded_up_to = excluded_up_to
+            first = excluded_up_to + 1
             return [
-                LogLine(
-                    f"fleet: votes again from version {barred + 1} on, its memory of earlier ones is lost"
-                )
+                LogLine(f"fleet: votes again from version {first} on, its memory of earlier ones is lost")
             ]
 
-        return [replica.persist((VotesBarred(barred),), record_bar)]
+        return [replica.persist((VotesExcluded(excluded_up_to),), record_bar)]
--- a/marlseam/cluster/replication/voting.py
+++ b/marlseam/cluster/replication/voting.py
@@ -75,7 +75,7 @@
     Attributes:
         acceptor: promises in memory, which may be ahead of the disk.
         durable_promises: promises that are on the disk, by version number.
-        votes_barred_up_to: votes on no number up to it; None: on none until it is known.
+        votes_excluded_up_to: votes on no number up to it; None: on none until it is known.
         memory_is_elsewhere: whether another process of this node has its memory of votes.
         awaiting_content: requests by the id of a content that has not come.
 
@@ -86,7 +86,7 @@
         self.replica = replica
         self.acceptor = Acceptor(replica.name, dict(recovered.promises))
         self.durable_promises = dict(recovered.promises)
-        self.votes_barred_up_to = recovered.votes_barred_up_to
+        self.votes_excluded_up_to = recovered.votes_excluded_up_to
         self.memory_is_elsewhere = False
         self.awaiting_content: dict[str, AwaitingRequest] = {}
 
@@ -95,12 +95,16 @@
         for number, promise in recovered.promises.items():
             if number > self.replica.number:
                 self.acceptor.promises[number] = self.durable_promises[number] = promise
-        self.votes_barred_up_to, self.memory_is_elsewhere = recovered.votes_barred_up_to, False
+        self.votes_excluded_up_to, self.memory_is_elsewhere = recovered.votes_excluded_up_to, False
 
     def may_vote(self, number: int) -> bool:
         """Return whether this node is a voter on a number and its memory of votes on it is whole."""
-        barred = self.votes_barred_up_to
-        return self.replica.name in self.replica.voters and barred is not None and number > barred
+        excluded_up_to = self.votes_excluded_up_to
+        return (
+            self.replica.name in self.replica.voters
+            and excluded_up_to is not None
+            and number > excluded_up_to
+        )
 
     def highest_promised(self) -> int:
         """Return the highest number of which anything was promised, accepted or held."""
--- a/marlseam/configuration/loader.py
+++ b/marlseam/configuration/loader.py
@@ -50,7 +50,7 @@
         settings: the deployment's settings as they are in force, where a cluster has to know.
         socket_fd: the clients' listening socket, where the platform hands it on.
         folder: that processes of one node share, with the socket.
-        store, watch, fleet: the operator's settings of store, shadow policy and cluster; None where off.
+        store, shadow, cluster: the operator's settings of store, shadow policy and cluster; None where off.
         settings_path: of the operator's own settings.
     """
 
@@ -71,8 +71,8 @@
     socket_fd: int | None = None
     folder: str | None = None
     store: StoreSettings | None = None
-    watch: ShadowSettings | None = None
-    fleet: ClusterSettings | None = None
+    shadow: ShadowSettings | None = None
+    cluster: ClusterSettings | None = None
     settings_path: str | None = None
 
 
@@ -129,8 +129,8 @@
         socket_fd=before.socket_fd if before is not None else descriptor(env.get(SOCKET_VARIABLE)),
         folder=before.folder if before is not None else env.get(FOLDER_VARIABLE),
         store=operator.store,
-        watch=operator.shadow,
-        fleet=operator.cluster,
+        shadow=operator.shadow,
+        cluster=operator.cluster,
         settings_path=sources.operator_path,
     )
 
--- a/marlseam/core/idempotency.py
+++ b/marlseam/core/idempotency.py
@@ -57,9 +57,6 @@
     return PortableRecord(key, record.server, zone, record.cell, sent_unix_ms, until_unix_ms)
 
 
-told = portable_record  # the name that other parts still use
-
-
 class IdempotencyRecords:
     """Keys of requests that may have run, each with its attempts in the order sent.
 
--- a/marlseam/experiment/versions.py
+++ b/marlseam/experiment/versions.py
@@ -81,7 +81,7 @@
             self.without_stamp += 1
             return
         stamp = ActionStamp.parse(record.acting)
-        self.times[stamp.node, stamp.process_number, stamp.interval].append(record.t)
+        self.times[stamp.node, stamp.generation, stamp.interval].append(record.t)
         self.attempts.append(AttemptSeen(record.t, stamp))
 
     def first_held_ms(self) -> dict[int, float]:
@@ -91,7 +91,7 @@
     def counts_in_ledgers(self) -> dict[IntervalKey, int]:
         """Return the attempts sent in each interval, by the ledgers."""
         return {
-            (node, process.started.process_number, number): interval.counts[SENT]
+            (node, process.started.generation, number): interval.counts[SENT]
             for node, processes in self.audit.processes.items()
             for process in processes
             for number, interval in process.intervals.items()
@@ -100,7 +100,7 @@
     def unknown_since_ms(self) -> dict[tuple[str, int], float]:
         """Return since when the actions of killed processes may be missing, in ms of the run."""
         return {
-            (node, process.started.process_number): process.unknown.from_ms - self.zero_ms - ERROR_MS
+            (node, process.started.generation): process.unknown.from_ms - self.zero_ms - ERROR_MS
             for node, processes in self.audit.processes.items()
             for process in processes
             if process.unknown is not None
--- a/marlseam/net/action_ledger.py
+++ b/marlseam/net/action_ledger.py
@@ -90,10 +90,10 @@
 
     """
 
-    def __init__(self, node_ledger: NodeLedger, name: str, process_number: int, lease_ms: float) -> None:
+    def __init__(self, node_ledger: NodeLedger, name: str, generation: int, lease_ms: float) -> None:
         """Begin without an interval, for one process of a member."""
         self.node_ledger, self.name = node_ledger, name
-        self.process_number, self.lease_ms = process_number, lease_ms
+        self.generation, self.lease_ms = generation, lease_ms
         self.started_ms, self.is_beside = node_ledger.loop.now(), False
         self.interval: IntervalBegun | None = None
         self.stamp = ""
@@ -115,7 +115,7 @@
         """Return the record of this process."""
         ran_ms = now - self.started_ms
         return ProcessStarted(
-            self.process_number,
+            self.generation,
             __version__,
             self.ledger.era.boot,
             self.ledger.wall_ms() - ran_ms,
@@ -144,7 +144,7 @@
         number = self.interval.interval + 1 if self.interval is not None else 1
         status = basis.status
         self.interval = IntervalBegun(
-            self.process_number,
+            self.generation,
             number,
             __version__,
             basis.number,
@@ -161,7 +161,7 @@
         self.intervals[number] = self.interval
         self.counts.pop(number - MAX_OPEN_INTERVALS, None)
         self.intervals.pop(number - MAX_OPEN_INTERVALS, None)
-        stamp = ActionStamp(self.name, self.process_number, number, basis.number, status.is_proven)
+        stamp = ActionStamp(self.name, self.generation, number, basis.number, status.is_proven)
         self.stamp = stamp.text()
         self.pending_records.append(PendingRecord(0, self.interval))
         self.write_records()
@@ -208,7 +208,7 @@
         rows = [self.row_of(number) for number in self.changed_intervals if number in self.counts]
         if not rows or any(not row.number for row in self.pending_records):
             return
-        counts = ActionCounts(self.process_number, rows, self.ledger.wall_ms(), self.ledger.loop.now())
+        counts = ActionCounts(self.generation, rows, self.ledger.wall_ms(), self.ledger.loop.now())
         number = self.ledger.append(counts)
         if number:
             self.pending_counts.append(PendingCounts(number, tuple(self.changed_intervals)))
@@ -233,5 +233,5 @@
         """Hand over the last counts, as the node ends."""
         self.write_counts()
         if self.interval is not None:
-            ended = ProcessEnded(self.process_number, self.ledger.wall_ms(), self.ledger.loop.now())
+            ended = ProcessEnded(self.generation, self.ledger.wall_ms(), self.ledger.loop.now())
             self.ledger.append(ended)
--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -66,7 +66,7 @@
         log: Log,
         settings: ClusterSettings,
         name: str,
-        process_number: int,
+        generation: int,
         seed: int,
         port: ConfigServicePort,
         send: Callable[[str, bytes], None],
@@ -74,7 +74,7 @@
     ) -> None:
         """Make one for a member; `on_members` is called with the members that a version names."""
         self.loop, self.log, self.settings, self.name = loop, log, settings, name
-        self.process_number, self.seed, self.port = process_number, seed, port
+        self.generation, self.seed, self.port = generation, seed, port
         self.send, self.on_members = send, on_members
         self.replica: ConfigReplica | None = None
         self.serving_status, self.valid_until_ms = ServingStatus(False, False, "locked"), 0.0
@@ -87,7 +87,7 @@
             raise ConfigError("fleet.folder", None, "a folder for the ledger")
         folder = Path(settings.folder)
         self.node_ledger = NodeLedger(loop, log, folder, name, self.recover, self.take_over_ledger)
-        self.actions = ActionLedger(self.node_ledger, name, process_number, settings.lease_ms)
+        self.actions = ActionLedger(self.node_ledger, name, generation, settings.lease_ms)
         self.requests = ConfigRequests(self)
         self.timer = loop.at(loop.now(), lambda: None)
         self.is_beside = self.is_started = False
@@ -128,7 +128,7 @@
         if replica.unusable_reason:
             self.log.line(f"fleet code=unfit: version {replica.number}: {replica.unusable_reason}")
         replica.voter.memory_is_elsewhere = self.is_beside
-        if recovered.votes_barred_up_to is None and not self.is_beside:
+        if recovered.votes_excluded_up_to is None and not self.is_beside:
             self.log.line("fleet code=lost: votes on nothing until it is known what it may have promised")
         self.actions.begin_process(now, self.is_beside)
         if replica.applied_number:
@@ -143,7 +143,7 @@
         settings = ReplicationSettings(
             frozenset(cluster.voters), cluster.period_ms, cluster.lease_ms, cluster.strict, cluster.serve_ms
         )
-        proposer_id = f"{self.name}/{self.process_number}/{os.urandom(PROPOSER_RANDOM_BYTES).hex()}"
+        proposer_id = f"{self.name}/{self.generation}/{os.urandom(PROPOSER_RANDOM_BYTES).hex()}"
         members = frozenset(cluster.members)
         return ConfigReplica(
             self.name, members, settings, proposer_id, self.seed, now, recovered, self.content_fault
--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -162,21 +162,21 @@
     def record_list(self, is_changed: bool) -> None:
         """Note an answer of discovery's: a list that changed, or that the one held still holds."""
         now_ms = self.node.loop.now()
-        self.count_turnover(now_ms)
+        self.count_departures(now_ms)
         self.has_unwritten_change = self.has_unwritten_change or is_changed
         self.confirmed_unix_ms = self.clock.to_unix(now_ms)
         if self.has_unwritten_change and now_ms - self.list_written_ms >= MIN_LIST_INTERVAL_MS:
             self.confirmed_written_ms = self.list_written_ms = now_ms
             self.has_unwritten_change = False
-            turnover = file_format.DepartureRateStored(
+            departures = file_format.DepartureRateStored(
                 self.departure_rate.departures, self.departure_rate.lived_ms
             )
-            self.store.append(self.list_record(), turnover)
+            self.store.append(self.list_record(), departures)
         elif now_ms - self.confirmed_written_ms >= CONFIRMATION_INTERVAL_MS:
             self.confirmed_written_ms = now_ms
             self.store.append(file_format.ListConfirmed(self.confirmed_unix_ms))
 
-    def count_turnover(self, now_ms: float) -> None:
+    def count_departures(self, now_ms: float) -> None:
         """Count the time that servers have been on the list, and those that have left it."""
         held = set(self.node.discovery.held)
         self.departure_rate.lived_ms += len(self.counted) * (now_ms - self.counted_ms)
--- a/marlseam/net/node.py
+++ b/marlseam/net/node.py
@@ -110,11 +110,11 @@
         """Join the cluster, and act from the start on the version that the ledger holds."""
         self.membership: MembershipService | None = None
         self.config_service: ConfigVersionService | None = None
-        if self.config.fleet is None:
+        if self.config.cluster is None:
             return
         from marlseam.net.cluster_link import ClusterLink
 
-        link = ClusterLink(self, self.config.fleet)
+        link = ClusterLink(self, self.config.cluster)
         self.membership, self.config_service = link.membership, link.config_service
         self.config = link.load_config()
 
@@ -125,11 +125,11 @@
 
     def make_shadow_policy(self) -> "ShadowPolicy | None":
         """Return the shadow policy that the settings ask for."""
-        if self.config.watch is None:
+        if self.config.shadow is None:
             return None
         from marlseam.shadow_policy import ShadowPolicy
 
-        shadow_policy = ShadowPolicy(self.config.watch.change)
+        shadow_policy = ShadowPolicy(self.config.shadow.change)
         self.schedule_shadow_log()
         return shadow_policy
 
@@ -281,8 +281,8 @@
 
     def schedule_shadow_log(self) -> None:
         """Have what the shadow policy would have decided otherwise logged after a while, again and again."""
-        if self.config.watch is not None:
-            self.loop.at(self.loop.now() + 1000.0 * self.config.watch.every_s, self.log_shadow_policy)
+        if self.config.shadow is not None:
+            self.loop.at(self.loop.now() + 1000.0 * self.config.shadow.every_s, self.log_shadow_policy)
 
     def log_shadow_policy(self) -> None:
         """Log what the shadow policy would have decided otherwise so far."""
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -243,7 +243,7 @@
         if item.node != self.node.config.name:
             raise InvalidLineError("foreign", f"it is {item.node:.80}")
         peer.hello = item
-        if item.fleet and self.node.config_service is not None:
+        if item.is_in_cluster and self.node.config_service is not None:
             self.node.config_service.share_proof()
 
     def receive_list_part(self, peer: PeerProcess, item: ListPart) -> None:
@@ -298,7 +298,7 @@
 
     def prove(self, number: int, id: str, mono_ms: float) -> None:
         """Tell those in a cluster when its version was in force, by the machine's monotonic clock."""
-        in_cluster = [peer for peer in self.peers if peer.hello is not None and peer.hello.fleet]
+        in_cluster = [peer for peer in self.peers if peer.hello is not None and peer.hello.is_in_cluster]
         self.write(handover_codec.encode_proof(VersionProof(number, id, mono_ms)), in_cluster)
 
     def write(self, text: bytes, peers: list[PeerProcess]) -> None:
--- a/marlseam/net/settings_reload.py
+++ b/marlseam/net/settings_reload.py
@@ -6,7 +6,16 @@
 from marlseam.configuration import Config, ConfigError
 from marlseam.net.node_interface import NodeInterface
 
-FIXED_KEYS = ("name", "listen", "admin", "seed", "store", "watch", "fleet")  # kept while the process runs
+# Fields of Config that are kept while the process runs, with the keys that operators know them by.
+FIXED_FIELDS = {
+    "name": "name",
+    "listen": "listen",
+    "admin": "admin",
+    "seed": "seed",
+    "store": "store",
+    "shadow": "watch",
+    "cluster": "fleet",
+}
 
 
 class SettingsReload:
@@ -26,10 +35,10 @@
             node.log.line(f"the configuration stays as it was: {error}")
             return
         before = node.config
-        for key in FIXED_KEYS:
-            if getattr(config, key) != getattr(before, key):
+        for field, key in FIXED_FIELDS.items():
+            if getattr(config, field) != getattr(before, field):
                 node.log.line(f"{key}: cannot change in a running node, left as it was")
-        node.adopt(replace(config, **{key: getattr(before, key) for key in FIXED_KEYS}))
+        node.adopt(replace(config, **{field: getattr(before, field) for field in FIXED_FIELDS}))
         node.counters.reloads += 1
         node.log.line(f"new configuration, discovery at {config.discovery[0]}:{config.discovery[1]}")
 
@@ -37,7 +46,7 @@
         """Return what the file says; settings that the cluster agreed on stay in force."""
         node, before = self.node, self.node.config
         config = configuration.load(before.path, before=before)
-        service, cluster = node.config_service, before.fleet
+        service, cluster = node.config_service, before.cluster
         if service is not None and cluster is not None and service.has_version() and not cluster.local:
             service.report_local_settings(config.settings)
             config = configuration.with_settings(config, before.settings)
--- a/marlseam/recovery/handover_codec.py
+++ b/marlseam/recovery/handover_codec.py
@@ -46,13 +46,13 @@
     Attributes:
         node: the node's name.
         process: the process's id.
-        fleet: whether it asks for proofs.
+        is_in_cluster: whether it asks for proofs.
         epoch_ms: the Unix time that it takes for the machine's monotonic zero, None where it does not say.
     """
 
     node: str
     process: int
-    fleet: bool = False
+    is_in_cluster: bool = False
     epoch_ms: float | None = None
 
 
@@ -124,10 +124,12 @@
     return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
 
 
-def encode_hello(node: str, process: int, fleet: bool = False, epoch_ms: float | None = None) -> bytes:
+def encode_hello(
+    node: str, process: int, is_in_cluster: bool = False, epoch_ms: float | None = None
+) -> bytes:
     """Return the first line; the parameters are the fields of `Hello`."""
     fields: dict[str, Any] = {"marlseam": PROTOCOL_VERSION, "node": node, "process": process}
-    if fleet:
+    if is_in_cluster:
         fields["fleet"] = True
     if epoch_ms is not None:
         fields["epoch"] = epoch_ms
--- a/marlseam/store/check.py
+++ b/marlseam/store/check.py
@@ -84,7 +84,7 @@
         ledger = LedgerWriter(disk, node)
         recovered = ledger.load()
         number = recovered.held.number if recovered.held is not None else 0
-        votes = "votes" if recovered.votes_barred_up_to is not None else "does not vote at first"
+        votes = "votes" if recovered.votes_excluded_up_to is not None else "does not vote at first"
         return DirectorySummary(f"ledger in {disk.path}: version {number}, {votes}", ledger.findings)
 
     if settings.folder is None:
--- a/marlseam/store/ledger_writer.py
+++ b/marlseam/store/ledger_writer.py
@@ -197,7 +197,7 @@
         loss = self._loss(files, recovered)
         if loss:
             self.findings.append(Finding("", "lost", f"{loss}: what was promised is not known"))
-            recovered.votes_barred_up_to = None
+            recovered.votes_excluded_up_to = None
         self.number, self.last = max(numbers, default=0), files[-1].last if files else START
         return recovered
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -402,7 +402,7 @@
     config.write_text(
         json.dumps({"name": "a", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": OPTIONS})
     )
-    assert load(str(config), {}, own=str(own)).fleet.members == {"a": ("10.0.0.1", 5)}
+    assert load(str(config), {}, own=str(own)).cluster.members == {"a": ("10.0.0.1", 5)}
     with pytest.raises(ConfigError) as error:
         load(str(config), {"EDGE_NAME": "q"}, own=str(own))
     assert error.value.key == "fleet.members"
--- a/tests/test_shadow_policy.py
+++ b/tests/test_shadow_policy.py
@@ -126,9 +126,9 @@
 
 def test_the_shadow_settings_stand_beside_those_in_force(own):
     config = own('[watch]\nweights = "live"\nreports = "answers"\n')
-    assert own("").watch is None
+    assert own("").shadow is None
     assert not config.deployment.settings.live_weights
-    changed = config.watch.change(config.deployment.settings)
+    changed = config.shadow.change(config.deployment.settings)
     assert (changed.live_weights, changed.reports_in_responses, changed.fetch_cost) == (True, True, 0.0)
 
 
--- a/tests/test_stored_by_earlier_programs.py
+++ b/tests/test_stored_by_earlier_programs.py
@@ -76,7 +76,7 @@
     assert {id: data.hex() for id, data in found.contents.items()} == kept["contents"]
     promises = {str(n): [p.ballot, p.accepted, p.value] for n, p in found.promises.items()}
     assert as_kept(promises) == kept["promises"]
-    rest = found.votes_barred_up_to, found.operator_override, found.override_ms, found.ended, found.begun
+    rest = found.votes_excluded_up_to, found.operator_override, found.override_ms, found.ended, found.begun
     assert rest == tuple(kept[name] for name in ("bar", "hand", "handed_ms", "ended", "begun"))
 
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -32,7 +32,7 @@
     ProcessStarted,
     RecoveredLog,
     VersionHeld,
-    VotesBarred,
+    VotesExcluded,
     encode,
 )
 from marlseam.cluster.audit_log import IntervalBegun as Interval
@@ -398,17 +398,17 @@
 
 
 def test_a_voter_without_its_memory_votes_only_above_what_it_may_have_promised():
-    replica = make_replica("a", RecoveredLog(votes_barred_up_to=None))
+    replica = make_replica("a", RecoveredLog(votes_excluded_up_to=None))
     assert not replica.voter.may_vote(1)
     assert replica.voter.receive_request(0.0, "b", VoteMessage("prepare", 1, 1, "b/1")) == []
     assert not replica.send_status(0.0, "b", 1)[0].message.votes
     replica.tick(0.0)
     replica.receive_status(1.0, "b", status_response(1, top=4))
-    assert replica.voter.votes_barred_up_to is None
+    assert replica.voter.votes_excluded_up_to is None
     persist = replica.receive_status(1.0, "c", status_response(1, top=3))[-1]
-    assert persist.records == (VotesBarred(5),)
+    assert persist.records == (VotesExcluded(5),)
     replica.persisted(2.0, persist.token)
-    assert replica.voter.votes_barred_up_to == 5
+    assert replica.voter.votes_excluded_up_to == 5
     assert not replica.voter.may_vote(5)
     assert replica.voter.may_vote(6)
 
@@ -597,8 +597,8 @@
 LIFE = ProcessStarted(7, "0.1", "boot", 1000.0, 0.0, LEASE)
 
 
-def interval(number, at_ms, version=0, proved=True, process_number=7):
-    return Interval(process_number, number, "0.1", version, "", "m", 3, proved, True, "", at_ms, at_ms)
+def interval(number, at_ms, version=0, proved=True, generation=7):
+    return Interval(generation, number, "0.1", version, "", "m", 3, proved, True, "", at_ms, at_ms)
 
 
 @pytest.fixture
@@ -633,7 +633,7 @@
 def test_a_ledger_recovers_what_was_written_over_several_files(folder):
     for _ in range(3):
         kept, ledger = loaded(folder)
-        assert kept.votes_barred_up_to == 0
+        assert kept.votes_excluded_up_to == 0
         assert kept.operator_override == "w"
         assert kept.promises[3].ballot == (2, "p")
         assert not ledger.findings
@@ -650,7 +650,7 @@
         kept, ledger = loaded(folder)
         assert not [f for f in ledger.findings if f.code in ("chain", "damaged")]
         assert kept.begun
-        assert kept.votes_barred_up_to == 0 or [f.code for f in ledger.findings] == ["lost"]
+        assert kept.votes_excluded_up_to == 0 or [f.code for f in ledger.findings] == ["lost"]
 
 
 def test_a_changed_byte_breaks_the_chain_and_its_node_does_not_vote(folder):
@@ -659,7 +659,7 @@
     data[len(data) // 2] ^= 1
     path.write_bytes(data)
     kept, ledger = loaded(folder)
-    assert kept.votes_barred_up_to is None
+    assert kept.votes_excluded_up_to is None
     assert {"damaged", "lost"} <= {f.code for f in ledger.findings}
 
 
@@ -678,9 +678,9 @@
     copy.write_bytes(data)
     copy.rename(path)
     kept, ledger = loaded(folder)
-    assert kept.votes_barred_up_to is None
+    assert kept.votes_excluded_up_to is None
     assert "copy" in ledger.findings[-1].text
-    assert loaded(tmp_path)[0].votes_barred_up_to is None  # no first life was begun there
+    assert loaded(tmp_path)[0].votes_excluded_up_to is None  # no first life was begun there
     assert stat.st_ino != path.stat().st_ino
 
 
@@ -690,7 +690,7 @@
         Disk, "identity", lambda disk, name: (real(disk, name)[0], real(disk, name)[1] + 60000.0)
     )
     kept, ledger = loaded(folder)
-    assert kept.votes_barred_up_to is None
+    assert kept.votes_excluded_up_to is None
     assert "changed by another" in ledger.findings[-1].text
 
 
@@ -705,7 +705,7 @@
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, (soft, hard))
     kept, ledger = loaded(folder)
-    assert kept.votes_barred_up_to == 0
+    assert kept.votes_excluded_up_to == 0
     assert kept.operator_override == "w"
     assert ledger.renew() == []
     ledger.close()
@@ -753,7 +753,7 @@
             [
                 BatchWritten(900.0),
                 ProcessStarted(8, "0.1", "boot", 1e6, 0.0, LEASE),
-                interval(2, 1e6, process_number=8),
+                interval(2, 1e6, generation=8),
             ],
             "intervals [1]",
         ),
@@ -1097,7 +1097,7 @@
         Log("new", loop.now),
         peers.settings,
         "a",
-        old.process_number + 1,
+        old.generation + 1,
         9,
         port,
         lambda to, data: None,
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -97,7 +97,7 @@
     )
     hosts = [{"host": "e1", "dial": "127.0.0.1:1"}, {"host": "e2", "dial": "127.0.0.1:2"}]
     yield handover_codec.encode_hello("n1", 17)
-    yield handover_codec.encode_hello("n1", 17, fleet=True, epoch_ms=1.5)
+    yield handover_codec.encode_hello("n1", 17, is_in_cluster=True, epoch_ms=1.5)
     yield handover_codec.encode_proof(handover_codec.VersionProof(number=41, id=DIGEST, mono_ms=42.5))
     yield handover_codec.encode_sent([row])
     yield handover_codec.encode_never(handover_codec.AttemptNeverRan(key="k", server="e1", sent_ms=1000.5))
@@ -133,7 +133,7 @@
     yield audit_log.FileOpened(inode=2)
     yield audit_log.BatchWritten(wall_ms=3.5)
     yield audit_log.ProcessStarted(
-        process_number=4,
+        generation=4,
         program="p",
         boot="b",
         wall_ms=5.5,
@@ -143,7 +143,7 @@
         zero_ms=8.5,
     )
     yield audit_log.IntervalBegun(
-        process_number=11,
+        generation=11,
         interval=12,
         program="p",
         number=13,
@@ -156,14 +156,14 @@
         wall_ms=15.5,
         mono_ms=16.5,
     )
-    yield audit_log.ActionCounts(process_number=21, rows=[(22, 23, 24, 25, 26)], wall_ms=27.5, mono_ms=28.5)
-    yield audit_log.ProcessEnded(process_number=31, wall_ms=32.5, mono_ms=33.5)
+    yield audit_log.ActionCounts(generation=21, rows=[(22, 23, 24, 25, 26)], wall_ms=27.5, mono_ms=28.5)
+    yield audit_log.ProcessEnded(generation=31, wall_ms=32.5, mono_ms=33.5)
     yield audit_log.AcceptorPromise(
         number=41, round=42, place="n1/43", accepted_round=44, accepted_place="n2/45", value=DIGEST
     )
     yield audit_log.ContentStored(id=DIGEST, data=b"content")
     yield audit_log.VersionHeld(number=51, id=DIGEST, wall_ms=52.5)
-    yield audit_log.VotesBarred(number=61)
+    yield audit_log.VotesExcluded(number=61)
     yield audit_log.OperatorOverride(out=True, why="a reason", wall_ms=71.5)
 
 
