--- a/marlseam/cluster/replication/publication.py
+++ b/marlseam/cluster/replication/publication.py
@@ -213,7 +213,7 @@
         replica, number = self.replica, publication.proposer.number
         effects = self.end(publication.result_text(number, content_id), publication)
         if content_id in replica.store.contents:
-            return effects + replica.hold_durably(number, content_id)
+            return effects + replica.persist_and_hold(number, content_id)
         source = replica.random_member(replica.name)
         return effects + replica.fetcher.begin(content_id, number, source)
 
--- a/marlseam/cluster/replication/quorum_lease.py
+++ b/marlseam/cluster/replication/quorum_lease.py
@@ -40,13 +40,13 @@
     at_ms: float
     number: int
     voters: frozenset[str]
-    clear: set[str] = field(default_factory=set)
+    voters_without_later: set[str] = field(default_factory=set)
     highest_promised: dict[str, int] = field(default_factory=dict)
 
     @property
     def has_quorum(self) -> bool:
         """Whether most voters have accepted nothing above the number."""
-        return len(self.clear) >= paxos.majority(self.voters)
+        return len(self.voters_without_later) >= paxos.majority(self.voters)
 
 
 class QuorumLease:
@@ -63,7 +63,7 @@
     def __init__(self, replica: "ConfigReplica") -> None:
         """Begin without a proof."""
         self.replica = replica
-        self.proof_ms = -inf
+        self.proven_at_ms = -inf
         self.stagger_share = crc32(replica.name.encode()) / 2.0**32
         self.last_sequence = 0
         self.reads: dict[int, QuorumRead] = {}
@@ -75,13 +75,13 @@
         """
         return MIN_LEASE_SHARE + (1.0 - MIN_LEASE_SHARE) * self.stagger_share
 
-    def duration_ms(self) -> float:
+    def staggered_lease_ms(self) -> float:
         """Return for how long a proof is good here, in ms of this clock."""
         return self.replica.settings.lease_ms * self.staggered_share() * (1.0 - 2.0 * CLOCK_DRIFT_SHARE)
 
     def expires_ms(self) -> float:
         """Return when the lease ends; -inf without any proof."""
-        return self.proof_ms + self.duration_ms()
+        return self.proven_at_ms + self.staggered_lease_ms()
 
     def is_proven(self, now: float) -> bool:
         """Return whether the version acted on is known to be in force, or was within the lease."""
@@ -89,13 +89,13 @@
 
     def proof_age_ms(self, now: float) -> float:
         """Return an upper bound of the proof's age by any clock, in ms; -1 without any proof."""
-        if self.proof_ms == -inf:
+        if self.proven_at_ms == -inf:
             return -1.0
-        return max(0.0, now - self.proof_ms) * (1.0 + 2.0 * CLOCK_DRIFT_SHARE)
+        return max(0.0, now - self.proven_at_ms) * (1.0 + 2.0 * CLOCK_DRIFT_SHARE)
 
-    def extend(self, proof_ms: float) -> None:
+    def extend(self, proven_at_ms: float) -> None:
         """Take over a proof as of some time, if it is newer than the present one."""
-        self.proof_ms = max(self.proof_ms, proof_ms)
+        self.proven_at_ms = max(self.proven_at_ms, proven_at_ms)
 
     def request_statuses(self, now: float) -> list[Effect]:
         """Ask some members, and as a voter all voters, what they hold."""
@@ -111,7 +111,7 @@
         self.reads.pop(self.last_sequence - MAX_READS, None)
         voter = replica.voter
         if voter.may_vote(replica.number + 1) and voter.highest_accepted() <= replica.number:
-            read.clear.add(replica.name)
+            read.voters_without_later.add(replica.name)
         self.renew(read)
         request = StatusRequest(self.last_sequence, replica.number)
         return [SendMessage(name, request) for name in sorted(recipients)]
@@ -133,7 +133,7 @@
             return []
         read.highest_promised[sender] = status.top
         if status.accepted <= read.number:
-            read.clear.add(sender)
+            read.voters_without_later.add(sender)
             self.renew(read)
         return self.bar_forgotten_votes(read)
 
--- a/marlseam/cluster/replication/replica.py
+++ b/marlseam/cluster/replication/replica.py
@@ -243,7 +243,7 @@
             return self.lease.receive_response(sender, status)
         self.serving.note_known_number(now, status.number)
         if status.id in self.store.contents:
-            return self.hold_durably(status.number, status.id)
+            return self.persist_and_hold(status.number, status.id)
         return self.fetcher.begin(status.id, status.number, sender) if status.id else []
 
     def receive_chunk(self, now: float, sender: str, chunk: Chunk) -> list[Effect]:
@@ -252,12 +252,12 @@
         if completed is None:
             return effects
         if completed.number:
-            effects += self.hold_durably(completed.number, completed.content_id)
+            effects += self.persist_and_hold(completed.number, completed.content_id)
         return effects + self.voter.content_received(now, completed.content_id)
 
     # Holding a version.
 
-    def hold_durably(self, number: int, content_id: str) -> list[Effect]:
+    def persist_and_hold(self, number: int, content_id: str) -> list[Effect]:
         """Hold a version whose content is here, once that is durable."""
         pending = self.pending_version
         if number <= self.number or (pending is not None and pending.number >= number):
@@ -267,7 +267,7 @@
         data = self.store.contents[content_id]
         self.pending_version = PendingVersion(number, content_id)
 
-        def hold_durable(now: float) -> list[Effect]:
+        def on_durable(now: float) -> list[Effect]:
             if number <= self.number:
                 return []
             self.store.contents[content_id] = data  # dropped meanwhile, where another version was held
@@ -276,9 +276,7 @@
                 effects += self.send_status(now, name, 0)
             return effects + self.lease.request_statuses(now)
 
-        return [
-            self.persist((ContentStored(content_id, data), VersionHeld(number, content_id)), hold_durable)
-        ]
+        return [self.persist((ContentStored(content_id, data), VersionHeld(number, content_id)), on_durable)]
 
     def may_be_version(self, content_id: str, number: int) -> bool:
         """Return whether a content is of a version; also where it cannot be read, which is told once held."""
@@ -292,7 +290,7 @@
         self.number, self.content_id, self.pending_version = number, content_id, None
         self.store.held_id = content_id
         if not self.unusable_reason:
-            self.serving.applied_proof_ms = self.lease.proof_ms
+            self.serving.applied_proof_ms = self.lease.proven_at_ms
         self.voter.forget_promises(number)
         content = self.adopt_content(content_id)
         effects = self.publisher.end_overtaken(number, content_id)
--- a/marlseam/cluster/replication/serving.py
+++ b/marlseam/cluster/replication/serving.py
@@ -62,7 +62,7 @@
 
     def lease_ms(self) -> float:
         """Return for how long a proof is good here."""
-        return self.replica.lease.duration_ms()
+        return self.replica.lease.staggered_lease_ms()
 
     def unusable_code(self, now: float) -> str:
         """Return the code of a node that cannot use the version it holds, or nothing while it serves on."""
@@ -76,10 +76,10 @@
         settings, lease = self.replica.settings, self.replica.lease
         if lease.is_proven(now):
             return ""
-        never_proven = lease.proof_ms == -inf
+        never_proven = lease.proven_at_ms == -inf
         if never_proven and (settings.strict or now < self.started_ms + settings.lease_ms):
             return "joining"
-        since = self.started_ms if never_proven else lease.proof_ms
+        since = self.started_ms if never_proven else lease.proven_at_ms
         return "unproved" if settings.strict or now >= since + self.max_unproven_ms() else ""
 
     def max_unproven_ms(self) -> float:
@@ -123,7 +123,7 @@
         settings, lease = self.replica.settings, self.replica.lease
         times = [
             lease.expires_ms(),
-            lease.proof_ms + self.max_unproven_ms(),
+            lease.proven_at_ms + self.max_unproven_ms(),
             self.started_ms + settings.lease_ms,
             self.started_ms + self.max_unproven_ms(),
             self.applied_proof_ms + self.lease_ms(),
--- a/marlseam/core/__init__.py
+++ b/marlseam/core/__init__.py
@@ -38,7 +38,7 @@
     ShutdownBegun,
     TimerFired,
 )
-from marlseam.core.reducer import EVENT_HANDLERS, FORGET_AFTER_POLLS, Follower, Reducer
+from marlseam.core.reducer import EVENT_HANDLERS, FORGET_AFTER_LIST_MAX_AGES, Follower, Reducer
 
 __all__ = [
     "AttemptEnded",
@@ -54,7 +54,7 @@
     "EVENT_HANDLERS",
     "Fail",
     "Follower",
-    "FORGET_AFTER_POLLS",
+    "FORGET_AFTER_LIST_MAX_AGES",
     "Gossip",
     "GossipReceived",
     "HistoryAvailable",
--- a/marlseam/core/effects.py
+++ b/marlseam/core/effects.py
@@ -58,7 +58,7 @@
 
     Attributes:
         request_id: which request.
-        unfit: whether a server has turned it away as a request that no server can use.
+        is_invalid: whether a server has turned it away as a request that no server can use.
         in_flight: the attempts that alone bar a rejection: if none of them has been sent, the request
             is rejected; empty where it is failed in any case.
         retry_after_ms: the advice of that rejection; 0 for none.
--- a/marlseam/core/events.py
+++ b/marlseam/core/events.py
@@ -101,7 +101,7 @@
 
 
 class NotDurable(NamedTuple):
-    """An attempt was not sent, as the record that it may run could not be made durable."""
+    """An attempt was not sent: the record that it may run is not durable, or the node may not serve."""
 
     request_id: str
     attempt_index: int
--- a/marlseam/core/port.py
+++ b/marlseam/core/port.py
@@ -49,7 +49,7 @@
         """Return the time of the event in hand."""
         return self.clock
 
-    def send(self, state: TrackedRequest, server: int, deadline_ms: float) -> None:
+    def send(self, state: TrackedRequest, server: int, time_left_ms: float) -> None:
         """Send a request to a server; under a key it is first put on record that it may run there."""
         request, request_class = state.request, state.request_class
         send_within_ms = inf
@@ -62,7 +62,7 @@
         if request.idempotency_key is not None and request_class.idempotency is not Idempotency.SAFE:
             self.persist(state, request.idempotency_key, server)
         index, name = len(state.attempts) - 1, self.servers.names[server]
-        self.effects.append(SendAttempt(request.request_id, index, name, deadline_ms, send_within_ms))
+        self.effects.append(SendAttempt(request.request_id, index, name, time_left_ms, send_within_ms))
 
     def persist(self, state: TrackedRequest, key: str, server: int) -> None:
         """Put on record that a request may run on a server."""
@@ -97,7 +97,7 @@
             return
         retry_after_ms = 0.0
         if in_flight:
-            retry_after_ms = min(dispatcher.ejection_base_ms, dispatcher.settings.max_retry_after_ms)
+            retry_after_ms = dispatcher.retry_after_ms()
         self.effects.append(Fail(request_id, state.is_invalid, in_flight, retry_after_ms))
 
     def probe(self, server: int) -> None:
--- a/marlseam/core/reducer.py
+++ b/marlseam/core/reducer.py
@@ -47,7 +47,7 @@
     Request,
 )
 
-FORGET_AFTER_POLLS = 60.0  # how long a server must be gone to be forgotten, in ages at which a list is old
+FORGET_AFTER_LIST_MAX_AGES = 60.0  # how long a server must be gone to be forgotten
 
 
 class Follower(Protocol):
@@ -171,7 +171,7 @@
         Guards a node that runs for weeks against figures of every server there ever was.
         """
         dispatcher = self.dispatcher
-        memory_ms = FORGET_AFTER_POLLS * dispatcher.settings.list_max_age_ms
+        memory_ms = FORGET_AFTER_LIST_MAX_AGES * dispatcher.settings.list_max_age_ms
         for name in self.servers.gone_before(self.clock - memory_ms):
             server = self.servers.by_name[name]
             if not dispatcher.own_attempts[server] and dispatcher.probe_sent_ms[server] is None:
@@ -211,7 +211,7 @@
         elif not request.is_recordable and request.is_sendable:
             request = replace(request, is_recordable=True)  # it needs no record
         state = self.dispatcher.accept(request)
-        if not state.is_answered:
+        if not state.is_closed:
             self.open_requests[event.request.request_id] = state
 
     def needs_record(self, request: Request) -> bool:
@@ -259,7 +259,7 @@
         state = self.open_requests.get(event.request_id)
         if state is None:
             return
-        if event.outcome is Outcome.COMPLETED and not state.is_answered:
+        if event.outcome is Outcome.COMPLETED and not state.is_closed:
             self.effects.append(Respond(event.request_id, event.result))
         state.attempt_ended(event.attempt_index, event.outcome, event.final, event.report)
         self.forget_if_over(event.request_id, state)
--- a/marlseam/decisions/dispatcher.py
+++ b/marlseam/decisions/dispatcher.py
@@ -20,14 +20,14 @@
 from marlseam.decisions.types import Port, Request, Settings
 from marlseam.random_source import RandomSource
 
-PROBE_TIMEOUT_IN_OBJECTIVES = (
-    0.25  # in latency objectives of the most urgent request class, as the next three
-)
-REPORT_MAX_AGE_IN_OBJECTIVES = 2.0  # how old home's report may be
+# In latency objectives of the most urgent request class: how long a decision waits for a probe, which itself
+# goes on; how old home's report may be; the next two likewise.
+PROBE_WAIT_IN_OBJECTIVES = 0.25
+REPORT_MAX_AGE_IN_OBJECTIVES = 2.0
 CHECK_INTERVAL_IN_OBJECTIVES = 0.5  # from one periodic check to the next
 MAX_QUEUE_WAIT_IN_OBJECTIVES = 1.0  # the longest wait at a server that a request is sent into
 INITIAL_RUN_IN_OBJECTIVES = 2.0  # the run of a request class not seen yet, in its own latency objectives
-PROBE_TIMEOUT_IN_TICKS = 4.0  # the shortest probe timeout
+MIN_PROBE_WAIT_IN_TICKS = 4.0  # the shortest wait for a probe
 DEADLINE_MARGIN_IN_TICKS = 2.0  # how long before its deadline a request is answered
 PEER_SILENCE_IN_DEADLINES = 2.0  # after which a node's gossip is void, in the longest deadline
 DEFAULT_DEADLINE_MS = 1000.0  # where no request class has one
@@ -63,8 +63,8 @@
         classes, objective_ms = settings.request_classes, settings.shortest_objective_ms
         shortest_deadline_ms = min((each.deadline_ms for each in classes), default=DEFAULT_DEADLINE_MS)
         self.ejection_base_ms = EJECTION_BASE_IN_DEADLINES * shortest_deadline_ms
-        self.probe_timeout_ms = max(
-            PROBE_TIMEOUT_IN_OBJECTIVES * objective_ms, PROBE_TIMEOUT_IN_TICKS * settings.tick_ms
+        self.probe_wait_ms = max(
+            PROBE_WAIT_IN_OBJECTIVES * objective_ms, MIN_PROBE_WAIT_IN_TICKS * settings.tick_ms
         )
         self.report_max_age_ms = REPORT_MAX_AGE_IN_OBJECTIVES * objective_ms
         self.check_interval_ms = CHECK_INTERVAL_IN_OBJECTIVES * objective_ms
@@ -93,16 +93,19 @@
         to_spare_ms = state.time_to_spare_ms(min(self.kind_pace), run_share)
         if state.has_turn:
             state.place()
-        elif (
-            state.max_attempts
-            and state.key_queue is not None
-            and state.key_queue.ahead_ms - state.key_run_ms < to_spare_ms
-        ):
+        elif self.can_be_in_time_behind_key(state, to_spare_ms):
             self.port.after(to_spare_ms, lambda: None if state.has_turn else state.answer())
         else:
-            state.answer()  # it cannot be in time behind those before it
+            state.answer()
         return state
 
+    def can_be_in_time_behind_key(self, state: RequestState, to_spare_ms: float) -> bool:
+        """Return whether a request may be sent at all, and in time behind the others of its key."""
+        queue = state.key_queue
+        if not state.max_attempts or queue is None:
+            return False
+        return queue.ahead_ms - state.key_run_ms < to_spare_ms
+
     def join_key_queue(self, state: RequestState) -> None:
         """Put a request behind the others of its key, where its class asks for one at a time."""
         request = state.request
--- a/marlseam/decisions/eligibility.py
+++ b/marlseam/decisions/eligibility.py
@@ -19,7 +19,7 @@
         """
         dispatcher, now = self.dispatcher, self.dispatcher.port.now()
         sent = len(self.attempts) - len(self.request.prior_attempts)
-        if self.is_answered or self.is_invalid or not self.has_turn:
+        if self.is_closed or self.is_invalid or not self.has_turn:
             return False
         if sent >= min(self.max_attempts, dispatcher.settings.max_attempts):
             return False
@@ -51,7 +51,7 @@
         # Guards a server in slow start against one large request that would overload it.
         if not dispatcher.has_budget(server, dispatcher.relative_cost(self.request)):
             return False
-        # Attempts from before this arrival do not count: what ran then is best asked where it ran.
+        # An attempt of an earlier arrival does not exclude its server: that one is sure to drop the repeat.
         tried = may_have_run[len(self.request.prior_attempts) :]
         attempts_left = len(may_have_run) < dispatcher.settings.max_attempts
         if any(attempt.server == server and (attempt.outcome is None or attempts_left) for attempt in tried):
--- a/marlseam/decisions/endpoints.py
+++ b/marlseam/decisions/endpoints.py
@@ -1,6 +1,6 @@
 """The endpoint list: how its updates are taken in, and when discovery is asked again after a failure."""
 
-from marlseam.decisions.admission import Admission
+from marlseam.decisions.pending_queue import PendingQueue
 from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind
 from marlseam.recovery.saved_list import MAX_CERTAIN_DOUBT
 
@@ -9,7 +9,7 @@
 FIRST_BACKOFF_SHARE = 0.1  # the first poll backoff, in longest poll intervals
 
 
-class EndpointList(Admission):
+class EndpointList(PendingQueue):
     """Takes in updates of the endpoint list."""
 
     next_poll_ms: float
--- a/marlseam/decisions/gossip.py
+++ b/marlseam/decisions/gossip.py
@@ -21,7 +21,7 @@
         super().track_attempt(server, state, attempt_index, slots)
         if self.settings.may_gossip:
             if not self.unpublished_servers:
-                self.port.after(GOSSIP_DELAY_IN_PROBE_TIMEOUTS * self.probe_timeout_ms, self.publish_gossip)
+                self.port.after(GOSSIP_DELAY_IN_PROBE_TIMEOUTS * self.probe_wait_ms, self.publish_gossip)
             self.unpublished_servers[server] = None
 
     def publish_gossip(self) -> None:
--- a/marlseam/decisions/health_checks.py
+++ b/marlseam/decisions/health_checks.py
@@ -12,7 +12,7 @@
 STALL_SILENCE_IN_PROGRESS_PERIODS = 2.2  # silence of a started attempt from which it counts as stalled
 
 
-class HealthChecks(Hedging):
+class ServerHealth(Hedging):
     """Turns what is heard of servers, or not heard, into reports, ejections and readmissions."""
 
     def probe(self, server: int, on_answered: Callable[[int | None], None]) -> None:
@@ -66,7 +66,7 @@
         elif outcome in (Outcome.BROKEN, Outcome.TIMED_OUT):
             self.record_outcome(server, log(OUTLIER_FAILURE_SHARE / HEALTHY_FAILURE_SHARE))
 
-    def is_stalled(self, server: int) -> bool:
+    def detect_stall(self, server: int) -> bool:
         """Return whether an attempt at a server shows no sign of life though one was due.
 
         Only silence counts, not slowness: under overload requests wait long at servers in good health.
--- a/marlseam/decisions/hedging.py
+++ b/marlseam/decisions/hedging.py
@@ -36,7 +36,7 @@
 
     def may_replace(self, state: TrackedRequest, attempt: Attempt) -> bool:
         """Return whether the rules allow another attempt beside, or in place of, one in flight."""
-        if state.is_answered or state.is_queued or attempt.cancelled:
+        if state.is_closed or state.is_queued or attempt.cancelled:
             return False
         if state.request_class.idempotency is Idempotency.UNSAFE:
             return False
--- a/marlseam/decisions/load_estimates.py
+++ b/marlseam/decisions/load_estimates.py
@@ -128,7 +128,7 @@
             self.merge_departure(server, held - mine)
             return
         # Guards against reports that come late: one that misses what has long been running here is old.
-        started_before_ms = sampled_ms - 2.0 * self.probe_timeout_ms
+        started_before_ms = sampled_ms - 2.0 * self.probe_wait_ms
         surely_held = sum(
             slots
             for slots, attempt in own
--- a/marlseam/decisions/outlier_detection.py
+++ b/marlseam/decisions/outlier_detection.py
@@ -24,7 +24,7 @@
         if self.endpoint_state[server] is not EndpointState.READY:
             return True
         probe_sent_ms = self.probe_sent_ms[server]
-        if probe_sent_ms is not None and now - probe_sent_ms > self.probe_timeout_ms:
+        if probe_sent_ms is not None and now - probe_sent_ms > self.probe_wait_ms:
             return True  # a cut link, a machine gone silent, a long pause
         if until_ms is None:
             return False
--- a/marlseam/decisions/admission.py
+++ b/marlseam/decisions/pending_queue.py
@@ -9,12 +9,12 @@
 from math import inf
 from typing import NamedTuple
 
-from marlseam.decisions.health_checks import HealthChecks
-from marlseam.decisions.placement import MIN_SUCCESS_INVERSE
+from marlseam.decisions.health_checks import ServerHealth
+from marlseam.decisions.placement import FULL_PROBING_SUCCESS_SHARE
 from marlseam.decisions.retry import Retry
 from marlseam.decisions.types import EndpointState
 
-MAX_UNSUCCESSFUL_PLACEMENTS = 4  # in one serving of the queue, after which no more are tried
+MAX_UNSUCCESSFUL_PLACEMENTS = 4  # in one serving of the queue; no more are tried once there are more
 MIN_SERVED_CHECK_SHARE = 0.1  # share of periodic checks that place first attempts whatever probes find
 
 
@@ -42,7 +42,7 @@
     state: Retry
 
 
-class Admission(HealthChecks):
+class PendingQueue(ServerHealth):
     """The pending queue and the periodic check."""
 
     pending_queues: dict[QueueKey, list[QueueEntry]]
@@ -67,7 +67,7 @@
         self.is_check_scheduled = False
         for server in list(self.monitored):
             self.check_server(server)
-        served_share = max(MIN_SERVED_CHECK_SHARE, MIN_SUCCESS_INVERSE * self.probe_success_share)
+        served_share = max(MIN_SERVED_CHECK_SHARE, self.probe_success_share / FULL_PROBING_SUCCESS_SHARE)
         self.dispatch_queue(inf if self.random() < served_share else 0.0)
         if self.monitored or self.pending_queues:
             self.schedule_check()
@@ -80,10 +80,14 @@
             return
         if self.endpoint_state[server] is not EndpointState.READY:
             return
-        if (until_ms is None or self.port.now() >= until_ms) and self.is_stalled(server):
+        if (until_ms is None or self.port.now() >= until_ms) and self.detect_stall(server):
             self.eject(server, "attempts stalled" if until_ms is None else "trial attempt stalled")
             self.retry_elsewhere(server)
 
+    def retry_after_ms(self) -> float:
+        """Return when a rejected client may come back: once a server ejected now may be tried again."""
+        return min(self.ejection_base_ms, self.settings.max_retry_after_ms)
+
     def enqueue(self, state: Retry) -> None:
         """Let a request wait; one that is not placed in a serving is put back after it."""
         self.enqueued_count += 1
@@ -99,7 +103,8 @@
     def dispatch_queue(self, max_slots: float = inf) -> None:
         """Serve the pending queue: place requests, and answer those that have waited too long.
 
-        First attempts of `max_slots` or more slots are not tried. One request at a time probes its home, and
+        First attempts of `max_slots` or more slots are not tried: 0 places further attempts alone, which a
+        periodic check does where probes seldom find free slots. One request at a time probes its home, and
         after an unsuccessful one only narrower ones for its kind are tried until the next check. Guards
         against a probe storm: on a node with few requests every home must be probed. Unsuccessful placements
         are bounded. Guards against a burst that has thousands wait, all of them looked at for each outcome.
@@ -131,10 +136,10 @@
         return min(heads)[3] if heads else None
 
     def serve_head(self, key: QueueKey, slots_limit: dict[int, float]) -> bool:
-        """Place or answer the head of a queue; return whether it need not wait on."""
+        """Place or answer the head of a queue; return False if it has to go on waiting."""
         now, (latest_start_ms, _, state) = self.port.now(), heappop(self.pending_queues[key])
         state.is_queued = False
-        if state.is_answered:
+        if state.is_closed:
             return True
         if latest_start_ms < now:
             if not state.in_flight_count():
@@ -142,7 +147,7 @@
             return True
         state.place()
         if not state.is_queued:
-            if not (state.is_answered or state.in_flight_count()):
+            if not (state.is_closed or state.in_flight_count()):
                 self.probing_request = state
             return True
         needs_key_holder = state.request.resource_key is not None and self.settings.fetch_cost
@@ -154,7 +159,7 @@
         """Return whether a request of a queue may be placed now."""
         if unsuccessful > MAX_UNSUCCESSFUL_PLACEMENTS:
             return False
-        if self.probing_request is not None and not self.probing_request.is_answered:
+        if self.probing_request is not None and not self.probing_request.is_closed:
             return False
         return key.is_retry or key.slots < slots_limit[key.kind]
 
--- a/marlseam/decisions/placement.py
+++ b/marlseam/decisions/placement.py
@@ -13,7 +13,7 @@
 from marlseam.decisions.types import Decision
 
 PROBE_LIMIT = 2  # the paper's L_p: other servers that are probed at most
-MIN_SUCCESS_INVERSE = 4.0  # fewer are probed where the share of successful probes is below 1 / this
+FULL_PROBING_SUCCESS_SHARE = 0.25  # share of successful probes below which fewer servers are probed
 
 
 class PlacementChoice(NamedTuple):
@@ -107,7 +107,7 @@
         dispatcher, chosen = self.dispatcher, list[int]()
         if not dispatcher.settings.may_probe or self.has_waited:
             return chosen
-        limit = round(PROBE_LIMIT * min(1.0, MIN_SUCCESS_INVERSE * dispatcher.probe_success_share))
+        limit = round(PROBE_LIMIT * min(1.0, dispatcher.probe_success_share / FULL_PROBING_SUCCESS_SHARE))
         while len(chosen) < limit:
             other = dispatcher.draw_server(
                 lambda server: server != self.home_server
--- a/marlseam/decisions/request_record.py
+++ b/marlseam/decisions/request_record.py
@@ -22,7 +22,7 @@
         arrived_ms: when it arrived.
         max_attempts: attempts allowed by the settings at that time; 0 where nothing of it may be sent.
         attempts: all attempts in the order sent, after those of `request.prior_attempts`.
-        is_answered: whether its final answer has been given.
+        is_closed: whether it has its final answer, or its client has left; nothing more is tried.
         is_queued: whether it waits in the pending queue now; `has_waited`: whether it ever did.
         is_invalid: whether a server has turned it away as a request that no server can use.
         home_server: the home server drawn last; -1 for none.
@@ -42,7 +42,7 @@
             Attempt(server, sent_ms, sent_ms, outcome=Outcome.BROKEN)
             for server, sent_ms in request.prior_attempts
         ]
-        self.is_answered = self.is_queued = self.has_waited = self.is_invalid = False
+        self.is_closed = self.is_queued = self.has_waited = self.is_invalid = False
         self.home_server, self.probe_round_ms = -1, 0.0
         self.probed_servers: list[int] = []
         self.key_queue: KeyQueue | None = None
@@ -58,7 +58,7 @@
 
     def is_over(self) -> bool:
         """Return whether it has its final answer and no attempt in flight."""
-        return self.is_answered and not self.in_flight_count()
+        return self.is_closed and not self.in_flight_count()
 
     @abstractmethod
     def place(self) -> None:
--- a/marlseam/decisions/request_state.py
+++ b/marlseam/decisions/request_state.py
@@ -33,7 +33,7 @@
     def streaming(self, attempt_index: int) -> None:
         """Note that the response is on its way to the client, which thereby has its final answer."""
         self.started(attempt_index)
-        self.is_answered = True
+        self.is_closed = True
 
     def attempt_ended(
         self, attempt_index: int, outcome: Outcome, final: bool, report: LoadReport | None
@@ -49,7 +49,7 @@
         if self.key_queue is not None and outcome in MAY_STILL_RUN:
             self.key_queue.pause(dispatcher.port.after, dispatcher.settings.key_gap_ms)
         dispatcher.record_attempt_end(self, attempt, report)
-        if final or self.is_answered:
+        if final or self.is_closed:
             self.close()
         elif outcome is not Outcome.CANCELLED_UNSENT or not self.in_flight_count():
             # An attempt cancelled in favour of another one that is in flight is not replaced.
--- a/marlseam/decisions/retry.py
+++ b/marlseam/decisions/retry.py
@@ -22,25 +22,22 @@
 
     def answer(self) -> None:
         """Give the one final answer: rejected where a retry by the client is harmless, else failed."""
-        if self.is_answered:
+        if self.is_closed:
             return
-        self.is_answered = True
+        self.is_closed = True
         if self.may_reject_safely():
-            self.dispatcher.port.reject(
-                self, min(self.dispatcher.ejection_base_ms, self.dispatcher.settings.max_retry_after_ms)
-            )
+            self.dispatcher.port.reject(self, self.dispatcher.retry_after_ms())
         else:
             self.dispatcher.port.fail(self)
         self.close()
 
     def close(self) -> None:
         """Cancel what is in flight of a request that has its answer, or whose client has gone."""
-        self.is_answered = True
+        self.is_closed = True
         for index, attempt in enumerate(self.attempts):
             if attempt.outcome is None and not attempt.cancelled:
-                attempt.cancelled = (
-                    True  # where the settings forbid this, the port cancels what is unsent only
-                )
+                # Where the settings forbid this, the port cancels what is unsent only.
+                attempt.cancelled = True
                 self.dispatcher.port.cancel(self, index)
         if self.key_queue is not None and not self.in_flight_count():
             self.key_queue.request_over(self)
--- a/marlseam/decisions/sending.py
+++ b/marlseam/decisions/sending.py
@@ -17,14 +17,14 @@
 
         def answered(server: int | None) -> None:
             nonlocal unanswered
-            if unanswered and not self.is_answered:
+            if unanswered and not self.is_closed:
                 unanswered = unanswered - {server} if server is not None else set()
                 if not unanswered:
                     on_answered()
 
         for server in servers:
             dispatcher.probe(server, answered)
-        dispatcher.port.after(dispatcher.probe_timeout_ms, lambda: answered(None))
+        dispatcher.port.after(dispatcher.probe_wait_ms, lambda: answered(None))
 
     def send(self, server: int) -> None:
         """Send the request to a server, if the rules still allow it."""
--- a/marlseam/decisions/server_stats.py
+++ b/marlseam/decisions/server_stats.py
@@ -44,7 +44,8 @@
         forwarded_since_report: whether a request was forwarded there since its last report.
         own_attempts, own_slots: this node's attempts in flight, as request and attempt index; their slots.
         log_likelihood_ratio: of being an outlier, by the outcomes.
-        ejected_until_ms, ejection_ms: None while not ejected; how long the next ejection is.
+        ejected_until_ms: None in normal service, in the future while ejected, in the past while on trial.
+        ejection_ms: how long the next ejection is.
         is_unresponsive: whether the last probe was not answered.
         identity_doubt: the chance that the entry, of a cached list, is now of another server.
         slow_start_tokens, slow_start_refilled_ms: the token bucket, in mean requests.
@@ -73,7 +74,7 @@
     settings: Settings
     request_classes: tuple[RequestClass, ...]
     ejection_base_ms: float  # the first ejection of a server
-    probe_timeout_ms: float  # how long a probe's answer is waited for
+    probe_wait_ms: float  # how long a probe's answer is waited for
     report_max_age_ms: float  # how old a report may be
     check_interval_ms: float  # from one periodic check to the next
     max_queue_wait_ms: float  # the longest wait at a server that a request is sent into
--- a/marlseam/decisions/types.py
+++ b/marlseam/decisions/types.py
@@ -222,8 +222,8 @@
         idempotency_key: the key under which a repeat is known; None for none.
         resource_key: what it needs or changes; None for none.
         may_be_retry: whether it may be a client's retry.
-        is_recordable: whether it can be put on record that it may run; where that is needed and cannot be
-            done, nothing of it is sent.
+        is_recordable: whether it can be put on record that it may run; False also where it may not be
+            sent. Where a record is needed and cannot be made, nothing of the request is sent.
         is_sendable: whether anything of it may be sent: the node may act.
         prior_attempts: servers, and times of sending, of what may have run under its key before.
     """
@@ -271,7 +271,7 @@
     request: Request
     request_class: RequestClass
     attempts: list[Attempt]
-    is_answered: bool
+    is_closed: bool
     is_queued: bool
     is_invalid: bool
 
@@ -321,7 +321,7 @@
         """Return the time on the node's clock."""
         ...
 
-    def send(self, state: TrackedRequest, server: int, deadline_ms: float) -> None:
+    def send(self, state: TrackedRequest, server: int, time_left_ms: float) -> None:
         """Send a request's last attempt, which has so much time left."""
         ...
 
--- a/marlseam/net/config_requests.py
+++ b/marlseam/net/config_requests.py
@@ -215,7 +215,7 @@
     def version_status(self, now: float, replica: ConfigReplica, interval: IntervalBegun) -> dict[str, Any]:
         """Return which version is held and acted on, and how far that is proven."""
         status = self.service.refresh()
-        age_ms = now - replica.lease.proof_ms
+        age_ms = now - replica.lease.proven_at_ms
         return {
             "version": replica.number,
             "id": replica.content_id,
@@ -228,7 +228,7 @@
             "proved": status.is_proven,
             "code": status.code,
             "proof_age_ms": round(age_ms) if age_ms < now + MAX_PROOF_AGE_MS else None,
-            "lease_ms": round(replica.lease.duration_ms()),
+            "lease_ms": round(replica.lease.staggered_lease_ms()),
         }
 
     def replica_status(self, replica: ConfigReplica) -> dict[str, Any]:
--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -177,22 +177,22 @@
     def share_proof(self) -> None:
         """Tell other processes of this node as of when the version held was in force."""
         replica = self.replica
-        if replica is not None and replica.lease.proof_ms > -inf:
-            proof_ms = replica.lease.proof_ms + self.machine_offset_ms()
-            self.port.share_proof(replica.number, replica.content_id, proof_ms)
+        if replica is not None and replica.lease.proven_at_ms > -inf:
+            proven_at_ms = replica.lease.proven_at_ms + self.machine_offset_ms()
+            self.port.share_proof(replica.number, replica.content_id, proven_at_ms)
 
     def receive_proof(self, number: int, content_id: str, monotonic_ms: float) -> None:
         """Take over a proof from another process of this node, and what it holds if that is later."""
         replica, now = self.replica, self.loop.now()
         if replica is None:
             return
-        proof_ms = monotonic_ms - self.machine_offset_ms()
+        proven_at_ms = monotonic_ms - self.machine_offset_ms()
         if number > replica.number:
             replica.store.contents |= self.node_ledger.merge_other(RecoveredLog()).contents
             if content_id in replica.store.contents:
-                self.carry_out(replica.hold_durably(number, content_id))
-        elif proof_ms <= now:
-            replica.lease.extend(proof_ms)
+                self.carry_out(replica.persist_and_hold(number, content_id))
+        elif proven_at_ms <= now:
+            replica.lease.extend(proven_at_ms)
             self.invalidate()
             self.refresh()
 
--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -33,10 +33,10 @@
 
     Attributes:
         store: the journal and the files of the state directory.
-        turnover: how many servers left the list in how much time, over all processes.
+        departure_rate: how many servers left the list in how much time, over all processes.
         barriers: by request, the number of the record that must be durable before it is sent.
         confirmed_unix_ms: when the list that is held was last confirmed.
-        counted: servers on the list as `turnover` counts them since `counted_ms`.
+        counted: servers on the list as `departure_rate` counts them since `counted_ms`.
         recovered_keys: how many keys were read.
 
     """
--- a/marlseam/net/ledger_client.py
+++ b/marlseam/net/ledger_client.py
@@ -1,4 +1,4 @@
-"""The node's side of its ledger: reads it once its lock can be had, and has a helper process append to it."""
+"""The node's side of its ledger: reads it once its lock can be had, and has a process append to it."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 
 class LedgerClient(LogWriterClient):
-    """Keeps a helper that writes the ledger; `on_recovered` is called with what the ledger holds, once."""
+    """Keeps a process that writes the ledger; `on_recovered` is called with what the ledger holds, once."""
 
     writer_module, what = "marlseam.store.ledger_writer", "the ledger"
     max_retry_delay_ms = MAX_BACKOFF_MS
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -164,7 +164,7 @@
         node = self.node
         records = node.core.idempotency_records
         records.expire(self.loop.now())
-        attempts = (self.message_of(key, trace) for key, trace in records)
+        attempts = (self.message_of(key, record) for key, record in records)
         return handover_codec.encode_snapshot(max(0, node.discovery.version), node.discovery.rows(), attempts)
 
     def finish_if_complete(self) -> None:
@@ -363,10 +363,10 @@
 
     # Messages.
 
-    def message_of(self, key: str, trace: AttemptRecord) -> AttemptSent:
+    def message_of(self, key: str, record: AttemptRecord) -> AttemptSent:
         """Return an attempt as it is told."""
         zones = self.node.config.deployment.zones
-        return AttemptSent(*portable_record(key, trace, zones, self.loop.clock.to_unix))
+        return AttemptSent(*portable_record(key, record, zones, self.loop.clock.to_unix))
 
     def record_of(self, peer: PeerProcess, row: AttemptSent) -> AttemptRecord:
         """Return an attempt by this process's clock."""
--- a/marlseam/net/server_start_times.py
+++ b/marlseam/net/server_start_times.py
@@ -4,15 +4,15 @@
 that is taken for too early ends a server's slow start too soon.
 
 A start that a change tells is taken by the node's own wall clock where that has it shortly before the change
-was told, or since the list that it changes was: both clocks agree then to BELIEVED_MS. Any other is taken for
-the latest of these, the present at most:
+was told, or since the list that it changes was: both clocks agree then to
+MAX_CLOCK_ERROR_MS. Any other is taken for the latest of these, the present at most:
 
 - the start by the node's own wall clock, as it was when the process began;
 - the start by the list's clock, which is at least as far as the latest start that it has told;
 - the present, where a change tells a start that lies long before the list that it changes.
 
-Not noticed: clocks that differ by less than BELIEVED_MS; in a first list, a node whose clock is ahead beside
-a server whose clock is ahead.
+Not noticed: clocks that differ by less than MAX_CLOCK_ERROR_MS; in a first list, a node whose clock is ahead
+beside a server whose clock is ahead.
 """
 
 from collections.abc import Callable, Collection, Iterable
--- a/marlseam/net/upstream/attempts.py
+++ b/marlseam/net/upstream/attempts.py
@@ -42,7 +42,7 @@
         request_id: the node's own name of the request.
         attempt_index: which of its attempts this is.
         server: the server's name.
-        job: the request as its client wrote it.
+        client_request: the request as its client wrote it.
         until_ms: when the attempt times out, by the loop's clock.
         deadline_at_ms: until when the client waits, by the loop's clock.
         await_durable: waits until the attempt is on record and returns whether it is; None for no record.
@@ -180,13 +180,13 @@
         """Wait for the record, send the request and read the answer."""
         order = self.order
         if order.await_durable is not None and not (yield from order.await_durable()):
-            self.settle_not_durable()
+            self.settle_unsent()
             return
         connection = yield from self.acquire()
         stamp = order.stamp.stamp_if_serving() if order.stamp is not None else ""
         if order.stamp is not None and not stamp:
             self.release(connection)
-            self.settle_not_durable()
+            self.settle_unsent()
             return
         yield from self.send_request(connection, stamp)
         yield from self.read_answer(connection)
@@ -334,18 +334,18 @@
         """Post the outcome, unless that was done."""
         if self.is_settled:
             return
-        self.land(outcome)
+        self.remove_from_in_flight(outcome)
         is_complete = outcome is Outcome.COMPLETED
         request_id, attempt_index = self.order.request_id, self.order.attempt_index
         self.attempts.post(AttemptEnded(request_id, attempt_index, outcome, is_complete, report, result))
 
-    def settle_not_durable(self) -> None:
-        """Post that the attempt was not sent, as it is not on record."""
-        self.land(Outcome.CANCELLED_UNSENT)
+    def settle_unsent(self) -> None:
+        """Post that the attempt was not sent: it is not on record, or the node may not serve."""
+        self.remove_from_in_flight(Outcome.CANCELLED_UNSENT)
         self.attempts.post(NotDurable(self.order.request_id, self.order.attempt_index))
 
-    def land(self, outcome: Outcome) -> None:
-        """Take the attempt out of flight."""
+    def remove_from_in_flight(self, outcome: Outcome) -> None:
+        """Note that the attempt is in flight no more."""
         self.is_settled = True
         request_id, attempt_index = self.order.request_id, self.order.attempt_index
         self.attempts.in_flight.pop((request_id, attempt_index), None)
--- a/marlseam/net/upstream/client.py
+++ b/marlseam/net/upstream/client.py
@@ -9,7 +9,7 @@
 from marlseam.net.log import Log
 from marlseam.net.loop import Loop
 from marlseam.net.upstream.attempts import Attempts
-from marlseam.net.upstream.health_checks import HealthChecks
+from marlseam.net.upstream.health_checks import Prober
 from marlseam.net.upstream.pool import ConnectionPool
 from marlseam.net.upstream.timeouts import UpstreamTimeouts
 
@@ -40,7 +40,7 @@
         self.timeouts = timeouts = UpstreamTimeouts.from_deployment(deployment)
         self.pool = ConnectionPool(loop, log, deployment, timeouts, max_connections)
         self.attempts = Attempts(loop, self.pool, deployment, timeouts, post, counters, guard)
-        self.health_checks = HealthChecks(loop, self.pool, deployment, timeouts, post)
+        self.health_checks = Prober(loop, self.pool, deployment, timeouts, post)
 
     def configure(self, deployment: Deployment, max_connections: int) -> None:
         """Take in settings and how many connections to servers there may be."""
--- a/marlseam/net/upstream/health_checks.py
+++ b/marlseam/net/upstream/health_checks.py
@@ -34,7 +34,7 @@
     report: LoadReport | None
 
 
-class HealthChecks:
+class Prober:
     """Carries out health checks; each ends with exactly one `ProbeEnded`."""
 
     def __init__(
--- a/marlseam/net/upstream/pool.py
+++ b/marlseam/net/upstream/pool.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from marlseam.configuration import Deployment
-from marlseam.core import FORGET_AFTER_POLLS
+from marlseam.core import FORGET_AFTER_LIST_MAX_AGES
 from marlseam.net.connection import Connection, Steps, connect
 from marlseam.net.errors import ConnectionEndedError
 from marlseam.net.log import Log, Reason
@@ -97,7 +97,7 @@
         """
         settings, now = self.deployment.settings, self.loop.now()
         retention_ms = (
-            FORGET_AFTER_POLLS * settings.list_max_age_ms if settings.only_draining_excludes else 0.0
+            FORGET_AFTER_LIST_MAX_AGES * settings.list_max_age_ms if settings.only_draining_excludes else 0.0
         )
         for server in [server for server in self.servers.values() if server.name not in names]:
             server.delisted_ms = now if server.delisted_ms is None else server.delisted_ms
--- a/marlseam/shadow_policy.py
+++ b/marlseam/shadow_policy.py
@@ -206,7 +206,7 @@
             case core.AttemptStarted() | core.ResponseStreaming():
                 shadow.started(event.attempt_index)
             case core.ClientLeft():
-                shadow.is_answered = True
+                shadow.is_closed = True
                 self.forget_if_over(shadow)
 
     def attempt_ended(
@@ -230,7 +230,7 @@
             index = len(shadow.attempts) - 1
             self.dispatcher.track_attempt(server, shadow, index, shadow.request.slots)
         elif isinstance(effect, core.Respond | core.Reject | core.Fail):
-            shadow.is_answered = True
+            shadow.is_closed = True
             self.forget_if_over(shadow)
 
     def endpoint_list_updated(self, reducer: core.Reducer, event: core.EndpointListUpdate) -> None:
--- a/marlseam/store/ledger_writer.py
+++ b/marlseam/store/ledger_writer.py
@@ -185,7 +185,7 @@
     def load(self) -> RecoveredLog:
         """Return what the directory adds up to; raises OSError where it cannot be read.
 
-        Where its memory of votes may not be whole, `bar` is None, and `findings` says why.
+        Where its memory of votes may not be whole, `votes_excluded_up_to` is None, and `findings` says why.
         """
         numbers = self.numbers()
         # A file begins with all that counts, so the last two do: the last may be cut short in that.
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -144,8 +144,8 @@
                     yield from sleep(self.loop.now() + LOCK_POLL_MS)
                     continue
             else:
-                # By the process itself: to write 100,000 keys anew here would hold the loop for 0.8 s. And
-                # all that has let a request out is in the directory: no snapshot replaces what was not read.
+                # By the process itself: compacting here would stall the loop. A record is durable before its
+                # request is sent, so no snapshot replaces what was not read.
                 self.compact()
                 yield from self.receive_answers(channel)
                 self.stop_process()
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -234,7 +234,7 @@
     id = digest(data)
     replica.store.contents[id] = data
     replica.store.add_delta_from_predecessor(id)
-    settle(replica, replica.hold_durably(number, id))
+    settle(replica, replica.persist_and_hold(number, id))
 
 
 def status_response(number, id):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -188,7 +188,7 @@
 def test_a_server_long_off_the_list_leaves_the_sums(begun, deployment, alone):
     # Where draining alone binds it is still in use then; forgotten so, it stayed in the sums for good.
     begun.reduce(2.0, core.SettingsChanged(replace(deployment.settings, only_draining_excludes=alone)))
-    for t in (3.0, 4.0 + core.FORGET_AFTER_POLLS * deployment.settings.list_max_age_ms):
+    for t in (3.0, 4.0 + core.FORGET_AFTER_LIST_MAX_AGES * deployment.settings.list_max_age_ms):
         begun.reduce(t, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e1")]))
     node = begun.dispatcher
     assert list(begun.servers.by_name) == ["e1"]
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -42,7 +42,7 @@
 def test_a_request_without_any_server_waits_then_is_rejected(make_dispatcher):
     dispatcher = make_dispatcher()
     state = dispatcher.accept(Request("w", 0, dispatcher.port.clock + 5000.0))
-    assert not state.is_answered
+    assert not state.is_closed
     dispatcher.port.clock += 2000.0
     dispatcher.dispatch_queue()
     assert dispatcher.port.did("reject") == [("reject", "w")]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -887,7 +887,7 @@
     assert (
         min(
             module.check_interval_ms,
-            module.probe_timeout_ms,
+            module.probe_wait_ms,
             module.report_max_age_ms,
             module.max_queue_wait_ms,
             module.mean_slot_ms,
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -39,7 +39,7 @@
     """Gives no answer to what it gives up."""
 
     def answer(self):
-        self.is_answered = True
+        self.is_closed = True
 
 
 class Twice(RequestState):
@@ -49,7 +49,7 @@
         return True
 
     def may_attempt(self):
-        return not self.is_answered and len(self.attempts) < 3
+        return not self.is_closed and len(self.attempts) < 3
 
     def attempt_ended(self, attempt_index, outcome, _final, report):
         super().attempt_ended(
@@ -64,7 +64,7 @@
     """Sends each request to two servers at once."""
 
     def may_attempt(self):
-        return not self.is_answered and len(self.attempts) < 2
+        return not self.is_closed and len(self.attempts) < 2
 
     def send(self, server):
         super().send(server)
@@ -78,9 +78,9 @@
     def close(self):
         super().close()
         if self.attempts and len(self.attempts) < 3:
-            self.is_answered = False
+            self.is_closed = False
             self.send((self.attempts[-1].server + 1) % len(self.dispatcher.endpoint_state))
-            self.is_answered = True
+            self.is_closed = True
 
 
 class Jumps(RequestState):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -228,7 +228,7 @@
     parts.configure(replace(deployment, settings=settings), 64)
     parts.update_endpoints(set(), {})
     assert ("e1" in parts.pool.servers) is kept
-    monkeypatch.setattr(pool_module, "FORGET_AFTER_POLLS", 0.0)  # its time is over
+    monkeypatch.setattr(pool_module, "FORGET_AFTER_LIST_MAX_AGES", 0.0)  # its time is over
     parts.update_endpoints(set(), {})
     assert "e1" not in parts.pool.servers
 
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -59,7 +59,7 @@
 def test_a_server_with_an_overdue_probe_is_avoided(make_dispatcher):
     dispatcher = make_dispatcher(0.0)
     dispatcher.probe(0, lambda _server: None)
-    dispatcher.port.clock += 2.0 * dispatcher.probe_timeout_ms
+    dispatcher.port.clock += 2.0 * dispatcher.probe_wait_ms
     assert ready(dispatcher) == []
 
 
@@ -68,7 +68,7 @@
     state = make_request(dispatcher, attempts=((0, None),))
     state.started(0)
     dispatcher.port.clock += 3000.0
-    assert dispatcher.is_stalled(0)
+    assert dispatcher.detect_stall(0)
 
 
 def test_a_long_wait_in_a_queue_is_no_stall(make_dispatcher, make_request):
@@ -76,7 +76,7 @@
     make_request(dispatcher, attempts=((0, None),))
     dispatcher.port.clock += 3000.0
     dispatcher.last_report_ms[0] = dispatcher.port.clock
-    assert not dispatcher.is_stalled(0)
+    assert not dispatcher.detect_stall(0)
 
 
 def test_a_stale_connection_says_nothing_of_its_server(make_dispatcher, make_request):
@@ -102,12 +102,12 @@
     make_request(dispatcher, attempts=((0, None),))
     dispatcher.port.clock += 3.0 * dispatcher.report_max_age_ms
     dispatcher.last_report_ms[0], dispatcher.free_slots[0] = dispatcher.port.clock, 4.0
-    assert dispatcher.is_stalled(0)
+    assert dispatcher.detect_stall(0)
     dispatcher.eject(0, "test")
     dispatcher.retry_elsewhere(0)
     dispatcher.port.clock = dispatcher.ejected_until_ms[0] + 3.0 * dispatcher.report_max_age_ms
     assert ready(dispatcher) == [0]
-    assert not dispatcher.is_stalled(0)
+    assert not dispatcher.detect_stall(0)
     make_request(dispatcher, 1, ((0, None),))
     assert ready(dispatcher) == []
 
@@ -119,7 +119,7 @@
     dispatcher.refresh_period_ms, dispatcher.free_slots[0] = 1000.0, 4.0
     dispatcher.port.clock += 2.5 * dispatcher.report_max_age_ms
     dispatcher.last_report_ms[0] = dispatcher.port.clock - 1.0
-    assert not dispatcher.is_stalled(0)
+    assert not dispatcher.detect_stall(0)
     dispatcher.port.clock += 1000.0
     dispatcher.last_report_ms[0] = dispatcher.port.clock - 1.0
-    assert dispatcher.is_stalled(0)
+    assert dispatcher.detect_stall(0)
--- a/tests/test_shadow_policy.py
+++ b/tests/test_shadow_policy.py
@@ -95,7 +95,7 @@
         (Decision.HOME, Decision.PROBE_HOME),
     }  # another home was drawn
     assert set(watch.otherwise) <= by_chance
-    assert all(not state.is_answered or state.in_flight_count() for state in watch.open_requests.values())
+    assert all(not state.is_closed or state.in_flight_count() for state in watch.open_requests.values())
 
 
 def test_a_known_difference_is_counted():
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -110,7 +110,7 @@
     """Have a replica hold a content."""
     data = write(some)
     replica.store.contents[digest(data)] = data
-    persist = replica.hold_durably(some.number, digest(data))[-1]
+    persist = replica.persist_and_hold(some.number, digest(data))[-1]
     return replica.persisted(now, persist.token)
 
 
@@ -345,7 +345,7 @@
 
 
 def test_leases_of_members_end_one_after_another():
-    ends = sorted(make_replica(name).lease.duration_ms() for name in NAMES)
+    ends = sorted(make_replica(name).lease.staggered_lease_ms() for name in NAMES)
     assert ends[0] >= 0.49 * LEASE
     assert ends[-1] < LEASE
     assert min(b - a for a, b in zip(ends, ends[1:], strict=False)) > 0.0
@@ -1106,7 +1106,7 @@
     new.start()
     assert new.is_beside
     assert not new.serving_status.is_serving
-    new.receive_proof(0, "", 1000.0 * loop.clock.zero + old.replica.lease.proof_ms)
+    new.receive_proof(0, "", 1000.0 * loop.clock.zero + old.replica.lease.proven_at_ms)
     assert new.serving_status.is_serving
     assert not new.replica.voter.may_vote(1)
     for acting in (old, new, new):
@@ -1238,7 +1238,7 @@
     replica = make_replica("a")
     data = write(content(format=FORMAT + 1))
     replica.store.contents[digest(data)] = data
-    persist = replica.hold_durably(1, digest(data))[-1]
+    persist = replica.persist_and_hold(1, digest(data))[-1]
     replica.persisted(0.0, persist.token)
     assert replica.number == 1
     assert replica.unusable_reason
@@ -1250,7 +1250,7 @@
             name,
             status_response(replica.lease.last_sequence, number=1, id=replica.content_id, accepted=1),
         )
-    assert replica.lease.proof_ms == -inf
+    assert replica.lease.proven_at_ms == -inf
 
 
 def test_a_strict_node_that_starts_with_an_unusable_version_never_serves():
