--- a/marlseam/net/invariants.py
+++ b/marlseam/net/invariants.py
@@ -88,8 +88,8 @@
 class SendGuard:
     """Checks each attempt right before it begins.
 
-    `slow_start` returns a server's whole slow start budget in mean requests, inf where it is not in slow start, and the
-    size of a request of some class and width.
+    `slow_start` returns a server's whole slow start budget in mean requests, inf where it is not in slow
+    start, and the size of a request of some class and width.
     """
 
     def __init__(
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -205,7 +205,7 @@
     """Takes one voter for a quorum."""
 
     def renew(self, read):
-        if read.clear:
+        if read.voters_without_later:
             self.extend(read.at_ms)
 
 
