--- a/marlseam/cluster/replication/quorum_lease.py
+++ b/marlseam/cluster/replication/quorum_lease.py
@@ -32,7 +32,7 @@
         at_ms: when it was asked, by the replica's clock.
         number: the version held then.
         voters: who votes on the next version.
-        clear: voters that have accepted nothing above `number`.
+        voters_without_later: voters that have accepted nothing above `number`.
         highest_promised: the highest number of which each voter has promised anything.
 
     """
@@ -53,7 +53,7 @@
     """The proof that a replica has, and the quorum reads that renew it.
 
     Attributes:
-        proof_ms: as of when the version held was in force; -inf without any proof.
+        proven_at_ms: as of when the version held was in force; -inf without any proof.
         stagger_share: this member's place, 0 to 1, between the first and the last that leave service.
         last_sequence: the sequence number of the last quorum read.
         reads: quorum reads whose responses still count, by sequence number.
