--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -2,6 +2,7 @@
 
 Each line of the file reads `test id | cause | issue`. All tests run. The run fails where an unlisted test
 fails, a listed test passes or does not exist, the file holds more than MOST entries, or a line is malformed.
+A test whose cause begins with `flaky:` fails in some runs alone, so it may pass too; either is printed.
 """
 
 from collections.abc import Iterator
@@ -13,6 +14,7 @@
 FILE = "KNOWN-RED.txt"
 MOST = 3  # entries that the file may hold
 SEPARATOR = " | "
+FLAKY = "flaky:"  # how the cause of a test begins that fails in some runs alone
 
 
 class MalformedEntry(Exception):
@@ -27,6 +29,11 @@
     cause: str
     issue: str
 
+    @property
+    def is_flaky(self) -> bool:
+        """Return whether the test may pass too."""
+        return self.cause.startswith(FLAKY)
+
 
 def entry_from(line: str) -> Entry:
     """Read one line of the file; raises MalformedEntry."""
@@ -81,8 +88,8 @@
 
     def contradictions(self) -> Iterator[str]:
         """Yield each way in which the file is not true of this run."""
-        for test in self.entries:
-            if test in self.ran - self.failed:
+        for test, entry in self.entries.items():
+            if test in self.ran - self.failed and not entry.is_flaky:
                 yield f"{FILE}: {test} does not fail any more: take it off"
             elif self.whole and test not in self.collected:
                 yield f"{FILE}: {test} does not exist"
@@ -94,6 +101,11 @@
         for test in sorted(self.failed & self.entries.keys()):
             entry = self.entries[test]
             terminalreporter.write_line(f"known failure: {test}: {entry.cause} ({entry.issue})")
+        for test, entry in self.entries.items():
+            if entry.is_flaky and test in self.ran - self.failed:
+                terminalreporter.write_line(
+                    f"known to fail at times, passed: {test}: {entry.cause} ({entry.issue})"
+                )
         for problem in self.problems:
             terminalreporter.write_line(problem, red=True)
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -61,6 +61,24 @@
     assert says in printed
 
 
+@pytest.mark.parametrize(
+    ("body", "says"), [("pass", "known to fail at times, passed"), ("assert 0", "known failure")]
+)
+def test_a_flaky_test_that_is_listed_may_pass_or_fail_and_is_printed(tmp_path, body, says):
+    line = "test_it.py::test_at_times | flaky: on busy cores | issue 4"
+    status, printed = play(tmp_path, line, tests=f"def test_at_times(): {body}")
+    assert status == 0
+    assert f"{says}: test_it.py::test_at_times: flaky: on busy cores (issue 4)" in printed
+
+
+def test_a_flaky_test_that_is_gone_fails_the_run(tmp_path):
+    status, printed = play(
+        tmp_path, "test_it.py::test_gone | flaky: at times | issue 4", tests="def test_good(): pass"
+    )
+    assert status == 1
+    assert "test_gone does not exist" in printed
+
+
 def test_a_list_without_failures_fails_a_run_that_passes(tmp_path):
     status, printed = play(tmp_path, BAD, tests="def test_bad(): pass")
     assert status == 1
