--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -123,6 +123,36 @@
     assert not begun.open_requests
 
 
+def fire_timers_until_answered(begun, effects, request_ids):
+    """Let timers fire in the order of their times until these requests have final answers; return those."""
+    timers, clock, answers = [], 2.0, []
+    while {answer.request_id for answer in answers} != request_ids:
+        timers += [(clock + timer.delay_ms, timer.timer_id) for timer in of(effects, core.SetTimer)]
+        clock, timer_id = min(timers)
+        timers.remove((clock, timer_id))
+        effects = begun.reduce(clock, core.TimerFired(timer_id))
+        answers += of(effects, core.Reject) + of(effects, core.Fail)
+    return answers
+
+
+def test_requests_that_waited_too_long_are_answered_and_forgotten(begun):
+    gone = [entry("e1", EndpointState.GONE), entry("e2", EndpointState.GONE)]
+    begun.reduce(1.5, core.EndpointListUpdate(ListUpdateKind.DELTA, gone))
+    effects = take(begun, "1", class_index=0) + take(begun, "2", class_index=1)
+    answers = fire_timers_until_answered(begun, effects, {"1", "2"})
+    assert [type(answer) for answer in answers] == [core.Reject, core.Reject]
+    assert not begun.open_requests
+
+
+def test_a_shutdown_forgets_what_it_answers_while_it_waits(begun):
+    gone = [entry("e1", EndpointState.GONE), entry("e2", EndpointState.GONE)]
+    begun.reduce(1.5, core.EndpointListUpdate(ListUpdateKind.DELTA, gone))
+    take(begun)
+    timer = of(begun.reduce(3.0, core.ShutdownBegun(100.0)), core.SetTimer)[-1]
+    assert of(begun.reduce(103.0, core.TimerFired(timer.timer_id)), core.Reject)
+    assert not begun.open_requests
+
+
 def test_a_server_long_gone_is_forgotten(begun):
     begun.reduce(10.0, core.EndpointListUpdate(ListUpdateKind.DELTA, [entry("e1", EndpointState.GONE)]))
     begun.reduce(1e6, core.EndpointListUpdate(ListUpdateKind.DELTA, []))
