--- a/marlseam/core/invariants.py
+++ b/marlseam/core/invariants.py
@@ -7,10 +7,18 @@
 def check_reducer(reducer: Reducer) -> None:
     """Raise InvariantError unless all invariants of a reducer that has started hold."""
     check_dispatcher(reducer.dispatcher)
+    check_open_requests(reducer)
     check_attempts(reducer)
     check_server_indices(reducer)
 
 
+def check_open_requests(reducer: Reducer) -> None:
+    """Check that no request is held that has its final answer and no attempt in flight."""
+    for request_id, state in reducer.open_requests.items():
+        if state.is_over():
+            raise InvariantError("request that is over", -1, None, request_id)
+
+
 def check_attempts(reducer: Reducer) -> None:
     """Check that all attempts in flight of open requests, and no others, are tracked at servers."""
     in_flight = sum(state.in_flight_count() for state in reducer.open_requests.values())
--- a/marlseam/core/reducer.py
+++ b/marlseam/core/reducer.py
@@ -45,6 +45,7 @@
     ListUpdateKind,
     Outcome,
     Request,
+    TrackedRequest,
 )
 
 FORGET_AFTER_LIST_MAX_AGES = 60.0  # how long a server must be gone to be forgotten
@@ -279,10 +280,20 @@
             ended = AttemptEnded(event.request_id, event.attempt_index, Outcome.CANCELLED_UNSENT, False, None)
             self.attempt_ended(ended)
 
-    def forget_if_over(self, request_id: str, state: RequestState) -> None:
+    def reject(self, state: TrackedRequest, retry_after_ms: float) -> None:
+        """Reject a request, and forget it where nothing of it is in flight: no event would do so later."""
+        super().reject(state, retry_after_ms)
+        self.forget_if_over(state.request.request_id, state)
+
+    def fail(self, state: TrackedRequest) -> None:
+        """Fail a request, and forget it where nothing of it is in flight: no event would do so later."""
+        super().fail(state)
+        self.forget_if_over(state.request.request_id, state)
+
+    def forget_if_over(self, request_id: str, state: TrackedRequest) -> None:
         """Forget a request that has its answer and no attempt in flight."""
-        if state.is_over():
-            del self.open_requests[request_id]
+        if state.is_closed and not state.in_flight_count():
+            self.open_requests.pop(request_id, None)
 
     # What may have run before this node started, or in other processes of it.
 
