--- a/examples/fleet.py
+++ b/examples/fleet.py
@@ -5,19 +5,19 @@
 Each work unit's body may say what it costs, as {"work": 300} in ms; the answer names who ran it.
 """
 
-from marlseam.standin.base import Stand
-from marlseam.standin.executors import Host
-from marlseam.standin.roster import Directory
-from marlseam.world import fleet
-from marlseam.world.model import Day, Fleet, Kind, Type
+from marlseam.emulators.base import Stand
+from marlseam.emulators.discovery import Directory
+from marlseam.emulators.servers import Host
+from marlseam.simulation import fleet
+from marlseam.simulation.model import Day, Fleet, RequestType, ServerKind
 
 LIST_PORT = 8500
 DAY = Day(
     seconds=1.0,
-    fleet=Fleet(zones=["here"], nodes=1, kinds=[Kind(name="plain", executors=3, slots=2, queue=8)]),
+    fleet=Fleet(zones=["here"], nodes=1, kinds=[ServerKind(name="plain", executors=3, slots=2, queue=8)]),
     types=[
-        Type(name="statement", share=1.0, work_ms=200.0, promised_ms=500.0, limit_ms=10000.0),
-        Type(
+        RequestType(name="statement", share=1.0, work_ms=200.0, promised_ms=500.0, limit_ms=10000.0),
+        RequestType(
             name="posting", share=1.0, work_ms=400.0, promised_ms=1000.0, limit_ms=20000.0, effect="exclusive"
         ),
     ],
--- a/examples/members.py
+++ b/examples/members.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 from uuid import uuid4
 
+from marlseam.simulation.model import Day, Fleet, RequestType, ServerKind, node_settings
 from marlseam.store.ledger_writer import create_ledger
-from marlseam.world.model import Day, Fleet, Kind, Type, node_settings
 
 NODES = 7
 VOTERS = ["n0", "n1", "n2"]
@@ -31,8 +31,8 @@
 REQUEST_INTERVAL_S = 0.02
 DAY = Day(
     seconds=1.0,
-    fleet=Fleet(zones=["here"], nodes=NODES, kinds=[Kind(name="plain", executors=3, slots=2, queue=8)]),
-    types=[Type(name="statement", share=1.0, work_ms=200.0, promised_ms=500.0, limit_ms=10000.0)],
+    fleet=Fleet(zones=["here"], nodes=NODES, kinds=[ServerKind(name="plain", executors=3, slots=2, queue=8)]),
+    types=[RequestType(name="statement", share=1.0, work_ms=200.0, promised_ms=500.0, limit_ms=10000.0)],
 )
 
 
--- a/marlseam/cli/common.py
+++ b/marlseam/cli/common.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from marlseam.experiment import file
-from marlseam.world.model import Day, read_day
+from marlseam.simulation.model import Day, read_day
 
 
 def day(path: Path) -> Day:
--- a/marlseam/cli/load.py
+++ b/marlseam/cli/load.py
@@ -12,8 +12,8 @@
 
 if TYPE_CHECKING:
     from marlseam.load.generator import NodePlace
-    from marlseam.world.model import Day
-    from marlseam.world.plan import Arrival
+    from marlseam.simulation.model import Day
+    from marlseam.simulation.plan import Arrival
 
 FILE = click.Path(path_type=Path, exists=True, dir_okay=False)
 
@@ -48,7 +48,7 @@
     from marlseam.load.tally import Tally
     from marlseam.load.verdict import merge, table
     from marlseam.records import RecordStreams
-    from marlseam.world.chance import stream
+    from marlseam.simulation.chance import stream
 
     _check_addresses(nodes)
     played_day = common.day(day)
--- a/marlseam/cli/standin.py
+++ b/marlseam/cli/standin.py
@@ -43,7 +43,7 @@
 )
 def executors(day: Path, seed: int, records: Path | None, now: bool, part: str, nodelay: bool) -> None:
     """Run a day's executors; the ready line holds their addresses."""
-    from marlseam.standin.executors import serve
+    from marlseam.emulators.servers import serve
 
     serve(common.day(day), seed, records, now, nodelay, part)
 
@@ -59,7 +59,7 @@
 )
 def roster(day: Path, seed: int, records: Path | None, now: bool, dials: Path) -> None:
     """Run a day's roster; the ready line holds an address for each node."""
-    from marlseam.standin.roster import serve
+    from marlseam.emulators.discovery import serve
 
     serve(common.day(day), seed, json.loads(dials.read_text()), records, now)
 
@@ -75,7 +75,7 @@
 )
 def network(day: Path, seed: int, records: Path | None, now: bool, addresses: Path) -> None:
     """Run the network between zones and executors; the ready line holds the addresses to dial, by zone."""
-    from marlseam.standin.network import serve
+    from marlseam.emulators.network import serve
 
     serve(common.day(day), seed, json.loads(addresses.read_text()), records, now)
 
@@ -115,6 +115,6 @@
 )
 def echo(stalls: list[tuple[float, float]]) -> None:
     """Run a node that completes everything at once; the ready line holds its address."""
-    from marlseam.standin.echo import serve
+    from marlseam.emulators.echo import serve
 
     serve(list(stalls))
--- a/marlseam/standin/clocks.py
+++ b/marlseam/emulators/clocks.py
@@ -1,6 +1,6 @@
 """A node whose clocks are odd: the monotonic one runs at another rate, the wall clock is off by a jump.
 
-MARLSEAM_CLOCKS="RATE JUMP_MS" python -m marlseam.standin.clocks serve ...
+MARLSEAM_CLOCKS="RATE JUMP_MS" python -m marlseam.emulators.clocks serve ...
 
 The process that writes for it has the machine's own clocks.
 """
--- a/marlseam/standin/roster.py
+++ b/marlseam/emulators/discovery.py
@@ -14,13 +14,13 @@
 from marlseam import records
 from marlseam.core import EndpointEntry
 from marlseam.decisions.types import EndpointState
+from marlseam.emulators.base import Door, Stand, reply
 from marlseam.net.connection import Connection, Steps
 from marlseam.net.loop import READ, READY, Task, sleep
 from marlseam.net.protocol import LIST_PATH
-from marlseam.standin.base import Door, Stand, reply
-from marlseam.world import troubles
-from marlseam.world.model import Day, placed_nodes, placed_servers
-from marlseam.world.roster import EndpointList
+from marlseam.simulation import faults
+from marlseam.simulation.discovery import EndpointList
+from marlseam.simulation.model import Day, placed_nodes, placed_servers
 
 HEALTH = {EndpointState.READY: "active", EndpointState.DRAINING: "leaving", EndpointState.GONE: "left"}
 
@@ -32,7 +32,7 @@
         self,
         stand: Stand,
         day: Day,
-        schedule: list[troubles.ScheduledFault],
+        schedule: list[faults.ScheduledFault],
         dials: Mapping[str, Mapping[str, str]],
         port: int = 0,
     ) -> None:
@@ -54,7 +54,7 @@
         self.doors: dict[str, Door] = {}
         for name, zone in placed_nodes(day):
             self.doors[name] = Door(stand, name, self.handler(name, zone), 0 if self.doors else port)
-        for news in troubles.listings(day, schedule):
+        for news in faults.listings(day, schedule):
             stand.at(
                 news.at, lambda news=news: self.change(self.row(news.server, news.state, news.started_ms))
             )
@@ -158,5 +158,5 @@
 ) -> None:
     """Run a day's roster until the end."""
     stand = Stand("roster", folder)
-    directory = Directory(stand, day, troubles.schedule(day, seed), dials)
+    directory = Directory(stand, day, faults.schedule(day, seed), dials)
     stand.run({"rosters": {name: door.address for name, door in directory.doors.items()}}, now)
--- a/marlseam/standin/disk.py
+++ b/marlseam/emulators/disk.py
@@ -1,7 +1,7 @@
 """A disk that is slow, hangs, fails or keeps its lock, behind the calls of a real node's writer process.
 
-python -m marlseam.standin.disk serve ...    a node whose writer process writes to such a disk
-python -m marlseam.standin.disk FOLDER ...   that process, with the arguments of marlseam.store.writer_process
+python -m marlseam.emulators.disk serve ...   a node whose writer process writes to such a disk
+python -m marlseam.emulators.disk FOLDER ...   it, with the arguments of marlseam.store.writer_process
 
 MARLSEAM_DISK holds the faults as JSON (`Faults`). A call that hangs, and a lock that is held on, end once the
 file that MARLSEAM_DISK_OVER names is there, so that an experiment leaves no process behind.
@@ -16,10 +16,10 @@
 
 import msgspec
 
+from marlseam.simulation.model import NotNegative, Strict
 from marlseam.store import writer_process
 from marlseam.store.errors import NodeGoneError
 from marlseam.store.writer_process import NodeBoundDisk
-from marlseam.world.model import NotNegative, Strict
 
 FAULTS, OVER = "MARLSEAM_DISK", "MARLSEAM_DISK_OVER"
 LOOK_S = 0.02
@@ -99,7 +99,7 @@
         from marlseam.__main__ import main as marlseam
         from marlseam.store.state_store import StateStore
 
-        StateStore.writer_module = "marlseam.standin.disk"
+        StateStore.writer_module = "marlseam.emulators.disk"
         marlseam()
         return
     writer_process.main(disk_type=Faulty)
--- a/marlseam/standin/faulty.py
+++ b/marlseam/emulators/faulty.py
@@ -1,6 +1,6 @@
 """One node, as `serve` runs it, whose system calls fail at times, whose clock is off, whose decisions err.
 
-`python -m marlseam.standin.faulty serve ...`; what fails is told by the environment (`FAULTS`) as JSON of
+`python -m marlseam.emulators.faulty serve ...`; what fails is told by the environment (`FAULTS`) as JSON of
 `Faults`. The calls are wrapped in this process alone, below the node's own code.
 """
 
--- a/marlseam/standin/network.py
+++ b/marlseam/emulators/network.py
@@ -11,12 +11,12 @@
 from pathlib import Path
 
 from marlseam import records
+from marlseam.emulators.base import Stand
 from marlseam.net.loop import READ, WRITE, Cancelled, Coroutine, Loop, Task, sleep
-from marlseam.standin.base import Stand
-from marlseam.world import troubles
-from marlseam.world.chance import stream
-from marlseam.world.model import Day, placed_servers
-from marlseam.world.network import Links
+from marlseam.simulation import faults
+from marlseam.simulation.chance import stream
+from marlseam.simulation.model import Day, placed_servers
+from marlseam.simulation.network import Links
 
 CHUNK = 65536
 
@@ -170,7 +170,7 @@
             host, _, port = addresses[name].rpartition(":")
             passages[zone, name] = Passage(stand, lines, zone, name, place, (host, int(port)))
 
-    def cut(met: troubles.ScheduledFault, on: bool) -> None:
+    def cut(met: faults.ScheduledFault, on: bool) -> None:
         lines.set_blocked(lines.cut_zones, met.targets[0], on)
         writer.add(records.LinkChanged(t=stand.now(), by="network", a=met.targets[0], b="*", mended=not on))
         if not on:
@@ -178,10 +178,10 @@
                 if (passage.zone == met.targets[0]) != (passage.place == met.targets[0]):
                     passage.mend()
 
-    def slow(met: troubles.ScheduledFault, on: bool) -> None:
+    def slow(met: faults.ScheduledFault, on: bool) -> None:
         lines.set_zone_slow(met.targets[0], met.trouble.size, met.trouble.part, on)
 
-    for met in troubles.schedule(day, seed):
+    for met in faults.schedule(day, seed):
         if met.trouble.what == "slow_link":
             stand.at(met.at, lambda met=met: slow(met, True))
             stand.at(met.until, lambda met=met: slow(met, False))
--- a/marlseam/standin/older.py
+++ b/marlseam/emulators/older.py
@@ -1,6 +1,6 @@
 """A node as an older program runs: it knows no content of the present format.
 
-python -m marlseam.standin.older serve ...
+python -m marlseam.emulators.older serve ...
 """
 
 from marlseam.__main__ import main
--- a/marlseam/standin/executors.py
+++ b/marlseam/emulators/servers.py
@@ -8,16 +8,16 @@
 
 from marlseam import records
 from marlseam.decisions.types import LoadReport
+from marlseam.emulators.base import Door, Stand, reply
 from marlseam.net.connection import MAX_AHEAD_BYTES, Connection, ConnectionEndedError, Steps
 from marlseam.net.log import Reason
 from marlseam.net.loop import READ, READY, sleep
 from marlseam.net.protocol import ACTING, ID, LOAD_PATH, NEVER_RAN, RECEIPT, TYPE, Head
-from marlseam.standin.base import Door, Stand, reply
-from marlseam.world import fleet, troubles
-from marlseam.world.executor import Server
-from marlseam.world.job import Job, JobEvent
-from marlseam.world.model import Day
-from marlseam.world.troubles import ScheduledFault
+from marlseam.simulation import faults, fleet
+from marlseam.simulation.faults import ScheduledFault
+from marlseam.simulation.job import Job, JobEvent
+from marlseam.simulation.model import Day
+from marlseam.simulation.server import Server
 
 
 class Order(msgspec.Struct):
@@ -158,7 +158,7 @@
             case ("crash", False) | ("grow", True):
                 self.rise(t)
             case _:
-                self.executor.fault_effects = troubles.fault_effects(schedule, self.name, t)
+                self.executor.fault_effects = faults.fault_effects(schedule, self.name, t)
                 self.next = inf
                 self.look()
 
@@ -245,7 +245,7 @@
 ) -> None:
     """Run a day's executors, or one part of so many, until the end."""
     stand = Stand("executors", folder)
-    schedule = troubles.schedule(day, seed)
+    schedule = faults.schedule(day, seed)
     which, of = (int(number) for number in part.split("/"))
     made = list(fleet.build(day, seed, schedule).values())[which - 1 :: of]
     hosts = {executor.name: Host(stand, executor, day, nodelay) for executor in made}
--- a/marlseam/experiment/compare.py
+++ b/marlseam/experiment/compare.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from marlseam.world.chance import stream
+from marlseam.simulation.chance import stream
 
 ROUNDS = 2000
 INSIDE = (2.5, 97.5)  # percentiles of the interval
--- a/marlseam/experiment/file.py
+++ b/marlseam/experiment/file.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from marlseam.world.model import Day, Strict, placed_nodes, placed_servers
+from marlseam.simulation.model import Day, Strict, placed_nodes, placed_servers
 
 
 class FileError(Exception):
--- a/marlseam/experiment/fleet.py
+++ b/marlseam/experiment/fleet.py
@@ -42,6 +42,7 @@
 from marlseam.cluster.replication import messages
 from marlseam.cluster.replication.messages import StatusResponse
 from marlseam.cluster.replication.replica import ConfigReplica, ReplicationSettings
+from marlseam.emulators import clocks
 from marlseam.experiment import file, plays
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import Played, Say, play
@@ -49,9 +50,17 @@
 from marlseam.experiment.sockets import Sockets
 from marlseam.load.process import arrivals_of
 from marlseam.random_source import RandomSource
-from marlseam.standin import clocks
+from marlseam.simulation.model import (
+    Count,
+    Day,
+    NotNegative,
+    Positive,
+    Share,
+    Strict,
+    node_settings,
+    placed_nodes,
+)
 from marlseam.store.ledger_writer import create_ledger
-from marlseam.world.model import Count, Day, NotNegative, Positive, Share, Strict, node_settings, placed_nodes
 
 SAID = re.compile(r"member (\S+) (here|suspect|gone|left) life=(\d+)")
 ACTED = re.compile(r"acts on version (\d+)|(in service)$|fleet code=(\S+): out of service")
@@ -172,7 +181,7 @@
     def module(self, name: str) -> str:
         """Return what a node runs as."""
         odd = "older" if name in self.table.older else "clocks" if name in self.table.clocks else ""
-        return f"marlseam.standin.{odd}" if odd else "marlseam"
+        return f"marlseam.emulators.{odd}" if odd else "marlseam"
 
     def env(self, name: str) -> dict[str, str]:
         """Return what a node finds in its environment."""
--- a/marlseam/experiment/measures.py
+++ b/marlseam/experiment/measures.py
@@ -35,12 +35,12 @@
 from marlseam.experiment.processes import Process
 from marlseam.experiment.sockets import LEAD_S, Sockets
 from marlseam.experiment.virtual import Virtual
-from marlseam.judge.rules import judge
-from marlseam.judge.service import figures
 from marlseam.load.process import arrivals_of
 from marlseam.load.verdict import Counted, merge
 from marlseam.records import RecordStreams
-from marlseam.world.model import Count, Day, Positive, Share, Strict
+from marlseam.simulation.model import Count, Day, Positive, Share, Strict
+from marlseam.verification.rules import judge
+from marlseam.verification.service import figures
 
 CPUS = 8  # runs side by side
 
--- a/marlseam/experiment/plays.py
+++ b/marlseam/experiment/plays.py
@@ -17,11 +17,11 @@
 from marlseam.experiment import report
 from marlseam.experiment.file import Experiment, FileError, nearest
 from marlseam.experiment.slope import Slope
-from marlseam.judge.book import RunRecords
-from marlseam.judge.rules import judge
-from marlseam.judge.service import figures, request_outcomes
-from marlseam.judge.verdict import Verdict
 from marlseam.records import Record, RecordStreams
+from marlseam.verification.book import RunRecords
+from marlseam.verification.rules import judge
+from marlseam.verification.service import figures, request_outcomes
+from marlseam.verification.verdict import Verdict
 
 DRIVERS = ("virtual", "sockets")
 EXAMPLES = 5  # breaches shown of each rule
--- a/marlseam/experiment/ready.py
+++ b/marlseam/experiment/ready.py
@@ -19,6 +19,7 @@
 
 import h11
 
+from marlseam.emulators.base import Door, Quiet, Stand, reply
 from marlseam.experiment import file
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import Played, Say, play
@@ -27,8 +28,16 @@
 from marlseam.net.log import Log, Reason
 from marlseam.net.loop import Coroutine, sleep
 from marlseam.net.protocol import LIST_PATH, READY_PATH
-from marlseam.standin.base import Door, Quiet, Stand, reply
-from marlseam.world.model import Count, Day, Fleet, Kind, Positive, Strict, Type, node_settings
+from marlseam.simulation.model import (
+    Count,
+    Day,
+    Fleet,
+    Positive,
+    RequestType,
+    ServerKind,
+    Strict,
+    node_settings,
+)
 
 ASK_MS = 20.0  # between two looks of the front whether a node is ready
 MOST_S = 30.0  # after which it is not (STANDING)
@@ -184,8 +193,8 @@
     """Return a node's configuration, as the platform writes it."""
     day = Day(
         seconds=1.0,
-        types=[Type(name="statement", share=1.0, work_ms=50.0, promised_ms=200.0, limit_ms=5000.0)],
-        fleet=Fleet(zones=["here"], nodes=nodes, kinds=[Kind(name="plain", executors=1)]),
+        types=[RequestType(name="statement", share=1.0, work_ms=50.0, promised_ms=200.0, limit_ms=5000.0)],
+        fleet=Fleet(zones=["here"], nodes=nodes, kinds=[ServerKind(name="plain", executors=1)]),
     )
     return {
         "name": name,
--- a/marlseam/experiment/recovering.py
+++ b/marlseam/experiment/recovering.py
@@ -14,22 +14,31 @@
 import numpy as np
 
 from marlseam import records
+from marlseam.emulators.disk import FAULTS, OVER, Faults
 from marlseam.experiment import file, plays
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import Played, Say, play
 from marlseam.experiment.sockets import Sockets
 from marlseam.experiment.virtual import Old, Virtual
-from marlseam.judge.book import RunRecords
 from marlseam.load.process import arrivals_of
 from marlseam.load.verdict import Counted, merge
 from marlseam.records import RecordStreams
 from marlseam.recovery import saved_list
-from marlseam.standin.disk import FAULTS, OVER, Faults
+from marlseam.simulation.chance import stream
+from marlseam.simulation.model import (
+    Count,
+    Day,
+    Fault,
+    NotNegative,
+    Positive,
+    Share,
+    Strict,
+    placed_servers,
+)
 from marlseam.store import file_format as form
 from marlseam.store.disk import Disk
 from marlseam.store.state_directory import StateDirectory, create_state
-from marlseam.world.chance import stream
-from marlseam.world.model import Count, Day, NotNegative, Positive, Share, Strict, Trouble, placed_servers
+from marlseam.verification.book import RunRecords
 
 STORE = '[store]\nfolder = "{{folder}}"\nsync = "{sync}"\nwait_ms = 1000\n'
 EFFECTS = "no effect twice"
@@ -113,7 +122,7 @@
             experiment.head.seed,
             out,
             own=own,
-            module=lambda name: "marlseam.standin.disk",
+            module=lambda name: "marlseam.emulators.disk",
             env=lambda name: env,
             between=lambda name: damage(out / "state" / name, next(starts), case.torn),
         )
@@ -163,7 +172,7 @@
     head, day = experiment.head, experiment.day
     chance = stream(head.seed, "kills")
     at = np.sort(chance.uniform(0.1 * day.seconds, 0.95 * day.seconds, table.kills)).tolist()
-    kills = [Trouble(what="node_kill", at_s=t, for_s=1.0, share=1.0) for t in at]
+    kills = [Fault(what="node_kill", at_s=t, for_s=1.0, share=1.0) for t in at]
     return msgspec.structs.replace(day, troubles=[*day.troubles, *kills])
 
 
@@ -242,7 +251,7 @@
     """Start all nodes together from an old list with the roster down, and the same day with the roster up."""
     table: OldList = experiment.tables["old_list"]
     head, day = experiment.head, experiment.day
-    down = Trouble(what="roster_outage", at_s=0.0, for_s=table.down_s)
+    down = Fault(what="roster_outage", at_s=0.0, for_s=table.down_s)
     if head.driver == "virtual":
         return old_list_virtual(experiment, table, down, say)
 
@@ -297,7 +306,7 @@
     return plays.judged((r for w in streams.writers.values() for r in w.kept), [], "virtual").figures
 
 
-def old_list_virtual(experiment: Experiment, table: OldList, down: Trouble, say: Say) -> Played:
+def old_list_virtual(experiment: Experiment, table: OldList, down: Fault, say: Say) -> Played:
     """Start all nodes of a fleet together, over many seeds.
 
     An address that is another's now counts as gone.
--- a/marlseam/experiment/report.py
+++ b/marlseam/experiment/report.py
@@ -7,9 +7,9 @@
 import numpy as np
 
 from marlseam.experiment.slope import Slope
-from marlseam.judge.book import RunRecords
-from marlseam.judge.service import request_outcomes
 from marlseam.records import AttemptReceived, FaultBegan
+from marlseam.verification.book import RunRecords
+from marlseam.verification.service import request_outcomes
 
 WIDTH, HEIGHT, LEFT, BOTTOM, TOP = 940, 270, 64, 26, 52
 LANES = 4  # of the names of troubles, above a chart
--- a/marlseam/experiment/size.py
+++ b/marlseam/experiment/size.py
@@ -25,7 +25,7 @@
 from marlseam.experiment.file import FileError
 from marlseam.experiment.processes import Failed, Process
 from marlseam.experiment.slope import Slope
-from marlseam.world.model import Day, Fleet, Kind, Type, node_settings
+from marlseam.simulation.model import Day, Fleet, RequestType, ServerKind, node_settings
 
 # What the operators plan for (docs/CAPACITY.md), and what one node may spend on control.
 FULL = 21000  # workers
@@ -223,11 +223,13 @@
     """Return a node's configuration in a fleet of 22 zones, as hollow and real nodes have it."""
     day = Day(
         seconds=1.0,
-        fleet=Fleet(zones=ZONES, nodes=nodes, kinds=[Kind(name=kind, executors=1) for kind in KINDS]),
+        fleet=Fleet(zones=ZONES, nodes=nodes, kinds=[ServerKind(name=kind, executors=1) for kind in KINDS]),
         types=[
-            Type(name="urgent", share=0.3, work_ms=400, promised_ms=200, limit_ms=5000),
-            Type(name="task", share=0.5, work_ms=2000, promised_ms=1000, limit_ms=20000),
-            Type(name="post", share=0.2, work_ms=800, promised_ms=600, limit_ms=10000, effect="receipted"),
+            RequestType(name="urgent", share=0.3, work_ms=400, promised_ms=200, limit_ms=5000),
+            RequestType(name="task", share=0.5, work_ms=2000, promised_ms=1000, limit_ms=20000),
+            RequestType(
+                name="post", share=0.2, work_ms=800, promised_ms=600, limit_ms=10000, effect="receipted"
+            ),
         ],
     )
     return {
--- a/marlseam/experiment/size_changes.py
+++ b/marlseam/experiment/size_changes.py
@@ -37,8 +37,8 @@
 from marlseam.experiment.processes import Failed
 from marlseam.experiment.slope import Slope
 from marlseam.random_source import number as number_of
+from marlseam.simulation.model import Count, Positive, Strict
 from marlseam.store.ledger_writer import create_ledger
-from marlseam.world.model import Count, Positive, Strict
 
 TEAMS = 640  # that the operators plan for
 FLEET = "size"
--- a/marlseam/experiment/size_cold.py
+++ b/marlseam/experiment/size_cold.py
@@ -25,18 +25,18 @@
 from marlseam.experiment.plays import Played, Say, play
 from marlseam.experiment.virtual import Flight, Host, Seat, Virtual
 from marlseam.records import RecordStreams, StreamWriter
-from marlseam.world.chance import stream
-from marlseam.world.clients import FrontLoadBalancer
-from marlseam.world.model import (
+from marlseam.simulation.chance import stream
+from marlseam.simulation.clients import FrontLoadBalancer
+from marlseam.simulation.model import (
     Count,
     Day,
+    Fault,
     Name,
     NotNegative,
     Positive,
+    RequestType,
     Share,
     Strict,
-    Trouble,
-    Type,
     node_settings,
 )
 
@@ -197,7 +197,7 @@
     return sum(type.share * type.work_ms * mean_slots(type) for type in day.types) / shares
 
 
-def mean_slots(type: Type) -> float:
+def mean_slots(type: RequestType) -> float:
     """Return how many slots a work unit of a type takes."""
     return sum((i + 1) * part for i, part in enumerate(type.slots)) / sum(type.slots)
 
@@ -210,7 +210,7 @@
     rate = case.load * sum(k.executors * k.slots * k.speed for k in kinds) * 1000.0 / mean_work(day)
     troubles = [change(t, size=case.surge) if t.what == "surge" else t for t in day.troubles]
     if case.late_s:
-        late = Trouble(what="late_reports", at_s=0.0, for_s=day.seconds, share=1.0, size=case.late_s)
+        late = Fault(what="late_reports", at_s=0.0, for_s=day.seconds, share=1.0, size=case.late_s)
         troubles.append(late)
     fleet = change(day.fleet, nodes=round(nodes * (1.0 + case.beside)), kinds=kinds)
     return change(day, fleet=fleet, load=change(day.load, rate=rate), troubles=troubles)
--- a/marlseam/experiment/size_members.py
+++ b/marlseam/experiment/size_members.py
@@ -39,7 +39,7 @@
 from marlseam.net.log import Log
 from marlseam.net.loop import Loop
 from marlseam.net.membership_service import MembershipService
-from marlseam.world.model import Count, Positive, Strict
+from marlseam.simulation.model import Count, Positive, Strict
 
 WAY_MS = 1.0  # of a letter
 # Of one name, changes a second: 340 failures and 5,100 restarts or replacements a day in 21,000, each one
--- a/marlseam/experiment/size_roster.py
+++ b/marlseam/experiment/size_roster.py
@@ -26,6 +26,7 @@
 from marlseam.core import EndpointEntry
 from marlseam.counters import Counters
 from marlseam.decisions.types import EndpointState, LoadReport, Outcome, Request
+from marlseam.emulators.discovery import HEALTH
 from marlseam.experiment import file, size, slope
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import Played, Say, play
@@ -38,9 +39,8 @@
 from marlseam.net.log import Log
 from marlseam.net.loop import LATE, READY, Loop
 from marlseam.net.upstream import Upstream
-from marlseam.standin.roster import HEALTH
-from marlseam.world.model import Count, Strict
-from marlseam.world.roster import EndpointList
+from marlseam.simulation.discovery import EndpointList
+from marlseam.simulation.model import Count, Strict
 
 THOUSAND = 1000  # changes in one answer: a zone of 22, as the letter's faults go
 UNIT_MS, RUN_MS, WAY_MS = 5.0, 1.5, 1.0  # between work units, of a run, of a probe and its answer
--- a/marlseam/experiment/soak.py
+++ b/marlseam/experiment/soak.py
@@ -11,15 +11,15 @@
 import msgspec
 
 from marlseam import records
+from marlseam.emulators.faulty import FAULTS, Failure, Faults
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.file import register as register_table
 from marlseam.experiment.plays import Played, Say, judged, play
 from marlseam.experiment.processes import Failed
-from marlseam.judge.verdict import Verdict
-from marlseam.standin.faulty import FAULTS, Failure, Faults
-from marlseam.world.model import Count, Day, Strict, Trouble
+from marlseam.simulation.model import Count, Day, Fault, Strict
+from marlseam.verification.verdict import Verdict
 
-TROUBLES = (
+FAULT_NAMES = (
     "node_roll",
     "node_reload",
     "node_kill",
@@ -52,7 +52,7 @@
 class Drawn(msgspec.Struct):
     """What a seed draws: troubles of the day, and what fails in each node."""
 
-    troubles: list[Trouble]
+    troubles: list[Fault]
     faults: Faults
 
     def names(self) -> list[str]:
@@ -68,10 +68,10 @@
     chance = random.Random(seed)
     middle = chance.uniform(0.3, 0.6) * seconds
     troubles = []
-    for what in chance.sample(TROUBLES, chance.choice((2, 3))):
+    for what in chance.sample(FAULT_NAMES, chance.choice((2, 3))):
         at_s, for_s = middle - chance.uniform(0.0, 1.0), chance.uniform(*SPANS_S)
         size = 0.5 if what == "errors" else 2.0
-        troubles.append(Trouble(what=what, at_s=at_s, for_s=for_s, share=0.34, size=size))
+        troubles.append(Fault(what=what, at_s=at_s, for_s=for_s, share=0.34, size=size))
     calls = chance.sample(sorted(CALLS), chance.choice((0, 1, 2)))
     failures = [Failure(call, chance.choice(CALLS[call]), chance.choice((0.02, 0.1))) for call in calls]
     clock_s = chance.choice(CLOCKS_S) if chance.random() < 0.3 else 0.0
@@ -96,7 +96,7 @@
     made = drawn(seed, day.seconds)
     day = msgspec.structs.replace(day, troubles=made.troubles)
     env = {FAULTS: msgspec.json.encode(made.faults).decode()}
-    driver = Sockets(day, seed, out, module=lambda name: "marlseam.standin.faulty", env=lambda name: env)
+    driver = Sockets(day, seed, out, module=lambda name: "marlseam.emulators.faulty", env=lambda name: env)
     try:
         driver.run()
     except Failed as error:
--- a/marlseam/experiment/sockets.py
+++ b/marlseam/experiment/sockets.py
@@ -20,9 +20,9 @@
 from marlseam.experiment.processes import Failed, Process
 from marlseam.net.protocol import READY_PATH
 from marlseam.records import RecordStreams
-from marlseam.world import fleet, plan, troubles
-from marlseam.world.chance import stream
-from marlseam.world.model import Day, node_settings, placed_nodes
+from marlseam.simulation import faults, fleet, plan
+from marlseam.simulation.chance import stream
+from marlseam.simulation.model import Day, node_settings, placed_nodes
 
 SLACK_MS = 50.0
 LEAD_S = 0.3  # between the begin line and the run's zero
@@ -63,7 +63,7 @@
         """
         self.day, self.seed, self.out = day, seed, out
         self.generators, self.connections, self.parts = generators, connections, parts
-        self.schedule = troubles.schedule(day, seed)
+        self.schedule = faults.schedule(day, seed)
         cut = any(met.trouble.what in ("zone_cut", "slow_link") for met in self.schedule)
         self.proxied = (cut or len(day.fleet.zones) > 1) if proxied is None else proxied
         self.profile, self.own, self.prepare, self.between = profile, own, prepare, between
@@ -218,7 +218,7 @@
             self.ready(name)
             self.ready_s.append(time.monotonic() - self.began[name])
         if arrivals is None:
-            arrivals = plan.make(self.day, self.seed, troubles.surges(self.schedule))
+            arrivals = plan.make(self.day, self.seed, faults.surges(self.schedule))
         path = self.out / "nodes.json"
         path.write_text(
             json.dumps({name: (zone, self.addresses[name]) for name, zone in placed_nodes(self.day)})
--- a/marlseam/experiment/versions.py
+++ b/marlseam/experiment/versions.py
@@ -15,10 +15,10 @@
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.fleet import Fleet, Rig, run
 from marlseam.experiment.plays import Played, Say, play
-from marlseam.judge.book import RunRecords
-from marlseam.judge.service import request_outcomes
+from marlseam.simulation.model import Count
 from marlseam.store import ledger_audit as ledgers
-from marlseam.world.model import Count
+from marlseam.verification.book import RunRecords
+from marlseam.verification.service import request_outcomes
 
 ERROR_MS = 20.0  # one machine: by which a node's clock, read at its start, may be off
 NONE_OF = ("two_contents", "audit_wrong", "past_bound", "rules_broken")  # none is expected anywhere
--- a/marlseam/experiment/virtual.py
+++ b/marlseam/experiment/virtual.py
@@ -23,15 +23,15 @@
     PROGRESS_GAP_IN_PERIODS,
 )
 from marlseam.records import RecordStreams
-from marlseam.world import fleet, plan, troubles
-from marlseam.world.chance import stream
-from marlseam.world.clients import Client, FrontLoadBalancer, try_record
-from marlseam.world.executor import Server
-from marlseam.world.job import JobEvent
-from marlseam.world.model import Day, node_settings, placed_nodes, placed_servers
-from marlseam.world.network import Links
-from marlseam.world.roster import EndpointList
-from marlseam.world.troubles import ListChange, ScheduledFault
+from marlseam.simulation import faults, fleet, plan
+from marlseam.simulation.chance import stream
+from marlseam.simulation.clients import Client, FrontLoadBalancer, try_record
+from marlseam.simulation.discovery import EndpointList
+from marlseam.simulation.faults import ListChange, ScheduledFault
+from marlseam.simulation.job import JobEvent
+from marlseam.simulation.model import Day, node_settings, placed_nodes, placed_servers
+from marlseam.simulation.network import Links
+from marlseam.simulation.server import Server
 
 SLACK_TICKS = 5.0  # that answers and sends may come late by, for the way between client and node
 WATCH_GAP_MS = 100.0  # least time between two words of a watch
@@ -127,7 +127,7 @@
         self.day, self.seed, self.make_core = day, seed, make_core
         self.heap: list[tuple[float, int, Callable, tuple]] = []
         self.count, self.now, self.events = 0, 0.0, 0
-        self.schedule = troubles.schedule(day, seed)
+        self.schedule = faults.schedule(day, seed)
         self.lines = Links(day.network, stream(seed, "network"))
         self.retries = stream(seed, "clients")
         streams.rules = fleet.rules(day, SLACK_TICKS * day.rules.tick_ms)
@@ -177,13 +177,13 @@
     def run(self, arrivals: list[plan.Arrival] | None = None) -> float:
         """Play the day to the last client's end, and return the time at which that was, in ms."""
         if arrivals is None:
-            arrivals = plan.make(self.day, self.seed, troubles.surges(self.schedule))
+            arrivals = plan.make(self.day, self.seed, faults.surges(self.schedule))
         for seat in self.seats.values():
             self.begin_node(seat)
         for met in self.schedule:
             self.at(met.at, self.trouble, met, True)
             self.at(met.until, self.trouble, met, False)
-        for news in troubles.listings(self.day, self.schedule):
+        for news in faults.listings(self.day, self.schedule):
             self.at(news.at, self.listed, news)
         for arrival in arrivals:
             self.at(arrival.at, self.first_try, arrival)
@@ -621,7 +621,7 @@
         if what in ("slow", "errors", "tail", "neighbour", "late_reports", "false_reports"):
             for host in hosts:
                 self.look(host)
-                host.executor.fault_effects = troubles.fault_effects(
+                host.executor.fault_effects = faults.fault_effects(
                     self.schedule, host.executor.name, self.now
                 )
                 host.next = inf
--- a/marlseam/load/connection.py
+++ b/marlseam/load/connection.py
@@ -9,7 +9,7 @@
 import httptools
 
 from marlseam.load.errors import ConnectionUnavailableError
-from marlseam.world.clients import Client
+from marlseam.simulation.clients import Client
 
 RECEIVE_BYTES = 65536
 OUTCOME_BY_STATUS = {200: "completed", 429: "deferred", 503: "deferred"}  # any other status: aborted
--- a/marlseam/load/generator.py
+++ b/marlseam/load/generator.py
@@ -23,9 +23,9 @@
 from marlseam.load.errors import ConnectionUnavailableError
 from marlseam.load.tally import Tally
 from marlseam.records import StreamWriter
-from marlseam.world.clients import Client, FrontLoadBalancer, try_record
-from marlseam.world.model import Day
-from marlseam.world.plan import Arrival
+from marlseam.simulation.clients import Client, FrontLoadBalancer, try_record
+from marlseam.simulation.model import Day
+from marlseam.simulation.plan import Arrival
 
 NODE_CHECK_INTERVAL_MS = 250.0  # how often a node that refused a connection is tried
 NODE_CHECK_TIMEOUT_S = 0.05
--- a/marlseam/load/process.py
+++ b/marlseam/load/process.py
@@ -10,9 +10,9 @@
 from marlseam.load.generator import Generator, NodePlace
 from marlseam.load.tally import Tally, TallySummary
 from marlseam.records import RecordStreams
-from marlseam.world import plan, troubles
-from marlseam.world.chance import stream
-from marlseam.world.model import Day
+from marlseam.simulation import faults, plan
+from marlseam.simulation.chance import stream
+from marlseam.simulation.model import Day
 
 START_DELAY_S = 0.2  # from the ready line to the run's zero, where no zero is handed in
 
@@ -21,7 +21,7 @@
     """Return a day's arrivals: drawn from the seed, or read from the trace that it names."""
     if day.load.shape == "trace":
         return trace.load(Path(day.load.trace), day)
-    return plan.make(day, seed, troubles.surges(troubles.schedule(day, seed)))
+    return plan.make(day, seed, faults.surges(faults.schedule(day, seed)))
 
 
 def summary(tally: Tally) -> TallySummary:
--- a/marlseam/load/trace.py
+++ b/marlseam/load/trace.py
@@ -15,8 +15,8 @@
 
 from marlseam.load.errors import TraceError
 from marlseam.records import Record, TrySent
-from marlseam.world.model import Day, NotNegative, Positive
-from marlseam.world.plan import Arrival
+from marlseam.simulation.model import Day, NotNegative, Positive
+from marlseam.simulation.plan import Arrival
 
 VERSION = 1
 MAX_PROBLEMS_SHOWN = 20
--- a/marlseam/world/clients.py
+++ b/marlseam/simulation/clients.py
@@ -9,8 +9,8 @@
 import numpy as np
 
 from marlseam.records import TrySent
-from marlseam.world.model import Clients, Type
-from marlseam.world.plan import Arrival
+from marlseam.simulation.model import Clients, RequestType
+from marlseam.simulation.plan import Arrival
 
 EARLY_LEAVE_IN_OBJECTIVES = 0.3  # when a client that leaves early goes, as a share of its latency objective
 
@@ -28,7 +28,7 @@
     """
 
     arrival: Arrival
-    type: Type
+    type: RequestType
     figures: Clients
     replayed: bool = False
     tries: int = 0
--- a/marlseam/world/troubles.py
+++ b/marlseam/simulation/faults.py
@@ -12,10 +12,10 @@
 import numpy as np
 
 from marlseam.decisions.types import EndpointState
-from marlseam.world.chance import stream
-from marlseam.world.executor import FaultEffects
-from marlseam.world.model import Day, Trouble, placed_nodes, placed_servers
-from marlseam.world.plan import Surge
+from marlseam.simulation.chance import stream
+from marlseam.simulation.model import Day, Fault, placed_nodes, placed_servers
+from marlseam.simulation.plan import Surge
+from marlseam.simulation.server import FaultEffects
 
 NODE_FAULTS = ("node_kill", "node_roll", "node_reload")
 ZONE_FAULTS = ("zone_cut", "slow_link")
@@ -44,7 +44,7 @@
 class ScheduledFault(NamedTuple):
     """A fault of the schedule with the names of what it affects; times in ms, the end not part of it."""
 
-    trouble: Trouble
+    trouble: Fault
     at: float
     until: float
     targets: list[str]
@@ -54,13 +54,13 @@
         return self.at <= at_ms < self.until
 
 
-def drawn(day: Day, seed: int) -> list[Trouble]:
+def drawn(day: Day, seed: int) -> list[Fault]:
     """Draw a day's own faults: each begins in the middle of the day; two may overlap."""
     chance = stream(seed, "troubles")
     return [_drawn_fault(day, chance) for _ in range(day.drawn.count)]
 
 
-def _drawn_fault(day: Day, chance: np.random.Generator) -> Trouble:
+def _drawn_fault(day: Day, chance: np.random.Generator) -> Fault:
     """Draw one fault. The order of the draws is part of what a seed means."""
     what = day.drawn.of[int(chance.integers(len(day.drawn.of)))]
     sizes = SIZE_RANGES.get(what, DEFAULT_SIZE_RANGE)
@@ -68,7 +68,7 @@
     for_s = day.seconds * (0.15 + 0.2 * chance.random())
     size = sizes.low + (sizes.high - sizes.low) * chance.random()
     share = 0.1 + 0.2 * chance.random()
-    return Trouble(what=what, at_s=at_s, for_s=for_s, share=share, size=size)
+    return Fault(what=what, at_s=at_s, for_s=for_s, share=share, size=size)
 
 
 def schedule(day: Day, seed: int) -> list[ScheduledFault]:
@@ -85,7 +85,7 @@
     return sorted(faults, key=lambda fault: fault.at)
 
 
-def _targets(day: Day, trouble: Trouble, chance: np.random.Generator) -> list[str]:
+def _targets(day: Day, trouble: Fault, chance: np.random.Generator) -> list[str]:
     """Return the names of what a fault affects: those that it names, or drawn ones."""
     if trouble.targets:
         return list(trouble.targets)
@@ -140,7 +140,7 @@
     return effects
 
 
-def _add_effect(effects: FaultEffects, trouble: Trouble) -> None:
+def _add_effect(effects: FaultEffects, trouble: Fault) -> None:
     """Add the effect of one fault on a server to those of others."""
     match trouble.what:
         case "slow":
--- a/marlseam/world/fleet.py
+++ b/marlseam/simulation/fleet.py
@@ -4,13 +4,13 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from marlseam.world.chance import stream
-from marlseam.world.executor import Server
-from marlseam.world.job import GroupMemory, Job
-from marlseam.world.model import Day, Kind, Type, placed_servers
-from marlseam.world.plan import Arrival
-from marlseam.world.server_settings import ReportSettings, ServerSettings
-from marlseam.world.troubles import ScheduledFault
+from marlseam.simulation.chance import stream
+from marlseam.simulation.faults import ScheduledFault
+from marlseam.simulation.job import GroupMemory, Job
+from marlseam.simulation.model import Day, RequestType, ServerKind, placed_servers
+from marlseam.simulation.plan import Arrival
+from marlseam.simulation.server import Server
+from marlseam.simulation.server_settings import ReportSettings, ServerSettings
 
 
 def build(day: Day, seed: int, schedule: Iterable[ScheduledFault]) -> dict[str, Server]:
@@ -26,7 +26,9 @@
     return servers
 
 
-def make_server(day: Day, seed: int, name: str, kind: Kind, memories: Mapping[str, GroupMemory]) -> Server:
+def make_server(
+    day: Day, seed: int, name: str, kind: ServerKind, memories: Mapping[str, GroupMemory]
+) -> Server:
     """Return one server of a day; `memories` are those of its groups."""
     reports = ReportSettings(day.reports.period_ms, day.reports.late_ms, day.reports.queue)
     settings = ServerSettings(
@@ -40,7 +42,7 @@
     return Server(name, kind, memories, stream(seed, "executor", name), settings, born)
 
 
-def job(arrival: Arrival, type: Type, id: str, alloc: object) -> Job:
+def job(arrival: Arrival, type: RequestType, id: str, alloc: object) -> Job:
     """Return an arrival's job as one attempt of a try hands it to a server."""
     return Job(
         id=f"{id}/{alloc}",
--- a/marlseam/world/model.py
+++ b/marlseam/simulation/model.py
@@ -15,7 +15,7 @@
 Count = Annotated[int, Meta(ge=1)]
 Name = Annotated[str, Meta(pattern="^[a-z0-9][a-z0-9-]*$")]
 
-TROUBLES = (
+FAULT_NAMES = (
     "silent",
     "slow",
     "errors",
@@ -44,7 +44,7 @@
     """A table in which every key must be known."""
 
 
-class Kind(Strict, frozen=True):
+class ServerKind(Strict, frozen=True):
     """A kind of server."""
 
     name: Name
@@ -58,7 +58,7 @@
     warm_s: Positive = 5.0  # how long slow start takes; the speed grows linearly
 
 
-class Type(Strict, frozen=True):
+class RequestType(Strict, frozen=True):
     """A request class. Its latency objective is promised_ms plus `stretch` times a request's own work."""
 
     name: Name
@@ -87,7 +87,7 @@
 
     zones: Annotated[list[Name], Meta(min_length=1)]
     nodes: Count
-    kinds: Annotated[list[Kind], Meta(min_length=1)]
+    kinds: Annotated[list[ServerKind], Meta(min_length=1)]
     connections: Count = 600  # that a server holds
     connect_ms: NotNegative = 3.0  # what a new one costs its first attempt
     checkpoint_s: NotNegative = 0.0  # how often a cell saves the state of its runs, 0 for never
@@ -143,7 +143,7 @@
     answers: bool = False  # whether answers bring reports too, and probes the last one again
 
 
-class Roster(Strict, frozen=True):
+class DiscoverySettings(Strict, frozen=True):
     """The endpoint list: how late it learns of a change, and how many calls a second it serves."""
 
     lag_ms: NotNegative = 800.0
@@ -170,10 +170,10 @@
     drain_binds_alone: bool = False
 
 
-class Trouble(Strict, frozen=True):
+class Fault(Strict, frozen=True):
     """One fault of the schedule. What `size` means for each is in docs/design/bench.md."""
 
-    what: Literal[TROUBLES]  # type: ignore[valid-type]
+    what: Literal[FAULT_NAMES]  # type: ignore[valid-type]
     at_s: NotNegative
     for_s: Positive = 10.0
     share: Share = 0.2  # of the servers or nodes that it affects
@@ -185,11 +185,11 @@
     by: Literal["any", "zone"] = "any"  # whether all that it affects are of one zone
 
 
-class Drawn(Strict, frozen=True):
+class RandomFaults(Strict, frozen=True):
     """Faults drawn from the seed: how many, overlapping or not."""
 
     count: int = 0
-    of: tuple[Literal[TROUBLES], ...] = (  # type: ignore[valid-type]
+    of: tuple[Literal[FAULT_NAMES], ...] = (  # type: ignore[valid-type]
         "silent",
         "slow",
         "errors",
@@ -205,15 +205,15 @@
 
     seconds: Positive
     fleet: Fleet
-    types: Annotated[list[Type], Meta(min_length=1)]
+    types: Annotated[list[RequestType], Meta(min_length=1)]
     load: Load = field(default_factory=Load)
     clients: Clients = field(default_factory=Clients)
     network: Network = field(default_factory=Network)
     reports: Reports = field(default_factory=Reports)
-    roster: Roster = field(default_factory=Roster)
+    roster: DiscoverySettings = field(default_factory=DiscoverySettings)
     rules: Rules = field(default_factory=Rules)
-    troubles: list[Trouble] = []
-    drawn: Drawn = field(default_factory=Drawn)
+    troubles: list[Fault] = []
+    drawn: RandomFaults = field(default_factory=RandomFaults)
 
 
 class PlacedServer(NamedTuple):
@@ -227,7 +227,7 @@
     """
 
     name: str
-    kind: Kind
+    kind: ServerKind
     kind_index: int
     zone: str
     cell: int
@@ -286,7 +286,7 @@
     }
 
 
-def _request_class_settings(request_class: Type) -> dict[str, Any]:
+def _request_class_settings(request_class: RequestType) -> dict[str, Any]:
     """Return the settings of a request class."""
     return {
         "name": request_class.name,
--- a/marlseam/world/network.py
+++ b/marlseam/simulation/network.py
@@ -4,7 +4,7 @@
 
 import numpy as np
 
-from marlseam.world.model import Network
+from marlseam.simulation.model import Network
 
 JITTER_DRAWS = 4096  # drawn at once, as single draws are slow
 
--- a/marlseam/world/plan.py
+++ b/marlseam/simulation/plan.py
@@ -10,8 +10,8 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from marlseam.world.chance import lognormal, stream
-from marlseam.world.model import Day, Load, Type, placed_nodes
+from marlseam.simulation.chance import lognormal, stream
+from marlseam.simulation.model import Day, Load, RequestType, placed_nodes
 
 MAX_WORK_IN_MEANS = 12.0  # largest work of a request, in means of its class
 RATE_STEP_MS = 10.0  # over which the rate of arrivals is taken as constant
@@ -173,7 +173,7 @@
     return sizes
 
 
-def _drawn_slots(seed: int, request_class: Type, count: int) -> NDArray[np.float64]:
+def _drawn_slots(seed: int, request_class: RequestType, count: int) -> NDArray[np.float64]:
     """Draw how many slots requests of a class take, shape (count,)."""
     bounds = np.cumsum(np.array(request_class.slots) / sum(request_class.slots))
     draws = stream(seed, "slots", request_class.name).random(count)
--- a/marlseam/world/executor.py
+++ b/marlseam/simulation/server.py
@@ -20,9 +20,9 @@
 import numpy as np
 
 from marlseam.decisions.types import LoadReport
-from marlseam.world.job import GroupMemory, Job, JobEvent
-from marlseam.world.model import Kind
-from marlseam.world.server_settings import ServerSettings
+from marlseam.simulation.job import GroupMemory, Job, JobEvent
+from marlseam.simulation.model import ServerKind
+from marlseam.simulation.server_settings import ServerSettings
 
 QUICK_WORK_SHARE = 0.02  # of a job's work, that is spent where it fails at once or is known already
 MIN_WORK_MS = 0.01
@@ -124,7 +124,7 @@
     def __init__(
         self,
         name: str,
-        kind: Kind,
+        kind: ServerKind,
         memories: Mapping[str, GroupMemory],
         chance: np.random.Generator,
         settings: ServerSettings,
--- a/marlseam/judge/rules.py
+++ b/marlseam/verification/rules.py
@@ -9,8 +9,6 @@
 from math import inf
 from typing import NamedTuple
 
-from marlseam.judge.book import RunRecords, find_gaps
-from marlseam.judge.verdict import Rule, Verdict
 from marlseam.records import (
     AttemptCancelled,
     AttemptEnded,
@@ -22,6 +20,8 @@
     ServerStateHeard,
     TrySent,
 )
+from marlseam.verification.book import RunRecords, find_gaps
+from marlseam.verification.verdict import Rule, Verdict
 
 DEFAULT_EFFECT = ("exclusive", "cell")  # of a request class that the run's rules do not list
 
--- a/marlseam/judge/service.py
+++ b/marlseam/verification/service.py
@@ -12,8 +12,8 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from marlseam.judge.book import RunRecords
 from marlseam.records import AttemptEnded, AttemptReceived, GeneratorLagged, ProbeAnswered, TrySent
+from marlseam.verification.book import RunRecords
 
 Key = TypeVar("Key", bound=Hashable)
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -9,9 +9,6 @@
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.request_state import RequestState
 from marlseam.decisions.types import Idempotency, Outcome
-from marlseam.judge.book import RunRecords
-from marlseam.judge.rules import judge
-from marlseam.judge.service import figures
 from marlseam.records import (
     AttemptCancelled,
     AttemptEnded,
@@ -22,6 +19,9 @@
     TryAnswered,
     TrySent,
 )
+from marlseam.verification.book import RunRecords
+from marlseam.verification.rules import judge
+from marlseam.verification.service import figures
 
 
 def dispatcher(state_type, **methods):
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -18,8 +18,8 @@
 from marlseam.load.process import summary
 from marlseam.load.verdict import merge, table
 from marlseam.records import StreamEnded, StreamWriter, TryAnswered, TrySent
-from marlseam.world import plan
-from marlseam.world.chance import stream
+from marlseam.simulation import plan
+from marlseam.simulation.chance import stream
 
 ONE = {"fleet": {"zones": ["east"], "nodes": 1, "kinds": [{"name": "k", "executors": 1}]}}
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -35,8 +35,6 @@
 from marlseam.configuration import ClusterSettings, ConfigError, load
 from marlseam.experiment.file import FileError
 from marlseam.experiment.fleet import Fault, Fleet, Rig
-from marlseam.judge.book import RunRecords
-from marlseam.judge.rules import check_one_answer
 from marlseam.net.log import Log
 from marlseam.net.membership_service import MembershipService
 from marlseam.records import (
@@ -48,6 +46,8 @@
     TryAnswered,
     TrySent,
 )
+from marlseam.verification.book import RunRecords
+from marlseam.verification.rules import check_one_answer
 
 NAMES = frozenset({"a", "b", "c"})
 STATES = st.builds(MemberState, st.integers(0, 3), st.integers(1, 2), st.integers(0, 3))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,9 +9,9 @@
 import msgspec
 import pytest
 
+from marlseam.emulators.faulty import Failure, Faults, Shim
 from marlseam.experiment import soak
 from marlseam.experiment.file import read
-from marlseam.standin.faulty import Failure, Faults, Shim
 
 FILE = Path(__file__).parent.parent / "experiments" / "soak.toml"
 
@@ -28,7 +28,7 @@
         begin = max(trouble.at_s for trouble in made.troubles)
         assert begin < min(trouble.at_s + trouble.for_s for trouble in made.troubles)
     names = {name for made in drawn for name in made.names()}
-    assert names == {*soak.TROUBLES, *(f"call {call}" for call in soak.CALLS), "clock", "own error"}
+    assert names == {*soak.FAULT_NAMES, *(f"call {call}" for call in soak.CALLS), "clock", "own error"}
 
 
 def test_a_call_fails_in_bursts_alone():
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -18,14 +18,14 @@
 from marlseam.core import EndpointEntry
 from marlseam.decisions.types import EndpointState
 from marlseam.records import ENCODER
-from marlseam.world import plan, troubles
-from marlseam.world.chance import stream
-from marlseam.world.clients import Client, FrontLoadBalancer
-from marlseam.world.executor import FaultEffects, Server
-from marlseam.world.job import GroupMemory, Job
-from marlseam.world.model import TROUBLES, Kind, Load, Trouble
-from marlseam.world.roster import EndpointList
-from marlseam.world.server_settings import ReportSettings, ServerSettings
+from marlseam.simulation import faults, plan
+from marlseam.simulation.chance import stream
+from marlseam.simulation.clients import Client, FrontLoadBalancer
+from marlseam.simulation.discovery import EndpointList
+from marlseam.simulation.job import GroupMemory, Job
+from marlseam.simulation.model import FAULT_NAMES, Fault, Load, ServerKind
+from marlseam.simulation.server import FaultEffects, Server
+from marlseam.simulation.server_settings import ReportSettings, ServerSettings
 
 SETTINGS = ServerSettings(ReportSettings(50.0, 10.0, True), 2.5, 1000.0, 200.0, 100.0)
 
@@ -33,7 +33,7 @@
 def make_server(born=None, memory=None, **kind):
     memory_of_group = memory or GroupMemory()
     memories = {"all": memory_of_group, "zone": memory_of_group, "cell": memory_of_group}
-    made = Kind(**({"name": "k", "executors": 1, "slots": 3, "queue": 100} | kind))
+    made = ServerKind(**({"name": "k", "executors": 1, "slots": 3, "queue": 100} | kind))
     return Server("e", made, memories, stream(1, "e"), SETTINGS, born)
 
 
@@ -104,7 +104,7 @@
 
 def test_missing_memory_blocks_the_head_beside_a_free_slot():
     server = make_server(memory=None, slots=3)
-    server.kind, server.free_memory = Kind(name="k", executors=1, slots=3, memory=4.0), 4.0
+    server.kind, server.free_memory = ServerKind(name="k", executors=1, slots=3, memory=4.0), 4.0
     server.offer(0.0, job(0, memory=3.0))
     server.offer(0.0, job(1, memory=2.0))
     assert [event.id for event in server.advance(1.0) if event.what == "started"] == ["0/0"]
@@ -185,8 +185,8 @@
             {"what": "slow", "at_s": 3, "for_s": 4, "share": 1.0, "size": 3},
         ]
     )
-    faults = troubles.schedule(held, 1)
-    assert [troubles.fault_effects(faults, "fast-0", t * 1000.0).slowdown for t in (0, 2, 4, 6, 8)] == [
+    scheduled = faults.schedule(held, 1)
+    assert [faults.fault_effects(scheduled, "fast-0", t * 1000.0).slowdown for t in (0, 2, 4, 6, 8)] == [
         1.0,
         2.0,
         6.0,
@@ -197,7 +197,7 @@
 
 def test_the_endpoint_list_learns_late_and_a_restarted_server_is_listed_with_its_start():
     held = day(troubles=[{"what": "crash", "at_s": 2, "for_s": 3, "share": 0.1}])
-    gone, back = troubles.listings(held, troubles.schedule(held, 1))
+    gone, back = faults.listings(held, faults.schedule(held, 1))
     assert (gone.at, gone.state) == (2800.0, EndpointState.GONE)
     assert (back.at, back.state, back.started_ms) == (5800.0, EndpointState.READY, 5000.0)
 
@@ -289,10 +289,10 @@
 # Whole days.
 
 
-@pytest.mark.parametrize("what", TROUBLES)
+@pytest.mark.parametrize("what", FAULT_NAMES)
 def test_the_rules_hold_through_each_fault(what):
     size = {"errors": 0.8, "neighbour": 0.5, "late_reports": 2.0}.get(what, 3.0)
-    held = day(troubles=[Trouble(what=what, at_s=4.0, for_s=4.0, share=0.25, size=size)])
+    held = day(troubles=[Fault(what=what, at_s=4.0, for_s=4.0, share=0.25, size=size)])
     verdict, book, figures, _ = played(held)
     assert verdict.is_judged and not verdict.violation_count, [rule.violations[:2] for rule in verdict.rules]
     assert figures["work_units"] > 150
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -3,10 +3,10 @@
 import msgspec
 
 from marlseam.experiment.virtual import Virtual
-from marlseam.judge.rules import judge
-from marlseam.judge.service import figures
 from marlseam.records import RecordStreams
-from marlseam.world.model import Day
+from marlseam.simulation.model import Day
+from marlseam.verification.rules import judge
+from marlseam.verification.service import figures
 
 TYPES = [
     {"name": "lookup", "share": 0.5, "work_ms": 300, "promised_ms": 200, "limit_ms": 5000},
