--- a/examples/fleet.py
+++ b/examples/fleet.py
@@ -7,7 +7,7 @@
 
 from marlseam.emulators.base import Stand
 from marlseam.emulators.discovery import Directory
-from marlseam.emulators.servers import Host
+from marlseam.emulators.servers import EmulatedServer
 from marlseam.simulation import fleet
 from marlseam.simulation.model import Day, Fleet, RequestType, ServerKind
 
@@ -27,7 +27,9 @@
 def main() -> None:
     """Run the fleet."""
     stand = Stand("fleet", None)
-    hosts = {name: Host(stand, executor, DAY, True) for name, executor in fleet.build(DAY, 1, []).items()}
+    hosts = {
+        name: EmulatedServer(stand, executor, DAY, True) for name, executor in fleet.build(DAY, 1, []).items()
+    }
     dials = {"here": {name: host.door.address for name, host in hosts.items()}}
     directory = Directory(stand, DAY, [], dials, LIST_PORT)
     stand.run({"roster": directory.doors["n0"].address, **dials["here"]}, now=True)
--- a/marlseam/cli/experiment.py
+++ b/marlseam/cli/experiment.py
@@ -19,7 +19,7 @@
 
 
 def fail(error: Exception) -> None:
-    """Say what is wrong with a file or a command line, and end with 2."""
+    """Show what is wrong with a file or a command line, and end with 2."""
     for line in str(error).split("\n"):
         click.echo(f"marlseam: {line}", err=True)
     sys.exit(2)
@@ -42,7 +42,7 @@
     Ends with 0 if all that it expects holds, 1 if a rule or an expectation does not, 2 if the file is wrong.
     """
     from marlseam.experiment import file, measures, plays
-    from marlseam.experiment.processes import Failed
+    from marlseam.experiment.processes import RunFailedError
     from marlseam.load.errors import TraceError
 
     measures.register()
@@ -57,7 +57,7 @@
         code, missed = plays.run(experiment, out, common.progress)
     except (file.FileError, TraceError) as error:
         fail(error)
-    except Failed as error:
+    except RunFailedError as error:
         click.echo(f"marlseam: {error}; logs are in {out / 'logs'}", err=True)
         sys.exit(1)
     common.progress("", end=True)
--- a/marlseam/emulators/servers.py
+++ b/marlseam/emulators/servers.py
@@ -28,7 +28,7 @@
     memory: float = 0.0
 
 
-class Host:
+class EmulatedServer:
     """One executor behind its door."""
 
     def __init__(self, stand: Stand, executor: Server, day: Day, nodelay: bool) -> None:
@@ -166,7 +166,7 @@
 class Call:
     """One allocation's answer, line by line as things happen to its job."""
 
-    def __init__(self, host: Host, connection: Connection, job: Job, acting: str = "") -> None:
+    def __init__(self, host: EmulatedServer, connection: Connection, job: Job, acting: str = "") -> None:
         self.host, self.connection, self.job, self.acting = host, connection, job, acting
         self.lines: list[dict] = []
         self.over = False
@@ -248,7 +248,7 @@
     schedule = faults.schedule(day, seed)
     which, of = (int(number) for number in part.split("/"))
     made = list(fleet.build(day, seed, schedule).values())[which - 1 :: of]
-    hosts = {executor.name: Host(stand, executor, day, nodelay) for executor in made}
+    hosts = {executor.name: EmulatedServer(stand, executor, day, nodelay) for executor in made}
     for met in schedule:
         for host in (hosts[name] for name in met.targets if name in hosts):
             stand.at(met.at, lambda host=host, met=met: host.trouble(met, True, schedule))
--- a/marlseam/experiment/begun.py
+++ b/marlseam/experiment/begun.py
@@ -16,14 +16,14 @@
 
     def called(*words: Any, **named: Any) -> Any:  # noqa: ANN401
         found = call(*words, **named)
-        say(part)
+        show_progress(part)
         return found
 
     return called
 
 
-def say(part: str, at: float | None = None) -> None:
-    """Say that a part of the start is over."""
+def show_progress(part: str, at: float | None = None) -> None:
+    """Show that a part of the start is over."""
     print(f"began {part} {time.monotonic() if at is None else at:.6f}", file=sys.stderr, flush=True)
 
 
@@ -36,8 +36,8 @@
     from marlseam.net import http
     from marlseam.net.discovery import Discovery
 
-    say("interpreter", STARTED)
-    say("import")
+    show_progress("interpreter", STARTED)
+    show_progress("import")
     program.configuration.load = told("settings", program.configuration.load)
     http.bound = told("socket", http.bound)
     program.Node = told("node", program.Node)
@@ -46,7 +46,7 @@
     def taken(self: Discovery, value: object, cached: bool = False, **named: Any) -> bool:  # noqa: ANN401
         if not cached and first:
             first.clear()
-            say("list")
+            show_progress("list")
         return take(self, value, cached, **named)
 
     Discovery.take = taken
--- a/marlseam/experiment/fleet.py
+++ b/marlseam/experiment/fleet.py
@@ -45,9 +45,9 @@
 from marlseam.emulators import clocks
 from marlseam.experiment import file, plays
 from marlseam.experiment.file import Experiment
-from marlseam.experiment.plays import Played, Say, play
-from marlseam.experiment.processes import Failed
-from marlseam.experiment.sockets import Sockets
+from marlseam.experiment.plays import RunResult, ShowProgress, register_play
+from marlseam.experiment.processes import RunFailedError
+from marlseam.experiment.sockets import SocketDriver
 from marlseam.load.process import arrivals_of
 from marlseam.random_source import RandomSource
 from marlseam.simulation.model import (
@@ -138,7 +138,7 @@
         self.passed = self.lost = self.count = 0
         self.error: BaseException | None = None
         self.over = threading.Event()
-        self.driver: Sockets | None = None
+        self.driver: SocketDriver | None = None
         self.thread = threading.Thread(target=self.run, daemon=True)
 
     def door(self) -> str:
@@ -408,11 +408,16 @@
 
 
 def run(
-    day: Day, seed: int, table: Fleet, out: Path, say: Say, wrong: Callable[[Rig], list[str]]
+    day: Day,
+    seed: int,
+    table: Fleet,
+    out: Path,
+    show_progress: ShowProgress,
+    wrong: Callable[[Rig], list[str]],
 ) -> tuple[Rig, list[float]]:
     """Play a day under the rig's faults; return it, and how long after the last one nothing was wrong."""
     rig = Rig([name for name, _ in placed_nodes(day)], table, seed, out)
-    driver = rig.driver = Sockets(
+    driver = rig.driver = SocketDriver(
         day,
         seed,
         out,
@@ -430,8 +435,8 @@
     def progress(now: float) -> None:
         rig.counts_steps = True
         if rig.error is not None:
-            raise Failed(f"the rig ended: {rig.error!r}")
-        say(f"{max(0.0, now) / 1000.0:.0f} s of {day.seconds:g}, {len(rig.spells)} faults")
+            raise RunFailedError(f"the rig ended: {rig.error!r}")
+        show_progress(f"{max(0.0, now) / 1000.0:.0f} s of {day.seconds:g}, {len(rig.spells)} faults")
         over = max([until for *_, until in rig.spells], default=0.0)
         if now > 1000.0 * table.until_s and not table.faults:
             rig.strikes.clear()
@@ -448,16 +453,16 @@
     return rig, healed
 
 
-@play("fleet_members")
-def fleet_members(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("fleet_members")
+def fleet_members(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Have real nodes find out who of them is there, while faults strike, under load that the judge sees."""
     table: Fleet = experiment.tables["fleet_members"]
     day, seed = experiment.day, experiment.head.seed
-    rig, healed = run(day, seed, table, out, say, Rig.agree)
+    rig, healed = run(day, seed, table, out, show_progress, Rig.agree)
     names = rig.names
-    played = plays.judged(*records.read_folder(out / "records"), driver="sockets")
+    played = plays.judge_records(*records.read_folder(out / "records"), driver="sockets")
     figures, rows = verdict(rig, len(names), table, healed)
-    return Played(
+    return RunResult(
         played.figures | figures, played.verdict, played.book, [("Members under faults", rows)], "sockets"
     )
 
@@ -613,8 +618,8 @@
     }
 
 
-@play("fleet_scale")
-def fleet_scale(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("fleet_scale")
+def fleet_scale(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Measure membership by the fleet's size and the share of letters that are lost, in virtual time."""
     table: Sizes = experiment.tables["fleet_scale"]
     rows = [
@@ -648,7 +653,7 @@
         }
         for (count, loss), run in runs.items():
             seen = run.result()
-            say(f"{count} members, {loss:.0%} lost")
+            show_progress(f"{count} members, {loss:.0%} lost")
             names = frozenset(f"n{i}" for i in range(count))
             machine = Membership("fleet", "n0", names, 0, 0, membership_schedules.PERIOD_MS, 0.0)
             bound = (
@@ -680,7 +685,7 @@
             times = [f"{acts[key]:.1f}" for key in ("act_median_s", "act_p99_s", "act_most_s")]
             others = [f"{acts['not_acting']:.0f}", f"{acts['notes']:.1f}", f"{total:.0f}"]
             versions.append([str(count), f"{loss:.0%}", *times, *others, f"{memory_kb(count):.0f}"])
-    return Played(
+    return RunResult(
         found, tables=[("Members by size and loss", rows), ("Versions", versions)], driver="virtual"
     )
 
@@ -692,8 +697,8 @@
     period_ms: Positive = 1000.0
 
 
-@play("fleet_cost")
-def fleet_cost(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("fleet_cost")
+def fleet_cost(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Measure what membership costs a node: CPU time a work unit and latency, in pairs."""
     table: Cost = experiment.tables["fleet_cost"]
     day, seed = experiment.day, experiment.head.seed
@@ -705,7 +710,7 @@
         row = [str(i + 1)]
         cpu = {}
         for name in ("off", "on") if i % 2 == 0 else ("on", "off"):
-            say(f"pair {i + 1}, the fleet {name}")
+            show_progress(f"pair {i + 1}, the fleet {name}")
             members = "\n".join(f'{n} = "{reserved()}"' for n in names)
             where = out / f"{name}-{i + 1}"
             shutil.rmtree(where / "ledgers", ignore_errors=True)
@@ -719,9 +724,9 @@
                 head = f'[fleet]\nname = "cost"\nperiod_ms = {table.period_ms:g}\nfolder = "{ledger}"\n'
                 return {}, f"{head}voters = {json.dumps(names[:3])}\n[fleet.members]\n{members}\n"
 
-            driver = Sockets(day, seed, where, more=own)
+            driver = SocketDriver(day, seed, where, more=own)
             driver.run(arrivals)
-            played = plays.judged(*records.read_folder(where / "records"), driver="sockets")
+            played = plays.judge_records(*records.read_folder(where / "records"), driver="sockets")
             cpu[name] = 1000.0 * sum(driver.cpu_s.values()) / max(1.0, played.figures["completed"])
             found[f"{name}_p99"] = found.get(f"{name}_p99", 0.0) + played.figures["latency_p99"] / table.pairs
             found["rules_broken"] += played.figures["rules_broken"]
@@ -731,7 +736,7 @@
         rows.append([*row, f"{ratios[-1]:.3f}"])
     found |= {"cpu_ratio": sorted(ratios)[len(ratios) // 2], "cpu_ratio_most": max(ratios)}
     found["p99_ratio"] = found["on_p99"] / found["off_p99"]
-    return Played(found, tables=[("What membership costs", rows)], driver="sockets")
+    return RunResult(found, tables=[("What membership costs", rows)], driver="sockets")
 
 
 def register() -> None:
--- a/marlseam/experiment/measures.py
+++ b/marlseam/experiment/measures.py
@@ -30,11 +30,11 @@
     versions,
 )
 from marlseam.experiment.file import Experiment
-from marlseam.experiment.plays import Played, Say, play
+from marlseam.experiment.plays import RunResult, ShowProgress, register_play
 from marlseam.experiment.policies import POLICIES
-from marlseam.experiment.processes import Process
-from marlseam.experiment.sockets import LEAD_S, Sockets
-from marlseam.experiment.virtual import Virtual
+from marlseam.experiment.processes import ChildProcess
+from marlseam.experiment.sockets import LEAD_S, SocketDriver
+from marlseam.experiment.virtual import VirtualDriver
 from marlseam.load.process import arrivals_of
 from marlseam.load.verdict import Counted, merge
 from marlseam.records import RecordStreams
@@ -63,7 +63,7 @@
     path, where = out / "day.json", out / "nodes.json"
     path.write_bytes(msgspec.json.encode(day))
     words = [word for at, length in stalls for word in ("--stall", str(at), str(length))]
-    started = [Process(["standin", "echo", *words], out / "logs" / "echo.log") for _ in range(nodes)]
+    started = [ChildProcess(["standin", "echo", *words], out / "logs" / "echo.log") for _ in range(nodes)]
     try:
         zone = day.fleet.zones[0]
         addresses = {f"n{i}": (zone, process.line()["node"]) for i, process in enumerate(started)}
@@ -73,7 +73,7 @@
             words = ["standin", "load", str(path), "--seed", str(seed), "--nodes", str(where)]
             words += ["--part", f"{i + 1}/{generators}", "--connections", str(connections)]
             words += ["--records", str(out / "records")]
-            players.append(Process(words, out / "logs" / "load.log"))
+            players.append(ChildProcess(words, out / "logs" / "load.log"))
         echoes, started = list(started), started + players
         for player in players:
             player.line(60.0)
@@ -97,15 +97,15 @@
     connections: Count = 16
 
 
-@play("pause")
-def pause(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("pause")
+def pause(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Stall a stand-in node, and see what share of latencies shows it.
 
     From the intended and from the actual send.
     """
     table: Pause = experiment.tables["pause"]
     seed, day = experiment.head.seed, experiment.day
-    say(f"{day.seconds:g} s of sends")
+    show_progress(f"{day.seconds:g} s of sends")
     counted = against_echo(day, seed, out, 1, 1, table.connections, [(table.at_s, table.for_s)])
     begin, end = 1000.0 * table.at_s, 1000.0 * (table.at_s + table.for_s)
     at = np.array([arrival.at for arrival in arrivals_of(day, seed)])
@@ -130,7 +130,7 @@
             [f"the {name} send", f"{row[50.0]:.1f}", f"{row[99.0]:.1f}", f"{row[100.0]:.1f}", f"{share:.2%}"]
         )
     rows.append(["arithmetic", "", "", f"{1000.0 * table.for_s:.0f}", f"{expected:.2%}"])
-    return Played(found, tables=[("A stall of the node, ms", rows)], driver="sockets, stand-in node")
+    return RunResult(found, tables=[("A stall of the node, ms", rows)], driver="sockets, stand-in node")
 
 
 class Rates(Strict):
@@ -143,8 +143,8 @@
     connections: Count = 32
 
 
-@play("generator")
-def generator(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("generator")
+def generator(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Find the greatest rate that one generator process sustains, and that several do."""
     table: Rates = experiment.tables["generator"]
     rows, found = (
@@ -154,7 +154,7 @@
     for processes in table.processes or [1]:
         best = 0.0
         for rate in table.rates:
-            say(f"{processes} processes at {rate * processes:g} a second")
+            show_progress(f"{processes} processes at {rate * processes:g} a second")
             load = msgspec.structs.replace(experiment.day.load, rate=rate * processes)
             day = msgspec.structs.replace(experiment.day, seconds=table.seconds, load=load)
             counted = against_echo(
@@ -173,7 +173,7 @@
                 break
             best = rate * processes
         found[f"rate_{processes}"] = best
-    return Played(found, tables=[("What generators sustain", rows)], driver="sockets, stand-in nodes")
+    return RunResult(found, tables=[("What generators sustain", rows)], driver="sockets, stand-in nodes")
 
 
 # Capacity of one node.
@@ -190,8 +190,8 @@
     profile: bool = True
 
 
-@play("capacity")
-def capacity(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("capacity")
+def capacity(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Raise the rate step by step until one node on its core no longer keeps its promises.
 
     Then profile it.
@@ -210,7 +210,7 @@
     ]
     best, found = 0.0, {}
     for rate in table.rates:
-        say(f"{rate:g} a second")
+        show_progress(f"{rate:g} a second")
         played, counted, cpu = at_rate(experiment, table, rate, out / "steps")
         served, jobs = played.figures["service"], max(1.0, played.figures["completed"])
         rows.append(
@@ -230,24 +230,24 @@
         found = {"cpu_ms_a_job": 1000.0 * cpu / jobs, "latency_p99": counted.intended[99.0]}
     tables = [("One node's capacity", rows)]
     if table.profile:
-        say("profile")
+        show_progress("profile")
         path = out / "node.prof"
         played, _, _ = at_rate(experiment, table, max(50.0, best / 3.0), out / "profile", path)
         tables.append(
             ("Where a job's time goes, under the profiler", profile_rows(path, played.figures["completed"]))
         )
-    return Played(found | {"rate": best}, tables=tables, driver="sockets")
+    return RunResult(found | {"rate": best}, tables=tables, driver="sockets")
 
 
 def at_rate(
     experiment: Experiment, table: Capacity, rate: float, out: Path, profile: Path | None = None
-) -> tuple[Played, Counted, float]:
+) -> tuple[RunResult, Counted, float]:
     """Play the day at a rate; return its figures, what the generator counted, and the node's CPU seconds."""
     load = msgspec.structs.replace(experiment.day.load, rate=rate)
     day = msgspec.structs.replace(experiment.day, seconds=table.seconds, load=load)
-    driver = Sockets(day, experiment.head.seed, out, 1, table.connections, False, table.parts, profile)
+    driver = SocketDriver(day, experiment.head.seed, out, 1, table.connections, False, table.parts, profile)
     counted = merge(driver.run(), len(arrivals_of(day, experiment.head.seed)))
-    played = plays.judged(*records.read_folder(out / "records"), driver="sockets")
+    played = plays.judge_records(*records.read_folder(out / "records"), driver="sockets")
     return played, counted, sum(driver.cpu_s.values())
 
 
@@ -309,8 +309,8 @@
     return msgspec.structs.replace(day, fleet=fleet, load=load, roster=roster)
 
 
-@play("scale")
-def scale(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("scale")
+def scale(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Play the day at growing sizes in virtual time: rules, wall time, events a second, cost a work unit."""
     table: Scale = experiment.tables["scale"]
     rows = [
@@ -328,16 +328,16 @@
         ]
     ]
     found: dict[str, float] = {}
-    first: Played | None = None
+    first: RunResult | None = None
     for k in table.times:
-        say(f"{k} times the fleet")
+        show_progress(f"{k} times the fleet")
         day = times_over(experiment.day, k)
         streams = RecordStreams(None, "driver")
         began = time.perf_counter()
-        driver = Virtual(day, experiment.head.seed, streams)
+        driver = VirtualDriver(day, experiment.head.seed, streams)
         driver.run()
         wall = time.perf_counter() - began
-        played = plays.judged((r for w in streams.writers.values() for r in w.kept), [], "virtual")
+        played = plays.judge_records((r for w in streams.writers.values() for r in w.kept), [], "virtual")
         units = played.figures["work_units"]
         found |= {
             f"wall_s_{k}": wall,
@@ -366,7 +366,9 @@
     figures_of["rules_broken"] = sum(
         value for name, value in found.items() if name.startswith("rules_broken_")
     )
-    return Played(figures_of, first.verdict, first.book, [("Growing fleets, virtual time", rows)], "virtual")
+    return RunResult(
+        figures_of, first.verdict, first.book, [("Growing fleets, virtual time", rows)], "virtual"
+    )
 
 
 # Policies side by side, in virtual time.
@@ -382,15 +384,15 @@
 def one_run(day: Day, seed: int, name: str) -> dict[str, float]:
     """Play one day by one policy; return its figures."""
     streams = RecordStreams(None, "driver")
-    Virtual(day, seed, streams, POLICIES[name]).run()
+    VirtualDriver(day, seed, streams, POLICIES[name]).run()
     verdict, book = judge([r for w in streams.writers.values() for r in w.kept])
     broken = {"rules_broken": float(verdict.violation_count), "judged": float(verdict.is_judged)}
     margins = {"margin_" + rule.name.replace(" ", "_"): rule.margin for rule in verdict.rules}
     return figures(book) | broken | margins
 
 
-@play("policies")
-def policies(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("policies")
+def policies(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Play each policy over many seeds in the same worlds; differences are paired by seed."""
     table: Policies = experiment.tables["policies"]
     names = table.names or list(POLICIES)
@@ -402,7 +404,7 @@
         runs = {name: [pool.submit(one_run, day, seed, name) for seed in seeds] for name in names}
         done = {}
         for name in names:
-            say(name)
+            show_progress(name)
             done[name] = [run.result() for run in runs[name]]
     columns = ("service", "worst_10s", "worst_type", "probes_per_try", "crossings", "waste")
     rows = [["policy", *columns, "latency p99", "broken", "service less marlseam's (95%)"]]
@@ -439,7 +441,7 @@
         if key.startswith("margin_")
     ]
     tables = [(f"Policies over {len(seeds)} seeds, virtual time", rows), ("Margins", margins)]
-    return Played(found, tables=tables, driver="virtual")
+    return RunResult(found, tables=tables, driver="virtual")
 
 
 def register() -> None:
--- a/marlseam/experiment/plays.py
+++ b/marlseam/experiment/plays.py
@@ -25,11 +25,11 @@
 
 DRIVERS = ("virtual", "sockets")
 EXAMPLES = 5  # breaches shown of each rule
-Say = Callable[[str], None]
+ShowProgress = Callable[[str], None]
 
 
 @dataclass
-class Played:
+class RunResult:
     """What a play came to."""
 
     figures: dict[str, float]
@@ -40,11 +40,11 @@
     slopes: list[Slope] = field(default_factory=list)  # drawn in the report, each with its bound
 
 
-Play = Callable[[Experiment, Path, Say], Played]
+Play = Callable[[Experiment, Path, ShowProgress], RunResult]
 PLAYS: dict[str, Play] = {}
 
 
-def play(name: str) -> Callable[[Play], Play]:
+def register_play(name: str) -> Callable[[Play], Play]:
     """Register a play under a name."""
 
     def note(call: Play) -> Play:
@@ -54,19 +54,19 @@
     return note
 
 
-def judged(found: Iterable[Record], wrong: list[str], driver: str) -> Played:
+def judge_records(found: Iterable[Record], wrong: list[str], driver: str) -> RunResult:
     """Judge records and count their figures."""
     verdict, book = judge(list(found), wrong)
     counted = figures(book)
     counted["rules_broken"] = float(verdict.violation_count)
     for rule in verdict.rules:
         counted["margin_" + rule.name.replace(" ", "_")] = rule.margin
-    return Played(counted, verdict, book, driver=driver)
+    return RunResult(counted, verdict, book, driver=driver)
 
 
-def virtual(experiment: Experiment, out: Path, seed: int | None = None) -> Played:
+def virtual(experiment: Experiment, out: Path, seed: int | None = None) -> RunResult:
     """Play an experiment's day in virtual time, with its records in the folder `records`."""
-    from marlseam.experiment.virtual import Virtual
+    from marlseam.experiment.virtual import VirtualDriver
     from marlseam.load.process import arrivals_of
 
     day, seed = experiment.day, experiment.head.seed if seed is None else seed
@@ -76,10 +76,10 @@
         old.unlink()
     (out / "day.json").write_bytes(msgspec.json.encode(day))
     began = time.perf_counter()
-    driver = Virtual(day, seed, RecordStreams(folder, "driver"))
+    driver = VirtualDriver(day, seed, RecordStreams(folder, "driver"))
     driver.run(arrivals_of(day, seed))
     wall = time.perf_counter() - began
-    played = judged(*records.read_folder(folder), driver="virtual")
+    played = judge_records(*records.read_folder(folder), driver="virtual")
     played.figures |= {
         "wall_s": wall,
         "events": float(driver.events),
@@ -89,19 +89,21 @@
     return played
 
 
-def sockets(experiment: Experiment, out: Path, say: Say) -> Played:
+def sockets(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Play an experiment's day on loopback."""
-    from marlseam.experiment.sockets import Sockets
+    from marlseam.experiment.sockets import SocketDriver
     from marlseam.load.process import arrivals_of
     from marlseam.load.verdict import merge
 
     day = experiment.day
-    driver = Sockets(day, experiment.head.seed, out)
+    driver = SocketDriver(day, experiment.head.seed, out)
     arrivals = arrivals_of(day, experiment.head.seed)
-    counts = driver.run(progress=lambda now: say(f"{max(0.0, now) / 1000.0:.0f} s of {day.seconds:g}"))
+    counts = driver.run(
+        progress=lambda now: show_progress(f"{max(0.0, now) / 1000.0:.0f} s of {day.seconds:g}")
+    )
     counted = merge(counts, len(arrivals))
     (out / "histograms.json").write_bytes(msgspec.json.encode(counts))
-    played = judged(*records.read_folder(out / "records"), driver="sockets")
+    played = judge_records(*records.read_folder(out / "records"), driver="sockets")
     played.figures |= {
         "generator_valid": float(counted.is_valid),
         "generator_lag_p99": counted.lag[99.0],
@@ -110,20 +112,20 @@
     return played
 
 
-@play("day")
-def day(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("day")
+def day(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Play one day in the driver that the file names."""
     if experiment.head.driver == "virtual":
         return virtual(experiment, out)
-    return sockets(experiment, out, say)
+    return sockets(experiment, out, show_progress)
 
 
-@play("agree")
-def agree(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("agree")
+def agree(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Play one day in both drivers, and set their figures side by side."""
-    say("virtual time")
+    show_progress("virtual time")
     one = virtual(experiment, out / "virtual")
-    two = sockets(experiment, out / "sockets", say)
+    two = sockets(experiment, out / "sockets", show_progress)
     shown = (
         "service",
         "late",
@@ -152,10 +154,10 @@
         ),
         "troubles_apart": float(sorted(seen[0]) != sorted(seen[1])),
     }
-    return Played(found, verdict, two.book, [("Both drivers", rows)], "virtual and sockets")
+    return RunResult(found, verdict, two.book, [("Both drivers", rows)], "virtual and sockets")
 
 
-def run(experiment: Experiment, out: Path, say: Say) -> tuple[int, list[str]]:
+def run(experiment: Experiment, out: Path, show_progress: ShowProgress) -> tuple[int, list[str]]:
     """Play an experiment, write its folder, and return the exit code and what was missed.
 
     0: all that it expects holds; 1: a rule is broken, the records have holes, or an expectation is missed.
@@ -167,7 +169,7 @@
         raise FileError(f"driver: {head.driver!r} is none{nearest(head.driver, list(DRIVERS))}")
     out.mkdir(parents=True, exist_ok=True)
     began = time.perf_counter()
-    played = PLAYS[head.play](experiment, out, say)
+    played = PLAYS[head.play](experiment, out, show_progress)
     took = time.perf_counter() - began
     unknown = [name for name in head.expect if name not in played.figures]
     if unknown:
@@ -213,7 +215,7 @@
     return code, missed
 
 
-def rules_summary(played: Played) -> list[dict[str, Any]]:
+def rules_summary(played: RunResult) -> list[dict[str, Any]]:
     """Return the rules as the summary holds them, with the whole story of the first breaches."""
     if played.verdict is None:
         return []
--- a/marlseam/experiment/processes.py
+++ b/marlseam/experiment/processes.py
@@ -17,11 +17,11 @@
 END_S = 10.0
 
 
-class Failed(Exception):
+class RunFailedError(Exception):
     """A process of the experiment did not do its part."""
 
 
-class Process:
+class ChildProcess:
     """One process; `words` are the arguments of `python -m marlseam`."""
 
     def __init__(
@@ -52,10 +52,10 @@
         while not text.endswith(b"\n"):
             left = end - time.monotonic()
             if left <= 0.0 or not select.select([out], [], [], left)[0]:
-                raise Failed(f"{' '.join(self.words[:2])} said nothing for {within_s:g} s")
+                raise RunFailedError(f"{' '.join(self.words[:2])} said nothing for {within_s:g} s")
             more = os.read(out.fileno(), 65536)
             if not more:
-                raise Failed(f"{' '.join(self.words[:2])} ended at once: {self.tail()}")
+                raise RunFailedError(f"{' '.join(self.words[:2])} ended at once: {self.tail()}")
             text += more
         return json.loads(text.splitlines()[-1])
 
--- a/marlseam/experiment/ready.py
+++ b/marlseam/experiment/ready.py
@@ -22,8 +22,8 @@
 from marlseam.emulators.base import Door, Quiet, Stand, reply
 from marlseam.experiment import file
 from marlseam.experiment.file import Experiment
-from marlseam.experiment.plays import Played, Say, play
-from marlseam.experiment.processes import Process
+from marlseam.experiment.plays import RunResult, ShowProgress, register_play
+from marlseam.experiment.processes import ChildProcess
 from marlseam.net.connection import Connection, ConnectionEndedError, Steps, connect
 from marlseam.net.log import Log, Reason
 from marlseam.net.loop import Coroutine, sleep
@@ -66,7 +66,7 @@
 class Start:
     """One process that starts: when, on which port, when it was ready, and what it said of its parts."""
 
-    process: Process
+    process: ChildProcess
     began_s: float
     port: int = 0
     ready_s: float = inf
@@ -122,7 +122,7 @@
         log.unlink(missing_ok=True)
         words = [str(os.getpid()), "serve", "--config", str(path)]
         began = time.monotonic()
-        made = Start(Process(words, log, module="marlseam.experiment.begun"), began)
+        made = Start(ChildProcess(words, log, module="marlseam.experiment.begun"), began)
         self.starts.append(made)
         self.loop.spawn(self.follow(made))
 
@@ -243,18 +243,18 @@
 HEAD = ["discovery", "ready 50%", "90%", "100%", *PARTS, "list calls/s", "all calls/s", "failed/s"]
 
 
-@play("ready")
-def ready(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("ready")
+def ready(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Start many processes at once, in each case."""
     table = experiment.tables["ready"]
     found, rows = {}, [HEAD]
     for case in table.cases:
-        say(case.name)
+        show_progress(case.name)
         figures, row = started(case, table, out / "logs" / case.name)
         found |= {f"{case.name}_{name}": value for name, value in figures.items()}
         rows.append(row)
     title = f"{table.processes} processes at once, seconds after their start (parts: the median)"
-    return Played(found, tables=[(title, rows)], driver="sockets")
+    return RunResult(found, tables=[(title, rows)], driver="sockets")
 
 
 def register() -> None:
--- a/marlseam/experiment/recovering.py
+++ b/marlseam/experiment/recovering.py
@@ -17,9 +17,9 @@
 from marlseam.emulators.disk import FAULTS, OVER, Faults
 from marlseam.experiment import file, plays
 from marlseam.experiment.file import Experiment
-from marlseam.experiment.plays import Played, Say, play
-from marlseam.experiment.sockets import Sockets
-from marlseam.experiment.virtual import Old, Virtual
+from marlseam.experiment.plays import RunResult, ShowProgress, register_play
+from marlseam.experiment.sockets import SocketDriver
+from marlseam.experiment.virtual import StaleListStart, VirtualDriver
 from marlseam.load.process import arrivals_of
 from marlseam.load.verdict import Counted, merge
 from marlseam.records import RecordStreams
@@ -45,14 +45,14 @@
 READING_MS = 2000.0  # of a pod's memory that may pass until a folder is read after a run
 
 
-def on_sockets(day: Day, seed: int, out: Path, **options: object) -> tuple[Played, Counted, Sockets]:
+def on_sockets(day: Day, seed: int, out: Path, **options: object) -> tuple[RunResult, Counted, SocketDriver]:
     """Play a day on loopback from empty state folders; return its figures, the generator's and the driver."""
     shutil.rmtree(out / "state", ignore_errors=True)
     (out / "state").mkdir(parents=True)
     options.setdefault("prepare", lambda name, _: create_state(out / "state" / name, name))
-    driver = Sockets(day, seed, out, **options)
+    driver = SocketDriver(day, seed, out, **options)
     counted = merge(driver.run(), len(arrivals_of(day, seed)))
-    return plays.judged(*records.read_folder(out / "records"), driver="sockets"), counted, driver
+    return plays.judge_records(*records.read_folder(out / "records"), driver="sockets"), counted, driver
 
 
 class DiskCase(Faults):
@@ -148,8 +148,8 @@
     return found, [*row, f"{found['service']:.3f}", f"{found['refused']:.3f}"]
 
 
-@play("receipts_disks")
-def receipts_disks(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("receipts_disks")
+def receipts_disks(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Kill a node at chance moments under work with receipts, on each of some disks."""
     table: Receipts = experiment.tables["receipts"]
     day = with_kills(experiment, table)
@@ -159,12 +159,12 @@
         runs = [(case, pool.submit(on_disk, experiment, day, case, out / case.name)) for case in table.disks]
         for case, run in runs:
             figures, row = run.result()
-            say(f"{case.name} played")
+            show_progress(f"{case.name} played")
             rows.append(row)
             found |= {f"{case.name}_{name}": value for name, value in figures.items()}
     for name in ("repeats", "missing", "rules_broken"):
         found[name] = sum(value for key, value in found.items() if key.endswith(f"_{name}"))
-    return Played(found, tables=[(f"{table.kills} kills on each disk", rows)], driver="sockets")
+    return RunResult(found, tables=[(f"{table.kills} kills on each disk", rows)], driver="sockets")
 
 
 def with_kills(experiment: Experiment, table: Receipts) -> Day:
@@ -176,16 +176,16 @@
     return msgspec.structs.replace(day, troubles=[*day.troubles, *kills])
 
 
-@play("receipts")
-def receipts(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("receipts")
+def receipts(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Kill nodes at chance moments under work with receipts, with the store and without it."""
     table: Receipts = experiment.tables["receipts"]
     head, day = experiment.head, with_kills(experiment, table)
     found: dict[str, float] = {}
     rows = [["store", "kills", "tries", "lost", "receipted work with two effects", "service"]]
-    kept: Played | None = None
+    kept: RunResult | None = None
     for name, own in (("on", STORE.format(sync=table.sync)), ("off", "")):
-        say(f"store {name}")
+        show_progress(f"store {name}")
         played, _, _ = on_sockets(day, head.seed, out / f"store-{name}", own=own)
         twice = [what for rule in played.verdict.rules if rule.name == EFFECTS for what in rule.violations]
         lost = sum(r.how == "lost" for r in played.book.of_type(records.TryAnswered))
@@ -202,7 +202,7 @@
             ]
         )
         kept = kept or played
-    return Played(
+    return RunResult(
         kept.figures | found, kept.verdict, kept.book, [("Kills under receipted work", rows)], "sockets"
     )
 
@@ -246,14 +246,14 @@
     return [row | {"health": "active", "share": 1.0, "born_ms": 0} for row in rows]
 
 
-@play("old_list")
-def old_list(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("old_list")
+def old_list(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Start all nodes together from an old list with the roster down, and the same day with the roster up."""
     table: OldList = experiment.tables["old_list"]
     head, day = experiment.head, experiment.day
     down = Fault(what="roster_outage", at_s=0.0, for_s=table.down_s)
     if head.driver == "virtual":
-        return old_list_virtual(experiment, table, down, say)
+        return old_list_virtual(experiment, table, down, show_progress)
 
     def prepare(name: str, dials: dict[str, str]) -> None:
         path = out / "down" / "state" / name
@@ -264,9 +264,9 @@
         folder.snapshot([form.encode_record(listed)], now)
         folder.close()
 
-    say("the roster up")
+    show_progress("the roster up")
     up, _, _ = on_sockets(day, head.seed, out / "up")
-    say("the roster down, from an old list")
+    show_progress("the roster down, from an old list")
     troubled = msgspec.structs.replace(day, troubles=[*day.troubles, down])
     own = STORE.format(sync="durable")
     played, _, driver = on_sockets(troubled, head.seed, out / "down", own=own, prepare=prepare)
@@ -296,24 +296,26 @@
         "waste",
     ):
         rows.append([name, f"{up.figures[name]:.3f}", f"{played.figures[name]:.3f}"])
-    return Played(found, played.verdict, played.book, [("From an old list", rows)], "sockets")
+    return RunResult(found, played.verdict, played.book, [("From an old list", rows)], "sockets")
 
 
-def one_start(day: Day, seed: int, old: Old | None) -> dict[str, float]:
+def one_start(day: Day, seed: int, old: StaleListStart | None) -> dict[str, float]:
     """Play one day in virtual time from an old list; return its figures."""
     streams = RecordStreams(None, "driver")
-    Virtual(day, seed, streams, old=old).run()
-    return plays.judged((r for w in streams.writers.values() for r in w.kept), [], "virtual").figures
+    VirtualDriver(day, seed, streams, old=old).run()
+    return plays.judge_records((r for w in streams.writers.values() for r in w.kept), [], "virtual").figures
 
 
-def old_list_virtual(experiment: Experiment, table: OldList, down: Fault, say: Say) -> Played:
+def old_list_virtual(
+    experiment: Experiment, table: OldList, down: Fault, show_progress: ShowProgress
+) -> RunResult:
     """Start all nodes of a fleet together, over many seeds.
 
     An address that is another's now counts as gone.
     """
     day, seed = experiment.day, experiment.head.seed
     total = len(placed_servers(day)) / (1.0 - table.gone - table.reused)
-    old = Old(
+    old = StaleListStart(
         round(total * (table.gone + table.reused)),
         saved_list.entry_doubt(1000.0 * table.age_s, saved_list.DepartureRate()),
     )
@@ -328,7 +330,7 @@
             "down": [pool.submit(one_start, troubled, seed + i, old) for i in range(table.seeds)],
         }
         for name, runs in sets.items():
-            say(f"the roster {name}")
+            show_progress(f"the roster {name}")
             done = [run.result() for run in runs]
             mean = {key: float(np.mean([run[key] for run in done])) for key in done[0]}
             margins = [run["margin_cold_spared"] for run in done]
@@ -342,7 +344,7 @@
             rows.append([f"roster {name}", *shown, f"{found[f'{name}_rules_broken']:.0f}"])
     found["rules_broken"] = found["up_rules_broken"] + found["down_rules_broken"]
     found["service_lost"] = found["up_service"] - found["down_service"]
-    return Played(found, tables=[(f"From an old list, {table.seeds} seeds", rows)], driver="virtual")
+    return RunResult(found, tables=[(f"From an old list, {table.seeds} seeds", rows)], driver="virtual")
 
 
 class Cost(Strict):
@@ -353,8 +355,8 @@
     connections: Count = 32
 
 
-@play("store_cost")
-def store_cost(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("store_cost")
+def store_cost(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Play the same load without a store and with each way of syncing it, in turn.
 
     And set the figures side by side.
@@ -365,7 +367,7 @@
     rows = [["store", "p50, ms", "p99, ms", "CPU a job, ms", "bytes a job", "service"]]
     found: dict[str, float] = {}
     for sync in ("off", "written", "durable"):
-        say(f"store {sync}")
+        show_progress(f"store {sync}")
         own = "" if sync == "off" else STORE.format(sync=sync)
         where = out / sync
         played, counted, driver = on_sockets(
@@ -394,7 +396,7 @@
     for sync in ("written", "durable"):
         for name in ("p50", "p99", "cpu_ms"):
             found[f"{sync}_{name}_ratio"] = found[f"{sync}_{name}"] / max(1e-9, found[f"off_{name}"])
-    return Played(found, tables=[("What the store costs", rows)], driver="sockets")
+    return RunResult(found, tables=[("What the store costs", rows)], driver="sockets")
 
 
 def register() -> None:
--- a/marlseam/experiment/size.py
+++ b/marlseam/experiment/size.py
@@ -23,7 +23,7 @@
 
 from marlseam.experiment import tied
 from marlseam.experiment.file import FileError
-from marlseam.experiment.processes import Failed, Process
+from marlseam.experiment.processes import ChildProcess, RunFailedError
 from marlseam.experiment.slope import Slope
 from marlseam.simulation.model import Day, Fleet, RequestType, ServerKind, node_settings
 
@@ -85,7 +85,7 @@
         raise RuntimeError("a play that is limited runs in the main thread")
 
     def over(number: int, frame: object) -> None:
-        raise Failed(f"not over after {seconds:g} s")
+        raise RunFailedError(f"not over after {seconds:g} s")
 
     def told(number: int, frame: object) -> None:
         raise KeyboardInterrupt
@@ -117,7 +117,7 @@
 def apart(call: Callable[..., Any], *words: Any) -> Any:  # noqa: ANN401
     """Return what a call returns that is run in a process of its own, so that its memory is its own.
 
-    The process ends with this one, however this one ends. Raises Failed.
+    The process ends with this one, however this one ends. Raises RunFailedError.
     """
     context = multiprocessing.get_context("spawn")
     ours, theirs = context.Pipe(duplex=False)
@@ -128,13 +128,13 @@
         good, value = ours.recv()
     except EOFError:
         process.join()
-        raise Failed(f"{call.__name__} ended at once, code {process.exitcode}") from None
+        raise RunFailedError(f"{call.__name__} ended at once, code {process.exitcode}") from None
     finally:
         process.kill()
         process.join()
         ours.close()
     if not good:
-        raise Failed(f"{call.__name__}: {value}")
+        raise RunFailedError(f"{call.__name__}: {value}")
     return value
 
 
@@ -146,7 +146,7 @@
     folder.mkdir(parents=True)
     try:
         yield folder
-    except Failed:
+    except RunFailedError:
         raise  # its logs say why
     except BaseException:
         shutil.rmtree(folder, ignore_errors=True)
@@ -248,10 +248,10 @@
 
     def __init__(self, out: Path) -> None:
         self.out = out
-        self.nodes: dict[str, Process] = {}
+        self.nodes: dict[str, ChildProcess] = {}
         (out / "logs").mkdir(parents=True, exist_ok=True)
 
-    def start(self, name: str, config: dict[str, Any], own: str = "") -> Process:
+    def start(self, name: str, config: dict[str, Any], own: str = "") -> ChildProcess:
         """Start a node, with the operator's own settings; it ends with this process, however that ends."""
         path = self.out / f"{name}.json"
         path.write_text(json.dumps(config))
@@ -262,7 +262,7 @@
             words += ["--settings", str(owned)]
         log = self.out / "logs" / f"{name}.log"
         log.write_bytes(b"")
-        self.nodes[name] = Process(words, log, module="marlseam.experiment.tied")
+        self.nodes[name] = ChildProcess(words, log, module="marlseam.experiment.tied")
         return self.nodes[name]
 
     def listens(self) -> None:
@@ -271,7 +271,7 @@
         for name, process in self.nodes.items():
             while "listens on" not in process.log.read_text(errors="replace"):
                 if process.process.poll() is not None or time.monotonic() > end:
-                    raise Failed(f"node {name} did not start: {process.tail()}")
+                    raise RunFailedError(f"node {name} did not start: {process.tail()}")
                 time.sleep(LOOK_S)
 
     def address(self, name: str) -> str:
@@ -294,7 +294,7 @@
             if "turns at most " in text:
                 found.append(float(text.rpartition("turns at most ")[2].split()[0]))
         if len(found) < count:
-            raise Failed(f"{len(found)} of {count} nodes told their longest turn as they ended")
+            raise RunFailedError(f"{len(found)} of {count} nodes told their longest turn as they ended")
         return found
 
     def end(self) -> None:
--- a/marlseam/experiment/size_changes.py
+++ b/marlseam/experiment/size_changes.py
@@ -33,8 +33,8 @@
 from marlseam.experiment import file, size, slope
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.fleet import reserved
-from marlseam.experiment.plays import Played, Say, play
-from marlseam.experiment.processes import Failed
+from marlseam.experiment.plays import RunResult, ShowProgress, register_play
+from marlseam.experiment.processes import RunFailedError
 from marlseam.experiment.slope import Slope
 from marlseam.random_source import number as number_of
 from marlseam.simulation.model import Count, Positive, Strict
@@ -443,8 +443,8 @@
 class Real:
     """Real nodes on loopback that play the same work: published at n0's door, seen in what nodes log."""
 
-    def __init__(self, out: Path, seed: int, table: Changes, say: Say) -> None:
-        self.seed, self.table, self.say = seed, table, say
+    def __init__(self, out: Path, seed: int, table: Changes, show_progress: ShowProgress) -> None:
+        self.seed, self.table, self.show_progress = seed, table, show_progress
         self.names = [f"n{i}" for i in range(table.real)]
         self.band = size.Band(out)
         self.held: list[socket.socket] = []
@@ -549,7 +549,7 @@
             if answer.startswith(f"version {number}: open"):
                 return asked
             self.wait(LAN.operator_ms / 1000.0)
-        raise Failed(f"n0 did not publish version {number}: {answer.strip()}")
+        raise RunFailedError(f"n0 did not publish version {number}: {answer.strip()}")
 
     def play(self) -> dict[str, float]:
         """Play the work; return figures of a node."""
@@ -572,7 +572,7 @@
             asked = self.publish(shared, number)
             self.wait(end - time.monotonic())
             took.append(self.last(number) - asked)
-            self.say(f"{table.real} real nodes, {mark + 1} changes of {table.changes}")
+            self.show_progress(f"{table.real} real nodes, {mark + 1} changes of {table.changes}")
         paced = self.sums()
         began = time.monotonic()
         for mark in range(table.burst):
@@ -646,28 +646,28 @@
     return "hollow" if name in HOLLOW else "virtual" if name in CHARGED else "counted"
 
 
-@play("size_changes")
-def size_changes(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("size_changes")
+def size_changes(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Measure what changes of the configuration cost a node, by the number of teams in it."""
     table: Changes = experiment.tables["size_changes"]
     seed = experiment.head.seed
     most = size.afford(
         "size_changes.nodes", [max(table.nodes, table.full_nodes)], lambda nodes: need(table, nodes)
     )
-    say(f"needs {most.memory_mb:.0f} MB and {most.processes} processes at most")
+    show_progress(f"needs {most.memory_mb:.0f} MB and {most.processes} processes at most")
     found: dict[str, float] = dict.fromkeys(NONE_OF, 0.0)
     tables, by_size = [], dict[int, dict[str, float]]()
     with size.limited(), size.scratch(out) as folder:
         for count in table.teams:
-            say(f"{count} teams, {table.nodes} hollow nodes")
+            show_progress(f"{count} teams, {table.nodes} hollow nodes")
             by_size[count] = size.apart(one_size, seed, table, count, table.nodes)
         others = {}
         if table.full_nodes:
-            say(f"{TEAMS} teams, {table.full_nodes} hollow nodes that the content lists")
+            show_progress(f"{TEAMS} teams, {table.full_nodes} hollow nodes that the content lists")
             few = msgspec.structs.replace(table, changes=table.full_changes, burst=table.full_changes)
             others["full"] = size.apart(one_size, seed, few, TEAMS, table.full_nodes, True)
         if table.disorder:
-            say(f"{table.disorder} teams, notes overtake each other")
+            show_progress(f"{table.disorder} teams, notes overtake each other")
             few = msgspec.structs.replace(table, changes=2, burst=2, every_s=3.0 * table.every_s)
             ways = Ways(disorder=True)
             others["disorder"] = size.apart(one_size, seed, few, table.disorder, table.nodes, False, ways)
@@ -692,7 +692,7 @@
             tables.append((title, rows))
         if table.real:
             hollow = size.apart(one_size, seed, table, table.real_teams, table.real, False, LOOPBACK)
-            real = Real(folder, seed, table, say)
+            real = Real(folder, seed, table, show_progress)
             try:
                 seen = real.play()
             finally:
@@ -716,7 +716,7 @@
     ]
     tables = [(f"Slopes, {table.nodes} nodes", slope.rows(drawn)), *tables]
     driver = "hollow and sockets" if table.real else "hollow"
-    return Played(found | slope.figures(drawn), tables=tables, driver=driver, slopes=drawn)
+    return RunResult(found | slope.figures(drawn), tables=tables, driver=driver, slopes=drawn)
 
 
 def register() -> None:
--- a/marlseam/experiment/size_cold.py
+++ b/marlseam/experiment/size_cold.py
@@ -22,8 +22,8 @@
 from marlseam.configuration import deployment_from
 from marlseam.experiment import file
 from marlseam.experiment.file import Experiment
-from marlseam.experiment.plays import Played, Say, play
-from marlseam.experiment.virtual import Flight, Host, Seat, Virtual
+from marlseam.experiment.plays import RunResult, ShowProgress, register_play
+from marlseam.experiment.virtual import AttemptInFlight, SimulatedNode, SimulatedServer, VirtualDriver
 from marlseam.records import RecordStreams, StreamWriter
 from marlseam.simulation.chance import stream
 from marlseam.simulation.clients import FrontLoadBalancer
@@ -101,7 +101,7 @@
         return names[first], names[first] not in self.down_since_by_node
 
 
-class Ramp(Virtual):
+class Ramp(VirtualDriver):
     """Plays a day and keeps account of what each cold executor gets; `told` nodes are in the settings."""
 
     def __init__(self, day: Day, seed: int, told: int, uneven: bool) -> None:
@@ -118,17 +118,17 @@
         self.lives = self.units = 0
         self.over: list[float] = []  # by how much a sender took an executor's rate for more than it is
 
-    def seat(self, name: str, zone: str) -> Seat:
+    def seat(self, name: str, zone: str) -> SimulatedNode:
         """Make a node's place with the settings that it is told."""
-        return Seat(name, zone, deployment_from(node_settings(self.told, zone)), self.make_core())
+        return SimulatedNode(name, zone, deployment_from(node_settings(self.told, zone)), self.make_core())
 
-    def budget(self, host: Host, t: float) -> float:
+    def budget(self, host: SimulatedServer, t: float) -> float:
         """Return how many work units of mean size the settings allow a host in their window at a time."""
         kind, rules = host.executor.kind, self.day.rules
         rate = kind.slots * kind.speed * host.executor.speed_share(t)
         return rules.fall_multiple * rate * rules.fall_ms / self.mean
 
-    def deliver(self, flight: Flight) -> None:
+    def deliver(self, flight: AttemptInFlight) -> None:
         """Take into account what comes to a cold executor."""
         host, executor = flight.host, flight.host.executor
         came = flight.written and flight.open and self.hears(flight.node, host) and executor.is_up
@@ -155,17 +155,17 @@
             kind = executor.kind
             self.over.append(own * self.day.types[arrival.type].work_ms / (kind.slots * kind.speed))
 
-    def rise(self, host: Host) -> None:
+    def rise(self, host: SimulatedServer) -> None:
         """A life begins."""
         super().rise(host)
         self.lives += 1
 
-    def crash(self, host: Host) -> None:
+    def crash(self, host: SimulatedServer) -> None:
         """A life ends: what it was allowed while it was cold is added up."""
         self.close(host)
         super().crash(host)
 
-    def close(self, host: Host) -> None:
+    def close(self, host: SimulatedServer) -> None:
         """Add up what a life was allowed while it was cold."""
         executor = host.executor
         if executor.started_ms is not None and executor.is_up:
@@ -223,8 +223,8 @@
     return ramp.played() | {"cpu_s": time.process_time() - began}
 
 
-@play("size_cold")
-def size_cold(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("size_cold")
+def size_cold(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Measure the most that any window of a cold executor got, by fleet, traffic and case."""
     table: SizeCold = experiment.tables["size_cold"]
     day, seed = experiment.day, experiment.head.seed
@@ -241,7 +241,7 @@
         }
         for at, run in enumerate(as_completed(runs), 1):
             done[runs[run]].append(run.result())
-            say(f"{at} of {len(runs)} plays")
+            show_progress(f"{at} of {len(runs)} plays")
     for (nodes, traffic, case), seen in done.items():
         of = {key: sorted(one[key] for one in seen) for key in seen[0]}
         mean = {key: sum(values) / len(seen) for key, values in of.items()}
@@ -270,7 +270,7 @@
             ]
         )
     title = f"What cold executors got, {table.seeds} seeds each, virtual time"
-    return Played(found, tables=[(title, rows)], driver="virtual")
+    return RunResult(found, tables=[(title, rows)], driver="virtual")
 
 
 def register() -> None:
--- a/marlseam/experiment/size_members.py
+++ b/marlseam/experiment/size_members.py
@@ -34,7 +34,7 @@
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.fleet import Sizes as Whole
 from marlseam.experiment.fleet import one_size
-from marlseam.experiment.plays import Played, Say, play
+from marlseam.experiment.plays import RunResult, ShowProgress, register_play
 from marlseam.experiment.slope import Slope
 from marlseam.net.log import Log
 from marlseam.net.loop import Loop
@@ -161,9 +161,9 @@
         letter = read(data, "size", self.all)
         if self.status[to] == MemberStatus.ALIVE and letter.kind in (DatagramKind.PING, DatagramKind.ASK):
             about = to if letter.kind == DatagramKind.PING else letter.subject
-            self.say(to, sender, DatagramKind.ACK, letter.sequence, about)
+            self.show_progress(to, sender, DatagramKind.ACK, letter.sequence, about)
 
-    def say(self, puppet: str, to: str, kind: DatagramKind, seq: int, about: str = "") -> None:
+    def show_progress(self, puppet: str, to: str, kind: DatagramKind, seq: int, about: str = "") -> None:
         """Have a puppet write to a member, with news."""
         held = self.news[to]
         rumours = [held.popleft() for _ in range(min(13, len(held)))]
@@ -184,7 +184,7 @@
         """Have a member be pinged by a puppet, as often as it is by members: once a period."""
         puppet = self.names[int(self.chance() * len(self.names))]
         if puppet not in self.members and self.status[puppet] == MemberStatus.ALIVE:
-            self.say(puppet, name, DatagramKind.PING, 1 + self.draws)
+            self.show_progress(puppet, name, DatagramKind.PING, 1 + self.draws)
         self.at(self.now + PERIOD_MS, self.pinged, name)
 
     def change(self) -> None:
@@ -378,26 +378,26 @@
     ]
 
 
-@play("size_members")
-def size_members(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("size_members")
+def size_members(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Measure what membership costs by its names: ticks, letters, memory, the time until one is gone."""
     table: Names = experiment.tables["size_members"]
     most = size.afford("size_members.sizes", table.sizes, lambda count: need(table, count))
-    say(f"needs {most.memory_mb:.0f} MB and {most.processes} processes at most")
+    show_progress(f"needs {most.memory_mb:.0f} MB and {most.processes} processes at most")
     seed, by_size, by_whole = experiment.head.seed, {}, {}
     with size.limited():
         for count in table.sizes:
-            say(f"{count} names, {table.members} members that are whole")
+            show_progress(f"{count} names, {table.members} members that are whole")
             by_size[count] = size.apart(cohort, table, count, seed)
         fleet = Whole(nodes=[1], loss=[0.0], watched_s=table.watched_s)
         for count in table.whole:
-            say(f"{count} members, all whole")
+            show_progress(f"{count} members, all whole")
             seen = size.apart(one_size, count, 0.0, seed, fleet)
             by_whole[count] = {shown: seen[name] for name, shown in SHOWN.items()}
     # Whole fleets are not carried on past the greatest that was played: they do not grow by a line.
     drawn = slopes(by_size, size.FULL) + slopes(by_whole, max(by_whole, default=1))
     tables = [("Slopes", slope.rows(drawn))]
-    return Played(slope.figures(drawn), tables=tables, driver="hollow and virtual", slopes=drawn)
+    return RunResult(slope.figures(drawn), tables=tables, driver="hollow and virtual", slopes=drawn)
 
 
 def register() -> None:
--- a/marlseam/experiment/size_roster.py
+++ b/marlseam/experiment/size_roster.py
@@ -29,8 +29,8 @@
 from marlseam.emulators.discovery import HEALTH
 from marlseam.experiment import file, size, slope
 from marlseam.experiment.file import Experiment
-from marlseam.experiment.plays import Played, Say, play
-from marlseam.experiment.processes import Failed
+from marlseam.experiment.plays import RunResult, ShowProgress, register_play
+from marlseam.experiment.processes import RunFailedError
 from marlseam.experiment.slope import Slope
 from marlseam.net import protocol
 from marlseam.net.connection import Connection
@@ -214,7 +214,9 @@
             while sum(since >= version for since in self.asked.values()) < nodes:
                 if not self.holds.wait(end - time.monotonic()):
                     held = sum(since >= version for since in self.asked.values())
-                    raise Failed(f"{held} of {nodes} nodes took version {version} in, in {ANSWERED_S:g} s")
+                    raise RunFailedError(
+                        f"{held} of {nodes} nodes took version {version} in, in {ANSWERED_S:g} s"
+                    )
 
     def close(self) -> None:
         """End."""
@@ -555,7 +557,7 @@
         answer = call.getresponse()
         answer.read()
         if answer.status != 200:
-            raise Failed(f"a work unit was answered with {answer.status}")
+            raise RunFailedError(f"a work unit was answered with {answer.status}")
 
 
 def real(table: Sizes, count: int, seed: int, out: Path) -> dict[str, float]:
@@ -653,21 +655,21 @@
     return found
 
 
-@play("size_roster")
-def size_roster(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("size_roster")
+def size_roster(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Measure what a list of executors costs a node by its length, hollow and in a band of real nodes."""
     table: Sizes = experiment.tables["size_roster"]
     most = size.afford("size_roster.sizes", table.sizes, lambda count: need(table, count))
-    say(f"needs {most.memory_mb:.0f} MB and {most.processes} processes at most")
+    show_progress(f"needs {most.memory_mb:.0f} MB and {most.processes} processes at most")
     seed, by_size, by_band = experiment.head.seed, {}, {}
     with size.limited(), size.scratch(out) as folder:
         path = folder / "hollow.json"
         path.write_text(json.dumps(size.node_config("hollow", "127.0.0.1:9", max(1, table.real), seed)))
         for count in table.sizes:
-            say(f"{count} executors, a hollow node")
+            show_progress(f"{count} executors, a hollow node")
             by_size[count] = size.apart(hollow, table, count, seed, str(path))
             if table.real:
-                say(f"{count} executors, {table.real} real nodes")
+                show_progress(f"{count} executors, {table.real} real nodes")
                 by_band[count] = real(table, count, seed, folder)
     drawn = slopes(by_size) + (slopes(by_band, real=True) if by_band else [])
     found = slope.figures(drawn)
@@ -682,7 +684,7 @@
         rows, ratios = size.beside(pairs)
         tables.append((f"Hollow beside {table.real} real nodes", rows))
         found |= ratios
-    return Played(found, tables=tables, driver="hollow and loopback", slopes=drawn)
+    return RunResult(found, tables=tables, driver="hollow and loopback", slopes=drawn)
 
 
 def register() -> None:
--- a/marlseam/experiment/soak.py
+++ b/marlseam/experiment/soak.py
@@ -14,8 +14,8 @@
 from marlseam.emulators.faulty import FAULTS, Failure, Faults
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.file import register as register_table
-from marlseam.experiment.plays import Played, Say, judged, play
-from marlseam.experiment.processes import Failed
+from marlseam.experiment.plays import RunResult, ShowProgress, judge_records, register_play
+from marlseam.experiment.processes import RunFailedError
 from marlseam.simulation.model import Count, Day, Fault, Strict
 from marlseam.verification.verdict import Verdict
 
@@ -91,25 +91,27 @@
 
 def one(day: Day, seed: int, out: Path) -> tuple[Drawn, list[str], Verdict | None]:
     """Play one seed; return what it drew, what it found, and the judge's verdict."""
-    from marlseam.experiment.sockets import Sockets
+    from marlseam.experiment.sockets import SocketDriver
 
     made = drawn(seed, day.seconds)
     day = msgspec.structs.replace(day, troubles=made.troubles)
     env = {FAULTS: msgspec.json.encode(made.faults).decode()}
-    driver = Sockets(day, seed, out, module=lambda name: "marlseam.emulators.faulty", env=lambda name: env)
+    driver = SocketDriver(
+        day, seed, out, module=lambda name: "marlseam.emulators.faulty", env=lambda name: env
+    )
     try:
         driver.run()
-    except Failed as error:
+    except RunFailedError as error:
         return made, [f"a process failed: {error}", *findings(out, bool(made.faults.decision))], None
-    played = judged(*records.read_folder(out / "records"), driver="sockets")
+    played = judge_records(*records.read_folder(out / "records"), driver="sockets")
     found = findings(out, bool(made.faults.decision))
     for rule in played.verdict.rules:
         found += [f"rule {rule.name}: {what}" for what in rule.violations[:3]]
     return made, found, played.verdict
 
 
-@play("soak")
-def soak(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("soak")
+def soak(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Play seeds one after the other, and count crossings and finds."""
     table: Soak = experiment.tables.get("soak", Soak())
     crossings: dict[tuple[str, str], int] = {}
@@ -122,11 +124,11 @@
         found_seeds += bool(found)
         text = "; ".join(found[:3])
         rows.append([str(seed), ", ".join(names), text or "nothing"])
-        say(f"seed {seed}: {', '.join(names)}: {text or 'nothing found'}")
+        show_progress(f"seed {seed}: {', '.join(names)}: {text or 'nothing found'}")
     matrix = [["crossing", "seeds"], *([" x ".join(pair), str(n)] for pair, n in sorted(crossings.items()))]
     figures = {"seeds": float(table.seeds), "seeds_with_finds": float(found_seeds)}
     figures["crossings"] = float(len(crossings))
-    return Played(figures, tables=[("seeds", rows), ("crossings", matrix)], driver="sockets")
+    return RunResult(figures, tables=[("seeds", rows), ("crossings", matrix)], driver="sockets")
 
 
 def register() -> None:
--- a/marlseam/experiment/sockets.py
+++ b/marlseam/experiment/sockets.py
@@ -17,7 +17,7 @@
 
 from marlseam import records
 from marlseam.configuration import FOLDER, SOCKET
-from marlseam.experiment.processes import Failed, Process
+from marlseam.experiment.processes import ChildProcess, RunFailedError
 from marlseam.net.protocol import READY_PATH
 from marlseam.records import RecordStreams
 from marlseam.simulation import faults, fleet, plan
@@ -33,7 +33,7 @@
 Progress = Callable[[float], None]
 
 
-class Sockets:
+class SocketDriver:
     """Plays one day on loopback."""
 
     def __init__(
@@ -72,8 +72,8 @@
         self.back: list[tuple[float, str]] = []  # nodes that are to start again, and when
         self.began: dict[str, float] = {}
         self.ready_s: list[float] = []  # from each node's start until clients may come
-        self.started: list[Process] = []
-        self.nodes: dict[str, Process] = {}
+        self.started: list[ChildProcess] = []
+        self.nodes: dict[str, ChildProcess] = {}
         self.addresses: dict[str, str] = {}
         for name in ("records", "logs"):
             (out / name).mkdir(parents=True, exist_ok=True)
@@ -86,14 +86,14 @@
         self.held: list[socket.socket] = []
         self.noting = threading.Lock()
 
-    def start(self, what: str, *words: str) -> Process:
+    def start(self, what: str, *words: str) -> ChildProcess:
         """Start a stand-in."""
         common = [str(self.file), "--seed", str(self.seed), "--records", str(self.out / "records")]
-        process = Process(["standin", what, *common, *words], self.out / "logs" / f"{what}.log")
+        process = ChildProcess(["standin", what, *common, *words], self.out / "logs" / f"{what}.log")
         self.started.append(process)
         return process
 
-    def node(self, name: str, zone: str, listen: str) -> Process:
+    def node(self, name: str, zone: str, listen: str) -> ChildProcess:
         """Start a node, and return once it says where it listens."""
         config = {
             "name": name,
@@ -124,7 +124,7 @@
             folder.mkdir(parents=True, exist_ok=True)
             keep = (self.doors[name].fileno(),)
             env = env | {SOCKET: str(keep[0]), FOLDER: str(folder)}
-        process = Process(words, log, env, self.profile, self.module(name), keep)
+        process = ChildProcess(words, log, env, self.profile, self.module(name), keep)
         self.started.append(process)
         end = time.monotonic() + 30.0
         while True:
@@ -135,7 +135,7 @@
                 self.addresses[name] = text.partition("listens on ")[2].split()[0]
                 return process
             if process.process.poll() is not None or time.monotonic() > end:
-                raise Failed(f"node {name} did not start: {process.tail()}")
+                raise RunFailedError(f"node {name} did not start: {process.tail()}")
             time.sleep(0.02)
 
     def reserve(self) -> str:
@@ -163,7 +163,7 @@
             finally:
                 call.close()
             time.sleep(0.02)
-        raise Failed(f"node {name} was not ready in 20 s")
+        raise RunFailedError(f"node {name} was not ready in 20 s")
 
     def run(self, arrivals: list[plan.Arrival] | None = None, progress: Progress | None = None) -> list[dict]:
         """Play the day; return what each generator counted. The records lie in the folder `records`."""
@@ -252,7 +252,7 @@
         }
         return counts
 
-    def follow(self, players: list[Process], progress: Progress | None) -> None:
+    def follow(self, players: list[ChildProcess], progress: Progress | None) -> None:
         """Do what the schedule asks of nodes until the generators are done."""
         steps = []
         for met in self.schedule:
@@ -266,7 +266,7 @@
         while any(player.process.poll() is None and not self.spoke(player) for player in players):
             now = self.now()
             if time.monotonic() > end:
-                raise Failed("the generators did not end")
+                raise RunFailedError("the generators did not end")
             while steps and steps[0][0] <= now:
                 _, what, met, name = steps.pop(0)
                 if what == "begin":
@@ -309,7 +309,7 @@
                 )
             for name, process in self.nodes.items():
                 if process.process.poll() is not None and not any(row[1] == name for row in self.back):
-                    raise Failed(f"node {name} ended by itself: {process.tail()}")
+                    raise RunFailedError(f"node {name} ended by itself: {process.tail()}")
             if progress is not None and now - told > 500.0:
                 told = now
                 progress(now)
@@ -332,6 +332,6 @@
         self.note(row)
         self.back.append((now + away_ms, name))
 
-    def spoke(self, player: Process) -> bool:
+    def spoke(self, player: ChildProcess) -> bool:
         """Return whether a generator has printed its counts."""
         return bool(select.select([player.process.stdout], [], [], 0.0)[0])
--- a/marlseam/experiment/versions.py
+++ b/marlseam/experiment/versions.py
@@ -14,7 +14,7 @@
 from marlseam.experiment import file, plays
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.fleet import Fleet, Rig, run
-from marlseam.experiment.plays import Played, Say, play
+from marlseam.experiment.plays import RunResult, ShowProgress, register_play
 from marlseam.simulation.model import Count
 from marlseam.store import ledger_audit as ledgers
 from marlseam.verification.book import RunRecords
@@ -157,13 +157,13 @@
 
 
 def under_faults(
-    experiment: Experiment, table: Fleet, seed: int, out: Path, say: Say
-) -> tuple[Rig, LedgerComparison, Played, dict[str, float]]:
+    experiment: Experiment, table: Fleet, seed: int, out: Path, show_progress: ShowProgress
+) -> tuple[Rig, LedgerComparison, RunResult, dict[str, float]]:
     """Play one day; return the rig, the comparison, the play, and its figures."""
-    rig, healed = run(experiment.day, seed, table, out, say, lagging_nodes)
+    rig, healed = run(experiment.day, seed, table, out, show_progress, lagging_nodes)
     zero = 1000.0 * (time.time() - time.monotonic() + rig.driver.zero)
     found, wrong = records.read_folder(out / "records")
-    played = plays.judged(found, wrong, driver="sockets")
+    played = plays.judge_records(found, wrong, driver="sockets")
     comparison = LedgerComparison(rig, found, zero)
     figures = played.figures | comparison.differences() | comparison.staleness()
     figures |= {
@@ -175,7 +175,7 @@
         for what in ("whole", "chains", "edits", "changes", "digest")
     }
     for text in comparison.audit.findings:
-        say(f"WRONG {text}")
+        show_progress(f"WRONG {text}")
     return rig, comparison, played, figures
 
 
@@ -185,8 +185,8 @@
     seeds: Count = 1
 
 
-@play("audit_truth")
-def audit_truth(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("audit_truth")
+def audit_truth(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Hold what the ledgers say against what executors saw, under publications and faults.
 
     Seed after seed.
@@ -208,7 +208,7 @@
     sums = ("allocations", "differences", "unknown", "came_chains", "came_whole", "came_changes", *NONE_OF)
     most = ("alike_s", "nearest_stale", "not_struck")
     for seed in range(experiment.head.seed, experiment.head.seed + table.seeds):
-        _, _, played, figures = under_faults(experiment, table, seed, out / f"{seed}", say)
+        _, _, played, figures = under_faults(experiment, table, seed, out / f"{seed}", show_progress)
         for key in sums:
             worst[key] = worst.get(key, 0.0) + figures[key]
         for key in most:
@@ -218,7 +218,7 @@
         names = ("lives", "numbers", "allocations", "differences", "unknown", "past_bound")
         rows.append([str(seed), *(f"{figures[name]:.0f}" for name in names), f"{figures['alike_s']:.1f}"])
     worst["unknown_share"] = worst["unknown"] / max(1.0, worst["allocations"])
-    return Played(worst, tables=[("What ledgers say, held against executors", rows)], driver="sockets")
+    return RunResult(worst, tables=[("What ledgers say, held against executors", rows)], driver="sockets")
 
 
 def up_after(rig: Rig, name: str, until: float, since: dict[int, float]) -> float:
@@ -245,14 +245,14 @@
     return good / (sum(first.credit for first, _ in rows) or 1.0)
 
 
-@play("straggler")
-def straggler(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("straggler")
+def straggler(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Have some nodes miss a publication in different ways, beside the same day without them."""
     table: Fleet = experiment.tables["straggler"]
     plain = replace(table, faults=[fault for fault in table.faults if fault.fault == "publish"], older=[])
     seed = experiment.head.seed
-    _, _, calm, _ = under_faults(experiment, plain, seed, out / "without", say)
-    rig, comparison, played, figures = under_faults(experiment, table, seed, out / "with", say)
+    _, _, calm, _ = under_faults(experiment, plain, seed, out / "without", show_progress)
+    rig, comparison, played, figures = under_faults(experiment, table, seed, out / "with", show_progress)
     rows = [["node", "what", "until, s", "then", "after, s"]]
     slow, since = 0.0, comparison.first_held_ms()
     for name, what, _, until in rig.spells:
@@ -271,11 +271,11 @@
     }
     figures["rest_lost"] = figures["rest_without"] - figures["rest_service"]
     tables = [("Stragglers", rows), ("Publications", published(rig))]
-    return Played(figures, played.verdict, played.book, tables, "sockets")
+    return RunResult(figures, played.verdict, played.book, tables, "sockets")
 
 
-@play("versions_cut")
-def versions_cut(experiment: Experiment, out: Path, say: Say) -> Played:
+@register_play("versions_cut")
+def versions_cut(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Publish on all sides of a cut at once, in both ways of going on without a proof, then heal it."""
     table: Cuts = experiment.tables["versions_cut"]
     rows = [
@@ -287,7 +287,7 @@
             faults = [replace(f, other=cut if f.fault == "split" else f.other) for f in table.faults]
             one = replace(table, faults=faults, past_lease=mode)
             where = out / f"{mode}-{table.cuts.index(cut)}"
-            rig, _, _, figures = under_faults(experiment, one, experiment.head.seed, where, say)
+            rig, _, _, figures = under_faults(experiment, one, experiment.head.seed, where, show_progress)
             for key in ("differences", "not_struck", *NONE_OF):
                 worst[key] = worst.get(key, 0.0) + figures[key]
             worst["alike_s"] = max(worst.get("alike_s", 0.0), figures["alike_s"])
@@ -305,7 +305,7 @@
                     f"{figures['alike_s']:.1f}",
                 ]
             )
-    return Played(worst, tables=[("Publications on all sides of a cut", rows)], driver="sockets")
+    return RunResult(worst, tables=[("Publications on all sides of a cut", rows)], driver="sockets")
 
 
 class Cuts(Fleet):
--- a/marlseam/experiment/virtual.py
+++ b/marlseam/experiment/virtual.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True)
-class Old:
+class StaleListStart:
     """Nodes start from an old list: so many entries of it are gone, and so much is the doubt in each."""
 
     gone: int
@@ -50,14 +50,14 @@
 
 
 @dataclass
-class Flight:
+class AttemptInFlight:
     """One allocation between its node and its executor. Times in ms."""
 
-    node: "Seat"
+    node: "SimulatedNode"
     life: int  # the node's, as one that restarts owes nothing to what was before
     ref: str
     alloc: int
-    host: "Host"
+    host: "SimulatedServer"
     limit: float
     silent_at: float  # when the node gives up for silence
     kept: bool
@@ -71,7 +71,7 @@
 
 
 @dataclass
-class Host:
+class SimulatedServer:
     """An executor's place in the fleet."""
 
     executor: Server
@@ -80,11 +80,11 @@
     cell: int
     connections: int = 0
     next: float = inf
-    flights: dict[str, Flight] = field(default_factory=dict)
+    flights: dict[str, AttemptInFlight] = field(default_factory=dict)
 
 
 @dataclass
-class Seat:
+class SimulatedNode:
     """A node's place: its reducer in one life after the other."""
 
     name: str
@@ -99,21 +99,21 @@
     word_due: bool = False
     starts_ms: float = 0.0  # when it may start again at the earliest
     idle: dict[str, int] = field(default_factory=dict)
-    tries: dict[str, "Try"] = field(default_factory=dict)
+    tries: dict[str, "ClientTry"] = field(default_factory=dict)
 
 
 @dataclass
-class Try:
+class ClientTry:
     """A client's try that is out."""
 
     client: Client
     id: str
-    seat: Seat
+    seat: SimulatedNode
     life: int
     open: bool = True
 
 
-class Virtual:
+class VirtualDriver:
     """Plays one day; `make_core` gives a node's reducer, so that experiments can play other policies."""
 
     def __init__(
@@ -122,7 +122,7 @@
         seed: int,
         streams: RecordStreams,
         make_core: Callable[[], Reducer] = Reducer,
-        old: Old | None = None,
+        old: StaleListStart | None = None,
     ) -> None:
         self.day, self.seed, self.make_core = day, seed, make_core
         self.heap: list[tuple[float, int, Callable, tuple]] = []
@@ -140,11 +140,11 @@
             PROBE_TIMEOUT_IN_OBJECTIVES * urgent,
         )
         self.gap_ms = PROGRESS_GAP_IN_PERIODS * 1000.0 * day.fleet.progress_s or inf
-        self.hosts: dict[str, Host] = {}
+        self.hosts: dict[str, SimulatedServer] = {}
         rows = []
         made = fleet.build(day, seed, self.schedule)
         for name, _, kind, zone, cell in placed_servers(day):
-            self.hosts[name] = host = Host(made[name], kind, zone, cell)
+            self.hosts[name] = host = SimulatedServer(made[name], kind, zone, cell)
             self.writer(name, "executors")
             if host.executor.is_up:
                 rows.append(self.row(name, EndpointState.READY, None))
@@ -153,7 +153,7 @@
             name, (_, kind, number, zone, _) = f"gone-{i}", placed_servers(day)[i % len(made)]
             ghost = fleet.make_server(day, seed, name, kind, {})
             ghost.is_up = False
-            self.hosts[name] = Host(ghost, number, zone, 9000 + i)
+            self.hosts[name] = SimulatedServer(ghost, number, zone, 9000 + i)
             self.ghosts.append(self.row(name, EndpointState.READY, None))
         self.roster = EndpointList(rows, day.roster.calls_per_s, day.roster.timeout_ms)
         self.seats = {name: self.seat(name, zone) for name, zone in placed_nodes(day)}
@@ -198,11 +198,11 @@
 
     # Nodes.
 
-    def seat(self, name: str, zone: str) -> Seat:
+    def seat(self, name: str, zone: str) -> SimulatedNode:
         """Make a node's place."""
-        return Seat(name, zone, deployment_from(node_settings(self.day, zone)), self.make_core())
+        return SimulatedNode(name, zone, deployment_from(node_settings(self.day, zone)), self.make_core())
 
-    def begin_node(self, seat: Seat) -> None:
+    def begin_node(self, seat: SimulatedNode) -> None:
         """Start a node from nothing, with the list as it was."""
         seat.life += 1
         seat.core, seat.up, seat.watching = self.make_core(), True, False
@@ -216,23 +216,23 @@
         self.post(seat, core.EndpointListUpdate(ListUpdateKind.CACHED, listed, self.doubt))
         self.front.mark_up(seat.name) if seat.life > 1 else None
 
-    def post(self, seat: Seat, event: core.Event) -> None:
+    def post(self, seat: SimulatedNode, event: core.Event) -> None:
         """Hand an event to a node's reducer and carry out what it asks for."""
         for effect in seat.core.reduce(self.now, event):
             step = EFFECTS.get(type(effect))
             if step is not None:
                 step(self, seat, effect)
 
-    def post_in(self, seat: Seat, life: int, event: core.Event) -> None:
+    def post_in(self, seat: SimulatedNode, life: int, event: core.Event) -> None:
         """Hand an event to a node if it still lives the same life."""
         if seat.up and seat.life == life:
             self.post(seat, event)
 
-    def timer(self, seat: Seat, effect: core.SetTimer) -> None:
+    def timer(self, seat: SimulatedNode, effect: core.SetTimer) -> None:
         """Bring back a mark later."""
         self.at(self.now + effect.delay_ms, self.post_in, seat, seat.life, core.TimerFired(effect.timer_id))
 
-    def end_node(self, seat: Seat, state: str) -> None:
+    def end_node(self, seat: SimulatedNode, state: str) -> None:
         """End a node's life: what it held is lost to its clients and to executors."""
         self.driver.add(
             records.NodeStateChanged(t=self.now, by="driver", node=seat.name, state=state, zone=seat.zone)
@@ -259,7 +259,7 @@
         arrival, id = client.arrival, client.begin()
         name, there = self.front.pick_node(arrival.zone, self.now)
         seat = self.seats[name]
-        out = Try(client, id, seat, seat.life)
+        out = ClientTry(client, id, seat, seat.life)
         self.arrivals[id] = arrival
         self.clients.add(try_record(client, id, "clients", name, self.now))
         delay = self.lines.client_delay()
@@ -273,7 +273,7 @@
         until = client.leaves_at(self.now)
         self.at(until + (slack if until >= client.expires else 0.0), self.quit, out)
 
-    def arrive(self, out: Try) -> None:
+    def arrive(self, out: ClientTry) -> None:
         """A try comes to its node."""
         seat, arrival = out.seat, out.client.arrival
         if not (out.open and seat.up and seat.life == out.life):
@@ -282,7 +282,7 @@
         work = Request(out.id, arrival.type, expires, arrival.slots, resource_key=arrival.key)
         self.post(seat, core.RequestArrived(work))
 
-    def reply(self, seat: Seat, effect: core.Respond | core.Reject | core.Fail) -> None:
+    def reply(self, seat: SimulatedNode, effect: core.Respond | core.Reject | core.Fail) -> None:
         """A node answers."""
         out = seat.tries.get(effect.request_id)
         if out is not None:
@@ -290,7 +290,7 @@
             how = CLIENT_ENDS[type(effect)]
             self.at(self.now + self.lines.client_delay(), self.answered, out, how, advice)
 
-    def answered(self, out: Try, how: str, advice_ms: float) -> None:
+    def answered(self, out: ClientTry, how: str, advice_ms: float) -> None:
         """An answer, or the end of its connection, comes to a client."""
         if not out.open and how == "lost":
             return
@@ -303,7 +303,7 @@
         if wait is not None:
             self.at(self.now + wait, self.try_now, out.client)
 
-    def quit(self, out: Try) -> None:
+    def quit(self, out: ClientTry) -> None:
         """A client goes without an answer."""
         if not out.open:
             return
@@ -312,21 +312,21 @@
         self.clients.add(records.ClientLeft(t=self.now, by="clients", id=out.id, early=early))
         self.at(self.now + self.lines.client_delay(), self.left, out)
 
-    def left(self, out: Try) -> None:
+    def left(self, out: ClientTry) -> None:
         """A node sees that a client has gone."""
         out.seat.tries.pop(out.id, None)
         self.post_in(out.seat, out.life, core.ClientLeft(out.id))
 
     # Allocations.
 
-    def send(self, seat: Seat, effect: core.SendAttempt) -> None:
+    def send(self, seat: SimulatedNode, effect: core.SendAttempt) -> None:
         """A node sends an allocation, over a kept connection if it has one."""
         host, now = self.hosts[effect.server], self.now
         limit, there = now + effect.time_left_ms, self.reaches(seat, host)
         kept = seat.idle.get(effect.server, 0) > 0
         exclusive = self.exclusive(effect.request_id)
         silent_at = inf if exclusive else now + self.take_ms
-        flight = Flight(
+        flight = AttemptInFlight(
             seat, seat.life, effect.request_id, effect.attempt_index, host, limit, silent_at, kept
         )
         host.flights[flight.key] = flight
@@ -347,19 +347,19 @@
             self.at(now + 3.0 * way + self.day.fleet.connect_ms, self.deliver, flight)
         self.at(min(limit, silent_at), self.patience, flight)
 
-    def reaches(self, seat: Seat, host: Host) -> bool:
+    def reaches(self, seat: SimulatedNode, host: SimulatedServer) -> bool:
         """Return whether a node and an executor hear each other."""
         return self.lines.is_reachable(seat.zone, host.executor.name, host.zone)
 
-    def hears(self, seat: Seat, host: Host) -> bool:
+    def hears(self, seat: SimulatedNode, host: SimulatedServer) -> bool:
         """Return whether one message comes through between a node and an executor."""
         return self.reaches(seat, host) and not self.lines.is_lost(seat.zone, host.zone)
 
-    def write(self, flight: Flight) -> None:
+    def write(self, flight: AttemptInFlight) -> None:
         """A new connection is up and the job written to it."""
         flight.written = flight.open
 
-    def deliver(self, flight: Flight) -> None:
+    def deliver(self, flight: AttemptInFlight) -> None:
         """An allocation's last byte comes to its executor."""
         host, seat = flight.host, flight.node
         if not flight.written or not flight.open or not self.hears(seat, host):
@@ -393,7 +393,7 @@
             writer.add(records.ServerOverloaded(t=self.now, by=name, load=executor.overload_share))
             self.crash(host)
 
-    def patience(self, flight: Flight) -> None:
+    def patience(self, flight: AttemptInFlight) -> None:
         """A node's wait for an allocation's next word may be over."""
         until = min(flight.limit, flight.silent_at)
         if flight.open and self.now >= until:
@@ -401,7 +401,7 @@
         elif flight.open:
             self.at(until, self.patience, flight)
 
-    def settle(self, flight: Flight, outcome: Outcome) -> None:
+    def settle(self, flight: AttemptInFlight, outcome: Outcome) -> None:
         """An allocation ends for its node."""
         if not flight.open:
             return
@@ -424,7 +424,7 @@
             report = flight.host.executor.report(self.now)
         self.post_in(seat, flight.life, core.AttemptEnded(flight.ref, flight.alloc, outcome, done, report))
 
-    def give_up(self, flight: Flight) -> None:
+    def give_up(self, flight: AttemptInFlight) -> None:
         """A node closes an allocation's connection; its executor hears of it if it can."""
         flight.open = False
         host, name = flight.host, flight.host.executor.name
@@ -437,13 +437,13 @@
                 way = self.lines.delay(flight.node.zone, host.zone)
                 self.at(self.now + way, self.withdrawn, host, flight.key)
 
-    def withdrawn(self, host: Host, key: str) -> None:
+    def withdrawn(self, host: SimulatedServer, key: str) -> None:
         """An executor sees that an allocation was given up."""
         self.look(host)
         host.executor.cancel(key)
         self.look(host)
 
-    def cancel(self, seat: Seat, effect: core.CancelAttempt) -> None:
+    def cancel(self, seat: SimulatedNode, effect: core.CancelAttempt) -> None:
         """A node gives up an allocation; it hears of that as of any other end."""
         for host in self.hosts.values():
             flight = host.flights.get(f"{effect.request_id}/{effect.attempt_index}")
@@ -454,7 +454,7 @@
 
     # Executors.
 
-    def look(self, host: Host) -> None:
+    def look(self, host: SimulatedServer) -> None:
         """Bring an executor to now, pass on what happened, and note when it is next to be looked at."""
         for happening in host.executor.advance(self.now):
             self.happened(host, happening)
@@ -463,13 +463,13 @@
             host.next = due
             self.at(due, self.due, host, due)
 
-    def due(self, host: Host, t: float) -> None:
+    def due(self, host: SimulatedServer, t: float) -> None:
         """Something happens at an executor by itself."""
         if host.next == t:
             host.next = inf
             self.look(host)
 
-    def happened(self, host: Host, h: JobEvent) -> None:
+    def happened(self, host: SimulatedServer, h: JobEvent) -> None:
         """Write down what happened to a job, and tell its node."""
         ref, _, alloc = h.id.rpartition("/")
         name = host.executor.name
@@ -494,7 +494,7 @@
         )
         self.at(way, self.word, flight, event)
 
-    def word(self, flight: Flight, event: core.Event) -> None:
+    def word(self, flight: AttemptInFlight, event: core.Event) -> None:
         """A sign of life comes to a node."""
         if flight.open:
             if not self.exclusive(flight.ref):
@@ -506,7 +506,7 @@
         """Return whether a try is of exclusive work, for which nodes wait to the end."""
         return self.day.types[self.arrivals[ref].type].effect == "exclusive"
 
-    def crash(self, host: Host) -> None:
+    def crash(self, host: SimulatedServer) -> None:
         """An executor's process ends: connections break, which nodes see that reach it."""
         self.look(host)
         host.executor.crash()
@@ -523,14 +523,14 @@
                     Outcome.BROKEN,
                 )
 
-    def rise(self, host: Host) -> None:
+    def rise(self, host: SimulatedServer) -> None:
         """An executor's process starts, cold."""
         host.executor.start_process(self.now, self.now)
         self.streams.writers[host.executor.name].add(records.ServerStarted(t=self.now, by=host.executor.name))
 
     # Probes.
 
-    def probe(self, seat: Seat, effect: core.Probe) -> None:
+    def probe(self, seat: SimulatedNode, effect: core.Probe) -> None:
         """A node asks an executor for its report."""
         host, sent, life = self.hosts[effect.server], self.now, seat.life
         way, back = self.lines.delay(seat.zone, host.zone), self.lines.delay(seat.zone, host.zone)
@@ -567,14 +567,14 @@
                 seat.word_due = True
                 self.at(max(self.now, seat.told_at + WATCH_GAP_MS), self.watched, seat, seat.life)
 
-    def watched(self, seat: Seat, life: int) -> None:
+    def watched(self, seat: SimulatedNode, life: int) -> None:
         """A watch brings its news."""
         if seat.life == life:
             seat.word_due = False
             if seat.watching and seat.up:
                 self.tell(seat)
 
-    def watch(self, seat: Seat, effect: core.WatchEndpoints) -> None:
+    def watch(self, seat: SimulatedNode, effect: core.WatchEndpoints) -> None:
         """A node asks for the list and its changes."""
         served = self.roster.take_call(self.now)
         called = records.EndpointListCalled(
@@ -587,13 +587,13 @@
         else:
             self.at(served, self.served, seat, seat.life)
 
-    def served(self, seat: Seat, life: int) -> None:
+    def served(self, seat: SimulatedNode, life: int) -> None:
         """A call for the list is served."""
         if seat.up and seat.life == life:
             seat.watching, seat.word_due = True, False
             self.tell(seat)
 
-    def tell(self, seat: Seat) -> None:
+    def tell(self, seat: SimulatedNode) -> None:
         """Tell a node what is news to it."""
         whole, rows = self.roster.answer_since(seat.version)
         seat.version, seat.told_at = self.roster.version(), self.now
@@ -652,7 +652,7 @@
             for name in met.targets:
                 self.node_trouble(self.seats[name], what)
 
-    def turn(self, host: Host, what: str, on: bool) -> None:
+    def turn(self, host: SimulatedServer, what: str, on: bool) -> None:
         """An executor crashes and comes back, drains and goes, or comes anew.
 
         The roster learns of it by itself.
@@ -666,7 +666,7 @@
         elif what == "crash" or on:
             self.rise(host)
 
-    def reset(self, host: Host) -> None:
+    def reset(self, host: SimulatedServer) -> None:
         """All connections to an executor break, and what runs there goes on."""
         for seat in self.seats.values():
             host.connections -= seat.idle.pop(host.executor.name, 0)
@@ -679,7 +679,7 @@
                 self.withdrawn(host, flight.key)
                 self.at(self.now, self.settle, flight, Outcome.BROKEN)
 
-    def node_trouble(self, seat: Seat, what: str) -> None:
+    def node_trouble(self, seat: SimulatedNode, what: str) -> None:
         """A node is killed, rolled or told to read its settings anew."""
         if what == "node_reload":
             self.post_in(seat, seat.life, core.SettingsChanged(seat.deployment.settings))
@@ -694,12 +694,12 @@
 
 
 EFFECTS: dict[type, Callable] = {
-    core.SendAttempt: Virtual.send,
-    core.CancelAttempt: Virtual.cancel,
-    core.Respond: Virtual.reply,
-    core.Reject: Virtual.reply,
-    core.Fail: Virtual.reply,
-    core.Probe: Virtual.probe,
-    core.SetTimer: Virtual.timer,
-    core.WatchEndpoints: Virtual.watch,
+    core.SendAttempt: VirtualDriver.send,
+    core.CancelAttempt: VirtualDriver.cancel,
+    core.Respond: VirtualDriver.reply,
+    core.Reject: VirtualDriver.reply,
+    core.Fail: VirtualDriver.reply,
+    core.Probe: VirtualDriver.probe,
+    core.SetTimer: VirtualDriver.timer,
+    core.WatchEndpoints: VirtualDriver.watch,
 }
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -103,7 +103,7 @@
 
 
 def test_a_figure_for_what_never_came_is_told_as_missed(run, monkeypatch):
-    endless = plays.Played({"heal_s": float("inf")})
+    endless = plays.RunResult({"heal_s": float("inf")})
     monkeypatch.setitem(plays.PLAYS, "endless", lambda experiment, out, say: endless)
     result, _ = run("[expect]\nheal_s = { most = 5 }", play="endless")
     assert result.exit_code == 1
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -10,7 +10,7 @@
 import pytest
 from worlds import day, played
 
-from marlseam.experiment.processes import Process
+from marlseam.experiment.processes import ChildProcess
 from marlseam.load import generator as generator_module
 from marlseam.load import trace
 from marlseam.load.errors import TraceError
@@ -103,7 +103,7 @@
 @pytest.fixture
 def echo(tmp_path):
     """Return a stand-in node that completes everything at once."""
-    process = Process(["standin", "echo"], tmp_path / "log")
+    process = ChildProcess(["standin", "echo"], tmp_path / "log")
     yield process.line()["node"]
     process.end()
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -16,7 +16,7 @@
 from marlseam.__main__ import main
 from marlseam.experiment import report, size, size_members, size_roster, slope
 from marlseam.experiment.file import FileError
-from marlseam.experiment.processes import Failed
+from marlseam.experiment.processes import RunFailedError
 from marlseam.net import protocol
 
 # Lines and bounds.
@@ -103,7 +103,7 @@
 
 def test_a_play_that_is_not_over_in_time_fails():
     before = signal.getsignal(signal.SIGTERM)
-    with pytest.raises(Failed, match="not over after 0.05 s"), size.limited(0.05):
+    with pytest.raises(RunFailedError, match="not over after 0.05 s"), size.limited(0.05):
         signal.pause()
     assert signal.getsignal(signal.SIGTERM) is before
 
@@ -118,17 +118,17 @@
 
 
 def test_the_folder_stays_where_something_failed(tmp_path):
-    with pytest.raises(Failed), size.scratch(tmp_path) as folder:
+    with pytest.raises(RunFailedError), size.scratch(tmp_path) as folder:
         (folder / "x").write_text("why")
-        raise Failed("x")
+        raise RunFailedError("x")
     assert (tmp_path / "band" / "x").read_text() == "why"
 
 
 def test_a_call_apart_returns_and_its_failure_is_told():
     assert size.apart(len, "abc") == 3
-    with pytest.raises(Failed, match="int: ValueError"):
+    with pytest.raises(RunFailedError, match="int: ValueError"):
         size.apart(int, "x")
-    with pytest.raises(Failed, match="ended at once"):
+    with pytest.raises(RunFailedError, match="ended at once"):
         size.apart(os._exit, 3)
 
 
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from marlseam.experiment.virtual import Virtual
+from marlseam.experiment.virtual import VirtualDriver
 from marlseam.records import RecordStreams
 from marlseam.simulation.model import Day
 from marlseam.verification.rules import judge
@@ -47,7 +47,7 @@
 def played(held, seed=1, make_core=None):
     """Play a day in virtual time; return verdict, book, figures and records."""
     streams = RecordStreams(None, "driver")
-    driver = Virtual(held, seed, streams, *([make_core] if make_core else []))
+    driver = VirtualDriver(held, seed, streams, *([make_core] if make_core else []))
     driver.run()
     found = [record for writer in streams.writers.values() for record in writer.kept]
     verdict, book = judge(found)
