--- a/marlseam/decisions/endpoints.py
+++ b/marlseam/decisions/endpoints.py
@@ -116,10 +116,10 @@
 
     def server_restarted(self, server: int, started_ms: float) -> None:
         """Start afresh with a server whose process has: it is in slow start, and its old counts are void."""
-        self.adjust_sums(server, -1)
+        self.subtract_from_sums(server)
         self.reset_observations(server)
         self.process_started_ms[server] = started_ms
-        self.adjust_sums(server, 1)
+        self.add_to_sums(server)
         self.slow_start_tokens[server] = -self.random()  # so that the nodes do not all begin at once
         self.slow_start_refilled_ms[server] = self.port.now()
         self.retry_elsewhere(server, started_ms)
--- a/marlseam/decisions/gossip.py
+++ b/marlseam/decisions/gossip.py
@@ -16,9 +16,18 @@
 class Gossip(LoadEstimates):
     """Publishes our slots where they have changed, and merges what other nodes publish."""
 
-    def track_attempt(self, server: int, state: TrackedRequest, attempt_index: int, slots: float) -> None:
-        """Note an attempt at a server, or with slots below 0 its end, to be published to the other nodes."""
-        super().track_attempt(server, state, attempt_index, slots)
+    def add_own_attempt(self, server: int, state: TrackedRequest, attempt_index: int) -> None:
+        """Note an attempt of ours at a server, to be published to the other nodes."""
+        super().add_own_attempt(server, state, attempt_index)
+        self.schedule_gossip(server)
+
+    def remove_own_attempt(self, server: int, state: TrackedRequest, attempt_index: int) -> None:
+        """Note the end of an attempt of ours at a server, to be published to the other nodes."""
+        super().remove_own_attempt(server, state, attempt_index)
+        self.schedule_gossip(server)
+
+    def schedule_gossip(self, server: int) -> None:
+        """Have our slots at a server published with the next messages."""
         if self.settings.may_gossip:
             if not self.unpublished_servers:
                 self.port.after(GOSSIP_DELAY_IN_PROBE_TIMEOUTS * self.probe_wait_ms, self.publish_gossip)
--- a/marlseam/decisions/outlier_detection.py
+++ b/marlseam/decisions/outlier_detection.py
@@ -59,7 +59,7 @@
             return
         count, for_ms = len(self.own_attempts[server]), self.ejection_ms[server]
         self.port.log(f"server {server} ejected for {for_ms:.0f} ms: {reason}, {count} attempts of ours")
-        self.adjust_sums(server, -1)
+        self.subtract_from_sums(server)  # an ejected server counts in no sum, until it is readmitted
         if server in self.in_use_though_removed:
             del self.in_use_though_removed[server]
             self.endpoint_state[server] = EndpointState.GONE
@@ -71,10 +71,10 @@
 
     def readmit(self, server: int) -> None:
         """End a server's ejection."""
-        self.adjust_sums(server, -1)
+        self.subtract_from_sums(server)  # it may not have been ejected: then it is counted anew
         self.ejected_until_ms[server] = None
         self.ejection_ms[server], self.is_unresponsive[server] = self.ejection_base_ms, False
-        self.adjust_sums(server, 1)
+        self.add_to_sums(server)
 
     def schedule_check(self, server: int | None = None) -> None:
         """Have a server, and the pending queue, looked at by the next periodic check."""
--- a/marlseam/decisions/pending_queue.py
+++ b/marlseam/decisions/pending_queue.py
@@ -11,7 +11,7 @@
 
 from marlseam.decisions.health_checks import ServerHealth
 from marlseam.decisions.placement import FULL_PROBING_SUCCESS_SHARE
-from marlseam.decisions.retry import Retry
+from marlseam.decisions.request_record import RequestRecord
 from marlseam.decisions.types import EndpointState
 
 MAX_UNSUCCESSFUL_PLACEMENTS = 4  # in one serving of the queue; no more are tried once there are more
@@ -39,7 +39,7 @@
 
     latest_start_ms: float
     number: int
-    state: Retry
+    state: RequestRecord
 
 
 class PendingQueue(ServerHealth):
@@ -49,7 +49,7 @@
     unplaced_entries: list[QueueEntry] | None  # put back after a serving: those it could not place
     enqueued_count: int
     is_check_scheduled: bool
-    probing_request: Retry | None  # a waiting one whose home is being probed
+    probing_request: RequestRecord | None  # a waiting one whose home is being probed
 
     def schedule_check(self, server: int | None = None) -> None:
         """Have a server, and the pending queue, looked at by the next periodic check.
@@ -88,7 +88,7 @@
         """Return when a rejected client may come back: once a server ejected now may be tried again."""
         return min(self.ejection_base_ms, self.settings.max_retry_after_ms)
 
-    def enqueue(self, state: Retry) -> None:
+    def enqueue(self, state: RequestRecord) -> None:
         """Let a request wait; one that is not placed in a serving is put back after it."""
         self.enqueued_count += 1
         latest_start_ms = self.port.now() + state.time_to_spare_ms(min(self.kind_pace))
@@ -163,7 +163,7 @@
             return False
         return key.is_retry or key.slots < slots_limit[key.kind]
 
-    def home_probe_ended(self, state: Retry) -> None:
+    def home_probe_ended(self, state: RequestRecord) -> None:
         """Let the next waiting request probe its home once one has done so."""
         if self.probing_request is state:
             self.probing_request = None
@@ -173,7 +173,7 @@
         """Return the rank of a class: its priority weight, where requests are weighed by size; else 0."""
         return self.request_classes[class_index].priority_weight if self.settings.weight_by_size else 0.0
 
-    def is_outranked(self, state: Retry) -> bool:
+    def is_outranked(self, state: RequestRecord) -> bool:
         """Return whether a first attempt of a higher rank waits."""
         rank = self.queue_rank(state.request.class_index)
         return any(
--- a/marlseam/decisions/request_record.py
+++ b/marlseam/decisions/request_record.py
@@ -68,6 +68,14 @@
     def retry(self) -> None:
         """Wait for a further attempt, or answer."""
 
+    @abstractmethod
+    def answer(self) -> None:
+        """Give the one final answer."""
+
+    @abstractmethod
+    def time_to_spare_ms(self, pace: float) -> float:
+        """Return how long it may wait and meet its latency objective; below 0 if too late."""
+
     @abstractmethod
     def close(self) -> None:
         """Cancel what is in flight of a request that needs no answer any more."""
--- a/marlseam/decisions/request_state.py
+++ b/marlseam/decisions/request_state.py
@@ -45,7 +45,7 @@
             dispatcher.port.never_ran(self, attempt.server, attempt.sent_ms)
         # Guards servers against blame, and others against the same again, for a client's own mistake.
         self.is_invalid = self.is_invalid or outcome is Outcome.INVALID_REQUEST
-        dispatcher.track_attempt(attempt.server, self, attempt_index, -self.request.slots)
+        dispatcher.remove_own_attempt(attempt.server, self, attempt_index)
         if self.key_queue is not None and outcome in MAY_STILL_RUN:
             self.key_queue.pause(dispatcher.port.after, dispatcher.settings.key_gap_ms)
         dispatcher.record_attempt_end(self, attempt, report)
--- a/marlseam/decisions/sending.py
+++ b/marlseam/decisions/sending.py
@@ -35,7 +35,7 @@
         stale = dispatcher.is_report_stale(server)
         wait_ms = None if stale else dispatcher.expected_wait_ms(server, self.request)
         self.attempts.append(Attempt(server, now, now, expected_wait_ms=wait_ms))
-        dispatcher.track_attempt(server, self, len(self.attempts) - 1, self.request.slots)
+        dispatcher.add_own_attempt(server, self, len(self.attempts) - 1)
         dispatcher.schedule_check(server)
         dispatcher.slow_start_tokens[server] -= dispatcher.relative_cost(self.request)
         dispatcher.port.send(self, server, self.request.deadline_at_ms - now)
--- a/marlseam/decisions/server_stats.py
+++ b/marlseam/decisions/server_stats.py
@@ -233,17 +233,17 @@
         server = endpoint.server
         while server >= len(self.endpoint_state):
             self.add_server()
-        self.adjust_sums(server, -1)
+        self.subtract_from_sums(server)
         self.endpoint_state[server], self.kind[server] = endpoint.state, endpoint.kind
         self.zone[server], self.cell[server] = endpoint.zone, endpoint.cell
         self.gossip_id[server] = endpoint.name_hash & GOSSIP_ID_MASK
         self.server_by_gossip_id[self.gossip_id[server]] = server
-        self.adjust_sums(server, 1)
+        self.add_to_sums(server)
 
     def remove(self, servers: set[int]) -> None:
-        """Put servers on record as gone."""
+        """Put servers on record as gone; one that is gone counts in no sum."""
         for server in servers:
-            self.adjust_sums(server, -1)
+            self.subtract_from_sums(server)
             self.endpoint_state[server] = EndpointState.GONE
 
     def list_ready(self, zone: int) -> None:
@@ -252,8 +252,16 @@
         self.same_zone = [server for server in ready if self.zone[server] == zone]
         self.other_zones = [server for server in ready if self.zone[server] != zone]
 
-    def adjust_sums(self, server: int, sign: int) -> None:
-        """Take a server out of its kind's sums (-1) before its figures change, and add it (1) after."""
+    def subtract_from_sums(self, server: int) -> None:
+        """Take a server out of its kind's sums, before its figures change."""
+        self._adjust_sums(server, -1)
+
+    def add_to_sums(self, server: int) -> None:
+        """Put a server into its kind's sums, after its figures have changed."""
+        self._adjust_sums(server, 1)
+
+    def _adjust_sums(self, server: int, sign: int) -> None:
+        """Count a server once more or less in its kind's sums, which hold those ready and not ejected."""
         if self.endpoint_state[server] is EndpointState.READY and self.ejected_until_ms[server] is None:
             kind, others = self.kind[server], self.others_slots[server]
             self.ready_count[kind] += sign
@@ -265,17 +273,23 @@
 
     def set_others_slots(self, server: int, others: float | None) -> None:
         """Set the slots that other nodes' requests take at a server."""
-        self.adjust_sums(server, -1)
+        self.subtract_from_sums(server)
         self.others_slots[server] = others
-        self.adjust_sums(server, 1)
+        self.add_to_sums(server)
+
+    def add_own_attempt(self, server: int, state: TrackedRequest, attempt_index: int) -> None:
+        """Note an attempt of ours that is in flight at a server."""
+        self.subtract_from_sums(server)
+        self.own_attempts[server].append((state, attempt_index))
+        self.own_slots[server] += state.request.slots
+        self.add_to_sums(server)
 
-    def track_attempt(self, server: int, state: TrackedRequest, attempt_index: int, slots: float) -> None:
-        """Note an attempt of ours at a server, or with slots below 0 that it has ended."""
-        self.adjust_sums(server, -1)
-        own = self.own_attempts[server]
-        (own.append if slots > 0.0 else own.remove)((state, attempt_index))
-        self.own_slots[server] += slots
-        self.adjust_sums(server, 1)
+    def remove_own_attempt(self, server: int, state: TrackedRequest, attempt_index: int) -> None:
+        """Note that an attempt of ours at a server is in flight no more."""
+        self.subtract_from_sums(server)
+        self.own_attempts[server].remove((state, attempt_index))
+        self.own_slots[server] -= state.request.slots
+        self.add_to_sums(server)
 
     def learn_run(self, request: Request, server: int, run_ms: float) -> None:
         """Learn the mean run of a request class, and the pace of a kind, from a run."""
--- a/marlseam/decisions/slow_start.py
+++ b/marlseam/decisions/slow_start.py
@@ -38,21 +38,35 @@
     def has_budget(self, server: int, cost: float = 0.0) -> bool:
         """Return whether this node's part of a server's budget allows a request of some cost now.
 
-        Refills the token bucket. What a bucket holds is bounded, against a burst after a quiet time; a large
-        request needs part of its cost saved up, against all nodes sending such requests at once.
+        The token bucket is refilled first. A large request needs part of its cost saved up. Guards against
+        all nodes sending such requests at once.
         """
-        settings = self.settings
-        planned = self.slow_start_budget(server) * settings.overload_window_ms
+        planned = self.slow_start_budget(server) * self.settings.overload_window_ms
         if planned == inf:
             return True
-        now, node_share = self.port.now(), settings.process_share / settings.node_count
+        max_tokens = self.max_tokens(planned)
+        self.refill_tokens(server, planned, max_tokens)
+        must_exceed = MIN_SAVED_COST_SHARE * min(cost, max_tokens) * (1.0 - 1.0 / max(1.0, cost))
+        return planned >= cost and self.slow_start_tokens[server] > must_exceed
+
+    def node_share(self) -> float:
+        """Return the share of a server's budget that is this node's, or this process's of it."""
+        return self.settings.process_share / self.settings.node_count
+
+    def max_tokens(self, planned: float) -> float:
+        """Return what a token bucket may hold, by the mean requests planned in a window for all nodes.
+
+        Guards against a burst after a quiet time.
+        """
         margin = planned * (1.0 / SLOW_START_PLANNED_SHARE - 1.0) + 2.0 * sqrt(
             planned / SLOW_START_PLANNED_SHARE
         )
-        max_tokens = MAX_SAVED_BUDGETS * node_share * margin
-        windows = (now - self.slow_start_refilled_ms[server]) / settings.overload_window_ms
-        tokens = self.slow_start_tokens[server] + windows * planned * node_share
+        return MAX_SAVED_BUDGETS * self.node_share() * margin
+
+    def refill_tokens(self, server: int, planned: float, max_tokens: float) -> None:
+        """Add to a server's token bucket this node's part of what was planned since the last time."""
+        now = self.port.now()
+        windows = (now - self.slow_start_refilled_ms[server]) / self.settings.overload_window_ms
+        tokens = self.slow_start_tokens[server] + windows * planned * self.node_share()
         self.slow_start_tokens[server] = tokens - max(0, ceil(tokens - max_tokens))
         self.slow_start_refilled_ms[server] = now
-        must_exceed = MIN_SAVED_COST_SHARE * min(cost, max_tokens) * (1.0 - 1.0 / max(1.0, cost))
-        return planned >= cost and self.slow_start_tokens[server] > must_exceed
--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -99,7 +99,7 @@
         shown = "of unknown age" if age_ms is None else f"{age_ms / 1000.0:.0f} s old"
         took_ms = 1000.0 * (time.monotonic() - began_s)
         self.node.log.line(
-            f"starts from its own list, {shown}: {len(saved.rows)} executors, doubt {doubt:.3f}, "
+            f"starts from its own list, {shown}: {len(saved.rows)} servers, doubt {doubt:.3f}, "
             f"{self.recovered_keys} keys on record, read in {took_ms:.0f} ms"
         )
         return True
--- a/marlseam/net/graceful_shutdown.py
+++ b/marlseam/net/graceful_shutdown.py
@@ -38,7 +38,7 @@
         if node.membership is not None and is_socket_shared:
             node.membership.leave()  # the later process is the member from here on
         drain_ms = self.drain_ms()
-        node.log.line(f"told to end with {len(node.requests.pending)} work units open")
+        node.log.line(f"told to end with {len(node.requests.pending)} requests open")
         node.post(core.ShutdownBegun(drain_ms + ANSWER_MS))
         # Guards against a moment without any node: the one that restarted before this may not be back yet.
         # Where the socket is handed on, the one that goes on accepting is there already, or will be.
@@ -65,5 +65,5 @@
         for line in node.shadow_policy.lines() if node.shadow_policy is not None else ():
             node.log.line(line)
         late = f"timers at most {loop.late_ms:.0f} ms late, turns at most {loop.turn_ms:.0f} ms"
-        node.log.line(f"ends with {len(node.requests.pending)} work units open, {late}")
+        node.log.line(f"ends with {len(node.requests.pending)} requests open, {late}")
         loop.stopped = True
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -185,7 +185,7 @@
         latest = self.latest_list
         if latest.rows:
             self.log.line(
-                f"takes over {len(latest.rows)} executors, list {latest.version}, in {took_ms:.0f} ms"
+                f"takes over {len(latest.rows)} servers, list {latest.version}, in {took_ms:.0f} ms"
             )
         self.done(latest)
 
@@ -271,8 +271,8 @@
             self.latest_list = ListSnapshot(peer.list_version, peer.list_rows)
         took_ms = self.loop.now() - self.began_ms
         self.log.line(
-            f"process {peer.name()} told of {len(peer.list_rows)} executors and "
-            f"{peer.attempt_count} sendings after {took_ms:.0f} ms"
+            f"process {peer.name()} told of {len(peer.list_rows)} servers and "
+            f"{peer.attempt_count} attempts after {took_ms:.0f} ms"
         )
         self.finish_if_complete()
 
--- a/marlseam/net/protocol.py
+++ b/marlseam/net/protocol.py
@@ -260,7 +260,7 @@
     except (ValueError, RecursionError):
         raise MalformedMessageError("a line is no JSON") from None
     if not isinstance(row, dict) or row.get("id") != id or row.get("from") != server:
-        raise MalformedMessageError("a line is not from this executor on this work unit")
+        raise MalformedMessageError("a line is not from this server on this request")
     state, share, result = row.get("state"), row.get("share"), row.get("result")
     report = report_from(row.get("load"), report_names)
     if state == "started":
--- a/marlseam/net/service_state.py
+++ b/marlseam/net/service_state.py
@@ -41,7 +41,7 @@
         """Send clients away; what is taken is finished, and all else goes on."""
         self.out_of_service_by.add(who)
         if self.node.downstream.drain_timer is None:
-            self.node.log.line(f"out of service with {len(self.node.requests.pending)} work units open")
+            self.node.log.line(f"out of service with {len(self.node.requests.pending)} requests open")
         self.node.downstream.drain(0.0, graceful_shutdown.IDLE_GRACE_MS)
         return OperatorAnswer(200, "")
 
--- a/marlseam/net/upstream/pool.py
+++ b/marlseam/net/upstream/pool.py
@@ -162,7 +162,7 @@
         server.count += 1
         try:
             until_ms = min(until_ms, self.loop.now() + self.deployment.connect_ms)
-            what = f"executor {server.name}"
+            what = f"server {server.name}"
             return (yield from connect(self.loop, self.log, server.address, what, until_ms))
         except BaseException:
             server.count -= 1
--- a/marlseam/shadow_policy.py
+++ b/marlseam/shadow_policy.py
@@ -228,7 +228,7 @@
             wait_ms = self.dispatcher.expected_wait_ms(server, shadow.request)
             shadow.attempts.append(Attempt(server, now, now, expected_wait_ms=wait_ms))
             index = len(shadow.attempts) - 1
-            self.dispatcher.track_attempt(server, shadow, index, shadow.request.slots)
+            self.dispatcher.add_own_attempt(server, shadow, index)
         elif isinstance(effect, core.Respond | core.Reject | core.Fail):
             shadow.is_closed = True
             self.forget_if_over(shadow)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -143,7 +143,7 @@
         for server, outcome in attempts:
             state.attempts.append(Attempt(server, now, now, outcome=outcome))
             if outcome is None:
-                dispatcher.track_attempt(server, state, len(state.attempts) - 1, slots)
+                dispatcher.add_own_attempt(server, state, len(state.attempts) - 1)
         return state
 
     return build
@@ -413,7 +413,7 @@
         server.setblocking(False)
 
         def talk(sock: socket.socket) -> Steps:
-            made = Connection(node.loop, node.log, sock, h11.SERVER, "executor's side")
+            made = Connection(node.loop, node.log, sock, h11.SERVER, "emulated server's side")
             sock.setblocking(False)
             while type(request := (yield from made.event(inf))) is h11.Request:
                 yield from made.body(1000, inf)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -410,7 +410,7 @@
     before = len(here.executor.asked)
     here.served(here.clients[-1])  # on a connection that it has; to the server a new one is needed
     assert len(here.executor.asked) == before + 1
-    assert "no-sockets" not in here.codes("executor e1")
+    assert "no-sockets" not in here.codes("server e1")
     assert here.ended(here.clients[0])  # the one that rested for longest
     here.gives_all_back()
 
@@ -695,7 +695,7 @@
 
     def call():
         try:
-            yield from connect(loop, Log("n", loop.now), ("127.0.0.1", 9), "executor e1", loop.now() + 1000.0)
+            yield from connect(loop, Log("n", loop.now), ("127.0.0.1", 9), "server e1", loop.now() + 1000.0)
         except ConnectionEndedError as ended:
             caught.append(ended.reason)
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -462,7 +462,7 @@
     seen, write = [], Connection.message
 
     def message(connection, head, body, until_ms, *left):
-        if connection.description.startswith("executor"):
+        if connection.description.startswith("server "):
             seen.append([ended(sock) for peer in (one, two) for sock in peer.held])
         return (yield from write(connection, head, body, until_ms, *left))
 
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -173,7 +173,7 @@
 
     def message(connection, head, body, until_ms, *left):
         yield from write(connection, head, body, until_ms, *left)
-        made[-1].begun += connection.description.startswith("executor") and head.method == b"POST"
+        made[-1].begun += connection.description.startswith("server ") and head.method == b"POST"
 
     def begin(may_cancel, ahead=b""):
         made.append(Scene(node, client, turn, settle, stand, may_cancel))
@@ -606,7 +606,7 @@
         while "client ended code=peer-closed" not in (line := process.stderr.readline()):
             assert line
         process.send_signal(signal.SIGTERM)
-        assert "ends with 0 work units open" in process.stderr.read()
+        assert "ends with 0 requests open" in process.stderr.read()
         assert process.wait(timeout=20.0) == 0
         for other in held.keys() - {sock}:
             assert other.recv(1 << 16) == b""
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -239,7 +239,7 @@
 
     def call():
         try:
-            yield from connect(loop, Log("test", loop.now), ("::1", 9), "executor e6", loop.now() + 1000.0)
+            yield from connect(loop, Log("test", loop.now), ("::1", 9), "server e6", loop.now() + 1000.0)
         except ConnectionEndedError as ended:
             caught.append(ended.reason)
 
@@ -1173,7 +1173,7 @@
         says("new configuration, discovery at 127.0.0.1:2")
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGHUP)
-        says("ends with 0 work units open")
+        says("ends with 0 requests open")
         assert process.wait(timeout=20.0) == 0
     finally:
         process.kill()
