--- a/marlseam/experiment/slope.py
+++ b/marlseam/experiment/slope.py
@@ -1,14 +1,31 @@
-"""How a figure grows with a size: points, a line through them, and a bound at the full size; pure."""
+"""How a figure grows with a size: points, a line through them, and a bound at the planned size; pure."""
 
+from collections.abc import Sequence
 from typing import NamedTuple
 
 import msgspec
 
-SMALL = 0.01  # of the greatest value: what a miss is held against at least
+# A miss is held against at least this share of the greatest value: values near 0 would count for too much.
+MIN_VALUE_SHARE = 0.01
+TABLE_HEAD = ("figure", "unit", "how", "a", "b", "largest miss", "at full size", "bound", "value over bound")
+NONE = "-"  # in a table, for what a figure has not
+
+
+class Point(NamedTuple):
+    """A figure's value at a size."""
+
+    size: float
+    value: float
 
 
 class Fit(NamedTuple):
-    """The line `a + b N`, and its largest miss as a share of the value that it misses."""
+    """A line `a + b N` through points.
+
+    Attributes:
+        a: its value at size 0.
+        b: its growth by one of the size.
+        miss: its largest miss of a point, as a share of the point's value.
+    """
 
     a: float
     b: float
@@ -19,43 +36,63 @@
         return self.a + self.b * size
 
 
-def fit(points: list[tuple[float, float]]) -> Fit:
+def fit(points: Sequence[tuple[float, float]]) -> Fit:
     """Return the line whose misses, each as a share of its value, have the least sum of squares.
 
     Plain least squares would let the greatest sizes alone say what the smallest cost. Where all points have
-    one size the line is flat.
+    one size the line is flat. Raises ValueError where there are no points.
     """
     if not points:
         raise ValueError("no points")
-    most = max(abs(y) for _, y in points)
-    if most == 0.0:
+    greatest = max(abs(value) for _, value in points)
+    if greatest == 0.0:
         return Fit(0.0, 0.0, 0.0)
-    weights = [1.0 / max(abs(y), SMALL * most) ** 2 for _, y in points]
+    scales = [max(abs(value), MIN_VALUE_SHARE * greatest) for _, value in points]
+    a, b = weighted_line(points, [1.0 / scale**2 for scale in scales])
+    misses = [abs(a + b * size - value) / scale for (size, value), scale in zip(points, scales, strict=True)]
+    return Fit(a, b, max(misses))
+
+
+class Line(NamedTuple):
+    """A line `intercept + gradient N`."""
+
+    intercept: float
+    gradient: float
+
+
+def weighted_line(points: Sequence[tuple[float, float]], weights: Sequence[float]) -> Line:
+    """Return the line of weighted least squares through points."""
+    weighted = list(zip(weights, points, strict=True))
     total = sum(weights)
-    mean_n = sum(w * n for w, (n, _) in zip(weights, points, strict=True)) / total
-    mean_y = sum(w * y for w, (_, y) in zip(weights, points, strict=True)) / total
-    spread = sum(w * (n - mean_n) ** 2 for w, (n, _) in zip(weights, points, strict=True))
-    both = sum(w * (n - mean_n) * (y - mean_y) for w, (n, y) in zip(weights, points, strict=True))
-    b = both / spread if spread > 0.0 else 0.0
-    a = mean_y - b * mean_n
-    miss = max(abs(a + b * n - y) / max(abs(y), SMALL * most) for n, y in points)
-    return Fit(a, b, miss)
+    mean_size = sum(weight * size for weight, (size, _) in weighted) / total
+    mean_value = sum(weight * value for weight, (_, value) in weighted) / total
+    variance = sum(weight * (size - mean_size) ** 2 for weight, (size, _) in weighted)
+    covariance = sum(weight * (size - mean_size) * (value - mean_value) for weight, (size, value) in weighted)
+    gradient = covariance / variance if variance > 0.0 else 0.0
+    return Line(mean_value - gradient * mean_size, gradient)
 
 
 class Slope(msgspec.Struct):
-    """One figure by size: its unit, how it was come by, its bound at the full size if it has one.
-
-    `how`: counted (the same on every run), hollow (processor time or memory of pure machines and codecs),
-    virtual (on a virtual clock), measured (real processes on loopback) or worked out.
+    """One figure by size. The fields' names are keys of a run's summary.
+
+    Attributes:
+        name, unit: of the figure.
+        how: where it comes from. `counted`: the same on every run; `hollow`: processor time or memory of an
+            in-process node; `virtual`: on a virtual clock; `measured`: of real processes on loopback;
+            `worked out`: calculated.
+        points: the values, by size.
+        full: the planned size.
+        bound: of the value at that size, None where it has none.
+        by: what the size counts.
     """
 
     name: str
     unit: str
     how: str
-    points: list[tuple[float, float]]  # size and value
-    full: float  # the size that is designed for
+    points: Sequence[tuple[float, float]]
+    full: float
     bound: float | None = None
-    by: str = "executors"  # what the size counts
+    by: str = "executors"
 
     @property
     def fit(self) -> Fit:
@@ -64,21 +101,21 @@
 
     @property
     def value(self) -> float:
-        """The value at the full size: as found there, else by the line."""
-        found = [y for n, y in self.points if n == self.full]
+        """The value at the planned size: as found there, else by the line."""
+        found = [value for size, value in self.points if size == self.full]
         return found[0] if found else self.fit.at(self.full)
 
     @property
     def ratio(self) -> float | None:
-        """The value at the full size over its bound."""
+        """The value at the planned size over its bound."""
         return self.value / self.bound if self.bound else None
 
 
-def figures(slopes: list[Slope]) -> dict[str, float]:
+def figures(slopes: Sequence[Slope]) -> dict[str, float]:
     """Return what an experiment file may expect of slopes: values by size, at full size and over bounds."""
     found: dict[str, float] = {}
     for slope in slopes:
-        found |= {f"{slope.name}_{n:g}": y for n, y in slope.points}
+        found |= {f"{slope.name}_{size:g}": value for size, value in slope.points}
         found |= {f"{slope.name}_a": slope.fit.a, f"{slope.name}_b": slope.fit.b}
         found |= {f"{slope.name}_miss": slope.fit.miss, f"{slope.name}_full": slope.value}
         if slope.ratio is not None:
@@ -86,21 +123,23 @@
     return found
 
 
-def rows(slopes: list[Slope]) -> list[list[str]]:
-    """Return slopes as a table, its head first; the worst of those that have a bound first."""
-    head = ["figure", "unit", "how", "a", "b", "largest miss", "at full size", "bound", "value over bound"]
-    worst = sorted(slopes, key=lambda slope: -(slope.ratio or 0.0))
-    return [head] + [
-        [
-            slope.name,
-            slope.unit,
-            slope.how,
-            f"{slope.fit.a:.4g}",
-            f"{slope.fit.b:.4g}",
-            f"{slope.fit.miss:.0%}",
-            f"{slope.value:.4g} at {slope.full:g} {slope.by}",
-            f"{slope.bound:.4g}" if slope.bound else "-",
-            f"{slope.ratio:.3g}" if slope.ratio is not None else "-",
-        ]
-        for slope in worst
+def rows(slopes: Sequence[Slope]) -> list[list[str]]:
+    """Return slopes as a table, its head first; those that are nearest to their bounds go first."""
+    by_ratio = sorted(slopes, key=lambda slope: -(slope.ratio or 0.0))
+    return [list(TABLE_HEAD), *(row(slope) for slope in by_ratio)]
+
+
+def row(slope: Slope) -> list[str]:
+    """Return a slope as a row of a table."""
+    line = slope.fit
+    return [
+        slope.name,
+        slope.unit,
+        slope.how,
+        f"{line.a:.4g}",
+        f"{line.b:.4g}",
+        f"{line.miss:.0%}",
+        f"{slope.value:.4g} at {slope.full:g} {slope.by}",
+        f"{slope.bound:.4g}" if slope.bound else NONE,
+        f"{slope.ratio:.3g}" if slope.ratio is not None else NONE,
     ]
