--- /dev/null
+++ b/marlseam/experiment/sizing/endpoint_list/loopback_measurement.py
@@ -0,0 +1,216 @@
+"""Measures what an endpoint list costs real nodes on loopback."""
+
+import http.client
+from collections.abc import Callable
+from functools import partial
+from pathlib import Path
+from typing import NamedTuple
+
+from marlseam.decisions.types import EndpointState
+from marlseam.experiment.processes import RunFailedError
+from marlseam.experiment.sizing.comparison import upper_median
+from marlseam.experiment.sizing.endpoint_list.backend_server import BackendServer
+from marlseam.experiment.sizing.endpoint_list.discovery_server import DiscoveryServer
+from marlseam.experiment.sizing.endpoint_list.figures import LoopbackFigures
+from marlseam.experiment.sizing.endpoint_list.settings import EndpointListSizes
+from marlseam.experiment.sizing.endpoint_list.source import EndpointListSource
+from marlseam.experiment.sizing.loopback_nodes import LoopbackNodes, node_config
+from marlseam.experiment.sizing.process_usage import process_cpu_ms
+from marlseam.net import protocol
+
+SINGLE_NODE = "single"
+REQUEST_CLASSES = ("urgent", "task")  # in turn
+DEADLINE_S = "5"  # as the header writes it
+CALL_TIMEOUT_S = 10.0
+US_PER_MS = 1000.0
+HTTP_OK = 200
+
+
+class RequestNotCompletedError(RunFailedError):
+    """A node has answered a request otherwise than with its result.
+
+    Attributes:
+        status: of the answer.
+    """
+
+    def __init__(self, status: int) -> None:
+        self.status = status
+        super().__init__(f"a work unit was answered with {status}")
+
+
+class ChangeCost(NamedTuple):
+    """What a change of the list costs a group of nodes.
+
+    Attributes:
+        cpu_ms: processor time of a node, the median over all.
+        all_taken_in_ms: until all have taken the change in.
+    """
+
+    cpu_ms: float
+    all_taken_in_ms: float
+
+
+class GroupCost(NamedTuple):
+    """What an endpoint list costs a group of nodes.
+
+    Attributes:
+        whole, single, gone, back: what each of its changes costs.
+        memory_mb: by how much a node has grown for the whole list, the median.
+        process_mb: of a node after that, the median.
+        longest_turn_ms: of any node.
+    """
+
+    whole: ChangeCost
+    single: list[ChangeCost]
+    gone: ChangeCost
+    back: ChangeCost
+    memory_mb: float
+    process_mb: float
+    longest_turn_ms: float
+
+
+class RequestCost(NamedTuple):
+    """What requests cost a node.
+
+    Attributes:
+        cpu_us: processor time of the node for each request.
+        probes, attempts: sent for each request.
+    """
+
+    cpu_us: float
+    probes: float
+    attempts: float
+
+
+class SingleNodeCost(NamedTuple):
+    """What an endpoint list costs one node that is alone.
+
+    Attributes:
+        request: what its requests cost.
+        longest_turn_ms: its longest turn.
+    """
+
+    request: RequestCost
+    longest_turn_ms: float
+
+
+def measure_on_loopback(
+    settings: EndpointListSizes, count: int, seed: int, directory: Path
+) -> LoopbackFigures:
+    """Return what a list of `count` servers costs real nodes; their files go to a directory."""
+    group = measure_group(settings, count, seed, directory)
+    alone = measure_single_node(settings, count, seed, directory)
+    return LoopbackFigures(
+        whole_ms=group.whole.cpu_ms,
+        whole_all_ms=group.whole.all_taken_in_ms,
+        memory_mb=group.memory_mb,
+        process_mb=group.process_mb,
+        one_ms=upper_median([cost.cpu_ms for cost in group.single]),
+        one_all_ms=max(cost.all_taken_in_ms for cost in group.single),
+        thousand_ms=group.gone.cpu_ms,
+        thousand_all_ms=group.gone.all_taken_in_ms,
+        thousand_back_ms=group.back.cpu_ms,
+        thousand_back_all_ms=group.back.all_taken_in_ms,
+        crowded_turn_ms=group.longest_turn_ms,
+        unit_us=alone.request.cpu_us,
+        unit_probes=alone.request.probes,
+        unit_sends=alone.request.attempts,
+        whole_turn_ms=alone.longest_turn_ms,
+    )
+
+
+class NodeGroup:
+    """Real nodes that follow one discovery server."""
+
+    def __init__(self, discovery: DiscoveryServer, nodes: LoopbackNodes, count: int, seed: int) -> None:
+        """Start `count` nodes, and wait until each holds the first version."""
+        self._discovery, self._nodes, self._count = discovery, nodes, count
+        for i in range(count):
+            name = f"n{i}"
+            nodes.start(name, node_config(name, discovery.address, count, seed + i))
+        nodes.wait_until_listening()
+        discovery.wait_until_taken_in(version=1, nodes=count)
+
+    def measure_change(self, change: Callable[[], None], whole: bool = False) -> ChangeCost:
+        """Change the list, and have all nodes take that in."""
+        before_ms = self._nodes.cpu_ms()
+        all_taken_in_ms = self._discovery.publish(change, whole, self._count)
+        after_ms = self._nodes.cpu_ms()
+        spent_ms = [after_ms[name] - before_ms[name] for name in before_ms]
+        return ChangeCost(upper_median(spent_ms), all_taken_in_ms)
+
+
+def measure_group(settings: EndpointListSizes, count: int, seed: int, directory: Path) -> GroupCost:
+    """Have a group of nodes take in the whole list, single changes, and those of a zone."""
+    source = EndpointListSource(count)
+    source.change_next_entry()  # the list that is held first has one server
+    discovery, nodes = DiscoveryServer(source), LoopbackNodes(directory)
+    try:
+        group = NodeGroup(discovery, nodes, settings.real, seed)
+        before_mb = nodes.resident_mb()
+        whole = group.measure_change(source.list_all, whole=True)
+        after_mb = nodes.resident_mb()
+        single = [group.measure_change(source.change_next_entry) for _ in range(settings.real_changes)]
+        gone = group.measure_change(partial(source.change_zone, EndpointState.GONE))
+        back = group.measure_change(partial(source.change_zone, EndpointState.READY))
+    finally:
+        discovery.close()
+        nodes.stop()
+    return GroupCost(
+        whole=whole,
+        single=single,
+        gone=gone,
+        back=back,
+        memory_mb=upper_median([after_mb[name] - before_mb[name] for name in before_mb]),
+        process_mb=upper_median(list(after_mb.values())),
+        longest_turn_ms=max(nodes.longest_turns_ms(settings.real)),
+    )
+
+
+def measure_single_node(
+    settings: EndpointListSizes, count: int, seed: int, directory: Path
+) -> SingleNodeCost:
+    """Have one node take the whole list in, and then requests."""
+    backend = BackendServer()
+    source = EndpointListSource(count, backend.address)
+    source.change_next_entry()
+    discovery, nodes = DiscoveryServer(source), LoopbackNodes(directory)
+    try:
+        node = nodes.start(SINGLE_NODE, node_config(SINGLE_NODE, discovery.address, 1, seed))
+        nodes.wait_until_listening()
+        discovery.wait_until_taken_in(version=1, nodes=1)
+        discovery.publish(source.list_all, whole=True, nodes=1)
+        address = nodes.address(SINGLE_NODE)
+        request = measure_requests(node.process.pid, address, backend, settings.real_units)
+    finally:
+        discovery.close()
+        backend.close()
+        nodes.stop()
+    return SingleNodeCost(request, nodes.longest_turns_ms(1)[0])
+
+
+def measure_requests(pid: int, address: str, backend: BackendServer, count: int) -> RequestCost:
+    """Send a node requests; as many go before, until it has as many connections as it may have."""
+    client = http.client.HTTPConnection(address, timeout=CALL_TIMEOUT_S)
+    send_requests(client, count)
+    before_ms, probes, attempts = process_cpu_ms(pid), backend.probes, backend.attempts
+    send_requests(client, count)
+    cost = RequestCost(
+        cpu_us=US_PER_MS * (process_cpu_ms(pid) - before_ms) / count,
+        probes=(backend.probes - probes) / count,
+        attempts=(backend.attempts - attempts) / count,
+    )
+    client.close()
+    return cost
+
+
+def send_requests(client: http.client.HTTPConnection, count: int) -> None:
+    """Send requests one after another; raises RequestNotCompletedError."""
+    for i in range(count):
+        request_class = REQUEST_CLASSES[i % len(REQUEST_CLASSES)]
+        headers = {protocol.ID: f"u{i}", protocol.TYPE: request_class, protocol.TIME_LEFT: DEADLINE_S}
+        client.request("POST", f"/{request_class}", b"", headers)
+        answer = client.getresponse()
+        answer.read()
+        if answer.status != HTTP_OK:
+            raise RequestNotCompletedError(answer.status)
--- /dev/null
+++ b/marlseam/experiment/sizing/isolation.py
@@ -0,0 +1,166 @@
+"""Time limit, child processes and working directory of a run, so that it leaves nothing behind."""
+
+import contextlib
+import multiprocessing
+import os
+import resource
+import shutil
+import signal
+import threading
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from multiprocessing.connection import Connection as Pipe
+from pathlib import Path
+from types import FrameType
+from typing import Any, Generic, ParamSpec, TypeVar
+
+from marlseam.experiment import tied
+from marlseam.experiment.processes import RunFailedError
+from marlseam.experiment.sizing.resource_need import MAX_MEMORY_MB
+
+MAX_RUN_S = 600.0
+WORKING_DIRECTORY = "band"  # in the directory that a run writes to
+
+Parameters = ParamSpec("Parameters")
+Result = TypeVar("Result")
+
+
+class TimeLimitError(RunFailedError):
+    """A run is not over after the time that it may take.
+
+    Attributes:
+        limit_s: that time.
+    """
+
+    def __init__(self, limit_s: float) -> None:
+        self.limit_s = limit_s
+        super().__init__(f"not over after {limit_s:g} s")
+
+
+class ChildCallError(RunFailedError):
+    """A call in a child process raised.
+
+    Attributes:
+        call_name: the function that was called.
+        description: its error.
+    """
+
+    def __init__(self, call_name: str, description: str) -> None:
+        self.call_name, self.description = call_name, description
+        super().__init__(f"{call_name}: {description}")
+
+
+class ChildExitedError(RunFailedError):
+    """A child process ended before its call returned.
+
+    Attributes:
+        call_name: the function that was called.
+        exit_code: of the process.
+    """
+
+    def __init__(self, call_name: str, exit_code: int | None) -> None:
+        self.call_name, self.exit_code = call_name, exit_code
+        super().__init__(f"{call_name} ended at once, code {exit_code}")
+
+
+@contextlib.contextmanager
+def time_limit(limit_s: float = MAX_RUN_S) -> Iterator[None]:
+    """Raise TimeLimitError inside once the time is over, and KeyboardInterrupt at a signal to end."""
+    if threading.current_thread() is not threading.main_thread():
+        raise RuntimeError("a run with a time limit belongs in the main thread")
+
+    def raise_time_limit(_number: int, _frame: FrameType | None) -> None:
+        raise TimeLimitError(limit_s)
+
+    def raise_interrupt(_number: int, _frame: FrameType | None) -> None:
+        raise KeyboardInterrupt
+
+    numbers = (signal.SIGALRM, signal.SIGTERM, signal.SIGHUP)
+    former = {number: signal.getsignal(number) for number in numbers}
+    signal.signal(signal.SIGALRM, raise_time_limit)
+    signal.signal(signal.SIGTERM, raise_interrupt)
+    signal.signal(signal.SIGHUP, raise_interrupt)
+    signal.setitimer(signal.ITIMER_REAL, limit_s)
+    try:
+        yield
+    finally:
+        signal.setitimer(signal.ITIMER_REAL, 0.0)
+        for number, handler in former.items():
+            signal.signal(number, handler)
+
+
+@dataclass(frozen=True)
+class Returned(Generic[Result]):
+    """What a call in a child process returned."""
+
+    value: Result
+
+
+@dataclass(frozen=True)
+class Raised:
+    """The error that a call in a child process raised, as text."""
+
+    description: str
+
+
+def run_child(
+    pipe: Pipe,
+    parent_pid: int,
+    call: Callable[..., object],
+    arguments: tuple[Any, ...],
+    options: dict[str, Any],
+) -> None:
+    """Run a call in this child process, and send what it returns or raises to the parent."""
+    tied.tie(parent_pid)
+    max_bytes = int(MAX_MEMORY_MB) << 20
+    resource.setrlimit(resource.RLIMIT_AS, (max_bytes, max_bytes))
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent ends this process
+    try:
+        pipe.send(Returned(call(*arguments, **options)))
+    except Exception as error:
+        pipe.send(Raised(f"{type(error).__name__}: {error}"))
+
+
+def call_in_child_process(
+    call: Callable[Parameters, Result], *arguments: Parameters.args, **options: Parameters.kwargs
+) -> Result:
+    """Return what a call returns that has a process, and so memory, of its own.
+
+    The process ends with this one, however this one ends. Raises ChildCallError, ChildExitedError.
+    """
+    context = multiprocessing.get_context("spawn")
+    receiver, sender = context.Pipe(duplex=False)
+    process = context.Process(
+        target=run_child, args=(sender, os.getpid(), call, arguments, options), daemon=True
+    )
+    process.start()
+    sender.close()
+    try:
+        outcome: Returned[Result] | Raised = receiver.recv()
+    except EOFError:
+        process.join()
+        raise ChildExitedError(call.__name__, process.exitcode) from None
+    finally:
+        process.kill()
+        process.join()
+        receiver.close()
+    if isinstance(outcome, Raised):
+        raise ChildCallError(call.__name__, outcome.description)
+    return outcome.value
+
+
+@contextlib.contextmanager
+def working_directory(out: Path) -> Iterator[Path]:
+    """Give a directory for files of a run; it stays only where a process failed, as its logs say why."""
+    directory = out / WORKING_DIRECTORY
+    shutil.rmtree(directory, ignore_errors=True)
+    directory.mkdir(parents=True)
+    try:
+        yield directory
+    except RunFailedError:
+        raise
+    except BaseException:
+        shutil.rmtree(directory, ignore_errors=True)
+        raise
+    else:
+        shutil.rmtree(directory, ignore_errors=True)
