--- /dev/null
+++ b/marlseam/experiment/sizing/membership/full_member.py
@@ -0,0 +1,119 @@
+"""A member in full: the pure state machine, each datagram through the codec, charged with processor time."""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable, Sequence
+from dataclasses import astuple, dataclass, field
+from typing import NamedTuple
+
+from marlseam.cluster.checking.simulation import PERIOD_MS
+from marlseam.cluster.membership import Membership
+from marlseam.cluster.membership_codec import GossipEntry, MemberState, MemberStatus, read, write
+from marlseam.cluster.membership_types import Effect, SendDatagram
+from marlseam.experiment.sizing.cpu_clock import CpuClock
+
+CLUSTER = "size"
+GENERATION = 1  # of each first process
+
+
+@dataclass
+class Usage:
+    """What members have done.
+
+    Attributes:
+        ticks, received: timers and datagrams that were handled.
+        sent, sent_bytes: datagrams.
+        tick_ms, receive_ms: processor time for timers and for datagrams.
+    """
+
+    ticks: int = 0
+    received: int = 0
+    sent: int = 0
+    sent_bytes: int = 0
+    tick_ms: float = 0.0
+    receive_ms: float = 0.0
+
+    @property
+    def cpu_ms(self) -> float:
+        """Processor time in all."""
+        return self.tick_ms + self.receive_ms
+
+    def __add__(self, other: Usage) -> Usage:
+        return Usage(*(one + two for one, two in zip(astuple(self), astuple(other), strict=True)))
+
+    def __sub__(self, other: Usage) -> Usage:
+        return Usage(*(one - two for one, two in zip(astuple(self), astuple(other), strict=True)))
+
+
+class OutgoingDatagram(NamedTuple):
+    """A datagram that a member sends."""
+
+    receiver: str
+    data: bytes
+
+
+@dataclass
+class FullMember:
+    """A member in full.
+
+    Attributes:
+        machine: its state machine.
+        names: of all members.
+        clock: the processor time that it has used.
+        pending: changes that scripted members have yet to tell it.
+        timer_ms: when it wants its timer next; -1 before that is known.
+        max_datagram_bytes: the longest datagram that it has sent.
+        usage: what it has done so far.
+    """
+
+    machine: Membership
+    names: frozenset[str]
+    clock: CpuClock = field(default_factory=CpuClock)
+    pending: deque[GossipEntry] = field(default_factory=deque)
+    timer_ms: float = -1.0
+    max_datagram_bytes: int = 0
+    usage: Usage = field(default_factory=Usage)
+
+    def tick(self, now_ms: float) -> list[OutgoingDatagram]:
+        """Do what is due, and return what is sent."""
+        before_ms = self.clock.cpu_ms
+        datagrams = self._take_turn(now_ms, lambda: self.machine.tick(now_ms))
+        self.usage.ticks += 1
+        self.usage.tick_ms += self.clock.cpu_ms - before_ms
+        return datagrams
+
+    def receive(self, now_ms: float, data: bytes) -> list[OutgoingDatagram]:
+        """Receive a datagram, and return what is sent."""
+        before_ms = self.clock.cpu_ms
+        datagrams = self._take_turn(
+            now_ms, lambda: self.machine.receive(now_ms, read(data, CLUSTER, self.names))
+        )
+        self.usage.received += 1
+        self.usage.receive_ms += self.clock.cpu_ms - before_ms
+        return datagrams
+
+    def _take_turn(self, now_ms: float, handle: Callable[[], list[Effect]]) -> list[OutgoingDatagram]:
+        """Have the state machine handle an event, encode what it sends, and ask for its next timer."""
+        effects = self.clock.run(handle)
+        datagrams = [self._encode(effect) for effect in effects if isinstance(effect, SendDatagram)]
+        self.timer_ms = max(now_ms, self.clock.run(lambda: self.machine.next_ms))
+        return datagrams
+
+    def _encode(self, effect: SendDatagram) -> OutgoingDatagram:
+        """Encode a datagram that is sent."""
+        data = self.clock.run(write, effect.datagram)
+        self.usage.sent += 1
+        self.usage.sent_bytes += len(data)
+        self.max_datagram_bytes = max(self.max_datagram_bytes, len(data))
+        return OutgoingDatagram(effect.to, data)
+
+
+def new_full_member(name: str, names: Sequence[str], seed: int) -> FullMember:
+    """Return a member that holds all others as alive, and has passed that on."""
+    all_names = frozenset(names)
+    machine = Membership(CLUSTER, name, all_names, GENERATION, seed, PERIOD_MS, 0.0)
+    for other in names:
+        machine.merge(GossipEntry(other, MemberState(0, GENERATION, MemberStatus.ALIVE)))
+    machine.gossip.clear()
+    return FullMember(machine, all_names)
--- a/marlseam/experiment/sizing/membership/measurement.py
+++ b/marlseam/experiment/sizing/membership/measurement.py
@@ -12,14 +12,14 @@
 from marlseam.cluster.membership_codec import GossipEntry, MemberState, MemberStatus
 from marlseam.configuration import ClusterSettings
 from marlseam.experiment.sizing.cpu_clock import CpuClock
-from marlseam.experiment.sizing.membership.sample import MembershipSample, Usage
+from marlseam.experiment.sizing.membership.full_member import CLUSTER, Usage
+from marlseam.experiment.sizing.membership.sample import MembershipSample
 from marlseam.experiment.sizing.membership.settings import MembershipSizes
 from marlseam.experiment.sizing.process_usage import BYTES_PER_MB
 from marlseam.net.log import Log
 from marlseam.net.loop import Loop
 from marlseam.net.membership_service import MembershipService
 
-CLUSTER = "size"
 WARM_UP_PERIODS = 2.0
 OWN_ADDRESS, OTHERS_ADDRESS = ("127.0.0.1", 0), ("127.0.0.1", 9)  # nobody listens at the others'
 STATUS_AT_PERIODS = 10.0
@@ -99,7 +99,7 @@
     sample.run(WARM_UP_PERIODS * PERIOD_MS)
     per_member_s = 1.0 / settings.seconds / len(sample.members)
     day = measure_interval(sample, settings.seconds)
-    changes = sample.changes
+    changes = sample.scripted.changes
     sample.fail_zone()
     zone = measure_interval(sample, settings.seconds)
     suspicion_ms = next(iter(sample.members.values())).machine.suspicion_ms(0)
@@ -110,14 +110,14 @@
         heard_ms=day.usage.receive_ms / max(1, day.usage.received),
         turn_ms=day.longest_turn_ms,
         core_share=day.usage.cpu_ms / 1000.0 * per_member_s,
-        letters=day.usage.datagrams * per_member_s,
-        bytes_s=day.usage.bytes * per_member_s,
-        letter_bytes=day.usage.bytes / max(1, day.usage.datagrams),
-        letter_most=float(sample.max_datagram_bytes),
+        letters=day.usage.sent * per_member_s,
+        bytes_s=day.usage.sent_bytes * per_member_s,
+        letter_bytes=day.usage.sent_bytes / max(1, day.usage.sent),
+        letter_most=float(sample.max_datagram_bytes()),
         changes=float(changes),
         zone_core_share=zone.usage.cpu_ms / 1000.0 * per_member_s,
-        zone_letters=zone.usage.datagrams * per_member_s,
-        zone_bytes_s=zone.usage.bytes * per_member_s,
+        zone_letters=zone.usage.sent * per_member_s,
+        zone_bytes_s=zone.usage.sent_bytes * per_member_s,
         zone_turn_ms=zone.longest_turn_ms,
         memory_mb=memory_mb,
         gone_bound_s=detection_bound_ms(count, suspicion_ms, PERIOD_MS, 0) / 1000.0,
@@ -131,7 +131,7 @@
     before = sample.begin_measurement()
     sample.run(sample.now_ms + 1000.0 * seconds)
     longest_turn_ms = sample.longest_turn_ms()
-    return Interval(sample.begin_measurement().since(before), longest_turn_ms)
+    return Interval(sample.begin_measurement() - before, longest_turn_ms)
 
 
 def measure_status(names: Sequence[str]) -> StatusCost:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -24,7 +24,7 @@
 from marlseam.experiment.sizing.endpoint_list.discovery_server import DiscoveryServer
 from marlseam.experiment.sizing.endpoint_list.source import EndpointListSource
 from marlseam.experiment.sizing.membership.measurement import measure_status
-from marlseam.experiment.sizing.membership.sample import member_names
+from marlseam.experiment.sizing.membership.scripted_members import member_names
 from marlseam.experiment.sizing.plan import PLANNED_SERVERS
 from marlseam.experiment.sizing.process_usage import process_cpu_ms, resident_mb
 from marlseam.experiment.sizing.resource_need import ResourceLimitError, ResourceNeed, check_resource_need
