--- a/marlseam/configuration/operator_settings.py
+++ b/marlseam/configuration/operator_settings.py
@@ -10,6 +10,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
+from marlseam.cluster.limits import MAX_MEMBERS
 from marlseam.configuration.addresses import member_address
 from marlseam.configuration.deployment import LIVE_WEIGHTS, REPORTS_IN_RESPONSES, WEIGHT_BY_SIZE
 from marlseam.configuration.errors import REQUIRED, ConfigError
@@ -17,7 +18,6 @@
 from marlseam.decisions.types import Settings
 
 SETTINGS_VARIABLE = "MARLSEAM_SETTINGS"
-MAX_MEMBERS = 1000  # of a cluster
 MAX_NAME_CHARACTERS = 64  # of a member's name
 MIN_PERIOD_MS = 20.0  # in which each member pings one other
 DEFAULT_PERIOD_MS = 1000.0
--- a/marlseam/core/events.py
+++ b/marlseam/core/events.py
@@ -119,7 +119,7 @@
     Attributes:
         request_id, attempt_index: which attempt.
         outcome: how it ended.
-        final: whether the request has had its final answer by then, or through it.
+        final: whether the request needs no other attempt: this result answers it, or it had an answer.
         report: the server's load report that came with it; None for none.
         result: the result for the client.
     """
--- a/marlseam/decisions/request_state.py
+++ b/marlseam/decisions/request_state.py
@@ -38,7 +38,7 @@
     def attempt_ended(
         self, attempt_index: int, outcome: Outcome, final: bool, report: LoadReport | None
     ) -> None:
-        """Take in how an attempt ended; `final` where its result is the request's final answer."""
+        """Take in how an attempt ended; `final` where the request needs no other one."""
         attempt, dispatcher = self.attempts[attempt_index], self.dispatcher
         attempt.outcome = outcome
         if outcome in NEVER_RAN:
--- a/marlseam/decisions/types.py
+++ b/marlseam/decisions/types.py
@@ -294,7 +294,7 @@
     def attempt_ended(
         self, attempt_index: int, outcome: Outcome, final: bool, report: LoadReport | None
     ) -> None:
-        """Take in how an attempt ended; `final` where its result is the request's final answer."""
+        """Take in how an attempt ended; `final` where the request needs no other one."""
         ...
 
     def started(self, attempt_index: int) -> None:
--- a/marlseam/net/action_ledger.py
+++ b/marlseam/net/action_ledger.py
@@ -192,7 +192,7 @@
     def write_records(self) -> None:
         """Hand over the records that are not; what the disk refused goes again, in order."""
         ledger, pending = self.ledger, self.pending_records
-        while pending and 0 < pending[0].number <= ledger.done and ledger.accepts_records:
+        while pending and 0 < pending[0].number <= ledger.answered_count and ledger.accepts_records:
             pending.popleft()
         if not ledger.accepts_records:
             self.pending_records = deque(PendingRecord(0, row.record) for row in pending)
@@ -222,8 +222,9 @@
     def settle_counts(self) -> None:
         """Forget counts that are durable; those that the disk refused are to be written again."""
         ledger = self.ledger
-        while self.pending_counts and self.pending_counts[0].number <= ledger.done and ledger.accepts_records:
-            self.pending_counts.popleft()
+        counts = self.pending_counts
+        while counts and counts[0].number <= ledger.answered_count and ledger.accepts_records:
+            counts.popleft()
         if not ledger.accepts_records:
             for pending in self.pending_counts:
                 self.changed_intervals |= dict.fromkeys(pending.intervals)
--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -64,7 +64,7 @@
         node = self.node
         gc.disable()  # guards the start: each collection looks at all the keys read so far
         state = self.store.load()
-        node.core.idempotency_records.max_keys = self.settings.keys
+        node.reducer.idempotency_records.max_keys = self.settings.keys
         if state is None:
             node.post(core.HistoryUnavailable(SOURCE))
             node.log.line("what may have run under a key is not known yet: marked retries go nowhere for now")
--- a/marlseam/net/ledger_client.py
+++ b/marlseam/net/ledger_client.py
@@ -8,7 +8,6 @@
 from marlseam.net.loop import Coroutine, Loop
 from marlseam.store.clock_era import unix_ms
 from marlseam.store.disk import Disk
-from marlseam.store.errors import code_of
 from marlseam.store.ledger_writer import LedgerWriter
 from marlseam.store.log_writer_client import LogWriterClient
 from marlseam.store.writer_channel import APPEND
@@ -50,10 +49,6 @@
             return error
         return None
 
-    def report(self, error: OSError) -> None:
-        """Log why the ledger cannot be read."""
-        self.mark_unavailable(code_of(error), error.strerror or str(error))
-
     def read(self) -> Coroutine:
         """Read the ledger once its lock could be had: it is small."""
         self.load()
--- a/marlseam/net/node.py
+++ b/marlseam/net/node.py
@@ -65,7 +65,7 @@
         loop: the event loop; its clock is the node's.
         log: lines on standard error.
         counters: figures that only grow.
-        core: the reducer, which takes every decision.
+        reducer: the reducer, which takes every decision.
         requests: the requests without an answer.
         effects: carries out what the reducer asks for.
         guard: checks each attempt against the invariants; `violations` counts those broken.
@@ -121,7 +121,7 @@
     def make_reducer(self) -> None:
         """Make the reducer, and the shadow policy that follows it."""
         self.shadow_policy = self.make_shadow_policy()
-        self.core = Reducer(self.shadow_policy)
+        self.reducer = Reducer(self.shadow_policy)
 
     def make_shadow_policy(self) -> "ShadowPolicy | None":
         """Return the shadow policy that the settings ask for."""
@@ -140,7 +140,7 @@
         self.counters = Counters()
         self.counters.declare_classes(config.deployment.types)
         self.violations = Violations(log)
-        self.guard = SendGuard(self.violations, config.deployment, self.core.slow_start_figures)
+        self.guard = SendGuard(self.violations, config.deployment, self.reducer.slow_start_figures)
         self.upstream = Upstream(
             loop, log, config.deployment, limits.servers, self.post, self.counters, self.guard
         )
@@ -274,7 +274,7 @@
         now = {
             "pending": len(self.requests.pending),
             "members": len(held),
-            "members_unavailable": self.core.avoided_count(),
+            "members_unavailable": self.reducer.avoided_count(),
         }
         violations = {f"invariant_violations_total.{p.value}": n for p, n in self.violations.counts.items()}
         return self.counters.text(**now, **violations)
@@ -307,11 +307,11 @@
     def step(self, event: Event) -> None:
         """Reduce one event and carry out its effects; an error in either costs no other request anything."""
         try:
-            effects: Sequence[NodeEffect] = self.core.reduce(self.loop.now(), event)
+            effects: Sequence[NodeEffect] = self.reducer.reduce(self.loop.now(), event)
         except Exception:
             # Guards the clients against an error in a decision; what was decided before it holds.
             self.loop.fault(traceback.format_exc())
-            effects = [*self.core.effects, GiveUp(request_id_of(event))]
+            effects = [*self.reducer.effects, GiveUp(request_id_of(event))]
         for effect in effects:
             try:
                 self.effects.carry_out(effect)
--- a/marlseam/net/node_interface.py
+++ b/marlseam/net/node_interface.py
@@ -40,7 +40,7 @@
         """The node's log."""
 
     @property
-    def core(self) -> Reducer:
+    def reducer(self) -> Reducer:
         """The reducer, which holds what is known of requests."""
 
     @property
--- a/marlseam/net/node_ledger.py
+++ b/marlseam/net/node_ledger.py
@@ -56,7 +56,7 @@
             return True
         if error.errno == errno.EAGAIN and may_write_beside and self.write_beside_main():
             return True
-        self.current.report(error)
+        self.current.mark_failed(error)
         return False
 
     def write_beside_main(self) -> bool:
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -106,11 +106,11 @@
             sock.connect(str(path))
         except ConnectionRefusedError:
             path.unlink(missing_ok=True)
-            if path.name in self.node.core.unavailable_history.last_sent_ms:
+            if path.name in self.node.reducer.unavailable_history.last_sent_ms:
                 self.mark_unknown(path.name, self.loop.now())
         except BlockingIOError:
             # It is there and does not even listen; it may go on at any time, and then tells.
-            if path.name not in self.node.core.unavailable_history.last_sent_ms:
+            if path.name not in self.node.reducer.unavailable_history.last_sent_ms:
                 self.mark_unknown(path.name, None)
                 self.log_fault("silent", f"{path.name} does not listen")
             self.loop.at(self.loop.now() + SNAPSHOT_TIMEOUT_MS, lambda: self.connect(path))
@@ -125,7 +125,7 @@
 
     def mark_unknown(self, source: str, since_ms: float | None) -> None:
         """Note that what another process has sent is not known, the last of it at some time or to come."""
-        if source not in self.node.core.unavailable_history.last_sent_ms:
+        if source not in self.node.reducer.unavailable_history.last_sent_ms:
             self.log.line(HISTORY_UNKNOWN)
         self.node.post(core.HistoryUnavailable(source, since_ms))
 
@@ -162,7 +162,7 @@
     def snapshot(self) -> Iterable[bytes]:
         """Return the lines that tell what this process holds."""
         node = self.node
-        records = node.core.idempotency_records
+        records = node.reducer.idempotency_records
         records.expire(self.loop.now())
         attempts = (self.message_of(key, record) for key, record in records)
         return handover_codec.encode_snapshot(max(0, node.discovery.version), node.discovery.rows(), attempts)
--- a/marlseam/simhost/__main__.py
+++ b/marlseam/simhost/__main__.py
@@ -25,7 +25,7 @@
             nodes[node].on(name, values, parsed)
     except wire.MalformedLineError:
         raise
-    except Exception as error:  # noqa: BLE001
+    except Exception as error:
         traceback.print_exc()
         out.append(f"give_in {node} {type(error).__name__}: {error}".replace("\n", " "))
 
--- a/marlseam/simhost/instance.py
+++ b/marlseam/simhost/instance.py
@@ -28,12 +28,12 @@
     def __init__(self, name: str, seed: int, options: dict[str, Any], clock: float, out: list[str]) -> None:
         self.name, self.clock, self.out = name, clock, out
         self.deployment = deployment_from(options, "options")
-        self.core = Reducer()
+        self.reducer = Reducer()
         self.reduce(core.NodeStarted(self.deployment.settings, seed))
 
     def reduce(self, event: Event) -> None:
         """Play one event."""
-        for effect in self.core.reduce(self.clock, event):
+        for effect in self.reducer.reduce(self.clock, event):
             write = ACTIONS.get(type(effect))
             line = write(self.name, effect) if write is not None else ""
             if line:
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -54,15 +54,21 @@
         max_retry_delay_ms: the longest delay between tries of a disk that failed.
         era: the scale of the times in the directory.
         is_loaded: whether what the directory holds was read.
-        sent: how many messages were sent, over all writer processes.
-        done: how many of these were answered; those of a process that ended count as answered.
-        done_before: how many of these earlier writer processes had.
+        sent_count: how many messages were sent, over all writer processes.
+        answered_count: how many of these were answered; those of a process that ended count as answered.
+        answered_before_process: how many of these had been answered as the present process was started.
         unanswered_since_ms: since when messages have waited for an answer (ms on the loop's clock).
         accepts_records: whether records are sent on. From the process's start, not from its first answer: it
             compacts what is there before them. Guards what is sent in a node's first moments against being
             on no record.
         is_compacting: whether a file that has grown too large is being replaced.
         is_success_logged: whether the log has said that records become durable, since the last failure.
+        wait_queue: the tasks that wait for a message to become durable.
+        outgoing: bytes that the writer process has not taken yet.
+        channel: the socket to the writer process; None while none runs.
+        process: the writer process; None while none runs.
+        send_task: writes `outgoing`; None before the first message.
+        supervise_task: keeps a writer process running; None before `begin`.
         is_loss_logged: whether the log has said that something in the directory is lost.
         retry_delay_ms: the delay before the next try of a disk that failed.
         code: why records do not become durable, empty where they do.
@@ -85,7 +91,7 @@
         self.sync, self.max_file_mb, self.max_wait_ms = sync, max_file_mb, max_wait_ms
         self.era = current_era(loop.clock.to_unix(loop.now()))
         self.is_loaded = False
-        self.sent = self.done = self.done_before = 0
+        self.sent_count = self.answered_count = self.answered_before_process = 0
         self.unanswered_since_ms = 0.0
         self.accepts_records = self.is_compacting = False
         self.is_success_logged = self.is_loss_logged = False
@@ -139,7 +145,7 @@
             try:
                 channel = yield from self.open()
             except OSError as error:
-                self.fail_by(error)
+                self.mark_failed(error)
                 if self.lock_fd is None and error.errno == errno.EAGAIN:
                     yield from sleep(self.loop.now() + LOCK_POLL_MS)
                     continue
@@ -181,7 +187,7 @@
         finally:
             theirs.close()
         self.channel, self.send_task, self.accepts_records = ours, None, True
-        self.done_before = self.done = self.sent
+        self.answered_before_process = self.answered_count = self.sent_count
         self.outgoing.clear()
         return ours
 
@@ -222,9 +228,9 @@
         """
         if self.channel is None or (command == APPEND and not self.accepts_records):
             return 0
-        if self.sent == self.done:
+        if self.sent_count == self.answered_count:
             self.unanswered_since_ms = self.loop.now()
-        self.sent += 1
+        self.sent_count += 1
         self.outgoing += encode_message(Message(command, payload))
         if len(self.outgoing) > MAX_OUTGOING_BYTES:
             self.mark_unavailable("slow", f"{len(self.outgoing) >> 20} MB wait to be written")
@@ -232,7 +238,7 @@
             return 0
         if self.send_task is None or self.send_task.done:
             self.send_task = self.loop.spawn(self.send_outgoing(self.channel))
-        return self.sent
+        return self.sent_count
 
     def send_outgoing(self, channel: socket.socket) -> Coroutine:
         """Send what waits, at the end of this turn of the loop."""
@@ -286,7 +292,7 @@
 
     def handle_answer(self, answer: Answer) -> None:
         """Take in one answer."""
-        self.done = self.done_before + answer.done_count
+        self.answered_count = self.answered_before_process + answer.done_count
         self.unanswered_since_ms = self.loop.now()
         if isinstance(answer, WriteFailed):
             self.handle_failure(answer)
@@ -301,7 +307,7 @@
 
     def handle_written(self, answer: Written) -> None:
         """Let go on what waited, and begin a new file where this one has grown too large."""
-        self.wait_queue.resolve_up_to(self.done, True)
+        self.wait_queue.resolve_up_to(self.answered_count, True)
         if not self.is_success_logged:
             self.log.line(f"{self.what} is kept in {self.path}")
         self.accepts_records, self.is_success_logged = True, True
@@ -321,7 +327,7 @@
     def is_available(self) -> bool:
         """Return whether a record sent now should become durable in time, as far as is known."""
         waited_ms = self.loop.now() - self.unanswered_since_ms
-        is_late = self.sent > self.done and waited_ms > self.max_wait_ms
+        is_late = self.sent_count > self.answered_count and waited_ms > self.max_wait_ms
         return self.accepts_records and not is_late
 
     def wait_durable(self, number: int) -> Steps:
@@ -354,7 +360,7 @@
         self.accepts_records = False
         self.wait_queue.resolve_up_to(inf, False)
 
-    def fail_by(self, error: OSError) -> None:
+    def mark_failed(self, error: OSError) -> None:
         """Note that nothing can be written, because of a system call that failed."""
         self.mark_unavailable(code_of(error), error.strerror or str(error))
 
--- a/marlseam/store/state_store.py
+++ b/marlseam/store/state_store.py
@@ -64,7 +64,7 @@
             directory = self.directory()
             state = directory.load(unix_ms(self.era))
         except OSError as error:
-            self.fail_by(error)
+            self.mark_failed(error)
             return None
         self.note_read(directory)
         return state
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -341,7 +341,7 @@
 
 
 def test_what_the_module_avoids_is_its_own_account(node, figures):
-    module = node.core.dispatcher
+    module = node.reducer.dispatcher
     module.set_endpoint(Endpoint(0, EndpointState.DRAINING, 0, 0, 0, None))
     assert figures()["members_unavailable"] == 1
     module.set_endpoint(Endpoint(0, EndpointState.READY, 0, 0, 0, None))
@@ -352,7 +352,7 @@
 
 
 def test_the_figures_change_nothing_of_a_cold_servers_budget(node, figures):
-    module = node.core.dispatcher
+    module = node.reducer.dispatcher
     module.process_started_ms[0], module.slow_start_tokens[0] = node.loop.now(), -1.0
     before = module.slow_start_tokens[0], module.slow_start_refilled_ms[0]
     assert figures()["members_unavailable"] == 0
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -334,8 +334,8 @@
         next_call(one)
         one.service.open[-1].sendall(DECLINED)
         one.settle(one.failed)
-    rest = one.node.core.dispatcher.poll_backoff_ms
+    rest = one.node.reducer.dispatcher.poll_backoff_ms
     next_call(one)
     one.service.say(b'{"seq":5,"whole":false,"hosts":[]}')
     one.settle(lambda: one.node.discovery.is_confirmed)
-    assert one.node.core.dispatcher.poll_backoff_ms == rest > 0.0
+    assert one.node.reducer.dispatcher.poll_backoff_ms == rest > 0.0
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -183,7 +183,7 @@
     goes(sock)
     turn(lambda: not node.downstream.open)
     assert not node.requests.pending
-    assert not node.core.open_requests
+    assert not node.reducer.open_requests
     assert not node.upstream.attempts.in_flight
     turn(lambda: ended(executor.held[0]) or executor.read() and ended(executor.held[0]))
 
@@ -286,7 +286,7 @@
     end(node, sock)
     turn(lambda: flight.task.done)
     # The server's count is right again: what moved has been sent anew, to its other address.
-    assert node.core.dispatcher.own_slots[node.core.servers.by_name["e1"]] == len(
+    assert node.reducer.dispatcher.own_slots[node.reducer.servers.by_name["e1"]] == len(
         node.upstream.attempts.in_flight
     )
     release()
@@ -308,7 +308,7 @@
     assert not ended(executor.held[0])
     executor.held[0].sendall(ANSWER)
     turn(lambda: not node.upstream.attempts.in_flight)
-    assert not node.core.open_requests
+    assert not node.reducer.open_requests
 
 
 def test_a_server_that_returns_cold_gets_nothing_chosen_before(node, client, stand, turn, settle):
@@ -357,12 +357,12 @@
     client((asked % 2).replace(b"9b", b"9c"))
     turn(lambda: node.requests.last_request_id == 2)
     (flight,) = node.upstream.attempts.in_flight.values()
-    assert node.core.idempotency_records.attempts("k1", node.loop.now())
+    assert node.reducer.idempotency_records.attempts("k1", node.loop.now())
     first.close()
     turn(lambda: flight.task.done and node.upstream.attempts.in_flight)
-    assert not node.core.idempotency_records.attempts("k1", node.loop.now())  # it provably never ran
-    assert node.core.idempotency_records.attempts("k2", node.loop.now())  # and the key's next has its turn
-    assert list(node.core.open_requests) == ["2"]
+    assert not node.reducer.idempotency_records.attempts("k1", node.loop.now())  # it provably never ran
+    assert node.reducer.idempotency_records.attempts("k2", node.loop.now())  # and the key's next has its turn
+    assert list(node.reducer.open_requests) == ["2"]
     release()
 
 
@@ -402,7 +402,7 @@
     executor.held[0].sendall(b"HTTP/1.1 200 -\r\nContent-Length: 12\r\n\r\nTEXT queue=0")
     settle()
     assert b"POST" not in executor.read()
-    assert not node.core.open_requests
+    assert not node.reducer.open_requests
 
 
 def test_work_whose_client_leaves_while_it_stands_in_line_goes_nowhere(node, client, stand, turn, settle):
@@ -410,15 +410,15 @@
     sock = client(REQUEST)
     turn(lambda: b"abc" in executor.read())
     executor.held[0].sendall(NEVER)  # between two tries: the only server is full
-    turn(lambda: not node.upstream.attempts.in_flight and node.core.dispatcher.pending_queues)
+    turn(lambda: not node.upstream.attempts.in_flight and node.reducer.dispatcher.pending_queues)
     sock.close()
     turn(lambda: not node.requests.pending)
-    node.core.dispatcher.at_capacity[node.core.servers.by_name["e1"]] = False
-    node.core.dispatcher.dispatch_queue()
+    node.reducer.dispatcher.at_capacity[node.reducer.servers.by_name["e1"]] = False
+    node.reducer.dispatcher.dispatch_queue()
     settle()
     assert b"POST" not in executor.read()
-    assert not node.core.open_requests
-    assert not node.core.dispatcher.pending_queues
+    assert not node.reducer.open_requests
+    assert not node.reducer.dispatcher.pending_queues
 
 
 def test_work_whose_client_leaves_before_its_keys_turn_goes_nowhere(node, client, stand, turn, settle):
@@ -435,8 +435,8 @@
     turn(lambda: not node.requests.pending)
     settle()
     assert b"POST" not in executor.read()
-    assert not node.core.open_requests
-    assert not node.core.dispatcher.key_queues
+    assert not node.reducer.open_requests
+    assert not node.reducer.dispatcher.key_queues
     assert first.recv(1000).startswith(b"HTTP/1.1 200 ")
 
 
@@ -683,7 +683,7 @@
     )
     began = node.loop.now()
     node.shutdown.begin()
-    assert node.core.answer_by_ms - began == pytest.approx(1000.0 + graceful_shutdown.ANSWER_MS, abs=50.0)
+    assert node.reducer.answer_by_ms - began == pytest.approx(1000.0 + graceful_shutdown.ANSWER_MS, abs=50.0)
 
 
 def test_a_request_behind_one_that_is_answered_near_the_end_is_answered_too(node, client, turn, stand):
@@ -731,17 +731,17 @@
 def test_a_second_sigterm_and_new_settings_change_nothing_of_the_end(node, client, turn, stand):
     stand("e1", ceilings=NO_PROBES)
     node.shutdown.begin()
-    closes, draining = node.core.answer_by_ms, node.downstream.close_answered_at_ms
+    closes, draining = node.reducer.answer_by_ms, node.downstream.close_answered_at_ms
     node.shutdown.begin()
     node.reload()
-    assert (node.core.answer_by_ms, node.downstream.close_answered_at_ms) == (
+    assert (node.reducer.answer_by_ms, node.downstream.close_answered_at_ms) == (
         closes,
         draining,
     )
     assert node.shutdown.is_ending
     client(REQUEST)
     turn(lambda: node.requests.last_request_id == 1)  # new connections still come
-    (state,) = node.core.open_requests.values()
+    (state,) = node.reducer.open_requests.values()
     assert state.request.deadline_at_ms <= closes
 
 
@@ -796,7 +796,7 @@
     options = OPTIONS | {"requestClasses": types, "fleetSize": fleet}
     deployment = deployment_from(options | {"guarantees": {"mustAskInUs": must_ask_us}})
     node.discovery.set(replace(node.config, deployment=deployment))
-    begun = node.core
+    begun = node.reducer
     begun.reduce(0.0, core.NodeStarted(limits.settings_for_process(deployment.settings), 1))
     (timer,) = [
         e
@@ -868,7 +868,7 @@
     options = OPTIONS | {"registryMode": "automatic", "guarantees": {"stopSendingWithinUs": grace_us}}
     deployment = deployment_from(options)
     node.discovery.set(replace(node.config, deployment=deployment))
-    begun, seen = node.core, []
+    begun, seen = node.reducer, []
     begun.reduce(0.0, core.NodeStarted(limits.settings_for_process(deployment.settings), 1))
     for _ in range(10):  # an outage that lasts
         seen += [
@@ -886,7 +886,7 @@
 def test_a_type_without_a_promise_costs_no_busy_loop(node, aims_us):
     rows = [row | {"aimUs": aim} for row, aim in zip(OPTIONS["requestClasses"], aims_us, strict=True)]
     deployment = deployment_from(OPTIONS | {"requestClasses": rows})
-    begun = node.core
+    begun = node.reducer
     begun.reduce(0.0, core.NodeStarted(limits.settings_for_process(deployment.settings), 1))
     module = begun.dispatcher
     assert (
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -237,7 +237,7 @@
 
 def a_probe(scene):
     scene.list("e1", probes=True)
-    scene.node.core.dispatcher.last_report_ms[scene.node.core.servers.by_name["e1"]] = -inf
+    scene.node.reducer.dispatcher.last_report_ms[scene.node.reducer.servers.by_name["e1"]] = -inf
     scene.ask()
     _, sock = scene.running(b"/-/load")
     return lambda: sock.sendall(LOAD)
@@ -264,7 +264,7 @@
     at = {"e1": scene.upstream["e1"].address}
     tell(scene.node, at, EndpointState.DRAINING, ListUpdateKind.DELTA)
     scene.ask()
-    assert scene.node.core.dispatcher.pending_queues
+    assert scene.node.reducer.dispatcher.pending_queues
     return scene.bell(lambda: tell(scene.node, at, EndpointState.READY, ListUpdateKind.DELTA))
 
 
@@ -299,12 +299,12 @@
 def over(node):
     """Say that nothing is left of work, and that the servers' counts are right."""
     assert not node.requests.pending
-    assert not node.core.open_requests
+    assert not node.reducer.open_requests
     assert not node.upstream.attempts.in_flight
     assert not node.downstream.correlation_ids
-    assert not any(node.core.dispatcher.own_slots)
-    assert not node.core.dispatcher.key_queues
-    assert not node.core.dispatcher.pending_queues
+    assert not any(node.reducer.dispatcher.own_slots)
+    assert not node.reducer.dispatcher.key_queues
+    assert not node.reducer.dispatcher.pending_queues
 
 
 @HOLD
@@ -506,13 +506,13 @@
     scene.client((asked % 2).replace(b"9b", b"9c"))
     flight.task.clear_wait()  # its dial is not heard of until the next has come
     turn(lambda: node.requests.last_request_id == 2)
-    assert node.core.idempotency_records.attempts("k1", node.loop.now())
+    assert node.reducer.idempotency_records.attempts("k1", node.loop.now())
     begun = scene.begun
     scene.sock, scene.door = first
     scene.leave(socket.socket.close)
     flight.task.step(READY)
-    assert not node.core.idempotency_records.attempts("k1", node.loop.now())  # it provably never ran
-    assert node.core.idempotency_records.attempts("k2", node.loop.now())
+    assert not node.reducer.idempotency_records.attempts("k1", node.loop.now())  # it provably never ran
+    assert node.reducer.idempotency_records.attempts("k2", node.loop.now())
     turn(lambda: scene.begun > begun)
     data = scene.read()
     assert b"k2" in data
@@ -626,13 +626,13 @@
 
     def faulty(*given):
         tried.append(given)
-        assert len(tried) <= node.core.dispatcher.settings.max_attempts
+        assert len(tried) <= node.reducer.dispatcher.settings.max_attempts
         raise KeyError("a fault")
 
     monkeypatch.setattr(protocol, "attempt_headers", faulty)
     scene.ask(read=False)
     turn(lambda: not node.requests.pending)
-    assert len(tried) == node.core.dispatcher.settings.max_attempts
+    assert len(tried) == node.reducer.dispatcher.settings.max_attempts
     over(node)
 
 
@@ -712,5 +712,5 @@
     assert scene.begun == begun
     assert b"abc" not in scene.read()
     assert len(faults) == 1
-    assert not node.core.open_requests
-    assert not any(node.core.dispatcher.own_slots)
+    assert not node.reducer.open_requests
+    assert not any(node.reducer.dispatcher.own_slots)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -728,7 +728,7 @@
     while node.downstream.open:
         node.loop.turn()
     assert not node.requests.pending
-    assert not node.core.open_requests
+    assert not node.reducer.open_requests
 
 
 def test_an_answer_for_one_that_has_gone_is_dropped(node):
@@ -954,10 +954,10 @@
     ],
 )
 def test_settings_that_are_broken_change_nothing(node, rewrite, capsys, settings):
-    before, served = node.config, node.core.dispatcher.request_classes
+    before, served = node.config, node.reducer.dispatcher.request_classes
     rewrite(settings=settings, discovery="127.0.0.1:9")
     assert node.config is before
-    assert node.core.dispatcher.request_classes == served
+    assert node.reducer.dispatcher.request_classes == served
     assert (node.counters.reloads, node.counters.reload_errors) == (0, 1)
     (line,) = [line for line in capsys.readouterr().err.splitlines() if "stays as it was" in line]
     assert "settings." in line
@@ -993,11 +993,11 @@
     sock = client(REQUEST)
     while not node.requests.pending:
         node.loop.turn()
-    (state,) = node.core.open_requests.values()
+    (state,) = node.reducer.open_requests.values()
     taken = state.request_class
     rewrite(settings=classes("statement", semantics="unsafe", aimUs=1, deadlineUs=1000000))
     assert state.request_class is taken
-    assert node.core.dispatcher.request_classes[state.request.class_index] != taken
+    assert node.reducer.dispatcher.request_classes[state.request.class_index] != taken
     rewrite(settings=classes("other"))
     node.requests.answer(next(iter(node.requests.pending)), 200, [], b"r")
     assert reply(sock).startswith(b"HTTP/1.1 200 ")
@@ -1010,7 +1010,7 @@
         settings=OPTIONS | {"ceilings": ceilings, "requestClasses": OPTIONS["requestClasses"][1:]}, seed="9"
     )
     assert node.upstream.timeouts.idle_ms == 1400.0
-    assert len(node.core.dispatcher.request_classes) == 2
+    assert len(node.reducer.dispatcher.request_classes) == 2
     assert reply(client(REQUEST)).startswith(b"HTTP/1.1 404 ")
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -128,7 +128,7 @@
     def play(clock, event):
         return made.reduce(clock, event)
 
-    play.core = made
+    play.reducer = made
     play(0.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("a", 1), entry("b", 1), entry("c", 2)]))
     return play
 
@@ -193,7 +193,7 @@
     (first,) = sends(answered(node, 1.0, node(1.0, unit("1"))))
     effects = node(2.0, core.AttemptEnded("1", 0, Outcome.AT_CAPACITY, False, None))
     assert any(type(e) is core.ErasePersisted and e.server == first for e in effects)
-    later = node.core.idempotency_records.attempts("k", 3.0)
+    later = node.reducer.idempotency_records.attempts("k", 3.0)
     assert all(trace.server != first for trace in later)
 
 
@@ -209,7 +209,7 @@
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_past_the_maximum_a_new_key_is_rejected_with_advice_and_an_old_one_still_goes(seed):
     node = begun(seed)
-    node.core.idempotency_records.max_keys = 1
+    node.reducer.idempotency_records.max_keys = 1
     assert sends(answered(node, 1.0, node(1.0, unit("1", key="old"))))
     (refused,) = node(2.0, unit("2", key="new"))
     assert type(refused) is core.Reject
@@ -226,8 +226,8 @@
         0.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry(n, state=EndpointState.GONE) for n in "abc"])
     )
     node(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, old, 0.6))
-    decider = node.core.dispatcher
-    e = node.core.servers.by_name["x"]
+    decider = node.reducer.dispatcher
+    e = node.reducer.servers.by_name["x"]
     assert decider.slow_start_budget(e) < float("inf")
     assert decider.identity_doubt[e] == 0.6
     decider.slow_start_tokens[e] = 1.0
@@ -241,12 +241,12 @@
 
 def test_the_live_endpoint_list_ends_all_doubt(node):
     node(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, [entry("x", 5)], 0.6))
-    e = node.core.servers.by_name["x"]
+    e = node.reducer.servers.by_name["x"]
     node(2.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("x", 5), entry("a", 1)]))
-    decider = node.core.dispatcher
+    decider = node.reducer.dispatcher
     assert decider.identity_doubt[e] == 0.0
     assert decider.slow_start_budget(e) == float("inf")
-    assert decider.endpoint_state[node.core.servers.by_name["b"]] is EndpointState.GONE
+    assert decider.endpoint_state[node.reducer.servers.by_name["b"]] is EndpointState.GONE
 
 
 def test_a_drain_during_recovery_holds_though_the_cached_list_says_ready(node):
@@ -319,7 +319,7 @@
     node(4991.0, core.HistoryAvailable("store"))
     assert answers(node(5400.0, retry("2"))) == [core.Fail]
     assert core.SendAttempt in answers(answered(node, 5501.0, node(5501.0, unit("3", expires=9000.0))))
-    assert not node.core.is_history_incomplete()
+    assert not node.reducer.is_history_incomplete()
 
 
 def test_a_rejection_promises_nothing_past_the_deduplication_window(make_dispatcher, make_request):
@@ -352,8 +352,8 @@
     (first,) = sends(answered(node, 1.0, node(1.0, unit("1"))))
     effects = node(2.0, core.NotDurable("1", 0))
     assert [type(e) for e in effects if type(e) is not core.SetTimer] == [core.ErasePersisted, core.Reject]
-    assert not node.core.idempotency_records.attempts("k", 3.0)
-    assert "1" not in node.core.open_requests
+    assert not node.reducer.idempotency_records.attempts("k", 3.0)
+    assert "1" not in node.reducer.open_requests
 
 
 def test_records_restored_late_go_before_those_added_meanwhile():
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -63,7 +63,7 @@
 def test_news_of_an_attempt_reaches_its_handle(instance, line, started, share):
     arrive(instance)
     play(instance, line)
-    (attempt_index,) = instance.core.open_requests["c:1"].attempts
+    (attempt_index,) = instance.reducer.open_requests["c:1"].attempts
     assert (attempt_index.started_ms, attempt_index.progress) == (started, share)
 
 
@@ -83,7 +83,7 @@
 
 def test_another_nodes_message_reaches_the_reducer(instance):
     play(instance, "mail node_3 1 AAAAAQ==")
-    assert instance.core.dispatcher.peer_slots == {1: {0: 1}}
+    assert instance.reducer.dispatcher.peer_slots == {1: {0: 1}}
 
 
 def test_a_message_that_is_no_base64_is_malformed(instance):
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -89,6 +89,11 @@
     return led(node.loop)
 
 
+def state_of(node, name):
+    """Return what the endpoint list says of a server."""
+    return node.reducer.dispatcher.endpoint_state[node.reducer.servers.by_name[name]]
+
+
 def answer_all(peer, name):
     """Have a server of the test's complete all that it has been sent."""
     while peer.accept():
@@ -231,7 +236,7 @@
     node.discovery.take({"seq": 5, "whole": True, "hosts": [row]})
     row = row | {"health": "leaving"} | spoilt
     node.discovery.take({"seq": 6, "whole": whole, "hosts": [row]})
-    assert node.core.dispatcher.endpoint_state[node.core.servers.by_name["e1"]] is EndpointState.DRAINING
+    assert state_of(node, "e1") is EndpointState.DRAINING
 
 
 @pytest.mark.parametrize("field", ["born_ms", "share", "block"])
@@ -450,7 +455,7 @@
     turn(lambda: flight.task.done)
     settle()
     assert [event.outcome for event in told if type(event) is core.AttemptEnded] == [Outcome.CANCELLED]
-    assert not node.core.open_requests
+    assert not node.reducer.open_requests
     assert b"abc" not in executor.read()
 
 
@@ -607,7 +612,7 @@
     turn(lambda: any(p.client_request.id == "9b" for p in node.requests.pending.values()))
     turn(lambda: len(node.downstream.open) == 1)
     assert len(node.requests.pending) == 1
-    assert len(node.core.open_requests) == 1
+    assert len(node.reducer.open_requests) == 1
     turn(lambda: b"9b" in executor.read())
     for sock in executor.held:
         with suppress(OSError):
@@ -628,7 +633,7 @@
     socks = [client(REQUEST.replace(b"9b", b"w%d" % i)) for i in range(120)]
     turn(lambda: node.requests.last_request_id == len(socks))
     settle()
-    assert node.core.dispatcher.pending_queues
+    assert node.reducer.dispatcher.pending_queues
     assert node.upstream.attempts.in_flight
     for executor in executors:
         executor.read()
@@ -637,8 +642,8 @@
     turn(lambda: not node.requests.pending)
     attempts = node.counters.attempts
     settle(100)
-    assert not node.core.open_requests
-    assert not node.core.dispatcher.pending_queues
+    assert not node.reducer.open_requests
+    assert not node.reducer.dispatcher.pending_queues
     assert not node.upstream.attempts.in_flight
     assert node.counters.attempts == attempts
     assert not any(b"POST" in e.read() for e in executors)
@@ -659,7 +664,7 @@
     sock = client(request_)
     turn(lambda: node.upstream.attempts.in_flight)
     tell(node, {"e1": slow.address, "e2": good.address})
-    node.core.dispatcher.at_capacity[node.core.servers.by_name["e1"]] = True  # the next goes elsewhere
+    node.reducer.dispatcher.at_capacity[node.reducer.servers.by_name["e1"]] = True  # the next goes elsewhere
     second = client(request_.replace(b"9b", b"9c").replace(b"-Key: k", b"-Key: l"))
     turn(lambda: b"abc" in good.read())  # and is served while the first waits
     good.held[0].sendall(ANSWER.replace(b'"e1"', b'"e2"').replace(b"9b", b"9c"))
@@ -737,8 +742,8 @@
             roster.held[0].sendall(says[at : at + size])
             node.turns(3)
         node.turns(20)
-        assert node.core.dispatcher.endpoint_state[node.core.servers.by_name["e1"]] is state
-        assert node.core.dispatcher.endpoint_state[node.core.servers.by_name["e2"]] is EndpointState.READY
+        assert state_of(node, "e1") is state
+        assert state_of(node, "e2") is EndpointState.READY
         node.turns(lead_ms=node.discovery.min_watch_gap_ms)
     assert len(roster.held) == 1  # one watch
 
@@ -761,7 +766,7 @@
     roster.read()
     roster.held[1].sendall(answer(listing(5, "leaving")))
     node.turns()
-    assert node.core.dispatcher.endpoint_state[node.core.servers.by_name["e1"]] is EndpointState.DRAINING
+    assert state_of(node, "e1") is EndpointState.DRAINING
     assert "Traceback" not in capsys.readouterr().err
 
 
@@ -774,7 +779,7 @@
     node, roster = followed(
         registryMode=mode, guarantees={"stopSendingWithinUs": 400000, "mustAskInUs": 60000000}
     )
-    node.core.dispatcher.random = lambda: 1.0 - 1e-9  # the longest rests
+    node.reducer.dispatcher.random = lambda: 1.0 - 1e-9  # the longest rests
     tell(node, {"e1": executor.address})
     roster.read()
     if in_watch:
@@ -812,7 +817,7 @@
 def test_one_node_adds_little_to_a_herd_at_discovery(followed, mode, most, says):
     # Twenty seconds in which each call fails at once, at the soonest rests that chance can give.
     node, roster = followed(registryMode=mode, guarantees={"stopSendingWithinUs": 20000000})
-    node.core.dispatcher.random = lambda: 0.0
+    node.reducer.dispatcher.random = lambda: 0.0
     calls = 1
     for _ in range(2000):
         roster.accept()
@@ -843,8 +848,8 @@
     roster.held.clear()
     for node, _ in made:
         node.turns(2)
-    due = sorted(node.core.dispatcher.next_poll_ms - node.loop.now() for node, _ in made)
-    rest = made[0][0].core.dispatcher.poll_backoff_ms
+    due = sorted(node.reducer.dispatcher.next_poll_ms - node.loop.now() for node, _ in made)
+    rest = made[0][0].reducer.dispatcher.poll_backoff_ms
     most = max(sum(at <= other < at + 0.1 * rest for other in due) for at in due)
     assert most <= len(due) // 3  # of 24 in a tenth of the span; evenly it would be 3
 
@@ -997,7 +1002,7 @@
     reset(roster.held.pop())
     node.turns()
     assert node.discovery.task is None
-    assert node.core.dispatcher.poll_backoff_ms == node.core.dispatcher.settings.max_poll_interval_ms
+    assert node.reducer.dispatcher.poll_backoff_ms == node.reducer.dispatcher.settings.max_poll_interval_ms
 
 
 def calling(node, roster):
@@ -1011,7 +1016,7 @@
     followed, peers, when, mode, grace_us
 ):
     node, roster = followed(registryMode=mode, guarantees={"stopSendingWithinUs": grace_us})
-    node.core.dispatcher.random = lambda: 1.0 - 1e-9  # the longest rests
+    node.reducer.dispatcher.random = lambda: 1.0 - 1e-9  # the longest rests
     roster.read()
     when(node, roster)
     moved = peers["moved"] = Peer()
@@ -1028,6 +1033,6 @@
     node.turns(lead_ms=100.0)  # lists come late
     moved.held[0].sendall(answer(listing(1, "leaving")))  # another discovery's versions
     node.turns()
-    assert node.core.dispatcher.endpoint_state[node.core.servers.by_name["e1"]] is EndpointState.DRAINING
+    assert state_of(node, "e1") is EndpointState.DRAINING
     assert node.loop.now() - began < 4000.0
     assert not any(not ended(sock) for sock in roster.held)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -415,7 +415,7 @@
     first_store.load()
     first_store.begin()
     number = first_store.append(sent("new", until=time.time() * 2000.0))
-    until(lambda: first_store.done >= number)
+    until(lambda: first_store.answered_count >= number)
     first_store.close()
     assert on_disk(first_store) == {"old", "new"}
 
@@ -476,8 +476,9 @@
     store.begin()
     until(lambda: store.is_success_logged)
     seen = wait_for(store, "a", [])
-    store.handle_answer(WriteFailed(store.done - store.done_before + 1, "full", "No space left on device"))
-    store.handle_answer(Written(store.done - store.done_before, 0))  # read together with the way back
+    answered = store.answered_count - store.answered_before_process
+    store.handle_answer(WriteFailed(answered + 1, "full", "No space left on device"))
+    store.handle_answer(Written(answered, 0))  # read together with the way back
     until(lambda: seen)
     assert seen == [("a", False)]  # it must not be sent
     store.mark_unavailable("full", "No space left on device")
@@ -519,7 +520,9 @@
     assert seen == [("a", False)]
     assert not store.is_available()
     store.process.send_signal(signal.SIGCONT)
-    until(lambda: store.done == store.sent)  # also where the first message alone was answered before
+    until(
+        lambda: store.answered_count == store.sent_count
+    )  # also where the first message alone was answered before
     assert store.is_available()
     assert "code=slow" in capsys.readouterr().err
     assert on_disk(store) == {"a"}
@@ -610,7 +613,7 @@
     """Take a payment and return the effects that are asked for at once, and its attempts."""
     request = Request(key, 2, node.loop.now() + 5000.0, idempotency_key=key, may_be_retry=marked)
     request = replace(request, is_recordable=node.durable_state.store.is_available())
-    effects = node.core.reduce(node.loop.now(), core.RequestArrived(request))
+    effects = node.reducer.reduce(node.loop.now(), core.RequestArrived(request))
     return [type(e) for e in effects if type(e) in (core.SendAttempt, core.Reject, core.Fail)]
 
 
@@ -658,7 +661,7 @@
         node.loop.turn()
     if other is not None:
         number = other.durable_state.store.append(sent("old", far - 1000.0, "gone", far))
-        turned(other, lambda: other.durable_state.store.done >= number)
+        turned(other, lambda: other.durable_state.store.answered_count >= number)
         other.durable_state.store.close()
         os.close(other.durable_state.store.lock_fd)
         other.durable_state.store.lock_fd = None
@@ -671,7 +674,7 @@
     turned(node, node.durable_state.store.is_available)
     # The retry is bound to the pod that may have run it, which is gone; what is new goes out.
     assert decided(node, "old", True) == []
-    assert not node.core.unavailable_history.last_sent_ms
+    assert not node.reducer.unavailable_history.last_sent_ms
     assert "old" in on_disk(node.durable_state.store)
 
 
@@ -679,13 +682,13 @@
     for _ in range(2):
         node = live()  # on a folder that nobody began
         assert (
-            node.core.unavailable_history.last_sent_ms
+            node.reducer.unavailable_history.last_sent_ms
         )  # in its second life by what the first has put on record
         turned(node, node.durable_state.store.is_available)
         assert decided(node, "old", True) == [core.Fail]
-        ends = max(node.core.unavailable_history.last_sent_ms.values()) + 30000.0
-        assert node.core.reduce(ends + 1.0, core.HistoryAvailable("none")) == []
-        assert not node.core.is_history_incomplete()
+        ends = max(node.reducer.unavailable_history.last_sent_ms.values()) + 30000.0
+        assert node.reducer.reduce(ends + 1.0, core.HistoryAvailable("none")) == []
+        assert not node.reducer.is_history_incomplete()
         node.durable_state.store.close()
         os.close(node.durable_state.store.lock_fd)
         node.durable_state.store.lock_fd = None
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -453,7 +453,7 @@
 def test_a_list_on_a_connection_that_ends_with_it_is_taken_in_and_makes_no_storm(led, settings):
     last = whole(NEW).replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
     one = led(**settings)
-    rest_ms = one.node.core.dispatcher.settings.max_poll_interval_ms
+    rest_ms = one.node.reducer.dispatcher.settings.max_poll_interval_ms
     served = 0
     end = one.clock + 20.0 * rest_ms
     while one.clock < end:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -218,7 +218,7 @@
     sock = socket.create_connection(held.getsockname())
     sock.sendall(PAYMENT % repeat)
     turn(node, lambda: node.requests.pending)
-    return node.core.open_requests[next(iter(node.requests.pending))], sock
+    return node.reducer.open_requests[next(iter(node.requests.pending))], sock
 
 
 @pytest.mark.parametrize(("version", "held_now"), [(41, {"e1", "e2"}), (0, {"e1"})])
@@ -231,7 +231,7 @@
     assert set(node.discovery.held) == held_now
     assert node.discovery.version == max(1, version)
     assert version == 0 or node.discovery.held["e2"].state is EndpointState.DRAINING
-    assert [trace.server for _, trace in node.core.idempotency_records] == ["e1"]
+    assert [trace.server for _, trace in node.reducer.idempotency_records] == ["e1"]
 
 
 def test_a_retry_goes_where_the_other_process_has_sent_the_first(made, old, held):
@@ -241,7 +241,7 @@
     talk()
     turn(node, node.is_ready)
     state, sock = pay(node, held)
-    assert [state.is_eligible(node.core.servers.by_name[name]) for name in ("e1", "e5")] == [False, True]
+    assert [state.is_eligible(node.reducer.servers.by_name[name]) for name in ("e1", "e5")] == [False, True]
     sock.close()
 
 
@@ -256,7 +256,7 @@
         other.task.cancel()  # only what work asks for is read from here on
     state, sock = pay(node, held)
     assert len(state.attempts) == 1
-    assert not state.is_eligible(node.core.servers.by_name["e1"])
+    assert not state.is_eligible(node.reducer.servers.by_name["e1"])
     sock.close()
 
 
@@ -273,8 +273,8 @@
     talk()
     turn(node, node.is_ready)
     state, sock = pay(node, held)
-    assert [state.is_eligible(node.core.servers.by_name[name]) for name in ("e1", "e5")] == [False, True]
-    ((_, trace),) = node.core.idempotency_records
+    assert [state.is_eligible(node.reducer.servers.by_name[name]) for name in ("e1", "e5")] == [False, True]
+    ((_, trace),) = node.reducer.idempotency_records
     assert abs(trace.until_ms - node.loop.now() - 4000.0) < 2000.0
     sock.close()
 
@@ -293,7 +293,7 @@
     )
     node = made()
     talk()
-    turn(node, lambda: node.is_ready() and not len(node.core.idempotency_records))
+    turn(node, lambda: node.is_ready() and not len(node.reducer.idempotency_records))
 
 
 @pytest.mark.parametrize(
@@ -325,7 +325,7 @@
     talk()
     turn(node, node.is_ready)
     assert f"code={code}" in capsys.readouterr().err
-    assert node.core.unavailable_history.last_sent_ms
+    assert node.reducer.unavailable_history.last_sent_ms
     assert set(node.discovery.held) == {"e1"}
 
 
@@ -342,7 +342,7 @@
     assert sock.recv(4096).startswith(b"HTTP/1.1 500 ")
     sock.close()
     state, sock = pay(node, held)
-    assert state.is_eligible(node.core.servers.by_name["e1"])
+    assert state.is_eligible(node.reducer.servers.by_name["e1"])
     sock.close()
 
 
@@ -352,10 +352,10 @@
     node = made(settings=PAYMENTS)
     peer = talk()
     turn(node, node.is_ready)
-    assert not node.core.unavailable_history.last_sent_ms
+    assert not node.reducer.unavailable_history.last_sent_ms
     peer.close()
     turn(node, lambda: not node.handover.peers)
-    assert ("code=cut" not in capsys.readouterr().err) is known is not node.core.is_history_incomplete()
+    assert ("code=cut" not in capsys.readouterr().err) is known is not node.reducer.is_history_incomplete()
 
 
 def test_one_that_tells_all_late_is_believed(made, old, monkeypatch):
@@ -364,9 +364,9 @@
     node = made(settings=PAYMENTS)
     peer = talk()
     turn(node, node.is_ready)
-    assert node.core.is_history_incomplete()
+    assert node.reducer.is_history_incomplete()
     peer.sendall(WHOLE)
-    turn(node, lambda: not node.core.unavailable_history.last_sent_ms)
+    turn(node, lambda: not node.reducer.unavailable_history.last_sent_ms)
 
 
 def test_a_process_that_does_not_even_listen_is_told_of(made, tmp_path, capsys):
@@ -384,7 +384,7 @@
     node = made()
     turn(node, node.is_ready)
     assert "code=silent" in capsys.readouterr().err
-    assert node.core.unavailable_history.last_sent_ms
+    assert node.reducer.unavailable_history.last_sent_ms
     for sock in (full, *calls):
         sock.close()
 
@@ -406,7 +406,7 @@
     talk()
     turn(node, node.is_ready)
     assert node.counters.reloads == 1
-    assert node.core.dispatcher.settings.process_share == 0.5
+    assert node.reducer.dispatcher.settings.process_share == 0.5
 
 
 def test_a_name_that_a_killed_process_left_is_removed(made, tmp_path):
@@ -418,7 +418,7 @@
     own.close()
     node = made()
     assert node.is_ready()
-    assert not node.core.unavailable_history.last_sent_ms
+    assert not node.reducer.unavailable_history.last_sent_ms
     assert [path.name for path in tmp_path.glob("marlseam-*")] == [f"marlseam-{os.getpid()}.sock"]
 
 
@@ -438,7 +438,7 @@
     node = made()
     assert node.is_ready()
     assert capsys.readouterr().err.count("code=unheard") == 2
-    assert node.core.unavailable_history.last_sent_ms  # what the other knows stays unknown
+    assert node.reducer.unavailable_history.last_sent_ms  # what the other knows stays unknown
 
 
 def caller(tmp_path):
@@ -467,7 +467,7 @@
 
 def test_a_later_process_is_told_what_there_is_and_what_comes(made, tmp_path):
     node = made(settings=PAYMENTS)
-    node.core.idempotency_records.add(
+    node.reducer.idempotency_records.add(
         "k8", AttemptRecord("e1", 0, 4, node.loop.now(), node.loop.now() + 9999.0)
     )
     later = caller(tmp_path)
@@ -491,7 +491,7 @@
 def test_what_a_later_process_is_told_has_the_form_of_53bfa1a(made, tmp_path):
     node = made(settings=PAYMENTS)
     trace = AttemptRecord("e1", 0, 4, node.loop.now(), node.loop.now() + 9999.0)
-    node.core.idempotency_records.add("k8", trace)
+    node.reducer.idempotency_records.add("k8", trace)
     later = caller(tmp_path)
     lines = told(node, later, b'"whole"')
     node.effects.record(core.PersistAttempt("9", "k9", trace))
@@ -518,8 +518,8 @@
     talk()
     turn(node, lambda: node.is_ready() and not node.handover.peers)
     assert node.discovery.version == 41
-    assert not node.core.unavailable_history.last_sent_ms
-    ((key, trace),) = node.core.idempotency_records
+    assert not node.reducer.unavailable_history.last_sent_ms
+    ((key, trace),) = node.reducer.idempotency_records
     assert (key, trace.server, trace.zone, trace.cell) == ("k1", "e1", 0, 4)
     assert abs(trace.until_ms - node.loop.now() - 9000.0) < 2000.0
 
@@ -531,16 +531,16 @@
     turn(node, lambda: node.handover.peers)
     shared = node.downstream.limits.clients, node.upstream.pool.max_connections
     assert all(2 * part <= all_ for part, all_ in zip(shared, whole, strict=True))
-    assert node.core.dispatcher.settings.process_share == 0.5
+    assert node.reducer.dispatcher.settings.process_share == 0.5
     node.reload()
-    assert node.core.dispatcher.settings.process_share == 0.5
+    assert node.reducer.dispatcher.settings.process_share == 0.5
     later.close()
     turn(node, lambda: not node.handover.peers)
     assert (
         node.downstream.limits.clients,
         node.upstream.pool.max_connections,
     ) == whole
-    assert node.core.dispatcher.settings.process_share == 1.0
+    assert node.reducer.dispatcher.settings.process_share == 1.0
 
 
 def test_a_second_upgrade_during_the_first_shares_with_both(made, tmp_path):
@@ -549,7 +549,7 @@
     for number, sock in ((5, first), (6, second)):
         sock.sendall(hello(process=number))
     turn(node, lambda: len([p for p in node.handover.peers if p.hello]) == 2)
-    assert node.core.dispatcher.settings.process_share == pytest.approx(1 / 3)
+    assert node.reducer.dispatcher.settings.process_share == pytest.approx(1 / 3)
     first.close()
     second.close()
 
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -35,12 +35,12 @@
 
 def allowance(node, name: str) -> float:
     """Return what all nodes may send to a server, in mean requests a ms; inf where it is warm."""
-    return node.core.dispatcher.slow_start_budget(node.core.servers.by_name[name])
+    return node.reducer.dispatcher.slow_start_budget(node.reducer.servers.by_name[name])
 
 
 def in_slow_start(node, name: str) -> bool:
-    e = node.core.servers.by_name[name]
-    node.core.dispatcher.has_budget(e, 1.0)
+    e = node.reducer.servers.by_name[name]
+    node.reducer.dispatcher.has_budget(e, 1.0)
     return allowance(node, name) < inf
 
 
@@ -63,10 +63,10 @@
     tell(node, host("e1", 0.0))
     step_own_clock(node, step_ms)
     tell(node, host("e2", unix_ms - 1500.0), whole=False)
-    node.core.clock = node.loop.now()
-    e, now_unix_ms = node.core.servers.by_name["e2"], time.time() * 1000.0
+    node.reducer.clock = node.loop.now()
+    e, now_unix_ms = node.reducer.servers.by_name["e2"], time.time() * 1000.0
     assert (
-        node.core.clock - node.core.dispatcher.process_started_ms[e]
+        node.reducer.clock - node.reducer.dispatcher.process_started_ms[e]
         < now_unix_ms - (unix_ms - 1500.0) + MAX_CLOCK_ERROR_MS
     )
 
@@ -100,12 +100,12 @@
 
 def test_a_start_keeps_its_time_whatever_is_learned_of_clocks_later(node, unix_ms):
     tell(node, host("e1", unix_ms - 9000.0))
-    node.core.clock = node.loop.now()
-    e = node.core.servers.by_name["e1"]
-    born = node.core.dispatcher.process_started_ms[e]
+    node.reducer.clock = node.loop.now()
+    e = node.reducer.servers.by_name["e1"]
+    born = node.reducer.dispatcher.process_started_ms[e]
     tell(node, host("e2", unix_ms - 10.0), whole=False)
     tell(node, host("e1", unix_ms - 9000.0), host("e2", unix_ms - 10.0))
-    assert node.core.dispatcher.process_started_ms[e] == born
+    assert node.reducer.dispatcher.process_started_ms[e] == born
 
 
 @pytest.mark.parametrize("step_ms", STEPS_MS)
