--- /dev/null
+++ b/marlseam/experiment/config_change_nodes.py
@@ -0,0 +1,250 @@
+"""Real nodes on loopback that run the workload of `size_changes`.
+
+Versions are published by the operator's call at one node, and seen in what the nodes log.
+"""
+
+import contextlib
+import http.client
+import json
+import socket
+import time
+from collections import Counter
+from collections.abc import Callable
+from math import inf
+from pathlib import Path
+
+from marlseam.cluster.checking.replication_schedules import LEASE_PERIODS
+from marlseam.cluster.checking.simulation import PERIOD_MS
+from marlseam.experiment import size
+from marlseam.experiment.config_change_usage import RealUsage
+from marlseam.experiment.config_change_workload import (
+    CLUSTER_NAME,
+    FIRST_BURST_MARK,
+    LAN,
+    MAX_VOTERS,
+    PUBLISHER,
+    SETTLE_TIMEOUT_S,
+    WARM_UP_S,
+    ChangeSettings,
+    JsonObject,
+    change_one_team,
+    shared_settings,
+)
+from marlseam.experiment.fleet import reserved
+from marlseam.experiment.plays import ShowProgress
+from marlseam.experiment.processes import RunFailedError
+from marlseam.store.ledger_writer import create_ledger
+
+LOG_CHECK_S = 0.005  # between two readings of what nodes have logged
+START_UP_S = 3.0  # from when all nodes listen until the first version
+ALL_ACT_TIMEOUT_S = 30.0
+CALL_TIMEOUT_S = 5.0
+UNUSED_ADDRESS = "127.0.0.1:9"  # of discovery, which these nodes do without
+APPLIED_TEXT = "acts on version "  # in a node's log, before the version's number and a comma
+
+
+class RealNodes:
+    """Some nodes of one cluster, each a process of its own.
+
+    Attributes:
+        seed: of the changes.
+        settings: the table of the experiment file.
+        show_progress: is told how far the run is.
+        names: of the nodes; the first of them vote.
+        band: the processes.
+        reserved_sockets: hold the operators' ports until the nodes listen there.
+        admin_addresses: for operators, by node.
+        read_bytes: how much of each node's log was read.
+        applied_at_s: when each node was seen to act on a version, by both, by the monotonic clock.
+        shared: the settings that were published last.
+        version: the number that they were published under.
+    """
+
+    def __init__(self, out: Path, seed: int, settings: ChangeSettings, show_progress: ShowProgress) -> None:
+        """Start the nodes, with their files in a directory."""
+        self.seed, self.settings, self.show_progress = seed, settings, show_progress
+        self.names = [f"n{i}" for i in range(settings.real)]
+        self.band = size.Band(out)
+        self.reserved_sockets: list[socket.socket] = []
+        self.admin_addresses = {name: self.reserve_admin_address() for name in self.names}
+        self.read_bytes = dict.fromkeys(self.names, 0)
+        self.applied_at_s: dict[tuple[str, int], float] = {}
+        self.shared, self.version = shared_settings(settings.real, settings.real_teams), 0
+        members = "\n".join(f'{name} = "{reserved()}"' for name in self.names)
+        for i, name in enumerate(self.names):
+            self.start(name, out / "ledgers" / name, seed + i, members)
+
+    def start(self, name: str, ledger: Path, seed: int, members: str) -> None:
+        """Start a node with an empty ledger; `members` are lines of the table `fleet.members`."""
+        create_ledger(ledger, name)
+        operator_settings = (
+            f'[fleet]\nname = "{CLUSTER_NAME}"\nperiod_ms = {PERIOD_MS:g}\nfolder = "{ledger}"\n'
+            f"voters = {json.dumps(self.names[:MAX_VOTERS])}\nlease_ms = {LEASE_PERIODS * PERIOD_MS:g}\n"
+            f"[fleet.members]\n{members}\n"
+        )
+        config = size.node_config(name, UNUSED_ADDRESS, len(self.names), seed)
+        self.band.start(name, config | {"admin": self.admin_addresses[name]}, operator_settings)
+
+    def reserve_admin_address(self) -> str:
+        """Return an address for operators, reserved by a socket that does not listen."""
+        reserving = socket.socket()
+        reserving.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserving.bind(("127.0.0.1", 0))
+        self.reserved_sockets.append(reserving)
+        return "{}:{}".format(*reserving.getsockname())
+
+    def call(self, name: str, method: str, path: str, body: bytes | None = None) -> bytes:
+        """Return what a node answers to an operator's call; raise OSError."""
+        host, _, port = self.admin_addresses[name].rpartition(":")
+        connection = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_S)
+        try:
+            connection.request(method, path, body)
+            return connection.getresponse().read()
+        finally:
+            connection.close()
+
+    # What nodes act on.
+
+    def read_logs(self) -> None:
+        """Read what nodes have logged since the last time."""
+        now_s = time.monotonic()
+        for name, process in self.band.nodes.items():
+            if process.log.stat().st_size == self.read_bytes[name]:
+                continue
+            with process.log.open("rb") as log:
+                log.seek(self.read_bytes[name])
+                text = log.read()
+            whole_lines = text[: text.rfind(b"\n") + 1]
+            self.read_bytes[name] += len(whole_lines)
+            for line in whole_lines.decode(errors="replace").splitlines():
+                if APPLIED_TEXT in line:
+                    number = int(line.partition(APPLIED_TEXT)[2].partition(",")[0])
+                    self.applied_at_s.setdefault((name, number), now_s)
+
+    def wait(self, seconds: float, is_done: Callable[[], bool] = lambda: False) -> None:
+        """Read the logs for so long, or until something is done."""
+        end_s = time.monotonic() + seconds
+        while time.monotonic() < end_s and not is_done():
+            time.sleep(LOG_CHECK_S)
+            self.read_logs()
+
+    def all_act(self) -> bool:
+        """Return whether all nodes act on the version that was published last, or a later one."""
+        newest = Counter[str]()
+        for name, number in self.applied_at_s:
+            newest[name] = max(newest[name], number)
+        return all(newest[name] >= self.version for name in self.names)
+
+    def last_applied_at_s(self, version: int) -> float:
+        """Return when the last node acted on a version or a later one; inf for never."""
+        first_s = dict.fromkeys(self.names, inf)
+        for (name, number), at_s in self.applied_at_s.items():
+            if number >= version:
+                first_s[name] = min(first_s[name], at_s)
+        return max(first_s.values())
+
+    # What nodes use.
+
+    def usage(self) -> RealUsage:
+        """Return what nodes have used so far."""
+        bystanders = self.names[MAX_VOTERS:]
+        traffic = [json.loads(self.call(name, "GET", "/control/fleet"))["letters"] for name in self.names]
+        cpu_ms, resident_mb = self.band.cpu_ms(), self.band.resident_mb()
+        return RealUsage(
+            bytes=sum(counts["bytes_sent"] for counts in traffic) / len(traffic),
+            datagrams=sum(counts["sent"] for counts in traffic) / len(traffic),
+            cpu_ms=sum(cpu_ms[name] for name in bystanders) / len(bystanders),
+            writer_cpu_ms=sum(map(self.writer_cpu_ms, bystanders)) / len(bystanders),
+            memory_mb=sum(resident_mb[name] for name in bystanders) / len(bystanders),
+            time_ms=1000.0 * time.monotonic(),
+        )
+
+    def writer_cpu_ms(self, name: str) -> float:
+        """Return the processor time of the process that writes a node's ledger."""
+        pid = self.band.nodes[name].process.pid
+        with contextlib.suppress(OSError):
+            children = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
+            return sum(size.cpu_ms(int(child)) for child in children)
+        return 0.0
+
+    # The workload.
+
+    def publish(self, settings: JsonObject) -> float:
+        """Publish settings as the next version; return when that was asked for.
+
+        Raises RunFailedError where the publisher does not take them in time.
+        """
+        version = self.version + 1
+        body = json.dumps({"settings": settings, "why": f"change {version}"}).encode()
+        end_s, answer = time.monotonic() + SETTLE_TIMEOUT_S, ""
+        while time.monotonic() < end_s:
+            asked_s = time.monotonic()
+            answer = self.call(PUBLISHER, "POST", "/control/fleet/publish", body).decode()
+            if answer.startswith(f"version {version}: open"):
+                self.shared, self.version = settings, version
+                return asked_s
+            self.wait(LAN.operator_ms / 1000.0)
+        raise RunFailedError(f"{PUBLISHER} did not publish version {version}: {answer.strip()}")
+
+    def publish_change(self, mark: int) -> float:
+        """Publish the next change; return when that was asked for."""
+        return self.publish(change_one_team(self.shared, self.seed, mark))
+
+    def begin(self) -> None:
+        """Publish the first version, and wait until all act on it and have come to rest."""
+        self.publish(self.shared)
+        self.wait(ALL_ACT_TIMEOUT_S, self.all_act)
+        self.wait(WARM_UP_S)
+
+    def run_paced(self) -> list[float]:
+        """Publish changes at their usual pace; return how long each took to reach all nodes, in s."""
+        latencies_s = list[float]()
+        for mark in range(self.settings.changes):
+            end_s = time.monotonic() + self.settings.every_s
+            asked_s = self.publish_change(mark)
+            self.wait(end_s - time.monotonic())
+            latencies_s.append(self.last_applied_at_s(self.version) - asked_s)
+            self.show_progress(
+                f"{self.settings.real} real nodes, {mark + 1} changes of {self.settings.changes}"
+            )
+        return latencies_s
+
+    def run_burst(self) -> float:
+        """Publish changes as fast as they are agreed on; return the seconds until all acted on the last."""
+        began_s = time.monotonic()
+        for mark in range(self.settings.burst):
+            self.publish_change(FIRST_BURST_MARK + mark)
+        self.wait(ALL_ACT_TIMEOUT_S, self.all_act)
+        return self.last_applied_at_s(self.version) - began_s
+
+    def measure(self) -> dict[str, float]:
+        """Run the workload; return the figures of a node, by the names that reports have for them."""
+        self.band.listens()
+        self.wait(START_UP_S)
+        at_start = self.usage()
+        self.begin()
+        before_idle = self.usage()
+        self.wait(self.settings.idle_s)
+        before_paced = self.usage()
+        latencies_s = self.run_paced()
+        after_paced = self.usage()
+        burst_s = self.run_burst()
+        idle_rates = before_paced.since(before_idle).per_second()
+        each = after_paced.since(before_paced).per_change(idle_rates, self.settings.changes)
+        return {
+            "bytes_change": each.bytes,
+            "notes_change": each.datagrams,
+            "cpu_ms_change": each.cpu_ms,
+            "helper_ms_change": each.writer_cpu_ms,
+            "memory_mb": before_idle.memory_mb - at_start.memory_mb,
+            "process_mb": after_paced.memory_mb,
+            "last_s": max(latencies_s),
+            "burst_s": burst_s,
+            "idle_core_share": idle_rates.cpu_ms / 1000.0,
+        }
+
+    def end(self) -> None:
+        """End the nodes."""
+        self.band.end()
+        for reserving in self.reserved_sockets:
+            reserving.close()
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -34,7 +34,9 @@
 from marlseam.cluster.replication.replica import ConfigReplica
 from marlseam.cluster.replication.settings import ReplicationSettings
 from marlseam.experiment import file, measures, plays
-from marlseam.experiment.size_changes import changed, counted, one_size, teams
+from marlseam.experiment.config_change_measurement import SimulatedCase, measure_case
+from marlseam.experiment.config_change_workload import change_one_team, team_quotas
+from marlseam.experiment.size_changes_report import is_count
 from marlseam.random_source import RandomSource
 
 SHORT = Path(__file__).parent.parent / "experiments" / "size-changes-short.toml"
@@ -46,7 +48,7 @@
     code, missed = plays.run(experiment, tmp_path / "one", lambda text: None)
     assert code == 0, missed
     runs = [plays.PLAYS["size_changes"](experiment, tmp_path / name, lambda text: None) for name in "ab"]
-    counts = [{key: value for key, value in run.figures.items() if counted(key)} for run in runs]
+    counts = [{key: value for key, value in run.figures.items() if is_count(key)} for run in runs]
     assert counts[0] == counts[1]
     assert len(counts[0]) > 30
 
@@ -62,8 +64,8 @@
 
 @pytest.mark.parametrize("mark", [0, 1, 1000])
 def test_a_change_is_of_one_team(mark):
-    before = {"teams": teams(10)}
-    after = changed(before, 7, mark)
+    before = {"teams": team_quotas(10)}
+    after = change_one_team(before, 7, mark)
     assert sum(before["teams"][name] != after["teams"][name] for name in before["teams"]) == 1
 
 
@@ -185,8 +187,8 @@
 
 
 def test_what_is_not_edited_is_the_same_object_and_one_quota_is_two_edits():
-    before, base = written(content(settings={"teams": teams(300), "kinds": ["a", "b"]}))
-    changed_settings = changed({"teams": teams(300), "kinds": ["a", "b"]}, 1, 1)
+    before, base = written(content(settings={"teams": team_quotas(300), "kinds": ["a", "b"]}))
+    changed_settings = change_one_team({"teams": team_quotas(300), "kinds": ["a", "b"]}, 1, 1)
     after, document = written(content(2, digest(before), settings=changed_settings, why="x"))
     computed = delta.compute_change(base, after, document)
     raw, found = computed.data, computed.document
@@ -242,11 +244,11 @@
 
 
 def some_contents(count, rows=60):
-    settings, found = {"teams": teams(rows)}, []
+    settings, found = {"teams": team_quotas(rows)}, []
     for number in range(1, count + 1):
         before = digest(found[-1]) if found else ""
         found.append(write(content(number, before, settings=settings)))
-        settings = changed(settings, 5, number)
+        settings = change_one_team(settings, 5, number)
     return found
 
 
@@ -355,7 +357,7 @@
 
 def test_a_voter_receives_a_candidate_as_deltas_and_accepts_it_once_the_whole_is_durable():
     source, voter, datas = source_and_reader(count=3, place=3)
-    data = write(content(4, digest(datas[-1]), settings=changed({"teams": teams(60)}, 9, 9)))
+    data = write(content(4, digest(datas[-1]), settings=change_one_team({"teams": team_quotas(60)}, 9, 9)))
     source.publish(0.0, data)
     voter.voters |= {"d"}
     effects = voter.receive(0.0, "b", VoteMessage("accept", 4, 1, "b/1", value=digest(data)))
@@ -667,9 +669,9 @@
 
 def test_the_counts_show_that_nobody_sends_deltas():
     experiment = file.load(SHORT)
-    table = msgspec.structs.replace(experiment.tables["size_changes"], burst=0)
+    settings = msgspec.structs.replace(experiment.tables["size_changes"], burst=0)
     bytes_change = [
-        one_size(1, table, 160, 12, machine=replica)["bytes_change"]
+        measure_case(SimulatedCase(1, settings, teams=160, nodes=12, replica_type=replica))["bytes_change"]
         for replica in (ConfigReplica, ForgetsIts)
     ]
     assert bytes_change[0] < 3000 < 10000 < bytes_change[1]
