--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,5 +1,6 @@
 """What all nodes together send to a server in slow start, one by one and in the experiment `size-cold`."""
 
+from collections.abc import Callable
 from dataclasses import replace
 from math import sqrt
 from pathlib import Path
@@ -11,14 +12,17 @@
 from marlseam.decisions.slow_start import MAX_SAVED_BUDGETS, MIN_SAVED_COST_SHARE, SLOW_START_PLANNED_SHARE
 from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind, Request
 from marlseam.experiment import file, measures, size_cold
+from marlseam.experiment.plays import RunResult
 from tests.conftest import SETTINGS, RecordingPort
 
-SLOTS, BORN = 8.0, 1000.0
-WINDOW = SETTINGS.overload_window_ms
+SLOTS, STARTED_MS = 8.0, 1000.0
+WINDOW_MS = SETTINGS.overload_window_ms
 
 
-def fleet(nodes, node_count=None, slow_start_ms=16.0 * WINDOW):
-    """Return so many nodes that have just learned of a server in slow start with eight slots."""
+def dispatchers(
+    nodes: int, node_count: int | None = None, slow_start_ms: float = 16.0 * WINDOW_MS
+) -> list[Dispatcher]:
+    """Return those of so many nodes, which have just learned of a server in slow start with eight slots."""
     made = []
     for seed in range(1, nodes + 1):
         settings = replace(
@@ -29,23 +33,25 @@
         )
         dispatcher = Dispatcher(settings, seed, RecordingPort())
         dispatcher.max_free_slots[0] = SLOTS
-        dispatcher.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, BORN)])
+        dispatcher.update_endpoints(
+            ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, STARTED_MS)]
+        )
         dispatcher.last_report_ms[0] = 1e9
         made.append(dispatcher)
     return made
 
 
-def budget(dispatcher):
+def budget(dispatcher: Dispatcher) -> float:
     """Return how many requests of mean size the settings allow in their window now."""
-    return dispatcher.slow_start_budget(0) * WINDOW / SLOW_START_PLANNED_SHARE
+    return dispatcher.slow_start_budget(0) * WINDOW_MS / SLOW_START_PLANNED_SHARE
 
 
-def at(nodes, clock):
+def set_clocks(nodes: list[Dispatcher], now_ms: float) -> None:
     for dispatcher in nodes:
-        dispatcher.port.clock = clock
+        dispatcher.port.clock = now_ms
 
 
-def burst(nodes, size=1.0):
+def burst(nodes: list[Dispatcher], size: float = 1.0) -> float:
     """Let each node send of work of some size what it may, at one instant; return the sum of sizes."""
     sent = 0.0
     for dispatcher in nodes:
@@ -64,9 +70,9 @@
 
 @pytest.mark.parametrize("nodes", [20, 30, 200])
 def test_a_burst_after_a_quiet_slow_start_is_bounded_by_the_tokens_saved(nodes):
-    made = fleet(nodes)
-    for k in range(1, 150):  # nobody sends, and all look
-        at(made, BORN + 100.0 * k)
+    made = dispatchers(nodes)
+    for step in range(1, 150):  # nobody sends, and all look
+        set_clocks(made, STARTED_MS + 100.0 * step)
         for dispatcher in made:
             dispatcher.has_budget(0)
     n = budget(made[0])
@@ -77,12 +83,12 @@
 
 
 @pytest.mark.parametrize("nodes", [20, 30, 200])
-def test_a_fleet_that_sends_all_that_it_may_uses_its_budget_and_never_exceeds_the_bound(nodes):
-    made, sent, got = fleet(nodes), [], 0.0
-    for k in range(1, 160):
-        at(made, BORN + 100.0 * k)
-        sent.append((BORN + 100.0 * k, burst(made)))
-        got = sum(size for t, size in sent if t > BORN + 100.0 * k - WINDOW)
+def test_a_cluster_that_sends_all_that_it_may_uses_its_budget_and_never_exceeds_the_bound(nodes):
+    made, sent, got = dispatchers(nodes), [], 0.0
+    for step in range(1, 160):
+        set_clocks(made, STARTED_MS + 100.0 * step)
+        sent.append((STARTED_MS + 100.0 * step, burst(made)))
+        got = sum(size for t, size in sent if t > STARTED_MS + 100.0 * step - WINDOW_MS)
         n = budget(made[0])
         assert got < n + 2.0 * sqrt(n) + 2.0
     assert got > 0.8 * SLOW_START_PLANNED_SHARE * n
@@ -91,8 +97,8 @@
 @pytest.mark.parametrize("nodes", [20, 30, 200])
 def test_large_requests_do_not_all_go_at_once(nodes):
     # Parts just earned: each node would send one of a part of its own, and owe the rest.
-    made = fleet(nodes)
-    at(made, BORN + 4000.0)
+    made = dispatchers(nodes)
+    set_clocks(made, STARTED_MS + 4000.0)
     for dispatcher in made:
         dispatcher.has_budget(0)
         dispatcher.slow_start_tokens[0] = 1e-6
@@ -102,8 +108,8 @@
 
 
 def test_a_large_request_is_sent_once_a_part_of_its_cost_is_saved():
-    (dispatcher,) = fleet(1)
-    at([dispatcher], BORN + 4000.0)
+    (dispatcher,) = dispatchers(1)
+    set_clocks([dispatcher], STARTED_MS + 4000.0)
     dispatcher.has_budget(0)
     size = 3.0
     dispatcher.slow_start_tokens[0] = MIN_SAVED_COST_SHARE * size * (1.0 - 1.0 / size) - 1e-6
@@ -114,10 +120,10 @@
 
 
 def test_a_small_request_is_sent_where_a_window_allows_less_than_one_of_mean_size():
-    (dispatcher,) = fleet(1)
-    at([dispatcher], BORN + 4000.0)
+    (dispatcher,) = dispatchers(1)
+    set_clocks([dispatcher], STARTED_MS + 4000.0)
     dispatcher.has_budget(0)
-    dispatcher.mean_slot_ms *= dispatcher.slow_start_budget(0) * WINDOW / 0.8
+    dispatcher.mean_slot_ms *= dispatcher.slow_start_budget(0) * WINDOW_MS / 0.8
     dispatcher.slow_start_tokens[0], dispatcher.slow_start_refilled_ms[0] = 0.05, dispatcher.port.clock
     state = dispatcher.request_state_type(dispatcher, Request("w", 0, dispatcher.port.clock + 5000.0))
     dispatcher.mean_run_ms[0] = 0.1 * dispatcher.mean_slot_ms
@@ -128,27 +134,27 @@
 
 
 def test_a_restarted_node_has_no_tokens_saved():
-    (dispatcher,) = fleet(1, node_count=200)
-    at([dispatcher], BORN + 12000.0)
+    (dispatcher,) = dispatchers(1, node_count=200)
+    set_clocks([dispatcher], STARTED_MS + 12000.0)
     again = Dispatcher(dispatcher.settings, 99, RecordingPort())
     again.port.clock = dispatcher.port.clock
     again.max_free_slots[0] = SLOTS
-    again.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, BORN)])
+    again.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, STARTED_MS)])
     assert again.slow_start_tokens[0] <= 0.0
     assert not again.has_budget(0)
 
 
 @pytest.fixture
-def play():
-    """Return a player of `size-cold` with some of its table changed; it gives what was found."""
+def play() -> Callable[..., RunResult]:
+    """Return a function that plays `size-cold` with some fields of its table changed."""
     measures.register()
     path = Path(__file__).parent.parent / "experiments" / "size-cold.toml"
 
-    def run(tmp, **changes):
+    def run(directory: Path, **changes: object) -> RunResult:
         experiment = file.load(path)
-        table = msgspec.structs.replace(experiment.tables["size_cold"], **changes)
-        experiment.tables["size_cold"] = table
-        return size_cold.size_cold(experiment, tmp, lambda _text: None)
+        settings = msgspec.structs.replace(experiment.tables["size_cold"], **changes)
+        experiment.tables["size_cold"] = settings
+        return size_cold.size_cold(experiment, directory, lambda _text: None)
 
     return run
 
