--- /dev/null
+++ b/marlseam/experiment/durable_state_run.py
@@ -0,0 +1,90 @@
+"""Runs on loopback of nodes that may keep durable state, which begin with empty state directories."""
+
+import shutil
+from collections.abc import Callable
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Literal, TypedDict, Unpack, cast
+
+from marlseam import records
+from marlseam.experiment import plays
+from marlseam.experiment.plays import RunResult
+from marlseam.experiment.processes import RunFailedError
+from marlseam.experiment.sockets import SocketDriver
+from marlseam.load.process import arrivals_of
+from marlseam.load.tally import TallySummary
+from marlseam.load.verdict import Counted, merge
+from marlseam.simulation.model import Day
+from marlseam.store.state_directory import create_state
+from marlseam.verification.book import RunRecords
+from marlseam.verification.verdict import Verdict, Violation
+
+ONE_EFFECT_RULE = "no effect twice"
+WAIT_MS = 1000.0  # that a request may wait until its record is durable
+
+Sync = Literal["durable", "written"]
+
+
+class DriverOptions(TypedDict, total=False):
+    """What `SocketDriver` takes beside a day, a seed and a directory."""
+
+    own: str
+    prepare: Callable[[str, dict[str, str]], None]
+    between: Callable[[str], None]
+    module: Callable[[str], str]
+    env: Callable[[str], dict[str, str]]
+    connections: int
+    proxied: bool
+    parts: int
+
+
+@dataclass(frozen=True)
+class SocketRun:
+    """A run that is over.
+
+    Attributes:
+        result: its figures.
+        verdict: what the check of the rules found.
+        book: all records.
+        counted: what the load generator counted.
+        driver: the driver, with its nodes' names.
+    """
+
+    result: RunResult
+    verdict: Verdict
+    book: RunRecords
+    counted: Counted
+    driver: SocketDriver
+
+    def double_effects(self) -> list[Violation]:
+        """Return the requests that had two effects."""
+        return [
+            violation
+            for rule in self.verdict.rules
+            if rule.name == ONE_EFFECT_RULE
+            for violation in rule.violations
+        ]
+
+
+def store_settings(sync: Sync, wait_ms: float = WAIT_MS) -> str:
+    """Return a node's own settings that turn its store on; the driver fills in `{folder}`."""
+    return f'[store]\nfolder = "{{folder}}"\nsync = "{sync}"\nwait_ms = {wait_ms:g}\n'
+
+
+def state_path(out: Path, name: str) -> Path:
+    """Return a node's state directory."""
+    return out / "state" / name
+
+
+def run_on_sockets(day: Day, seed: int, out: Path, **options: Unpack[DriverOptions]) -> SocketRun:
+    """Play a day on loopback; each node's state directory is empty unless `prepare` fills it."""
+    shutil.rmtree(out / "state", ignore_errors=True)
+    (out / "state").mkdir(parents=True)
+    options.setdefault("prepare", lambda name, _: create_state(state_path(out, name), name))
+    driver = SocketDriver(day, seed, out, **options)
+    tallies = cast(list[TallySummary], driver.run())
+    counted = merge(tallies, len(arrivals_of(day, seed)))
+    result = plays.judge_records(*records.read_folder(out / "records"), driver="sockets")
+    if result.verdict is None or result.book is None:
+        raise RunFailedError(f"the records of {out} were not judged")
+    return SocketRun(result, result.verdict, result.book, counted, driver)
