--- /dev/null
+++ b/tests/contents.py
@@ -0,0 +1,28 @@
+"""Contents of versions for tests of replication."""
+
+from marlseam.cluster.replication import delta
+from marlseam.cluster.replication.content import FORMAT, Content, digest, write
+from marlseam.experiment.config_change_workload import change_one_team, team_quotas
+
+
+def make_content(number: int = 1, before: str = "", **fields: object) -> Content:
+    """Return the content of a version; `before` is the id of the content that it follows."""
+    values = {"voters": list("abc"), "why": "w", "by": "a", "settings": {"x": number}} | fields
+    return Content(FORMAT, number, before, **values)
+
+
+def write_content(content: Content) -> tuple[bytes, delta.Document]:
+    """Return a content's bytes, and the document that they hold."""
+    data = write(content)
+    return data, delta.decode_document(data)
+
+
+def chained_contents(count: int, teams: int = 60) -> list[bytes]:
+    """Return contents that follow each other, in each of which one team's quota is another."""
+    settings: dict[str, object] = {"teams": team_quotas(teams)}
+    found: list[bytes] = []
+    for number in range(1, count + 1):
+        before = digest(found[-1]) if found else ""
+        found.append(write(make_content(number, before, settings=settings)))
+        settings = change_one_team(settings, 5, number)
+    return found
--- /dev/null
+++ b/tests/test_replication_defects.py
@@ -0,0 +1,110 @@
+"""Replicas with planted defects of fetching, and whether the search in virtual time finds them."""
+
+import msgspec
+import pytest
+
+from marlseam.cluster.checking import replication_schedules
+from marlseam.cluster.replication import delta
+from marlseam.cluster.replication.content_store import ContentStore
+from marlseam.cluster.replication.fetch import ContentFetcher, FetchProgress
+from marlseam.cluster.replication.replica import ConfigReplica
+
+
+@pytest.mark.parametrize("seed", [2, 9, 33, 145])
+def test_corrupted_chunks_break_no_bound(seed):
+    found = replication_schedules.play(7, seed, replication_schedules.schedule(7, seed), twists=0.1)
+    assert found.violations == []
+
+
+class UnverifiedStore(ContentStore):
+    """Does not compare what deltas lead to with the id asked for."""
+
+    def apply_delta_chain(self, base_id, chain, content_id):
+        document, before = self.document(base_id), base_id
+        try:
+            for change in delta.CHAIN.decode(chain):
+                document, before = delta.apply_change(document, before, change), change.id
+        except msgspec.MsgspecError as error:
+            raise delta.DeltaError(str(error)) from None
+        return delta.encode_document(document)
+
+
+class UnverifiedReplica(ConfigReplica):
+    """A defect: what deltas lead to is not held against the id."""
+
+    store_type = UnverifiedStore
+
+
+class LastDeltaStore(ContentStore):
+    """Gives the last delta alone, whatever the base."""
+
+    def delta_chain(self, base_id, content_id):
+        link = self.delta_links.get(content_id)
+        return delta.encode_chain([link]) if link is not None else None
+
+
+class LastDeltaReplica(ConfigReplica):
+    """A defect: the last delta alone is sent, wherever the reader is."""
+
+    store_type = LastDeltaStore
+
+
+class DeltasOnlyFetcher(ContentFetcher):
+    """Discards a whole content where it asked for deltas."""
+
+    def receive_chunk(self, sender, chunk):
+        fetch = self.fetches.get(chunk.id)
+        if fetch and fetch.base_id and not chunk.have:
+            return FetchProgress([])
+        return super().receive_chunk(sender, chunk)
+
+
+class DeltasOnlyReplica(ConfigReplica):
+    """A defect: one that asked for deltas takes no whole."""
+
+    fetcher_type = DeltasOnlyFetcher
+
+
+class UntrimmedStore(ContentStore):
+    """Keeps all deltas."""
+
+    def trim_delta_links(self):
+        pass
+
+
+class UntrimmedReplica(ConfigReplica):
+    """A defect: deltas are kept for ever."""
+
+    store_type = UntrimmedStore
+
+
+class UnorderedFetcher(ContentFetcher):
+    """Takes each chunk for the next one."""
+
+    def receive_chunk(self, sender, chunk):
+        fetch = self.fetches.get(chunk.id)
+        at = len(fetch.received) if fetch else 0
+        misplaced = msgspec.structs.replace(chunk, at=min(at, chunk.size - len(chunk.data)))
+        return super().receive_chunk(sender, misplaced)
+
+
+class UnorderedReplica(ConfigReplica):
+    """A defect: chunks are put together as they come."""
+
+    fetcher_type = UnorderedFetcher
+
+
+DEFECTS = [
+    (UnverifiedReplica, 2, 0.1, replication_schedules.CONTENT_ROWS),
+    (LastDeltaReplica, 2, 0.0, replication_schedules.CONTENT_ROWS),
+    (DeltasOnlyReplica, 128, 0.0, replication_schedules.CONTENT_ROWS),
+    (UntrimmedReplica, 1, 0.0, replication_schedules.CONTENT_ROWS),
+    (UnorderedReplica, 1, 0.0, 150),
+]
+
+
+@pytest.mark.parametrize(("replica_type", "seed", "twists", "rows"), DEFECTS)
+def test_a_planted_defect_is_found(replica_type, seed, twists, rows):
+    faults = replication_schedules.schedule(7, seed)
+    assert replication_schedules.play(7, seed, faults, replica_type, twists=twists, rows=rows).violations
+    assert replication_schedules.play(7, seed, faults, twists=twists, rows=rows).violations == []
--- /dev/null
+++ b/tests/test_size_changes.py
@@ -0,0 +1,67 @@
+"""The experiment `size-changes`: what changes of a cluster's configuration cost a node."""
+
+from pathlib import Path
+
+import msgspec
+import pytest
+from click.testing import CliRunner
+
+from marlseam.__main__ import main
+from marlseam.cluster.replication.content_store import ContentStore
+from marlseam.cluster.replication.replica import ConfigReplica
+from marlseam.experiment import file, measures, plays
+from marlseam.experiment.config_change_measurement import SimulatedCase, measure_case
+from marlseam.experiment.config_change_workload import change_one_team, team_quotas
+from marlseam.experiment.size_changes_report import is_count
+
+SHORT = Path(__file__).parent.parent / "experiments" / "size-changes-short.toml"
+
+
+def test_the_short_experiment_holds_and_gives_the_same_counts_twice(tmp_path):
+    measures.register()
+    experiment = file.load(SHORT)
+    code, missed = plays.run(experiment, tmp_path / "one", lambda text: None)
+    assert code == 0, missed
+    runs = [plays.PLAYS["size_changes"](experiment, tmp_path / name, lambda text: None) for name in "ab"]
+    counts = [{key: value for key, value in run.figures.items() if is_count(key)} for run in runs]
+    assert counts[0] == counts[1]
+    assert len(counts[0]) > 30
+
+
+def test_an_experiment_that_needs_too_much_is_refused_with_what_would_fit(tmp_path):
+    path = tmp_path / "big.toml"
+    path.write_text(SHORT.read_text().replace("nodes = 12", "nodes = 60000"))
+    result = CliRunner().invoke(main, ["experiment", "run", str(path), "--out", str(tmp_path / "out")])
+    assert result.exit_code == 2
+    assert "would fit" in result.output
+    assert not (tmp_path / "out" / "band").exists()
+
+
+@pytest.mark.parametrize("mark", [0, 1, 1000])
+def test_a_change_is_of_one_team(mark):
+    before = {"teams": team_quotas(10)}
+    after = change_one_team(before, 7, mark)
+    assert sum(before["teams"][name] != after["teams"][name] for name in before["teams"]) == 1
+
+
+class NoDeltasStore(ContentStore):
+    """Computes no delta."""
+
+    def add_delta_from_predecessor(self, content_id):
+        pass
+
+
+class NoDeltasReplica(ConfigReplica):
+    """A defect: no delta is computed for what is published, so all are sent the whole."""
+
+    store_type = NoDeltasStore
+
+
+def test_the_counts_show_that_nobody_sends_deltas():
+    experiment = file.load(SHORT)
+    settings = msgspec.structs.replace(experiment.tables["size_changes"], burst=0)
+    bytes_change = [
+        measure_case(SimulatedCase(1, settings, teams=160, nodes=12, replica_type=replica))["bytes_change"]
+        for replica in (ConfigReplica, NoDeltasReplica)
+    ]
+    assert bytes_change[0] < 3000 < 10000 < bytes_change[1]
