--- a/marlseam/experiment/config_change_measurement.py
+++ b/marlseam/experiment/config_change_measurement.py
@@ -26,7 +26,7 @@
     team_quotas,
 )
 
-BYTES_A_MB = 2.0**20
+BYTES_PER_MB = 2.0**20
 MEMORY_TEST_VOTERS = 3
 
 
@@ -200,7 +200,7 @@
         digester = SettingsDigester()
         digester.digest(replica.content.settings)
         deployment = deployment_from(replica.content.settings, whole=True)
-        held_mb = (tracemalloc.get_traced_memory()[0] - before_bytes) / BYTES_A_MB
+        held_mb = (tracemalloc.get_traced_memory()[0] - before_bytes) / BYTES_PER_MB
         del deployment, digester  # held until the memory was read
         return held_mb
     finally:
--- a/marlseam/experiment/config_change_simulation.py
+++ b/marlseam/experiment/config_change_simulation.py
@@ -44,8 +44,8 @@
 
 SERVE_LEASES = 100.0  # for which a node without a proof serves on
 SETTLE_CHECK_MS = 100.0
-HOSTS_A_SUBNET = 250
-NS_A_MS = 1e6
+HOSTS_PER_SUBNET = 250
+NS_PER_MS = 1e6
 
 
 @dataclass(frozen=True)
@@ -164,7 +164,7 @@
         name = process.name
         began_ns = time.thread_time_ns()
         effects = self.encode_effects(name, call())
-        spent_ms = (time.thread_time_ns() - began_ns) / NS_A_MS
+        spent_ms = (time.thread_time_ns() - began_ns) / NS_PER_MS
         self.cpu_ms[name] += spent_ms
         done_ms = self.busy_until_ms[name] = max(charged_ms, self.busy_until_ms[name]) + spent_ms
         for datagram in effects.datagrams:
@@ -349,4 +349,6 @@
 
 def member_addresses(names: list[str]) -> dict[str, str]:
     """Return an address for each member."""
-    return {name: f"10.0.{i // HOSTS_A_SUBNET}.{i % HOSTS_A_SUBNET + 1}:7000" for i, name in enumerate(names)}
+    return {
+        name: f"10.0.{i // HOSTS_PER_SUBNET}.{i % HOSTS_PER_SUBNET + 1}:7000" for i, name in enumerate(names)
+    }
