--- a/marlseam/experiment/config_change_nodes.py
+++ b/marlseam/experiment/config_change_nodes.py
@@ -15,7 +15,6 @@
 
 from marlseam.cluster.checking.replication_schedules import LEASE_PERIODS
 from marlseam.cluster.checking.simulation import PERIOD_MS
-from marlseam.experiment import size
 from marlseam.experiment.config_change_usage import RealUsage
 from marlseam.experiment.config_change_workload import (
     CLUSTER_NAME,
@@ -33,6 +32,8 @@
 from marlseam.experiment.fleet import reserved
 from marlseam.experiment.plays import ShowProgress
 from marlseam.experiment.processes import RunFailedError
+from marlseam.experiment.sizing.loopback_nodes import LoopbackNodes, node_config
+from marlseam.experiment.sizing.process_usage import process_cpu_ms
 from marlseam.store.ledger_writer import create_ledger
 
 LOG_CHECK_S = 0.005  # between two readings of what nodes have logged
@@ -51,7 +52,7 @@
         settings: the table of the experiment file.
         show_progress: is told how far the run is.
         names: of the nodes; the first of them vote.
-        band: the processes.
+        loopback_nodes: the processes.
         reserved_sockets: hold the operators' ports until the nodes listen there.
         admin_addresses: for operators, by node.
         read_bytes: how much of each node's log was read.
@@ -64,7 +65,7 @@
         """Start the nodes, with their files in a directory."""
         self.seed, self.settings, self.show_progress = seed, settings, show_progress
         self.names = [f"n{i}" for i in range(settings.real)]
-        self.band = size.Band(out)
+        self.loopback_nodes = LoopbackNodes(out)
         self.reserved_sockets: list[socket.socket] = []
         self.admin_addresses = {name: self.reserve_admin_address() for name in self.names}
         self.read_bytes = dict.fromkeys(self.names, 0)
@@ -82,8 +83,8 @@
             f"voters = {json.dumps(self.names[:MAX_VOTERS])}\nlease_ms = {LEASE_PERIODS * PERIOD_MS:g}\n"
             f"[fleet.members]\n{members}\n"
         )
-        config = size.node_config(name, UNUSED_ADDRESS, len(self.names), seed)
-        self.band.start(name, config | {"admin": self.admin_addresses[name]}, operator_settings)
+        config = node_config(name, UNUSED_ADDRESS, len(self.names), seed)
+        self.loopback_nodes.start(name, config | {"admin": self.admin_addresses[name]}, operator_settings)
 
     def reserve_admin_address(self) -> str:
         """Return an address for operators, reserved by a socket that does not listen."""
@@ -108,7 +109,7 @@
     def read_logs(self) -> None:
         """Read what nodes have logged since the last time."""
         now_s = time.monotonic()
-        for name, process in self.band.nodes.items():
+        for name, process in self.loopback_nodes.nodes.items():
             if process.log.stat().st_size == self.read_bytes[name]:
                 continue
             with process.log.open("rb") as log:
@@ -149,7 +150,7 @@
         """Return what nodes have used so far."""
         bystanders = self.names[MAX_VOTERS:]
         traffic = [json.loads(self.call(name, "GET", "/control/fleet"))["letters"] for name in self.names]
-        cpu_ms, resident_mb = self.band.cpu_ms(), self.band.resident_mb()
+        cpu_ms, resident_mb = self.loopback_nodes.cpu_ms(), self.loopback_nodes.resident_mb()
         return RealUsage(
             bytes=sum(counts["bytes_sent"] for counts in traffic) / len(traffic),
             datagrams=sum(counts["sent"] for counts in traffic) / len(traffic),
@@ -161,10 +162,10 @@
 
     def writer_cpu_ms(self, name: str) -> float:
         """Return the processor time of the process that writes a node's ledger."""
-        pid = self.band.nodes[name].process.pid
+        pid = self.loopback_nodes.nodes[name].process.pid
         with contextlib.suppress(OSError):
             children = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
-            return sum(size.cpu_ms(int(child)) for child in children)
+            return sum(process_cpu_ms(int(child)) for child in children)
         return 0.0
 
     # The workload.
@@ -219,7 +220,7 @@
 
     def measure(self) -> dict[str, float]:
         """Run the workload; return the figures of a node, by the names that reports have for them."""
-        self.band.listens()
+        self.loopback_nodes.wait_until_listening()
         self.wait(START_UP_S)
         at_start = self.usage()
         self.begin()
@@ -245,6 +246,6 @@
 
     def end(self) -> None:
         """End the nodes."""
-        self.band.end()
+        self.loopback_nodes.stop()
         for reserving in self.reserved_sockets:
             reserving.close()
--- a/marlseam/experiment/config_change_workload.py
+++ b/marlseam/experiment/config_change_workload.py
@@ -3,7 +3,7 @@
 from typing import Any, NamedTuple
 
 from marlseam.cluster.checking.replication_schedules import MAX_DISK_MS
-from marlseam.experiment import size
+from marlseam.experiment.sizing.loopback_nodes import node_config
 from marlseam.random_source import number as random_number
 from marlseam.simulation.model import Count, Positive, Strict
 
@@ -103,7 +103,7 @@
 
 def node_settings(nodes: int) -> JsonObject:
     """Return the settings of one node of a cluster of so many, without teams."""
-    settings: JsonObject = size.node_config(PUBLISHER, "", nodes)["settings"]
+    settings: JsonObject = node_config(PUBLISHER, "", nodes)["settings"]
     return settings
 
 
--- a/marlseam/experiment/measures.py
+++ b/marlseam/experiment/measures.py
@@ -19,14 +19,16 @@
     compare,
     file,
     fleet,
+    idempotency_kills,
     plays,
     ready,
-    recovering,
     size_changes,
     size_cold,
+    size_endpoint_list,
     size_members,
-    size_roster,
     soak,
+    stale_list_start,
+    store_cost,
     versions,
 )
 from marlseam.experiment.file import Experiment
@@ -454,10 +456,12 @@
         ("policies", Policies),
     ):
         file.register(name, table)
-    recovering.register()
+    idempotency_kills.register()
+    stale_list_start.register()
+    store_cost.register()
     fleet.register()
     versions.register()
-    size_roster.register()
+    size_endpoint_list.register()
     size_members.register()
     size_changes.register()
     ready.register()
--- a/marlseam/experiment/size_changes.py
+++ b/marlseam/experiment/size_changes.py
@@ -8,7 +8,7 @@
 
 from msgspec.structs import replace
 
-from marlseam.experiment import file, size, slope
+from marlseam.experiment import file, slope
 from marlseam.experiment import size_changes_report as report
 from marlseam.experiment.config_change_measurement import SimulatedCase, measure_case
 from marlseam.experiment.config_change_nodes import RealNodes
@@ -21,6 +21,9 @@
 )
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import RunResult, ShowProgress, register_play
+from marlseam.experiment.sizing.comparison import compare
+from marlseam.experiment.sizing.isolation import call_in_child_process, time_limit, working_directory
+from marlseam.experiment.sizing.resource_need import ResourceNeed, check_resource_need
 
 PLAY_MB = 150.0  # of the play's own process
 REAL_NODE_MB = 100.0  # of a real node with the process that writes its ledger
@@ -33,12 +36,12 @@
 Table = tuple[str, report.Rows]  # title, and rows with a head, as `RunResult.tables` has them
 
 
-def resources_needed(settings: ChangeSettings, nodes: int) -> size.Need:
+def resources_needed(settings: ChangeSettings, nodes: int) -> ResourceNeed:
     """Return what a play needs; simulated clusters have a process of their own, one after another."""
     content_mb = TEAM_BYTES * PLANNED_TEAMS / 1e6
     simulated_mb = PLAY_MB + nodes * content_mb * CONTENT_COPIES
     real_mb = PLAY_MB + REAL_NODE_MB * settings.real
-    return size.Need(max(simulated_mb, real_mb), 2 + 2 * settings.real)
+    return ResourceNeed(max(simulated_mb, real_mb), 2 + 2 * settings.real)
 
 
 class SizeChanges:
@@ -61,7 +64,7 @@
 
     def simulate(self, case: SimulatedCase) -> Figures:
         """Return the figures of a case, run in a process of its own."""
-        figures: Figures = size.apart(measure_case, case)
+        figures: Figures = call_in_child_process(measure_case, case)
         return figures
 
     def simulate_counting_failures(self, case: SimulatedCase) -> Figures:
@@ -115,7 +118,7 @@
         case = SimulatedCase(self.seed, self.settings, teams, nodes, delays=LOOPBACK)
         simulated, real = self.simulate(case), self.measure_real_nodes(directory)
         pairs = {f"{name}_{teams}": (simulated[name], real[name]) for name in report.COMPARED_FIGURES}
-        rows, ratios = size.beside(pairs)
+        rows, ratios = compare(pairs)
         self.tables.append((f"Hollow over real, {nodes} nodes each", rows))
         self.figures |= ratios | {f"real_{name}": value for name, value in real.items()}
 
@@ -126,12 +129,12 @@
             return nodes.measure()
         finally:
             nodes.end()
-            log = nodes.band.nodes[PUBLISHER].log
+            log = nodes.loopback_nodes.nodes[PUBLISHER].log
             (self.out / "publisher.log").write_bytes(log.read_bytes())
 
     def run(self) -> RunResult:
         """Measure all that the settings ask for."""
-        with size.limited(), size.scratch(self.out) as directory:
+        with time_limit(), working_directory(self.out) as directory:
             figures_by_teams = self.measure_sizes()
             if self.settings.full_nodes:
                 self.measure_full_size()
@@ -150,7 +153,7 @@
     """Measure what changes of the configuration cost a node, by the number of teams in it."""
     settings: ChangeSettings = experiment.tables["size_changes"]
     largest = max(settings.nodes, settings.full_nodes)
-    needed = size.afford("size_changes.nodes", [largest], partial(resources_needed, settings))
+    needed = check_resource_need("size_changes.nodes", [largest], partial(resources_needed, settings))
     show_progress(f"needs {needed.memory_mb:.0f} MB and {needed.processes} processes at most")
     return SizeChanges(settings, experiment.head.seed, out, show_progress).run()
 
--- a/marlseam/experiment/size_changes_report.py
+++ b/marlseam/experiment/size_changes_report.py
@@ -1,7 +1,12 @@
 """The figures of `size_changes`: their units, how each is measured, their bounds, and tables of them."""
 
-from marlseam.experiment import size
 from marlseam.experiment.config_change_workload import PLANNED_TEAMS
+from marlseam.experiment.sizing.plan import (
+    CHANGE_IN_FORCE_S,
+    NODE_BYTES_PER_S,
+    NODE_CORE_SHARE,
+    NODE_MEMORY_MB,
+)
 from marlseam.experiment.slope import Slope
 
 UNITS = {
@@ -23,12 +28,12 @@
     "memory_mb": "MB",
 }
 BOUNDS = {
-    "bytes_s": size.BYTES_S,
-    "core_share": size.CORE_SHARE,
-    "memory_mb": size.MEMORY_MB,
-    "last_s": size.FORCE_S,
-    "burst_s": size.FORCE_S,
-    "publisher_core_share": size.CORE_SHARE,
+    "bytes_s": NODE_BYTES_PER_S,
+    "core_share": NODE_CORE_SHARE,
+    "memory_mb": NODE_MEMORY_MB,
+    "last_s": CHANGE_IN_FORCE_S,
+    "burst_s": CHANGE_IN_FORCE_S,
+    "publisher_core_share": NODE_CORE_SHARE,
 }
 PROCESS_FIGURES = ("core_share", "cpu_ms_change", "publisher_core_share", "memory_mb")
 CHARGED_CLOCK_FIGURES = ("last_s", "burst_s")
