--- a/marlseam/configuration/operator_settings.py
+++ b/marlseam/configuration/operator_settings.py
@@ -4,7 +4,6 @@
 in them are the operators' and are mapped to the terms of the code here alone.
 """
 
-import tomllib
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
 from pathlib import Path
@@ -119,6 +118,8 @@
     """
     if path is None:
         return OperatorSettings()
+    import tomllib  # a node without such a file does not need it
+
     try:
         values = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
