--- a/marlseam/__main__.py
+++ b/marlseam/__main__.py
@@ -41,14 +41,14 @@
         self, context: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
         """Return the command that is to run, with its group imported."""
-        name, command, rest = super().resolve_command(context, args)
+        name, command, remaining_args = super().resolve_command(context, args)
         if name in GROUPS:
             try:
                 command = importlib.import_module(f"marlseam.cli.{name}").group
             except ModuleNotFoundError as error:
                 text = f"{name} needs libraries of requirements-bench.txt: {error}"
                 raise click.ClickException(text) from None
-        return name, command, rest
+        return name, command, remaining_args
 
     def invoke(self, context: click.Context) -> object:
         """Run a command."""
--- a/marlseam/cluster/checking/explore_leasing.py
+++ b/marlseam/cluster/checking/explore_leasing.py
@@ -114,9 +114,9 @@
         disks = state.disks if disk is None else (*state.disks[:index], disk, *state.disks[index + 1 :])
         return state._replace(members=members, disks=disks, sent=state.sent | set(sent))
 
-    def message(self, to: str, message: LeaseMessage) -> SentMessage:
+    def message(self, receiver: str, message: LeaseMessage) -> SentMessage:
         """Return a message that this member sends."""
-        return SentMessage(self.name, to, message)
+        return SentMessage(self.name, receiver, message)
 
     def use(self) -> Iterator[Step]:
         """Yield the steps to use all that may be used, and nothing."""
--- a/marlseam/cluster/checking/simulation.py
+++ b/marlseam/cluster/checking/simulation.py
@@ -204,17 +204,17 @@
 
     # The network.
 
-    def send(self, process: SimulatedMember, to: str, data: bytes, hold_ms: float) -> None:
+    def send(self, process: SimulatedMember, receiver: str, data: bytes, hold_ms: float) -> None:
         """Send a datagram; it may be lost, doubled or late, and comes again after `hold_ms` unless 0."""
         process.datagrams += 1
         process.bytes += len(data)
-        if self.is_cut(process.name, to):
+        if self.is_cut(process.name, receiver):
             return
         copies = 1 + (self.random() < self.duplication) + (hold_ms > 0.0)
         for i in range(copies):
             if self.random() >= self.loss:
                 delay_ms = MIN_DELAY_MS + DELAY_SPAN_MS * self.random() + (hold_ms if i else 0.0)
-                self.at(self.now + delay_ms, self.arrive, to, data)
+                self.at(self.now + delay_ms, self.arrive, receiver, data)
 
     def is_cut(self, sender: str, receiver: str) -> bool:
         """Return whether nothing that a member sends to another arrives now."""
@@ -223,10 +223,10 @@
             for cut_sender, cut_receiver, until in self.cuts
         )
 
-    def arrive(self, to: str, data: bytes) -> None:
+    def arrive(self, receiver: str, data: bytes) -> None:
         """Bring a datagram to its address; one of two processes there gets it."""
-        candidates = (self.processes[to], *self.duplicates)
-        receivers = [process for process in candidates if process.name == to and process.live]
+        candidates = (self.processes[receiver], *self.duplicates)
+        receivers = [process for process in candidates if process.name == receiver and process.live]
         if not receivers:
             return
         process = receivers[int(self.random() * len(receivers))]
--- a/marlseam/cluster/membership.py
+++ b/marlseam/cluster/membership.py
@@ -344,28 +344,28 @@
         if before is None or (before.status, before.generation) != (state.status, state.generation):
             self.effects.append(MemberChanged(entry.name, state))
 
-    def confirm_suspicion(self, name: str, member: Member, by: str) -> None:
+    def confirm_suspicion(self, name: str, member: Member, reporter: str) -> None:
         """Note who suspects a member: the more do, the sooner the suspicion times out."""
-        if by in member.suspected_by or len(member.suspected_by) > SUSPICION_CONFIRMATIONS:
+        if reporter in member.suspected_by or len(member.suspected_by) > SUSPICION_CONFIRMATIONS:
             return
-        member.suspected_by[by] = None
+        member.suspected_by[reporter] = None
         timeout_ms = self.suspicion_ms(len(member.suspected_by) - 1)
         member.suspicion_ends_ms = min(member.suspicion_ends_ms, member.since_ms + timeout_ms)
         self.gossip.publish(name)
 
     # Sending.
 
-    def send(self, to: str, kind: DatagramKind, sequence: int, subject: str = "") -> None:
+    def send(self, receiver: str, kind: DatagramKind, sequence: int, subject: str = "") -> None:
         """Send a datagram, with gossip piggybacked."""
-        entries = self.piggyback(to)
+        entries = self.piggyback(receiver)
         datagram = Datagram(
             VERSION, self.cluster, self.name, self.own_state, kind, sequence, subject, entries
         )
-        self.effects.append(SendDatagram(to, datagram))
+        self.effects.append(SendDatagram(receiver, datagram))
 
-    def piggyback(self, to: str) -> list[GossipEntry]:
+    def piggyback(self, receiver: str) -> list[GossipEntry]:
         """Return a datagram's gossip: what its receiver would refute, changes, some members in turn."""
-        first = [to] if to in self.members and self.would_refute(to) else []
+        first = [receiver] if receiver in self.members and self.would_refute(receiver) else []
         changed = self.gossip.next_batch(MAX_GOSSIP_ENTRIES - REFRESH_ENTRIES - 1)
         if not self.refresh_order:
             known = [name for name, member in self.members.items() if member.state is not None]
--- a/marlseam/decisions/eligibility.py
+++ b/marlseam/decisions/eligibility.py
@@ -34,10 +34,10 @@
             return False
         return self.request_class.idempotency is Idempotency.SAFE or self.is_remembered(may_have_run, now)
 
-    def is_remembered(self, may_have_run: list[Attempt], at: float) -> bool:
+    def is_remembered(self, may_have_run: list[Attempt], at_ms: float) -> bool:
         """Return whether servers will still drop repeats of these attempts at a time `at` (ms)."""
         until_ms = may_have_run[0].sent_ms + self.request_class.deduplication_window_ms
-        return at < until_ms - self.dispatcher.deadline_margin_ms
+        return at_ms < until_ms - self.dispatcher.deadline_margin_ms
 
     def is_eligible(self, server: int) -> bool:
         """Return whether a server may get this request at all.
--- a/marlseam/decisions/placement.py
+++ b/marlseam/decisions/placement.py
@@ -140,7 +140,7 @@
         if good:
             return PlacementChoice(Decision.FORWARDED, good[int(dispatcher.random() * len(good))])
         if dispatcher.is_usable(self.home_server) and self.meets_latency_objective(self.home_server):
-            return PlacementChoice(Decision.KEPT_AT_HOME, self.home_server)
+            return PlacementChoice(Decision.PLACED_AT_HOME, self.home_server)
         return PlacementChoice(Decision.QUEUED, -1)
 
     def probes_ended(self) -> None:
--- a/marlseam/decisions/types.py
+++ b/marlseam/decisions/types.py
@@ -46,13 +46,13 @@
 
 
 class Decision(Enum):
-    """What is decided of a request; `FORWARDED` and `KEPT_AT_HOME` after others were probed."""
+    """What is decided of a request; `FORWARDED` and `PLACED_AT_HOME` after others were probed."""
 
     HOME = "home"
     PROBE_HOME = "home asked"
     PROBE_OTHERS = "others asked"
     FORWARDED = "passed on"
-    KEPT_AT_HOME = "kept at home"
+    PLACED_AT_HOME = "kept at home"
     QUEUED = "line"
     REJECTED = "deferral"
     FAILED = "abort"
--- a/marlseam/net/cluster_link.py
+++ b/marlseam/net/cluster_link.py
@@ -58,7 +58,7 @@
         """Go on under a cluster's settings, between two events; open requests keep their class."""
         self.node.adopt(configuration.with_settings(self.node.config, settings))
 
-    def pass_proof_on(self, number: int, id: str, mono_ms: float) -> None:
+    def pass_proof_on(self, number: int, content_id: str, mono_ms: float) -> None:
         """Tell other processes of this node when the cluster's version was in force."""
         if self.node.handover is not None:
-            self.node.handover.prove(number, id, mono_ms)
+            self.node.handover.prove(number, content_id, mono_ms)
--- a/marlseam/net/membership_service.py
+++ b/marlseam/net/membership_service.py
@@ -287,12 +287,12 @@
                     "was heard after another process took over its name"
                 )
 
-    def send(self, to: str, data: bytes) -> None:
+    def send(self, receiver: str, data: bytes) -> None:
         """Send a datagram; one that the system does not take is lost like any other, but counted."""
         if self.sock is None:
             return
         try:
-            self.sock.sendto(data, self.addresses[to])
+            self.sock.sendto(data, self.addresses[receiver])
         except OSError:
             self.dropped[NOT_SENT] += 1
             return
--- a/marlseam/net/node_interface.py
+++ b/marlseam/net/node_interface.py
@@ -57,7 +57,7 @@
     def share_proof(self) -> None:
         """Tell other processes of this node when the version held was in force."""
 
-    def receive_proof(self, number: int, id: str, mono_ms: float) -> None:
+    def receive_proof(self, number: int, content_id: str, mono_ms: float) -> None:
         """Take over such a proof; `mono_ms` is by the machine's monotonic clock."""
 
 
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -296,10 +296,10 @@
             text = handover_codec.encode_never(AttemptNeverRan(effect.key, effect.server, sent_unix_ms))
         self.write(text, list(self.peers))
 
-    def prove(self, number: int, id: str, mono_ms: float) -> None:
+    def prove(self, number: int, content_id: str, mono_ms: float) -> None:
         """Tell those in a cluster when its version was in force, by the machine's monotonic clock."""
         in_cluster = [peer for peer in self.peers if peer.hello is not None and peer.hello.is_in_cluster]
-        self.write(handover_codec.encode_proof(VersionProof(number, id, mono_ms)), in_cluster)
+        self.write(handover_codec.encode_proof(VersionProof(number, content_id, mono_ms)), in_cluster)
 
     def write(self, text: bytes, peers: list[PeerProcess]) -> None:
         """Write a line to some."""
--- a/marlseam/net/protocol.py
+++ b/marlseam/net/protocol.py
@@ -253,13 +253,13 @@
     report: LoadReport | None = None
 
 
-def parse_line(raw: bytes, id: str, server: str, report_names: Mapping[str, str]) -> AnswerLine:
+def parse_line(raw: bytes, correlation_id: str, server: str, report_names: Mapping[str, str]) -> AnswerLine:
     """Read one line of a server's answer."""
     try:
         row = json.loads(raw)
     except (ValueError, RecursionError):
         raise MalformedMessageError("a line is no JSON") from None
-    if not isinstance(row, dict) or row.get("id") != id or row.get("from") != server:
+    if not isinstance(row, dict) or row.get("id") != correlation_id or row.get("from") != server:
         raise MalformedMessageError("a line is not from this server on this request")
     state, share, result = row.get("state"), row.get("share"), row.get("result")
     report = report_from(row.get("load"), report_names)
--- a/marlseam/shadow_policy.py
+++ b/marlseam/shadow_policy.py
@@ -274,7 +274,7 @@
     if not isinstance(effect, core.SendAttempt) or state is None or not has_probed_others(state):
         return decision_of(effect)
     is_home = state.attempts[effect.attempt_index].server == state.home_server
-    return Decision.KEPT_AT_HOME if is_home else Decision.FORWARDED
+    return Decision.PLACED_AT_HOME if is_home else Decision.FORWARDED
 
 
 def final_decision(shadow: ShadowRequest) -> Decision:
--- a/marlseam/simhost/instance.py
+++ b/marlseam/simhost/instance.py
@@ -139,9 +139,9 @@
 }
 
 
-def microseconds(ms: float) -> int:
+def microseconds(milliseconds: float) -> int:
     """Return milliseconds as the wire's whole microseconds."""
-    return int(ms * 1000.0)
+    return int(milliseconds * 1000.0)
 
 
 def forward(name: str, effect: core.SendAttempt) -> str:
--- a/marlseam/simulation/clients.py
+++ b/marlseam/simulation/clients.py
@@ -84,13 +84,13 @@
         return how in ("aborted", "lost") and self.type.effect == "rerunnable"
 
 
-def try_record(client: Client, id: str, by: str, node: str, now: float) -> TrySent:
+def try_record(client: Client, request_id: str, by: str, node: str, now: float) -> TrySent:
     """Return the record of a try that goes out to a node now."""
     arrival, request_class = client.arrival, client.type
     return TrySent(
         t=now,
         by=by,
-        id=id,
+        id=request_id,
         first=arrival.first or arrival.id,
         number=arrival.number + client.tries - 1,
         node=node,
--- a/marlseam/simulation/fleet.py
+++ b/marlseam/simulation/fleet.py
@@ -38,15 +38,15 @@
         progress_ms=1000.0 * day.fleet.progress_s,
         checkpoint_ms=1000.0 * day.fleet.checkpoint_s,
     )
-    born = 0.0 if day.fleet.cold else None
-    return Server(name, kind, memories, stream(seed, "executor", name), settings, born)
+    started_ms = 0.0 if day.fleet.cold else None
+    return Server(name, kind, memories, stream(seed, "executor", name), settings, started_ms)
 
 
-def job(arrival: Arrival, type: RequestType, id: str, alloc: object) -> Job:
+def job(arrival: Arrival, type: RequestType, job_id: str, attempt: object) -> Job:
     """Return an arrival's job as one attempt of a try hands it to a server."""
     return Job(
-        id=f"{id}/{alloc}",
-        try_id=id,
+        id=f"{job_id}/{attempt}",
+        try_id=job_id,
         class_name=type.name,
         work=arrival.work,
         slots=arrival.slots,
--- a/marlseam/simulation/network.py
+++ b/marlseam/simulation/network.py
@@ -60,10 +60,10 @@
             self._chance.random() < slow.lost_share for slow in self._slow_zones_between(zone, other_zone)
         )
 
-    def set_zone_slow(self, zone: str, ms: float, lost: float, on: bool) -> None:
+    def set_zone_slow(self, zone: str, delay_ms: float, lost: float, is_slow: bool) -> None:
         """Let a zone's links to the others become slow and lossy, or be as before."""
-        change = self.slow.append if on else self.slow.remove
-        change(SlowZone(zone, ms, lost))
+        change = self.slow.append if is_slow else self.slow.remove
+        change(SlowZone(zone, delay_ms, lost))
 
     def client_delay(self) -> float:
         """Return how long a message between a client and its node takes, in ms."""
@@ -75,8 +75,8 @@
             return False
         return zone == server_zone or not (zone in self.cut_zones or server_zone in self.cut_zones)
 
-    def set_blocked(self, table: dict[str, int], name: str, on: bool) -> None:
+    def set_blocked(self, table: dict[str, int], name: str, is_blocked: bool) -> None:
         """Cut or mend a zone or a server in `cut_zones` or `silent`; cuts that overlap are counted."""
-        table[name] = table.get(name, 0) + (1 if on else -1)
+        table[name] = table.get(name, 0) + (1 if is_blocked else -1)
         if table[name] <= 0:
             del table[name]
