--- a/examples/fleet.py
+++ b/examples/fleet.py
@@ -1,20 +1,22 @@
-"""A small fleet to try a node with: three stand-in executors, their roster at 127.0.0.1:8500, until Ctrl-C.
+"""Three emulated servers to try a node with, and their discovery at 127.0.0.1:8500, until Ctrl-C.
 
     python examples/fleet.py
 
-Each work unit's body may say what it costs, as {"work": 300} in ms; the answer names who ran it.
+A request's body may say what it costs, as {"work": 300} in ms; the response names the server that ran it.
 """
 
-from marlseam.emulators.base import Stand
-from marlseam.emulators.discovery import Directory
+from marlseam.emulators.discovery import DiscoveryService
+from marlseam.emulators.process import EmulatorProcess
 from marlseam.emulators.servers import EmulatedServer
 from marlseam.simulation import fleet
 from marlseam.simulation.model import Day, Fleet, RequestType, ServerKind
 
-LIST_PORT = 8500
+DISCOVERY_PORT = 8500
+SEED = 1
+ZONE = "here"
 DAY = Day(
     seconds=1.0,
-    fleet=Fleet(zones=["here"], nodes=1, kinds=[ServerKind(name="plain", executors=3, slots=2, queue=8)]),
+    fleet=Fleet(zones=[ZONE], nodes=1, kinds=[ServerKind(name="plain", executors=3, slots=2, queue=8)]),
     types=[
         RequestType(name="statement", share=1.0, work_ms=200.0, promised_ms=500.0, limit_ms=10000.0),
         RequestType(
@@ -25,14 +27,13 @@
 
 
 def main() -> None:
-    """Run the fleet."""
-    stand = Stand("fleet", None)
-    hosts = {
-        name: EmulatedServer(stand, executor, DAY, True) for name, executor in fleet.build(DAY, 1, []).items()
-    }
-    dials = {"here": {name: host.door.address for name, host in hosts.items()}}
-    directory = Directory(stand, DAY, [], dials, LIST_PORT)
-    stand.run({"roster": directory.doors["n0"].address, **dials["here"]}, now=True)
+    """Run the servers and the discovery; print their addresses."""
+    process = EmulatorProcess("fleet", None)
+    simulated = fleet.build(DAY, SEED, [])
+    servers = [EmulatedServer(process, server, DAY, nodelay=True) for server in simulated.values()]
+    addresses = {server.name: server.listener.address for server in servers}
+    discovery = DiscoveryService(process, DAY, [], {ZONE: addresses}, DISCOVERY_PORT)
+    process.run({"roster": discovery.listeners["n0"].address, **addresses}, now=True)
 
 
 if __name__ == "__main__":
--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -10,7 +10,7 @@
 
 import click
 
-from marlseam.cli.door import fleet_status
+from marlseam.cli.control_client import fleet_status
 from marlseam.cli.tables import table
 from marlseam.cluster import audit as auditing
 from marlseam.cluster.audit_log import ACTS, IntervalBegun
--- a/marlseam/cli/fleet.py
+++ b/marlseam/cli/fleet.py
@@ -14,7 +14,7 @@
 import click
 
 from marlseam.cli.audit import audit
-from marlseam.cli.door import call, fleet_status
+from marlseam.cli.control_client import call, fleet_status
 from marlseam.cli.tables import table
 from marlseam.store.errors import code_of
 from marlseam.store.ledger_writer import create_ledger
--- a/marlseam/cli/standin.py
+++ b/marlseam/cli/standin.py
@@ -1,8 +1,12 @@
-"""`marlseam standin`: parts of the world on loopback, started by experiments or by hand."""
+"""`marlseam standin`: emulators on loopback and load generators, started by experiments or by hand.
+
+Names of commands and options, and texts printed, are those that operators know.
+"""
 
 import json
 from collections.abc import Callable
 from pathlib import Path
+from typing import Any
 
 import click
 
@@ -16,11 +20,14 @@
 NOW = click.option("--now", is_flag=True, help="Begin at once, and leave standard input alone.")
 
 
-def options(*more: Callable) -> Callable:
-    """Return a decorator with a stand-in's common options and some more."""
+Decorator = Callable[[Callable[..., Any]], Callable[..., Any]]
+
+
+def emulator_options(*further: Decorator) -> Decorator:
+    """Return a decorator that adds the arguments of all emulators to a command, and some further ones."""
 
-    def decorate(command: Callable) -> Callable:
-        for option in (*reversed(more), NOW, RECORDS, SEED, DAY):
+    def decorate(command: Callable[..., Any]) -> Callable[..., Any]:
+        for option in (*reversed(further), NOW, RECORDS, SEED, DAY):
             command = option(command)
         return command
 
@@ -33,7 +40,7 @@
 
 
 @group.command()
-@options(
+@emulator_options(
     click.option(
         "--part", default="1/1", show_default=True, help="Which part of the executors, of how many."
     ),
@@ -49,7 +56,7 @@
 
 
 @group.command()
-@options(
+@emulator_options(
     click.option(
         "--dials",
         type=click.Path(path_type=Path, exists=True),
@@ -65,7 +72,7 @@
 
 
 @group.command()
-@options(
+@emulator_options(
     click.option(
         "--addresses",
         type=click.Path(path_type=Path, exists=True),
@@ -81,7 +88,7 @@
 
 
 @group.command()
-@options(
+@emulator_options(
     click.option(
         "--nodes",
         type=click.Path(path_type=Path, exists=True),
@@ -115,6 +122,6 @@
 )
 def echo(stalls: list[tuple[float, float]]) -> None:
     """Run a node that completes everything at once; the ready line holds its address."""
-    from marlseam.emulators.echo import serve
+    from marlseam.emulators.echo import Stall, serve
 
-    serve(list(stalls))
+    serve([Stall(*stall) for stall in stalls])
--- a/marlseam/emulators/__init__.py
+++ b/marlseam/emulators/__init__.py
@@ -1,4 +1,5 @@
-"""The world on loopback sockets, one module a system.
+"""Emulators: the simulated servers, discovery and network behind loopback sockets, and nodes with faults.
 
-Executors, roster, network, a node that answers at once.
+`servers`, `discovery`, `network` and `echo` are started by `python -m marlseam standin`; `disk`, `faulty`,
+`clocks` and `older` run a real node in an impaired environment, as `python -m marlseam.emulators.NAME`.
 """
--- a/marlseam/emulators/clocks.py
+++ b/marlseam/emulators/clocks.py
@@ -1,8 +1,8 @@
-"""A node whose clocks are odd: the monotonic one runs at another rate, the wall clock is off by a jump.
+"""A node with faulty clocks: the monotonic one runs at another rate, the wall clock is off by a constant.
 
 MARLSEAM_CLOCKS="RATE JUMP_MS" python -m marlseam.emulators.clocks serve ...
 
-The process that writes for it has the machine's own clocks.
+The node's writer process has the machine's own clocks.
 """
 
 import os
@@ -10,16 +10,16 @@
 
 from marlseam.__main__ import main
 
-VARIABLE = "MARLSEAM_CLOCKS"
+VARIABLE = "MARLSEAM_CLOCKS"  # of the environment: rate of the monotonic clock, error of the wall clock in ms
 
 
-def bend(rate: float, jump_ms: float) -> None:
-    """Make this process's clocks odd from now on."""
-    monotonic, wall, zero = time.monotonic, time.time, time.monotonic()
-    time.monotonic = lambda: zero + rate * (monotonic() - zero)
-    time.time = lambda: wall() + jump_ms / 1000.0
+def skew_clocks(rate: float, jump_ms: float) -> None:
+    """Have this process's monotonic clock run at a rate, and its wall clock be ahead, from now on."""
+    real_monotonic, real_time, zero_s = time.monotonic, time.time, time.monotonic()
+    time.monotonic = lambda: zero_s + rate * (real_monotonic() - zero_s)
+    time.time = lambda: real_time() + jump_ms / 1000.0
 
 
 if __name__ == "__main__":
-    bend(*map(float, os.environ[VARIABLE].split()))
+    skew_clocks(*map(float, os.environ[VARIABLE].split()))
     main()
--- a/marlseam/emulators/discovery.py
+++ b/marlseam/emulators/discovery.py
@@ -1,12 +1,15 @@
-"""The roster on loopback.
+"""Discovery on loopback: the simulated endpoint list behind the protocol of the platform's discovery.
 
-One door a node, so that each is told addresses of its own zone and its words are recorded.
+Each node has a listener of its own, so that it is given the addresses to dial from its zone, and so that the
+records say what it was told.
 """
 
 import json
 import time
 from collections.abc import Mapping
+from functools import partial
 from pathlib import Path
+from typing import Any, NamedTuple
 from urllib.parse import parse_qs, urlsplit
 
 import h11
@@ -14,149 +17,209 @@
 from marlseam import records
 from marlseam.core import EndpointEntry
 from marlseam.decisions.types import EndpointState
-from marlseam.emulators.base import Door, Stand, reply
+from marlseam.emulators.http_listener import HttpListener, reply
+from marlseam.emulators.process import EmulatorProcess
 from marlseam.net.connection import Connection, Steps
 from marlseam.net.loop import READ, READY, Task, sleep
 from marlseam.net.protocol import LIST_PATH
 from marlseam.simulation import faults
 from marlseam.simulation.discovery import EndpointList
-from marlseam.simulation.model import Day, placed_nodes, placed_servers
+from marlseam.simulation.faults import ListChange, ScheduledFault
+from marlseam.simulation.model import Day, PlacedNode, placed_nodes, placed_servers
 
+STREAM = "roster"  # its name in records, in the ready line and in the names of its files
 HEALTH = {EndpointState.READY: "active", EndpointState.DRAINING: "leaving", EndpointState.GONE: "left"}
+MAX_WATCH_MS = 60000.0  # the longest that a call waits for a newer version
+# Start times are rounded to this, so that a server's is the same at each call though it is worked out anew
+# from two clocks; a server that has restarted has another one.
+START_TIME_STEP_MS = 50.0
 
 
-class Directory:
-    """The one list, and who waits for its changes."""
+class ListQuery(NamedTuple):
+    """What a call for the list asks.
+
+    Attributes:
+        since: the version that the caller has, 0 for none.
+        is_watch: whether the call waits for a newer version.
+        timeout_ms: for how long it waits at most.
+    """
+
+    since: int
+    is_watch: bool
+    timeout_ms: float
+
+
+def list_query(text: str) -> ListQuery:
+    """Return what a URL's query asks."""
+    values = parse_qs(text)
+    return ListQuery(
+        since=int(values.get("since", ["0"])[0]),
+        is_watch="since" in values,
+        timeout_ms=float(values.get("timeout_ms", ["0"])[0]),
+    )
+
+
+class DiscoveryService:
+    """The endpoint list of a day and the calls that wait for its changes.
+
+    Attributes:
+        process: the emulator process.
+        endpoint_list: the simulated list.
+        listeners: the listener of each node, by the node's name.
+    """
 
     def __init__(
         self,
-        stand: Stand,
+        process: EmulatorProcess,
         day: Day,
-        schedule: list[faults.ScheduledFault],
-        dials: Mapping[str, Mapping[str, str]],
+        schedule: list[ScheduledFault],
+        addresses_by_zone: Mapping[str, Mapping[str, str]],
         port: int = 0,
     ) -> None:
-        """Make the list.
+        """Make the list of a day.
 
-        `dials` holds an address of each executor for each zone, `port` the first node's door.
+        `addresses_by_zone` holds where each server is dialled from each zone, `port` is that of the first
+        node's listener (0: a free one).
         """
-        self.stand, self.day, self.dials = stand, day, dials
-        self.places = {name: (kind.name, zone, cell) for name, kind, _, zone, cell in placed_servers(day)}
-        self.numbers = {
-            name: (k, day.fleet.zones.index(zone), cell) for name, _, k, zone, cell in placed_servers(day)
-        }
-        later = {name for met in schedule if met.trouble.what == "grow" for name in met.targets}
-        rows = [self.row(name, EndpointState.READY, None) for name in self.places if name not in later]
-        self.roster = EndpointList(rows, day.roster.calls_per_s, day.roster.timeout_ms)
-        self.roster.outages = [(m.at, m.until) for m in schedule if m.trouble.what == "roster_outage"]
-        self.writer = stand.streams.of("roster")
-        self.waiting: dict[Task, None] = {}
-        self.doors: dict[str, Door] = {}
-        for name, zone in placed_nodes(day):
-            self.doors[name] = Door(stand, name, self.handler(name, zone), 0 if self.doors else port)
-        for news in faults.listings(day, schedule):
-            stand.at(
-                news.at, lambda news=news: self.change(self.row(news.server, news.state, news.started_ms))
-            )
-        for begin, _ in self.roster.outages:
-            stand.at(begin, self.wake)
-
-    def row(self, name: str, state: EndpointState, born: float | None) -> EndpointEntry:
-        """Return an executor as it is listed."""
-        return EndpointEntry(name, state, *self.numbers[name], born)
-
-    def change(self, row: EndpointEntry) -> None:
-        """List a change and tell who waits."""
-        self.roster.add_entry(row)
-        self.wake()
-
-    def wake(self) -> None:
-        """Resume all that wait."""
-        for task in list(self.waiting):
+        self.process = process
+        self._zones, self._addresses_by_zone = day.fleet.zones, addresses_by_zone
+        self._servers = {server.name: server for server in placed_servers(day)}
+        self.endpoint_list = self._first_list(day, schedule)
+        self._records = process.streams.of(STREAM)
+        self._waiting_tasks: dict[Task, None] = {}
+        self.listeners: dict[str, HttpListener] = {}
+        for node in placed_nodes(day):
+            listener_port = 0 if self.listeners else port
+            handler = partial(self._answer, node)
+            self.listeners[node.name] = HttpListener(process, node.name, handler, listener_port)
+        for change in faults.listings(day, schedule):
+            process.call_at(change.at, partial(self._apply_change, change))
+        for outage_from_ms, _ in self.endpoint_list.outages:
+            process.call_at(outage_from_ms, self._wake_waiting)
+
+    def _first_list(self, day: Day, schedule: list[ScheduledFault]) -> EndpointList:
+        """Return the list at the begin of a day, without the servers that come later."""
+        later = {name for fault in schedule if fault.trouble.what == "grow" for name in fault.targets}
+        entries = [
+            self._entry(name, EndpointState.READY, None) for name in self._servers if name not in later
+        ]
+        endpoint_list = EndpointList(entries, day.roster.calls_per_s, day.roster.timeout_ms)
+        outages = [fault for fault in schedule if fault.trouble.what == "roster_outage"]
+        endpoint_list.outages = [(fault.at, fault.until) for fault in outages]
+        return endpoint_list
+
+    def _entry(self, server: str, state: EndpointState, started_ms: float | None) -> EndpointEntry:
+        """Return a server's entry."""
+        placed = self._servers[server]
+        zone_index = self._zones.index(placed.zone)
+        return EndpointEntry(server, state, placed.kind_index, zone_index, placed.cell, started_ms)
+
+    def _apply_change(self, change: ListChange) -> None:
+        """List a change."""
+        self.endpoint_list.add_entry(self._entry(change.server, change.state, change.started_ms))
+        self._wake_waiting()
+
+    def _wake_waiting(self) -> None:
+        """Resume all calls that wait."""
+        for task in list(self._waiting_tasks):
             task.wake()
 
-    def handler(self, node: str, zone: str):  # noqa: ANN201
-        """Return what answers a node's calls."""
-
-        def answer(connection: Connection, request: h11.Request, body: bytes) -> Steps:
-            target = urlsplit(request.target.decode("latin-1"))
-            if target.path != LIST_PATH:
-                yield from reply(connection, 404, b"")
-                return
-            asked = parse_qs(target.query)
-            since = int(asked.get("since", ["0"])[0])
-            served = self.roster.take_call(self.stand.now())
-            called = records.EndpointListCalled(
-                t=self.stand.now(), by="roster", node=node, served=served is not None
+    def _is_down(self) -> bool:
+        """Return whether an outage is on."""
+        now_ms = self.process.now()
+        return self.endpoint_list.down_until_ms(now_ms) > now_ms
+
+    def _answer(self, node: PlacedNode, connection: Connection, request: h11.Request, _body: bytes) -> Steps:
+        """Answer a call of a node."""
+        target = urlsplit(request.target.decode("latin-1"))
+        if target.path != LIST_PATH:
+            yield from reply(connection, 404, b"")
+            return
+        query = list_query(target.query)
+        served_ms = self._take_call(node.name)
+        if served_ms is None:
+            yield from reply(connection, 503, b"")
+            return
+        yield from sleep(self.process.loop.now() + served_ms - self.process.now())
+        if query.is_watch:
+            yield from self._wait_for_newer(connection, query)
+        if self._is_down():
+            yield from reply(connection, 503, b"")
+            return
+        yield from reply(connection, 200, self._list_text(node, query.since))
+
+    def _take_call(self, node: str) -> float | None:
+        """Take a node's call; return when it is served, in ms of the run, or None where it fails."""
+        served_ms = self.endpoint_list.take_call(self.process.now())
+        self._records.add(
+            records.EndpointListCalled(
+                t=self.process.now(), by=STREAM, node=node, served=served_ms is not None
             )
-            self.writer.add(called)
-            if served is None:
-                yield from reply(connection, 503, b"")
-                return
-            yield from sleep(self.stand.loop.now() + served - self.stand.now())
-            if "since" in asked:
-                yield from self.watch(connection, since, float(asked.get("timeout_ms", ["0"])[0]))
-            if self.roster.down_until_ms(self.stand.now()) > self.stand.now():
-                yield from reply(connection, 503, b"")
-                return
-            yield from reply(connection, 200, self.news(node, zone, since))
-
-        return answer
-
-    def watch(self, connection: Connection, since: int, wait_ms: float) -> Steps:
-        """Wait for something newer than a version."""
-        until = self.stand.loop.now() + min(wait_ms, 60000.0)
-        task = self.stand.loop.current
-        self.waiting[task] = None
+        )
+        return served_ms
+
+    def _wait_for_newer(self, connection: Connection, query: ListQuery) -> Steps:
+        """Wait for a newer version, an outage, the end of the caller's time, or of its connection."""
+        until_ms = self.process.loop.now() + min(query.timeout_ms, MAX_WATCH_MS)
+        task = self.process.loop.running_task()
+        self._waiting_tasks[task] = None
         try:
-            while self.roster.version() <= since and self.stand.loop.now() < until:
-                if self.roster.down_until_ms(self.stand.now()) > self.stand.now():
+            while self.endpoint_list.version() <= query.since and self.process.loop.now() < until_ms:
+                if self._is_down():
                     return
-                came = yield (connection.sock.fileno(), READ, until)
-                if came == READY:
+                event = yield (connection.sock.fileno(), READ, until_ms)
+                if event == READY:
                     connection.fill()
                     if connection.eof:
                         return
         finally:
-            del self.waiting[task]
+            del self._waiting_tasks[task]
 
-    def news(self, node: str, zone: str, since: int) -> bytes:
-        """Return an answer, and note what it tells."""
-        whole, rows = self.roster.answer_since(since)
-        for executor, state in self.roster.departure_notices(node, whole, rows):
-            self.writer.add(
+    def _list_text(self, node: PlacedNode, since: int) -> bytes:
+        """Return the answer to a node that has a version, and record what it tells of departures."""
+        is_whole, entries = self.endpoint_list.answer_since(since)
+        for notice in self.endpoint_list.departure_notices(node.name, is_whole, entries):
+            self._records.add(
                 records.ServerStateHeard(
-                    t=self.stand.now(), by="roster", node=node, executor=executor, state=state.value
+                    t=self.process.now(),
+                    by=STREAM,
+                    node=node.name,
+                    executor=notice.server,
+                    state=notice.state.value,
                 )
             )
-        hosts = [self.entry(row, zone) for row in rows]
-        return json.dumps({"seq": self.roster.version(), "whole": whole, "hosts": hosts}).encode()
-
-    def entry(self, row: EndpointEntry, zone: str) -> dict:
-        """Return a row as the protocol writes it."""
-        kind, site, cell = self.places[row.server]
-        born = 0.0
-        if row.process_started_ms is not None:
-            born = time.time() * 1000.0 - (self.stand.now() - row.process_started_ms)
-            born = (
-                round(born / 50.0) * 50.0
-            )  # the same at each call: an executor that restarts has another one
+        hosts = [self._host(entry, node.zone) for entry in entries]
+        answer = {"seq": self.endpoint_list.version(), "whole": is_whole, "hosts": hosts}
+        return json.dumps(answer).encode()
+
+    def _host(self, entry: EndpointEntry, zone: str) -> dict[str, Any]:
+        """Return an entry as the protocol writes it for nodes of a zone."""
+        placed = self._servers[entry.server]
         return {
-            "host": row.server,
-            "dial": self.dials[zone][row.server],
-            "site": site,
-            "class": kind,
-            "block": cell,
-            "health": HEALTH[row.state],
+            "host": entry.server,
+            "dial": self._addresses_by_zone[zone][entry.server],
+            "site": placed.zone,
+            "class": placed.kind.name,
+            "block": placed.cell,
+            "health": HEALTH[entry.state],
             "share": 1.0,
-            "born_ms": born,
+            "born_ms": self._start_unix_ms(entry),
         }
 
+    def _start_unix_ms(self, entry: EndpointEntry) -> float:
+        """Return when a server's process started, in Unix time; 0 where that was before the day."""
+        if entry.process_started_ms is None:
+            return 0.0
+        age_ms = self.process.now() - entry.process_started_ms
+        started_ms = time.time() * 1000.0 - age_ms
+        return round(started_ms / START_TIME_STEP_MS) * START_TIME_STEP_MS
+
 
 def serve(
-    day: Day, seed: int, dials: Mapping[str, Mapping[str, str]], folder: Path | None, now: bool
+    day: Day, seed: int, addresses_by_zone: Mapping[str, Mapping[str, str]], folder: Path | None, now: bool
 ) -> None:
-    """Run a day's roster until the end."""
-    stand = Stand("roster", folder)
-    directory = Directory(stand, day, faults.schedule(day, seed), dials)
-    stand.run({"rosters": {name: door.address for name, door in directory.doors.items()}}, now)
+    """Run the discovery of a day until the end; the ready line holds an address for each node."""
+    process = EmulatorProcess(STREAM, folder)
+    service = DiscoveryService(process, day, faults.schedule(day, seed), addresses_by_zone)
+    addresses = {name: listener.address for name, listener in service.listeners.items()}
+    process.run({"rosters": addresses}, now)
--- a/marlseam/emulators/disk.py
+++ b/marlseam/emulators/disk.py
@@ -1,10 +1,11 @@
-"""A disk that is slow, hangs, fails or keeps its lock, behind the calls of a real node's writer process.
+"""A node whose writer process has a faulty disk: slow, hanging, failing, or with a lock that is kept.
 
-python -m marlseam.emulators.disk serve ...   a node whose writer process writes to such a disk
-python -m marlseam.emulators.disk FOLDER ...   it, with the arguments of marlseam.store.writer_process
+python -m marlseam.emulators.disk serve ...    runs such a node
+python -m marlseam.emulators.disk FOLDER ...   runs its writer process, with the arguments of
+                                               marlseam.store.writer_process
 
-MARLSEAM_DISK holds the faults as JSON (`Faults`). A call that hangs, and a lock that is held on, end once the
-file that MARLSEAM_DISK_OVER names is there, so that an experiment leaves no process behind.
+MARLSEAM_DISK holds the faults as JSON (`Faults`). A call that hangs, and a lock that is kept, end once the
+file that MARLSEAM_DISK_OVER names exists, so that an experiment leaves no process behind.
 """
 
 import errno
@@ -12,6 +13,7 @@
 import socket
 import sys
 import time
+from math import inf
 from pathlib import Path
 
 import msgspec
@@ -21,88 +23,107 @@
 from marlseam.store.errors import NodeGoneError
 from marlseam.store.writer_process import NodeBoundDisk
 
-FAULTS, OVER = "MARLSEAM_DISK", "MARLSEAM_DISK_OVER"
-LOOK_S = 0.02
+FAULTS = "MARLSEAM_DISK"  # variable of the environment: the faults as JSON
+OVER = "MARLSEAM_DISK_OVER"  # variable of the environment: the file that exists once the experiment is over
+POLL_S = 0.02  # how often that file is looked for
 ERRORS = {"full": errno.ENOSPC, "read-only": errno.EROFS, "broken": errno.EIO}
 
 
-class Faults(Strict):
-    """What is wrong with a disk, and for how long a dead node's writer process keeps the lock."""
+class Faults(Strict, frozen=True):
+    """What is wrong with a disk; the fields are keys of experiment files.
 
-    sync_s: NotNegative = 0.0  # that each sync takes
-    hangs_after: int = 0  # syncs after which one never ends; 0: none does
-    fails: str = ""  # how writes fail: full, read-only, broken
-    every_s: NotNegative = 0.0  # they fail in the second half of each so long; 0: always
+    Attributes:
+        sync_s: how long each sync takes, in seconds.
+        hangs_after: how many syncs end before one that never does; 0: all end.
+        fails: how writes fail: full, read-only or broken; empty: they do not.
+        every_s: writes fail in the second half of each period of so many seconds; 0: always.
+        linger_s: for how long the writer process of a node that has ended keeps the lock, in seconds.
+    """
+
+    sync_s: NotNegative = 0.0
+    hangs_after: int = 0
+    fails: str = ""
+    every_s: NotNegative = 0.0
     linger_s: NotNegative = 0.0
 
+    def is_failing(self, now_s: float) -> bool:
+        """Return whether writes fail at a time of the monotonic clock."""
+        if not self.fails:
+            return False
+        return not self.every_s or now_s % self.every_s > self.every_s / 2.0
+
 
-def wait(until_s: float) -> None:
+def wait_until(end_s: float) -> None:
     """Wait until a time of the monotonic clock, or until the experiment is over."""
-    over = os.environ.get(OVER)
-    while time.monotonic() < until_s and not (over and Path(over).exists()):
-        time.sleep(LOOK_S)
+    end_file = os.environ.get(OVER)
+    while time.monotonic() < end_s and not (end_file and Path(end_file).exists()):
+        time.sleep(POLL_S)
 
 
-class Faulty(NodeBoundDisk):
-    """A disk with faults."""
+class FaultyDisk(NodeBoundDisk):
+    """A disk with the faults that the environment names.
+
+    Attributes:
+        faults: what is wrong with it.
+        sync_count: how many syncs were asked for.
+    """
 
     def __init__(self, path: Path, channel: socket.socket) -> None:
         super().__init__(path, channel)
-        self.faults = msgspec.json.decode(os.environ.get(FAULTS, "{}"), type=Faults)
-        self.syncs = 0
-
-    def bad(self) -> None:
-        """Fail where it is time to."""
-        faults = self.faults
-        if faults.fails and (not faults.every_s or time.monotonic() % faults.every_s > faults.every_s / 2.0):
-            number = ERRORS[faults.fails]
+        self.faults: Faults = msgspec.json.decode(os.environ.get(FAULTS, "{}"), type=Faults)
+        self.sync_count = 0
+
+    def _raise_if_failing(self) -> None:
+        """Raise OSError while writes fail."""
+        if self.faults.is_failing(time.monotonic()):
+            number = ERRORS[self.faults.fails]
             raise OSError(number, os.strerror(number))
 
     def open(self, name: str) -> int:
         """Open a file to append to."""
-        self.bad()
+        self._raise_if_failing()
         return super().open(name)
 
     def write(self, descriptor: int, data: bytes) -> int:
         """Append some of the bytes."""
-        self.bad()
+        self._raise_if_failing()
         return super().write(descriptor, data)
 
-    def slow(self) -> None:
-        """Take the time that a sync takes."""
-        self.syncs += 1
-        hangs = 0 < self.faults.hangs_after < self.syncs
-        wait(float("inf") if hangs else time.monotonic() + self.faults.sync_s)
+    def _wait_for_sync(self) -> None:
+        """Wait as long as a sync takes."""
+        self.sync_count += 1
+        hangs = 0 < self.faults.hangs_after < self.sync_count
+        wait_until(inf if hangs else time.monotonic() + self.faults.sync_s)
 
     def sync(self, descriptor: int) -> None:
-        """Have a file's bytes on the disk."""
-        self.slow()
+        """Make a file's bytes durable."""
+        self._wait_for_sync()
         super().sync(descriptor)
 
     def sync_folder(self) -> None:
-        """Have the folder's names on the disk."""
-        self.slow()
+        """Make the names in the folder durable."""
+        self._wait_for_sync()
         super().sync_folder()
 
     def check_node(self) -> None:
-        """Raise NodeGoneError where the node has ended, once the lock was held for so long."""
+        """Raise NodeGoneError where the node has ended, after the time for which the lock is kept."""
         try:
             super().check_node()
         except NodeGoneError:
-            wait(time.monotonic() + self.faults.linger_s)
+            wait_until(time.monotonic() + self.faults.linger_s)
             raise
 
 
 def main() -> None:
-    """Run a node, or its writer process, by the arguments given."""
+    """Run a node, or its writer process, as the arguments say."""
     if sys.argv[1:2] == ["serve"]:
-        from marlseam.__main__ import main as marlseam
+        from marlseam.__main__ import main as run_command
         from marlseam.store.state_store import StateStore
 
         StateStore.writer_module = "marlseam.emulators.disk"
-        marlseam()
+        run_command()
         return
-    writer_process.main(disk_type=Faulty)
+    writer_process.main(disk_type=FaultyDisk)
 
 
 if __name__ == "__main__":
--- a/marlseam/emulators/faulty.py
+++ b/marlseam/emulators/faulty.py
@@ -1,7 +1,9 @@
-"""One node, as `serve` runs it, whose system calls fail at times, whose clock is off, whose decisions err.
+"""A node with injected faults: system calls that fail in bursts, a wrong wall clock, errors in decisions.
 
-`python -m marlseam.emulators.faulty serve ...`; what fails is told by the environment (`FAULTS`) as JSON of
-`Faults`. The calls are wrapped in this process alone, below the node's own code.
+python -m marlseam.emulators.faulty serve ...
+
+MARLSEAM_SOAK_FAULTS holds the faults as JSON (`Faults`). The calls are wrapped in this process alone, below
+the node's own code.
 """
 
 import errno
@@ -15,11 +17,23 @@
 
 import msgspec
 
-FAULTS = "MARLSEAM_SOAK_FAULTS"
+FAULTS = "MARLSEAM_SOAK_FAULTS"  # variable of the environment: the faults as JSON
+RECEIVE_SEND_ACCEPT = ("recv_into", "recv", "send", "accept")  # methods of sockets that raise where they fail
+
+
+def replace(owner: object, name: str, call: Callable[..., Any]) -> None:
+    """Put a call in the place of a class's or a module's own."""
+    setattr(owner, name, call)
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """One call that fails with an error, at some share of its calls while a burst lasts."""
+    """A system call that fails while a burst lasts.
+
+    Attributes:
+        call: its name.
+        error: the name of its errno.
+        share: the share of calls that fail, in [0, 1].
+    """
 
     call: str
     error: str
@@ -27,26 +41,43 @@
 
 
 class Faults(msgspec.Struct, frozen=True):
-    """What fails in a node: calls in bursts, the wall clock's error at the start, errors in decisions."""
+    """What fails in a node.
+
+    Attributes:
+        seed: of all draws.
+        failures: the calls that fail in bursts.
+        every_s: the time from the begin of one burst to that of the next, in seconds.
+        for_s: how long a burst lasts, in seconds.
+        clock_s: by how much the wall clock is ahead, in seconds.
+        decision: the name of an event that the reducer fails at; empty for none.
+        decision_share: the share of these events at which it fails, in [0, 1].
+    """
 
     seed: int
     failures: list[Failure] = []
-    every_s: float = 2.0  # a burst begins so often
-    for_s: float = 0.7  # and lasts so long
+    every_s: float = 2.0
+    for_s: float = 0.7
     clock_s: float = 0.0
-    decision: str = ""  # an event of the reducer that errs at a small share
+    decision: str = ""
     decision_share: float = 0.02
 
 
 class Shim:
-    """Decides which call fails now."""
+    """Wraps system calls so that they fail in bursts.
+
+    Attributes:
+        faults: what fails.
+        chance: draws which calls of a burst fail.
+        began: when the first burst began, in seconds of the monotonic clock.
+    """
 
     def __init__(self, faults: Faults) -> None:
         self.faults, self.chance, self.began = faults, random.Random(faults.seed), time.monotonic()
 
-    def hit(self, call: str) -> None:
-        """Raise where a call is to fail."""
-        if (time.monotonic() - self.began) % self.faults.every_s > self.faults.for_s:
+    def raise_if_failing(self, call: str) -> None:
+        """Raise OSError where a call is to fail now."""
+        is_between_bursts = (time.monotonic() - self.began) % self.faults.every_s > self.faults.for_s
+        if is_between_bursts:
             return
         for failure in self.faults.failures:
             if failure.call == call and self.chance.random() < failure.share:
@@ -54,76 +85,80 @@
                 raise OSError(number, os.strerror(number))
 
     def wrapped(self, call: str, real: Callable[..., Any]) -> Callable[..., Any]:
-        """Return a call that fails at times."""
+        """Return a call that raises OSError where it is to fail, and else is the real one."""
 
-        def failing(*words: Any) -> Any:  # noqa: ANN401
-            self.hit(call)
-            return real(*words)
+        def failing(*arguments: Any) -> Any:  # noqa: ANN401 - as the call that it wraps
+            self.raise_if_failing(call)
+            return real(*arguments)
 
         return failing
 
     def returned(self, failing: Callable[..., int]) -> Callable[..., int]:
-        """Return a call that returns its error's number, as `connect_ex` does."""
+        """Return a call that returns its errno, as `connect_ex` does, rather than raise."""
 
-        def call(*words: Any) -> int:  # noqa: ANN401
+        def call(*arguments: Any) -> int:  # noqa: ANN401 - as the call that it wraps
             try:
-                return failing(*words)
+                return failing(*arguments)
             except OSError as error:
-                return error.errno
+                return error.errno or errno.EIO
 
         return call
 
     def install(self) -> None:
-        """Wrap this process's calls."""
-        for call in ("recv_into", "recv", "send", "accept"):
-            setattr(socket.socket, call, self.wrapped(call, getattr(socket.socket, call)))
-        socket.socket.connect_ex = self.returned(self.wrapped("connect_ex", socket.socket.connect_ex))
-        select.poll = self.made(select.poll, {"poll": "poll"})
-        select.epoll = self.made(select.epoll, {"register": "epoll_ctl", "modify": "epoll_ctl"})
+        """Wrap the calls of this process."""
+        for call in RECEIVE_SEND_ACCEPT:
+            replace(socket.socket, call, self.wrapped(call, getattr(socket.socket, call)))
+        replace(
+            socket.socket, "connect_ex", self.returned(self.wrapped("connect_ex", socket.socket.connect_ex))
+        )
+        replace(select, "poll", self.made(select.poll, {"poll": "poll"}))
+        replace(select, "epoll", self.made(select.epoll, {"register": "epoll_ctl", "modify": "epoll_ctl"}))
 
-    def made(self, kind: Callable[[], Any], calls: dict[str, str]) -> Callable[[], Any]:
-        """Return a maker of objects some of whose calls fail at times."""
-        return lambda: Wrapped(kind(), {name: (self, call) for name, call in calls.items()})
+    def made(self, factory: Callable[[], Any], calls: dict[str, str]) -> Callable[[], Any]:
+        """Return a factory of objects some of whose methods fail; `calls` has the call that each makes."""
+        return lambda: WrappedObject(self, factory(), calls)
 
 
-class Wrapped:
-    """An object of the system's, some of whose calls fail at times."""
+class WrappedObject:
+    """An object some of whose methods fail in bursts; all else is the real object's."""
 
-    def __init__(self, real: Any, calls: dict[str, tuple[Shim, str]]) -> None:  # noqa: ANN401
-        self.real, self.calls = real, calls
+    def __init__(self, shim: Shim, real: object, calls: dict[str, str]) -> None:
+        self._shim, self._real, self._calls = shim, real, calls
 
-    def __getattr__(self, name: str) -> Any:  # noqa: ANN401
-        found = getattr(self.real, name)
-        if name not in self.calls:
-            return found
-        shim, call = self.calls[name]
-        return shim.wrapped(call, found)
+    def __getattr__(self, name: str) -> Any:  # noqa: ANN401 - whatever the real object has
+        found = getattr(self._real, name)
+        return self._shim.wrapped(self._calls[name], found) if name in self._calls else found
 
 
-def err_in_decisions(faults: Faults) -> None:
-    """Have the reducer fail at a small share of one kind of event."""
+def fail_decisions(faults: Faults) -> None:
+    """Have the reducer fail at a small share of one type of event."""
     from marlseam import core
 
-    kind = getattr(core, faults.decision)
-    real, chance = core.EVENT_HANDLERS[kind], random.Random(faults.seed + 1)
+    event_type = getattr(core, faults.decision)
+    real_handler, chance = core.EVENT_HANDLERS[event_type], random.Random(faults.seed + 1)
 
-    def step(*words: Any) -> None:  # noqa: ANN401
+    def handle(*arguments: Any) -> None:  # noqa: ANN401 - as the handler that it wraps
         if chance.random() < faults.decision_share:
             raise RuntimeError("planted by the soak")
-        real(*words)
+        real_handler(*arguments)
+
+    core.EVENT_HANDLERS[event_type] = handle
+
 
-    core.EVENT_HANDLERS[kind] = step
+def set_wall_clock_ahead(by_s: float) -> None:
+    """Have this process's wall clock be ahead."""
+    real_time = time.time
+    time.time = lambda: real_time() + by_s
 
 
 def main() -> None:
-    """Run a node."""
-    faults = msgspec.json.decode(os.environ[FAULTS], type=Faults)
+    """Run a node with the faults that the environment names."""
+    faults: Faults = msgspec.json.decode(os.environ[FAULTS], type=Faults)
     if faults.clock_s:
-        real = time.time
-        time.time = lambda: real() + faults.clock_s
+        set_wall_clock_ahead(faults.clock_s)
     Shim(faults).install()
     if faults.decision:
-        err_in_decisions(faults)
+        fail_decisions(faults)
     from marlseam import __main__ as program
 
     program.main()
--- /dev/null
+++ b/marlseam/emulators/http_listener.py
@@ -0,0 +1,121 @@
+"""HTTP/1.1 on loopback: a listening socket whose connections are served one request after the other."""
+
+import socket
+from collections.abc import Callable
+from math import inf
+
+import h11
+
+from marlseam.emulators.loopback import (
+    disable_nagle,
+    listening_socket,
+    loopback_address,
+    port_of,
+    reset_on_close,
+)
+from marlseam.emulators.process import EmulatorProcess
+from marlseam.net.connection import Connection, Steps
+from marlseam.net.errors import ConnectionEndedError
+from marlseam.net.log import Reason
+from marlseam.net.loop import READ, Cancelled, Coroutine, Task
+
+MAX_BODY_BYTES = 1 << 20  # of a request
+Handler = Callable[[Connection, h11.Request, bytes], Steps]
+
+
+class HttpListener:
+    """One listening socket and the connections that were accepted from it.
+
+    It can stop to listen, and listen again at the same port.
+
+    Attributes:
+        process: the emulator that it belongs to.
+        name: what its connections are called in the log.
+        handler: answers one request, given its connection and body.
+        nodelay: whether small writes on its connections go out at once.
+        connections: the open connections, each with the task that serves it.
+        sock: the listening socket, None while it does not listen.
+        port: its port.
+    """
+
+    def __init__(
+        self, process: EmulatorProcess, name: str, handler: Handler, port: int = 0, nodelay: bool = True
+    ) -> None:
+        """Listen at a port, or at a free one where it is 0."""
+        self.process, self.name, self.handler, self.nodelay = process, name, handler, nodelay
+        self.connections: dict[Connection, Task] = {}
+        self.sock: socket.socket | None = None
+        self.port = port
+        self._accept_task: Task | None = None
+        self.listen()
+
+    @property
+    def address(self) -> str:
+        """Where it listens, as HOST:PORT."""
+        return loopback_address(self.port)
+
+    def listen(self) -> None:
+        """Accept new connections, at the port that it had before if there was one."""
+        if self.sock is None:
+            self.sock = listening_socket(self.port)
+            self.port = port_of(self.sock)
+            self._accept_task = self.process.loop.spawn(self._accept(self.sock))
+
+    def stop_listening(self) -> None:
+        """Refuse new connections; open ones go on."""
+        if self._accept_task is not None:
+            self._accept_task.cancel()
+            self._accept_task = None
+        if self.sock is not None:
+            self.process.loop.close(self.sock)
+            self.sock = None
+
+    def reset_connections(self) -> None:
+        """Reset all open connections."""
+        for connection, task in list(self.connections.items()):
+            reset_on_close(connection.sock)
+            connection.close(Reason.DONE)
+            task.cancel()
+
+    def _accept(self, sock: socket.socket) -> Coroutine:
+        """Accept connections for as long as it listens."""
+        while True:
+            yield (sock.fileno(), READ, inf)
+            try:
+                client, _ = sock.accept()
+            except OSError:
+                continue
+            client.setblocking(False)
+            if self.nodelay:
+                disable_nagle(client)
+            connection = Connection(self.process.loop, self.process.log, client, h11.SERVER, self.name)
+            self.process.loop.spawn(self._serve(connection))
+
+    def _serve(self, connection: Connection) -> Coroutine:
+        """Serve the requests of a connection one after the other."""
+        self.connections[connection] = self.process.loop.running_task()
+        reason = Reason.DONE
+        try:
+            while type(request := (yield from connection.event(inf))) is h11.Request:
+                body = yield from connection.body(MAX_BODY_BYTES, inf)
+                yield from self.handler(connection, request, body)
+                if not connection.start_next_message():
+                    break
+        except ConnectionEndedError as ended:
+            reason = ended.reason
+        except h11.LocalProtocolError:
+            reason = Reason.FAULT
+        except Cancelled:
+            reason = Reason.DRAINING
+            raise
+        finally:
+            self.connections.pop(connection, None)
+            connection.close(reason)
+
+
+def reply(
+    connection: Connection, status: int, body: bytes, headers: list[tuple[str, str]] | None = None
+) -> Steps:
+    """Write a whole response."""
+    head = h11.Response(status_code=status, headers=[*(headers or []), ("Content-Length", str(len(body)))])
+    yield from connection.message(head, body, inf)
--- /dev/null
+++ b/marlseam/emulators/loopback.py
@@ -0,0 +1,36 @@
+"""Sockets on loopback, as the emulators use them."""
+
+import socket
+import struct
+
+LOOPBACK_HOST = "127.0.0.1"
+LISTEN_BACKLOG = 512  # connections that wait to be accepted
+ZERO_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER: on, for 0 s
+
+
+def listening_socket(port: int = 0) -> socket.socket:
+    """Return a non-blocking socket that listens on loopback, at a free port where `port` is 0."""
+    sock = socket.create_server((LOOPBACK_HOST, port), backlog=LISTEN_BACKLOG)
+    sock.setblocking(False)
+    return sock
+
+
+def port_of(sock: socket.socket) -> int:
+    """Return the port of a listening socket."""
+    port: int = sock.getsockname()[1]
+    return port
+
+
+def loopback_address(port: int) -> str:
+    """Return the address of a port on loopback, as HOST:PORT."""
+    return f"{LOOPBACK_HOST}:{port}"
+
+
+def disable_nagle(sock: socket.socket) -> None:
+    """Send small writes at once; else each waits for the acknowledgment of the one before, up to 40 ms."""
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+
+
+def reset_on_close(sock: socket.socket) -> None:
+    """Have the peer get a reset once the socket is closed, rather than an orderly end."""
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
--- a/marlseam/emulators/network.py
+++ b/marlseam/emulators/network.py
@@ -1,194 +1,267 @@
-"""The network on loopback: a door for each zone and executor that passes bytes on, delayed, cut or silent.
+"""The network on loopback: a proxy for each zone and server, which delays, loses or holds back bytes.
 
-A cut line says nothing: what was sent waits, as TCP has it, and is lost when the connection is reset at the
-mend.
+What is sent while a link is cut waits, as with TCP, and is lost when its connection is reset at the mend.
 """
 
 import contextlib
 import socket
 from collections.abc import Mapping
+from functools import partial
 from math import inf
 from pathlib import Path
+from typing import NamedTuple
 
 from marlseam import records
-from marlseam.emulators.base import Stand
+from marlseam.emulators.loopback import (
+    disable_nagle,
+    listening_socket,
+    loopback_address,
+    port_of,
+    reset_on_close,
+)
+from marlseam.emulators.process import EmulatorProcess
 from marlseam.net.loop import READ, WRITE, Cancelled, Coroutine, Loop, Task, sleep
 from marlseam.simulation import faults
 from marlseam.simulation.chance import stream
+from marlseam.simulation.faults import ScheduledFault
 from marlseam.simulation.model import Day, placed_servers
 from marlseam.simulation.network import Links
 
-CHUNK = 65536
+SYSTEM = "network"  # its name in records and in the names of its files
+CHUNK_BYTES = 65536  # passed on at once
+CUT_POLL_MS = 20.0  # how often a held link is looked at
 
 
-class Pipe:
-    """One connection through the network: two sockets, and a coroutine for each way."""
+class Link(NamedTuple):
+    """The way from one zone to one server.
 
-    def __init__(self, door: "Passage", near: socket.socket, far: socket.socket) -> None:
-        self.door, self.near, self.far = door, near, far
-        self.tasks: list[Task] = []
+    Attributes:
+        zone: the zone that it leads from.
+        server: the server's name.
+        server_zone: the zone in which the server runs.
+    """
+
+    zone: str
+    server: str
+    server_zone: str
+
+
+class SocketAddress(NamedTuple):
+    """Where a server listens."""
+
+    host: str
+    port: int
+
+
+def socket_address(text: str) -> SocketAddress:
+    """Return the address in HOST:PORT."""
+    host, _, port = text.rpartition(":")
+    return SocketAddress(host, int(port))
+
+
+class RelayedConnection:
+    """One connection through a proxy: a socket to the client and one to the server.
+
+    A coroutine for each direction passes bytes on. Each has copies of both sockets, as the loop knows one
+    task a descriptor.
+    """
+
+    def __init__(self, proxy: "LinkProxy", client: socket.socket, server: socket.socket) -> None:
+        self._proxy, self._client, self._server = proxy, client, server
+        self._tasks: list[Task] = []
+        self._copies: list[socket.socket] = []
 
     def open(self, loop: Loop) -> None:
-        """Start to pass bytes both ways.
-
-        Each way waits on a copy of its sockets, as the loop knows one task a socket.
-        """
-        ways = ((self.near, self.far), (self.far, self.near))
-        self.copies = [sock.dup() for pair in ways for sock in pair]
-        for i in (0, 2):
-            self.tasks.append(loop.spawn(self.carry(loop, self.copies[i], self.copies[i + 1])))
-
-    def carry(self, loop: Loop, source: socket.socket, target: socket.socket) -> Coroutine:
-        """Pass bytes one way until the source ends."""
-        lost = False
+        """Start to pass bytes both ways."""
+        directions = [
+            (source.dup(), target.dup())
+            for source, target in ((self._client, self._server), (self._server, self._client))
+        ]
+        self._copies = [copy for direction in directions for copy in direction]
+        for source, target in directions:
+            self._tasks.append(loop.spawn(self._relay(loop, source, target)))
+
+    def _relay(self, loop: Loop, source: socket.socket, target: socket.socket) -> Coroutine:
+        """Pass bytes one way until the source ends; an error resets both sides."""
         try:
-            while True:
-                yield (source.fileno(), READ, inf)
-                try:
-                    data = source.recv(CHUNK)
-                except BlockingIOError:
-                    continue
-                yield from self.door.held()
-                if self.door.loses():
-                    lost = True  # as is all that follows: what comes after a hole is nobody's message
-                if lost and data:
-                    continue
-                delay = self.door.delay()
-                if delay > 0.0:
-                    yield from sleep(loop.now() + delay)
-                if not data:
-                    target.shutdown(socket.SHUT_WR)
-                    return
-                view = memoryview(data)
-                while view:
-                    try:
-                        view = view[target.send(view) :]
-                    except BlockingIOError:
-                        yield (target.fileno(), WRITE, inf)
+            yield from self._relay_chunks(loop, source, target)
         except OSError:
             self.close(reset=True)
-        except Cancelled:
-            raise
         finally:
-            if all(task.done or task is loop.current for task in self.tasks):
+            if all(task.done or task is loop.current for task in self._tasks):
                 self.close()
 
+    def _relay_chunks(self, loop: Loop, source: socket.socket, target: socket.socket) -> Coroutine:
+        """Pass chunks of bytes one way until the source ends."""
+        is_lossy = False  # after a loss nothing more is passed on, as no message could be read behind the gap
+        while True:
+            yield (source.fileno(), READ, inf)
+            try:
+                data = source.recv(CHUNK_BYTES)
+            except BlockingIOError:
+                continue
+            yield from self._proxy.wait_while_cut()
+            if self._proxy.is_lost():
+                is_lossy = True
+            if is_lossy and data:
+                continue
+            delay_ms = self._proxy.delay_ms()
+            if delay_ms > 0.0:
+                yield from sleep(loop.now() + delay_ms)
+            if not data:
+                target.shutdown(socket.SHUT_WR)
+                return
+            yield from self._send_all(target, data)
+
+    def _send_all(self, target: socket.socket, data: bytes) -> Coroutine:
+        """Send all of some bytes."""
+        unsent = memoryview(data)
+        while unsent:
+            try:
+                unsent = unsent[target.send(unsent) :]
+            except BlockingIOError:
+                yield (target.fileno(), WRITE, inf)
+
     def close(self, reset: bool = False) -> None:
         """Close both sides, by a reset if wished."""
-        self.door.pipes.pop(self, None)
-        for sock in (self.near, self.far, *self.copies):
+        self._proxy.connections.pop(self, None)
+        for sock in (self._client, self._server, *self._copies):
             if reset:
                 with contextlib.suppress(OSError):
-                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-            self.door.stand.loop.close(sock)
-        for task in self.tasks:
+                    reset_on_close(sock)
+            self._proxy.process.loop.close(sock)
+        for task in self._tasks:
             task.cancel()
 
 
-class Passage:
-    """The way from one zone to one executor."""
+class LinkProxy:
+    """Listens for connections from one zone to one server and relays them.
 
-    def __init__(
-        self, stand: Stand, lines: Links, zone: str, executor: str, place: str, to: tuple[str, int]
-    ) -> None:
-        self.stand, self.lines, self.zone, self.executor, self.place, self.to = (
-            stand,
-            lines,
-            zone,
-            executor,
-            place,
-            to,
-        )
-        self.pipes: dict[Pipe, None] = {}
-        self.sock = socket.create_server(("127.0.0.1", 0), backlog=512)
-        self.sock.setblocking(False)
-        self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
-        stand.loop.spawn(self.accept())
+    Attributes:
+        process: the emulator process.
+        link: from which zone to which server it leads.
+        connections: the connections that it relays.
+        address: where it listens, as HOST:PORT.
+    """
 
-    def passes(self) -> bool:
-        """Return whether bytes pass."""
-        return self.lines.is_reachable(self.zone, self.executor, self.place)
+    def __init__(self, process: EmulatorProcess, links: Links, link: Link, target: SocketAddress) -> None:
+        """Listen at a free port for connections to `target`; `links` says how its bytes fare."""
+        self.process, self.link = process, link
+        self._links, self._target = links, target
+        self.connections: dict[RelayedConnection, None] = {}
+        self._listening_socket = listening_socket()
+        self.address = loopback_address(port_of(self._listening_socket))
+        process.loop.spawn(self._accept())
 
-    def delay(self) -> float:
-        """Return how long bytes take, in ms; within a zone the loopback's own time stands for it."""
-        return self.lines.delay(self.zone, self.place) if self.zone != self.place else 0.0
+    @property
+    def crosses_zones(self) -> bool:
+        """Whether the server runs in another zone."""
+        return self.link.zone != self.link.server_zone
 
-    def loses(self) -> bool:
+    def delay_ms(self) -> float:
+        """Return how long bytes take, in ms; within a zone they take as long as loopback does."""
+        return self._links.delay(self.link.zone, self.link.server_zone) if self.crosses_zones else 0.0
+
+    def is_lost(self) -> bool:
         """Return whether what comes now is lost."""
-        return self.lines.is_lost(self.zone, self.place)
+        return self._links.is_lost(self.link.zone, self.link.server_zone)
 
-    def held(self) -> Coroutine:
+    def wait_while_cut(self) -> Coroutine:
         """Wait until bytes pass."""
-        while not self.passes():
-            yield from sleep(self.stand.loop.now() + 20.0)
+        while not self._links.is_reachable(self.link.zone, self.link.server, self.link.server_zone):
+            yield from sleep(self.process.loop.now() + CUT_POLL_MS)
+
+    def reset_connections(self) -> None:
+        """Reset all connections."""
+        for connection in list(self.connections):
+            connection.close(reset=True)
 
-    def accept(self) -> Coroutine:
-        """Accept connections and lead each on."""
+    def _accept(self) -> Coroutine:
+        """Accept connections, and connect each to the server."""
         while True:
-            yield (self.sock.fileno(), READ, inf)
+            yield (self._listening_socket.fileno(), READ, inf)
             try:
-                near, _ = self.sock.accept()
+                client, _ = self._listening_socket.accept()
             except OSError:
                 continue
-            self.stand.loop.spawn(self.lead(near))
+            self.process.loop.spawn(self._connect(client))
 
-    def lead(self, near: socket.socket) -> Coroutine:
-        """Open the other side of a connection; one that is refused there is reset here."""
-        far = socket.socket()
+    def _connect(self, client: socket.socket) -> Coroutine:
+        """Connect a client to the server; where the server refuses, the client's connection is reset."""
+        server = socket.socket()
         try:
-            for sock in (near, far):
+            for sock in (client, server):
                 sock.setblocking(False)
-                sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            yield from self.held()
-            far.connect_ex(self.to)
-            yield (far.fileno(), WRITE, inf)
-            if far.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-                raise OSError
+                disable_nagle(sock)
+            yield from self.wait_while_cut()
+            server.connect_ex(self._target)
+            yield (server.fileno(), WRITE, inf)
+            error_number = server.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            if error_number:
+                reset_on_close(client)
         except (OSError, Cancelled):
-            for sock in (near, far):
-                self.stand.loop.close(sock)
+            self._close(client, server)
+            return
+        if error_number:
+            self._close(client, server)
+            return
+        connection = RelayedConnection(self, client, server)
+        self.connections[connection] = None
+        connection.open(self.process.loop)
+
+    def _close(self, *sockets: socket.socket) -> None:
+        """Close sockets that are not relayed."""
+        for sock in sockets:
+            self.process.loop.close(sock)
+
+
+class EmulatedNetwork:
+    """The proxies of a day between all zones and servers, and the faults of its links."""
+
+    def __init__(self, process: EmulatorProcess, day: Day, seed: int, addresses: Mapping[str, str]) -> None:
+        """Make the proxies of a day; `addresses` holds where each server listens."""
+        self._process = process
+        self._records = process.streams.of(SYSTEM)
+        self._links = Links(day.network, stream(seed, "network"))
+        self._proxies = [
+            LinkProxy(process, self._links, Link(zone, name, server_zone), socket_address(addresses[name]))
+            for zone in day.fleet.zones
+            for name, _, _, server_zone, _ in placed_servers(day)
+        ]
+        apply_by_name = {"slow_link": self._set_slow, "zone_cut": self._set_cut}
+        for fault in faults.schedule(day, seed):
+            apply = apply_by_name.get(fault.trouble.what)
+            if apply is not None:
+                process.call_at(fault.at, partial(apply, fault, begins=True))
+                process.call_at(fault.until, partial(apply, fault, begins=False))
+
+    def addresses_by_zone(self) -> dict[str, dict[str, str]]:
+        """Return where each server is dialled from each zone."""
+        addresses: dict[str, dict[str, str]] = {}
+        for proxy in self._proxies:
+            addresses.setdefault(proxy.link.zone, {})[proxy.link.server] = proxy.address
+        return addresses
+
+    def _set_cut(self, fault: ScheduledFault, *, begins: bool) -> None:
+        """Cut a zone from the others, or mend it; a mend resets the connections over the cut."""
+        zone = fault.targets[0]
+        self._links.set_blocked(self._links.cut_zones, zone, begins)
+        self._records.add(
+            records.LinkChanged(t=self._process.now(), by=SYSTEM, a=zone, b="*", mended=not begins)
+        )
+        if begins:
             return
-        pipe = Pipe(self, near, far)
-        self.pipes[pipe] = None
-        pipe.open(self.stand.loop)
+        for proxy in self._proxies:
+            if (proxy.link.zone == zone) != (proxy.link.server_zone == zone):
+                proxy.reset_connections()
 
-    def mend(self) -> None:
-        """Reset what was open over a cut."""
-        for pipe in list(self.pipes):
-            pipe.close(reset=True)
+    def _set_slow(self, fault: ScheduledFault, *, begins: bool) -> None:
+        """Make a zone's links slow and lossy, or as they were before."""
+        self._links.set_zone_slow(fault.targets[0], fault.trouble.size, fault.trouble.part, begins)
 
 
 def serve(day: Day, seed: int, addresses: Mapping[str, str], folder: Path | None, now: bool) -> None:
-    """Run a day's network until the end."""
-    stand = Stand("network", folder)
-    writer = stand.streams.of("network")
-    lines = Links(day.network, stream(seed, "network"))
-    passages: dict[tuple[str, str], Passage] = {}
-    for zone in day.fleet.zones:
-        for name, _, _, place, _ in placed_servers(day):
-            host, _, port = addresses[name].rpartition(":")
-            passages[zone, name] = Passage(stand, lines, zone, name, place, (host, int(port)))
-
-    def cut(met: faults.ScheduledFault, on: bool) -> None:
-        lines.set_blocked(lines.cut_zones, met.targets[0], on)
-        writer.add(records.LinkChanged(t=stand.now(), by="network", a=met.targets[0], b="*", mended=not on))
-        if not on:
-            for passage in passages.values():
-                if (passage.zone == met.targets[0]) != (passage.place == met.targets[0]):
-                    passage.mend()
-
-    def slow(met: faults.ScheduledFault, on: bool) -> None:
-        lines.set_zone_slow(met.targets[0], met.trouble.size, met.trouble.part, on)
-
-    for met in faults.schedule(day, seed):
-        if met.trouble.what == "slow_link":
-            stand.at(met.at, lambda met=met: slow(met, True))
-            stand.at(met.until, lambda met=met: slow(met, False))
-        if met.trouble.what == "zone_cut":
-            stand.at(met.at, lambda met=met: cut(met, True))
-            stand.at(met.until, lambda met=met: cut(met, False))
-    dials: dict[str, dict[str, str]] = {}
-    for (zone, name), passage in passages.items():
-        dials.setdefault(zone, {})[name] = passage.address
-    stand.run({"dials": dials}, now)
+    """Run the network of a day until the end; the ready line holds the addresses to dial, by zone."""
+    process = EmulatorProcess(SYSTEM, folder)
+    network = EmulatedNetwork(process, day, seed, addresses)
+    process.run({"dials": network.addresses_by_zone()}, now)
--- a/marlseam/emulators/older.py
+++ b/marlseam/emulators/older.py
@@ -1,4 +1,4 @@
-"""A node as an older program runs: it knows no content of the present format.
+"""A node of an older program: it cannot read a configuration version in the present format.
 
 python -m marlseam.emulators.older serve ...
 """
