--- a/marlseam/cli/common.py
+++ b/marlseam/cli/common.py
@@ -6,13 +6,15 @@
 from marlseam.experiment import file
 from marlseam.simulation.model import Day, read_day
 
+CLEAR_LINE = "\r\x1b[K"
 
-def day(path: Path) -> Day:
-    """Read a day out of an experiment file, or out of the JSON that a driver writes."""
+
+def load_day(path: Path) -> Day:
+    """Return the day in an experiment file, or in the JSON that a driver writes."""
     return read_day(path.read_bytes()) if path.suffix == ".json" else file.load(path).day
 
 
-def progress(text: str, end: bool = False) -> None:
-    """Show a line of progress on a terminal; say nothing in a pipe."""
+def show_progress(text: str, end: bool = False) -> None:
+    """Show a line of progress in the place of the last one; show nothing where no terminal is."""
     if sys.stderr.isatty():
-        print(f"\r\x1b[K{text}", end="\n" if end else "", file=sys.stderr, flush=True)
+        print(f"{CLEAR_LINE}{text}", end="\n" if end else "", file=sys.stderr, flush=True)
--- a/marlseam/cli/load.py
+++ b/marlseam/cli/load.py
@@ -51,7 +51,7 @@
     from marlseam.simulation.chance import stream
 
     _check_addresses(nodes)
-    played_day = common.day(day)
+    played_day = common.load_day(day)
     zones = played_day.fleet.zones
     places = {f"n{i}": NodePlace(zones[i % len(zones)], address) for i, address in enumerate(nodes)}
     arrivals = _arrivals(played_day, seed, places)
@@ -62,10 +62,10 @@
 
     def show_progress(now_ms: float, tally: Tally) -> None:
         sent, out = tally.sent, generator.open_tries
-        common.progress(f"{now_ms / 1000.0:.0f} s of {played_day.seconds:g}: {sent} sent, {out} out")
+        common.show_progress(f"{now_ms / 1000.0:.0f} s of {played_day.seconds:g}: {sent} sent, {out} out")
 
     tally = generator.run(time.monotonic() + process.START_DELAY_S, show_progress)
-    common.progress("", end=True)
+    common.show_progress("", end=True)
     counted = merge([process.summary(tally)], len(arrivals))
     click.echo(table(counted))
     if not counted.is_valid:
@@ -115,11 +115,11 @@
 
     try:
         seed = json.loads((run / "summary.json").read_text())["seed"]
-        held = common.day(run / "day.json")
+        played_day = common.load_day(run / "day.json")
     except (OSError, KeyError, ValueError) as error:
         raise click.UsageError(f"{run}: no run of an experiment ({error})") from None
-    found, wrong = records.read_folder(run / "records")
-    if wrong:
-        raise click.UsageError("\n".join(wrong))
+    found, problems = records.read_folder(run / "records")
+    if problems:
+        raise click.UsageError("\n".join(problems))
     with to.open("wb") as file:
-        file.writelines(trace_lines(found, arrivals_of(held, seed), retries))
+        file.writelines(trace_lines(found, arrivals_of(played_day, seed), retries))
--- a/marlseam/cli/standin.py
+++ b/marlseam/cli/standin.py
@@ -52,7 +52,7 @@
     """Run a day's executors; the ready line holds their addresses."""
     from marlseam.emulators.servers import serve
 
-    serve(common.day(day), seed, records, now, nodelay, part)
+    serve(common.load_day(day), seed, records, now, nodelay, part)
 
 
 @group.command()
@@ -68,7 +68,7 @@
     """Run a day's roster; the ready line holds an address for each node."""
     from marlseam.emulators.discovery import serve
 
-    serve(common.day(day), seed, json.loads(dials.read_text()), records, now)
+    serve(common.load_day(day), seed, json.loads(dials.read_text()), records, now)
 
 
 @group.command()
@@ -84,7 +84,7 @@
     """Run the network between zones and executors; the ready line holds the addresses to dial, by zone."""
     from marlseam.emulators.network import serve
 
-    serve(common.day(day), seed, json.loads(addresses.read_text()), records, now)
+    serve(common.load_day(day), seed, json.loads(addresses.read_text()), records, now)
 
 
 @group.command()
@@ -109,7 +109,7 @@
     """
     from marlseam.load.process import serve
 
-    serve(common.day(day), seed, json.loads(nodes.read_text()), records, now, part, connections)
+    serve(common.load_day(day), seed, json.loads(nodes.read_text()), records, now, part, connections)
 
 
 @group.command()
--- /dev/null
+++ b/marlseam/experiment/generator_plays.py
@@ -0,0 +1,230 @@
+"""Plays of load generators alone, against echo nodes: `pause` and `generator`."""
+
+import json
+import time
+from dataclasses import dataclass
+from pathlib import Path
+from typing import NamedTuple
+
+import msgspec
+import numpy as np
+
+from marlseam.experiment import file
+from marlseam.experiment.file import Experiment
+from marlseam.experiment.plays import RunResult, ShowProgress, register_play
+from marlseam.experiment.processes import ChildProcess
+from marlseam.experiment.sockets import LEAD_S
+from marlseam.load.process import arrivals_of
+from marlseam.load.tally import HistogramName, TallySummary
+from marlseam.load.verdict import Counted, merge
+from marlseam.simulation.model import Count, Day, Positive, Strict
+
+GENERATOR_START_S = 60.0  # within which a generator has planned its day and says that it is ready
+FINISH_S = 60.0  # after the end of the day, within which a generator says what it counted
+LAG_PERCENTILES = (50.0, 99.0, 100.0)  # shown in the table
+
+
+class Stall(NamedTuple):
+    """A time for which an echo node stands still, in seconds of the run."""
+
+    at_s: float
+    for_s: float
+
+
+@dataclass(frozen=True)
+class EchoRun:
+    """A day that generators send to echo nodes.
+
+    Attributes:
+        day: what is sent.
+        seed: the seed of all draws.
+        out: the folder of its files.
+        generators: the number of generator processes, among which the day is shared out.
+        nodes: the number of echo nodes.
+        connections: how many connections a generator has at most, 0 for as many as it needs.
+        stalls: when the nodes stand still.
+    """
+
+    day: Day
+    seed: int
+    out: Path
+    generators: int = 1
+    nodes: int = 1
+    connections: int = 0
+    stalls: tuple[Stall, ...] = ()
+
+    def run(self) -> Counted:
+        """Send the day; return what the generators counted."""
+        for name in ("records", "logs"):
+            (self.out / name).mkdir(parents=True, exist_ok=True)
+        self._day_path.write_bytes(msgspec.json.encode(self.day))
+        echoes = [self._start_echo() for _ in range(self.nodes)]
+        started = list(echoes)
+        try:
+            self._write_addresses(echoes)
+            generators = [self._start_generator(number + 1) for number in range(self.generators)]
+            started += generators
+            counts = self._send(echoes, generators)
+        finally:
+            for process in reversed(started):
+                process.end()
+        return merge(counts, len(arrivals_of(self.day, self.seed)))
+
+    @property
+    def _day_path(self) -> Path:
+        """The file that holds the day."""
+        return self.out / "day.json"
+
+    @property
+    def _addresses_path(self) -> Path:
+        """The file that holds zone and address of each node."""
+        return self.out / "nodes.json"
+
+    def _start_echo(self) -> ChildProcess:
+        """Start an echo node."""
+        arguments = ["standin", "echo"]
+        for stall in self.stalls:
+            arguments += ["--stall", str(stall.at_s), str(stall.for_s)]
+        return ChildProcess(arguments, self.out / "logs" / "echo.log")
+
+    def _write_addresses(self, echoes: list[ChildProcess]) -> None:
+        """Write where the nodes listen, once they say so."""
+        zone = self.day.fleet.zones[0]
+        addresses = {f"n{number}": (zone, echo.line()["node"]) for number, echo in enumerate(echoes)}
+        self._addresses_path.write_text(json.dumps(addresses))
+
+    def _start_generator(self, number: int) -> ChildProcess:
+        """Start the generator of one part of the day; parts count from 1."""
+        arguments = ["standin", "load", str(self._day_path), "--seed", str(self.seed)]
+        arguments += ["--nodes", str(self._addresses_path)]
+        arguments += ["--part", f"{number}/{self.generators}", "--connections", str(self.connections)]
+        arguments += ["--records", str(self.out / "records")]
+        return ChildProcess(arguments, self.out / "logs" / "load.log")
+
+    def _send(self, echoes: list[ChildProcess], generators: list[ChildProcess]) -> list[TallySummary]:
+        """Begin the run in all processes at once; return what each generator counted."""
+        for generator in generators:
+            generator.line(GENERATOR_START_S)
+        zero_s = time.monotonic() + LEAD_S
+        for process in (*echoes, *generators):
+            process.begin(zero_s)
+        limit_s = self.day.seconds + FINISH_S
+        return [msgspec.convert(generator.line(limit_s), TallySummary) for generator in generators]
+
+
+class Pause(Strict, frozen=True):
+    """A stall of the node while requests are sent evenly; the fields are keys of experiment files.
+
+    Attributes:
+        at_s: when it begins, in seconds.
+        for_s: how long it lasts, in seconds.
+        over_ms: the latency in ms whose share is counted.
+        connections: how many connections the generator has at most.
+    """
+
+    at_s: Positive
+    for_s: Positive
+    over_ms: Positive = 1000.0
+    connections: Count = 16
+
+    def expected_share(self, day: Day, seed: int) -> float:
+        """Return the share of requests whose latency has to be over the limit, by their intended sends."""
+        begin_ms, end_ms = 1000.0 * self.at_s, 1000.0 * (self.at_s + self.for_s)
+        sends_ms = np.array([arrival.at for arrival in arrivals_of(day, seed)])
+        is_over = (sends_ms >= begin_ms) & (sends_ms < end_ms - self.over_ms)
+        return float(is_over.mean())
+
+
+@register_play("pause")
+def pause(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
+    """Stall an echo node, and count which share of latencies shows it.
+
+    Latencies from the intended sends show the whole stall, those from the actual sends next to nothing.
+    """
+    table: Pause = experiment.tables["pause"]
+    seed, day = experiment.head.seed, experiment.day
+    show_progress(f"{day.seconds:g} s of sends")
+    stalls = (Stall(table.at_s, table.for_s),)
+    counted = EchoRun(day, seed, out, connections=table.connections, stalls=stalls).run()
+    expected = table.expected_share(day, seed)
+    share_over = counted.share_over("intended", table.over_ms)
+    figures = {
+        "latency_max": counted.intended[100.0],
+        "latency_p99": counted.intended[99.0],
+        "share_over": share_over,
+        "share_expected": expected,
+        "share_off": abs(share_over / expected - 1.0),
+        "share_over_actual": counted.share_over("actual", table.over_ms),
+        "latency_p99_actual": counted.actual[99.0],
+        "generator_valid": float(counted.is_valid),
+        "lag_p99": counted.lag[99.0],
+        "sent": float(counted.sent),
+    }
+    rows = pause_rows(table, counted, expected)
+    return RunResult(figures, tables=[("A stall of the node, ms", rows)], driver="sockets, stand-in node")
+
+
+def pause_rows(table: Pause, counted: Counted, expected: float) -> list[list[str]]:
+    """Return the latencies from both sends as a table, with what arithmetic says."""
+    names: tuple[HistogramName, ...] = ("intended", "actual")
+    rows = [["counted from", "p50", "p99", "most", f"share over {table.over_ms:g} ms"]]
+    for name in names:
+        latencies_ms = counted.intended if name == "intended" else counted.actual
+        shown = [f"{latencies_ms[percent]:.1f}" for percent in (50.0, 99.0, 100.0)]
+        rows.append([f"the {name} send", *shown, f"{counted.share_over(name, table.over_ms):.2%}"])
+    rows.append(["arithmetic", "", "", f"{1000.0 * table.for_s:.0f}", f"{expected:.2%}"])
+    return rows
+
+
+class Rates(Strict, frozen=True):
+    """Rates that generators try; the fields are keys of experiment files.
+
+    Attributes:
+        rates: requests a second and process, tried in turn until one is not sustained.
+        processes: the numbers of processes that are tried.
+        seconds: how long each is tried.
+        lag_ms: the limit of the 99th percentile of the generators' own lag, in ms.
+        connections: how many connections a generator has at most.
+    """
+
+    rates: list[Positive]
+    processes: list[Count] = []
+    seconds: Positive = 5.0
+    lag_ms: Positive = 1.0
+    connections: Count = 32
+
+
+@register_play("generator")
+def generator(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
+    """Find the greatest rate that one generator process sustains, and that several do."""
+    table: Rates = experiment.tables["generator"]
+    rows = [["processes", "rate a second", "lag p50, ms", "lag p99, ms", "lag most, ms", "sustained"]]
+    figures: dict[str, float] = {}
+    for processes in table.processes or [1]:
+        sustained_rate = 0.0
+        for rate_of_one in table.rates:
+            rate = rate_of_one * processes
+            show_progress(f"{processes} processes at {rate:g} a second")
+            counted = send_at_rate(experiment, table, rate, processes, out)
+            is_sustained = counted.lag[99.0] < table.lag_ms and counted.is_valid
+            lags = [f"{counted.lag[percent]:.3f}" for percent in LAG_PERCENTILES]
+            rows.append([str(processes), f"{rate:g}", *lags, "yes" if is_sustained else "no"])
+            if not is_sustained:
+                break
+            sustained_rate = rate
+        figures[f"rate_{processes}"] = sustained_rate
+    return RunResult(figures, tables=[("What generators sustain", rows)], driver="sockets, stand-in nodes")
+
+
+def send_at_rate(experiment: Experiment, table: Rates, rate: float, processes: int, out: Path) -> Counted:
+    """Send requests at a rate from some processes to as many nodes; return what they counted."""
+    load = msgspec.structs.replace(experiment.day.load, rate=rate)
+    day = msgspec.structs.replace(experiment.day, seconds=table.seconds, load=load)
+    seed = experiment.head.seed
+    return EchoRun(day, seed, out, processes, processes, table.connections).run()
+
+
+def register() -> None:
+    """Make the tables of these plays known to experiment files."""
+    file.register("pause", Pause)
+    file.register("generator", Rates)
--- /dev/null
+++ b/marlseam/experiment/policy_comparison.py
@@ -0,0 +1,153 @@
+"""The play `policies`: marlseam and baselines in virtual time, over the same days and seeds."""
+
+from collections.abc import Mapping
+from concurrent.futures import ProcessPoolExecutor
+from pathlib import Path
+from typing import Annotated
+
+import numpy as np
+from msgspec import Meta
+
+from marlseam.experiment import compare, file
+from marlseam.experiment.file import Experiment, FileError, nearest
+from marlseam.experiment.plays import RunResult, ShowProgress, margin_figure, register_play
+from marlseam.experiment.policies import POLICIES
+from marlseam.experiment.scale import records_in_memory
+from marlseam.experiment.virtual import VirtualDriver
+from marlseam.records import RecordStreams
+from marlseam.simulation.model import Count, Day, Strict
+from marlseam.verification.rules import judge
+from marlseam.verification.service import figures
+
+PROCESSES = 8  # runs side by side
+SHOWN_FIGURES = ("service", "worst_10s", "worst_type", "probes_per_try", "crossings", "waste")
+MARGIN_PREFIX = margin_figure("")
+SeedFigures = list[dict[str, float]]  # the figures of a policy's runs, a seed each
+
+
+class Policies(Strict, frozen=True):
+    """Which policies are compared; the fields are keys of experiment files.
+
+    Attributes:
+        seeds: how many seeds each policy plays.
+        names: the names of the policies, the first of which the others are compared to; all where empty.
+    """
+
+    seeds: Count = 10
+    names: list[Annotated[str, Meta(min_length=1)]] = []
+
+
+def one_run(day: Day, seed: int, name: str) -> dict[str, float]:
+    """Play one day by one policy; return its figures."""
+    streams = RecordStreams(None, "driver")
+    VirtualDriver(day, seed, streams, POLICIES[name]).run()
+    verdict, book = judge(list(records_in_memory(streams)))
+    outcome = {"rules_broken": float(verdict.violation_count), "judged": float(verdict.is_judged)}
+    margins = {margin_figure(rule.name): rule.margin for rule in verdict.rules}
+    return figures(book) | outcome | margins
+
+
+@register_play("policies")
+def policies(experiment: Experiment, _out: Path, show_progress: ShowProgress) -> RunResult:
+    """Play each policy over the same seeds; differences are paired by seed."""
+    table: Policies = experiment.tables["policies"]
+    names = table.names or list(POLICIES)
+    check_names(names)
+    first_seed = experiment.head.seed
+    seeds = range(first_seed, first_seed + table.seeds)
+    runs = run_all(experiment.day, seeds, names, show_progress)
+    own = runs[names[0]]
+    head = ["policy", *SHOWN_FIGURES, "latency p99", "broken", "service less marlseam's (95%)"]
+    rows = [head]
+    found: dict[str, float] = {}
+    for name in names:
+        difference = service_difference(runs[name], own, first_seed)
+        found |= policy_figures(name, runs[name], difference)
+        rows.append(policy_row(name, runs[name], None if name == names[0] else difference))
+    found |= own_figures(own)
+    tables = [
+        (f"Policies over {len(seeds)} seeds, virtual time", rows),
+        ("Margins", margin_rows(found, own)),
+    ]
+    return RunResult(found, tables=tables, driver="virtual")
+
+
+def check_names(names: list[str]) -> None:
+    """Raise FileError for a policy that does not exist."""
+    for name in names:
+        if name not in POLICIES:
+            raise FileError(f"policies.names: no policy {name!r}{nearest(name, list(POLICIES))}")
+
+
+def run_all(day: Day, seeds: range, names: list[str], show_progress: ShowProgress) -> dict[str, SeedFigures]:
+    """Play all policies over all seeds, side by side; return the figures by policy."""
+    with ProcessPoolExecutor(PROCESSES) as pool:
+        futures = {name: [pool.submit(one_run, day, seed, name) for seed in seeds] for name in names}
+        runs: dict[str, SeedFigures] = {}
+        for name in names:
+            show_progress(name)
+            runs[name] = [future.result() for future in futures[name]]
+    return runs
+
+
+def service_difference(runs: SeedFigures, own: SeedFigures, seed: int) -> compare.Interval:
+    """Return a policy's service less that of the first policy, paired by seed."""
+    services = np.array([run["service"] for run in runs])
+    own_services = np.array([run["service"] for run in own])
+    return compare.interval(services - own_services, seed)
+
+
+def mean_figures(runs: SeedFigures) -> dict[str, float]:
+    """Return the mean of each figure over the seeds."""
+    return {name: float(np.mean([run[name] for run in runs])) for name in runs[0]}
+
+
+def policy_figures(name: str, runs: SeedFigures, difference: compare.Interval) -> dict[str, float]:
+    """Return the figures of one policy that an experiment may bound."""
+    short_name = name.split(" (")[0].replace(" ", "_")
+    return {
+        f"{short_name}_service": mean_figures(runs)["service"],
+        f"{short_name}_apart": difference.mean,
+        f"{short_name}_high": difference.high,
+        f"{short_name}_rules_broken": sum(run["rules_broken"] for run in runs),
+    }
+
+
+def policy_row(name: str, runs: SeedFigures, difference: compare.Interval | None) -> list[str]:
+    """Return one policy as a row of the table; the policy that others are compared to has no difference."""
+    mean = mean_figures(runs)
+    shown = ""
+    if difference is not None:
+        shown = f"{difference.mean:+.3f} [{difference.low:+.3f}, {difference.high:+.3f}]"
+    violating = sum(run["rules_broken"] > 0 for run in runs)
+    return [
+        name,
+        *(f"{mean[figure]:.3f}" for figure in SHOWN_FIGURES),
+        f"{mean['latency_p99']:.0f}",
+        f"{violating} of {len(runs)}",
+        shown,
+    ]
+
+
+def own_figures(own: SeedFigures) -> dict[str, float]:
+    """Return the first policy's figures: means over the seeds, of margins the greatest, all violations."""
+    found = mean_figures(own)
+    found |= {name: max(run[name] for run in own) for name in own[0] if name.startswith(MARGIN_PREFIX)}
+    found["rules_broken"] = sum(run["rules_broken"] for run in own)
+    found["judged"] = min(run["judged"] for run in own)
+    return found
+
+
+def margin_rows(found: Mapping[str, float], own: SeedFigures) -> list[list[str]]:
+    """Return the greatest margin of each rule as a table."""
+    rows = [["rule", "nearest that marlseam came, over all seeds"]]
+    for name in own[0]:
+        if name.startswith(MARGIN_PREFIX):
+            rule_name = name.removeprefix(MARGIN_PREFIX).replace("_", " ")
+            rows.append([rule_name, f"{found[name]:.3f}"])
+    return rows
+
+
+def register() -> None:
+    """Make the table of this play known to experiment files."""
+    file.register("policies", Policies)
--- /dev/null
+++ b/marlseam/experiment/runner.py
@@ -0,0 +1,174 @@
+"""Carries out an experiment: runs its play, checks what the file expects, and writes the run's folder."""
+
+import platform
+import time
+from importlib import metadata
+from pathlib import Path
+from typing import NamedTuple
+
+import msgspec
+
+from marlseam import __version__
+from marlseam.experiment import report
+from marlseam.experiment.file import Experiment, FileError, Head, nearest
+from marlseam.experiment.plays import PLAYS, RunResult, ShowProgress
+from marlseam.experiment.summary import ExpectationOutcome, RuleOutcome, RunSummary, ViolationExample
+from marlseam.verification.book import RunRecords
+from marlseam.verification.service import request_outcomes
+from marlseam.verification.verdict import Rule, Verdict
+
+DRIVERS = ("virtual", "sockets")
+MAX_EXAMPLES = 5  # violations shown of each rule
+LIBRARIES = ("numpy", "msgspec", "hdrhistogram", "httptools", "h11")  # whose versions a summary holds
+
+
+class RequestRow(NamedTuple):
+    """A request as `units.json` holds it, for comparisons of runs.
+
+    Attributes:
+        first_try: the id of its first try, which is the same in runs of one day and seed.
+        weight: its weight.
+        earned_weight: its weight if it was answered within its objective, else 0.
+        turnaround_ms: from the intended send to the answer, None without one.
+    """
+
+    first_try: str
+    weight: float
+    earned_weight: float
+    turnaround_ms: float | None
+
+
+def run(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunSummary:
+    """Carry out an experiment and write `summary.json`, `units.json` and `report.html` into its folder.
+
+    The exit code in the summary is 1 where a rule is violated, the records have gaps, or an expectation does
+    not hold. Raises FileError where the file names a play, a driver or a figure that does not exist.
+    """
+    head = experiment.head
+    check_names(head)
+    out.mkdir(parents=True, exist_ok=True)
+    started_s = time.perf_counter()
+    result = PLAYS[head.play](experiment, out, show_progress)
+    duration_s = time.perf_counter() - started_s
+    check_figures(head, result)
+    summary = summarize(head, result, duration_s)
+    write_folder(out, summary, result)
+    return summary
+
+
+def check_names(head: Head) -> None:
+    """Raise FileError where a file names a play or a driver that does not exist."""
+    if head.play not in PLAYS:
+        raise FileError(f"play: {head.play!r} is none{nearest(head.play, list(PLAYS))}")
+    if head.driver not in DRIVERS:
+        raise FileError(f"driver: {head.driver!r} is none{nearest(head.driver, list(DRIVERS))}")
+
+
+def check_figures(head: Head, result: RunResult) -> None:
+    """Raise FileError where a file bounds figures that its play does not return."""
+    known = list(result.figures)
+    wrong = [
+        f"expect.{name}: no such figure{nearest(name, known)}" for name in head.expect if name not in known
+    ]
+    if wrong:
+        raise FileError(*wrong)
+
+
+def summarize(head: Head, result: RunResult, duration_s: float) -> RunSummary:
+    """Return the summary of a run."""
+    expectations = expectation_outcomes(head, result.figures)
+    missed = missed_rules(result.verdict) if result.verdict is not None else []
+    for expectation in expectations:
+        if not expectation.holds:
+            missed.append(f"{expectation.figure}: expected {expectation.bound}, seen {expectation.value:.4g}")
+    has_violations = result.figures.get("rules_broken", 0.0) > 0.0 and "rules_broken" not in head.expect
+    return RunSummary(
+        name=head.name,
+        about=head.about,
+        play=head.play,
+        driver=result.driver or head.driver,
+        seed=head.seed,
+        duration_s=round(duration_s, 2),
+        exit_code=int(bool(missed) or has_violations),
+        missed=missed,
+        expectations=expectations,
+        figures=result.figures,
+        rules=rule_outcomes(result),
+        tables=result.tables,
+        slopes=result.slopes,
+        versions=versions(),
+    )
+
+
+def expectation_outcomes(head: Head, figures: dict[str, float]) -> list[ExpectationOutcome]:
+    """Return for each figure that the file bounds whether it holds."""
+    return [
+        ExpectationOutcome(name, str(bound), figures[name], bound.holds(figures[name]))
+        for name, bound in head.expect.items()
+    ]
+
+
+def missed_rules(verdict: Verdict) -> list[str]:
+    """Return a line for each gap in the records, and for the first violations of each rule."""
+    missed = [f"not judged: {gap}" for gap in verdict.gaps]
+    for rule in verdict.rules:
+        for subject, text in rule.violations[:MAX_EXAMPLES]:
+            missed.append(f"rule '{rule.name}' broken by {subject}: {text}")
+    return missed
+
+
+def rule_outcomes(result: RunResult) -> list[RuleOutcome]:
+    """Return what the check of each rule found, with the timeline of the first violations."""
+    if result.verdict is None:
+        return []
+    return [
+        RuleOutcome(
+            name=rule.name,
+            violation_count=len(rule.violations),
+            margin=rule.margin,
+            means=rule.means,
+            examples=violation_examples(rule, result.book),
+        )
+        for rule in result.verdict.rules
+    ]
+
+
+def violation_examples(rule: Rule, book: RunRecords | None) -> list[ViolationExample]:
+    """Return the first violations of a rule, each with its request's timeline."""
+    examples: list[ViolationExample] = []
+    for subject, text in rule.violations[:MAX_EXAMPLES]:
+        timeline = book.timeline(first_try_of(book, subject)) if book is not None else []
+        examples.append(ViolationExample(subject, text, timeline))
+    return examples
+
+
+def first_try_of(book: RunRecords, subject: str) -> str:
+    """Return the id of the first try of a request; for what is no try, the subject itself."""
+    return book.tries[subject].first if subject in book.tries else subject
+
+
+def request_rows(book: RunRecords) -> list[RequestRow]:
+    """Return the requests of a run for comparisons."""
+    return [
+        RequestRow(
+            first_try=outcome.first.first,
+            weight=outcome.first.credit,
+            earned_weight=outcome.credit_in_time,
+            turnaround_ms=outcome.turnaround_ms,
+        )
+        for outcome in request_outcomes(book)
+    ]
+
+
+def write_folder(out: Path, summary: RunSummary, result: RunResult) -> None:
+    """Write a run's summary, requests and report."""
+    (out / "summary.json").write_bytes(msgspec.json.format(msgspec.json.encode(summary), indent=1))
+    if result.book is not None:
+        (out / "units.json").write_bytes(msgspec.json.encode(request_rows(result.book)))
+    (out / "report.html").write_text(report.page(summary, result.book), encoding="utf-8")
+
+
+def versions() -> dict[str, str]:
+    """Return the versions of what the figures were made with."""
+    found = {"marlseam": __version__, "python": platform.python_version()}
+    return found | {name: metadata.version(name) for name in LIBRARIES}
--- /dev/null
+++ b/marlseam/experiment/scale.py
@@ -0,0 +1,146 @@
+"""The play `scale`: a day at growing sizes in virtual time, with its rules and its cost."""
+
+import time
+from collections.abc import Iterator
+from dataclasses import dataclass
+from pathlib import Path
+
+import msgspec
+
+from marlseam.experiment import file, plays
+from marlseam.experiment.file import Experiment, FileError
+from marlseam.experiment.plays import JudgedResult, RunResult, ShowProgress, register_play
+from marlseam.experiment.virtual import VirtualDriver
+from marlseam.records import Record, RecordStreams
+from marlseam.simulation.model import Count, Day, Strict
+
+HEAD = [
+    "times",
+    "nodes",
+    "executors",
+    "work units",
+    "service",
+    "broken",
+    "events",
+    "wall, s",
+    "events a s",
+    "us a unit",
+]
+
+
+class Scale(Strict, frozen=True):
+    """Sizes at which a day is played; the field is a key of experiment files.
+
+    Attributes:
+        times: by what nodes, servers and load of the day are multiplied, in turn.
+    """
+
+    times: tuple[Count, ...] = (1,)
+
+
+def multiplied(day: Day, factor: int) -> Day:
+    """Return a day with `factor` times its nodes, servers, load and calls of discovery."""
+    kinds = [msgspec.structs.replace(kind, executors=kind.executors * factor) for kind in day.fleet.kinds]
+    fleet = msgspec.structs.replace(day.fleet, kinds=kinds, nodes=day.fleet.nodes * factor)
+    discovery = msgspec.structs.replace(day.roster, calls_per_s=day.roster.calls_per_s * factor)
+    load = msgspec.structs.replace(day.load, rate=day.load.rate * factor)
+    return msgspec.structs.replace(day, fleet=fleet, load=load, roster=discovery)
+
+
+@dataclass(frozen=True)
+class SizeRun:
+    """A day that was played at one size.
+
+    Attributes:
+        factor: by what its size was multiplied.
+        day: the day.
+        result: its figures, verdict and records.
+        server_count: how many servers it had.
+        events: how many events the driver carried out.
+        wall_s: how long that took, in seconds.
+    """
+
+    factor: int
+    day: Day
+    result: JudgedResult
+    server_count: int
+    events: int
+    wall_s: float
+
+    @property
+    def us_per_request(self) -> float:
+        """The time that a request took, in microseconds."""
+        return 1e6 * self.wall_s / self.result.figures["work_units"]
+
+    def figures(self) -> dict[str, float]:
+        """Return the figures of this size."""
+        return {
+            f"wall_s_{self.factor}": self.wall_s,
+            f"speed_{self.factor}": self.day.seconds / self.wall_s,
+            f"events_per_s_{self.factor}": self.events / self.wall_s,
+            f"us_per_unit_{self.factor}": self.us_per_request,
+            f"service_{self.factor}": self.result.figures["service"],
+            f"rules_broken_{self.factor}": self.result.figures["rules_broken"],
+        }
+
+    def row(self) -> list[str]:
+        """Return the run as a row of the table."""
+        return [
+            str(self.factor),
+            str(self.day.fleet.nodes),
+            str(self.server_count),
+            f"{self.result.figures['work_units']:.0f}",
+            f"{self.result.figures['service']:.4f}",
+            f"{self.result.figures['rules_broken']:.0f}",
+            str(self.events),
+            f"{self.wall_s:.1f}",
+            f"{self.events / self.wall_s:.0f}",
+            f"{self.us_per_request:.0f}",
+        ]
+
+
+@register_play("scale")
+def scale(experiment: Experiment, _out: Path, show_progress: ShowProgress) -> RunResult:
+    """Play the day at growing sizes in virtual time: rules, wall time, events a second, cost a request."""
+    table: Scale = experiment.tables["scale"]
+    runs: list[SizeRun] = []
+    for factor in table.times:
+        show_progress(f"{factor} times the fleet")
+        runs.append(run_at_size(experiment, factor))
+    if not runs:
+        raise FileError("scale.times: empty, expected a number at least")
+    figures = dict(runs[0].result.figures)
+    for run in runs:
+        figures |= run.figures()
+    figures["rules_broken"] = sum(run.result.figures["rules_broken"] for run in runs)
+    rows = [HEAD, *(run.row() for run in runs)]
+    return RunResult(
+        figures,
+        verdict=runs[0].result.verdict,
+        book=runs[0].result.book,
+        tables=[("Growing fleets, virtual time", rows)],
+        driver="virtual",
+    )
+
+
+def run_at_size(experiment: Experiment, factor: int) -> SizeRun:
+    """Play the day at one size."""
+    day = multiplied(experiment.day, factor)
+    streams = RecordStreams(None, "driver")
+    started_s = time.perf_counter()
+    driver = VirtualDriver(day, experiment.head.seed, streams)
+    driver.run()
+    wall_s = time.perf_counter() - started_s
+    result = plays.judge_records(records_in_memory(streams), [], "virtual")
+    return SizeRun(factor, day, result, len(driver.hosts), driver.events, wall_s)
+
+
+def records_in_memory(streams: RecordStreams) -> Iterator[Record]:
+    """Yield the records of streams that have no folder."""
+    for writer in streams.writers.values():
+        yield from writer.kept
+
+
+def register() -> None:
+    """Make the table of this play known to experiment files."""
+    file.register("scale", Scale)
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -8,7 +8,7 @@
 from worlds import KINDS, TYPES, day, played
 
 from marlseam.__main__ import main
-from marlseam.experiment import compare, file, measures, plays
+from marlseam.experiment import compare, file, plays, policy_comparison, registered_plays
 from marlseam.experiment.policies import POLICIES
 
 DAY = {
@@ -135,14 +135,14 @@
     _, two = run('[[day.troubles]]\nwhat = "slow"\nat_s = 0\nfor_s = 4\nshare = 1.0\nsize = 30')
     same, paired = compare.differences(one, one)
     assert paired
-    assert all(d.noise for d in same)
+    assert all(difference.is_noise for difference in same)
     found, paired = compare.differences(one, two)
-    worse = {d.name: d for d in found}["service"]
+    service = {difference.name: difference for difference in found}["service"]
     assert paired
-    assert worse.b < worse.a
-    assert not worse.noise
+    assert service.second < service.first
+    assert not service.is_noise
     assert "differs" in compare.text(one, two)
-    with pytest.raises(compare.Unlike):
+    with pytest.raises(compare.IncomparableRunsError):
         compare.differences(one, one.parent)
 
 
@@ -159,12 +159,12 @@
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
 def test_the_experiments_of_the_project_read_and_their_days_keep_the_rules(path):
-    measures.register()
+    registered_plays.register()
     experiment = file.load(path)
     assert experiment.head.name == path.stem
     assert experiment.head.play in plays.PLAYS
     if experiment.head.play == "policies":
-        found = measures.one_run(experiment.day, experiment.head.seed, "marlseam")
+        found = policy_comparison.one_run(experiment.day, experiment.head.seed, "marlseam")
         assert found["judged"]
         assert not found["rules_broken"]
         assert found["none"] == 0.0
