--- a/examples/members.py
+++ b/examples/members.py
@@ -1,4 +1,4 @@
-"""Seven nodes of one cluster on loopback, with stand-in servers and an endpoint list, until Ctrl-C.
+"""Seven nodes of one cluster on loopback, with emulated servers and their discovery, until Ctrl-C.
 
     PYTHONPATH=. python examples/members.py
 
@@ -36,9 +36,9 @@
 )
 
 
-def free_address(kind: int) -> str:
-    """Return an address on loopback that was free a moment ago, for sockets of a kind."""
-    with socket.socket(socket.AF_INET, kind) as sock:
+def free_address(socket_type: int) -> str:
+    """Return an address on loopback that was free a moment ago, for sockets of a type."""
+    with socket.socket(socket.AF_INET, socket_type) as sock:
         sock.bind(("127.0.0.1", 0))
         return "{}:{}".format(*sock.getsockname())
 
@@ -90,7 +90,7 @@
     return folder / f"{name}.toml"
 
 
-def start_node(folder: Path, name: str, nodes: dict[str, NodeAddresses]) -> subprocess.Popen:
+def start_node(folder: Path, name: str, nodes: dict[str, NodeAddresses]) -> subprocess.Popen[bytes]:
     """Start a node."""
     path = write_configuration(folder, name, nodes)
     arguments = ["serve", "--config", str(path), "--settings", str(settings_of(folder, name))]
@@ -98,10 +98,10 @@
 
 
 @contextlib.contextmanager
-def running(folder: Path, nodes: dict[str, NodeAddresses]) -> Iterator[dict[str, subprocess.Popen]]:
-    """Run all nodes, the stand-in servers and the endpoint list; end them all afterwards."""
+def running(folder: Path, nodes: dict[str, NodeAddresses]) -> Iterator[dict[str, subprocess.Popen[bytes]]]:
+    """Run all nodes, the emulated servers and their discovery; end them all afterwards."""
     servers = subprocess.Popen([sys.executable, str(Path(__file__).with_name("fleet.py"))])
-    processes: dict[str, subprocess.Popen] = {}
+    processes: dict[str, subprocess.Popen[bytes]] = {}
     try:
         for name in nodes:
             processes[name] = start_node(folder, name, nodes)
@@ -110,7 +110,7 @@
         started = (*processes.values(), servers)
         for process in started:
             process.send_signal(signal.SIGTERM)
-            process.send_signal(signal.SIGCONT)  # one that was stopped could not end
+            process.send_signal(signal.SIGCONT)  # guards against a stopped process, which could not end
         for process in started:
             process.wait()
 
@@ -124,7 +124,7 @@
     return path
 
 
-def print_commands(folder: Path, nodes: dict[str, NodeAddresses], process: subprocess.Popen) -> None:
+def print_commands(folder: Path, nodes: dict[str, NodeAddresses], process: subprocess.Popen[bytes]) -> None:
     """Print what may be tried; `process` is a node to stop."""
     admin, changed = nodes["n0"].admin, write_change(folder)
     print(
@@ -139,7 +139,7 @@
 
 
 def send_request(address: str) -> None:
-    """Have one statement run; a node that is not there is passed over."""
+    """Send a request to a node; one that cannot be reached is passed over."""
     headers = {
         "X-Correlation-Id": uuid4().hex,
         "X-Service-Class": "statement",
--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -186,7 +186,9 @@
 def print_unknown(found: auditing.Audit, node: str | None) -> None:
     """Print which processes were killed, and when their actions are not known."""
     for name, processes in found.processes.items():
-        for process in processes if node in (None, name) else ():
+        if node not in (None, name):
+            continue
+        for process in processes:
             if process.unknown is not None:
                 first, last = map(time_text, process.unknown)
                 killed = f"{name}: life {process.started.generation} was killed"
--- a/marlseam/cli/fleet.py
+++ b/marlseam/cli/fleet.py
@@ -9,7 +9,7 @@
 import time
 from pathlib import Path
 from types import ModuleType
-from typing import Any
+from typing import Any, NamedTuple
 
 import click
 
@@ -22,6 +22,7 @@
 MINUTE_S, HOUR_S = 60.0, 3600.0
 ACCEPTED = 202  # HTTP status of a request that is carried out later
 PUBLICATION_POLL_S = 0.1
+SEEDS_PER_TASK = 4  # schedules that a process of the search is handed at once
 CHECKING = "marlseam.cluster.checking"
 FAULT_CODES = ("unfit", "hand", "disk")  # keys that say why a node is out of service
 MEMBER_COLUMNS = ["member", "standing", "since", "heard", "life", "incarnation", "suspected by"]
@@ -166,10 +167,20 @@
         "voters": voters.split(",") if voters else None,
     }
     if added or removed:
-        members = dict(fleet_status(address)["addresses"])
-        members |= dict(text.partition("=")[::2] for text in added)
-        body["members"] = {name: at for name, at in members.items() if name not in removed}
+        body["members"] = changed_members(address, added, removed)
     post(address, "/control/fleet/publish", json.dumps(body).encode())
+    wait_for_publication(address, wait_s)
+
+
+def changed_members(address: str, added: tuple[str, ...], removed: tuple[str, ...]) -> dict[str, str]:
+    """Return the members that a node knows, by name with their addresses, after a change."""
+    members = dict(fleet_status(address)["addresses"])
+    members |= dict(text.partition("=")[::2] for text in added)
+    return {name: member_address for name, member_address in members.items() if name not in removed}
+
+
+def wait_for_publication(address: str, wait_s: float) -> None:
+    """Print what came of a publication, and end with 1 where it is no version."""
     deadline_s = time.monotonic() + wait_s
     while time.monotonic() < deadline_s:
         result = fleet_status(address)["acting"]["publication"]
@@ -180,7 +191,7 @@
     raise click.ClickException(f"nothing came of it in {wait_s:g} s; `fleet status` goes on telling")
 
 
-def settings_in(file: Path) -> Any:  # noqa: ANN401
+def settings_in(file: Path) -> Any:  # noqa: ANN401 - whatever JSON the file holds; the node checks it
     """Return the settings in a node's configuration, or in a file of settings alone."""
     try:
         given = json.loads(file.read_text(encoding="utf-8"))
@@ -243,30 +254,49 @@
     from marlseam.cluster.checking.fault_schedules import shrink
 
     module = importlib.import_module(f"{CHECKING}.{module_name or 'membership_schedules'}")
-    nearest: dict[str, tuple[float, int]] = {}  # by bound: the largest share of it, and the seed
-    violations: list[tuple[int, str]] = []  # seeds, and the first violation of each
-    for seed, verdict in play_seeds(module, nodes, range(first, first + seeds)):
-        for bound, share in verdict.nearest.items():
-            nearest[bound] = max(nearest.get(bound, (0.0, seed)), (share, seed))
-        if verdict.violations:
-            violations.append((seed, verdict.violations[0]))
-    for bound, (share, seed) in sorted(nearest.items()):
-        click.echo(f"{bound}: nearest {share:.3f} of its bound, seed {seed}")
-        print_faults(module.schedule(nodes, seed))
-    for seed, violation in violations:
-        click.echo(f"BROKEN by seed {seed}: {violation}")
+    played = play_seeds(module, nodes, range(first, first + seeds))
+    for bound, nearest in sorted(nearest_by_bound(played).items()):
+        click.echo(f"{bound}: nearest {nearest.share:.3f} of its bound, seed {nearest.seed}")
+        print_faults(module.schedule(nodes, nearest.seed))
+    violating = [schedule for schedule in played if schedule.verdict.violations]
+    for seed, verdict in violating:
+        click.echo(f"BROKEN by seed {seed}: {verdict.violations[0]}")
         print_faults(shrink(nodes, seed, module.schedule(nodes, seed), play=module.play))
-    click.echo(f"{seeds} schedules of {nodes} members, {len(violations)} break a bound")
-    sys.exit(1 if violations else 0)
+    click.echo(f"{seeds} schedules of {nodes} members, {len(violating)} break a bound")
+    sys.exit(1 if violating else 0)
+
+
+class PlayedSchedule(NamedTuple):
+    """A schedule of faults that was played: its seed, and the verdict of the module that played it."""
 
+    seed: int
+    verdict: Any
 
-def play_seeds(module: ModuleType, nodes: int, seeds: range) -> list[tuple[int, Any]]:
-    """Play the schedules of seeds on all cores; return each seed with its verdict."""
+
+class NearestSchedule(NamedTuple):
+    """The schedule that came nearest to a bound: the share of the bound, and its seed."""
+
+    share: float
+    seed: int
+
+
+def play_seeds(module: ModuleType, nodes: int, seeds: range) -> list[PlayedSchedule]:
+    """Play the schedules of seeds on all cores."""
     from concurrent.futures import ProcessPoolExecutor
 
     with ProcessPoolExecutor() as pool:
-        verdicts = pool.map(module.play_seed, [nodes] * len(seeds), seeds, chunksize=4)
-        return list(zip(seeds, verdicts, strict=True))
+        verdicts = pool.map(module.play_seed, [nodes] * len(seeds), seeds, chunksize=SEEDS_PER_TASK)
+        return [PlayedSchedule(seed, verdict) for seed, verdict in zip(seeds, verdicts, strict=True)]
+
+
+def nearest_by_bound(played: list[PlayedSchedule]) -> dict[str, NearestSchedule]:
+    """Return for each bound the schedule that came nearest to it."""
+    nearest: dict[str, NearestSchedule] = {}
+    for seed, verdict in played:
+        for bound, share in verdict.nearest.items():
+            candidate = NearestSchedule(share, seed)
+            nearest[bound] = max(nearest.get(bound, NearestSchedule(0.0, seed)), candidate)
+    return nearest
 
 
 def print_faults(faults: list[Any]) -> None:
--- a/marlseam/cli/standin.py
+++ b/marlseam/cli/standin.py
@@ -39,7 +39,7 @@
     """Run parts of the world on loopback: executors, roster, network, load."""
 
 
-@group.command()
+@group.command("executors")
 @emulator_options(
     click.option(
         "--part", default="1/1", show_default=True, help="Which part of the executors, of how many."
@@ -48,14 +48,14 @@
         "--nodelay/--nagle", default=True, show_default=True, help="Whether small writes go out at once."
     ),
 )
-def executors(day: Path, seed: int, records: Path | None, now: bool, part: str, nodelay: bool) -> None:
+def run_servers(day: Path, seed: int, records: Path | None, now: bool, part: str, nodelay: bool) -> None:
     """Run a day's executors; the ready line holds their addresses."""
     from marlseam.emulators.servers import serve
 
     serve(common.load_day(day), seed, records, now, nodelay, part)
 
 
-@group.command()
+@group.command("roster")
 @emulator_options(
     click.option(
         "--dials",
@@ -64,14 +64,14 @@
         help="Addresses, by zone, as JSON.",
     )
 )
-def roster(day: Path, seed: int, records: Path | None, now: bool, dials: Path) -> None:
+def run_discovery(day: Path, seed: int, records: Path | None, now: bool, dials: Path) -> None:
     """Run a day's roster; the ready line holds an address for each node."""
     from marlseam.emulators.discovery import serve
 
     serve(common.load_day(day), seed, json.loads(dials.read_text()), records, now)
 
 
-@group.command()
+@group.command("network")
 @emulator_options(
     click.option(
         "--addresses",
@@ -80,14 +80,14 @@
         help="Executors' addresses as JSON.",
     )
 )
-def network(day: Path, seed: int, records: Path | None, now: bool, addresses: Path) -> None:
+def run_network(day: Path, seed: int, records: Path | None, now: bool, addresses: Path) -> None:
     """Run the network between zones and executors; the ready line holds the addresses to dial, by zone."""
     from marlseam.emulators.network import serve
 
     serve(common.load_day(day), seed, json.loads(addresses.read_text()), records, now)
 
 
-@group.command()
+@group.command("load")
 @emulator_options(
     click.option(
         "--nodes",
@@ -100,7 +100,7 @@
         "--connections", default=0, show_default=True, help="Most connections at once, 0 for as needed."
     ),
 )
-def load(
+def run_load(
     day: Path, seed: int, records: Path | None, now: bool, nodes: Path, part: str, connections: int
 ) -> None:
     """Send a day's work units as its clients.
@@ -112,7 +112,7 @@
     serve(common.load_day(day), seed, json.loads(nodes.read_text()), records, now, part, connections)
 
 
-@group.command()
+@group.command("echo")
 @click.option(
     "--stall",
     "stalls",
@@ -120,7 +120,7 @@
     multiple=True,
     help="Stand still: from which second, for how many.",
 )
-def echo(stalls: list[tuple[float, float]]) -> None:
+def run_echo(stalls: list[tuple[float, float]]) -> None:
     """Run a node that completes everything at once; the ready line holds its address."""
     from marlseam.emulators.echo import Stall, serve
 
--- a/marlseam/cli/state.py
+++ b/marlseam/cli/state.py
@@ -3,6 +3,7 @@
 import json
 import time
 from pathlib import Path
+from typing import NamedTuple
 
 import click
 import msgspec
@@ -13,6 +14,7 @@
 from marlseam.store.node_state import NodeState
 from marlseam.store.state_directory import StateDirectory, create_state
 
+MS_PER_HOUR = 3.6e6
 FOLDER = click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
 
 # The names that operators are shown of each record and its fields, whatever these are called in the code.
@@ -29,11 +31,18 @@
     """Show, verify and export a node's state folder, which changes nothing in it; or begin a first one."""
 
 
-def read(folder: Path) -> tuple[NodeState, list[Finding]]:
-    """Read a folder, of whatever node it is."""
-    held = StateDirectory(Disk(folder), None)
+class ReadState(NamedTuple):
+    """The state in a folder, and what of the folder could not be used."""
+
+    state: NodeState
+    findings: list[Finding]
+
+
+def read(folder: Path) -> ReadState:
+    """Read the state folder of any node; raise ClickException where it cannot be read."""
+    directory = StateDirectory(Disk(folder), None)
     try:
-        return held.load(time.time() * 1000.0), held.findings
+        return ReadState(directory.load(time.time() * 1000.0), directory.findings)
     except OSError as error:
         raise click.ClickException(f"{folder}: {code_of(error)}: {error.strerror}") from None
 
@@ -60,21 +69,34 @@
 def show(folder: Path) -> None:
     """Say what is there, in a few lines."""
     state, findings = read(folder)
-    now = time.time() * 1000.0
+    now_ms = time.time() * 1000.0
+    for line in state_lines(state, now_ms):
+        click.echo(line)
+    print_findings(folder, findings)
+
+
+def state_lines(state: NodeState, now_ms: float) -> list[str]:
+    """Return a state in a few lines; times are Unix times in ms."""
+    lines = []
     if state.listed is None:
-        click.echo("no list of servers")
+        lines.append("no list of servers")
     else:
-        age = (now - state.listed.confirmed_ms) / 1000.0
-        click.echo(
-            f"{len(state.listed.rows)} servers, version {state.listed.version}, confirmed {age:.0f} s ago"
-        )
-    last = max((row.until_ms for rows in state.sent.values() for row in rows), default=now)
-    left = max(0.0, last - now) / 1000.0
-    click.echo(f"{len(state.sent)} keys that may have run, the last forgotten in {left:.0f} s")
+        listed = state.listed
+        age_s = (now_ms - listed.confirmed_ms) / 1000.0
+        lines.append(f"{len(listed.rows)} servers, version {listed.version}, confirmed {age_s:.0f} s ago")
+    last_ms = max((attempt.until_ms for sent in state.sent.values() for attempt in sent), default=now_ms)
+    left_s = max(0.0, last_ms - now_ms) / 1000.0
+    lines.append(f"{len(state.sent)} keys that may have run, the last forgotten in {left_s:.0f} s")
     if state.lost_ms is not None:
-        click.echo(f"what may have run before {(now - state.lost_ms) / 1000.0:.0f} s ago is not known")
-    hours = state.departure_rate.lived_ms / 3.6e6
-    click.echo(f"{state.departure_rate.departures:.0f} departures in {hours:.1f} server hours")
+        lost_s = (now_ms - state.lost_ms) / 1000.0
+        lines.append(f"what may have run before {lost_s:.0f} s ago is not known")
+    hours = state.departure_rate.lived_ms / MS_PER_HOUR
+    lines.append(f"{state.departure_rate.departures:.0f} departures in {hours:.1f} server hours")
+    return lines
+
+
+def print_findings(folder: Path, findings: list[Finding]) -> None:
+    """Print what could not be used, a line each."""
     for finding in findings:
         click.echo(f"{finding.name or folder} code={finding.code}: {finding.text}")
 
@@ -84,8 +106,7 @@
 def verify(folder: Path) -> None:
     """Read everything; ends with 1 if anything could not be used."""
     _, findings = read(folder)
-    for finding in findings:
-        click.echo(f"{finding.name or folder} code={finding.code}: {finding.text}")
+    print_findings(folder, findings)
     if findings:
         raise SystemExit(1)
     click.echo("all of it can be read")
--- a/marlseam/cli/tables.py
+++ b/marlseam/cli/tables.py
@@ -6,7 +6,7 @@
 def table(rows: Iterable[list[str]]) -> str:
     """Return rows as text in aligned columns; all rows have as many cells as the first."""
     rows = list(rows)
-    widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
+    widths = [max(len(cell) for cell in column) for column in zip(*rows, strict=True)]
     lines = (
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows
     )
--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -1,7 +1,7 @@
 """Pytest plugin: tests listed in KNOWN-RED.txt may fail, and only they; loaded by scripts/test.
 
 Each line of the file reads `test id | cause | issue`. All tests run. The run fails where an unlisted test
-fails, a listed test passes or does not exist, the file holds more than MOST entries, or a line is malformed.
+fails, a listed test passes or does not exist, the file holds over MAX_ENTRIES, or a line is malformed.
 A test whose cause begins with `flaky:` fails in some runs alone, so it may pass too; either is printed.
 """
 
@@ -12,18 +12,33 @@
 import pytest
 
 FILE = "KNOWN-RED.txt"
-MOST = 3  # entries that the file may hold
+MAX_ENTRIES = 3
 SEPARATOR = " | "
+FIELDS_OF_ENTRY = 3
 FLAKY = "flaky:"  # how the cause of a test begins that fails in some runs alone
 
 
-class MalformedEntry(Exception):
-    """A line of the file does not hold a test, a cause and an issue."""
+class MalformedEntryError(Exception):
+    """A line of the file does not hold a test, a cause and an issue.
+
+    Attributes:
+        line: the line.
+    """
+
+    def __init__(self, line: str) -> None:
+        super().__init__(line)
+        self.line = line
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A test that is known to fail, why, and the issue that tracks it."""
+    """A test that is known to fail.
+
+    Attributes:
+        test: its id.
+        cause: why it fails; it begins with FLAKY where it fails in some runs alone.
+        issue: the issue that tracks it.
+    """
 
     test: str
     cause: str
@@ -36,27 +51,36 @@
 
 
 def entry_from(line: str) -> Entry:
-    """Read one line of the file; raises MalformedEntry."""
-    fields = [field.strip() for field in line.split(SEPARATOR)]
-    if len(fields) != 3 or not all(fields):
-        raise MalformedEntry(line)
+    """Read one line of the file; raises MalformedEntryError."""
+    fields = [text.strip() for text in line.split(SEPARATOR)]
+    if len(fields) != FIELDS_OF_ENTRY or not all(fields):
+        raise MalformedEntryError(line)
     return Entry(*fields)
 
 
 class KnownRed:
-    """Follows one run of pytest and decides whether its failures are the known ones."""
+    """Follows one run of pytest and decides whether its failures are the known ones.
+
+    Attributes:
+        entries: the entries of the file by the test's id.
+        problems: what is wrong with the file, a line each.
+        collected: the tests that were found.
+        failed: the tests of which a phase failed.
+        ran: the tests that ran.
+        is_whole_run: whether the run was asked for all tests.
+    """
 
     def __init__(self, entries: list[Entry], malformed: list[str]) -> None:
         self.entries = {entry.test: entry for entry in entries}
         self.problems = [f"{FILE}: malformed line: {line}" for line in malformed]
-        if len(entries) > MOST:
-            self.problems.append(f"{FILE}: {len(entries)} entries, at most {MOST} are allowed")
+        if len(entries) > MAX_ENTRIES:
+            self.problems.append(f"{FILE}: {len(entries)} entries, at most {MAX_ENTRIES} are allowed")
         if len(self.entries) < len(entries):
             self.problems.append(f"{FILE}: a test is listed twice")
         self.collected: set[str] = set()
         self.failed: set[str] = set()
         self.ran: set[str] = set()
-        self.whole = False  # whether the run was asked for all tests
+        self.is_whole_run = False
 
     def pytest_collection_finish(self, session: pytest.Session) -> None:
         """Note which tests were found."""
@@ -64,7 +88,7 @@
         self.collected = {item.nodeid for item in session.items}
         narrowed = config.option.keyword or config.option.markexpr or config.option.deselect
         named = config.args_source is pytest.Config.ArgsSource.ARGS
-        self.whole = not (narrowed or named or config.option.collectonly)
+        self.is_whole_run = not (narrowed or named or config.option.collectonly)
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
         """Note a phase of a test that failed, and that a test ran."""
@@ -79,10 +103,14 @@
         self.problems += self.contradictions()
         if self.problems and exitstatus == pytest.ExitCode.OK:
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
-        elif not self.problems and exitstatus == pytest.ExitCode.TESTS_FAILED and self.only_known():
+        elif (
+            not self.problems
+            and exitstatus == pytest.ExitCode.TESTS_FAILED
+            and self.has_only_known_failures()
+        ):
             session.exitstatus = pytest.ExitCode.OK
 
-    def only_known(self) -> bool:
+    def has_only_known_failures(self) -> bool:
         """Return whether tests failed, all of them listed."""
         return bool(self.failed) and self.failed <= self.entries.keys()
 
@@ -91,9 +119,9 @@
         for test, entry in self.entries.items():
             if test in self.ran - self.failed and not entry.is_flaky:
                 yield f"{FILE}: {test} does not fail any more: take it off"
-            elif self.whole and test not in self.collected:
+            elif self.is_whole_run and test not in self.collected:
                 yield f"{FILE}: {test} does not exist"
-            elif self.whole and test not in self.ran | self.failed:
+            elif self.is_whole_run and test not in self.ran | self.failed:
                 yield f"{FILE}: {test} did not run"
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
@@ -119,6 +147,6 @@
     for line in filter(str.strip, lines):
         try:
             entries.append(entry_from(line))
-        except MalformedEntry as error:
-            malformed.append(str(error))
+        except MalformedEntryError as error:
+            malformed.append(error.line)
     config.pluginmanager.register(KnownRed(entries, malformed), "known-red")
