--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,15 +1,19 @@
 """Experiment files, exit codes, comparisons, reports and baselines."""
 
 import json
+from collections.abc import Callable
 from pathlib import Path
+from typing import Any, NamedTuple
 
+import msgspec
 import pytest
-from click.testing import CliRunner
+from click.testing import CliRunner, Result
 from worlds import KINDS, TYPES, day, played
 
 from marlseam.__main__ import main
 from marlseam.experiment import compare, file, plays, policy_comparison, registered_plays
 from marlseam.experiment.policies import POLICIES
+from marlseam.experiment.summary import ViolationExample
 
 DAY = {
     "seconds": 4,
@@ -20,30 +24,43 @@
 }
 
 
-def data(**more):
-    return {"name": "x", "driver": "virtual", "day": DAY} | more
+def experiment_data(**changes: object) -> dict[str, Any]:
+    """Return a parsed experiment file with some keys more, or others than usual."""
+    return {"name": "x", "driver": "virtual", "day": DAY} | changes
 
 
 @pytest.mark.parametrize(
     ("values", "text"),
     [
-        (data(sed=1), "sed: no such key, the nearest is seed"),
-        (data(day=DAY | {"laod": {}}), "day.laod: no such key, the nearest is load"),
-        (data(day=DAY | {"load": {"rat": 2}}), "day.load.rat: no such key, the nearest is rate"),
-        (data(day=DAY | {"types": [TYPES[0] | {"efect": "x"}]}), r"day.types\[0\].efect: .*effect"),
-        (data(day=DAY | {"load": {"rate": -1}}), "day.load.rate: expected"),
-        (data(day=DAY | {"types": [TYPES[0] | {"effect": "x"}]}), r"day.types\[0\].effect: invalid"),
-        (data(day=DAY | {"types": []}), "day.types: expected"),
-        (data(day=DAY | {"types": [TYPES[0], TYPES[0]]}), "day.types: a name comes twice"),
-        (data(day=DAY | {"troubles": [{"what": "slow", "at_s": 9}]}), r"day.troubles\[0\].at_s"),
-        (data(day=DAY | {"troubles": [{"what": "errors", "at_s": 1, "type": "lokup"}]}), "nearest is lookup"),
+        (experiment_data(sed=1), "sed: no such key, the nearest is seed"),
+        (experiment_data(day=DAY | {"laod": {}}), "day.laod: no such key, the nearest is load"),
+        (experiment_data(day=DAY | {"load": {"rat": 2}}), "day.load.rat: no such key, the nearest is rate"),
         (
-            data(day=DAY | {"troubles": [{"what": "slow", "at_s": 1, "targets": ["fast-9"]}]}),
+            experiment_data(day=DAY | {"types": [TYPES[0] | {"efect": "x"}]}),
+            r"day.types\[0\].efect: .*effect",
+        ),
+        (experiment_data(day=DAY | {"load": {"rate": -1}}), "day.load.rate: expected"),
+        (
+            experiment_data(day=DAY | {"types": [TYPES[0] | {"effect": "x"}]}),
+            r"day.types\[0\].effect: invalid",
+        ),
+        (experiment_data(day=DAY | {"types": []}), "day.types: expected"),
+        (experiment_data(day=DAY | {"types": [TYPES[0], TYPES[0]]}), "day.types: a name comes twice"),
+        (experiment_data(day=DAY | {"troubles": [{"what": "slow", "at_s": 9}]}), r"day.troubles\[0\].at_s"),
+        (
+            experiment_data(day=DAY | {"troubles": [{"what": "errors", "at_s": 1, "type": "lokup"}]}),
+            "nearest is lookup",
+        ),
+        (
+            experiment_data(day=DAY | {"troubles": [{"what": "slow", "at_s": 1, "targets": ["fast-9"]}]}),
             "nearest is fast-",
         ),
-        (data(day=DAY | {"load": {"shape": "trace"}}), "day.load.trace: missing"),
-        (data(day=DAY | {"types": [TYPES[0] | {"slots": [1] * 9}]}), r"day.types\[0\].slots"),
-        (data(expect={"service": {"leest": 1}}), "expect.service.leest: no such key, the nearest is least"),
+        (experiment_data(day=DAY | {"load": {"shape": "trace"}}), "day.load.trace: missing"),
+        (experiment_data(day=DAY | {"types": [TYPES[0] | {"slots": [1] * 9}]}), r"day.types\[0\].slots"),
+        (
+            experiment_data(expect={"service": {"leest": 1}}),
+            "expect.service.leest: no such key, the nearest is least",
+        ),
     ],
 )
 def test_each_wrong_key_is_named(values, text):
@@ -51,10 +68,11 @@
         file.read(values)
 
 
-def test_all_unknown_keys_are_told_at_once():
+def test_all_unknown_keys_are_named_at_once():
     with pytest.raises(file.FileError) as error:
-        file.read(data(sed=1, day=DAY | {"laod": {}, "fleet": DAY["fleet"] | {"nods": 3}}))
+        file.read(experiment_data(sed=1, day=DAY | {"laod": {}, "fleet": DAY["fleet"] | {"nods": 3}}))
     assert len(str(error.value).split("\n")) == 3
+    assert len(error.value.problems) == 3
 
 
 HEAD = """name = "x"
@@ -69,17 +87,24 @@
 """
 
 
+class CommandRun(NamedTuple):
+    """What `experiment run` came to, and the folder that it wrote."""
+
+    result: Result
+    out: Path
+
+
 @pytest.fixture
-def run(tmp_path):
+def run(tmp_path) -> Callable[..., CommandRun]:
     """Return a function that runs an experiment file by the command line."""
 
-    def call(more="", play="day", text=None):
+    def run_file(more: str = "", play: str = "day") -> CommandRun:
         path = tmp_path / "x.toml"
-        path.write_text(text if text is not None else HEAD.format(play=play, more=more))
+        path.write_text(HEAD.format(play=play, more=more))
         out = tmp_path / f"out-{len(list(tmp_path.iterdir()))}"
-        return CliRunner().invoke(main, ["experiment", "run", str(path), "--out", str(out)]), out
+        return CommandRun(CliRunner().invoke(main, ["experiment", "run", str(path), "--out", str(out)]), out)
 
-    return call
+    return run_file
 
 
 @pytest.mark.parametrize(
@@ -91,7 +116,7 @@
         ("[days]", 2, "days: no such key, the nearest is day"),
     ],
 )
-def test_the_exit_code_says_what_came_of_it(run, more, code, text):
+def test_the_exit_code_says_whether_all_holds(run, more, code, text):
     result, out = run(more)
     assert result.exit_code == code
     assert text in result.output
@@ -102,9 +127,9 @@
         assert summary["seed"] == 1
 
 
-def test_a_figure_for_what_never_came_is_told_as_missed(run, monkeypatch):
+def test_an_infinite_figure_is_missed_and_printed_as_inf(run, monkeypatch):
     endless = plays.RunResult({"heal_s": float("inf")})
-    monkeypatch.setitem(plays.PLAYS, "endless", lambda experiment, out, say: endless)
+    monkeypatch.setitem(plays.PLAYS, "endless", lambda experiment, out, show_progress: endless)
     result, _ = run("[expect]\nheal_s = { most = 5 }", play="endless")
     assert result.exit_code == 1
     assert "MISSED heal_s: at most 5, seen inf" in result.output
@@ -120,6 +145,31 @@
     assert "Traceback" not in result.output
 
 
+SUMMARY_KEYS = [
+    *("name", "about", "play", "driver", "seed", "took_s", "code", "missed", "expected", "figures", "rules"),
+    *("tables", "slopes", "versions"),
+]
+
+
+def test_the_summary_keeps_the_keys_that_tools_read(run):
+    _, out = run("[expect]\nservice = { least = 0 }")
+    summary = json.loads((out / "summary.json").read_text())
+    assert list(summary) == SUMMARY_KEYS
+    assert list(summary["expected"][0]) == ["figure", "expected", "seen", "holds"]
+    assert list(summary["rules"][0]) == ["name", "broken", "margin", "means", "examples"]
+    example = ViolationExample("t1", "two answers", ["sent"])
+    assert msgspec.to_builtins(example) == {"who": "t1", "what": "two answers", "story": ["sent"]}
+
+
+def test_requests_of_a_run_are_stored_as_rows_of_four(run):
+    _, out = run()
+    rows = json.loads((out / "units.json").read_text())
+    first_try, weight, earned_weight, turnaround_ms = rows[0]
+    assert first_try
+    assert earned_weight in (0.0, weight)
+    assert turnaround_ms > 0.0
+
+
 def test_the_report_stands_alone_and_shows_what_happened(run):
     _, out = run('[[day.troubles]]\nwhat = "slow"\nat_s = 1')
     page = (out / "report.html").read_text()
