--- /dev/null
+++ b/tests/test_emulators.py
@@ -0,0 +1,221 @@
+"""Emulators on loopback: listeners, servers, discovery, links and faulty disks."""
+
+import contextlib
+import json
+import socket
+import time
+from collections.abc import Callable, Iterator
+
+import h11
+import pytest
+
+from marlseam.emulators.discovery import DiscoveryService
+from marlseam.emulators.disk import Faults
+from marlseam.emulators.http_listener import HttpListener, reply
+from marlseam.emulators.network import Link, LinkProxy, SocketAddress
+from marlseam.emulators.process import EmulatorProcess
+from marlseam.emulators.servers import EmulatedServer
+from marlseam.net.connection import Connection, Steps
+from marlseam.simulation import fleet
+from marlseam.simulation.chance import stream
+from marlseam.simulation.model import Day, Fleet, Network, RequestType, ServerKind
+from marlseam.simulation.network import Links
+
+LIMIT_S = 10.0  # for what has to come
+STEP_MS = 10.0  # for which the loop runs between two looks
+HELD_MS = 100.0  # for which a cut link is watched
+GET = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+ATTEMPT = (
+    b"POST /statement HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: a1\r\nX-Service-Class: statement\r\n"
+    b'Content-Length: 12\r\n\r\n{"work": 20}'
+)
+DAY = Day(
+    seconds=1.0,
+    fleet=Fleet(zones=["east", "west"], nodes=2, kinds=[ServerKind(name="plain", executors=2)]),
+    types=[RequestType(name="statement", share=1.0, work_ms=20.0, promised_ms=500.0, limit_ms=5000.0)],
+)
+
+
+@pytest.fixture
+def process() -> Iterator[EmulatorProcess]:
+    """Return an emulator process whose run has begun; its loop runs in `run_for` alone."""
+    made = EmulatorProcess("test", None)
+    made.begin(0.0)
+    yield made
+    made.loop.finish()
+
+
+def run_for(process: EmulatorProcess, ms: float) -> None:
+    """Run the event loop for a time."""
+    process.loop.stopped = False
+    process.loop.at(process.loop.now() + ms, process.stop)
+    process.loop.run()
+
+
+def run_until(process: EmulatorProcess, condition: Callable[[], bool]) -> None:
+    """Run the event loop until something holds."""
+    limit_s = time.monotonic() + LIMIT_S
+    while not condition():
+        assert time.monotonic() < limit_s
+        run_for(process, STEP_MS)
+
+
+def connect(address: str) -> socket.socket:
+    """Return a connection to an address."""
+    host, _, port = address.rpartition(":")
+    return socket.create_connection((host, int(port)), timeout=2.0)
+
+
+def answer_ok(connection: Connection, _request: h11.Request, _body: bytes) -> Steps:
+    """Answer any request."""
+    yield from reply(connection, 200, b"ok")
+
+
+def receive(process: EmulatorProcess, client: socket.socket, end: bytes) -> bytes:
+    """Run the event loop until what a client receives ends in some bytes; return all of it."""
+    received = bytearray()
+    client.setblocking(False)
+
+    def is_complete() -> bool:
+        with contextlib.suppress(BlockingIOError):
+            received.extend(client.recv(65536))
+        return received.endswith(end)
+
+    run_until(process, is_complete)
+    return bytes(received)
+
+
+def exchange(process: EmulatorProcess, address: str, request: bytes, end: bytes) -> bytes:
+    """Send a request, and return the response, which ends in some bytes."""
+    with connect(address) as client:
+        client.sendall(request)
+        return receive(process, client, end)
+
+
+def test_a_listener_that_stopped_listens_again_at_its_port(process):
+    listener = HttpListener(process, "x", answer_ok)
+    address = listener.address
+    assert exchange(process, address, GET, b"ok").startswith(b"HTTP/1.1 200")
+    listener.stop_listening()
+    with pytest.raises(ConnectionRefusedError):
+        connect(address)
+    listener.listen()
+    assert listener.address == address
+    assert exchange(process, address, GET, b"ok").startswith(b"HTTP/1.1 200")
+
+
+def test_a_listener_resets_its_connections(process):
+    listener = HttpListener(process, "x", answer_ok)
+    with connect(listener.address) as client:
+        run_until(process, lambda: len(listener.connections) == 1)
+        listener.reset_connections()
+        with pytest.raises(ConnectionResetError):
+            client.recv(1)
+    assert not listener.connections
+
+
+def test_calls_wait_until_the_zero_of_the_run_is_known():
+    process = EmulatorProcess("test", None)
+    called: list[str] = []
+    process.call_at(0.0, lambda: called.append("early"))
+    run_for(process, STEP_MS)
+    assert (called, process.now()) == ([], 0.0)
+    process.begin(0.0)
+    run_until(process, lambda: called == ["early"])
+    assert process.now() > 0.0
+
+
+def emulated_servers(process: EmulatorProcess) -> list[EmulatedServer]:
+    """Return the servers of the day."""
+    return [EmulatedServer(process, server, DAY, True) for server in fleet.build(DAY, 1, []).values()]
+
+
+def test_the_response_to_an_attempt_has_a_line_for_each_event(process):
+    server = emulated_servers(process)[0]
+    response = exchange(process, server.listener.address, ATTEMPT, b"0\r\n\r\n")
+    lines = [json.loads(line) for line in response.split(b"\r\n") if line.startswith(b"{")]
+    assert [line["state"] for line in lines] == ["started", "done"]
+    assert lines[-1] | {"load": None} == {
+        "id": "a1",
+        "from": server.name,
+        "state": "done",
+        "result": f"a1 by {server.name}",
+        "load": None,
+    }
+
+
+def test_an_attempt_of_an_unknown_class_is_malformed(process):
+    server = emulated_servers(process)[0]
+    request = ATTEMPT.replace(b"Class: statement", b"Class: other")
+    assert exchange(process, server.listener.address, request, b"\r\n\r\n").startswith(b"HTTP/1.1 400")
+
+
+def test_a_client_that_goes_cancels_its_attempt(process):
+    server = emulated_servers(process)[0]
+    with connect(server.listener.address) as client:
+        client.sendall(ATTEMPT.replace(b'{"work": 20}', b'{"work":1e9}'))
+        run_until(process, lambda: len(server.responses) == 1)
+    run_until(process, lambda: not server.responses)
+    assert [job.is_cancelled for job in server.server.state.running.values()] == [True]
+
+
+def test_discovery_names_the_address_in_the_callers_zone(process):
+    addresses = {
+        zone: {name: f"{zone}:{name}" for name in ("plain-0", "plain-1")} for zone in ("east", "west")
+    }
+    service = DiscoveryService(process, DAY, [], addresses)
+    for node, zone in (("n0", "east"), ("n1", "west")):
+        request = b"GET /api/targets?since=0 HTTP/1.1\r\nHost: x\r\n\r\n"
+        response = exchange(process, service.listeners[node].address, request, b"]}")
+        answer = json.loads(response.partition(b"\r\n\r\n")[2])
+        assert (answer["seq"], answer["whole"]) == (2, True)
+        assert answer["hosts"][0] == {
+            "host": "plain-0",
+            "dial": f"{zone}:plain-0",
+            "site": "east",
+            "class": "plain",
+            "block": 0,
+            "health": "active",
+            "share": 1.0,
+            "born_ms": 0.0,
+        }
+
+
+def test_a_cut_link_holds_bytes_back_until_it_is_mended(process):
+    listener = HttpListener(process, "x", answer_ok)
+    links = Links(Network(), stream(1, "network"))
+    target = SocketAddress("127.0.0.1", listener.port)
+    proxy = LinkProxy(process, links, Link("east", "plain-1", "west"), target)
+    with connect(proxy.address) as client:
+        run_until(process, lambda: len(proxy.connections) == 1)
+        links.set_blocked(links.cut_zones, "west", True)
+        client.sendall(GET)
+        client.setblocking(False)
+        run_for(process, HELD_MS)
+        with pytest.raises(BlockingIOError):
+            client.recv(1)
+        links.set_blocked(links.cut_zones, "west", False)
+        assert receive(process, client, b"ok").startswith(b"HTTP/1.1 200")
+
+
+def test_a_proxy_resets_a_client_whose_server_refuses(process):
+    listener = HttpListener(process, "x", answer_ok)
+    listener.stop_listening()
+    links = Links(Network(), stream(1, "network"))
+    target = SocketAddress("127.0.0.1", listener.port)
+    proxy = LinkProxy(process, links, Link("east", "plain-0", "east"), target)
+    with connect(proxy.address) as client, pytest.raises(ConnectionResetError):
+        receive(process, client, b"ok")
+
+
+@pytest.mark.parametrize(
+    ("faults", "now_s", "is_failing"),
+    [
+        (Faults(), 3.0, False),
+        (Faults(fails="full"), 3.0, True),
+        (Faults(fails="full", every_s=4.0), 1.0, False),
+        (Faults(fails="full", every_s=4.0), 3.0, True),
+    ],
+)
+def test_a_disk_fails_in_the_second_half_of_each_period(faults, now_s, is_failing):
+    assert faults.is_failing(now_s) is is_failing
