--- a/marlseam/cli/standin.py
+++ b/marlseam/cli/standin.py
@@ -1,8 +1,12 @@
-"""`marlseam standin`: parts of the world on loopback, started by experiments or by hand."""
+"""`marlseam standin`: emulators on loopback and load generators, started by experiments or by hand.
+
+Names of commands and options, and texts printed, are those that operators know.
+"""
 
 import json
 from collections.abc import Callable
 from pathlib import Path
+from typing import Any
 
 import click
 
@@ -16,11 +20,14 @@
 NOW = click.option("--now", is_flag=True, help="Begin at once, and leave standard input alone.")
 
 
-def options(*more: Callable) -> Callable:
-    """Return a decorator with a stand-in's common options and some more."""
+Decorator = Callable[[Callable[..., Any]], Callable[..., Any]]
+
+
+def emulator_options(*further: Decorator) -> Decorator:
+    """Return a decorator that adds the arguments of all emulators to a command, and some further ones."""
 
-    def decorate(command: Callable) -> Callable:
-        for option in (*reversed(more), NOW, RECORDS, SEED, DAY):
+    def decorate(command: Callable[..., Any]) -> Callable[..., Any]:
+        for option in (*reversed(further), NOW, RECORDS, SEED, DAY):
             command = option(command)
         return command
 
@@ -32,8 +39,8 @@
     """Run parts of the world on loopback: executors, roster, network, load."""
 
 
-@group.command()
-@options(
+@group.command("executors")
+@emulator_options(
     click.option(
         "--part", default="1/1", show_default=True, help="Which part of the executors, of how many."
     ),
@@ -41,15 +48,15 @@
         "--nodelay/--nagle", default=True, show_default=True, help="Whether small writes go out at once."
     ),
 )
-def executors(day: Path, seed: int, records: Path | None, now: bool, part: str, nodelay: bool) -> None:
+def run_servers(day: Path, seed: int, records: Path | None, now: bool, part: str, nodelay: bool) -> None:
     """Run a day's executors; the ready line holds their addresses."""
     from marlseam.emulators.servers import serve
 
-    serve(common.day(day), seed, records, now, nodelay, part)
+    serve(common.load_day(day), seed, records, now, nodelay, part)
 
 
-@group.command()
-@options(
+@group.command("roster")
+@emulator_options(
     click.option(
         "--dials",
         type=click.Path(path_type=Path, exists=True),
@@ -57,15 +64,15 @@
         help="Addresses, by zone, as JSON.",
     )
 )
-def roster(day: Path, seed: int, records: Path | None, now: bool, dials: Path) -> None:
+def run_discovery(day: Path, seed: int, records: Path | None, now: bool, dials: Path) -> None:
     """Run a day's roster; the ready line holds an address for each node."""
     from marlseam.emulators.discovery import serve
 
-    serve(common.day(day), seed, json.loads(dials.read_text()), records, now)
+    serve(common.load_day(day), seed, json.loads(dials.read_text()), records, now)
 
 
-@group.command()
-@options(
+@group.command("network")
+@emulator_options(
     click.option(
         "--addresses",
         type=click.Path(path_type=Path, exists=True),
@@ -73,15 +80,15 @@
         help="Executors' addresses as JSON.",
     )
 )
-def network(day: Path, seed: int, records: Path | None, now: bool, addresses: Path) -> None:
+def run_network(day: Path, seed: int, records: Path | None, now: bool, addresses: Path) -> None:
     """Run the network between zones and executors; the ready line holds the addresses to dial, by zone."""
     from marlseam.emulators.network import serve
 
-    serve(common.day(day), seed, json.loads(addresses.read_text()), records, now)
+    serve(common.load_day(day), seed, json.loads(addresses.read_text()), records, now)
 
 
-@group.command()
-@options(
+@group.command("load")
+@emulator_options(
     click.option(
         "--nodes",
         type=click.Path(path_type=Path, exists=True),
@@ -93,7 +100,7 @@
         "--connections", default=0, show_default=True, help="Most connections at once, 0 for as needed."
     ),
 )
-def load(
+def run_load(
     day: Path, seed: int, records: Path | None, now: bool, nodes: Path, part: str, connections: int
 ) -> None:
     """Send a day's work units as its clients.
@@ -102,10 +109,10 @@
     """
     from marlseam.load.process import serve
 
-    serve(common.day(day), seed, json.loads(nodes.read_text()), records, now, part, connections)
+    serve(common.load_day(day), seed, json.loads(nodes.read_text()), records, now, part, connections)
 
 
-@group.command()
+@group.command("echo")
 @click.option(
     "--stall",
     "stalls",
@@ -113,8 +120,8 @@
     multiple=True,
     help="Stand still: from which second, for how many.",
 )
-def echo(stalls: list[tuple[float, float]]) -> None:
+def run_echo(stalls: list[tuple[float, float]]) -> None:
     """Run a node that completes everything at once; the ready line holds its address."""
-    from marlseam.emulators.echo import serve
+    from marlseam.emulators.echo import Stall, serve
 
-    serve(list(stalls))
+    serve([Stall(*stall) for stall in stalls])
--- a/marlseam/experiment/idempotency_kills.py
+++ b/marlseam/experiment/idempotency_kills.py
@@ -15,7 +15,7 @@
 from msgspec.structs import replace
 
 from marlseam import records
-from marlseam.emulators.disk import FAULTS, OVER, Faults
+from marlseam.emulators.disk import END_FILE_VARIABLE, FAULTS_VARIABLE, DiskFaults
 from marlseam.experiment import file
 from marlseam.experiment.durable_state_run import (
     WAIT_MS,
@@ -40,7 +40,7 @@
 DAMAGED_BIT = 0x10
 
 
-class DiskCase(Faults, frozen=True):
+class DiskCase(DiskFaults, frozen=True):
     """One disk under a node.
 
     Attributes:
@@ -167,11 +167,11 @@
 def play_disk(experiment: Experiment, day: Day, case: DiskCase, out: Path) -> DiskFigures:
     """Play a day with kills on one disk."""
     settings: KillSettings = experiment.tables["receipts"]
-    faults = {name: getattr(case, name) for name in Faults.__struct_fields__}
+    faults = {name: getattr(case, name) for name in DiskFaults.__struct_fields__}
     over = out / "over"  # a file whose presence ends calls that hang
     out.mkdir(parents=True, exist_ok=True)
     over.unlink(missing_ok=True)
-    env = {FAULTS: json.encode(faults).decode(), OVER: str(over)}
+    env = {FAULTS_VARIABLE: json.encode(faults).decode(), END_FILE_VARIABLE: str(over)}
     starts = count(1)
     try:
         run = run_on_sockets(
--- a/marlseam/experiment/node_starts.py
+++ b/marlseam/experiment/node_starts.py
@@ -18,7 +18,8 @@
 
 import h11
 
-from marlseam.emulators.base import Door, Quiet, Stand, reply
+from marlseam.emulators.http_listener import HttpListener, reply
+from marlseam.emulators.process import EmulatorProcess, QuietLog
 from marlseam.experiment.processes import ChildProcess
 from marlseam.net.connection import Connection, Steps, connect
 from marlseam.net.errors import ConnectionEndedError
@@ -69,13 +70,13 @@
         door: where it listens.
     """
 
-    def __init__(self, stand: Stand, delay_ms: float = 0.0, is_down: bool = False) -> None:
+    def __init__(self, stand: EmulatorProcess, delay_ms: float = 0.0, is_down: bool = False) -> None:
         """Listen, or refuse connections where it is down."""
         self.loop, self.delay_ms = stand.loop, delay_ms
         self.calls: list[DiscoveryCall] = []
-        self.door = Door(stand, "discovery", self.answer)
+        self.door = HttpListener(stand, "discovery", self.answer)
         if is_down:
-            self.door.shut()
+            self.door.stop_listening()
 
     @property
     def address(self) -> str:
@@ -138,10 +139,10 @@
         starts: the nodes that were started.
     """
 
-    def __init__(self, stand: Stand, directory: Path) -> None:
+    def __init__(self, stand: EmulatorProcess, directory: Path) -> None:
         """Begin without nodes."""
         self.stand, self.loop, self.directory = stand, stand.loop, directory
-        self.log: Log = Quiet("front", self.loop.now)
+        self.log: Log = QuietLog("front", self.loop.now)
         self.starts: list[NodeStart] = []
 
     def start(self, name: str, config: dict[str, Any]) -> None:
@@ -208,7 +209,7 @@
 def node_starter(directory: Path) -> Iterator[NodeStarter]:
     """Give a starter whose nodes end with it."""
     directory.mkdir(parents=True, exist_ok=True)
-    starter = NodeStarter(Stand("front", None), directory)
+    starter = NodeStarter(EmulatorProcess("front", None), directory)
     try:
         yield starter
     finally:
--- /dev/null
+++ b/marlseam/experiment/registered_plays.py
@@ -0,0 +1,46 @@
+"""All plays: their import registers them, `register` makes their tables known to experiment files."""
+
+from marlseam.experiment import (
+    capacity,
+    day_plays,
+    fleet,
+    generator_plays,
+    idempotency_kills,
+    policy_comparison,
+    ready,
+    scale,
+    size_changes,
+    size_cold,
+    size_endpoint_list,
+    size_members,
+    soak,
+    stale_list_start,
+    store_cost,
+    versions,
+)
+
+__all__ = ["day_plays", "register"]  # the plays of one day have no table of their own
+
+MODULES_WITH_TABLES = (
+    generator_plays,
+    capacity,
+    scale,
+    policy_comparison,
+    idempotency_kills,
+    stale_list_start,
+    store_cost,
+    fleet,
+    versions,
+    size_endpoint_list,
+    size_members,
+    size_changes,
+    ready,
+    soak,
+    size_cold,
+)
+
+
+def register() -> None:
+    """Make the tables of all plays known to experiment files."""
+    for module in MODULES_WITH_TABLES:
+        module.register()
--- a/tests/test_size_changes.py
+++ b/tests/test_size_changes.py
@@ -9,7 +9,7 @@
 from marlseam.__main__ import main
 from marlseam.cluster.replication.content_store import ContentStore
 from marlseam.cluster.replication.replica import ConfigReplica
-from marlseam.experiment import file, measures, plays
+from marlseam.experiment import file, plays, registered_plays, runner
 from marlseam.experiment.config_change_measurement import SimulatedCase, measure_case
 from marlseam.experiment.config_change_workload import change_one_team, team_quotas
 from marlseam.experiment.size_changes_report import is_count
@@ -18,10 +18,10 @@
 
 
 def test_the_short_experiment_holds_and_gives_the_same_counts_twice(tmp_path):
-    measures.register()
+    registered_plays.register()
     experiment = file.load(SHORT)
-    code, missed = plays.run(experiment, tmp_path / "one", lambda text: None)
-    assert code == 0, missed
+    summary = runner.run(experiment, tmp_path / "one", lambda text: None)
+    assert summary.exit_code == 0, summary.missed
     runs = [plays.PLAYS["size_changes"](experiment, tmp_path / name, lambda text: None) for name in "ab"]
     counts = [{key: value for key, value in run.figures.items() if is_count(key)} for run in runs]
     assert counts[0] == counts[1]
--- a/tests/test_slope.py
+++ b/tests/test_slope.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from marlseam.experiment import report, slope
+from marlseam.experiment import slope, slope_chart
 from marlseam.experiment.slope import Point, Slope
 
 
@@ -53,11 +53,11 @@
 
 
 def test_the_report_draws_points_line_and_bound():
-    drawn = report.slope_chart(turn_slope(6.0))
+    drawn = slope_chart.slope_chart(turn_slope(6.0))
     assert drawn.count("<circle") == 3
     assert "bound 6" in drawn
     assert "largest miss" in drawn
-    assert "bound" not in report.slope_chart(turn_slope())
-    assert "<svg" in report.slope_chart(turn_slope())
+    assert "bound" not in slope_chart.slope_chart(turn_slope())
+    assert "<svg" in slope_chart.slope_chart(turn_slope())
     nothing = Slope("none", "ms", "hollow", [Point(10.0, 0.0)], 100.0)
-    assert report.slope_chart(nothing) == ""
+    assert slope_chart.slope_chart(nothing) == ""
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -11,7 +11,7 @@
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.slow_start import MAX_SAVED_BUDGETS, MIN_SAVED_COST_SHARE, SLOW_START_PLANNED_SHARE
 from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind, Request
-from marlseam.experiment import file, measures, size_cold
+from marlseam.experiment import file, registered_plays, size_cold
 from marlseam.experiment.plays import RunResult
 from tests.conftest import SETTINGS, RecordingPort
 
@@ -147,7 +147,7 @@
 @pytest.fixture
 def play() -> Callable[..., RunResult]:
     """Return a function that plays `size-cold` with some fields of its table changed."""
-    measures.register()
+    registered_plays.register()
     path = Path(__file__).parent.parent / "experiments" / "size-cold.toml"
 
     def run(directory: Path, **changes: object) -> RunResult:
