--- /dev/null
+++ b/marlseam/experiment/cluster_fault_injector.py
@@ -0,0 +1,160 @@
+"""Injects faults into the nodes of a cluster, their disks and what is sent between them."""
+
+import contextlib
+import os
+import re
+import resource
+import signal
+import threading
+from collections.abc import Callable
+from pathlib import Path
+from typing import NamedTuple
+
+from marlseam import records
+from marlseam.experiment.cluster_nodes import ClusterNodes
+from marlseam.experiment.cluster_relay import Cut, DatagramRelay, Pair
+from marlseam.experiment.cluster_tables import Fault, FaultKind
+from marlseam.experiment.sockets import SocketDriver
+
+ANY_NODE = ""  # of a cut
+
+
+class FaultSpan(NamedTuple):
+    """A fault that was injected.
+
+    Attributes:
+        node: the node that it was injected into.
+        kind: which fault.
+        since_ms: when it was injected, in ms of the run.
+        until_ms: when it was over.
+    """
+
+    node: str
+    kind: FaultKind
+    since_ms: float
+    until_ms: float
+
+
+class FaultInjector:
+    """Injects faults.
+
+    Attributes:
+        spans: the faults so far; neither publications nor copies of ledgers, which disturb nothing.
+    """
+
+    def __init__(
+        self,
+        nodes: ClusterNodes,
+        relay: DatagramRelay,
+        driver: SocketDriver,
+        publish: Callable[[str], None],
+    ) -> None:
+        """Inject faults into a driver's nodes; `publish` has a node publish, and blocks until it has."""
+        self._nodes, self._relay, self._driver, self._publish = nodes, relay, driver, publish
+        self.spans: list[FaultSpan] = []
+
+    def inject(self, fault: Fault, pair: Pair, data: bytes) -> None:
+        """Inject a fault before a datagram of a pair of nodes."""
+        now_ms = self._driver.now()
+        span = FaultSpan(fault.node, FaultKind(fault.fault), now_ms, now_ms + fault.for_ms)
+        match span.kind:
+            case FaultKind.PUBLISH:
+                self._start_thread(self._publish, fault.node)
+            case FaultKind.UPGRADE:
+                self._nodes.renew_admin_address(fault.node)
+                self._start_thread(self._driver.upgrade, fault.node)
+                self._note(span)
+            case FaultKind.COPY:
+                self._nodes.copy_ledger(fault.node)
+            case FaultKind.HOLD:
+                self._note(span)
+                self._relay.delay(pair, data, span.until_ms)
+            case FaultKind.KILL | FaultKind.RESTART | FaultKind.OLD | FaultKind.LOST:
+                self._note(span)
+                self._kill(fault, span.kind)
+            case FaultKind.STOP:
+                self._note(span)
+                self._suspend(span, fault.for_ms)
+            case FaultKind.FULL:
+                self._note(span)
+                self._fill_disk(fault)
+            case FaultKind.CUT | FaultKind.DEAF | FaultKind.MUTE | FaultKind.PAIR | FaultKind.SPLIT:
+                self._note(span)
+                self._relay.cuts += cuts_of(fault, span)
+
+    @staticmethod
+    def _start_thread(call: Callable[[str], None], name: str) -> None:
+        threading.Thread(target=call, args=(name,), daemon=True).start()
+
+    def _note(self, span: FaultSpan) -> None:
+        self.spans.append(span)
+        self._nodes.fault_counts[span.node] += 1
+
+    def _pid(self, name: str) -> int:
+        return self._driver.nodes[name].process.pid
+
+    def _kill(self, fault: Fault, kind: FaultKind) -> None:
+        """Kill a node; the driver starts it again, for KILL once the fault's time is over."""
+        pid = self._pid(fault.node)
+        if kind in (FaultKind.OLD, FaultKind.LOST):
+            self._nodes.ledger_faults[fault.node] = kind
+        self._driver.fell(fault.node, fault.for_ms if kind is FaultKind.KILL else 0.0)
+        os.kill(pid, signal.SIGKILL)
+
+    def _suspend(self, span: FaultSpan, for_ms: float) -> None:
+        """Stop a node's process, and let it go on later."""
+        pid = self._pid(span.node)
+        self._driver.note(
+            records.NodeStateChanged(
+                t=span.since_ms, by="driver", node=span.node, state="stopped", until=span.until_ms
+            )
+        )
+        os.kill(pid, signal.SIGSTOP)
+        threading.Timer(for_ms / 1000.0, os.kill, (pid, signal.SIGCONT)).start()
+
+    def _fill_disk(self, fault: Fault) -> None:
+        """Let the writer process of a node's ledger write nothing for a time."""
+        self._limit_file_size(fault.node, 0)
+        no_limit = (fault.node, resource.RLIM_INFINITY)
+        threading.Timer(fault.for_ms / 1000.0, self._limit_file_size, no_limit).start()
+
+    def _limit_file_size(self, name: str, max_bytes: int) -> None:
+        """Bound the size of files that the child processes of a node may write."""
+        pid = self._pid(name)
+        for child in Path(f"/proc/{pid}/task/{pid}/children").read_text().split():
+            with contextlib.suppress(OSError):
+                resource.prlimit(int(child), resource.RLIMIT_FSIZE, (max_bytes, resource.RLIM_INFINITY))
+
+
+def cuts_of(fault: Fault, span: FaultSpan) -> list[Cut]:
+    """Return what is lost by a fault of the network."""
+    name, until_ms = span.node, span.until_ms
+    outgoing, incoming = Cut(name, ANY_NODE, until_ms), Cut(ANY_NODE, name, until_ms)
+    match span.kind:
+        case FaultKind.PAIR:
+            return [Cut(name, fault.other, until_ms)]
+        case FaultKind.SPLIT:
+            return split_cuts(fault.other, until_ms)
+        case FaultKind.DEAF:
+            return [incoming]
+        case FaultKind.MUTE:
+            return [outgoing]
+        case _:
+            return [outgoing, incoming]
+
+
+def split_cuts(groups: str, until_ms: float) -> list[Cut]:
+    """Return the cuts between groups of names, as the attribute `other` of a `Fault` describes them."""
+    is_one_way = ">" in groups
+    members = [group.split() for group in re.split("[|>]", groups)]
+    cuts = []
+    for index, senders in enumerate(members):
+        after = members[index + 1 :]
+        receiving = after if is_one_way else members[:index] + after
+        cuts += [
+            Cut(sender, receiver, until_ms)
+            for receivers in receiving
+            for sender in senders
+            for receiver in receivers
+        ]
+    return cuts
--- /dev/null
+++ b/marlseam/experiment/cluster_members.py
@@ -0,0 +1,174 @@
+"""The play `fleet_members`: real nodes find out which of them are alive, while faults are injected."""
+
+from dataclasses import dataclass, field
+from math import inf
+from pathlib import Path
+
+from marlseam import records
+from marlseam.cluster.checking.membership_schedules import detection_bound_ms, healing_bound_ms
+from marlseam.cluster.membership import MAX_LOCAL_HEALTH, Membership
+from marlseam.experiment import plays
+from marlseam.experiment.cluster_fault_injector import FaultSpan
+from marlseam.experiment.cluster_faults import CLUSTER_NAME
+from marlseam.experiment.cluster_logs import GONE
+from marlseam.experiment.cluster_run import ClusterRun, play_under_faults
+from marlseam.experiment.cluster_tables import ClusterTable, FaultKind
+from marlseam.experiment.file import Experiment
+from marlseam.experiment.plays import RunResult, ShowProgress, register_play
+
+PLAY = "fleet_members"
+ALIVE = "here"  # how a node's status calls a member that is alive
+LOG_DELAY_MS = 250.0  # until a line of a node's log is read, and a datagram has passed through
+DETECTABLE = (FaultKind.KILL, FaultKind.STOP, FaultKind.CUT)  # all others are to hold the node as dead
+TABLE_HEAD = ["node", "fault", "at, s", "for, s", "gone with the first, s", "with the last, s", "bound, s"]
+
+
+def wrong_member_states(run: ClusterRun) -> list[str]:
+    """Describe what nodes hold of each other that is not so, by what all of them report now."""
+    statuses = run.statuses()
+    generations = {
+        name: next(member["life"] for member in status["members"] if member["name"] == name)
+        for name, status in statuses.items()
+        if status
+    }
+    wrong = [f"{name} says nothing" for name, status in statuses.items() if status is None]
+    for name, status in statuses.items():
+        for member in status["members"] if status else ():
+            is_current = member["life"] == generations.get(member["name"])
+            if member["standing"] != ALIVE or not is_current:
+                wrong.append(f"{name} holds {member['name']} as {member['standing']} life {member['life']}")
+    return wrong
+
+
+@dataclass
+class DetectionFigures:
+    """How soon failures were detected.
+
+    Attributes:
+        checked: the faults for which there was a bound.
+        past_bound: detections by one member that were late or never came.
+        nearest: the latest detection, as a share of its bound.
+        rows: of the table, a row a fault.
+    """
+
+    checked: float = 0.0
+    past_bound: float = 0.0
+    nearest: float = 0.0
+    rows: list[list[str]] = field(default_factory=list)
+
+
+class DetectionCheck:
+    """Holds what nodes logged of each other against the bounds of detection.
+
+    Attributes:
+        bound_ms: within what time healthy members detect a failure.
+        unhealthy_bound_ms: the same, for members that doubt their own health as far as they may.
+    """
+
+    def __init__(self, run: ClusterRun) -> None:
+        """Compute the bounds for a run's nodes and protocol period."""
+        self._run, self._spans = run, run.injector.spans
+        self._reports = run.logs.member_reports
+        self._period_ms = run.table.period_ms
+        any_member = Membership(CLUSTER_NAME, "n0", frozenset(run.names), 0, 0, self._period_ms, 0.0)
+        suspicion_ms = any_member.suspicion_ms(0)
+        self.bound_ms, self.unhealthy_bound_ms = (
+            detection_bound_ms(len(run.names), suspicion_ms, self._period_ms, health) + LOG_DELAY_MS
+            for health in (0, MAX_LOCAL_HEALTH)
+        )
+
+    def _overlapping(self, span: FaultSpan) -> list[FaultSpan]:
+        """Return faults of other nodes which may delay the detection of this one.
+
+        A member that doubted its own health trusts itself again with each answer that it gets.
+        """
+        recovery_ms = (MAX_LOCAL_HEALTH + 1) * MAX_LOCAL_HEALTH * self._period_ms
+        return [
+            other
+            for other in self._spans
+            if other.node != span.node
+            and other.since_ms < span.since_ms + self.bound_ms
+            and other.until_ms > span.since_ms - recovery_ms
+        ]
+
+    def _detections_ms(self, span: FaultSpan, observers: list[str]) -> dict[str, float]:
+        """Return after what time each observer first held the span's node as dead."""
+        detections: dict[str, float] = {}
+        for report in self._reports:
+            is_in_time = span.since_ms <= report.at_ms < span.until_ms + LOG_DELAY_MS
+            is_death = report.member == span.node and report.status == GONE
+            if is_death and is_in_time and report.reporter in observers:
+                detections.setdefault(report.reporter, report.at_ms - span.since_ms)
+        return detections
+
+    def check(self) -> DetectionFigures:
+        """Check every fault that was injected."""
+        figures = DetectionFigures()
+        for span in self._spans:
+            self._check_span(span, figures)
+        return figures
+
+    def _check_span(self, span: FaultSpan, figures: DetectionFigures) -> None:
+        """Check one fault, and add to the figures."""
+        overlapping = self._overlapping(span)
+        bound_ms = self.unhealthy_bound_ms if overlapping else self.bound_ms
+        disturbed = {other.node for other in overlapping}
+        observers = [name for name in self._run.names if name not in disturbed]
+        detections_ms = self._detections_ms(span, observers)
+        is_bounded = span.kind in DETECTABLE and span.until_ms - span.since_ms > bound_ms
+        if is_bounded:
+            taken_ms = [detections_ms.get(name, inf) for name in observers if name != span.node]
+            figures.nearest = max(figures.nearest, max(taken_ms) / bound_ms)
+            figures.past_bound += sum(taken > bound_ms for taken in taken_ms)
+            figures.checked += 1.0
+        bound = f"{bound_ms / 1000.0:.1f}" if is_bounded else "none"
+        figures.rows.append(span_row(span, sorted(detections_ms.values()), bound))
+
+    def false_detections(self) -> int:
+        """Return how often a member was held as dead when no fault could be the reason."""
+        return sum(report.status == GONE and self._is_undisturbed(report.at_ms) for report in self._reports)
+
+    def _is_undisturbed(self, at_ms: float) -> bool:
+        """Return whether nothing was wrong at a time; where datagrams are lost, something always is."""
+        return not self._run.table.loss and all(
+            span.until_ms + self.unhealthy_bound_ms < at_ms or span.since_ms > at_ms for span in self._spans
+        )
+
+
+def span_row(span: FaultSpan, detections_ms: list[float], bound: str) -> list[str]:
+    """Return a fault as a row of the report."""
+    ends = (detections_ms[0], detections_ms[-1]) if detections_ms else ()
+    detected = [f"{taken / 1000.0:.2f}" for taken in ends] or ["-", "-"]
+    since_s, for_s = span.since_ms / 1000.0, (span.until_ms - span.since_ms) / 1000.0
+    return [span.node, span.kind.value, f"{since_s:.1f}", f"{for_s:.1f}", *detected, bound]
+
+
+def membership_figures(run: ClusterRun, check: DetectionCheck, found: DetectionFigures) -> dict[str, float]:
+    """Return the figures of a run under the keys of reports."""
+    healing_ms = healing_bound_ms(len(run.names), run.table.period_ms) + LOG_DELAY_MS
+    return {
+        "faults": float(len(run.injector.spans)),
+        "not_struck": float(len(run.schedule.pending)),
+        "past_bound": found.past_bound,
+        "held_to_bound": found.checked,
+        "nearest_detection": found.nearest,
+        "false_gone": float(check.false_detections()),
+        "letters": float(run.relay.passed_count),
+        "heal_s": run.healed_after_ms / 1000.0,
+        "nearest_heal": run.healed_after_ms / healing_ms,
+    }
+
+
+@register_play(PLAY)
+def play_members(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
+    """Play a day under faults and load; check detection, healing, and by the records the rules of service."""
+    table: ClusterTable = experiment.tables[PLAY]
+    run = play_under_faults(
+        experiment.day, experiment.head.seed, table, out, show_progress, wrong_member_states
+    )
+    judged = plays.judge_records(*records.read_folder(out / "records"), driver="sockets")
+    check = DetectionCheck(run)
+    found = check.check()
+    figures = judged.figures | membership_figures(run, check, found)
+    tables = [("Members under faults", [TABLE_HEAD, *found.rows])]
+    return RunResult(figures, judged.verdict, judged.book, tables, "sockets")
--- /dev/null
+++ b/marlseam/experiment/cluster_run.py
@@ -0,0 +1,133 @@
+"""A day of load on a cluster of real nodes, with all datagrams between them relayed and faults injected.
+
+A fault is injected before the n-th datagram of a kind that a node sends or receives, so that a run depends on
+what nodes exchange, not on sleeps. Real are nodes, their sockets, signals and time.
+"""
+
+import time
+from collections.abc import Callable
+from math import inf
+from pathlib import Path
+from typing import Any
+
+from marlseam.experiment import cluster_admin
+from marlseam.experiment.cluster_fault_injector import FaultInjector
+from marlseam.experiment.cluster_faults import FaultSchedule
+from marlseam.experiment.cluster_logs import LogReader
+from marlseam.experiment.cluster_nodes import ClusterNodes
+from marlseam.experiment.cluster_publications import ChangePublisher
+from marlseam.experiment.cluster_relay import DatagramRelay, Pair, RelayHooks, free_udp_address
+from marlseam.experiment.cluster_tables import ClusterTable, FaultKind
+from marlseam.experiment.plays import ShowProgress
+from marlseam.experiment.processes import RunFailedError
+from marlseam.experiment.sockets import SocketDriver
+from marlseam.load.process import arrivals_of
+from marlseam.simulation.model import Day, placed_nodes
+
+
+class ClusterRun:
+    """The parts of one run.
+
+    Attributes:
+        names: of the nodes.
+        table: the cluster and its faults, as the experiment's file says.
+        schedule: which faults are due.
+        relay: what passes datagrams on.
+        nodes: the nodes' configuration, ledgers and addresses.
+        driver: starts nodes, servers and load.
+        publisher: has nodes publish changes.
+        injector: injects the faults.
+        logs: what nodes have logged.
+        last_statuses: what each node reported when it was last asked.
+        healed_after_ms: how long after the last fault the nodes were first as they should be; inf for never.
+    """
+
+    def __init__(self, day: Day, seed: int, table: ClusterTable, out: Path) -> None:
+        """Wire the parts to each other; nothing is started."""
+        self.names = [name for name, _ in placed_nodes(day)]
+        self.table = table
+        self._seconds = day.seconds
+        self.schedule = FaultSchedule(self.names, table, seed)
+        self.relay = DatagramRelay({name: free_udp_address() for name in self.names}, table, seed)
+        self.nodes = ClusterNodes(self.names, table, self.relay, out)
+        self.driver = SocketDriver(
+            day,
+            seed,
+            out,
+            more=self.nodes.settings,
+            prepare=self.nodes.create_ledger,
+            between=self.nodes.apply_ledger_fault,
+            module=self.nodes.module,
+            env=self.nodes.environment,
+            shared=any(fault.fault == FaultKind.UPGRADE for fault in table.faults),
+        )
+        self.publisher = ChangePublisher(
+            day, self.nodes.admin_addresses, self.driver.now, lambda: self.relay.is_over
+        )
+        self.injector = FaultInjector(self.nodes, self.relay, self.driver, self.publisher.publish)
+        self.logs = LogReader(self.names, out / "logs")
+        self.last_statuses: dict[str, dict[str, Any] | None] = {}
+        self.healed_after_ms = inf
+
+    def _inject_due_fault(self, node: str, is_sent: bool, pair: Pair, data: bytes) -> None:
+        """Count a datagram, and inject the fault that is due before it."""
+        fault = self.schedule.next_fault(node, is_sent, data)
+        if fault is not None:
+            self.injector.inject(fault, pair, data)
+
+    def statuses(self) -> dict[str, dict[str, Any] | None]:
+        """Return what each node reports of its cluster now, None for one that does not answer."""
+        self.last_statuses = {
+            name: cluster_admin.cluster_status(self.nodes.admin_addresses[name]) for name in self.names
+        }
+        return self.last_statuses
+
+    def play(self, day: Day, seed: int, progress: Callable[[float], None]) -> None:
+        """Play the day; `progress` is called with the time in ms of the run."""
+        self.driver.zero = (
+            time.monotonic()
+        )  # until the run's own: nodes hear each other before they are ready
+        self.relay.start(RelayHooks(self.driver.now, self.logs.read, self._inject_due_fault))
+        try:
+            self.driver.run(arrivals_of(day, seed), progress)
+        finally:
+            self.relay.stop()
+            self.relay.close()
+            self.nodes.close()
+
+    def advance(self, now_ms: float, find_unhealed: Callable[["ClusterRun"], list[str]]) -> None:
+        """Check the relay, end the schedule in time, and note when the nodes have healed."""
+        self.schedule.is_counting = True
+        if self.relay.error is not None:
+            raise RunFailedError(f"the relay ended: {self.relay.error!r}")
+        if now_ms > 1000.0 * self.table.until_s and not self.table.faults:
+            self.schedule.pending.clear()
+        last_fault_ms = max([span.until_ms for span in self.injector.spans], default=0.0)
+        if self.schedule.pending or now_ms <= last_fault_ms or self.healed_after_ms < inf:
+            return
+        if not find_unhealed(self):
+            self.healed_after_ms = self.driver.now() - last_fault_ms
+
+    def describe_progress(self, now_ms: float) -> str:
+        """Return how far the run is."""
+        played_s = max(0.0, now_ms) / 1000.0
+        return f"{played_s:.0f} s of {self._seconds:g}, {len(self.injector.spans)} faults"
+
+
+def play_under_faults(
+    day: Day,
+    seed: int,
+    table: ClusterTable,
+    out: Path,
+    show_progress: ShowProgress,
+    find_unhealed: Callable[[ClusterRun], list[str]],
+) -> ClusterRun:
+    """Play a day under faults; `find_unhealed` describes what in the nodes is not yet as it should be."""
+    run = ClusterRun(day, seed, table, out)
+
+    def progress(now_ms: float) -> None:
+        show_progress(run.describe_progress(now_ms))
+        run.advance(now_ms, find_unhealed)
+
+    run.play(day, seed, progress)
+    return run
