--- a/marlseam/experiment/cluster_members.py
+++ b/marlseam/experiment/cluster_members.py
@@ -153,7 +153,7 @@
         "held_to_bound": found.checked,
         "nearest_detection": found.nearest,
         "false_gone": float(check.false_detections()),
-        "letters": float(run.relay.passed_count),
+        "letters": float(run.relay.delivered_count),
         "heal_s": run.healed_after_ms / 1000.0,
         "nearest_heal": run.healed_after_ms / healing_ms,
     }
--- a/marlseam/experiment/cluster_relay.py
+++ b/marlseam/experiment/cluster_relay.py
@@ -76,7 +76,7 @@
         node_addresses: the nodes' own addresses, by name.
         random: draws which datagrams are lost and which are sent twice.
         cuts: what is lost, and until when.
-        passed_count: datagrams handed to their nodes.
+        delivered_count: datagrams handed to their receivers.
         lost_count: datagrams that were lost.
         error: what ended the thread early, if anything did.
     """
@@ -93,7 +93,7 @@
         self.cuts: list[Cut] = []
         self._delayed: list[DelayedDatagram] = []
         self._delayed_count = 0
-        self.passed_count = self.lost_count = 0
+        self.delivered_count = self.lost_count = 0
         self.error: BaseException | None = None
         self._is_over = threading.Event()
         self._hooks: RelayHooks
@@ -189,7 +189,7 @@
         """Hand a datagram to its receiver."""
         self._hooks.before_datagram(pair.receiver, False, pair, data)
         host, _, port = self.node_addresses[pair.receiver].rpartition(":")
-        self.passed_count += 1
+        self.delivered_count += 1
         try:
             self._sockets[pair].sendto(data, (host, int(port)))
         except OSError:
