--- a/tests/test_cluster_settings.py
+++ b/tests/test_cluster_settings.py
@@ -161,3 +161,41 @@
     node.config_service.refresh()
     assert node.config_service.status()["local"]
     assert node.config_service.actions.interval.interval == before + 1
+
+
+@pytest.mark.parametrize(
+    ("text", "key"),
+    [
+        ("[fleet]\n", "fleet.members"),
+        ("[fleet]\nmembers = {}\nname = 'f'\n", "fleet.members"),
+        ("[fleet]\n[fleet.members]\na = 'here:1'\n", "fleet.members.a"),
+        ("[fleet]\n[fleet.members]\na = '127.0.0.1:0'\n", "fleet.members.a"),
+        ("[fleet]\n[fleet.members]\na = 7\n", "fleet.members.a"),
+        ("[fleet]\n[fleet.members]\na = '10.0.0.1:5'\n", "fleet.members.a"),
+        ("[fleet]\n[fleet.members]\na = '127.0.0.1:5'\nb = '127.0.0.1:5'\n", "fleet.members.b"),
+        ("[fleet]\nnam = 'f'\n", "fleet.nam"),
+        ("[fleet]\nperiod_ms = 1\nname = 'f'\n[fleet.members]\na = '127.0.0.1:5'\n", "fleet.period_ms"),
+        ("[fleet]\n[fleet.members]\na = '127.0.0.1:5'\n", "fleet.name"),
+    ],
+)
+def test_a_wrong_setting_is_named(at_fault, text, key):
+    assert at_fault(text) == key
+
+
+def test_a_trusted_network_may_be_another_and_a_node_must_be_among_the_names(tmp_path):
+    own, config = tmp_path / "own.toml", tmp_path / "node.json"
+    own.write_text("[fleet]\nname = 'f'\ntrusted = true\n[fleet.members]\na = '10.0.0.1:5'\n")
+    config.write_text(
+        json.dumps({"name": "a", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": OPTIONS})
+    )
+    assert load(str(config), {}, own=str(own)).cluster.members == {"a": ("10.0.0.1", 5)}
+    with pytest.raises(ConfigError) as error:
+        load(str(config), {"EDGE_NAME": "q"}, own=str(own))
+    assert error.value.key == "fleet.members"
+
+
+def test_a_node_of_no_cluster_imports_nothing_of_it():
+    words = "fleet", "peers", "acting", "ledger", "cluster", "membership", "config_"
+    code = "import sys, marlseam.__main__; "
+    code += f"print([name for name in sys.modules if any(word in name for word in {words})])"
+    assert subprocess.run([sys.executable, "-c", code], capture_output=True, text=True).stdout == "[]\n"
