--- a/marlseam/experiment/cluster_members.py
+++ b/marlseam/experiment/cluster_members.py
@@ -11,7 +11,7 @@
 from marlseam.experiment.cluster_fault_injector import FaultSpan
 from marlseam.experiment.cluster_faults import CLUSTER_NAME
 from marlseam.experiment.cluster_logs import GONE
-from marlseam.experiment.cluster_run import ClusterRun, play_under_faults
+from marlseam.experiment.cluster_run import ClusterRun
 from marlseam.experiment.cluster_tables import ClusterTable, FaultKind
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import RunResult, ShowProgress, register_play
@@ -163,9 +163,8 @@
 def play_members(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
     """Play a day under faults and load; check detection, healing, and by the records the rules of service."""
     table: ClusterTable = experiment.tables[PLAY]
-    run = play_under_faults(
-        experiment.day, experiment.head.seed, table, out, show_progress, wrong_member_states
-    )
+    run = ClusterRun(experiment.day, experiment.head.seed, table, out)
+    run.play(show_progress, wrong_member_states)
     judged = plays.judge_records(*records.read_folder(out / "records"), driver="sockets")
     check = DetectionCheck(run)
     found = check.check()
--- a/marlseam/experiment/cluster_run.py
+++ b/marlseam/experiment/cluster_run.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from math import inf
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeAlias
 
 from marlseam.experiment import cluster_admin
 from marlseam.experiment.cluster_fault_injector import FaultInjector
@@ -24,6 +24,9 @@
 from marlseam.load.process import arrivals_of
 from marlseam.simulation.model import Day, placed_nodes
 
+# Describes what in the nodes of a run is not yet as it should be after faults.
+FindUnhealed: TypeAlias = Callable[["ClusterRun"], list[str]]
+
 
 class ClusterRun:
     """The parts of one run.
@@ -46,7 +49,7 @@
         """Wire the parts to each other; nothing is started."""
         self.names = [name for name, _ in placed_nodes(day)]
         self.table = table
-        self._seconds = day.seconds
+        self._day, self._seed = day, seed
         self.schedule = FaultSchedule(self.names, table, seed)
         self.relay = DatagramRelay({name: free_udp_address() for name in self.names}, table, seed)
         self.nodes = ClusterNodes(self.names, table, self.relay, out)
@@ -82,20 +85,24 @@
         }
         return self.last_statuses
 
-    def play(self, day: Day, seed: int, progress: Callable[[float], None]) -> None:
-        """Play the day; `progress` is called with the time in ms of the run."""
-        self.driver.zero = (
-            time.monotonic()
-        )  # until the run's own: nodes hear each other before they are ready
+    def play(self, show_progress: ShowProgress, find_unhealed: FindUnhealed) -> None:
+        """Play the day; `find_unhealed` describes what in the nodes is not yet as it should be."""
+
+        def progress(now_ms: float) -> None:
+            show_progress(self._describe_progress(now_ms))
+            self._advance(now_ms, find_unhealed)
+
+        # Until the run's own zero: nodes exchange datagrams before they are ready.
+        self.driver.zero = time.monotonic()
         self.relay.start(RelayHooks(self.driver.now, self.logs.read, self._inject_due_fault))
         try:
-            self.driver.run(arrivals_of(day, seed), progress)
+            self.driver.run(arrivals_of(self._day, self._seed), progress)
         finally:
             self.relay.stop()
             self.relay.close()
             self.nodes.close()
 
-    def advance(self, now_ms: float, find_unhealed: Callable[["ClusterRun"], list[str]]) -> None:
+    def _advance(self, now_ms: float, find_unhealed: FindUnhealed) -> None:
         """Check the relay, end the schedule in time, and note when the nodes have healed."""
         self.schedule.is_counting = True
         if self.relay.error is not None:
@@ -108,26 +115,7 @@
         if not find_unhealed(self):
             self.healed_after_ms = self.driver.now() - last_fault_ms
 
-    def describe_progress(self, now_ms: float) -> str:
+    def _describe_progress(self, now_ms: float) -> str:
         """Return how far the run is."""
         played_s = max(0.0, now_ms) / 1000.0
-        return f"{played_s:.0f} s of {self._seconds:g}, {len(self.injector.spans)} faults"
-
-
-def play_under_faults(
-    day: Day,
-    seed: int,
-    table: ClusterTable,
-    out: Path,
-    show_progress: ShowProgress,
-    find_unhealed: Callable[[ClusterRun], list[str]],
-) -> ClusterRun:
-    """Play a day under faults; `find_unhealed` describes what in the nodes is not yet as it should be."""
-    run = ClusterRun(day, seed, table, out)
-
-    def progress(now_ms: float) -> None:
-        show_progress(run.describe_progress(now_ms))
-        run.advance(now_ms, find_unhealed)
-
-    run.play(day, seed, progress)
-    return run
+        return f"{played_s:.0f} s of {self._day.seconds:g}, {len(self.injector.spans)} faults"
--- a/marlseam/experiment/replication_runs.py
+++ b/marlseam/experiment/replication_runs.py
@@ -10,7 +10,7 @@
 from marlseam import records
 from marlseam.experiment import plays
 from marlseam.experiment.cluster_logs import IN_SERVICE, ServiceReport
-from marlseam.experiment.cluster_run import ClusterRun, play_under_faults
+from marlseam.experiment.cluster_run import ClusterRun
 from marlseam.experiment.cluster_tables import ClusterTable
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.ledger_comparison import LedgerComparison
@@ -87,7 +87,8 @@
     experiment: Experiment, table: ClusterTable, seed: int, out: Path, show_progress: ShowProgress
 ) -> ReplicationRun:
     """Play one day under a table's faults, and compare its records with the ledgers."""
-    run = play_under_faults(experiment.day, seed, table, out, show_progress, lagging_nodes)
+    run = ClusterRun(experiment.day, seed, table, out)
+    run.play(show_progress, lagging_nodes)
     zero_ms = 1000.0 * (time.time() - time.monotonic() + run.driver.zero)
     found, wrong = records.read_folder(out / "records")
     judged = plays.judge_records(found, wrong, driver="sockets")
