--- a/marlseam/experiment/cluster_relay.py
+++ b/marlseam/experiment/cluster_relay.py
@@ -84,7 +84,7 @@
     def __init__(self, node_addresses: Mapping[str, str], table: ClusterTable, seed: int) -> None:
         """Bind a socket for each ordered pair of nodes, whose own addresses are given by name."""
         self.node_addresses, self._table = node_addresses, table
-        self.random = RandomSource(f"rig:{seed}")
+        self.random = RandomSource(f"rig:{seed}")  # a seed is to draw the same in later versions
         self._sockets: dict[Pair, socket.socket] = {}
         for sender in node_addresses:
             for receiver in node_addresses:
@@ -143,7 +143,7 @@
             poll.register(descriptor, select.EPOLLIN)
         try:
             self._relay_until_over(poll, pairs_by_descriptor)
-        except BaseException as error:  # noqa: BLE001 - reported to whoever waits for the run
+        except BaseException as error:  # reported to whoever waits for the run
             self.error = error
         finally:
             poll.close()
