--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,10 +2,11 @@
 
 import json
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from dataclasses import replace
 from math import inf
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import h11
 import pytest
@@ -33,6 +34,9 @@
 from marlseam.net.node import Node
 from marlseam.net.upstream import Upstream
 
+if TYPE_CHECKING:
+    from loopback_servers import ListeningServer, ServerLister
+
 # The same examples each time: whether a change lands does not hang on chance, or on how busy the machine is.
 hypothesis_settings.register_profile("fixed", derandomize=True, deadline=None)
 hypothesis_settings.load_profile("fixed")
@@ -436,3 +440,39 @@
     yield stand
     for server in servers:
         server.close()
+
+
+# Servers that a test plays itself (loopback_servers.py).
+
+
+@pytest.fixture
+def listening_servers() -> Iterator[dict[str, "ListeningServer"]]:
+    """Return a table of servers by name, each of which is closed after the test."""
+    servers: dict[str, ListeningServer] = {}
+    yield servers
+    for server in servers.values():
+        server.close()
+
+
+@pytest.fixture
+def list_test_servers(node: Node, listening_servers: dict[str, "ListeningServer"]) -> "ServerLister":
+    """Return a function that lists servers of the test's for the node, under settings of the test's."""
+    from loopback_servers import ServerLister  # it imports this module's settings
+
+    return ServerLister(node, listening_servers)
+
+
+@pytest.fixture
+def advance_clock(node: Node) -> Callable[[float], None]:
+    """Have the node's clock move at each look alone, and return a function that advances it by so many ms."""
+    from loopback_servers import control_clock  # it imports this module's settings
+
+    return control_clock(node.loop)
+
+
+@pytest.fixture
+def shrink_sockets(monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
+    """Return a function from which on new sockets hold so little that a long request waits for its reader."""
+    from loopback_servers import small_socket  # it imports this module's settings
+
+    return lambda: monkeypatch.setattr(socket, "socket", small_socket)
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -14,7 +14,8 @@
 
 import pytest
 from conftest import OPTIONS, reconfigured
-from test_endings import HEAD, reset
+from loopback_servers import RESPONSE_HEAD as HEAD
+from loopback_servers import reset_connection as reset
 from test_told import Led
 
 from marlseam.net import node as node_module
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -1,100 +1,132 @@
-"""The deadline told to a server is at most what its client has left, with 0.15 s of slack (docs/node.md)."""
+"""The time left that a server is sent is at most its client's, with 0.15 s of slack (docs/node.md)."""
 
 import re
 import socket
 import time
+from collections.abc import Iterator
+from typing import NamedTuple
 
 import pytest
-from test_endings import REQUEST
+from loopback_servers import SAFE_REQUEST, response_of
+
+from marlseam.net.node import Node
 
 SLACK_S = 0.15
-WORK_S = 0.15
+RUN_S = 0.15
+TIME_LEFT_S = 2.0
+
+
+class ReceivedRequest(NamedTuple):
+    """When a server got a request, and the time left that it was sent with it."""
+
+    at_s: float
+    time_left_s: float
+
+    def excess_s(self, began_s: float) -> float:
+        """Return by how much the time left exceeds what its client had left, which it sent at `began_s`."""
+        return self.time_left_s - (TIME_LEFT_S - (self.at_s - began_s))
+
+
+class SlowServer:
+    """A server that completes each request after a while.
+
+    Attributes:
+        received: the requests that have come
+        due: the responses still to be sent: when, on which socket, and for which request id
+    """
+
+    def __init__(self, node: Node) -> None:
+        self.node = node
+        self.sock = socket.create_server(("127.0.0.1", 0))
+        self.sock.setblocking(False)
+        self.held: list[socket.socket] = []
+        self.due: list[tuple[float, socket.socket, bytes]] = []
+        self.received: list[ReceivedRequest] = []
+        node.upstream.update_endpoints({"e1"}, {"e1": self.sock.getsockname()})
+
+    def run_turn(self) -> None:
+        """Accept, read, answer what is due, and run one turn of the node's loop."""
+        self.accept()
+        for sock in self.held:
+            self.read(sock)
+        while self.due and self.due[0][0] <= time.monotonic():
+            _, sock, request_id = self.due.pop(0)
+            sock.sendall(response_of(b'{"id":"%b","from":"e1","state":"done","result":"r"}\n' % request_id))
+        self.node.loop.at(self.node.loop.now() + 5.0, lambda: None)
+        self.node.loop.turn()
+
+    def accept(self) -> None:
+        try:
+            sock, _ = self.sock.accept()
+        except BlockingIOError:
+            return
+        sock.setblocking(False)
+        self.held.append(sock)
 
+    def read(self, sock: socket.socket) -> None:
+        try:
+            data = sock.recv(65536)
+        except BlockingIOError:
+            return
+        if data.startswith(b"POST"):
+            now_s, head = time.monotonic(), data.lower()
+            time_left_s = float(re.search(rb"x-time-left: *([0-9.]+)", head)[1])
+            self.received.append(ReceivedRequest(now_s, time_left_s))
+            self.due.append((now_s + RUN_S, sock, re.search(rb"x-correlation-id: *(\S+)", head)[1]))
+        elif data:
+            sock.sendall(response_of(b"{}"))
 
-def told(head: bytes) -> float:
-    """Return the time left that a server is told."""
-    return float(re.search(rb"x-time-left: *([0-9.]+)", head.lower())[1])
+    def close(self) -> None:
+        for sock in (self.sock, *self.held):
+            sock.close()
 
 
 @pytest.fixture
-def serve(node):
-    """Return a function that answers requests after a while, and when each came and what it was told."""
-
-    server = socket.create_server(("127.0.0.1", 0))
-    server.setblocking(False)
-    node.upstream.update_endpoints({"e1"}, {"e1": server.getsockname()})
-    open_, due, seen = [], [], []
-
-    def play() -> None:
-        try:
-            sock, _ = server.accept()
-            sock.setblocking(False)
-            open_.append(sock)
-        except BlockingIOError:
-            pass
-        for sock in open_:
-            try:
-                data = sock.recv(65536)
-            except BlockingIOError:
-                continue
-            if data.startswith(b"POST"):
-                seen.append((time.monotonic(), told(data)))
-                id = re.search(rb"x-correlation-id: *(\S+)", data.lower())[1]
-                due.append((time.monotonic() + WORK_S, sock, id))
-            elif data:
-                sock.sendall(b"HTTP/1.1 200 -\r\nContent-Length: 2\r\n\r\n{}")
-        while due and due[0][0] <= time.monotonic():
-            _, sock, id = due.pop(0)
-            line = b'{"id":"%b","from":"e1","state":"done","result":"r"}\n' % id
-            sock.sendall(b"HTTP/1.1 200 -\r\nContent-Length: %d\r\n\r\n%b" % (len(line), line))
-        node.loop.at(node.loop.now() + 5.0, lambda: None)
-        node.loop.turn()
-
-    yield play, seen
-    for sock in (server, *open_):
-        sock.close()
-
-
-def request(number: int, left_s: float) -> bytes:
-    return REQUEST.replace(b"X-Time-Left: 5", b"X-Time-Left: %.1f" % left_s).replace(b"9b", b"%db" % number)
-
-
-def test_requests_sent_at_once_on_one_connection_are_told_what_is_left(node, client, serve):
-    play, seen = serve
-    began = time.monotonic()
-    client(b"".join(request(number, 2.0) for number in range(4)))
-    while len(seen) < 4:
-        assert time.monotonic() - began < 5.0
-        play()
-    over = [left - (2.0 - (at - began)) for at, left in seen]
-    assert max(over) < SLACK_S
-
-
-def test_a_request_that_stood_in_the_accept_queue_is_told_what_is_left(node, client, serve):
-    play, seen = serve
-    room, node.downstream.listener.has_capacity = node.downstream.listener.has_capacity, lambda short: False
-    began = time.monotonic()
-    client(request(1, 2.0))
-    while time.monotonic() - began < 0.6:
-        play()
-    node.downstream.listener.has_capacity = room
-    while not seen:
-        assert time.monotonic() - began < 3.0
-        play()
-    ((at, left),) = seen
-    assert left - (2.0 - (at - began)) < SLACK_S
-
-
-def test_a_request_that_came_while_the_loop_was_held_up_is_told_what_is_left(node, client, serve):
-    play, seen = serve
+def slow_server(node: Node) -> Iterator[SlowServer]:
+    server = SlowServer(node)
+    yield server
+    server.close()
+
+
+def request(number: int) -> bytes:
+    return SAFE_REQUEST.replace(b"X-Time-Left: 5", b"X-Time-Left: %.1f" % TIME_LEFT_S).replace(
+        b"9b", b"%db" % number
+    )
+
+
+def test_pipelined_requests_are_sent_with_the_time_left(client, slow_server):
+    began_s = time.monotonic()
+    client(b"".join(request(number) for number in range(4)))
+    while len(slow_server.received) < 4:
+        assert time.monotonic() - began_s < 5.0
+        slow_server.run_turn()
+    assert max(received.excess_s(began_s) for received in slow_server.received) < SLACK_S
+
+
+def test_a_request_from_the_accept_queue_is_sent_with_the_time_left(node, client, slow_server):
+    listener = node.downstream.listener
+    has_capacity, listener.has_capacity = listener.has_capacity, lambda _short: False
+    began_s = time.monotonic()
+    client(request(1))
+    while time.monotonic() - began_s < 0.6:
+        slow_server.run_turn()
+    listener.has_capacity = has_capacity
+    while not slow_server.received:
+        assert time.monotonic() - began_s < 3.0
+        slow_server.run_turn()
+    (received,) = slow_server.received
+    assert received.excess_s(began_s) < SLACK_S
+
+
+def test_a_request_that_came_while_the_loop_was_blocked_is_sent_with_the_time_left(client, slow_server):
     sock = client(b"")
     for _ in range(5):
-        play()
-    began = time.monotonic()
-    sock.sendall(request(1, 2.0))
+        slow_server.run_turn()
+    began_s = time.monotonic()
+    sock.sendall(request(1))
     time.sleep(0.5)
-    while not seen:
-        assert time.monotonic() - began < 3.0
-        play()
-    ((at, left),) = seen
-    assert left - (2.0 - (at - began)) < SLACK_S
+    while not slow_server.received:
+        assert time.monotonic() - began_s < 3.0
+        slow_server.run_turn()
+    (received,) = slow_server.received
+    assert received.excess_s(began_s) < SLACK_S
--- a/tests/test_left.py
+++ b/tests/test_left.py
@@ -1,8 +1,8 @@
-"""For a client that has gone nothing begins, first or further attempt (docs/design/endings.md).
+"""No attempt begins for a client that has gone, neither the first nor a retry (docs/design/endings.md).
 
-Each hold brings a request to the instant at which the next event has it sent. That event and the client's
-end are then put before the node in the bad order, on real loopback sockets: both ready in one turn, the send
-in front, or the end in the middle of a turn that is late.
+Each entry of WAITS brings a request to the instant at which the next event has it sent. That event and the
+client's end then reach the node in the unfavourable order, on real loopback sockets: both ready in one turn
+of the loop, the send in front, or the end in the middle of a turn that is late.
 """
 
 import json
@@ -16,288 +16,312 @@
 from math import inf
 
 import pytest
-import test_endings
 from conftest import ANSWER, OPTIONS
-from test_endings import (
-    AHEAD,
-    MAX_AHEAD_BYTES,
-    NEVER,
-    POSTING,
-    REQUEST,
-    Peer,
-    ended,
-    half_close,
-    lines,
-    reset,
-    tell,
+from loopback_servers import (
+    LONG_BODY_BYTES,
+    MUCH_AHEAD,
+    NEVER_RAN_RESPONSE,
+    NO_PROBES_NO_CANCEL,
+    SAFE_REQUEST,
+    UNSAFE_REQUEST,
+    ListeningServer,
+    close_sending_side,
+    is_closed_by_peer,
+    limit_buffers,
+    reset_connection,
+    response_of_states,
+    run_loop,
+    run_until,
+    update_endpoint_list,
 )
 from test_net import JOB
 
 from marlseam import core
 from marlseam.decisions.types import EndpointState, ListUpdateKind
 from marlseam.net import protocol
-from marlseam.net.connection import AHEAD_CHECK_MS, Connection
+from marlseam.net.connection import AHEAD_CHECK_MS, MAX_AHEAD_BYTES, Connection
 from marlseam.net.loop import READ as READ_MASK
 from marlseam.net.loop import READY
 from marlseam.net.protocol import MAX_BODY_BYTES
 from marlseam.net.upstream import AttemptOrder
 from marlseam.net.upstream.attempts import DUPLICATE_ANSWER_MS
 
-peers, settle, stand, turn = (
-    test_endings.peers,
-    test_endings.settle,
-    test_endings.stand,
-    test_endings.turn,
+LATE_MS = 150.0  # how long a late turn takes after the client's end; 100 ms are allowed
+# So that no attempt times out in a late turn.
+PATIENT_CLASSES = [row | {"aimUs": 1000000} for row in OPTIONS["requestClasses"]]
+EACH_CLIENT_END = pytest.mark.parametrize(
+    "end_client",
+    [socket.socket.close, reset_connection, close_sending_side],
+    ids=["closes", "resets", "half"],
 )
-
-LATE_MS = 150.0  # how long a late turn takes after the client's end, past the 0.1 s that are allowed
-PATIENT = [row | {"aimUs": 1000000} for row in OPTIONS["requestClasses"]]  # so that a late turn ends no wait
-WAYS = pytest.mark.parametrize(
-    "goes", [socket.socket.close, reset, half_close], ids=["closes", "resets", "half"]
-)
-SENT_AHEAD = pytest.mark.parametrize(
-    "ahead", [b"", REQUEST.replace(b"9b", b"9d"), AHEAD], ids=["nothing", "a request", "much"]
+EACH_SENT_AHEAD = pytest.mark.parametrize(
+    "sent_ahead", [b"", SAFE_REQUEST.replace(b"9b", b"9d"), MUCH_AHEAD], ids=["nothing", "a request", "much"]
 )
-CANCEL = pytest.mark.parametrize("may_cancel", [True, False], ids=["cancel", "no cancel"])
-ERROR = b"HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n"
-LOAD = b"HTTP/1.1 200 -\r\nContent-Length: 12\r\n\r\nTEXT queue=0"
+MAY_CANCEL_OR_NOT = pytest.mark.parametrize("may_cancel", [True, False], ids=["cancel", "no cancel"])
+ERROR_RESPONSE = b"HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n"
+LOAD_REPORT_RESPONSE = b"HTTP/1.1 200 -\r\nContent-Length: 12\r\n\r\nTEXT queue=0"
 
 
-def comes(fd, mask=select.POLLIN):
+def wait_for_events(fd, mask=select.POLLIN):
     """Wait until the system has something for a descriptor; an epoll's own counts as well."""
     poll = select.poll()
     poll.register(fd, mask)
     assert poll.poll(2000), "it did not come"
 
 
-class Scene:
-    """A node with its client and its servers, and the ways to have things happen to them."""
+class DepartureScenario:
+    """A node with its servers and the client that leaves, and the ways to have events happen to them.
 
-    def __init__(self, node, client, turn, settle, stand, may_cancel):
-        self.node, self.client, self.turn, self.settle, self.stand = node, client, turn, settle, stand
+    Attributes:
+        sent_ahead: what the client sends behind its request
+        upstream: the servers by name
+        begun_attempts: attempts of which the node has sent the head and the body
+        sock, client_connection: the leaving client's socket, and the node's side of it
+        step_within_turn: what a late turn handles by itself, if anything
+        late_ms: how long a late turn takes
+        clock_ms: the node's clock
+        event_sockets: what `on_event` made
+    """
+
+    def __init__(self, node, client, list_test_servers, may_cancel):
+        self.node, self.client, self.list_test_servers = node, client, list_test_servers
         self.may_cancel = may_cancel
-        self.ahead, self.upstream, self.bells = b"", {}, []
-        self.begun = 0  # attempts
-        self.sock = self.within = None  # `within`: what a late turn handles by itself
+        self.sent_ahead, self.upstream, self.event_sockets = b"", {}, []
+        self.begun_attempts = 0
+        self.sock = self.step_within_turn = None
         self.late_ms = LATE_MS
-        # The clock goes on by a millisecond a turn, which waits as long for news: a machine that stands still
-        # for seconds ends no wait of the node's.
-        self.lead_ms, once = node.loop.now(), node.loop.turn
-        node.loop.now = lambda: self.lead_ms
+        # The clock moves by a millisecond a turn, which waits as long for events: a machine that halts for
+        # seconds ends no wait of the node's.
+        self.clock_ms, run_turn = node.loop.now(), node.loop.turn
+        node.loop.now = lambda: self.clock_ms
 
         def step():
             if node.loop.pause_s():
                 select.select([node.loop.poll.fileno()], [], [], 0.001)
-            self.lead_ms += 1.0
-            once()
+            self.clock_ms += 1.0
+            run_turn()
 
         node.loop.turn = step
 
-    def list(self, *names, probes=False, **options):
-        """List servers with two kept connections each, so that what is chosen goes out in the same turn."""
-        limits = {"mayProbe": probes, "cancel": self.may_cancel} | options.pop("ceilings", {})
-        options = {"requestClasses": PATIENT} | options
-        self.upstream = dict(zip(names, self.stand(*names, ceilings=limits, **options), strict=True))
-        for name, peer in self.upstream.items():
-            until = self.node.loop.now() + 1000.0
+    def list_servers(self, *names, probes=False, **options):
+        """List servers with two idle connections each: an attempt is sent in the turn that chooses it."""
+        ceilings = {"mayProbe": probes, "cancel": self.may_cancel} | options.pop("ceilings", {})
+        options = {"requestClasses": PATIENT_CLASSES} | options
+        self.upstream = dict(
+            zip(names, self.list_test_servers(*names, ceilings=ceilings, **options), strict=True)
+        )
+        for name, server in self.upstream.items():
+            until_ms = self.node.loop.now() + 1000.0
             for attempt_index in range(2):
-                self.node.upstream.attempts.send(AttemptOrder("0", attempt_index, name, JOB, until, until))
-            self.turn(lambda peer=peer: peer.accept() and len(peer.held) == 2)
-            for sock in peer.held:
+                self.node.upstream.attempts.send(
+                    AttemptOrder("0", attempt_index, name, JOB, until_ms, until_ms)
+                )
+            run_until(self.node, lambda server=server: server.accept() and len(server.held) == 2)
+            for sock in server.held:
                 sock.sendall(ANSWER.replace(b'"e1"', b'"%b"' % name.encode()))
-            self.turn(lambda name=name: len(self.node.upstream.pool.servers[name].idle) == 2)
+            run_until(self.node, lambda name=name: len(self.node.upstream.pool.servers[name].idle) == 2)
         assert self.read().count(b"abc") == 2 * len(names)
-        self.lead_ms += DUPLICATE_ANSWER_MS  # what may not run twice uses no connection before
-
-    def ask(self, request=REQUEST, read=True):
-        """Have the client that will go send its request; `read` what it sends ahead as far as a node does."""
-        before, units = set(self.node.downstream.open), self.node.requests.last_request_id
-        self.sock = self.client(request + self.ahead)
-        self.turn(lambda: set(self.node.downstream.open) - before)
-        (self.door,) = set(self.node.downstream.open) - before
-        self.turn(lambda: self.node.requests.last_request_id > units)
-        if read and self.ahead:
-            much = self.ahead is AHEAD
-            self.turn(
-                lambda: self.door.has_ahead() and (not much or len(self.door.buffer) >= MAX_AHEAD_BYTES)
+        self.clock_ms += DUPLICATE_ANSWER_MS  # an attempt that must run once uses no connection before
+
+    def send_request(self, request=SAFE_REQUEST, read=True):
+        """Have the client send its request; with `read`, wait until the node has read ahead."""
+        before, requests_before = set(self.node.downstream.open), self.node.requests.last_request_id
+        self.sock = self.client(request + self.sent_ahead)
+        run_until(self.node, lambda: set(self.node.downstream.open) - before)
+        (self.client_connection,) = set(self.node.downstream.open) - before
+        run_until(self.node, lambda: self.node.requests.last_request_id > requests_before)
+        if read and self.sent_ahead:
+            is_much = self.sent_ahead is MUCH_AHEAD
+            run_until(
+                self.node,
+                lambda: self.client_connection.has_ahead()
+                and (not is_much or len(self.client_connection.buffer) >= MAX_AHEAD_BYTES),
             )
             self.node.loop.at(self.node.loop.now(), lambda: None)
-            self.node.loop.turn()  # else its bytes are still news, and its end comes in their place
+            self.node.loop.turn()  # else its bytes are still an event, and its end comes in their place
 
     def read(self):
-        """Return what came to servers since the last look."""
+        """Return what came to the servers since the last call."""
         data = b""
-        for name, peer in self.upstream.items():
-            while peer.accept():
+        for name, server in self.upstream.items():
+            while server.accept():
                 pass
-            for sock in peer.held:
+            for sock in server.held:
                 try:
-                    came = sock.recv(1 << 16)
+                    received = sock.recv(1 << 16)
                 except (BlockingIOError, ConnectionResetError):
                     continue
-                if came:
-                    self.at = name, sock
-                data += came
+                if received:
+                    self.read_from = name, sock
+                data += received
         return data
 
-    def running(self, word=b"abc"):
+    def wait_at_server(self, word=b"abc"):
         """Wait until a request is at a server; return that one's name and its side of the connection."""
-        self.turn(lambda: word in self.read())
-        return self.at
+        run_until(self.node, lambda: word in self.read())
+        return self.read_from
 
-    def bell(self, call):
-        """Return what has the node call in a turn, as an event of its sockets."""
+    def on_event(self, call):
+        """Have the node make a call as an event of its sockets; return what causes the event."""
         ours, theirs = socket.socketpair()
-        self.bells += [ours, theirs]
+        self.event_sockets += [ours, theirs]
 
-        def hear():
+        def wait_for_event():
             yield (theirs.fileno(), READ_MASK, inf)
             call()
 
-        self.node.loop.spawn(hear())
+        self.node.loop.spawn(wait_for_event())
         return lambda: ours.send(b"!")
 
-    def leave(self, goes):
-        """Have the client go; return once its end is in the node's socket."""
-        goes(self.sock)
-        comes(self.door.sock.fileno(), select.POLLRDHUP)
+    def end_client(self, end_client):
+        """Have the client leave; return once its end has reached the node's socket."""
+        end_client(self.sock)
+        wait_for_events(self.client_connection.sock.fileno(), select.POLLRDHUP)
 
     def close(self):
-        for sock in self.bells:
+        for sock in self.event_sockets:
             sock.close()
 
 
 @pytest.fixture
-def scene(node, client, turn, settle, stand, monkeypatch):
-    made, write = [], Connection.message
+def make_scenario(node, client, list_test_servers, monkeypatch):
+    """Return a maker of scenarios, which count the attempts that begin."""
+    scenarios, write = [], Connection.message
 
     def message(connection, head, body, until_ms, *left):
         yield from write(connection, head, body, until_ms, *left)
-        made[-1].begun += connection.description.startswith("server ") and head.method == b"POST"
+        scenarios[-1].begun_attempts += (
+            connection.description.startswith("server ") and head.method == b"POST"
+        )
 
-    def begin(may_cancel, ahead=b""):
-        made.append(Scene(node, client, turn, settle, stand, may_cancel))
-        made[-1].ahead = ahead
-        return made[-1]
+    def begin(may_cancel, sent_ahead=b""):
+        scenarios.append(DepartureScenario(node, client, list_test_servers, may_cancel))
+        scenarios[-1].sent_ahead = sent_ahead
+        return scenarios[-1]
 
     monkeypatch.setattr(Connection, "message", message)
 
     yield begin
-    for each in made:
+    for each in scenarios:
         each.close()
 
 
-# What a send waits for. Each brings a request there and returns what has it go out in the next turn.
+# What an attempt waits for. Each function brings a request there, and returns what has it sent next turn.
 
 
-def a_dial(scene):
-    scene.list("e1")
-    for connection, _ in scene.node.upstream.pool.servers["e1"].idle:
-        connection.eof = True  # closed by its server: a new one is dialled
-    scene.ask(read=False)
-    (flight,) = scene.node.upstream.attempts.in_flight.values()
-    comes(flight.task.fd, select.POLLOUT)  # it is up, and the node has not heard of it
-    scene.within = lambda: flight.task.step(READY)
+def wait_for_connecting(scenario):
+    scenario.list_servers("e1")
+    for connection, _ in scenario.node.upstream.pool.servers["e1"].idle:
+        connection.eof = True  # closed by its server: a new one is opened
+    scenario.send_request(read=False)
+    (attempt,) = scenario.node.upstream.attempts.in_flight.values()
+    wait_for_events(attempt.task.fd, select.POLLOUT)  # it is connected, and the node has not seen it
+    scenario.step_within_turn = lambda: attempt.task.step(READY)
     return lambda: None
 
 
-def a_repeat(answer, request=REQUEST):
-    def hold(scene):
-        scene.list("e1", "e2")
-        scene.ask(request)
-        name, sock = scene.running()
+def wait_for_response(answer, request=SAFE_REQUEST):
+    def wait(scenario):
+        scenario.list_servers("e1", "e2")
+        scenario.send_request(request)
+        name, sock = scenario.wait_at_server()
         return lambda: sock.sendall(answer.replace(b'"e1"', b'"%b"' % name.encode()))
 
-    return hold
+    return wait
 
 
-def a_repeat_after_a_reset(scene):
-    scene.list("e1", "e2")
-    scene.ask()
-    name, sock = scene.running()
-    scene.upstream[name].held.remove(sock)
-    return lambda: reset(sock)
+def wait_for_reset(scenario):
+    scenario.list_servers("e1", "e2")
+    scenario.send_request()
+    name, sock = scenario.wait_at_server()
+    scenario.upstream[name].held.remove(sock)
+    return lambda: reset_connection(sock)
 
 
-def a_repeat_after_silence(scene):
-    scene.list("e1", "e2", requestClasses=[PATIENT[0], OPTIONS["requestClasses"][1]])  # time is left for two
-    scene.ask()
-    scene.running()
-    scene.late_ms = scene.node.upstream.timeouts.accept_ms
+def wait_for_timeout(scenario):
+    classes = [PATIENT_CLASSES[0], OPTIONS["requestClasses"][1]]  # time is left for two attempts
+    scenario.list_servers("e1", "e2", requestClasses=classes)
+    scenario.send_request()
+    scenario.wait_at_server()
+    scenario.late_ms = scenario.node.upstream.timeouts.accept_ms
     return lambda: None
 
 
-def a_second_copy(scene):
-    scene.list("e1", "e2", ceilings={"secondCopies": True})
-    scene.ask()
-    name, _ = scene.running()
-    gone = {name: scene.upstream[name].address}
-    return scene.bell(lambda: tell(scene.node, gone, EndpointState.GONE, ListUpdateKind.DELTA))
+def wait_for_hedging(scenario):
+    scenario.list_servers("e1", "e2", ceilings={"secondCopies": True})
+    scenario.send_request()
+    name, _ = scenario.wait_at_server()
+    address = {name: scenario.upstream[name].address}
+    return scenario.on_event(
+        lambda: update_endpoint_list(scenario.node, address, EndpointState.GONE, ListUpdateKind.DELTA)
+    )
 
 
-def a_probe(scene):
-    scene.list("e1", probes=True)
-    scene.node.reducer.dispatcher.last_report_ms[scene.node.reducer.servers.by_name["e1"]] = -inf
-    scene.ask()
-    _, sock = scene.running(b"/-/load")
-    return lambda: sock.sendall(LOAD)
+def wait_for_probe(scenario):
+    scenario.list_servers("e1", probes=True)
+    scenario.node.reducer.dispatcher.last_report_ms[scenario.node.reducer.servers.by_name["e1"]] = -inf
+    scenario.send_request()
+    _, sock = scenario.wait_at_server(b"/-/load")
+    return lambda: sock.sendall(LOAD_REPORT_RESPONSE)
 
 
-def a_gate(scene):
-    scene.list("e1")
+def wait_for_durability(scenario):
+    scenario.list_servers("e1")
     ours, theirs = socket.socketpair()
-    scene.bells += [ours, theirs]
+    scenario.event_sockets += [ours, theirs]
 
-    def gate():
-        yield (theirs.fileno(), READ_MASK, inf)  # the word that a record is on the disk
+    def await_durable():
+        yield (theirs.fileno(), READ_MASK, inf)  # until the record is durable
         return True
 
-    real = scene.node.upstream.attempts.send
-    scene.node.upstream.attempts.send = lambda order: real(replace(order, await_durable=gate))
-    scene.ask()
-    assert scene.node.upstream.attempts.in_flight
+    send = scenario.node.upstream.attempts.send
+    scenario.node.upstream.attempts.send = lambda order: send(replace(order, await_durable=await_durable))
+    scenario.send_request()
+    assert scenario.node.upstream.attempts.in_flight
     return lambda: ours.send(b"!")
 
 
-def a_line(scene):
-    scene.list("e1")
-    at = {"e1": scene.upstream["e1"].address}
-    tell(scene.node, at, EndpointState.DRAINING, ListUpdateKind.DELTA)
-    scene.ask()
-    assert scene.node.reducer.dispatcher.pending_queues
-    return scene.bell(lambda: tell(scene.node, at, EndpointState.READY, ListUpdateKind.DELTA))
+def wait_in_queue(scenario):
+    scenario.list_servers("e1")
+    addresses = {"e1": scenario.upstream["e1"].address}
+    update_endpoint_list(scenario.node, addresses, EndpointState.DRAINING, ListUpdateKind.DELTA)
+    scenario.send_request()
+    assert scenario.node.reducer.dispatcher.pending_queues
+    return scenario.on_event(
+        lambda: update_endpoint_list(scenario.node, addresses, EndpointState.READY, ListUpdateKind.DELTA)
+    )
 
 
-def a_turn_of_its_key(scene):
-    scene.list("e1", requestClasses=[PATIENT[0] | {"oneAtATime": True, "aimStretch": 20}])
-    asked = REQUEST.replace(b"/statement", b"/statement?user=u")
-    scene.client(asked.replace(b"9b", b"9a"))
-    _, sock = scene.running()
-    scene.ask(asked)
-    assert scene.node.requests.last_request_id == 2
+def wait_for_key(scenario):
+    scenario.list_servers("e1", requestClasses=[PATIENT_CLASSES[0] | {"oneAtATime": True, "aimStretch": 20}])
+    ordered_request = SAFE_REQUEST.replace(b"/statement", b"/statement?user=u")
+    scenario.client(ordered_request.replace(b"9b", b"9a"))
+    _, sock = scenario.wait_at_server()
+    scenario.send_request(ordered_request)
+    assert scenario.node.requests.last_request_id == 2
     return lambda: sock.sendall(ANSWER.replace(b"9b", b"9a"))
 
 
-HOLDS = {
-    "a dial": a_dial,
-    "an error": a_repeat(ERROR),
-    "a broken answer": a_repeat(b"nonsense\r\n\r\n"),
-    "unprocessed": a_repeat(NEVER),
-    "unprocessed, exclusive": a_repeat(NEVER, POSTING),
-    "returned, exclusive": a_repeat(lines(b"returned"), POSTING),
-    "a reset": a_repeat_after_a_reset,
-    "silence": a_repeat_after_silence,
-    "a second copy": a_second_copy,
-    "a probe": a_probe,
-    "a gate": a_gate,
-    "a line": a_line,
-    "a turn of its key": a_turn_of_its_key,
+WAITS = {
+    "connecting": wait_for_connecting,
+    "an error": wait_for_response(ERROR_RESPONSE),
+    "a broken response": wait_for_response(b"nonsense\r\n\r\n"),
+    "unprocessed": wait_for_response(NEVER_RAN_RESPONSE),
+    "unprocessed, unsafe": wait_for_response(NEVER_RAN_RESPONSE, UNSAFE_REQUEST),
+    "returned, unsafe": wait_for_response(response_of_states(b"returned"), UNSAFE_REQUEST),
+    "a reset": wait_for_reset,
+    "timeout": wait_for_timeout,
+    "hedging": wait_for_hedging,
+    "probe": wait_for_probe,
+    "durability": wait_for_durability,
+    "queue": wait_in_queue,
+    "key": wait_for_key,
 }
-HOLD = pytest.mark.parametrize("name", HOLDS)
+EACH_WAIT = pytest.mark.parametrize("wait", WAITS)
 
 
-def over(node):
-    """Say that nothing is left of work, and that the servers' counts are right."""
+def assert_nothing_left(node):
+    """Assert that no request is left, and that the servers' counts are right."""
     assert not node.requests.pending
     assert not node.reducer.open_requests
     assert not node.upstream.attempts.in_flight
@@ -307,82 +331,85 @@
     assert not node.reducer.dispatcher.pending_queues
 
 
-@HOLD
-@CANCEL
-def test_a_hold_lets_go_while_its_client_stays(name, may_cancel, scene, node, turn):
-    scene = scene(may_cancel)
-    act = HOLDS[name](scene)
-    act()
-    scene.lead_ms += scene.late_ms if name == "silence" else 0.0
-    turn(lambda: b"abc" in scene.read())
-
-
-def goes_nowhere(scene, begun):
-    """Say that nothing has begun since, on the wire or on its way there, and that all ends."""
-    node = scene.node
-    assert scene.begun == begun
-    assert b"abc" not in scene.read()
-    scene.settle()
-    scene.turn(lambda: scene.door not in node.downstream.open)
-    scene.lead_ms += (
-        1000.0 if node.upstream.attempts.in_flight else 0.0
-    )  # what had begun runs on where cancelling is forbidden
-    scene.turn(lambda: not node.upstream.attempts.in_flight)
-    assert scene.begun == begun
-    assert b"abc" not in scene.read()
-    over(node)
-
-
-@CANCEL
-@SENT_AHEAD
-@WAYS
-@pytest.mark.parametrize("name", [name for name in HOLDS if name != "silence"])  # a timer comes after events
-def test_nothing_is_begun_where_the_send_is_handled_before_the_end(
-    name, goes, ahead, may_cancel, scene, node
+@EACH_WAIT
+@MAY_CANCEL_OR_NOT
+def test_a_waiting_request_is_sent_while_its_client_stays(wait, may_cancel, make_scenario, node):
+    scenario = make_scenario(may_cancel)
+    trigger_send = WAITS[wait](scenario)
+    trigger_send()
+    scenario.clock_ms += scenario.late_ms if wait == "timeout" else 0.0
+    run_until(node, lambda: b"abc" in scenario.read())
+
+
+def assert_not_sent(scenario, begun_attempts):
+    """Assert that no attempt has begun since, nor begins later, and that the request ends."""
+    node = scenario.node
+    assert scenario.begun_attempts == begun_attempts
+    assert b"abc" not in scenario.read()
+    run_loop(scenario.node)
+    run_until(scenario.node, lambda: scenario.client_connection not in node.downstream.open)
+    if node.upstream.attempts.in_flight:  # what had begun runs on where cancelling is forbidden
+        scenario.clock_ms += 1000.0
+    run_until(scenario.node, lambda: not node.upstream.attempts.in_flight)
+    assert scenario.begun_attempts == begun_attempts
+    assert b"abc" not in scenario.read()
+    assert_nothing_left(node)
+
+
+@MAY_CANCEL_OR_NOT
+@EACH_SENT_AHEAD
+@EACH_CLIENT_END
+@pytest.mark.parametrize("wait", [name for name in WAITS if name != "timeout"])  # timers come after events
+def test_no_attempt_begins_where_the_send_is_handled_before_the_clients_end(
+    wait, end_client, sent_ahead, may_cancel, make_scenario, node
 ):
-    scene = scene(may_cancel, ahead)
-    act = HOLDS[name](scene)
-    begun = scene.begun
-    act()
-    comes(node.loop.poll.fileno())
-    scene.leave(goes)  # ready in the same turn, behind the send
+    scenario = make_scenario(may_cancel, sent_ahead)
+    trigger_send = WAITS[wait](scenario)
+    begun_attempts = scenario.begun_attempts
+    trigger_send()
+    wait_for_events(node.loop.poll.fileno())
+    scenario.end_client(end_client)  # ready in the same turn, after the send
     node.loop.turn()
-    goes_nowhere(scene, begun)
-
-
-@CANCEL
-@SENT_AHEAD
-@WAYS
-@HOLD
-def test_nothing_is_begun_in_a_late_turn_in_which_the_client_went(name, goes, ahead, may_cancel, scene, node):
-    scene = scene(may_cancel, ahead)
-
-    def late():
-        """Have the client go, and be long about it: the turn's events were fetched before."""
-        scene.leave(goes)
-        scene.lead_ms += scene.late_ms
-        if scene.within is not None:
-            scene.within()
-
-    ring = scene.bell(late)
-    act = HOLDS[name](scene)
-    begun = scene.begun
-    if scene.within is not None:  # it is ready before the bell could be: handled as from within a turn
-        late()
+    assert_not_sent(scenario, begun_attempts)
+
+
+@MAY_CANCEL_OR_NOT
+@EACH_SENT_AHEAD
+@EACH_CLIENT_END
+@EACH_WAIT
+def test_no_attempt_begins_in_a_late_turn_in_which_the_client_left(
+    wait, end_client, sent_ahead, may_cancel, make_scenario, node
+):
+    scenario = make_scenario(may_cancel, sent_ahead)
+
+    def leave_in_late_turn():
+        """Have the client leave in a long turn, whose events were fetched before."""
+        scenario.end_client(end_client)
+        scenario.clock_ms += scenario.late_ms
+        if scenario.step_within_turn is not None:
+            scenario.step_within_turn()
+
+    trigger_late_turn = scenario.on_event(leave_in_late_turn)
+    trigger_send = WAITS[wait](scenario)
+    begun_attempts = scenario.begun_attempts
+    if (
+        scenario.step_within_turn is not None
+    ):  # ready before the event could be: handled as from within a turn
+        leave_in_late_turn()
     else:
-        ring()
-        comes(node.loop.poll.fileno())
-        act()
+        trigger_late_turn()
+        wait_for_events(node.loop.poll.fileno())
+        trigger_send()
         node.loop.turn()
-    goes_nowhere(scene, begun)
+    assert_not_sent(scenario, begun_attempts)
 
 
-# What a client sends far ahead hides its end: without room the system takes neither bytes nor the end.
+# A client that sends far ahead hides its end: without room the system takes neither bytes nor the end.
 
-FAR = b"x" * (1 << 20)
+MORE_THAN_THE_SYSTEM_HOLDS = b"x" * (1 << 20)
 
 
-def floods(sock, data=FAR):
+def send_as_much_as_taken(sock, data=MORE_THAN_THE_SYSTEM_HOLDS):
     """Send as much as the system takes."""
     try:
         while data:
@@ -391,326 +418,380 @@
         return
 
 
-def hidden(scene):
-    """Return whether the system shows nothing of the client's end."""
-    look = select.poll()
-    look.register(scene.door.sock.fileno(), select.POLLRDHUP)
-    return not look.poll(0)
+def is_end_hidden(scenario):
+    """Return whether the system does not show the client's end."""
+    poll = select.poll()
+    poll.register(scenario.client_connection.sock.fileno(), select.POLLRDHUP)
+    return not poll.poll(0)
 
 
-@CANCEL
-@pytest.mark.parametrize("goes", [socket.socket.close, half_close], ids=["closes", "half"])
-@pytest.mark.parametrize("name", ["a line", "a gate", "a probe", "an error"])
-def test_an_end_is_seen_behind_more_than_the_system_holds(name, goes, may_cancel, scene, node):
-    scene = scene(may_cancel)
-    act = HOLDS[name](scene)
-    begun = scene.begun
-    floods(scene.sock)
-    goes(scene.sock)
-    assert hidden(scene)
+@MAY_CANCEL_OR_NOT
+@pytest.mark.parametrize("end_client", [socket.socket.close, close_sending_side], ids=["closes", "half"])
+@pytest.mark.parametrize("wait", ["queue", "durability", "probe", "an error"])
+def test_a_clients_end_is_seen_behind_more_than_the_system_holds(
+    wait, end_client, may_cancel, make_scenario, node
+):
+    scenario = make_scenario(may_cancel)
+    trigger_send = WAITS[wait](scenario)
+    begun_attempts = scenario.begun_attempts
+    send_as_much_as_taken(scenario.sock)
+    end_client(scenario.sock)
+    assert is_end_hidden(scenario)
     for _ in range(int(100.0 / AHEAD_CHECK_MS) - 1):
-        scene.lead_ms += AHEAD_CHECK_MS
-        scene.settle(3)
-    assert scene.door not in node.downstream.open
-    act()
-    goes_nowhere(scene, begun)
-
-
-@pytest.mark.parametrize("goes", [socket.socket.close, half_close], ids=["closes", "half"])
-def test_an_end_behind_more_than_is_held_is_seen_before_work_is_taken(goes, scene, node, client, turn):
-    scene = scene(True)
-    scene.list("e1")
-    units, sock = node.requests.last_request_id, client(b"")
-    turn(lambda: node.downstream.idle)
-    floods(sock, REQUEST + FAR)
-    goes(sock)  # the node reads it later
-    turn(lambda: not node.downstream.open)
-    assert node.requests.last_request_id == units
-    assert b"abc" not in scene.read()
-
-
-def test_a_client_that_floods_and_stays_has_its_answer_whole(scene, node, turn, reply):
-    scene = scene(True)
-    scene.list("e1")
-    scene.ask()
-    _, executor = scene.running()
-    floods(scene.sock)
-    turn(lambda: scene.door.has_discarded)
-    executor.sendall(ANSWER)
-    data = reply(scene.sock)
+        scenario.clock_ms += AHEAD_CHECK_MS
+        run_loop(scenario.node, 3)
+    assert scenario.client_connection not in node.downstream.open
+    trigger_send()
+    assert_not_sent(scenario, begun_attempts)
+
+
+@pytest.mark.parametrize("end_client", [socket.socket.close, close_sending_side], ids=["closes", "half"])
+def test_a_clients_end_behind_more_than_the_system_holds_is_seen_before_its_request_is_taken(
+    end_client, make_scenario, node, client
+):
+    scenario = make_scenario(True)
+    scenario.list_servers("e1")
+    requests_before, sock = node.requests.last_request_id, client(b"")
+    run_until(node, lambda: node.downstream.idle)
+    send_as_much_as_taken(sock, SAFE_REQUEST + MORE_THAN_THE_SYSTEM_HOLDS)
+    end_client(sock)  # the node reads it later
+    run_until(node, lambda: not node.downstream.open)
+    assert node.requests.last_request_id == requests_before
+    assert b"abc" not in scenario.read()
+
+
+def test_a_client_that_floods_and_stays_has_its_answer_whole(make_scenario, node, reply):
+    scenario = make_scenario(True)
+    scenario.list_servers("e1")
+    scenario.send_request()
+    _, server_socket = scenario.wait_at_server()
+    send_as_much_as_taken(scenario.sock)
+    run_until(node, lambda: scenario.client_connection.has_discarded)
+    server_socket.sendall(ANSWER)
+    data = reply(scenario.sock)
     assert data.startswith(b"HTTP/1.1 200 ")
     assert b"\r\nConnection: close\r\n" in data
-    floods(scene.sock)  # what still comes resets nothing
-    scene.settle()
-    assert not scene.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-    half_close(scene.sock)
-    turn(lambda: scene.door not in node.downstream.open)
+    send_as_much_as_taken(scenario.sock)  # what still comes resets nothing
+    run_loop(scenario.node)
+    assert not scenario.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+    close_sending_side(scenario.sock)
+    run_until(node, lambda: scenario.client_connection not in node.downstream.open)
 
 
-def test_a_whole_request_of_the_largest_size_ahead_is_served(scene, node, turn, reply):
-    scene = scene(True)
-    scene.list("e1")
+def test_a_whole_request_of_the_largest_size_sent_ahead_is_served(make_scenario, reply):
+    scenario = make_scenario(True)
+    scenario.list_servers("e1")
     size = b"Length: %d" % MAX_BODY_BYTES
-    large = REQUEST.replace(b"9b", b"9c").replace(b"Length: 3", size).replace(b"abc", b"b" * MAX_BODY_BYTES)
-    scene.ahead = large
-    scene.ask()
-    _, executor = scene.running()
-    scene.lead_ms += 10.0 * AHEAD_CHECK_MS
-    scene.settle()
-    executor.sendall(ANSWER)
-    assert reply(scene.sock).startswith(b"HTTP/1.1 200 ")
-    assert scene.running(b"bbb")
-
-
-# Many at once, what stands behind, a first byte that waits, and a process.
-
-
-def test_a_burst_that_leaves_from_a_line_goes_nowhere(scene, node, turn):
-    scene = scene(False)
-    scene.list("e1")
-    at = {"e1": scene.upstream["e1"].address}
-    tell(node, at, EndpointState.DRAINING, ListUpdateKind.DELTA)
-    doors = []
-    for i in range(30):
-        scene.ask(REQUEST.replace(b"9b", b"w%d" % i))
-        doors.append((scene.sock, scene.door))
-    ring = scene.bell(lambda: tell(node, at, EndpointState.READY, ListUpdateKind.DELTA))
-    begun = scene.begun
-    ring()
-    comes(node.loop.poll.fileno())
-    for scene.sock, scene.door in doors:
-        scene.leave(socket.socket.close)
+    large = (
+        SAFE_REQUEST.replace(b"9b", b"9c").replace(b"Length: 3", size).replace(b"abc", b"b" * MAX_BODY_BYTES)
+    )
+    scenario.sent_ahead = large
+    scenario.send_request()
+    _, server_socket = scenario.wait_at_server()
+    scenario.clock_ms += 10.0 * AHEAD_CHECK_MS
+    run_loop(scenario.node)
+    server_socket.sendall(ANSWER)
+    assert reply(scenario.sock).startswith(b"HTTP/1.1 200 ")
+    assert scenario.wait_at_server(b"bbb")
+
+
+# Many clients at once, the key's next request, a first byte that waits, and a stopped process.
+
+
+def test_queued_requests_of_a_burst_of_clients_that_leave_are_not_sent(make_scenario, node):
+    scenario = make_scenario(False)
+    scenario.list_servers("e1")
+    addresses = {"e1": scenario.upstream["e1"].address}
+    update_endpoint_list(node, addresses, EndpointState.DRAINING, ListUpdateKind.DELTA)
+    clients = []
+    for number in range(30):
+        scenario.send_request(SAFE_REQUEST.replace(b"9b", b"w%d" % number))
+        clients.append((scenario.sock, scenario.client_connection))
+    trigger_late_turn = scenario.on_event(
+        lambda: update_endpoint_list(node, addresses, EndpointState.READY, ListUpdateKind.DELTA)
+    )
+    begun_attempts = scenario.begun_attempts
+    trigger_late_turn()
+    wait_for_events(node.loop.poll.fileno())
+    for scenario.sock, scenario.client_connection in clients:
+        scenario.end_client(socket.socket.close)
     node.loop.turn()
-    goes_nowhere(scene, begun)
+    assert_not_sent(scenario, begun_attempts)
     assert not node.downstream.open
 
 
-def test_what_found_its_client_gone_leaves_no_record_and_gives_its_keys_turn_on(scene, node, turn):
-    keyed = PATIENT[0] | {
+def test_an_attempt_whose_client_is_gone_leaves_no_record_and_lets_the_keys_next_request_go(
+    make_scenario, node
+):
+    keyed_class = PATIENT_CLASSES[0] | {
         "semantics": "keyed",
         "dedupScope": "cell",
         "memorySpanUs": 30000000,
         "oneAtATime": True,
         "aimStretch": 20,
     }
-    scene = scene(False)
-    scene.list("e1", requestClasses=[keyed])
+    scenario = make_scenario(False)
+    scenario.list_servers("e1", requestClasses=[keyed_class])
     for connection, _ in node.upstream.pool.servers["e1"].idle:
-        connection.eof = True  # closed by its server: a new one is dialled
-    asked = REQUEST.replace(b"/statement", b"/statement?user=u").replace(
+        connection.eof = True  # closed by its server: a new one is opened
+    ordered_request = SAFE_REQUEST.replace(b"/statement", b"/statement?user=u").replace(
         b"Host: h", b"Host: h\r\nIdempotency-Key: k%d"
     )
-    scene.ask(asked % 1, read=False)
-    (flight,) = node.upstream.attempts.in_flight.values()
-    first = scene.sock, scene.door
-    scene.client((asked % 2).replace(b"9b", b"9c"))
-    flight.task.clear_wait()  # its dial is not heard of until the next has come
-    turn(lambda: node.requests.last_request_id == 2)
+    scenario.send_request(ordered_request % 1, read=False)
+    (attempt,) = node.upstream.attempts.in_flight.values()
+    first = scenario.sock, scenario.client_connection
+    scenario.client((ordered_request % 2).replace(b"9b", b"9c"))
+    attempt.task.clear_wait()  # its connection is not seen until the next request has come
+    run_until(node, lambda: node.requests.last_request_id == 2)
     assert node.reducer.idempotency_records.attempts("k1", node.loop.now())
-    begun = scene.begun
-    scene.sock, scene.door = first
-    scene.leave(socket.socket.close)
-    flight.task.step(READY)
+    begun_attempts = scenario.begun_attempts
+    scenario.sock, scenario.client_connection = first
+    scenario.end_client(socket.socket.close)
+    attempt.task.step(READY)
     assert not node.reducer.idempotency_records.attempts("k1", node.loop.now())  # it provably never ran
     assert node.reducer.idempotency_records.attempts("k2", node.loop.now())
-    turn(lambda: scene.begun > begun)
-    data = scene.read()
+    run_until(node, lambda: scenario.begun_attempts > begun_attempts)
+    data = scenario.read()
     assert b"k2" in data
     assert b"k1" not in data
-    assert scene.begun == begun + 1
-    turn(lambda: scene.door not in node.downstream.open)
-
-
-@pytest.mark.parametrize("end", [socket.socket.close, half_close, "drains"], ids=["closes", "half", "drains"])
-def test_a_first_byte_that_the_system_does_not_take_has_not_begun(end, scene, node, turn):
-    scene = scene(False)
-    scene.list("e1")
-    (connection, _), (other, _) = node.upstream.pool.servers["e1"].idle
-    for each in (connection, other):  # as if a server had answered what it did not read
-        floods(each.sock, b"x" * (1 << 24))
-    scene.ask(read=False)
-    (flight,) = node.upstream.attempts.in_flight.values()
-    assert not flight.task.done
-    assert scene.read().count(b"x") > 0
-    if end == "drains":
-        tell(node, {"e1": scene.upstream["e1"].address}, EndpointState.DRAINING, ListUpdateKind.DELTA)
+    assert scenario.begun_attempts == begun_attempts + 1
+    run_until(node, lambda: scenario.client_connection not in node.downstream.open)
+
+
+@pytest.mark.parametrize(
+    "end_attempt", [socket.socket.close, close_sending_side, "drains"], ids=["closes", "half", "drains"]
+)
+def test_an_attempt_whose_first_byte_the_system_does_not_take_has_not_begun(end_attempt, make_scenario, node):
+    scenario = make_scenario(False)
+    scenario.list_servers("e1")
+    (connection, _), (other_connection, _) = node.upstream.pool.servers["e1"].idle
+    for each in (connection, other_connection):  # as if a server had answered without reading
+        send_as_much_as_taken(each.sock, b"x" * (1 << 24))
+    scenario.send_request(read=False)
+    (attempt,) = node.upstream.attempts.in_flight.values()
+    assert not attempt.task.done
+    assert scenario.read().count(b"x") > 0
+    if end_attempt == "drains":
+        update_endpoint_list(
+            node, {"e1": scenario.upstream["e1"].address}, EndpointState.DRAINING, ListUpdateKind.DELTA
+        )
     else:
-        scene.leave(end)
-    turn(lambda: flight.task.done)
-    turn(lambda: end == "drains" or not node.downstream.open)
-    data = scene.read()
-    while more := scene.read():
+        scenario.end_client(end_attempt)
+    run_until(node, lambda: attempt.task.done)
+    run_until(node, lambda: end_attempt == "drains" or not node.downstream.open)
+    data = scenario.read()
+    while more := scenario.read():
         data += more
     assert b"abc" not in data
 
 
-@pytest.mark.parametrize("answer", [ERROR, NEVER, b""], ids=["an error", "unprocessed", "a reset"])
-def test_a_process_that_stood_still_sends_nothing_again_for_clients_that_left(peers, tmp_path, answer):
-    peers |= {"e1": Peer(), "e2": Peer()}
-    hosts = [
+class NodeProcess:
+    """A node in a process of its own, with clients and servers that the test plays.
+
+    Attributes:
+        process: the node's process
+        address: where it listens
+        servers: the listed servers by name
+        clients: the clients' sockets, in the order of their requests
+        server_names: the servers' sides of connections, with the servers' names
+    """
+
+    def __init__(self, config_path, servers):
+        self.servers, self.clients, self.server_names = servers, [], {}
+        command = [sys.executable, "-m", "marlseam", "serve", "--config", str(config_path)]
+        self.process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
+        self.address = None
+
+    def wait_for_log(self, text):
+        """Return the first line of the node's log that holds a text."""
+        while text not in (line := self.process.stderr.readline()):
+            assert line
+        return line
+
+    def wait_until_listening(self):
+        self.address = "127.0.0.1", int(self.wait_for_log("listens on").rpartition(":")[2])
+
+    def send_next_request(self):
+        """Have a new client send a request; return the server's side where it came."""
+        self.clients.append(socket.create_connection(self.address))
+        self.clients[-1].sendall(SAFE_REQUEST.replace(b"9b", b"w%d" % len(self.clients)))
+        listeners = [server.sock for server in self.servers.values()]
+        while True:
+            ready, _, _ = select.select([*self.server_names, *listeners], [], [], 10.0)
+            for name, server in self.servers.items():
+                if server.sock in ready:
+                    self.server_names[server.sock.accept()[0]] = name
+            for sock in self.server_names.keys() & ready:
+                assert b"abc" in sock.recv(1 << 16)
+                return sock
+
+    def open_connection_to_each_server(self):
+        """Have requests in flight at both servers, and complete all: both then have an idle connection."""
+        in_flight = [self.send_next_request()]
+        while len(set(self.server_names.values())) < 2:
+            in_flight.append(self.send_next_request())
+        for number, sock in enumerate(in_flight, start=1):
+            answer = ANSWER.replace(b"9b", b"w%d" % number)
+            sock.sendall(answer.replace(b'"e1"', b'"%b"' % self.server_names[sock].encode()))
+        for sock in self.clients:
+            assert sock.recv(1 << 16).startswith(b"HTTP/1.1 200 ")
+
+    def stop(self):
+        """Stop the process, as a machine that halts would."""
+        self.process.send_signal(signal.SIGSTOP)
+        os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WNOWAIT)
+
+    def close(self):
+        self.process.kill()
+        self.process.communicate()
+        for sock in (*self.clients, *self.server_names):
+            sock.close()
+
+
+@pytest.fixture
+def node_process(listening_servers, tmp_path):
+    """Return a node's process that may not cancel, with two servers listed."""
+    listening_servers |= {"e1": ListeningServer(), "e2": ListeningServer()}
+    endpoints = [
         {
             "host": name,
-            "dial": "{}:{}".format(*peer.address),
+            "dial": "{}:{}".format(*server.address),
             "health": "active",
             "site": "here",
             "class": "plain",
             "block": 0,
         }
-        for name, peer in peers.items()
+        for name, server in listening_servers.items()
     ]
-    limits = OPTIONS["ceilings"] | {"mayProbe": False, "cancel": False, "keepaliveUs": 30000000}
-    settings = OPTIONS | {"requestClasses": PATIENT, "ceilings": limits}
+    ceilings = OPTIONS["ceilings"] | NO_PROBES_NO_CANCEL | {"keepaliveUs": 30000000}
     values = {
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:1",
-        "settings": settings,
-        "known": {"seq": 1, "whole": True, "hosts": hosts},
+        "settings": OPTIONS | {"requestClasses": PATIENT_CLASSES, "ceilings": ceilings},
+        "known": {"seq": 1, "whole": True, "hosts": endpoints},
     }
     path = tmp_path / "node.json"
     path.write_text(json.dumps(values))
-    command = [sys.executable, "-m", "marlseam", "serve", "--config", str(path)]
-    process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
-    clients, held = [], {}  # and servers' sides of connections, with their names
-
-    def asks():
-        """Have a client ask; return where that came."""
-        clients.append(socket.create_connection(listen))
-        clients[-1].sendall(REQUEST.replace(b"9b", b"w%d" % len(clients)))
-        while True:
-            ready, _, _ = select.select([*held, *(peer.sock for peer in peers.values())], [], [], 10.0)
-            for name, peer in peers.items():
-                if peer.sock in ready:
-                    held[peer.sock.accept()[0]] = name
-            for sock in held.keys() & ready:
-                assert b"abc" in sock.recv(1 << 16)
-                return sock
-
-    try:
-        while "listens on" not in (line := process.stderr.readline()):
-            assert line
-        listen = "127.0.0.1", int(line.rpartition(":")[2])
-        used = [asks()]
-        while len(set(held.values())) < 2:  # at once, so that each server has a kept connection
-            used.append(asks())
-        for sock in used:
-            number = b"w%d" % (used.index(sock) + 1)
-            sock.sendall(ANSWER.replace(b"9b", number).replace(b'"e1"', b'"%b"' % held[sock].encode()))
-        for sock in clients:
-            assert sock.recv(1 << 16).startswith(b"HTTP/1.1 200 ")
-        sock = asks()
-        process.send_signal(signal.SIGSTOP)
-        os.waitid(os.P_PID, process.pid, os.WSTOPPED | os.WNOWAIT)
-        sock.sendall(answer) if answer else reset(sock)
-        clients[-1].close()
-        process.send_signal(signal.SIGCONT)
-        while "client ended code=peer-closed" not in (line := process.stderr.readline()):
-            assert line
-        process.send_signal(signal.SIGTERM)
-        assert "ends with 0 requests open" in process.stderr.read()
-        assert process.wait(timeout=20.0) == 0
-        for other in held.keys() - {sock}:
-            assert other.recv(1 << 16) == b""
-        assert not any(peer.accept() for peer in peers.values())
-    finally:
-        process.kill()
-        process.communicate()
-        for sock in (*clients, *held):
-            sock.close()
+    node_process = NodeProcess(path, listening_servers)
+    yield node_process
+    node_process.close()
 
 
-def test_a_fault_at_each_attempt_ends_with_the_cap(scene, node, client, turn, monkeypatch):
-    # Each ends as void. If the cap left out what is void, the next would go out at once, without end.
-    scene = scene(True)
-    scene.list("e1", "e2")
-    tried = []
+@pytest.mark.parametrize(
+    "response", [ERROR_RESPONSE, NEVER_RAN_RESPONSE, b""], ids=["an error", "unprocessed", "a reset"]
+)
+def test_a_process_that_was_stopped_retries_nothing_for_clients_that_left(node_process, response):
+    node_process.wait_until_listening()
+    node_process.open_connection_to_each_server()
+    sock = node_process.send_next_request()
+    node_process.stop()
+    if response:
+        sock.sendall(response)
+    else:
+        reset_connection(sock)
+    node_process.clients[-1].close()
+    node_process.process.send_signal(signal.SIGCONT)
+    node_process.wait_for_log("client ended code=peer-closed")
+    node_process.process.send_signal(signal.SIGTERM)
+    assert "ends with 0 requests open" in node_process.process.stderr.read()
+    assert node_process.process.wait(timeout=20.0) == 0
+    for other_socket in node_process.server_names.keys() - {sock}:
+        assert other_socket.recv(1 << 16) == b""
+    assert not any(server.accept() for server in node_process.servers.values())
+
+
+def test_a_fault_at_each_attempt_ends_with_the_limit_of_attempts(make_scenario, node, monkeypatch):
+    # Each ends as cancelled unsent. If the limit left these out, the next would be sent at once, without end.
+    scenario = make_scenario(True)
+    scenario.list_servers("e1", "e2")
+    attempts = []
 
     def faulty(*given):
-        tried.append(given)
-        assert len(tried) <= node.reducer.dispatcher.settings.max_attempts
+        attempts.append(given)
+        assert len(attempts) <= node.reducer.dispatcher.settings.max_attempts
         raise KeyError("a fault")
 
     monkeypatch.setattr(protocol, "attempt_headers", faulty)
-    scene.ask(read=False)
-    turn(lambda: not node.requests.pending)
-    assert len(tried) == node.reducer.dispatcher.settings.max_attempts
-    over(node)
+    scenario.send_request(read=False)
+    run_until(node, lambda: not node.requests.pending)
+    assert len(attempts) == node.reducer.dispatcher.settings.max_attempts
+    assert_nothing_left(node)
 
 
-LONG = 65536
-
-
-@pytest.mark.parametrize("order", ["end alone", "room before the end", "answered"])
-@pytest.mark.parametrize("request_", [REQUEST, POSTING], ids=["rerunnable", "exclusive"])
-@WAYS
-def test_what_stands_in_the_middle_of_its_bytes_is_cut(
-    goes, request_, order, scene, node, turn, client, monkeypatch
+@pytest.mark.parametrize("order_of_events", ["end alone", "room before the end", "answered"])
+@pytest.mark.parametrize("request_bytes", [SAFE_REQUEST, UNSAFE_REQUEST], ids=["safe", "unsafe"])
+@EACH_CLIENT_END
+def test_an_attempt_in_the_middle_of_its_bytes_is_cut(
+    end_client, request_bytes, order_of_events, make_scenario, node, client, monkeypatch
 ):
     # A server begins a request when its last byte has come.
     sends = []  # whether the request was still to be answered at each
 
-    class Small(socket.socket):
+    class SmallSocket(socket.socket):
         """A socket that holds so little that a request's last byte waits for its reader."""
 
         def __init__(self, *given, **named):
             super().__init__(*given, **named)
-            for side in (socket.SO_SNDBUF, socket.SO_RCVBUF):
-                self.setsockopt(socket.SOL_SOCKET, side, 2048)
+            limit_buffers(self)
 
         def send(self, data):
-            if bytes(data[-1:]) == b"b":  # of the request, not an answer
+            if bytes(data[-1:]) == b"b":  # of the request, not of an answer
                 sends.append(bool(node.requests.pending))
             return super().send(data)
 
-    scene = scene(False)
-    scene.upstream = {"e1": scene.stand("e1", ceilings={"mayProbe": False, "cancel": False})[0]}
-    peer = scene.upstream["e1"]
-    peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    scene.sock = client(request_.replace(b"Length: 3", b"Length: %d" % LONG)[:-3] + b"b" * LONG)
-    monkeypatch.setattr(socket, "socket", Small)
-    turn(peer.accept)
-    (scene.door,) = node.downstream.open
-    (flight,) = node.upstream.attempts.in_flight.values()
-    turn(lambda: flight.task.fd >= 0 and select.select([peer.held[0]], [], [], 0)[0])
+    scenario = make_scenario(False)
+    scenario.upstream = {"e1": scenario.list_test_servers("e1", ceilings=NO_PROBES_NO_CANCEL)[0]}
+    server = scenario.upstream["e1"]
+    server.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+    scenario.sock = client(
+        request_bytes.replace(b"Length: 3", b"Length: %d" % LONG_BODY_BYTES)[:-3] + b"b" * LONG_BODY_BYTES
+    )
+    monkeypatch.setattr(socket, "socket", SmallSocket)
+    run_until(node, server.accept)
+    (scenario.client_connection,) = node.downstream.open
+    (attempt,) = node.upstream.attempts.in_flight.values()
+    run_until(node, lambda: attempt.task.fd >= 0 and select.select([server.held[0]], [], [], 0)[0])
     read = 0
-    if order == "room before the end":
-        while not select.select([], [flight.task.fd], [], 0)[1]:
-            read += peer.read().count(b"b")
-    parts = len(sends)
-    if order == "answered":
+    if order_of_events == "room before the end":
+        while not select.select([], [attempt.task.fd], [], 0)[1]:
+            read += server.read().count(b"b")
+    sends_before = len(sends)
+    if order_of_events == "answered":
         node.post(core.ShutdownBegun(0.0))
-        turn(lambda: flight.task.done)
+        run_until(node, lambda: attempt.task.done)
     else:
-        scene.leave(goes)
+        scenario.end_client(end_client)
         node.loop.turn()
-    turn(lambda: flight.task.done)
-    while not ended(peer.held[0]):  # what the system had of it, and the end
-        read += peer.read().count(b"b")
-        scene.settle(1)
-    assert read < LONG
+    run_until(node, lambda: attempt.task.done)
+    while not is_closed_by_peer(server.held[0]):  # what the system held of it, and the end
+        read += server.read().count(b"b")
+        run_loop(scenario.node, 1)
+    assert read < LONG_BODY_BYTES
     assert not node.counters.attempts
-    assert parts > 0
+    assert sends_before > 0
     assert all(sends)
-    if order != "answered":  # the system may take more before an answer, which comes by a timer
-        assert len(sends) == parts
-        turn(lambda: not node.downstream.open)
-    over(node)
+    if order_of_events != "answered":  # the system may take more before an answer, which comes by a timer
+        assert len(sends) == sends_before
+        run_until(node, lambda: not node.downstream.open)
+    assert_nothing_left(node)
 
 
-def test_one_whose_connection_ended_by_a_fault_has_gone(scene, node, turn, monkeypatch):
-    # A look at a closed socket would be a fault of its own, and each attempt void up to the cap.
-    scene = scene(False)
-    act = HOLDS["an error"](scene)
-    begun, faults = scene.begun, []
+def test_a_client_whose_connection_ended_by_a_fault_counts_as_gone(make_scenario, node, monkeypatch):
+    # Looking at a closed socket would be a fault of its own, and cancel each attempt up to the limit.
+    scenario = make_scenario(False)
+    trigger_send = WAITS["an error"](scenario)
+    begun_attempts, faults = scenario.begun_attempts, []
     node.loop.fault = faults.append
     with monkeypatch.context() as patch:
-        patch.setattr(Connection, "fill", lambda connection: 1 // 0)
-        scene.sock.sendall(b"GET")
-        turn(lambda: faults)
-    turn(lambda: scene.door not in node.downstream.open)  # it is told of the error first
-    act()
-    turn(lambda: not node.upstream.attempts.in_flight)
-    assert scene.begun == begun
-    assert b"abc" not in scene.read()
+        patch.setattr(Connection, "fill", lambda _connection: 1 // 0)
+        scenario.sock.sendall(b"GET")
+        run_until(node, lambda: faults)
+    # The error is answered first.
+    run_until(node, lambda: scenario.client_connection not in node.downstream.open)
+    trigger_send()
+    run_until(node, lambda: not node.upstream.attempts.in_flight)
+    assert scenario.begun_attempts == begun_attempts
+    assert b"abc" not in scenario.read()
     assert len(faults) == 1
     assert not node.reducer.open_requests
     assert not any(node.reducer.dispatcher.own_slots)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,61 +1,61 @@
-"""System calls fail for a moment in the ways that Linux documents; nothing that was taken is lost by it."""
+"""System calls fail for a moment in the ways that Linux documents; no accepted request is lost by it."""
 
 import errno
 import os
 import select
 import signal
 import socket
-import time
 from collections.abc import Callable
 from math import inf
 
 import h11
 import pytest
-from test_endings import REQUEST
+from loopback_servers import REAL_TIME_LIMIT_MS, SAFE_REQUEST, run_until
 
 from marlseam.net import connection as connection_module
 from marlseam.net import http as http_module
 from marlseam.net.log import Log
 from marlseam.net.loop import Loop
 
-MOMENT = 3  # calls that fail in a row
+FAILURES_IN_A_ROW = 3  # before a call succeeds
 
 
-class Failing:
-    """Passes calls on, but for some of one name, which fail for a moment."""
+class FailingCalls:
+    """Passes calls on to an object, but fails the first calls of one name.
 
-    def __init__(self, real: object, name: str, number: int, times: int = MOMENT) -> None:
-        self.real, self.name, self.number, self.left = real, name, number, times
+    Attributes:
+        real: the object
+        name: which calls fail
+        error_number: with which they fail
+        failures_left: how many more will fail
+    """
+
+    def __init__(self, real: object, name: str, error_number: int, times: int = FAILURES_IN_A_ROW) -> None:
+        self.real, self.name, self.error_number, self.failures_left = real, name, error_number, times
 
     def __getattr__(self, name: str) -> object:
         found = getattr(self.real, name)
         if name != self.name:
             return found
 
-        def call(*words: object) -> object:
-            if self.left > 0:
-                self.left -= 1
-                raise OSError(self.number, os.strerror(self.number))
-            return found(*words)
+        def call(*arguments: object) -> object:
+            if self.failures_left > 0:
+                self.failures_left -= 1
+                raise OSError(self.error_number, os.strerror(self.error_number))
+            return found(*arguments)
 
         return call
 
 
-def turn(node, holds: Callable[[], object]) -> None:
-    end = time.monotonic() + 10.0
-    while not holds():
-        assert time.monotonic() < end, "it did not come"
-        node.loop.at(node.loop.now() + 1.0, lambda: None)
-        node.loop.turn()
-
-
-@pytest.mark.parametrize("number", [errno.ENOMEM, errno.EINTR])
-def test_connections_are_accepted_after_poll_has_failed(node, client, reply, executor, monkeypatch, number):
+@pytest.mark.parametrize("error_number", [errno.ENOMEM, errno.EINTR])
+def test_connections_are_accepted_after_poll_has_failed(
+    node, client, reply, executor, monkeypatch, error_number
+):
     executor()
     real = select.poll
-    failing = Failing(None, "poll", number)
+    failing = FailingCalls(None, "poll", error_number)
 
-    def made() -> Failing:
+    def made() -> FailingCalls:
         failing.real = real()
         return failing
 
@@ -64,71 +64,73 @@
     node.downstream.sock = socket.create_server(("127.0.0.1", 0))
     node.downstream.sock.setblocking(False)
     node.downstream.listen()
-    assert reply(client(REQUEST)).startswith(b"HTTP/1.1 200")
-    assert failing.left == 0
+    assert reply(client(SAFE_REQUEST)).startswith(b"HTTP/1.1 200")
+    assert failing.failures_left == 0
 
 
-@pytest.mark.parametrize("number", [errno.ENOMEM, errno.ENOSPC])
+@pytest.mark.parametrize("error_number", [errno.ENOMEM, errno.ENOSPC])
 @pytest.mark.parametrize("name", ["register", "modify"])
-def test_the_loop_goes_on_after_epoll_ctl_has_failed(node, client, reply, executor, name, number):
+def test_the_loop_goes_on_after_epoll_ctl_has_failed(node, client, reply, executor, name, error_number):
     executor()
-    node.loop.poll = failing = Failing(node.loop.poll, name, number)
+    node.loop.poll = failing = FailingCalls(node.loop.poll, name, error_number)
     node.loop.pollers = dict.fromkeys(node.loop.pollers, failing)
     for _ in range(3):
-        assert reply(client(REQUEST)).startswith(b"HTTP/1.1 200")
-    assert failing.left == 0
+        assert reply(client(SAFE_REQUEST)).startswith(b"HTTP/1.1 200")
+    assert failing.failures_left == 0
 
 
-def test_a_signal_is_heard_after_its_bell_could_not_be_read(node, monkeypatch):
-    heard, real = [], socket.socketpair
+def test_a_signal_is_handled_after_its_wakeup_socket_could_not_be_read(node, monkeypatch):
+    signals_seen, real = [], socket.socketpair
 
-    class Bell(socket.socket):
+    class FailingWakeupSocket(socket.socket):
         """A socket whose reads fail for a moment."""
 
-        left = MOMENT
+        failures_left = FAILURES_IN_A_ROW
 
-        def recv(self, *words: int) -> bytes:
-            if Bell.left > 0:
-                Bell.left -= 1
+        def recv(self, *arguments: int) -> bytes:
+            if FailingWakeupSocket.failures_left > 0:
+                FailingWakeupSocket.failures_left -= 1
                 raise OSError(errno.ENOMEM, "no memory")
-            return super().recv(*words)
+            return super().recv(*arguments)
 
     def made() -> tuple[socket.socket, socket.socket]:
-        ours, bell = real()
-        return Bell(fileno=ours.detach()), bell
+        ours, wakeup_socket = real()
+        return FailingWakeupSocket(fileno=ours.detach()), wakeup_socket
 
     monkeypatch.setattr(socket, "socketpair", made)
     before = signal.getsignal(signal.SIGUSR1)
     try:
-        node.loop.on_signals({signal.SIGUSR1: lambda: heard.append(1)})
+        node.loop.on_signals({signal.SIGUSR1: lambda: signals_seen.append(1)})
         os.kill(os.getpid(), signal.SIGUSR1)
-        turn(node, lambda: heard)
+        run_until(node, lambda: signals_seen, REAL_TIME_LIMIT_MS)
     finally:
         signal.set_wakeup_fd(-1)
         signal.signal(signal.SIGUSR1, before)
-    assert Bell.left == 0
+    assert FailingWakeupSocket.failures_left == 0
 
 
 class FailingSocket:
-    """A socket of which one call fails for a moment, or is done in part."""
+    """A socket of which the first calls of one name fail."""
 
-    def __init__(self, sock: socket.socket, name: str, number: int) -> None:
-        self.failing = Failing(sock, name, number)
+    def __init__(self, sock: socket.socket, name: str, error_number: int) -> None:
+        self.failing = FailingCalls(sock, name, error_number)
 
     def __getattr__(self, name: str) -> object:
         return getattr(self.failing, name)
 
 
 @pytest.fixture
-def failing(monkeypatch: pytest.MonkeyPatch) -> Callable[[str, int], list[Failing]]:
+def failing(monkeypatch: pytest.MonkeyPatch) -> Callable[[str, int], list[FailingCalls]]:
     """Return a function that has one call on each new connection, of either side, fail for a moment."""
 
-    def begin(name: str, number: int) -> list[Failing]:
+    def begin(name: str, error_number: int) -> list[FailingCalls]:
         made = []
         real = connection_module.Connection.__init__
 
-        def init(self, loop, log, sock, *rest) -> None:  # noqa: ANN001
-            made.append(FailingSocket(sock, name, number))
+        def init(
+            self: connection_module.Connection, loop: Loop, log: Log, sock: socket.socket, *rest: object
+        ) -> None:
+            made.append(FailingSocket(sock, name, error_number))
             real(self, loop, log, made[-1], *rest)
 
         monkeypatch.setattr(connection_module.Connection, "__init__", init)
@@ -137,58 +139,58 @@
     return begin
 
 
-@pytest.mark.parametrize("number", [errno.ENOMEM, errno.ENOBUFS, errno.EINTR])
+@pytest.mark.parametrize("error_number", [errno.ENOMEM, errno.ENOBUFS, errno.EINTR])
 @pytest.mark.parametrize("name", ["recv_into", "send"])
 def test_a_request_is_answered_and_sent_once_though_reads_and_writes_fail_for_a_moment(
-    node, client, reply, executor, failing, name, number
+    client, reply, executor, failing, name, error_number
 ):
-    asked = executor()
-    made = failing(name, number)
-    assert reply(client(REQUEST)).startswith(b"HTTP/1.1 200")
-    assert asked.count(b"POST") == 1
+    methods_received = executor()
+    made = failing(name, error_number)
+    assert reply(client(SAFE_REQUEST)).startswith(b"HTTP/1.1 200")
+    assert methods_received.count(b"POST") == 1
     assert made
-    assert made[0].failing.left == 0
+    assert made[0].failing.failures_left == 0
 
 
-@pytest.mark.parametrize("number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
-def test_a_connection_that_is_broken_ends(loop, connection, number):
-    one = connection(h11.SERVER)
-    one.sock = FailingSocket(one.sock, "recv_into", number)
+@pytest.mark.parametrize("error_number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
+def test_a_broken_connection_ends(connection, error_number):
+    broken = connection(h11.SERVER)
+    broken.sock = FailingSocket(broken.sock, "recv_into", error_number)
     with pytest.raises(connection_module.ConnectionEndedError):
-        one.fill()
+        broken.fill()
 
 
 @pytest.mark.parametrize(
-    "number", [errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.ENOBUFS, errno.ECONNABORTED]
+    "error_number", [errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.ENOBUFS, errno.ECONNABORTED]
 )
-def test_what_stands_in_the_accept_queue_is_answered_though_accept_fails_as_the_listener_closes(
-    node, client, reply, executor, number
+def test_a_request_in_the_accept_queue_is_answered_though_accept_fails_as_the_listener_closes(
+    node, client, reply, executor, error_number
 ):
     executor()
     listener = node.downstream.listener
-    listener.task.cancel()  # nobody accepts any more, as while nothing is left
-    sock = client(REQUEST)
-    listener.sock = FailingSocket(listener.sock, "accept", number)
+    listener.task.cancel()  # nothing accepts any more, as while no descriptor is free
+    sock = client(SAFE_REQUEST)
+    listener.sock = FailingSocket(listener.sock, "accept", error_number)
     node.downstream.stop_listening()
     assert reply(sock).startswith(b"HTTP/1.1 200")
 
 
-def test_a_node_does_not_end_over_its_accept_queue(node, client, reply, executor):
+def test_a_node_does_not_end_before_its_accept_queue_is_served(node, client, reply, executor):
     executor()
     listener = node.downstream.listener
     listener.task.cancel()
-    sock = client(REQUEST)
+    sock = client(SAFE_REQUEST)
     listener.sock = FailingSocket(listener.sock, "accept", errno.ENFILE)
-    listener.sock.failing.left = 20
+    listener.sock.failing.failures_left = 20
     node.shutdown.begin()
     assert reply(sock).startswith(b"HTTP/1.1 200")
-    turn(node, lambda: node.loop.stopped)
+    run_until(node, lambda: node.loop.stopped, REAL_TIME_LIMIT_MS)
 
 
-def test_no_new_connection_comes_up_once_the_queue_was_taken(node):
+def test_no_new_connection_comes_up_once_the_accept_queue_was_emptied(node):
     address = node.downstream.listener.sock.getsockname()
     node.downstream.stop_listening()
-    turn(node, lambda: node.downstream.sock.fileno() < 0)
+    run_until(node, lambda: node.downstream.sock.fileno() < 0, REAL_TIME_LIMIT_MS)
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(address)
 
@@ -206,42 +208,42 @@
     return reader, writer
 
 
-def test_a_line_that_nobody_reads_is_dropped_and_counted(monkeypatch):
+def test_a_log_line_that_nobody_reads_is_dropped_and_counted(monkeypatch):
     reader, writer = full_pipe()
     log = Log("n1", lambda: 0.0)
-    signal.setitimer(signal.ITIMER_REAL, 5.0)  # ends the run where the line is waited for
+    signal.setitimer(signal.ITIMER_REAL, 5.0)  # ends the run if the log waits for its reader
     with os.fdopen(writer, "w") as text, monkeypatch.context() as patch:
         patch.setattr("sys.stderr", text)
         log.line("it is full")
         assert log.dropped == 1
         os.read(reader, 65536)
         log.line("and read")
-        told = os.read(reader, 65536).decode()
+        written = os.read(reader, 65536).decode()
     signal.setitimer(signal.ITIMER_REAL, 0.0)
     os.close(reader)
-    assert "1 lines dropped" in told
-    assert "and read" in told
+    assert "1 lines dropped" in written
+    assert "and read" in written
 
 
-def test_a_long_line_is_cut_to_what_goes_out_at_once(capfd):
+def test_a_long_log_line_is_cut_to_what_one_write_takes(capfd):
     Log("n1", lambda: 0.0).line("x" * 100000)
     assert 1000 < len(capfd.readouterr().err) <= select.PIPE_BUF
 
 
-def test_waits_that_hold_no_descriptor_outlast_failures(loop):
-    def waits():
+def test_a_wait_without_a_descriptor_outlasts_failures(loop):
+    def wait_forever():
         yield (-1, 0, inf)
 
-    task = loop.spawn(waits())
-    loop.poll = Failing(loop.poll, "poll", errno.EINTR)
+    task = loop.spawn(wait_forever())
+    loop.poll = FailingCalls(loop.poll, "poll", errno.EINTR)
     loop.at(loop.now(), lambda: None)
     loop.turn()
     assert not task.done
 
 
-def test_a_loop_begins_though_its_first_registration_fails_for_a_moment(monkeypatch):
-    # Found by the soak, seed 113: the node did not start.
+def test_a_loop_starts_though_its_first_registration_fails_for_a_moment(monkeypatch):
+    # Guards against a node that does not start.
     real = select.epoll
-    monkeypatch.setattr(select, "epoll", lambda: Failing(real(), "register", errno.ENOSPC))
-    made = Loop(lambda text: None)
-    assert made.poll.left == 0
+    monkeypatch.setattr(select, "epoll", lambda: FailingCalls(real(), "register", errno.ENOSPC))
+    made = Loop(lambda _text: None)
+    assert made.poll.failures_left == 0
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -19,7 +19,9 @@
 
 import pytest
 from conftest import OPTIONS, SETTINGS, reconfigured
-from test_endings import HEAD, full_queue, reset
+from loopback_servers import RESPONSE_HEAD as HEAD
+from loopback_servers import fill_accept_queue as full_queue
+from loopback_servers import reset_connection as reset
 
 from marlseam.decisions import dispatcher
 from marlseam.decisions.types import ListUpdateKind
