--- a/tests/loopback_servers.py
+++ b/tests/loopback_servers.py
@@ -120,7 +120,7 @@
     state: EndpointState = EndpointState.READY,
     listing: ListUpdateKind = ListUpdateKind.FULL,
 ) -> None:
-    """Have discovery say where servers are, and in which state."""
+    """Have discovery list servers at these addresses, in this state."""
     entries = [EndpointEntry(name, state, 0, 0, 0, None) for name in addresses]
     listed: Iterable[str] = addresses if listing is ListUpdateKind.FULL else node.upstream.pool.servers
     node.upstream.update_endpoints(listed, addresses)
@@ -247,7 +247,7 @@
 
 
 def response_of(body: bytes) -> bytes:
-    """Return a response with this body, its length told."""
+    """Return a response with this body and its length."""
     return RESPONSE_HEAD % len(body) + body
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A node does its work where no descriptor is left as one is needed (docs/design/endings.md)."""
+"""A node serves on where no descriptor is left as one is needed (docs/design/endings.md)."""
 
 import contextlib
 import json
--- a/tests/test_discovery_sockets.py
+++ b/tests/test_discovery_sockets.py
@@ -28,7 +28,7 @@
 
 
 def endpoint_state(node, name):
-    """Return what the endpoint list says of a server."""
+    """Return the state of a server in the endpoint list."""
     return node.reducer.dispatcher.endpoint_state[node.reducer.servers.by_name[name]]
 
 
--- a/tests/test_malformed_messages.py
+++ b/tests/test_malformed_messages.py
@@ -31,7 +31,7 @@
     "a last line without its end": response_of(b'{"id":"9b","from":"e1","state":"returned"}'),
     "no head": b"\x00" * 20000,
     "a long head": b"HTTP/1.1 200 -\r\n" + b"x: y\r\n" * 5000,
-    "an odd size": b"HTTP/1.1 200 -\r\nTransfer-Encoding: chunked\r\n\r\n%b\r\n" % (b"f" * 30),
+    "an invalid chunk size": b"HTTP/1.1 200 -\r\nTransfer-Encoding: chunked\r\n\r\n%b\r\n" % (b"f" * 30),
 }
 
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -120,11 +120,11 @@
 
 
 @pytest.fixture
-def failing(monkeypatch: pytest.MonkeyPatch) -> Callable[[str, int], list[FailingCalls]]:
+def fail_connection_calls(monkeypatch: pytest.MonkeyPatch) -> Callable[[str, int], list[FailingSocket]]:
     """Return a function that has one call on each new connection, of either side, fail for a moment."""
 
-    def begin(name: str, error_number: int) -> list[FailingCalls]:
-        made = []
+    def begin(name: str, error_number: int) -> list[FailingSocket]:
+        made: list[FailingSocket] = []
         real = connection_module.Connection.__init__
 
         def init(
@@ -142,14 +142,14 @@
 @pytest.mark.parametrize("error_number", [errno.ENOMEM, errno.ENOBUFS, errno.EINTR])
 @pytest.mark.parametrize("name", ["recv_into", "send"])
 def test_a_request_is_answered_and_sent_once_though_reads_and_writes_fail_for_a_moment(
-    client, reply, executor, failing, name, error_number
+    client, reply, executor, fail_connection_calls, name, error_number
 ):
     methods_received = executor()
-    made = failing(name, error_number)
+    failing_sockets = fail_connection_calls(name, error_number)
     assert reply(client(SAFE_REQUEST)).startswith(b"HTTP/1.1 200")
     assert methods_received.count(b"POST") == 1
-    assert made
-    assert made[0].failing.failures_left == 0
+    assert failing_sockets
+    assert failing_sockets[0].failing.failures_left == 0
 
 
 @pytest.mark.parametrize("error_number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -1,4 +1,4 @@
-"""The time left that a server is sent is at most its client's, with 0.15 s of slack (docs/node.md)."""
+"""The X-Time-Left that a node sends exceeds what its client has left by 0.15 s at most (docs/node.md)."""
 
 import re
 import socket
@@ -11,7 +11,7 @@
 
 from marlseam.net.node import Node
 
-SLACK_S = 0.15
+MAX_EXCESS_S = 0.15
 RUN_S = 0.15
 TIME_LEFT_S = 2.0
 
@@ -100,7 +100,7 @@
     while len(slow_server.received) < 4:
         assert time.monotonic() - began_s < 5.0
         slow_server.run_turn()
-    assert max(received.excess_s(began_s) for received in slow_server.received) < SLACK_S
+    assert max(received.excess_s(began_s) for received in slow_server.received) < MAX_EXCESS_S
 
 
 def test_a_request_from_the_accept_queue_is_sent_with_the_time_left(node, client, slow_server):
@@ -115,7 +115,7 @@
         assert time.monotonic() - began_s < 3.0
         slow_server.run_turn()
     (received,) = slow_server.received
-    assert received.excess_s(began_s) < SLACK_S
+    assert received.excess_s(began_s) < MAX_EXCESS_S
 
 
 def test_a_request_that_came_while_the_loop_was_blocked_is_sent_with_the_time_left(client, slow_server):
@@ -129,4 +129,4 @@
         assert time.monotonic() - began_s < 3.0
         slow_server.run_turn()
     (received,) = slow_server.received
-    assert received.excess_s(began_s) < SLACK_S
+    assert received.excess_s(began_s) < MAX_EXCESS_S
