--- a/marlseam/configuration/operator_settings.py
+++ b/marlseam/configuration/operator_settings.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from marlseam.cluster.limits import MAX_MEMBERS
+from marlseam.cluster_limits import MAX_MEMBERS
 from marlseam.configuration.addresses import member_address
 from marlseam.configuration.deployment import LIVE_WEIGHTS, REPORTS_IN_RESPONSES, WEIGHT_BY_SIZE
 from marlseam.configuration.errors import REQUIRED, ConfigError
--- /dev/null
+++ b/marlseam/experiment/cluster_plays.py
@@ -0,0 +1,20 @@
+"""The tables of the plays on clusters, as experiment files name them."""
+
+from marlseam.experiment import cluster_cost, cluster_members, cluster_scale, file, replication_plays
+from marlseam.experiment.cluster_tables import ClusterTable
+from marlseam.simulation.model import Strict
+
+TABLES: dict[str, type[Strict]] = {
+    cluster_cost.PLAY: cluster_cost.CostTable,
+    cluster_members.PLAY: ClusterTable,
+    cluster_scale.PLAY: cluster_scale.ScaleTable,
+    replication_plays.AUDIT_PLAY: replication_plays.AuditTable,
+    replication_plays.STRAGGLER_PLAY: ClusterTable,
+    replication_plays.CUT_PLAY: replication_plays.CutsTable,
+}
+
+
+def register() -> None:
+    """Make the tables of these plays known to experiment files; the plays are from the import on."""
+    for play, table in TABLES.items():
+        file.register(play, table)
--- a/marlseam/experiment/config_change_nodes.py
+++ b/marlseam/experiment/config_change_nodes.py
@@ -15,6 +15,7 @@
 
 from marlseam.cluster.checking.replication_schedules import LEASE_PERIODS
 from marlseam.cluster.checking.simulation import PERIOD_MS
+from marlseam.experiment.cluster_relay import free_udp_address
 from marlseam.experiment.config_change_usage import RealUsage
 from marlseam.experiment.config_change_workload import (
     CLUSTER_NAME,
@@ -29,7 +30,6 @@
     change_one_team,
     shared_settings,
 )
-from marlseam.experiment.fleet import reserved
 from marlseam.experiment.plays import ShowProgress
 from marlseam.experiment.processes import RunFailedError
 from marlseam.experiment.sizing.loopback_nodes import LoopbackNodes, node_config
@@ -71,7 +71,7 @@
         self.read_bytes = dict.fromkeys(self.names, 0)
         self.applied_at_s: dict[tuple[str, int], float] = {}
         self.shared, self.version = shared_settings(settings.real, settings.real_teams), 0
-        members = "\n".join(f'{name} = "{reserved()}"' for name in self.names)
+        members = "\n".join(f'{name} = "{free_udp_address()}"' for name in self.names)
         for i, name in enumerate(self.names):
             self.start(name, out / "ledgers" / name, seed + i, members)
 
--- a/marlseam/experiment/node_starts.py
+++ b/marlseam/experiment/node_starts.py
@@ -29,7 +29,9 @@
 
 POLL_MS = 20.0  # between two questions whether a node is ready
 CALL_TIMEOUT_MS = 1000.0
-NODE_MODULE = "marlseam.experiment.begun"  # as which nodes run, so that they log when each phase began
+NODE_MODULE = (
+    "marlseam.experiment.startup_timing"  # as which nodes run, so that they log when each phase began
+)
 LOG_EVENT = re.compile(
     r"began (?P<phase>\w+) (?P<at_s>[0-9.]+)"
     r"|listens on (?P<host>[0-9.]+):(?P<port>\d+)"
--- a/marlseam/experiment/registered_plays.py
+++ b/marlseam/experiment/registered_plays.py
@@ -2,8 +2,8 @@
 
 from marlseam.experiment import (
     capacity,
+    cluster_plays,
     day_plays,
-    fleet,
     generator_plays,
     idempotency_kills,
     policy_comparison,
@@ -16,7 +16,6 @@
     soak,
     stale_list_start,
     store_cost,
-    versions,
 )
 
 __all__ = ["day_plays", "register"]  # the plays of one day have no table of their own
@@ -29,8 +28,7 @@
     idempotency_kills,
     stale_list_start,
     store_cost,
-    fleet,
-    versions,
+    cluster_plays,
     size_endpoint_list,
     size_members,
     size_changes,
--- a/marlseam/experiment/size_members.py
+++ b/marlseam/experiment/size_members.py
@@ -9,9 +9,8 @@
 
 from marlseam.cluster.membership_codec import MAX_DATAGRAM_BYTES
 from marlseam.experiment import file, slope
+from marlseam.experiment.cluster_scale import ScaleTable, measure_detection
 from marlseam.experiment.file import Experiment
-from marlseam.experiment.fleet import Sizes as ClusterSizes
-from marlseam.experiment.fleet import one_size
 from marlseam.experiment.plays import RunResult, ShowProgress, register_play
 from marlseam.experiment.sizing.isolation import call_in_child_process, time_limit
 from marlseam.experiment.sizing.membership.measurement import measure_membership
@@ -31,7 +30,7 @@
 NAME_MB = 0.006  # of one name, for each member in full
 PROCESSES = 2  # the play, and one size at a time
 
-# What is shown of clusters whose members all run in full, by the name that `one_size` has for it.
+# What is shown of clusters whose members all run in full, by its name in `DetectionSample.figures`.
 WHOLE_CLUSTER_FIGURES = {
     "most_s": "whole_gone_s",
     "median_s": "whole_half_s",
@@ -113,9 +112,9 @@
         )
 
 
-def measure_whole_cluster(count: int, seed: int, settings: ClusterSizes) -> dict[str, float]:
+def measure_whole_cluster(count: int, seed: int, settings: ScaleTable) -> dict[str, float]:
     """Return what a cluster shows whose members all run in full, in virtual time and without loss."""
-    found = call_in_child_process(one_size, count, 0.0, seed, settings)
+    found = call_in_child_process(measure_detection, count, 0.0, seed, settings).figures()
     return {shown: found[name] for name, shown in WHOLE_CLUSTER_FIGURES.items()}
 
 
@@ -133,7 +132,7 @@
             show_progress(f"{count} names, {settings.members} members that are whole")
             figures = call_in_child_process(measure_membership, settings, count, seed)
             by_size[count] = figures.by_name()
-        cluster = ClusterSizes(nodes=[1], loss=[0.0], watched_s=settings.watched_s)
+        cluster = ScaleTable(nodes=[1], loss=[0.0], watched_s=settings.watched_s)
         for count in settings.whole:
             show_progress(f"{count} members, all whole")
             whole_by_size[count] = measure_whole_cluster(count, seed, cluster)
--- a/marlseam/experiment/sizing/isolation.py
+++ b/marlseam/experiment/sizing/isolation.py
@@ -14,7 +14,7 @@
 from types import FrameType
 from typing import Any, Generic, ParamSpec, TypeVar
 
-from marlseam.experiment import tied
+from marlseam.experiment.exit_with_parent import exit_with_parent
 from marlseam.experiment.processes import RunFailedError
 from marlseam.experiment.sizing.resource_need import MAX_MEMORY_MB
 
@@ -111,7 +111,7 @@
     options: dict[str, Any],
 ) -> None:
     """Run a call in this child process, and send what it returns or raises to the parent."""
-    tied.tie(parent_pid)
+    exit_with_parent(parent_pid)
     max_bytes = int(MAX_MEMORY_MB) << 20
     resource.setrlimit(resource.RLIMIT_AS, (max_bytes, max_bytes))
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent ends this process
--- a/marlseam/experiment/sizing/loopback_nodes.py
+++ b/marlseam/experiment/sizing/loopback_nodes.py
@@ -69,7 +69,7 @@
             arguments += ["--settings", str(settings_path)]
         log = self.directory / "logs" / f"{name}.log"
         log.write_bytes(b"")
-        self.nodes[name] = ChildProcess(arguments, log, module="marlseam.experiment.tied")
+        self.nodes[name] = ChildProcess(arguments, log, module="marlseam.experiment.exit_with_parent")
         return self.nodes[name]
 
     def wait_until_listening(self) -> None:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -24,7 +24,6 @@
     run_until,
     update_endpoint_list,
 )
-from loopback_servers import ListeningServer as Peer  # noqa: F401 - test_ready imports it by this name
 
 from marlseam import core
 from marlseam.decisions.types import EndpointState, ListUpdateKind
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -9,7 +9,7 @@
 
 import pytest
 from conftest import OPTIONS
-from test_endings import Peer
+from loopback_servers import ListeningServer
 
 from marlseam.configuration import load
 from marlseam.experiment import ready
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def discovery():
-    made = Peer()
+    made = ListeningServer()
     yield made
     made.close()
 
@@ -63,7 +63,7 @@
         node.loop.finish()
 
 
-def has_list_call(discovery: Peer) -> bool:
+def has_list_call(discovery: ListeningServer) -> bool:
     """Return whether a call for the whole list has come."""
     return b"GET /api/targets HTTP" in discovery.read()
 
