--- /dev/null
+++ b/marlseam/experiment/virtual/driver.py
@@ -0,0 +1,171 @@
+"""The driver: joins the parts of a virtual run and plays a day."""
+
+from collections.abc import Callable
+
+from marlseam import core
+from marlseam.configuration import deployment_from
+from marlseam.core import Reducer
+from marlseam.experiment.virtual.attempts import AttemptTransport
+from marlseam.experiment.virtual.clients import ClientRunner
+from marlseam.experiment.virtual.discovery import DiscoveryService
+from marlseam.experiment.virtual.fault_injector import FaultInjector
+from marlseam.experiment.virtual.lifecycle import NodeLifecycle
+from marlseam.experiment.virtual.nodes import NodeRunner
+from marlseam.experiment.virtual.probes import ProbeTransport
+from marlseam.experiment.virtual.servers import ServerRunner
+from marlseam.experiment.virtual.state import AttemptInFlight, SimulatedNode, SimulatedServer, StaleListStart
+from marlseam.experiment.virtual.world import VirtualWorld
+from marlseam.records import RecordStreams
+from marlseam.simulation import faults, plan
+from marlseam.simulation.clients import FrontLoadBalancer
+from marlseam.simulation.model import Day, node_settings, placed_nodes
+
+END_SLACK_MS = 1000.0  # that a run lasts after the last request's deadline
+
+
+class VirtualDriver:
+    """Plays one day. A subclass may override `make_node` and the steps of `DriverHooks`.
+
+    Attributes:
+        day: the day that is played.
+        make_reducer: returns the reducer of a node's process, so that experiments can play other policies.
+        schedule: the day's faults.
+        world: what the parts share.
+    """
+
+    def __init__(
+        self,
+        day: Day,
+        seed: int,
+        streams: RecordStreams,
+        make_reducer: Callable[[], Reducer] = Reducer,
+        old: StaleListStart | None = None,
+    ) -> None:
+        """Make one whose records go to `streams`; nodes start from an old list where one is given."""
+        self.day, self.make_reducer = day, make_reducer
+        self.schedule = faults.schedule(day, seed)
+        self.world = world = VirtualWorld(day, seed, streams)
+        world.add_servers(self.schedule)
+        if old is not None:
+            world.add_gone_servers(old.gone_count)
+        for name, zone in placed_nodes(day):
+            world.nodes[name] = self.make_node(name, zone)
+        self._join_parts(0.0 if old is None else old.doubt)
+
+    def _join_parts(self, doubt: float) -> None:
+        """Make the parts, and let each effect of the nodes be carried out by one of them."""
+        world = self.world
+        nodes = NodeRunner(world)
+        self._servers = ServerRunner(world)
+        self._attempts = AttemptTransport(world, nodes, self._servers, self)
+        self._clients = ClientRunner(world, nodes)
+        self._discovery = DiscoveryService(world, nodes, doubt)
+        probes = ProbeTransport(world, nodes, self._servers)
+        self._lifecycle = NodeLifecycle(
+            world, self.make_reducer, nodes, self._attempts, self._clients, self._discovery
+        )
+        self._fault_injector = FaultInjector(
+            world, self.schedule, self, self._servers, self._attempts, self._discovery, self._lifecycle
+        )
+        nodes.effect_handlers |= {
+            core.SendAttempt: self._attempts.send,
+            core.CancelAttempt: self._attempts.cancel,
+            core.Respond: self._clients.reply,
+            core.Reject: self._clients.reply,
+            core.Fail: self._clients.reply,
+            core.Probe: probes.send,
+            core.WatchEndpoints: self._discovery.call,
+        }
+
+    @property
+    def now_ms(self) -> float:
+        """Return the present time in ms from the run's begin."""
+        return self.world.now_ms
+
+    @property
+    def event_count(self) -> int:
+        """Return how many events were played."""
+        return self.world.queue.played_count
+
+    def run(self, arrivals: list[plan.Arrival] | None = None) -> float:
+        """Play the day to the last client's end, and return the time at which that was, in ms."""
+        if arrivals is None:
+            arrivals = plan.make(self.day, self.world.seed, faults.surges(self.schedule))
+        queue = self.world.queue
+        for node in self.world.nodes.values():
+            self._lifecycle.start(node)
+        self._fault_injector.schedule_all()
+        for change in faults.listings(self.day, self.schedule):
+            queue.schedule(change.at, self._discovery.change, change)
+        for arrival in arrivals:
+            queue.schedule(arrival.at, self._clients.arrive, arrival)
+        longest_ms = max(request_class.limit_ms for request_class in self.day.types)
+        queue.run_until(1000.0 * self.day.seconds + longest_ms + END_SLACK_MS)
+        self.world.streams.end(self.now_ms)
+        return self.now_ms
+
+    def make_node(self, name: str, zone: str) -> SimulatedNode:
+        """Return a node with the day's settings."""
+        return self.seat(name, zone)
+
+    def deliver(self, attempt: AttemptInFlight) -> None:
+        """Hand an attempt to its server."""
+        self._attempts.deliver(attempt)
+
+    def crash(self, server: SimulatedServer) -> None:
+        """End a server's process and break its connections."""
+        self._servers.crash(server)
+        self._attempts.server_crashed(server)
+
+    def start_server(self, server: SimulatedServer) -> None:
+        """Start a server's process, in slow start."""
+        self.rise(server)
+
+    # Former names, for the modules that use them still.
+
+    def seat(self, name: str, zone: str) -> SimulatedNode:
+        """See `make_node`."""
+        deployment = deployment_from(node_settings(self.day, zone))
+        return SimulatedNode(name, zone, deployment, self.make_reducer())
+
+    def rise(self, server: SimulatedServer) -> None:
+        """See `start_server`."""
+        self._servers.start(server)
+
+    def hears(self, node: SimulatedNode, server: SimulatedServer) -> bool:
+        """See `VirtualWorld.is_delivered`."""
+        return self.world.is_delivered(node, server)
+
+    @property
+    def make_core(self) -> Callable[[], Reducer]:
+        """See `make_reducer`."""
+        return self.make_reducer
+
+    @property
+    def now(self) -> float:
+        """See `now_ms`."""
+        return self.now_ms
+
+    @property
+    def events(self) -> int:
+        """See `event_count`."""
+        return self.event_count
+
+    @property
+    def hosts(self) -> dict[str, SimulatedServer]:
+        """See `VirtualWorld.servers`."""
+        return self.world.servers
+
+    @property
+    def arrivals(self) -> dict[str, plan.Arrival]:
+        """See `VirtualWorld.arrivals`."""
+        return self.world.arrivals
+
+    @property
+    def front(self) -> FrontLoadBalancer:
+        """See `VirtualWorld.load_balancer`."""
+        return self.world.load_balancer
+
+    @front.setter
+    def front(self, load_balancer: FrontLoadBalancer) -> None:
+        self.world.load_balancer = load_balancer
