--- a/marlseam/experiment/soak.py
+++ b/marlseam/experiment/soak.py
@@ -1,12 +1,15 @@
-"""The soak: days of real processes on loopback on which a seed lets two or three troubles and faults overlap.
+"""The soak: short days of real processes on loopback, in which each seed lets two or three faults overlap.
 
-Judged are the rules, by records of clients and servers; the run-time invariants, by the nodes' logs; and
-whether a node ended by itself. A seed draws the same troubles and faults each time it is played.
+Each seed also draws what fails inside the nodes: system calls, the wall clock, decisions. Judged are the
+rules, by the records of clients and servers; the run-time invariants, by the nodes' logs; and whether a node
+ended by itself. A seed draws the same each time it is played.
 """
 
 import random
+from collections import Counter
 from itertools import combinations
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
@@ -16,6 +19,8 @@
 from marlseam.experiment.file import register as register_table
 from marlseam.experiment.plays import RunResult, ShowProgress, judge_records, register_play
 from marlseam.experiment.processes import RunFailedError
+from marlseam.experiment.sockets.driver import SocketDriver
+from marlseam.experiment.sockets.options import SocketOptions
 from marlseam.simulation.model import Count, Day, Fault, Strict
 from marlseam.verification.verdict import Verdict
 
@@ -30,7 +35,7 @@
     "errors",
     "surge",
 )
-CALLS = {
+ERRORS_BY_CALL = {
     "recv_into": ("ENOMEM", "EINTR"),
     "send": ("ENOBUFS", "EINTR"),
     "accept": ("ENFILE", "ECONNABORTED"),
@@ -38,97 +43,165 @@
     "poll": ("ENOMEM",),
     "epoll_ctl": ("ENOMEM", "ENOSPC"),
 }
-CLOCKS_S = (-3600.0, -5.0, 3600.0)
-DECISIONS = ("AttemptEnded", "RequestArrived", "ProbeEnded", "AttemptStarted")
-SPANS_S = (1.0, 3.0)  # how long a trouble lasts
-
-
-class Soak(Strict):
+CLOCK_ERRORS_S = (-3600.0, -5.0, 3600.0)
+FAILING_EVENTS = ("AttemptEnded", "RequestArrived", "ProbeEnded", "AttemptStarted")  # of the reducer
+FAULT_COUNTS = (2, 3)  # faults of a day
+FAILING_CALL_COUNTS = (0, 1, 2)
+FAILING_CALL_SHARES = (0.02, 0.1)  # of the calls, while a burst of failures lasts
+CLOCK_ERROR_CHANCE = 0.3
+FAILING_EVENT_CHANCE = 0.25
+MIN_MIDDLE_SHARE, MAX_MIDDLE_SHARE = 0.3, 0.6  # where in the day the faults overlap
+MAX_LEAD_S = 1.0  # by which a fault begins before that
+MIN_DURATION_S, MAX_DURATION_S = 1.0, 3.0  # of a fault
+TARGET_SHARE = 0.34  # of the servers or nodes that a fault affects
+ERROR_SHARE = 0.5  # of the attempts that fail during `errors`
+DEFAULT_FAULT_SIZE = 2.0
+INVARIANT_VIOLATED, TRACEBACK, PLANTED = "invariant violated", "Traceback", "planted"  # in nodes' logs
+SHOWN_LINE_CHARACTERS = 300
+SHOWN_VIOLATIONS = 3  # of a rule
+SHOWN_PROBLEMS = 3  # of a seed
+
+
+class Soak(Strict, frozen=True):
     """Which seeds are played, from the experiment's own on."""
 
     seeds: Count = 3
 
 
-class Drawn(msgspec.Struct):
-    """What a seed draws: troubles of the day, and what fails in each node."""
+class DrawnFaults(msgspec.Struct):
+    """What a seed draws.
 
-    troubles: list[Fault]
-    faults: Faults
+    Attributes:
+        day_faults: the faults of the day.
+        node_faults: what fails in each node.
+    """
+
+    day_faults: list[Fault]
+    node_faults: Faults
 
     def names(self) -> list[str]:
-        """Return what overlaps, in the matrix's words."""
-        found = [trouble.what for trouble in self.troubles]
-        found += sorted({f"call {failure.call}" for failure in self.faults.failures})
-        found += ["clock"] if self.faults.clock_s else []
-        return found + (["own error"] if self.faults.decision else [])
+        """Return the names of all that overlaps, as the report shows them."""
+        names = [fault.what for fault in self.day_faults]
+        names += sorted({f"call {failure.call}" for failure in self.node_faults.failures})
+        names += ["clock"] if self.node_faults.clock_s else []
+        return names + (["own error"] if self.node_faults.decision else [])
+
+
+class SeedResult(NamedTuple):
+    """What one seed came to.
+
+    Attributes:
+        drawn: what it drew.
+        problems: what is wrong, a text each.
+        verdict: the judge's verdict, None where a process failed.
+    """
+
+    drawn: DrawnFaults
+    problems: list[str]
+    verdict: Verdict | None
 
 
-def drawn(seed: int, seconds: float) -> Drawn:
-    """Draw two or three troubles that overlap, and at most three kinds of faults in the nodes."""
+def draw_faults(seed: int, seconds: float) -> DrawnFaults:
+    """Draw the faults of a day, which overlap, and what fails in its nodes.
+
+    The order of the draws is part of what a seed means.
+    """
     chance = random.Random(seed)
-    middle = chance.uniform(0.3, 0.6) * seconds
-    troubles = []
-    for what in chance.sample(FAULT_NAMES, chance.choice((2, 3))):
-        at_s, for_s = middle - chance.uniform(0.0, 1.0), chance.uniform(*SPANS_S)
-        size = 0.5 if what == "errors" else 2.0
-        troubles.append(Fault(what=what, at_s=at_s, for_s=for_s, share=0.34, size=size))
-    calls = chance.sample(sorted(CALLS), chance.choice((0, 1, 2)))
-    failures = [Failure(call, chance.choice(CALLS[call]), chance.choice((0.02, 0.1))) for call in calls]
-    clock_s = chance.choice(CLOCKS_S) if chance.random() < 0.3 else 0.0
-    decision = chance.choice(DECISIONS) if chance.random() < 0.25 else ""
-    return Drawn(troubles, Faults(seed, failures, clock_s=clock_s, decision=decision))
-
-
-def findings(out: Path, planted: bool) -> list[str]:
-    """Return what the nodes' logs say of broken invariants, and of errors that were not planted."""
+    day_faults = _draw_day_faults(chance, seconds)
+    calls = chance.sample(sorted(ERRORS_BY_CALL), chance.choice(FAILING_CALL_COUNTS))
+    failures = [
+        Failure(call, chance.choice(ERRORS_BY_CALL[call]), chance.choice(FAILING_CALL_SHARES))
+        for call in calls
+    ]
+    clock_s = chance.choice(CLOCK_ERRORS_S) if chance.random() < CLOCK_ERROR_CHANCE else 0.0
+    event = chance.choice(FAILING_EVENTS) if chance.random() < FAILING_EVENT_CHANCE else ""
+    return DrawnFaults(day_faults, Faults(seed, failures, clock_s=clock_s, decision=event))
+
+
+def _draw_day_faults(chance: random.Random, seconds: float) -> list[Fault]:
+    """Draw faults that are all on at one time in the middle of the day."""
+    middle_s = chance.uniform(MIN_MIDDLE_SHARE, MAX_MIDDLE_SHARE) * seconds
     found = []
-    for path in sorted((out / "logs").glob("*.log")):
-        for line in path.read_text(errors="replace").splitlines():
-            if "invariant violated" in line or ("Traceback" in line and not (planted and "planted" in line)):
-                found.append(f"{path.stem}: {line[:300]}")
+    for name in chance.sample(FAULT_NAMES, chance.choice(FAULT_COUNTS)):
+        at_s = middle_s - chance.uniform(0.0, MAX_LEAD_S)
+        for_s = chance.uniform(MIN_DURATION_S, MAX_DURATION_S)
+        size = ERROR_SHARE if name == "errors" else DEFAULT_FAULT_SIZE
+        found.append(Fault(what=name, at_s=at_s, for_s=for_s, share=TARGET_SHARE, size=size))
     return found
 
 
-def one(day: Day, seed: int, out: Path) -> tuple[Drawn, list[str], Verdict | None]:
-    """Play one seed; return what it drew, what it found, and the judge's verdict."""
-    from marlseam.experiment.sockets import SocketDriver
-
-    made = drawn(seed, day.seconds)
-    day = msgspec.structs.replace(day, troubles=made.troubles)
-    env = {FAULTS: msgspec.json.encode(made.faults).decode()}
-    driver = SocketDriver(
-        day, seed, out, module=lambda name: "marlseam.emulators.faulty", env=lambda name: env
+def log_problems(out: Path, expects_planted_errors: bool) -> list[str]:
+    """Return what the nodes' logs say of broken invariants, and of errors that were not planted."""
+    return [
+        f"{path.stem}: {line[:SHOWN_LINE_CHARACTERS]}"
+        for path in sorted((out / "logs").glob("*.log"))
+        for line in path.read_text(errors="replace").splitlines()
+        if _is_problem(line, expects_planted_errors)
+    ]
+
+
+def _is_problem(line: str, expects_planted_errors: bool) -> bool:
+    """Return whether a line of a log shows a broken invariant, or an error that was not planted."""
+    is_planted = expects_planted_errors and PLANTED in line
+    return INVARIANT_VIOLATED in line or (TRACEBACK in line and not is_planted)
+
+
+def play_seed(day: Day, seed: int, out: Path) -> SeedResult:
+    """Play one seed."""
+    drawn = draw_faults(seed, day.seconds)
+    day = msgspec.structs.replace(day, troubles=drawn.day_faults)
+    environment = {FAULTS: msgspec.json.encode(drawn.node_faults).decode()}
+    options = SocketOptions(
+        node_module=lambda _: "marlseam.emulators.faulty", node_environment=lambda _: environment
     )
+    expects_planted_errors = bool(drawn.node_faults.decision)
     try:
-        driver.run()
+        SocketDriver(day, seed, out, options).run()
     except RunFailedError as error:
-        return made, [f"a process failed: {error}", *findings(out, bool(made.faults.decision))], None
-    played = judge_records(*records.read_folder(out / "records"), driver="sockets")
-    found = findings(out, bool(made.faults.decision))
-    for rule in played.verdict.rules:
-        found += [f"rule {rule.name}: {what}" for what in rule.violations[:3]]
-    return made, found, played.verdict
+        problems = [f"a process failed: {error}", *log_problems(out, expects_planted_errors)]
+        return SeedResult(drawn, problems, None)
+    verdict = judge_records(*records.read_folder(out / "records"), driver="sockets").verdict
+    problems = log_problems(out, expects_planted_errors) + _rule_problems(verdict)
+    return SeedResult(drawn, problems, verdict)
+
+
+def _rule_problems(verdict: Verdict | None) -> list[str]:
+    """Return the first violations of each rule."""
+    return [
+        f"rule {rule.name}: {violation}"
+        for rule in (verdict.rules if verdict is not None else ())
+        for violation in rule.violations[:SHOWN_VIOLATIONS]
+    ]
 
 
 @register_play("soak")
 def soak(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Play seeds one after the other, and count crossings and finds."""
+    """Play seeds one after the other, and count which faults overlapped and where problems were found."""
     table: Soak = experiment.tables.get("soak", Soak())
-    crossings: dict[tuple[str, str], int] = {}
-    rows, found_seeds = [["seed", "what overlapped", "found"]], 0
+    overlap_counts: Counter[tuple[str, str]] = Counter()
+    rows = [["seed", "what overlapped", "found"]]
+    problem_seed_count = 0
     for seed in range(experiment.head.seed, experiment.head.seed + table.seeds):
-        made, found, _ = one(experiment.day, seed, out / str(seed))
-        names = made.names()
-        for pair in combinations(sorted(names), 2):
-            crossings[pair] = crossings.get(pair, 0) + 1
-        found_seeds += bool(found)
-        text = "; ".join(found[:3])
-        rows.append([str(seed), ", ".join(names), text or "nothing"])
-        show_progress(f"seed {seed}: {', '.join(names)}: {text or 'nothing found'}")
-    matrix = [["crossing", "seeds"], *([" x ".join(pair), str(n)] for pair, n in sorted(crossings.items()))]
-    figures = {"seeds": float(table.seeds), "seeds_with_finds": float(found_seeds)}
-    figures["crossings"] = float(len(crossings))
-    return RunResult(figures, tables=[("seeds", rows), ("crossings", matrix)], driver="sockets")
+        result = play_seed(experiment.day, seed, out / str(seed))
+        names = result.drawn.names()
+        overlap_counts.update(combinations(sorted(names), 2))
+        problem_seed_count += bool(result.problems)
+        shown_names, shown_problems = ", ".join(names), "; ".join(result.problems[:SHOWN_PROBLEMS])
+        rows.append([str(seed), shown_names, shown_problems or "nothing"])
+        show_progress(f"seed {seed}: {shown_names}: {shown_problems or 'nothing found'}")
+    figures = {
+        "seeds": float(table.seeds),
+        "seeds_with_finds": float(problem_seed_count),
+        "crossings": float(len(overlap_counts)),
+    }
+    tables = [("seeds", rows), ("crossings", _overlap_rows(overlap_counts))]
+    return RunResult(figures, tables=tables, driver="sockets")
+
+
+def _overlap_rows(overlap_counts: Counter[tuple[str, str]]) -> list[list[str]]:
+    """Return the table of the pairs that overlapped, and in how many seeds."""
+    rows = [[" x ".join(pair), str(count)] for pair, count in sorted(overlap_counts.items())]
+    return [["crossing", "seeds"], *rows]
 
 
 def register() -> None:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -104,7 +104,7 @@
 def echo(tmp_path):
     """Return a stand-in node that completes everything at once."""
     process = ChildProcess(["standin", "echo"], tmp_path / "log")
-    yield process.line()["node"]
+    yield process.read_json()["node"]
     process.end()
 
 
@@ -178,7 +178,7 @@
 def test_a_trace_written_from_records_reads_back(tmp_path):
     held = day(seconds=4.0, rate=40.0, clients={"tries": 3, "wait_ms": 20.0})
     arrived = plan.make(held, 1)
-    found = played(held)[3]
+    found = played(held).records
     for retries in (False, True):
         path = Path(tmp_path / "t.jsonl")
         path.write_bytes(b"".join(trace.trace_lines(found, arrived, retries)))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's own parts: what a seed draws, what a shim makes fail, and that a defect is found."""
+"""The soak: what a seed draws, what the shim makes fail, what logs show, and one seed on real processes."""
 
 import errno
 import select
@@ -16,22 +16,23 @@
 FILE = Path(__file__).parent.parent / "experiments" / "soak.toml"
 
 
-def test_a_seed_draws_the_same_again_and_others_differ():
-    found = [msgspec.json.encode(soak.drawn(seed, 8.0)) for seed in range(50)]
-    assert found == [msgspec.json.encode(soak.drawn(seed, 8.0)) for seed in range(50)]
-    assert len(set(found)) == 50
+def test_a_seed_draws_the_same_again_and_others_differ() -> None:
+    drawn = [msgspec.json.encode(soak.draw_faults(seed, 8.0)) for seed in range(50)]
+    assert drawn == [msgspec.json.encode(soak.draw_faults(seed, 8.0)) for seed in range(50)]
+    assert len(set(drawn)) == 50
 
 
-def test_troubles_overlap_and_everything_is_drawn_at_some_time():
-    drawn = [soak.drawn(seed, 8.0) for seed in range(200)]
-    for made in drawn:
-        begin = max(trouble.at_s for trouble in made.troubles)
-        assert begin < min(trouble.at_s + trouble.for_s for trouble in made.troubles)
-    names = {name for made in drawn for name in made.names()}
-    assert names == {*soak.FAULT_NAMES, *(f"call {call}" for call in soak.CALLS), "clock", "own error"}
+def test_faults_overlap_and_each_is_drawn_by_some_seed() -> None:
+    all_drawn = [soak.draw_faults(seed, 8.0) for seed in range(200)]
+    for drawn in all_drawn:
+        last_begin_s = max(fault.at_s for fault in drawn.day_faults)
+        assert last_begin_s < min(fault.at_s + fault.for_s for fault in drawn.day_faults)
+    names = {name for drawn in all_drawn for name in drawn.names()}
+    calls = {f"call {call}" for call in soak.ERRORS_BY_CALL}
+    assert names == {*soak.FAULT_NAMES, *calls, "clock", "own error"}
 
 
-def test_a_call_fails_in_bursts_alone():
+def test_a_call_fails_in_bursts_alone() -> None:
     shim = Shim(Faults(1, [Failure("send", "ENOBUFS", 1.0)], every_s=10.0, for_s=5.0))
     send = shim.wrapped("send", lambda data: len(data))
     with pytest.raises(OSError) as error:
@@ -42,7 +43,7 @@
     assert send(b"x") == 1
 
 
-def test_connect_ex_returns_its_error():
+def test_connect_ex_returns_its_error() -> None:
     shim = Shim(Faults(1, [Failure("connect_ex", "ENETUNREACH", 1.0)]))
     connect = shim.returned(shim.wrapped("connect_ex", lambda: 0))
     assert connect() == errno.ENETUNREACH
@@ -50,13 +51,14 @@
     assert connect() == 0
 
 
-def test_objects_of_the_system_are_wrapped():
+def test_objects_of_the_system_are_wrapped() -> None:
     shim = Shim(Faults(1, [Failure("poll", "ENOMEM", 1.0)]))
     look = shim.made(select.poll, {"poll": "poll"})()
     one, other = socket.socketpair()
     look.register(one, select.POLLOUT)
-    with pytest.raises(OSError):
+    with pytest.raises(OSError) as error:
         look.poll(0)
+    assert error.value.errno == errno.ENOMEM
     shim.began -= 1.0  # the burst is over
     assert look.poll(0)
     one.close()
@@ -73,18 +75,20 @@
         ("marlseam n1: client ended code=done messages=1", False, False),
     ],
 )
-def test_logs_are_searched(tmp_path, line, planted, found):
+def test_logs_show_broken_invariants_and_errors_that_were_not_planted(
+    tmp_path: Path, line: str, planted: bool, found: bool
+) -> None:
     (tmp_path / "logs").mkdir()
     (tmp_path / "logs" / "n1.log").write_text(line + "\n")
-    assert bool(soak.findings(tmp_path, planted)) is found
+    assert bool(soak.log_problems(tmp_path, planted)) is found
 
 
-def test_one_short_seed_holds_on_real_processes(tmp_path):
+def test_one_short_seed_holds_on_real_processes(tmp_path: Path) -> None:
     soak.register()
     day = read(tomllib.loads(FILE.read_text())).day
     day = msgspec.structs.replace(day, seconds=4.0)
-    made, found, verdict = soak.one(day, 2, tmp_path)
-    assert made.faults.decision
-    assert found == []
-    assert verdict is not None
-    assert not verdict.violation_count
+    result = soak.play_seed(day, 2, tmp_path)
+    assert result.drawn.node_faults.decision
+    assert result.problems == []
+    assert result.verdict is not None
+    assert not result.verdict.violation_count
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -1,14 +1,20 @@
-"""Small days for the tests of world, judge, load and experiments."""
+"""Small days for the tests of the simulation, verification, load and experiments."""
+
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
 import msgspec
 
+from marlseam.core import Reducer
 from marlseam.experiment.virtual import VirtualDriver
-from marlseam.records import RecordStreams
+from marlseam.records import Record, RecordStreams
 from marlseam.simulation.model import Day
+from marlseam.verification.book import RunRecords
 from marlseam.verification.rules import judge
 from marlseam.verification.service import figures
+from marlseam.verification.verdict import Verdict
 
-TYPES = [
+TYPES: list[dict[str, Any]] = [
     {"name": "lookup", "share": 0.5, "work_ms": 300, "promised_ms": 200, "limit_ms": 5000},
     {
         "name": "build",
@@ -27,28 +33,32 @@
         "effect": "receipted",
     },
 ]
-KINDS = [
+KINDS: list[dict[str, Any]] = [
     {"name": "fast", "executors": 4, "speed": 1.8, "warm_s": 3.0},
     {"name": "slow", "executors": 4, "speed": 0.9, "warm_s": 3.0},
 ]
 
 
-def day(seconds=12.0, rate=15.0, **changes):
-    """Return a small day in two zones."""
-    values = {
-        "seconds": seconds,
-        "fleet": {"zones": ["east", "west"], "nodes": 3, "kinds": KINDS, **changes.pop("fleet", {})},
-        "types": TYPES,
-        "load": {"rate": rate},
-    }
-    return msgspec.convert(values | changes, Day)
+class PlayedDay(NamedTuple):
+    """What a day in virtual time came to: the judge's verdict and what it read, figures, and the records."""
+
+    verdict: Verdict
+    book: RunRecords
+    figures: dict[str, float]
+    records: list[Record]
+
+
+def day(seconds: float = 12.0, rate: float = 15.0, **tables: Any) -> Day:
+    """Return a small day in two zones; `tables` are added to those of the day, and to that of the fleet."""
+    fleet = {"zones": ["east", "west"], "nodes": 3, "kinds": KINDS, **tables.pop("fleet", {})}
+    standard = {"seconds": seconds, "fleet": fleet, "types": TYPES, "load": {"rate": rate}}
+    return msgspec.convert(standard | tables, Day)
 
 
-def played(held, seed=1, make_core=None):
-    """Play a day in virtual time; return verdict, book, figures and records."""
+def played(day: Day, seed: int = 1, make_core: Callable[[], Reducer] = Reducer) -> PlayedDay:
+    """Play a day in virtual time, and judge its records."""
     streams = RecordStreams(None, "driver")
-    driver = VirtualDriver(held, seed, streams, *([make_core] if make_core else []))
-    driver.run()
-    found = [record for writer in streams.writers.values() for record in writer.kept]
-    verdict, book = judge(found)
-    return verdict, book, figures(book), found
+    VirtualDriver(day, seed, streams, make_core).run()
+    records = [record for writer in streams.writers.values() for record in writer.kept]
+    verdict, book = judge(records)
+    return PlayedDay(verdict, book, figures(book), records)
