--- a/marlseam/experiment/policies.py
+++ b/marlseam/experiment/policies.py
@@ -11,9 +11,12 @@
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.request_state import RequestState
 
+NO_SERVER = -1
+PROBED_COUNT = 2  # servers that the policy of two choices probes
 
-class Baseline(RequestState):
-    """A request placed by a baseline."""
+
+class BaselineRequest(RequestState):
+    """A request placed by a baseline policy."""
 
     dispatcher: "BaselineDispatcher"
 
@@ -23,22 +26,22 @@
         if not self.may_attempt():
             self.retry()
         else:
-            self.pick()
+            self.choose_and_send()
 
-    def pick(self) -> None:
+    def choose_and_send(self) -> None:
         """Send to the policy's choice, or wait in the pending queue."""
-        server = self.choice()
-        if server < 0:
+        server = self.choose_server(self.eligible_servers())
+        if server == NO_SERVER:
             self.enqueue()
         else:
             self.send(server)
 
-    def choice(self) -> int:
-        """Return the server that the policy chooses, -1 for none."""
+    def choose_server(self, servers: list[int]) -> int:
+        """Return the server among these that the policy chooses, NO_SERVER for none."""
         raise NotImplementedError
 
-    def ready(self) -> list[int]:
-        """Return the usable, eligible servers."""
+    def eligible_servers(self) -> list[int]:
+        """Return the usable, eligible servers, those of the node's own zone first."""
         dispatcher = self.dispatcher
         return [
             server
@@ -46,89 +49,105 @@
             if dispatcher.is_usable(server) and self.is_eligible(server)
         ]
 
+    def draw(self, servers: list[int]) -> int:
+        """Return one of these servers at random; there must be one."""
+        return servers[int(self.dispatcher.random() * len(servers))]
+
 
 class BaselineDispatcher(Dispatcher):
-    """A dispatcher that places requests by one of the baselines."""
+    """A dispatcher that places requests by one of the baseline policies.
+
+    Attributes:
+        last_server: the server that was chosen last where servers are chosen in turn, NO_SERVER for none.
+    """
 
-    last_server = -1
+    last_server = NO_SERVER
 
 
-class AtRandom(Baseline):
-    """Any usable server, at random."""
+class RandomRequest(BaselineRequest):
+    """Any server, at random."""
 
-    def choice(self) -> int:
+    def choose_server(self, servers: list[int]) -> int:
         """Return one at random."""
-        ready = self.ready()
-        return ready[int(self.dispatcher.random() * len(ready))] if ready else -1
+        return self.draw(servers) if servers else NO_SERVER
 
 
-class RoundRobin(Baseline):
-    """The usable servers in turn."""
+class RoundRobinRequest(BaselineRequest):
+    """The servers in turn."""
 
-    def choice(self) -> int:
-        """Return the next one."""
-        ready = sorted(self.ready())
-        if not ready:
-            return -1
-        self.dispatcher.last_server = next(
-            (server for server in ready if server > self.dispatcher.last_server), ready[0]
+    def choose_server(self, servers: list[int]) -> int:
+        """Return the next one after the last."""
+        if not servers:
+            return NO_SERVER
+        last = self.dispatcher.last_server
+        self.dispatcher.last_server = min(
+            (server for server in servers if server > last), default=min(servers)
         )
         return self.dispatcher.last_server
 
 
-class LeastRequests(Baseline):
+class LeastRequestsRequest(BaselineRequest):
     """The server with the fewest attempts of this node's own; among equals one at random."""
 
-    def choice(self) -> int:
+    def choose_server(self, servers: list[int]) -> int:
         """Return the one with the fewest."""
-        dispatcher, ready = self.dispatcher, self.ready()
-        if not ready:
-            return -1
-        least = min(len(dispatcher.own_attempts[server]) for server in ready)
-        equal = [server for server in ready if len(dispatcher.own_attempts[server]) == least]
-        return equal[int(dispatcher.random() * len(equal))]
-
-
-class TwoChoices(Baseline):
-    """Two at random are really probed, and the one with the smaller count by its report is picked."""
-
-    def pick(self) -> None:
-        """Ask two at random, then send."""
-        ready = self.ready()
-        chosen: list[int] = []
-        while ready and len(chosen) < 2:
-            chosen.append(ready.pop(int(self.dispatcher.random() * len(ready))))
-        if not chosen:
-            self.enqueue()
+        if not servers:
+            return NO_SERVER
+        own_attempts = self.dispatcher.own_attempts
+        fewest = min(len(own_attempts[server]) for server in servers)
+        return self.draw([server for server in servers if len(own_attempts[server]) == fewest])
+
+
+class TwoChoicesRequest(BaselineRequest):
+    """Two servers at random are probed, and the one with the smaller count by its report is chosen."""
+
+    def choose_and_send(self) -> None:
+        """Probe two at random; the request is sent when they have answered."""
+        servers = self.eligible_servers()
+        probed: list[int] = []
+        while servers and len(probed) < PROBED_COUNT:
+            server = self.draw(servers)
+            servers.remove(server)
+            probed.append(server)
+        if probed:
+            self.probe(probed, self.send_to_less_loaded)
         else:
-            self.probe(chosen, self.compare)
+            self.enqueue()
 
-    def compare(self) -> None:
-        """Send to the one with the smaller count."""
+    def send_to_less_loaded(self) -> None:
+        """Send to the probed server with the smaller count, if one is still usable."""
         dispatcher = self.dispatcher
-        good = [
+        usable = [
             server
             for server in self.probed_servers
             if dispatcher.is_usable(server) and self.is_eligible(server)
         ]
-        if good:
-            self.send(min(good, key=lambda server: (dispatcher.count(server), server)))
+        if usable:
+            self.send(min(usable, key=lambda server: (dispatcher.count(server), server)))
         else:
             self.enqueue()
 
 
-def maker(state_type: type[Baseline]) -> Callable[[], Reducer]:
-    """Return a type of reducer that places requests by a baseline."""
-    dispatcher = type(
-        "Baseline" + state_type.__name__, (BaselineDispatcher,), {"request_state_type": state_type}
-    )
-    return type(state_type.__name__ + "Core", (Reducer,), {"dispatcher_type": dispatcher})
+def reducer_type(request_type: type[BaselineRequest]) -> Callable[[], Reducer]:
+    """Return a type of reducer that places requests by a baseline policy."""
+
+    class PolicyDispatcher(BaselineDispatcher):
+        """The dispatcher of the policy."""
+
+        request_state_type = request_type
+
+    class PolicyReducer(Reducer):
+        """The reducer of the policy."""
+
+        dispatcher_type = PolicyDispatcher
+
+    return PolicyReducer
 
 
 POLICIES: dict[str, Callable[[], Reducer]] = {
     "marlseam": Reducer,
-    "random (baseline)": maker(AtRandom),
-    "round robin (baseline)": maker(RoundRobin),
-    "least requests (baseline)": maker(LeastRequests),
-    "two choices (baseline)": maker(TwoChoices),
+    "random (baseline)": reducer_type(RandomRequest),
+    "round robin (baseline)": reducer_type(RoundRobinRequest),
+    "least requests (baseline)": reducer_type(LeastRequestsRequest),
+    "two choices (baseline)": reducer_type(TwoChoicesRequest),
 }
