--- a/tests/effects_digest.py
+++ b/tests/effects_digest.py
@@ -81,7 +81,7 @@
 # Days of the virtual driver.
 
 
-def troubles(*rows):
+def fault_tables(*rows):
     return [{"what": what, "at_s": at, "for_s": 4.0, "share": 0.4, **more} for what, at, more in rows]
 
 
@@ -89,7 +89,7 @@
     return [type | changes for type in worlds.TYPES]
 
 
-UNSAFE = {
+UNSAFE_TYPE = {
     "name": "pay",
     "share": 0.2,
     "work_ms": 400,
@@ -97,37 +97,37 @@
     "limit_ms": 6000,
     "effect": "exclusive",
 }
-HARD = troubles(
+SERVER_FAULTS = fault_tables(
     ("slow", 1.0, {}), ("errors", 3.0, {}), ("crash", 5.0, {}), ("silent", 6.0, {}), ("reset", 8.0, {})
 )
 DAYS = {
     "plain": {},
-    "troubles": {"troubles": HARD, "rate": 25.0},
+    "troubles": {"troubles": SERVER_FAULTS, "rate": 25.0},
     "cold": {
         "fleet": {"cold": True},
         "rate": 30.0,
-        "troubles": troubles(("grow", 3.0, {}), ("crash", 5.0, {})),
+        "troubles": fault_tables(("grow", 3.0, {}), ("crash", 5.0, {})),
     },
-    "unsafe": {"types": [*worlds.TYPES, UNSAFE], "troubles": HARD},
+    "unsafe": {"types": [*worlds.TYPES, UNSAFE_TYPE], "troubles": SERVER_FAULTS},
     "in turn": {
-        "types": [type | {"keys": 5, "in_turn": True} for type in [*worlds.TYPES, UNSAFE]],
+        "types": [type | {"keys": 5, "in_turn": True} for type in [*worlds.TYPES, UNSAFE_TYPE]],
         "rules": {"turn_gap_ms": 50.0},
-        "troubles": HARD,
+        "troubles": SERVER_FAULTS,
     },
     "hedged": {
         "rules": {"second_copies": True, "max_allocs": 3},
         "rate": 25.0,
-        "troubles": troubles(("flapping", 1.0, {"for_s": 7.0})),
+        "troubles": fault_tables(("flapping", 1.0, {"for_s": 7.0})),
     },
-    "answers": {"reports": {"answers": True}, "troubles": HARD, "rate": 25.0},
-    "no probes": {"rules": {"probes": False, "cancel": False}, "troubles": HARD},
+    "answers": {"reports": {"answers": True}, "troubles": SERVER_FAULTS, "rate": 25.0},
+    "no probes": {"rules": {"probes": False, "cancel": False}, "troubles": SERVER_FAULTS},
     "keyed": {
         "types": of_types(effect="receipted", group="zone", keys=9),
         "clients": {"resend": True, "leave": 0.2},
-        "troubles": HARD,
+        "troubles": SERVER_FAULTS,
     },
     "outage": {
-        "troubles": troubles(
+        "troubles": fault_tables(
             ("roster_outage", 1.0, {}), ("shrink", 4.0, {}), ("zone_cut", 6.0, {}), ("node_roll", 8.0, {})
         ),
         "rules": {"drain_binds_alone": True},
@@ -139,16 +139,15 @@
     """Play a day and return the digest of its nodes' effects."""
     digest = Digest()
 
-    class Followed(Reducer):
+    class DigestedReducer(Reducer):
         def reduce(self, clock, event):
             effects = super().reduce(clock, event)
             digest.take(clock, effects)
             return effects
 
-    values = dict(DAYS[name])
-    held = worlds.day(8.0, values.pop("rate", 15.0))
-    held = worlds.day(8.0, held.load.rate, **values)
-    worlds.played(held, 3, Followed)
+    tables = dict(DAYS[name])
+    rate = tables.pop("rate", 15.0)
+    worlds.played(worlds.day(8.0, rate, **tables), 3, DigestedReducer)
     return digest.result()
 
 
@@ -306,17 +305,18 @@
             )
         )
 
-    def trace(self):
+    def attempt_record(self):
+        """Draw the record of an earlier attempt."""
         name = f"e{self.random.randrange(SERVERS + 3)}"
         return AttemptRecord(name, 0, 1, self.clock - 50.0, self.clock + self.random.uniform(100.0, 3000.0))
 
-    def seldom(self):
-        """Draw one of the events that come seldom."""
+    def rare_event(self):
+        """Draw one of the events that are rare."""
         draw, key = self.random, f"k{self.random.randrange(60)}"
         return draw.choice(
             [
-                core.HistoryRecovered({key: [self.trace()]}),
-                core.PeerAttempt(key, self.trace()),
+                core.HistoryRecovered({key: [self.attempt_record()]}),
+                core.PeerAttempt(key, self.attempt_record()),
                 core.PeerAttemptNeverRan(key, "e1", self.clock),
                 core.HistoryUnavailable("store", draw.choice([None, self.clock - 3000.0])),
                 core.HistoryAvailable("store"),
@@ -337,7 +337,7 @@
             self.at(t, self.arrival)
         for at in range(500, int(until_ms), 500):
             self.at(float(at) + 0.25, self.changes)
-            self.at(float(at) + 100.0, self.seldom)
+            self.at(float(at) + 100.0, self.rare_event)
         self.at(until_ms, core.ShutdownBegun(1500.0))
         while self.heap and self.heap[0][0] < until_ms + 4000.0:
             self.clock, _, event = heapq.heappop(self.heap)
