--- a/marlseam/experiment/sockets/former_names.py
+++ b/marlseam/experiment/sockets/former_names.py
@@ -65,7 +65,7 @@
         return self.node_processes.running
 
     @property
-    def zero(self) -> float | None:
+    def zero(self) -> float:
         """See `DriverRecorder.zero_s`."""
         return self.recorder.zero_s
 
