--- a/marlseam/experiment/virtual/attempts.py
+++ b/marlseam/experiment/virtual/attempts.py
@@ -56,8 +56,8 @@
         if attempt.reuses_connection:
             self._send_on_idle_connection(attempt, delay_ms)
         elif not is_reachable:
-            timeout_ms = min(attempt.deadline_ms, world.now_ms + node.deployment.connect_ms)
-            self._schedule_end(timeout_ms, attempt, Outcome.UNREACHABLE)
+            fails_ms = min(attempt.deadline_ms, world.now_ms + node.deployment.connect_ms)
+            self._schedule_end(fails_ms, attempt, Outcome.UNREACHABLE)
             return
         elif not server.model.is_up or server.connection_count >= world.day.fleet.connections:
             self._schedule_end(world.now_ms + 2.0 * delay_ms, attempt, Outcome.UNREACHABLE)
