--- a/marlseam/cluster/replication/content.py
+++ b/marlseam/cluster/replication/content.py
@@ -13,7 +13,7 @@
 
 from marlseam.cluster.membership_codec import MAX_NAME_CHARACTERS
 from marlseam.cluster.replication.messages import MAX_CONTENT_BYTES, MAX_REASON_CHARACTERS
-from marlseam.cluster_limits import MAX_MEMBERS
+from marlseam.shared_limits import MAX_MEMBERS
 
 FORMAT = 1  # which this program writes, and the only one that it reads
 ALLOWED_VOTER_COUNTS = (3, 5, 7)  # of a version; in a smaller cluster all members may vote
--- a/marlseam/configuration/operator_settings.py
+++ b/marlseam/configuration/operator_settings.py
@@ -9,12 +9,12 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from marlseam.cluster_limits import MAX_MEMBERS
 from marlseam.configuration.addresses import member_address
 from marlseam.configuration.deployment import LIVE_WEIGHTS, REPORTS_IN_RESPONSES, WEIGHT_BY_SIZE
 from marlseam.configuration.errors import REQUIRED, ConfigError
 from marlseam.configuration.table import ConfigTable
 from marlseam.decisions.types import Settings
+from marlseam.shared_limits import MAX_MEMBERS
 
 SETTINGS_VARIABLE = "MARLSEAM_SETTINGS"
 MAX_NAME_CHARACTERS = 64  # of a member's name
--- a/marlseam/emulators/clocks.py
+++ b/marlseam/emulators/clocks.py
@@ -10,7 +10,8 @@
 
 from marlseam.__main__ import main
 
-VARIABLE = "MARLSEAM_CLOCKS"  # of the environment: rate of the monotonic clock, error of the wall clock in ms
+# Variable of the environment: the rate of the monotonic clock, the error of the wall clock in ms.
+CLOCKS_VARIABLE = "MARLSEAM_CLOCKS"
 
 
 def skew_clocks(rate: float, jump_ms: float) -> None:
@@ -21,5 +22,5 @@
 
 
 if __name__ == "__main__":
-    skew_clocks(*map(float, os.environ[VARIABLE].split()))
+    skew_clocks(*map(float, os.environ[CLOCKS_VARIABLE].split()))
     main()
--- a/marlseam/emulators/discovery.py
+++ b/marlseam/emulators/discovery.py
@@ -99,12 +99,12 @@
 
     def _first_list(self, day: Day, schedule: list[ScheduledFault]) -> EndpointList:
         """Return the list at the begin of a day, without the servers that come later."""
-        later = {name for fault in schedule if fault.trouble.what == "grow" for name in fault.targets}
+        later = {name for fault in schedule if fault.settings.what == "grow" for name in fault.targets}
         entries = [
             self._entry(name, EndpointState.READY, None) for name in self._servers if name not in later
         ]
         endpoint_list = EndpointList(entries, day.roster.calls_per_s, day.roster.timeout_ms)
-        outages = [fault for fault in schedule if fault.trouble.what == "roster_outage"]
+        outages = [fault for fault in schedule if fault.settings.what == "roster_outage"]
         endpoint_list.outages = [(fault.at, fault.until) for fault in outages]
         return endpoint_list
 
--- a/marlseam/emulators/faulty.py
+++ b/marlseam/emulators/faulty.py
@@ -2,8 +2,8 @@
 
 python -m marlseam.emulators.faulty serve ...
 
-MARLSEAM_SOAK_FAULTS holds the faults as JSON (`Faults`). The calls are wrapped in this process alone, below
-the node's own code.
+MARLSEAM_SOAK_FAULTS holds the faults as JSON (`NodeFaults`). The calls are wrapped in this process alone,
+below the node's own code.
 """
 
 import errno
@@ -17,7 +17,7 @@
 
 import msgspec
 
-FAULTS = "MARLSEAM_SOAK_FAULTS"  # variable of the environment: the faults as JSON
+FAULTS_VARIABLE = "MARLSEAM_SOAK_FAULTS"  # variable of the environment: the faults as JSON
 RECEIVE_SEND_ACCEPT = ("recv_into", "recv", "send", "accept")  # methods of sockets that raise where they fail
 
 
@@ -26,7 +26,7 @@
     setattr(owner, name, call)
 
 
-class Failure(msgspec.Struct, frozen=True):
+class CallFailure(msgspec.Struct, frozen=True):
     """A system call that fails while a burst lasts.
 
     Attributes:
@@ -40,7 +40,7 @@
     share: float
 
 
-class Faults(msgspec.Struct, frozen=True):
+class NodeFaults(msgspec.Struct, frozen=True):
     """What fails in a node.
 
     Attributes:
@@ -54,7 +54,7 @@
     """
 
     seed: int
-    failures: list[Failure] = []
+    failures: list[CallFailure] = []
     every_s: float = 2.0
     for_s: float = 0.7
     clock_s: float = 0.0
@@ -62,29 +62,29 @@
     decision_share: float = 0.02
 
 
-class Shim:
+class CallWrapper:
     """Wraps system calls so that they fail in bursts.
 
     Attributes:
         faults: what fails.
-        chance: draws which calls of a burst fail.
-        began: when the first burst began, in seconds of the monotonic clock.
+        random: draws which calls of a burst fail.
+        first_burst_s: when the first burst began, in seconds of the monotonic clock.
     """
 
-    def __init__(self, faults: Faults) -> None:
-        self.faults, self.chance, self.began = faults, random.Random(faults.seed), time.monotonic()
+    def __init__(self, faults: NodeFaults) -> None:
+        self.faults, self.random, self.first_burst_s = faults, random.Random(faults.seed), time.monotonic()
 
     def raise_if_failing(self, call: str) -> None:
         """Raise OSError where a call is to fail now."""
-        is_between_bursts = (time.monotonic() - self.began) % self.faults.every_s > self.faults.for_s
+        is_between_bursts = (time.monotonic() - self.first_burst_s) % self.faults.every_s > self.faults.for_s
         if is_between_bursts:
             return
         for failure in self.faults.failures:
-            if failure.call == call and self.chance.random() < failure.share:
+            if failure.call == call and self.random.random() < failure.share:
                 number = getattr(errno, failure.error)
                 raise OSError(number, os.strerror(number))
 
-    def wrapped(self, call: str, real: Callable[..., Any]) -> Callable[..., Any]:
+    def failing_call(self, call: str, real: Callable[..., Any]) -> Callable[..., Any]:
         """Return a call that raises OSError where it is to fail, and else is the real one."""
 
         def failing(*arguments: Any) -> Any:  # noqa: ANN401 - as the call that it wraps
@@ -93,7 +93,7 @@
 
         return failing
 
-    def returned(self, failing: Callable[..., int]) -> Callable[..., int]:
+    def returning_errno(self, failing: Callable[..., int]) -> Callable[..., int]:
         """Return a call that returns its errno, as `connect_ex` does, rather than raise."""
 
         def call(*arguments: Any) -> int:  # noqa: ANN401 - as the call that it wraps
@@ -107,14 +107,20 @@
     def install(self) -> None:
         """Wrap the calls of this process."""
         for call in RECEIVE_SEND_ACCEPT:
-            replace(socket.socket, call, self.wrapped(call, getattr(socket.socket, call)))
+            replace(socket.socket, call, self.failing_call(call, getattr(socket.socket, call)))
         replace(
-            socket.socket, "connect_ex", self.returned(self.wrapped("connect_ex", socket.socket.connect_ex))
+            socket.socket,
+            "connect_ex",
+            self.returning_errno(self.failing_call("connect_ex", socket.socket.connect_ex)),
+        )
+        replace(select, "poll", self.failing_factory(select.poll, {"poll": "poll"}))
+        replace(
+            select,
+            "epoll",
+            self.failing_factory(select.epoll, {"register": "epoll_ctl", "modify": "epoll_ctl"}),
         )
-        replace(select, "poll", self.made(select.poll, {"poll": "poll"}))
-        replace(select, "epoll", self.made(select.epoll, {"register": "epoll_ctl", "modify": "epoll_ctl"}))
 
-    def made(self, factory: Callable[[], Any], calls: dict[str, str]) -> Callable[[], Any]:
+    def failing_factory(self, factory: Callable[[], Any], calls: dict[str, str]) -> Callable[[], Any]:
         """Return a factory of objects some of whose methods fail; `calls` has the call that each makes."""
         return lambda: WrappedObject(self, factory(), calls)
 
@@ -122,15 +128,15 @@
 class WrappedObject:
     """An object some of whose methods fail in bursts; all else is the real object's."""
 
-    def __init__(self, shim: Shim, real: object, calls: dict[str, str]) -> None:
-        self._shim, self._real, self._calls = shim, real, calls
+    def __init__(self, wrapper: CallWrapper, real: object, calls: dict[str, str]) -> None:
+        self._wrapper, self._real, self._calls = wrapper, real, calls
 
     def __getattr__(self, name: str) -> Any:  # noqa: ANN401 - whatever the real object has
         found = getattr(self._real, name)
-        return self._shim.wrapped(self._calls[name], found) if name in self._calls else found
+        return self._wrapper.failing_call(self._calls[name], found) if name in self._calls else found
 
 
-def fail_decisions(faults: Faults) -> None:
+def fail_decisions(faults: NodeFaults) -> None:
     """Have the reducer fail at a small share of one type of event."""
     from marlseam import core
 
@@ -153,10 +159,10 @@
 
 def main() -> None:
     """Run a node with the faults that the environment names."""
-    faults: Faults = msgspec.json.decode(os.environ[FAULTS], type=Faults)
+    faults: NodeFaults = msgspec.json.decode(os.environ[FAULTS_VARIABLE], type=NodeFaults)
     if faults.clock_s:
         set_wall_clock_ahead(faults.clock_s)
-    Shim(faults).install()
+    CallWrapper(faults).install()
     if faults.decision:
         fail_decisions(faults)
     from marlseam import __main__ as program
--- a/marlseam/emulators/network.py
+++ b/marlseam/emulators/network.py
@@ -230,7 +230,7 @@
         ]
         apply_by_name = {"slow_link": self._set_slow, "zone_cut": self._set_cut}
         for fault in faults.schedule(day, seed):
-            apply = apply_by_name.get(fault.trouble.what)
+            apply = apply_by_name.get(fault.settings.what)
             if apply is not None:
                 process.call_at(fault.at, partial(apply, fault, begins=True))
                 process.call_at(fault.until, partial(apply, fault, begins=False))
@@ -257,7 +257,7 @@
 
     def _set_slow(self, fault: ScheduledFault, *, begins: bool) -> None:
         """Make a zone's links slow and lossy, or as they were before."""
-        self._links.set_zone_slow(fault.targets[0], fault.trouble.size, fault.trouble.part, begins)
+        self._links.set_zone_slow(fault.targets[0], fault.settings.size, fault.settings.part, begins)
 
 
 def serve(day: Day, seed: int, addresses: Mapping[str, str], folder: Path | None, now: bool) -> None:
--- a/marlseam/emulators/servers.py
+++ b/marlseam/emulators/servers.py
@@ -222,7 +222,7 @@
         """Begin or end a fault of the schedule."""
         self.advance()
         at_ms = fault.at if begins else fault.until
-        match fault.trouble.what, begins:
+        match fault.settings.what, begins:
             case "silent", True:
                 self.is_silent = True
             case "silent", False:
--- a/marlseam/experiment/capacity.py
+++ b/marlseam/experiment/capacity.py
@@ -13,7 +13,7 @@
 from marlseam.experiment import file, plays
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import RunResult, ShowProgress, register_play
-from marlseam.experiment.sockets import SocketDriver
+from marlseam.experiment.sockets import SocketDriver, SocketOptions
 from marlseam.load.process import arrivals_of
 from marlseam.load.tally import TallySummary
 from marlseam.load.verdict import Counted, merge
@@ -141,11 +141,12 @@
         day,
         seed,
         out,
-        generators=1,
-        connections=table.connections,
-        proxied=False,
-        parts=table.parts,
-        profile=profile,
+        SocketOptions(
+            connection_count=table.connections,
+            uses_network=False,
+            server_process_count=table.parts,
+            profile=profile,
+        ),
     )
     counts = msgspec.convert(driver.run(), list[TallySummary])
     counted = merge(counts, len(arrivals_of(day, seed)))
--- a/marlseam/experiment/cluster_cost.py
+++ b/marlseam/experiment/cluster_cost.py
@@ -4,14 +4,14 @@
 import shutil
 from collections.abc import Sequence
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from marlseam import records
 from marlseam.experiment import plays
 from marlseam.experiment.cluster_relay import free_udp_address
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import RunResult, ShowProgress, register_play
-from marlseam.experiment.sockets import SocketDriver
+from marlseam.experiment.sockets import NodeConfiguration, SocketDriver, SocketOptions
 from marlseam.load.process import arrivals_of
 from marlseam.simulation.model import Count, Day, Positive, Strict, placed_nodes
 from marlseam.simulation.plan import Arrival
@@ -58,23 +58,23 @@
         self._members = "\n".join(f'{name} = "{free_udp_address()}"' for name in names)
         self._period_ms, self._out, self._is_on = period_ms, out, is_on
 
-    def settings(self, name: str) -> tuple[dict[str, Any], str]:
+    def settings(self, name: str) -> NodeConfiguration:
         """Return what is added to a node's configuration, and its operators' settings as TOML."""
         if not self._is_on:
-            return {}, ""
+            return NodeConfiguration({}, "")
         ledger = self._out / "ledgers" / name
         if not ledger.exists():
             create_ledger(ledger, name)
         own = f'[fleet]\nname = "cost"\nperiod_ms = {self._period_ms:g}\nfolder = "{ledger}"\n'
-        return {}, f"{own}voters = {self._voters}\n[fleet.members]\n{self._members}\n"
+        return NodeConfiguration({}, f"{own}voters = {self._voters}\n[fleet.members]\n{self._members}\n")
 
 
 def measure_day(
     day: Day, seed: int, arrivals: list[Arrival], out: Path, nodes: ClusterNodeSettings
 ) -> CostSample:
     """Play a day, and return what it cost."""
-    driver = SocketDriver(day, seed, out, more=nodes.settings)
-    driver.run(arrivals)
+    driver = SocketDriver(day, seed, out, SocketOptions(node_configuration=nodes.settings))
+    driver.run()
     figures = plays.judge_records(*records.read_folder(out / "records"), driver="sockets").figures
     cpu_ms = 1000.0 * sum(driver.cpu_s.values()) / max(1.0, figures["completed"])
     return CostSample(cpu_ms, figures["latency_p99"], figures["rules_broken"])
--- a/marlseam/experiment/cluster_fault_injector.py
+++ b/marlseam/experiment/cluster_fault_injector.py
@@ -55,14 +55,14 @@
 
     def inject(self, fault: Fault, pair: Pair, data: bytes) -> None:
         """Inject a fault before a datagram of a pair of nodes."""
-        now_ms = self._driver.now()
+        now_ms = self._driver.recorder.now_ms()
         span = FaultSpan(fault.node, FaultKind(fault.fault), now_ms, now_ms + fault.for_ms)
         match span.kind:
             case FaultKind.PUBLISH:
                 self._start_thread(self._publish, fault.node)
             case FaultKind.UPGRADE:
                 self._nodes.renew_admin_address(fault.node)
-                self._start_thread(self._driver.upgrade, fault.node)
+                self._start_thread(self._driver.node_processes.upgrade, fault.node)
                 self._note(span)
             case FaultKind.COPY:
                 self._nodes.copy_ledger(fault.node)
@@ -91,20 +91,20 @@
         self._nodes.fault_counts[span.node] += 1
 
     def _pid(self, name: str) -> int:
-        return self._driver.nodes[name].process.pid
+        return self._driver.node_processes.running[name].process.pid
 
     def _kill(self, fault: Fault, kind: FaultKind) -> None:
         """Kill a node; the driver starts it again, for KILL once the fault's time is over."""
         pid = self._pid(fault.node)
         if kind in (FaultKind.OLD, FaultKind.LOST):
             self._nodes.ledger_faults[fault.node] = kind
-        self._driver.fell(fault.node, fault.for_ms if kind is FaultKind.KILL else 0.0)
+        self._driver.expect_end(fault.node, fault.for_ms if kind is FaultKind.KILL else 0.0)
         os.kill(pid, signal.SIGKILL)
 
     def _suspend(self, span: FaultSpan, for_ms: float) -> None:
         """Stop a node's process, and let it go on later."""
         pid = self._pid(span.node)
-        self._driver.note(
+        self._driver.recorder.add(
             records.NodeStateChanged(
                 t=span.since_ms, by="driver", node=span.node, state="stopped", until=span.until_ms
             )
--- a/marlseam/experiment/cluster_nodes.py
+++ b/marlseam/experiment/cluster_nodes.py
@@ -6,12 +6,12 @@
 from collections import Counter
 from collections.abc import Sequence
 from pathlib import Path
-from typing import Any
 
 from marlseam.emulators import clocks
 from marlseam.experiment.cluster_faults import CLUSTER_NAME
 from marlseam.experiment.cluster_relay import DatagramRelay
 from marlseam.experiment.cluster_tables import ClusterTable, FaultKind
+from marlseam.experiment.sockets import NodeConfiguration
 from marlseam.store.ledger_writer import create_ledger
 
 WALL_CLOCK_STEP_MS = 3.6e6  # by which the wall clock of a node with wrong clocks is off, and off again
@@ -92,16 +92,17 @@
         if rate is None:
             return {}
         step_ms = WALL_CLOCK_STEP_MS * (-1) ** self.fault_counts[name]
-        return {clocks.VARIABLE: f"{rate} {step_ms}"}
+        return {clocks.CLOCKS_VARIABLE: f"{rate} {step_ms}"}
 
-    def settings(self, name: str) -> tuple[dict[str, Any], str]:
+    def settings(self, name: str) -> NodeConfiguration:
         """Return what is added to a node's configuration, and its operators' settings as TOML."""
         own = f'[fleet]\nname = "{CLUSTER_NAME}"\nperiod_ms = {self._table.period_ms:g}\n'
         if self._table.voters:
             own += f'folder = "{self.ledger(name)}"\nvoters = {json.dumps(self._table.voters)}\n'
             own += f'lease_ms = {self._table.lease_ms:g}\npast_lease = "{self._table.past_lease}"\n'
         members = "\n".join(self._member_lines(name))
-        return {"admin": self.admin_addresses[name]}, f"{own}[fleet.members]\n{members}\n"
+        configuration = {"admin": self.admin_addresses[name]}
+        return NodeConfiguration(configuration, f"{own}[fleet.members]\n{members}\n")
 
     def _member_lines(self, name: str) -> list[str]:
         """Return the members' addresses as one node reaches them: its own, and the relay's for the others."""
--- a/marlseam/experiment/cluster_run.py
+++ b/marlseam/experiment/cluster_run.py
@@ -20,8 +20,7 @@
 from marlseam.experiment.cluster_tables import ClusterTable, FaultKind
 from marlseam.experiment.plays import ShowProgress
 from marlseam.experiment.processes import RunFailedError
-from marlseam.experiment.sockets import SocketDriver
-from marlseam.load.process import arrivals_of
+from marlseam.experiment.sockets import SocketDriver, SocketOptions
 from marlseam.simulation.model import Day, placed_nodes
 
 # Describes what in the nodes of a run is not yet as it should be after faults.
@@ -57,15 +56,17 @@
             day,
             seed,
             out,
-            more=self.nodes.settings,
-            prepare=self.nodes.create_ledger,
-            between=self.nodes.apply_ledger_fault,
-            module=self.nodes.module,
-            env=self.nodes.environment,
-            shared=any(fault.fault == FaultKind.UPGRADE for fault in table.faults),
+            SocketOptions(
+                node_configuration=self.nodes.settings,
+                before_first_start=self.nodes.create_ledger,
+                before_restart=self.nodes.apply_ledger_fault,
+                node_module=self.nodes.module,
+                node_environment=self.nodes.environment,
+                inherits_sockets=any(fault.fault == FaultKind.UPGRADE for fault in table.faults),
+            ),
         )
         self.publisher = ChangePublisher(
-            day, self.nodes.admin_addresses, self.driver.now, lambda: self.relay.is_over
+            day, self.nodes.admin_addresses, self.driver.recorder.now_ms, lambda: self.relay.is_over
         )
         self.injector = FaultInjector(self.nodes, self.relay, self.driver, self.publisher.publish)
         self.logs = LogReader(self.names, out / "logs")
@@ -93,10 +94,10 @@
             self._advance(now_ms, find_unhealed)
 
         # Until the run's own zero: nodes exchange datagrams before they are ready.
-        self.driver.zero = time.monotonic()
-        self.relay.start(RelayHooks(self.driver.now, self.logs.read, self._inject_due_fault))
+        self.driver.recorder.zero_s = time.monotonic()
+        self.relay.start(RelayHooks(self.driver.recorder.now_ms, self.logs.read, self._inject_due_fault))
         try:
-            self.driver.run(arrivals_of(self._day, self._seed), progress)
+            self.driver.run(progress)
         finally:
             self.relay.stop()
             self.relay.close()
@@ -113,7 +114,7 @@
         if self.schedule.pending or now_ms <= last_fault_ms or self.healed_after_ms < inf:
             return
         if not find_unhealed(self):
-            self.healed_after_ms = self.driver.now() - last_fault_ms
+            self.healed_after_ms = self.driver.recorder.now_ms() - last_fault_ms
 
     def _describe_progress(self, now_ms: float) -> str:
         """Return how far the run is."""
--- a/marlseam/experiment/day_plays.py
+++ b/marlseam/experiment/day_plays.py
@@ -73,8 +73,8 @@
     result = judge_records(*records.read_folder(folder), driver="virtual")
     result.figures |= {
         "wall_s": wall_s,
-        "events": float(driver.events),
-        "events_per_s": driver.events / wall_s,
+        "events": float(driver.event_count),
+        "events_per_s": driver.event_count / wall_s,
         "speed": day.seconds / wall_s,
     }
     return result
@@ -89,7 +89,7 @@
     def show_time(now_ms: float) -> None:
         show_progress(f"{max(0.0, now_ms) / 1000.0:.0f} s of {day.seconds:g}")
 
-    counts = driver.run(progress=show_time)
+    counts = driver.run(show_time)
     counted = merge(msgspec.convert(counts, list[TallySummary]), len(arrivals))
     (out / "histograms.json").write_bytes(msgspec.json.encode(counts))
     result = judge_records(*records.read_folder(out / "records"), driver="sockets")
--- a/marlseam/experiment/durable_state_run.py
+++ b/marlseam/experiment/durable_state_run.py
@@ -10,7 +10,7 @@
 from marlseam.experiment import plays
 from marlseam.experiment.plays import RunResult
 from marlseam.experiment.processes import RunFailedError
-from marlseam.experiment.sockets import SocketDriver
+from marlseam.experiment.sockets import SocketDriver, SocketOptions
 from marlseam.load.process import arrivals_of
 from marlseam.load.tally import TallySummary
 from marlseam.load.verdict import Counted, merge
@@ -26,16 +26,16 @@
 
 
 class DriverOptions(TypedDict, total=False):
-    """What `SocketDriver` takes beside a day, a seed and a directory."""
+    """Those of `SocketOptions` that plays of durable state set."""
 
-    own: str
-    prepare: Callable[[str, dict[str, str]], None]
-    between: Callable[[str], None]
-    module: Callable[[str], str]
-    env: Callable[[str], dict[str, str]]
-    connections: int
-    proxied: bool
-    parts: int
+    operator_settings: str
+    before_first_start: Callable[[str, dict[str, str]], None]
+    before_restart: Callable[[str], None]
+    node_module: Callable[[str], str]
+    node_environment: Callable[[str], dict[str, str]]
+    connection_count: int
+    uses_network: bool
+    server_process_count: int
 
 
 @dataclass(frozen=True)
@@ -77,11 +77,11 @@
 
 
 def run_on_sockets(day: Day, seed: int, out: Path, **options: Unpack[DriverOptions]) -> SocketRun:
-    """Play a day on loopback; each node's state directory is empty unless `prepare` fills it."""
+    """Play a day on loopback; each node's state directory is empty unless `before_first_start` fills it."""
     shutil.rmtree(out / "state", ignore_errors=True)
     (out / "state").mkdir(parents=True)
-    options.setdefault("prepare", lambda name, _: create_state(state_path(out, name), name))
-    driver = SocketDriver(day, seed, out, **options)
+    options.setdefault("before_first_start", lambda name, _: create_state(state_path(out, name), name))
+    driver = SocketDriver(day, seed, out, SocketOptions(**options))
     tallies = cast(list[TallySummary], driver.run())
     counted = merge(tallies, len(arrivals_of(day, seed)))
     result = plays.judge_records(*records.read_folder(out / "records"), driver="sockets")
--- a/marlseam/experiment/generator_plays.py
+++ b/marlseam/experiment/generator_plays.py
@@ -13,7 +13,7 @@
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import RunResult, ShowProgress, register_play
 from marlseam.experiment.processes import ChildProcess
-from marlseam.experiment.sockets import LEAD_S
+from marlseam.experiment.sockets import START_LEAD_S
 from marlseam.load.process import arrivals_of
 from marlseam.load.tally import HistogramName, TallySummary
 from marlseam.load.verdict import Counted, merge
@@ -90,7 +90,7 @@
     def _write_addresses(self, echoes: list[ChildProcess]) -> None:
         """Write where the nodes listen, once they say so."""
         zone = self.day.fleet.zones[0]
-        addresses = {f"n{number}": (zone, echo.line()["node"]) for number, echo in enumerate(echoes)}
+        addresses = {f"n{number}": (zone, echo.read_json()["node"]) for number, echo in enumerate(echoes)}
         self._addresses_path.write_text(json.dumps(addresses))
 
     def _start_generator(self, number: int) -> ChildProcess:
@@ -104,12 +104,12 @@
     def _send(self, echoes: list[ChildProcess], generators: list[ChildProcess]) -> list[TallySummary]:
         """Begin the run in all processes at once; return what each generator counted."""
         for generator in generators:
-            generator.line(GENERATOR_START_S)
-        zero_s = time.monotonic() + LEAD_S
+            generator.read_json(GENERATOR_START_S)
+        zero_s = time.monotonic() + START_LEAD_S
         for process in (*echoes, *generators):
-            process.begin(zero_s)
+            process.send_zero(zero_s)
         limit_s = self.day.seconds + FINISH_S
-        return [msgspec.convert(generator.line(limit_s), TallySummary) for generator in generators]
+        return [msgspec.convert(generator.read_json(limit_s), TallySummary) for generator in generators]
 
 
 class Pause(Strict, frozen=True):
--- a/marlseam/experiment/idempotency_kills.py
+++ b/marlseam/experiment/idempotency_kills.py
@@ -178,10 +178,10 @@
             day,
             experiment.head.seed,
             out,
-            own=store_settings(settings.sync, settings.wait_ms),
-            module=lambda _name: DISK_MODULE,
-            env=lambda _name: env,
-            between=lambda name: damage_at_start(state_path(out, name), starts, case.torn),
+            operator_settings=store_settings(settings.sync, settings.wait_ms),
+            node_module=lambda _name: DISK_MODULE,
+            node_environment=lambda _name: env,
+            before_restart=lambda name: damage_at_start(state_path(out, name), starts, case.torn),
         )
     finally:
         over.touch()
@@ -197,10 +197,10 @@
 
 def disk_figures(run: SocketRun, day: Day, out: Path) -> DiskFigures:
     """Return the figures of a run on one disk."""
-    book, now_ms = run.book, run.driver.now()
+    book, now_ms = run.book, run.driver.recorder.now_ms()
     missing = [
         key
-        for name in run.driver.nodes
+        for name in run.driver.node_processes.running
         for key in unrecorded_keys(book, day, state_path(out, name), name, now_ms)
     ]
     keyed = {request.id for request in book.tries.values() if request.receipt is not None}
@@ -247,9 +247,9 @@
     settings: KillSettings = experiment.tables["receipts"]
     seed, day = experiment.head.seed, with_kills(experiment, settings)
     show_progress("store on")
-    with_store = run_on_sockets(day, seed, out / "store-on", own=store_settings(settings.sync))
+    with_store = run_on_sockets(day, seed, out / "store-on", operator_settings=store_settings(settings.sync))
     show_progress("store off")
-    without_store = run_on_sockets(day, seed, out / "store-off", own="")
+    without_store = run_on_sockets(day, seed, out / "store-off", operator_settings="")
     runs = {"on": with_store, "off": without_store}
     head = ["store", "kills", "tries", "lost", "receipted work with two effects", "service"]
     rows = [head, *(store_row(name, settings.kills, run) for name, run in runs.items())]
--- a/marlseam/experiment/processes.py
+++ b/marlseam/experiment/processes.py
@@ -175,13 +175,3 @@
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         ticks = int(fields[STAT_USER_TICKS]) + int(fields[STAT_SYSTEM_TICKS])
         return ticks / os.sysconf("SC_CLK_TCK")
-
-    # Former names, for the modules that use them still.
-
-    def line(self, within_s: float = READY_TIMEOUT_S) -> Any:  # noqa: ANN401 - any JSON value
-        """See `read_json`."""
-        return self.read_json(within_s)
-
-    def begin(self, zero: float) -> None:
-        """See `send_zero`."""
-        self.send_zero(zero)
--- a/marlseam/experiment/replication_runs.py
+++ b/marlseam/experiment/replication_runs.py
@@ -89,7 +89,7 @@
     """Play one day under a table's faults, and compare its records with the ledgers."""
     run = ClusterRun(experiment.day, seed, table, out)
     run.play(show_progress, lagging_nodes)
-    zero_ms = 1000.0 * (time.time() - time.monotonic() + run.driver.zero)
+    zero_ms = 1000.0 * (time.time() - time.monotonic() + run.driver.recorder.zero_s)
     found, wrong = records.read_folder(out / "records")
     judged = plays.judge_records(found, wrong, driver="sockets")
     ledgers = [run.nodes.ledger(name) for name in run.names]
--- a/marlseam/experiment/scale.py
+++ b/marlseam/experiment/scale.py
@@ -132,13 +132,13 @@
     driver.run()
     wall_s = time.perf_counter() - started_s
     result = plays.judge_records(records_in_memory(streams), [], "virtual")
-    return SizeRun(factor, day, result, len(driver.hosts), driver.events, wall_s)
+    return SizeRun(factor, day, result, len(driver.world.servers), driver.event_count, wall_s)
 
 
 def records_in_memory(streams: RecordStreams) -> Iterator[Record]:
     """Yield the records of streams that have no folder."""
     for writer in streams.writers.values():
-        yield from writer.kept
+        yield from writer.records
 
 
 def register() -> None:
--- a/marlseam/experiment/slow_start_load.py
+++ b/marlseam/experiment/slow_start_load.py
@@ -128,48 +128,49 @@
         self.settings_day = replace(day, fleet=replace(day.fleet, nodes=counted_nodes))
         super().__init__(day, seed, DiscardingStreams(None, "driver"))
         if traffic == "uneven":
-            self.front = UnevenLoadBalancer(self.front, seed)
-        for host in self.hosts.values():
-            host.executor.fall_multiple = math.inf
+            self.world.load_balancer = UnevenLoadBalancer(self.world.load_balancer, seed)
+        for host in self.world.servers.values():
+            host.model.fall_multiple = math.inf
         self.mean_work_ms = mean_work_ms(day)
         self.max_bound_share = self.max_work_bound_share = self.max_budget_share = 0.0
         self.allowed = self.sent = 0.0
-        self.received: dict[str, deque[ReceivedRequest]] = {name: deque() for name in self.hosts}
+        self.received: dict[str, deque[ReceivedRequest]] = {name: deque() for name in self.world.servers}
         self.request_count = self.process_starts = 0
         self.rate_ratios: list[float] = []
 
-    def seat(self, name: str, zone: str) -> SimulatedNode:
+    def make_node(self, name: str, zone: str) -> SimulatedNode:
         """Make a node whose settings count `counted_nodes` nodes."""
         deployment = deployment_from(node_settings(self.settings_day, zone))
-        return SimulatedNode(name, zone, deployment, self.make_core())
+        return SimulatedNode(name, zone, deployment, self.make_reducer())
 
     def budget(self, host: SimulatedServer, at_ms: float) -> float:
         """Return how many requests of mean size the settings allow a server in their window at a time."""
-        kind, rules = host.executor.kind, self.day.rules
-        rate = kind.slots * kind.speed * host.executor.speed_share(at_ms)
+        kind, rules = host.model.kind, self.day.rules
+        rate = kind.slots * kind.speed * host.model.speed_share(at_ms)
         return rules.fall_multiple * rate * rules.fall_ms / self.mean_work_ms
 
     def deliver(self, flight: AttemptInFlight) -> None:
         """Hand an attempt to its server, and measure it if the server is in slow start."""
-        host, server = flight.host, flight.host.executor
-        is_received = flight.written and flight.open and self.hears(flight.node, host) and server.is_up
+        host, server = flight.server, flight.server.model
+        is_delivered = flight.is_written and flight.is_open and self.world.is_delivered(flight.node, host)
+        is_received = is_delivered and server.is_up
         super().deliver(flight)
-        if is_received and server.is_in_slow_start(self.now):
+        if is_received and server.is_in_slow_start(self.now_ms):
             self.measure_window(flight)
             self.measure_rate_ratio(flight)
 
     def measure_window(self, flight: AttemptInFlight) -> None:
         """Add a request to its server's window, and compare the window with its bound."""
-        server, rules = flight.host.executor, self.day.rules
-        arrival, window = self.arrivals[flight.ref], self.received[server.name]
+        server, rules = flight.server.model, self.day.rules
+        arrival, window = self.world.arrivals[flight.request_id], self.received[server.name]
         size = self.day.types[arrival.type].work_ms * arrival.slots / self.mean_work_ms
-        window.append(ReceivedRequest(self.now, size))
+        window.append(ReceivedRequest(self.now_ms, size))
         started_ms = -math.inf if server.started_ms is None else server.started_ms
-        while window[0].at_ms <= self.now - rules.fall_ms or window[0].at_ms < started_ms:
+        while window[0].at_ms <= self.now_ms - rules.fall_ms or window[0].at_ms < started_ms:
             window.popleft()
         server.slow_start_load(0.0)  # drops what has left the window
         real_size = sum(work.area for work in server.state.arrived) / self.mean_work_ms
-        window_size, budget = sum(request.size for request in window), self.budget(flight.host, self.now)
+        window_size, budget = sum(request.size for request in window), self.budget(flight.server, self.now_ms)
         bound = budget + 2.0 * math.sqrt(budget) + 2.0
         self.max_bound_share = max(self.max_bound_share, window_size / bound)
         self.max_work_bound_share = max(self.max_work_bound_share, real_size / bound)
@@ -179,18 +180,18 @@
 
     def measure_rate_ratio(self, flight: AttemptInFlight) -> None:
         """Compare what a request's sender takes its server's rate for with what it is."""
-        node, name, kind = flight.node.core, flight.host.executor.name, flight.host.executor.kind
+        node, name, kind = flight.node.reducer, flight.server.model.name, flight.server.model.kind
         dispatcher, server = node.dispatcher, node.servers.by_name.get(name)
         if dispatcher is None or server is None:
             return
-        type_index = self.arrivals[flight.ref].type
+        type_index = self.world.arrivals[flight.request_id].type
         run_ms = dispatcher.mean_run_ms[type_index] * dispatcher.kind_pace[dispatcher.kind[server]]
         assumed_rate = dispatcher.slot_count(server) / run_ms
         self.rate_ratios.append(assumed_rate * self.day.types[type_index].work_ms / (kind.slots * kind.speed))
 
-    def rise(self, host: SimulatedServer) -> None:
+    def start_server(self, host: SimulatedServer) -> None:
         """Start a server's process."""
-        super().rise(host)
+        super().start_server(host)
         self.process_starts += 1
 
     def crash(self, host: SimulatedServer) -> None:
@@ -200,9 +201,9 @@
 
     def add_allowed(self, host: SimulatedServer) -> None:
         """Add up what the settings allowed in a process's slow start, as the process or the day ends."""
-        server = host.executor
+        server = host.model
         if server.started_ms is not None and server.is_up:
-            end_ms = min(self.now, server.started_ms + 1000.0 * server.kind.warm_s)
+            end_ms = min(self.now_ms, server.started_ms + 1000.0 * server.kind.warm_s)
             mean_budget = self.budget(host, (server.started_ms + end_ms) / 2.0)  # it grows linearly
             slow_start_ms = max(0.0, end_ms - server.started_ms)
             self.allowed += mean_budget * slow_start_ms / self.day.rules.fall_ms
@@ -210,7 +211,7 @@
     def measure(self) -> SlowStartLoad:
         """Play the day, and return what servers in slow start received."""
         self.run()
-        for host in self.hosts.values():
+        for host in self.world.servers.values():
             self.add_allowed(host)
         ratios = sorted(self.rate_ratios) or [0.0]
         return SlowStartLoad(
--- a/marlseam/experiment/soak.py
+++ b/marlseam/experiment/soak.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from marlseam import records
-from marlseam.emulators.faulty import FAULTS, Failure, Faults
+from marlseam.emulators.faulty import FAULTS_VARIABLE, CallFailure, NodeFaults
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.file import register as register_table
 from marlseam.experiment.plays import RunResult, ShowProgress, judge_records, register_play
@@ -77,7 +77,7 @@
     """
 
     day_faults: list[Fault]
-    node_faults: Faults
+    node_faults: NodeFaults
 
     def names(self) -> list[str]:
         """Return the names of all that overlaps, as the report shows them."""
@@ -110,12 +110,12 @@
     day_faults = _draw_day_faults(chance, seconds)
     calls = chance.sample(sorted(ERRORS_BY_CALL), chance.choice(FAILING_CALL_COUNTS))
     failures = [
-        Failure(call, chance.choice(ERRORS_BY_CALL[call]), chance.choice(FAILING_CALL_SHARES))
+        CallFailure(call, chance.choice(ERRORS_BY_CALL[call]), chance.choice(FAILING_CALL_SHARES))
         for call in calls
     ]
     clock_s = chance.choice(CLOCK_ERRORS_S) if chance.random() < CLOCK_ERROR_CHANCE else 0.0
     event = chance.choice(FAILING_EVENTS) if chance.random() < FAILING_EVENT_CHANCE else ""
-    return DrawnFaults(day_faults, Faults(seed, failures, clock_s=clock_s, decision=event))
+    return DrawnFaults(day_faults, NodeFaults(seed, failures, clock_s=clock_s, decision=event))
 
 
 def _draw_day_faults(chance: random.Random, seconds: float) -> list[Fault]:
@@ -150,7 +150,7 @@
     """Play one seed."""
     drawn = draw_faults(seed, day.seconds)
     day = msgspec.structs.replace(day, troubles=drawn.day_faults)
-    environment = {FAULTS: msgspec.json.encode(drawn.node_faults).decode()}
+    environment = {FAULTS_VARIABLE: msgspec.json.encode(drawn.node_faults).decode()}
     options = SocketOptions(
         node_module=lambda _: "marlseam.emulators.faulty", node_environment=lambda _: environment
     )
--- a/marlseam/experiment/sockets/__init__.py
+++ b/marlseam/experiment/sockets/__init__.py
@@ -6,8 +6,7 @@
 them, `process_group` what must be ended with the run, `recorder` the clock and the driver's records.
 """
 
-from marlseam.experiment.sockets.former_names import LEAD_S
-from marlseam.experiment.sockets.former_names import FormerSocketDriver as SocketDriver
+from marlseam.experiment.sockets.driver import START_LEAD_S, SocketDriver
 from marlseam.experiment.sockets.options import NodeConfiguration, SocketOptions
 
-__all__ = ["LEAD_S", "NodeConfiguration", "SocketDriver", "SocketOptions"]
+__all__ = ["START_LEAD_S", "NodeConfiguration", "SocketDriver", "SocketOptions"]
--- a/marlseam/experiment/sockets/driver.py
+++ b/marlseam/experiment/sockets/driver.py
@@ -77,7 +77,7 @@
         self.day, self.schedule = day, faults.schedule(day, seed)
         self._uses_network = options.uses_network
         if self._uses_network is None:
-            is_cut = any(fault.trouble.what in ZONE_FAULTS for fault in self.schedule)
+            is_cut = any(fault.settings.what in ZONE_FAULTS for fault in self.schedule)
             self._uses_network = is_cut or len(day.fleet.zones) > 1
         _prepare_directories(out)
         self._group = ProcessGroup()
@@ -160,7 +160,7 @@
 
     def _take_step(self, step: FaultStep, now_ms: float) -> None:
         """Record the begin of a fault, or do to a node what the fault is."""
-        kind = step.fault.trouble.what
+        kind = step.fault.settings.what
         if not step.node:
             self._record_fault(step.fault, now_ms)
         elif kind == "node_reload":
@@ -215,10 +215,10 @@
             records.FaultBegan(
                 t=now_ms,
                 by="driver",
-                kind=fault.trouble.what,
+                kind=fault.settings.what,
                 until=fault.until,
                 targets=fault.targets,
-                size=fault.trouble.size,
+                size=fault.settings.size,
             )
         )
 
@@ -236,6 +236,6 @@
     steps: list[FaultStep] = []
     for fault in schedule:
         steps.append(FaultStep(fault.at, fault))
-        if fault.trouble.what in NODE_FAULTS:
+        if fault.settings.what in NODE_FAULTS:
             steps += [FaultStep(fault.at, fault, name) for name in fault.targets]
     return sorted(steps, key=lambda step: step.at_ms)
--- a/marlseam/experiment/stale_list_start.py
+++ b/marlseam/experiment/stale_list_start.py
@@ -144,7 +144,11 @@
         save_list(state_path(out / "down", name), name, entries, settings.age_s)
 
     down = run_on_sockets(
-        settings.with_outage(day), seed, out / "down", own=store_settings("durable"), prepare=prepare
+        settings.with_outage(day),
+        seed,
+        out / "down",
+        operator_settings=store_settings("durable"),
+        before_first_start=prepare,
     )
     rows = [["", "roster up", "roster down, old list"]]
     for name in SOCKET_FIGURES:
@@ -191,8 +195,8 @@
 def play_day(day: Day, seed: int, start: StaleListStart | None) -> Figures:
     """Play one day in virtual time, from an old list if one is given; return its figures."""
     streams = RecordStreams(None, "driver")
-    VirtualDriver(day, seed, streams, old=start).run()
-    kept = (record for writer in streams.writers.values() for record in writer.kept)
+    VirtualDriver(day, seed, streams, stale_list=start).run()
+    kept = (record for writer in streams.writers.values() for record in writer.records)
     return plays.judge_records(kept, [], "virtual").figures
 
 
--- a/marlseam/experiment/store_cost.py
+++ b/marlseam/experiment/store_cost.py
@@ -72,10 +72,10 @@
             day,
             experiment.head.seed,
             out / name,
-            own=own,
-            connections=settings.connections,
-            proxied=False,
-            parts=SERVER_PROCESSES,
+            operator_settings=own,
+            connection_count=settings.connections,
+            uses_network=False,
+            server_process_count=SERVER_PROCESSES,
         )
         costs[name] = cost_figures(run, out / name)
     rows = [["store", "p50, ms", "p99, ms", "CPU a job, ms", "bytes a job", "service"]]
--- a/marlseam/experiment/virtual/driver.py
+++ b/marlseam/experiment/virtual/driver.py
@@ -17,7 +17,6 @@
 from marlseam.experiment.virtual.world import VirtualWorld
 from marlseam.records import RecordStreams
 from marlseam.simulation import faults, plan
-from marlseam.simulation.clients import FrontLoadBalancer
 from marlseam.simulation.model import Day, node_settings, placed_nodes
 
 END_SLACK_MS = 1000.0  # that a run lasts after the last request's deadline
@@ -39,18 +38,18 @@
         seed: int,
         streams: RecordStreams,
         make_reducer: Callable[[], Reducer] = Reducer,
-        old: StaleListStart | None = None,
+        stale_list: StaleListStart | None = None,
     ) -> None:
         """Make one whose records go to `streams`; nodes start from an old list where one is given."""
         self.day, self.make_reducer = day, make_reducer
         self.schedule = faults.schedule(day, seed)
         self.world = world = VirtualWorld(day, seed, streams)
         world.add_servers(self.schedule)
-        if old is not None:
-            world.add_gone_servers(old.gone_count)
+        if stale_list is not None:
+            world.add_gone_servers(stale_list.gone_count)
         for name, zone in placed_nodes(day):
             world.nodes[name] = self.make_node(name, zone)
-        self._join_parts(0.0 if old is None else old.doubt)
+        self._join_parts(0.0 if stale_list is None else stale_list.doubt)
 
     def _join_parts(self, doubt: float) -> None:
         """Make the parts, and let each effect of the nodes be carried out by one of them."""
@@ -106,7 +105,8 @@
 
     def make_node(self, name: str, zone: str) -> SimulatedNode:
         """Return a node with the day's settings."""
-        return self.seat(name, zone)
+        deployment = deployment_from(node_settings(self.day, zone))
+        return SimulatedNode(name, zone, deployment, self.make_reducer())
 
     def deliver(self, attempt: AttemptInFlight) -> None:
         """Hand an attempt to its server."""
@@ -119,53 +119,4 @@
 
     def start_server(self, server: SimulatedServer) -> None:
         """Start a server's process, in slow start."""
-        self.rise(server)
-
-    # Former names, for the modules that use them still.
-
-    def seat(self, name: str, zone: str) -> SimulatedNode:
-        """See `make_node`."""
-        deployment = deployment_from(node_settings(self.day, zone))
-        return SimulatedNode(name, zone, deployment, self.make_reducer())
-
-    def rise(self, server: SimulatedServer) -> None:
-        """See `start_server`."""
         self._servers.start(server)
-
-    def hears(self, node: SimulatedNode, server: SimulatedServer) -> bool:
-        """See `VirtualWorld.is_delivered`."""
-        return self.world.is_delivered(node, server)
-
-    @property
-    def make_core(self) -> Callable[[], Reducer]:
-        """See `make_reducer`."""
-        return self.make_reducer
-
-    @property
-    def now(self) -> float:
-        """See `now_ms`."""
-        return self.now_ms
-
-    @property
-    def events(self) -> int:
-        """See `event_count`."""
-        return self.event_count
-
-    @property
-    def hosts(self) -> dict[str, SimulatedServer]:
-        """See `VirtualWorld.servers`."""
-        return self.world.servers
-
-    @property
-    def arrivals(self) -> dict[str, plan.Arrival]:
-        """See `VirtualWorld.arrivals`."""
-        return self.world.arrivals
-
-    @property
-    def front(self) -> FrontLoadBalancer:
-        """See `VirtualWorld.load_balancer`."""
-        return self.world.load_balancer
-
-    @front.setter
-    def front(self, load_balancer: FrontLoadBalancer) -> None:
-        self.world.load_balancer = load_balancer
--- a/marlseam/experiment/virtual/fault_injector.py
+++ b/marlseam/experiment/virtual/fault_injector.py
@@ -63,7 +63,7 @@
 
     def _apply(self, fault: ScheduledFault, begins: bool) -> None:
         """Begin or end a fault."""
-        kind = fault.trouble.what
+        kind = fault.settings.what
         if begins:
             self._world.driver_records.add(
                 records.FaultBegan(
@@ -72,7 +72,7 @@
                     kind=kind,
                     until=fault.until,
                     targets=fault.targets,
-                    size=fault.trouble.size,
+                    size=fault.settings.size,
                 )
             )
         handler = self._handlers.get(kind)
@@ -144,7 +144,7 @@
 
     def _slow_links(self, fault: ScheduledFault, begins: bool) -> None:
         """Slow the links of a zone and let them lose messages, or mend that."""
-        added_ms, lost_share = fault.trouble.size, fault.trouble.part
+        added_ms, lost_share = fault.settings.size, fault.settings.part
         self._world.links.set_zone_slow(fault.targets[0], added_ms, lost_share, begins)
 
     def _reset_connections(self, fault: ScheduledFault, begins: bool) -> None:
--- a/marlseam/experiment/virtual/state.py
+++ b/marlseam/experiment/virtual/state.py
@@ -63,28 +63,6 @@
         """Return when the node gives it up if it hears nothing before."""
         return min(self.deadline_ms, self.silence_deadline_ms)
 
-    # Former names, for the modules that use them still.
-
-    @property
-    def host(self) -> "SimulatedServer":
-        """See `server`."""
-        return self.server
-
-    @property
-    def ref(self) -> str:
-        """See `request_id`."""
-        return self.request_id
-
-    @property
-    def written(self) -> bool:
-        """See `is_written`."""
-        return self.is_written
-
-    @property
-    def open(self) -> bool:
-        """See `is_open`."""
-        return self.is_open
-
 
 def attempt_job_id(request_id: str, attempt_index: int) -> str:
     """Return the id of an attempt's job at its server, as `simulation.fleet.job` makes it."""
@@ -118,13 +96,6 @@
         """Return its name."""
         return self.model.name
 
-    # Former name, for the modules that use it still.
-
-    @property
-    def executor(self) -> Server:
-        """See `model`."""
-        return self.model
-
 
 @dataclass
 class SimulatedNode:
@@ -164,13 +135,6 @@
         """Return whether the process of some generation still runs."""
         return self.is_up and self.generation == generation
 
-    # Former name, for the modules that use it still.
-
-    @property
-    def core(self) -> Reducer:
-        """See `reducer`."""
-        return self.reducer
-
 
 @dataclass
 class ClientTry:
--- a/marlseam/records.py
+++ b/marlseam/records.py
@@ -218,12 +218,12 @@
 
 
 class StreamWriter:
-    """Writes one stream to a binary file, or keeps it where there is none.
+    """Writes one stream to a binary file, or holds it in memory where there is none.
 
     Attributes:
         by: the writer's name.
-        file: where records go, None to keep them.
-        kept: the records so far, where there is no file.
+        file: where records go, None to hold them in memory.
+        records: those so far, where there is no file.
     """
 
     def __init__(
@@ -231,7 +231,7 @@
     ) -> None:
         """Begin a stream; `rules` are the run's settings for the judge, in the driver's stream alone."""
         self.by, self.file = by, file
-        self.kept: list[Record] = []
+        self.records: list[Record] = []
         self._last_number = 0
         self.add(StreamBegan(t=0.0, by=by, system=system, rules=rules or {}))
 
@@ -240,7 +240,7 @@
         self._last_number += 1
         record.n = self._last_number
         if self.file is None:
-            self.kept.append(record)
+            self.records.append(record)
         else:
             self.file.write(ENCODER.encode(record) + b"\n")
 
--- a/marlseam/simulation/faults.py
+++ b/marlseam/simulation/faults.py
@@ -44,7 +44,7 @@
 class ScheduledFault(NamedTuple):
     """A fault of the schedule with the names of what it affects; times in ms, the end not part of it."""
 
-    trouble: Fault
+    settings: Fault
     at: float
     until: float
     targets: list[str]
@@ -74,31 +74,31 @@
 def schedule(day: Day, seed: int) -> list[ScheduledFault]:
     """Return all faults with their targets, in the order of their begin."""
     faults: list[ScheduledFault] = []
-    for index, trouble in enumerate([*day.troubles, *drawn(day, seed)]):
+    for index, settings in enumerate([*day.troubles, *drawn(day, seed)]):
         chance = stream(seed, "targets", index)
-        targets = _targets(day, trouble, chance)
-        at_ms = trouble.at_s * 1000.0
-        fault = ScheduledFault(trouble, at_ms, at_ms + trouble.for_s * 1000.0, targets)
+        targets = _targets(day, settings, chance)
+        at_ms = settings.at_s * 1000.0
+        fault = ScheduledFault(settings, at_ms, at_ms + settings.for_s * 1000.0, targets)
         faults.append(fault)
-        if trouble.what == "flapping":
+        if settings.what == "flapping":
             faults += flaps(fault, chance)
     return sorted(faults, key=lambda fault: fault.at)
 
 
-def _targets(day: Day, trouble: Fault, chance: np.random.Generator) -> list[str]:
+def _targets(day: Day, settings: Fault, chance: np.random.Generator) -> list[str]:
     """Return the names of what a fault affects: those that it names, or drawn ones."""
-    if trouble.targets:
-        return list(trouble.targets)
-    if trouble.what in ZONE_FAULTS:
+    if settings.targets:
+        return list(settings.targets)
+    if settings.what in ZONE_FAULTS:
         return [_drawn_zone(day, chance)]
-    if trouble.what in UNTARGETED_FAULTS:
+    if settings.what in UNTARGETED_FAULTS:
         return []
-    if trouble.what in NODE_FAULTS:
+    if settings.what in NODE_FAULTS:
         pool = [node.name for node in placed_nodes(day)]
     else:
         pool = [server.name for server in placed_servers(day)]
-    count = max(1, round(trouble.share * len(pool)))
-    if trouble.by == "zone":
+    count = max(1, round(settings.share * len(pool)))
+    if settings.by == "zone":
         zone = _drawn_zone(day, chance)
         pool = [server.name for server in placed_servers(day) if server.zone == zone]
         count = min(count, len(pool))
@@ -112,22 +112,24 @@
 
 def flaps(fault: ScheduledFault, chance: np.random.Generator) -> list[ScheduledFault]:
     """Return the short faults that a `flapping` fault consists of, each target at times of its own."""
-    trouble, period_ms = fault.trouble, 1000.0 * fault.trouble.size
-    short = msgspec.structs.replace(trouble, what=trouble.how)
+    settings, period_ms = fault.settings, 1000.0 * fault.settings.size
+    short = msgspec.structs.replace(settings, what=settings.how)
     found = []
     for name in fault.targets:
         at_ms = fault.at + period_ms * chance.random()
         while at_ms < fault.until:
-            end_ms = min(fault.until, at_ms + period_ms * trouble.part * (0.5 + chance.random()))
+            end_ms = min(fault.until, at_ms + period_ms * settings.part * (0.5 + chance.random()))
             found.append(ScheduledFault(short, at_ms, end_ms, [name]))
-            at_ms = end_ms + period_ms * (1.0 - trouble.part) * (0.5 + chance.random())
+            at_ms = end_ms + period_ms * (1.0 - settings.part) * (0.5 + chance.random())
     return found
 
 
 def surges(faults: Iterable[ScheduledFault]) -> list[Surge]:
     """Return the schedule's surges of arrivals."""
     return [
-        Surge(fault.at, fault.until, fault.trouble.size) for fault in faults if fault.trouble.what == "surge"
+        Surge(fault.at, fault.until, fault.settings.size)
+        for fault in faults
+        if fault.settings.what == "surge"
     ]
 
 
@@ -136,28 +138,28 @@
     effects = FaultEffects()
     for fault in faults:
         if fault.is_on(now_ms) and server in fault.targets:
-            _add_effect(effects, fault.trouble)
+            _add_effect(effects, fault.settings)
     return effects
 
 
-def _add_effect(effects: FaultEffects, trouble: Fault) -> None:
+def _add_effect(effects: FaultEffects, settings: Fault) -> None:
     """Add the effect of one fault on a server to those of others."""
-    match trouble.what:
+    match settings.what:
         case "slow":
-            effects.slowdown *= max(1.0, trouble.size)
+            effects.slowdown *= max(1.0, settings.size)
         case "neighbour":
-            effects.stolen_share = min(MAX_STOLEN_SHARE, effects.stolen_share + trouble.size)
+            effects.stolen_share = min(MAX_STOLEN_SHARE, effects.stolen_share + settings.size)
         case "errors":
-            effects.error_share = min(1.0, effects.error_share + trouble.size)
-            effects.error_class = trouble.type
+            effects.error_share = min(1.0, effects.error_share + settings.size)
+            effects.error_class = settings.type
         case "tail":
             effects.tail_share = TAIL_SHARE
-            effects.tail_factor = max(effects.tail_factor, trouble.size)
+            effects.tail_factor = max(effects.tail_factor, settings.size)
         case "false_reports":
-            effects.slowdown *= max(1.0, trouble.size)
-            effects.reported_share = min(effects.reported_share, trouble.part)
+            effects.slowdown *= max(1.0, settings.size)
+            effects.reported_share = min(effects.reported_share, settings.part)
         case "late_reports":
-            effects.report_delay_ms += 1000.0 * trouble.size
+            effects.report_delay_ms += 1000.0 * settings.size
 
 
 class ListChange(NamedTuple):
@@ -190,11 +192,11 @@
     """
     changes: list[ListChange] = []
     for fault in faults:
-        if fault.trouble.what not in LISTED_FAULTS:
+        if fault.settings.what not in LISTED_FAULTS:
             continue
         for edge_ms in (fault.at, fault.until):
             lag_ms = day.roster.lag_ms
-            if fault.trouble.what == "silent" and edge_ms == fault.at:
+            if fault.settings.what == "silent" and edge_ms == fault.at:
                 lag_ms = day.roster.silent_lag_ms
                 if lag_ms >= fault.until - fault.at:
                     continue
@@ -211,7 +213,7 @@
     for fault in faults:
         if server not in fault.targets:
             continue
-        what, is_on = fault.trouble.what, fault.is_on(at_ms)
+        what, is_on = fault.settings.what, fault.is_on(at_ms)
         if (what in ("silent", "crash") and is_on) or (what == "grow" and at_ms < fault.at):
             state = EndpointState.GONE
         elif what == "shrink" and at_ms >= fault.at:
--- a/marlseam/simulation/fleet.py
+++ b/marlseam/simulation/fleet.py
@@ -15,7 +15,7 @@
 
 def build(day: Day, seed: int, schedule: Iterable[ScheduledFault]) -> dict[str, Server]:
     """Return a day's servers by name; those that a `grow` brings are down until then."""
-    later = {name for fault in schedule if fault.trouble.what == "grow" for name in fault.targets}
+    later = {name for fault in schedule if fault.settings.what == "grow" for name in fault.targets}
     memories: dict[object, GroupMemory] = defaultdict(GroupMemory)
     servers = {}
     for placed in placed_servers(day):
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize("name", POLICIES)
 def test_baselines_keep_the_rules_in_the_same_world(name):
-    verdict, _, figures, _ = played(day(seconds=8.0, rate=15.0), make_core=POLICIES[name])
+    verdict, _, figures, _ = played(day(seconds=8.0, rate=15.0), make_reducer=POLICIES[name])
     assert verdict.is_judged
     assert not verdict.violation_count
     assert figures["service"] > 0.4
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -129,7 +129,7 @@
 def test_a_dispatcher_that_breaks_a_rule_is_caught_by_name(name):
     rule, core, changes = WRONG[name]
     assert not played(day(**changes)).verdict.violation_count
-    verdict, book, _, _ = played(day(**changes), make_core=core)
+    verdict, book, _, _ = played(day(**changes), make_reducer=core)
     broken = {r.name: r.violations for r in verdict.rules}
     assert verdict.is_judged and broken[rule], {name: rows[:2] for name, rows in broken.items()}
     who, what = broken[rule][0]
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -82,7 +82,7 @@
     arrivals = plan.make(held, 1)
     generator = generator_of(held, arrivals)
     counted = merge([summary(generator.run(time.monotonic()))], len(arrivals))
-    rows = generator.writer.kept
+    rows = generator.writer.records
     assert counted.refused == {"refused": 2 * len(arrivals)}
     assert counted.sent == 0
     assert [r.how for r in rows if isinstance(r, TryAnswered)] == ["unsent"] * 2 * len(arrivals)
@@ -115,8 +115,8 @@
     generator = generator_of(held, arrivals, echo, connections)
     counted = merge([summary(generator.run(time.monotonic()))], len(arrivals))
     assert counted.sent == len(arrivals) == counted.histograms["intended"].get_total_count()
-    assert {r.how for r in generator.writer.kept if isinstance(r, TryAnswered)} == {"completed"}
-    assert isinstance(generator.writer.kept[-1], StreamEnded)
+    assert {r.how for r in generator.writer.records if isinstance(r, TryAnswered)} == {"completed"}
+    assert isinstance(generator.writer.records[-1], StreamEnded)
 
 
 # Traces.
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: what a seed draws, what the shim makes fail, what logs show, and one seed on real processes."""
+"""The soak: what a seed draws, which calls fail, what logs show, and one seed on real processes."""
 
 import errno
 import select
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from marlseam.emulators.faulty import Failure, Faults, Shim
+from marlseam.emulators.faulty import CallFailure, CallWrapper, NodeFaults
 from marlseam.experiment import soak
 from marlseam.experiment.file import read
 
@@ -33,33 +33,33 @@
 
 
 def test_a_call_fails_in_bursts_alone() -> None:
-    shim = Shim(Faults(1, [Failure("send", "ENOBUFS", 1.0)], every_s=10.0, for_s=5.0))
-    send = shim.wrapped("send", lambda data: len(data))
+    wrapper = CallWrapper(NodeFaults(1, [CallFailure("send", "ENOBUFS", 1.0)], every_s=10.0, for_s=5.0))
+    send = wrapper.failing_call("send", lambda data: len(data))
     with pytest.raises(OSError) as error:
         send(b"x")
     assert error.value.errno == errno.ENOBUFS
-    assert shim.wrapped("recv", lambda: b"y")() == b"y"
-    shim.began -= 6.0
+    assert wrapper.failing_call("recv", lambda: b"y")() == b"y"
+    wrapper.first_burst_s -= 6.0
     assert send(b"x") == 1
 
 
 def test_connect_ex_returns_its_error() -> None:
-    shim = Shim(Faults(1, [Failure("connect_ex", "ENETUNREACH", 1.0)]))
-    connect = shim.returned(shim.wrapped("connect_ex", lambda: 0))
+    wrapper = CallWrapper(NodeFaults(1, [CallFailure("connect_ex", "ENETUNREACH", 1.0)]))
+    connect = wrapper.returning_errno(wrapper.failing_call("connect_ex", lambda: 0))
     assert connect() == errno.ENETUNREACH
-    shim.began -= 1.0
+    wrapper.first_burst_s -= 1.0
     assert connect() == 0
 
 
 def test_objects_of_the_system_are_wrapped() -> None:
-    shim = Shim(Faults(1, [Failure("poll", "ENOMEM", 1.0)]))
-    look = shim.made(select.poll, {"poll": "poll"})()
+    wrapper = CallWrapper(NodeFaults(1, [CallFailure("poll", "ENOMEM", 1.0)]))
+    look = wrapper.failing_factory(select.poll, {"poll": "poll"})()
     one, other = socket.socketpair()
     look.register(one, select.POLLOUT)
     with pytest.raises(OSError) as error:
         look.poll(0)
     assert error.value.errno == errno.ENOMEM
-    shim.began -= 1.0  # the burst is over
+    wrapper.first_burst_s -= 1.0  # the burst is over
     assert look.poll(0)
     one.close()
     other.close()
--- a/tests/test_virtual_driver.py
+++ b/tests/test_virtual_driver.py
@@ -59,7 +59,7 @@
 
 
 def records_of(streams: RecordStreams) -> list[Record]:
-    return [record for writer in streams.writers.values() for record in writer.kept]
+    return [record for writer in streams.writers.values() for record in writer.records]
 
 
 def test_overridden_steps_see_each_delivery_crash_and_start_and_change_nothing() -> None:
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -55,10 +55,10 @@
     return msgspec.convert(standard | tables, Day)
 
 
-def played(day: Day, seed: int = 1, make_core: Callable[[], Reducer] = Reducer) -> PlayedDay:
+def played(day: Day, seed: int = 1, make_reducer: Callable[[], Reducer] = Reducer) -> PlayedDay:
     """Play a day in virtual time, and judge its records."""
     streams = RecordStreams(None, "driver")
-    VirtualDriver(day, seed, streams, make_core).run()
-    records = [record for writer in streams.writers.values() for record in writer.kept]
+    VirtualDriver(day, seed, streams, make_reducer).run()
+    records = [record for writer in streams.writers.values() for record in writer.records]
     verdict, book = judge(records)
     return PlayedDay(verdict, book, figures(book), records)
