--- a/marlseam/experiment/cluster_cost.py
+++ b/marlseam/experiment/cluster_cost.py
@@ -12,9 +12,7 @@
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import RunResult, ShowProgress, register_play
 from marlseam.experiment.sockets import NodeConfiguration, SocketDriver, SocketOptions
-from marlseam.load.process import arrivals_of
 from marlseam.simulation.model import Count, Day, Positive, Strict, placed_nodes
-from marlseam.simulation.plan import Arrival
 from marlseam.store.ledger_writer import create_ledger
 
 PLAY = "fleet_cost"
@@ -69,9 +67,7 @@
         return NodeConfiguration({}, f"{own}voters = {self._voters}\n[fleet.members]\n{self._members}\n")
 
 
-def measure_day(
-    day: Day, seed: int, arrivals: list[Arrival], out: Path, nodes: ClusterNodeSettings
-) -> CostSample:
+def measure_day(day: Day, seed: int, out: Path, nodes: ClusterNodeSettings) -> CostSample:
     """Play a day, and return what it cost."""
     driver = SocketDriver(day, seed, out, SocketOptions(node_configuration=nodes.settings))
     driver.run()
@@ -110,7 +106,6 @@
     table: CostTable = experiment.tables[PLAY]
     day, seed = experiment.day, experiment.head.seed
     names = [name for name, _ in placed_nodes(day)]
-    arrivals = arrivals_of(day, seed)
     pairs: list[dict[str, CostSample]] = []
     for number in range(1, table.pairs + 1):
         pair: dict[str, CostSample] = {}
@@ -119,7 +114,7 @@
             folder = out / f"{mode}-{number}"
             shutil.rmtree(folder / "ledgers", ignore_errors=True)
             nodes = ClusterNodeSettings(names, table.period_ms, folder, mode == ON)
-            pair[mode] = measure_day(day, seed, arrivals, folder, nodes)
+            pair[mode] = measure_day(day, seed, folder, nodes)
         pairs.append(pair)
     rows = [TABLE_HEAD, *(pair_row(number, pair) for number, pair in enumerate(pairs, 1))]
     return RunResult(cost_figures(pairs), tables=[("What membership costs", rows)], driver="sockets")
