--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -238,19 +238,27 @@
 
 
 @pytest.fixture
-def refuse(monkeypatch: pytest.MonkeyPatch) -> Callable[[int, int], None]:
+def refuse_sockets(monkeypatch: pytest.MonkeyPatch) -> Callable[[int, int], None]:
     """Return a function that has one family of sockets refused with an error number."""
-    real = socket.socket
+    open_socket = socket.socket
 
-    def begin(refused: int, number: int) -> None:
-        def made(family: int = socket.AF_INET, *rest: object, **named: object) -> socket.socket:
-            if family == refused:
-                raise OSError(number, "refused")
-            return real(family, *rest, **named)
+    def refuse(refused_family: int, error_number: int) -> None:
+        def open_or_refuse(
+            family: int = socket.AF_INET, *arguments: object, **keywords: object
+        ) -> socket.socket:
+            if family == refused_family:
+                raise OSError(error_number, "refused")
+            return open_socket(family, *arguments, **keywords)
 
-        monkeypatch.setattr(socket, "socket", made)
+        monkeypatch.setattr(socket, "socket", open_or_refuse)
 
-    return begin
+    return refuse
+
+
+@pytest.fixture
+def refuse(refuse_sockets: Callable[[int, int], None]) -> Callable[[int, int], None]:
+    """Return `refuse_sockets` under its former name."""
+    return refuse_sockets
 
 
 @pytest.fixture
@@ -297,7 +305,7 @@
 
 
 @pytest.fixture
-def connection(loop: Loop) -> Callable[..., Connection]:
+def make_connection(loop: Loop) -> Callable[..., Connection]:
     """Return a maker of connections over a scripted socket."""
 
     def build(role: type, *replies: bytes, **script: object) -> Connection:
@@ -307,29 +315,47 @@
 
 
 @pytest.fixture
-def upstream(
-    loop: Loop, deployment: Deployment, connection: Callable[..., Connection], monkeypatch: pytest.MonkeyPatch
+def connection(make_connection: Callable[..., Connection]) -> Callable[..., Connection]:
+    """Return `make_connection` under its former name."""
+    return make_connection
+
+
+@pytest.fixture
+def make_upstream(
+    loop: Loop,
+    deployment: Deployment,
+    make_connection: Callable[..., Connection],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> Callable[..., Upstream]:
-    """Return a maker of servers whose one connection plays a script; events are kept in `events`."""
+    """Return a maker of clients of server e1, each of whose connections plays the same script.
+
+    Their events are kept in `events`, the connections that they open in `connections`.
+    """
 
     def build(*replies: bytes, **script: object) -> Upstream:
-        def connected(loop: Loop, log: Log, address: tuple[str, int], what: str, until_ms: float) -> Steps:
-            made = connection(h11.CLIENT, *replies, **script)
-            made.address = address
-            parts.connections.append(made)
-            return made
+        def connect(loop: Loop, log: Log, address: tuple[str, int], what: str, until_ms: float) -> Steps:
+            opened = make_connection(h11.CLIENT, *replies, **script)
+            opened.address = address
+            upstream.connections.append(opened)
+            return opened
             yield
 
-        monkeypatch.setattr("marlseam.net.upstream.pool.connect", connected)
+        monkeypatch.setattr("marlseam.net.upstream.pool.connect", connect)
         events: list[Event] = []
-        parts = Upstream(loop, Log("test", loop.now), deployment, 64, events.append, Counters())
-        parts.events, parts.connections = events, []
-        parts.update_endpoints({"e1"}, {"e1": ("127.0.0.1", 9)})
-        return parts
+        upstream = Upstream(loop, Log("test", loop.now), deployment, 64, events.append, Counters())
+        upstream.events, upstream.connections = events, []
+        upstream.update_endpoints({"e1"}, {"e1": ("127.0.0.1", 9)})
+        return upstream
 
     return build
 
 
+@pytest.fixture
+def upstream(make_upstream: Callable[..., Upstream]) -> Callable[..., Upstream]:
+    """Return `make_upstream` under its former name."""
+    return make_upstream
+
+
 @pytest.fixture
 def node(tmp_path: Path) -> Node:
     """Return a node on a free port, with one server listed that refuses connections."""
@@ -364,6 +390,37 @@
     return replace(load(str(path), {}), admin=None)
 
 
+@pytest.fixture
+def follow_discovery(
+    node: Node, monkeypatch: pytest.MonkeyPatch, make_connection: Callable[..., Connection]
+) -> Callable[..., list[Event]]:
+    """Return a function that has the node watch a scripted discovery, and returns the events posted."""
+
+    def follow(*answers: bytes, status: int = 200, silent: bool = False) -> list[Event]:
+        events: list[Event] = []
+        replies = [
+            b"HTTP/1.1 %d -\r\nContent-Length: %d\r\n\r\n%b" % (status, len(answer), answer)
+            for answer in answers
+        ]
+
+        def connect(*_: object) -> Steps:
+            return make_connection(h11.CLIENT, *replies, silent=silent)
+            yield
+
+        monkeypatch.setattr("marlseam.net.discovery.connect", connect)
+        node.discovery.task, node.discovery.post = None, events.append
+        node.discovery.watch()
+        return events
+
+    return follow
+
+
+@pytest.fixture
+def executor(start_server: Callable[[], list[bytes]]) -> Callable[[], list[bytes]]:
+    """Return `start_server` under its former name."""
+    return start_server
+
+
 @pytest.fixture
 def client(node: Node) -> Callable[[bytes], socket.socket]:
     """Return a function that connects to the node and writes some bytes."""
@@ -403,36 +460,37 @@
 
 
 @pytest.fixture
-def executor(node: Node) -> Callable[[], list[bytes]]:
-    """Return a function that stands up a server for the node, and gives the methods it is asked by."""
+def start_server(node: Node) -> Callable[[], list[bytes]]:
+    """Return a function that starts server e1 for the node, and returns the methods of its requests."""
     servers = []
 
-    def stand() -> list[bytes]:
-        server, asked = socket.create_server(("127.0.0.1", 0)), []
+    def start() -> list[bytes]:
+        server, methods = socket.create_server(("127.0.0.1", 0)), []
         servers.append(server)
         server.setblocking(False)
 
-        def talk(sock: socket.socket) -> Steps:
-            made = Connection(node.loop, node.log, sock, h11.SERVER, "emulated server's side")
+        def serve(sock: socket.socket) -> Steps:
+            connection = Connection(node.loop, node.log, sock, h11.SERVER, "emulated server's side")
             sock.setblocking(False)
-            while type(request := (yield from made.event(inf))) is h11.Request:
-                yield from made.body(1000, inf)
-                asked.append(request.method)
-                done = ANSWER if request.method == b"POST" else b"HTTP/1.1 200 -\r\nContent-Length: 0\r\n\r\n"
-                made.http.send(h11.Response(status_code=200, headers=[("Content-Length", "0")]))
-                made.http.send(h11.EndOfMessage())
-                yield from made.write(done, inf)
-                made.start_next_message()
+            while type(request := (yield from connection.event(inf))) is h11.Request:
+                yield from connection.body(1000, inf)
+                methods.append(request.method)
+                is_attempt = request.method == b"POST"
+                answer = ANSWER if is_attempt else b"HTTP/1.1 200 -\r\nContent-Length: 0\r\n\r\n"
+                connection.http.send(h11.Response(status_code=200, headers=[("Content-Length", "0")]))
+                connection.http.send(h11.EndOfMessage())
+                yield from connection.write(answer, inf)
+                connection.start_next_message()
 
         def accept() -> Steps:
             while True:
                 yield (server.fileno(), READ, inf)
-                node.loop.spawn(talk(server.accept()[0]))
+                node.loop.spawn(serve(server.accept()[0]))
 
         node.loop.spawn(accept())
         node.upstream.update_endpoints({"e1"}, {"e1": server.getsockname()})
-        return asked
+        return methods
 
-    yield stand
+    yield start
     for server in servers:
         server.close()
--- /dev/null
+++ b/tests/test_event_loop.py
@@ -0,0 +1,149 @@
+"""The event loop: buffers, timers, waits of coroutines, and the log they write to."""
+
+import socket
+from math import inf
+
+from marlseam.net.buffer import Buffer
+from marlseam.net.log import MAX_BURST_LINES, Log
+from marlseam.net.loop import LATE, READ, WOKEN
+
+
+def test_a_buffer_gives_what_came_in_order():
+    buffer = Buffer(8)
+    for part in (b"abc", b"defg", b"hijklmnop"):
+        buffer.space(len(part))[: len(part)] = part
+        buffer.added(len(part))
+    assert buffer.take(5) + buffer.take(100) == b"abcdefghijklmnop"
+    assert not len(buffer)
+
+
+def test_a_buffer_is_compacted_before_it_grows():
+    buffer = Buffer(8)
+    buffer.added(8)
+    buffer.take(6)
+    assert len(buffer.space(6)) == 6
+    assert len(buffer.bytes) == 8
+    assert len(buffer) == 2
+
+
+def test_timers_come_in_order(loop, until):
+    seen = []
+    loop.at(2.0, lambda: seen.append(2))
+    loop.at(1.0, lambda: seen.append(1))
+    until(lambda: len(seen) == 2)
+    assert seen == [1, 2]
+
+
+def test_a_timer_set_for_the_past_is_not_late(loop, until):
+    seen = []
+    loop.at(loop.now() - 5000.0, lambda: seen.append(1))
+    until(lambda: seen)
+    assert loop.late_ms < 5000.0
+
+
+def test_a_dropped_timer_never_comes(loop, until):
+    seen = []
+    loop.drop(loop.at(1.0, lambda: seen.append("dropped")))
+    loop.at(2.0, lambda: seen.append("kept"))
+    until(lambda: seen)
+    assert seen == ["kept"]
+
+
+def test_many_dropped_timers_leave_the_memory(loop):
+    for _ in range(5000):
+        loop.drop(loop.at(1e9, lambda: None))
+    assert len(loop.timers) < 2000
+
+
+def test_a_wait_ends_late(loop, until):
+    seen = []
+
+    def wait():
+        seen.append((yield (-1, 0, loop.now() + 1.0)))
+
+    loop.spawn(wait())
+    until(lambda: seen)
+    assert seen == [LATE]
+
+
+def test_a_wake_during_a_step_is_not_lost(loop, until):
+    seen = []
+
+    def wait():
+        loop.current.wake()
+        seen.append((yield (-1, 0, inf)))
+
+    loop.spawn(wait())
+    until(lambda: seen)
+    assert seen == [WOKEN]
+
+
+def test_a_cancelled_coroutine_runs_its_end(loop):
+    seen = []
+
+    def wait():
+        try:
+            yield (-1, 0, inf)
+        finally:
+            seen.append("end")
+
+    loop.spawn(wait()).cancel()
+    assert seen == ["end"]
+    assert not loop.tasks
+
+
+def test_an_error_in_one_coroutine_or_call_leaves_the_others(loop, until):
+    faults, seen = [], []
+    loop.fault = faults.append
+
+    def fail():
+        yield (-1, 0, loop.now())
+        raise RuntimeError
+
+    loop.spawn(fail())
+    loop.at(0.0, lambda: 1 / 0)
+    loop.at(loop.now() + 1.0, lambda: seen.append(1))
+    until(lambda: seen)
+    assert len(faults) == 2
+
+
+def test_an_event_of_a_closed_socket_does_not_reach_a_new_one_of_its_number(loop):
+    seen = []
+    first, second = (socket.socketpair() for _ in range(2))
+
+    def close():
+        yield (first[0].fileno(), READ, inf)
+        number = second[0].fileno()
+        loop.close(second[0])
+        new = socket.socket()
+        assert new.fileno() == number
+        loop.spawn(wait(new))
+
+    def wait(sock):
+        seen.append((yield (sock.fileno(), READ, inf)))
+
+    loop.spawn(close())
+    loop.spawn(wait(second[0]))
+    for pair in (first, second):
+        pair[1].send(b"x")
+    loop.turn()
+    assert not seen
+
+
+def test_an_idle_loop_waits_without_a_time_limit(loop):
+    loop.drop(loop.at(5.0, lambda: None))
+    assert loop.pause_s() == -1.0
+
+
+def test_equal_unix_times_stay_equal(loop):
+    assert loop.clock.from_unix(loop.clock.unix_zero_ms + 5.0) == 5.0
+
+
+def test_log_lines_past_the_burst_limit_are_dropped_and_counted(capsys):
+    clock = [0.0]
+    log = Log("n", lambda: clock[0])
+    for _ in range(int(MAX_BURST_LINES) + 7):
+        log.line("x")
+    clock[0] = 1000.0
+    log.line("y")
+    assert capsys.readouterr().err.splitlines()[-2:] == ["marlseam n: 7 lines dropped", "marlseam n: y"]
