--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,6 +4,7 @@
 import socket
 from collections.abc import Callable
 from dataclasses import replace
+from functools import partial
 from math import inf
 from pathlib import Path
 
@@ -290,18 +291,19 @@
     made.finish()
 
 
+def turn_until(loop: Loop, holds: Callable[[], object]) -> None:
+    """Turn a loop until something holds, or fail after a generous time."""
+    end_ms = loop.now() + 10000.0
+    loop.at(end_ms, lambda: None)
+    while not holds():
+        assert loop.now() < end_ms
+        loop.turn()
+
+
 @pytest.fixture
 def until(loop: Loop) -> Callable[[Callable[[], object]], None]:
     """Return a function that turns the loop until something holds, or fails after a generous time."""
-
-    def run(holds: Callable[[], object]) -> None:
-        end = loop.now() + 10000.0
-        loop.at(end, lambda: None)
-        while not holds():
-            assert loop.now() < end
-            loop.turn()
-
-    return run
+    return partial(turn_until, loop)
 
 
 @pytest.fixture
