--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,9 @@
 """A port that records what the module asks of it, and nodes in a given state."""
 
 import json
+import os
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from dataclasses import replace
 from functools import partial
 from math import inf
@@ -179,6 +180,20 @@
     ],
     "clients": {"marksRetry": True},
 }
+ENDPOINT = {
+    "host": "e1",
+    "dial": "127.0.0.1:1",
+    "health": "active",
+    "site": "here",
+    "class": "plain",
+    "block": 0,
+}
+NODE_CONFIG = {
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:1",
+    "settings": OPTIONS,
+    "known": {"seq": 1, "whole": True, "hosts": [ENDPOINT]},
+}
 
 
 LINES = b'{"id":"9b","from":"e1","state":"started"}\n{"id":"9b","from":"e1","state":"done","result":"r"}\n'
@@ -361,29 +376,47 @@
 @pytest.fixture
 def node(tmp_path: Path) -> Node:
     """Return a node on a free port, with one server listed that refuses connections."""
-    hosts = [
-        {
-            "host": "e1",
-            "dial": "127.0.0.1:1",
-            "health": "active",
-            "site": "here",
-            "class": "plain",
-            "block": 0,
-        }
-    ]
-    values = {
-        "listen": "127.0.0.1:0",
-        "admin": "127.0.0.1:0",
-        "discovery": "127.0.0.1:1",
-        "settings": OPTIONS,
-        "known": {"seq": 1, "whole": True, "hosts": hosts},
-    }
     path = tmp_path / "node.json"
-    path.write_text(json.dumps(values))
-    made = Node(load(str(path), {}))
-    yield made
-    made.is_reducing = True
-    made.loop.finish()
+    path.write_text(json.dumps(NODE_CONFIG | {"admin": "127.0.0.1:0"}))
+    node = Node(load(str(path), {}))
+    yield node
+    node.is_reducing = True
+    node.loop.finish()
+
+
+@pytest.fixture
+def listening_socket() -> Iterator[socket.socket]:
+    """Return the socket that processes of a node inherit."""
+    with socket.create_server(("127.0.0.1", 0)) as sock:
+        yield sock
+
+
+@pytest.fixture
+def config_path(tmp_path: Path) -> Path:
+    """Return the path of a valid configuration."""
+    path = tmp_path / "node.json"
+    path.write_text(json.dumps(NODE_CONFIG))
+    return path
+
+
+@pytest.fixture
+def make_inheriting_node(
+    listening_socket: socket.socket, config_path: Path, tmp_path: Path
+) -> Iterator[Callable[..., Node]]:
+    """Return a maker of nodes on the inherited socket, in a directory that a node's processes share."""
+    nodes = []
+
+    def build(**changes: object) -> Node:
+        config_path.write_text(json.dumps(NODE_CONFIG | changes))
+        environment = {"EDGE_SOCKET_FD": str(os.dup(listening_socket.fileno())), "TMPDIR": str(tmp_path)}
+        nodes.append(Node(load(str(config_path), environment)))
+        return nodes[-1]
+
+    yield build
+    for node in nodes:
+        node.is_reducing = True
+        node.handover.close()
+        node.loop.finish()
 
 
 def reconfigured(node: Node, path: Path, **values: object) -> Config:
