--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,278 +1,192 @@
-"""What a node recovers: which list, how much doubt, which idempotency records; and what decisions follow."""
+"""What the reducer decides after a start: with restored records, cached lists and unavailable history."""
 
 from dataclasses import replace
-from math import exp
 
 import pytest
 from conftest import KEYED, SETTINGS
-from hypothesis import given
-from hypothesis import strategies as st
 
 from marlseam import core
 from marlseam.core import EndpointEntry, Reducer
-from marlseam.core.idempotency import AttemptRecord, IdempotencyRecords
+from marlseam.core.idempotency import AttemptRecord
 from marlseam.decisions.types import DeduplicationScope, EndpointState, ListUpdateKind, Outcome, Request
-from marlseam.recovery import saved_list
-from marlseam.recovery.saved_list import DEFAULT_LIFETIME_MS, DepartureRate, SavedList
-
-
-def saved(version, rows=("r",), heard=0.0):
-    return SavedList(version, list(rows), heard)
-
-
-@pytest.mark.parametrize(
-    ("file", "known", "chosen"),
-    [
-        (None, None, None),
-        (saved(3), None, 3),
-        (None, saved(2), 2),
-        (saved(3), saved(3, heard=None), 3),
-        (saved(3), saved(4), 4),
-        (saved(5), saved(4), 5),
-        (saved(1), saved(9, ()), 1),
-        (saved(3, ()), saved(2), 2),
-    ],
-)
-def test_the_newer_list_is_chosen_and_an_empty_one_never(file, known, chosen):
-    found = saved_list.choose_list(file, known)
-    assert (found and found.version) == chosen
-
-
-def test_doubt_grows_with_age_and_turnover_and_is_full_where_the_age_is_unknown():
-    calm, busy = DepartureRate(), DepartureRate(1000.0, 1000.0 * DEFAULT_LIFETIME_MS / 24.0)
-    day = 24.0 * 3600e3
-    assert saved_list.entry_doubt(0.0, calm) == 0.0
-    assert 0.0 < saved_list.entry_doubt(1000.0, calm) < saved_list.MAX_CERTAIN_DOUBT
-    assert saved_list.entry_doubt(day, calm) == pytest.approx(1.0 - exp(-1.0))
-    assert saved_list.entry_doubt(day, busy) > 0.99
-    assert saved_list.entry_doubt(None, calm) == 1.0
-    assert saved_list.list_age_ms(saved(1, heard=5000.0), 1000.0) is None  # the clock was set back
-    assert saved_list.list_age_ms(saved(1, heard=500.0), 1000.0) == 500.0
-
-
-# Idempotency records against a plain model.
-
-
-@given(
-    st.lists(
-        st.tuples(
-            st.sampled_from(["note", "never", "known"]),
-            st.sampled_from("ab"),
-            st.sampled_from("xy"),
-            st.integers(0, 9),
-        ),
-        max_size=40,
-    )
-)
-def test_idempotency_records_are_what_a_plain_table_says(steps):
-    idempotency_records, model, now = IdempotencyRecords(10), {}, 0.0
-    for what, key, executor, gap in steps:
-        now += gap
-        rows = list(model.get(key, []))
-        if rows and rows[0].until_ms <= now:
-            rows = []
-        if what == "note":
-            trace = AttemptRecord(executor, 0, 0, now, now + 20.0)
-            if idempotency_records.attempts(key, now) == rows:
-                idempotency_records.add(key, trace)
-                rows.append(trace)
-        elif what == "never" and rows:
-            idempotency_records.attempts(key, now)
-            assert idempotency_records.never_ran(key, rows[0].server, rows[0].sent_ms)
-            gone = next(t for t in rows if (t.server, t.sent_ms) == (rows[0].server, rows[0].sent_ms))
-            rows.remove(gone)
-        model[key] = rows
-        assert idempotency_records.attempts(key, now) == rows
-
-
-def test_restored_records_expire_in_time_and_go_before_new_ones():
-    idempotency_records = IdempotencyRecords(10)
-    a, b = AttemptRecord("e", 0, 0, 0.0, 50.0), AttemptRecord("e", 0, 0, 0.0, 20.0)
-    idempotency_records.restore({"a": [a, AttemptRecord("f", 0, 0, 5.0, 55.0)], "b": [b]})
-    idempotency_records.add("a", AttemptRecord("g", 0, 0, 10.0, 60.0))
-    assert [t.server for t in idempotency_records.attempts("a", 15.0)] == [
-        "e",
-        "f",
-        "g",
-    ]
-    assert idempotency_records.attempts("b", 15.0)
-    assert not idempotency_records.attempts("b", 20.0)
-    assert idempotency_records.attempts("a", 49.0)
-    assert not idempotency_records.attempts("a", 50.0)
-
+from marlseam.net.discovery import Discovery
 
-def test_at_the_maximum_a_key_can_be_added_only_once_another_expires():
-    idempotency_records = IdempotencyRecords(1)
-    idempotency_records.add("a", AttemptRecord("e", 0, 0, 0.0, 100.0))
-    assert idempotency_records.wait_for_key_ms(40.0) == 60.0
-    assert idempotency_records.attempts("a", 40.0)
-    assert idempotency_records.wait_for_key_ms(100.0) == 0.0
-    assert not idempotency_records.attempts("a", 100.0)
 
+def make_entry(name, cell=0, state=EndpointState.READY, process_started_ms=None):
+    return EndpointEntry(name, state, 0, 0, cell, process_started_ms)
 
-# The reducer and its dispatcher.
 
+def start_reducer(seed):
+    """Return a function that reduces an event at a time, for three servers, two of them in one cell.
 
-def entry(name, cell=0, state=EndpointState.READY, born=None):
-    return EndpointEntry(name, state, 0, 0, cell, born)
-
-
-def begun(seed):
-    """Return a reducer with a list of three servers, two of them in one cell.
-
-    And a function to play events.
+    Its `reducer` is the reducer.
     """
-    made = Reducer()
-    made.reduce(0.0, core.NodeStarted(SETTINGS, seed))
+    reducer = Reducer()
+    reducer.reduce(0.0, core.NodeStarted(SETTINGS, seed))
 
-    def play(clock, event):
-        return made.reduce(clock, event)
+    def reduce(now_ms, event):
+        return reducer.reduce(now_ms, event)
 
-    play.reducer = made
-    play(0.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("a", 1), entry("b", 1), entry("c", 2)]))
-    return play
+    reduce.reducer = reducer
+    reduce(
+        0.0,
+        core.EndpointListUpdate(
+            ListUpdateKind.FULL, [make_entry("a", 1), make_entry("b", 1), make_entry("c", 2)]
+        ),
+    )
+    return reduce
 
 
 @pytest.fixture
-def node():
-    """Return what `begun` gives for a seed."""
-    return begun(7)
+def reduce():
+    """Return what `start_reducer` gives for one seed."""
+    return start_reducer(7)
 
 
-def sends(effects):
+def servers_sent_to(effects):
+    """Return the servers of the attempts among some effects."""
     return [effect.server for effect in effects if type(effect) is core.SendAttempt]
 
 
-def unit(request_id, type=1, key="k", expires=5000.0):
-    return core.RequestArrived(Request(request_id, type, expires, idempotency_key=key))
+def request_arrived(request_id, class_index=1, key="k", deadline_at_ms=5000.0):
+    """Return the arrival of a request, of the keyed class where none is given."""
+    return core.RequestArrived(Request(request_id, class_index, deadline_at_ms, idempotency_key=key))
 
 
-def answered(node, clock, effects):
-    """Answer all probes that some effects ask for, and return every effect that follows."""
-    found = list(effects)
+def answer_probes(reduce, now_ms, effects):
+    """Answer all probes among some effects; return these effects and all that follow."""
+    all_effects = list(effects)
     for effect in effects:
         if type(effect) is core.Probe:
-            more = node(clock, core.ProbeEnded(effect.server, Outcome.COMPLETED, 0.1, None))
-            found += answered(node, clock, more)
-    return found
+            further = reduce(now_ms, core.ProbeEnded(effect.server, Outcome.COMPLETED, 0.1, None))
+            all_effects += answer_probes(reduce, now_ms, further)
+    return all_effects
+
 
+def reduce_with_probes(reduce, now_ms, event):
+    """Reduce an event and answer all probes that follow; return all effects."""
+    return answer_probes(reduce, now_ms, reduce(now_ms, event))
 
-def test_a_retry_under_a_key_goes_only_to_the_server_that_may_have_run_it(node):
-    (first,) = sends(answered(node, 1.0, node(1.0, unit("1"))))
-    node(2.0, core.ClientLeft("1"))
-    node(2.0, core.AttemptEnded("1", 0, Outcome.CANCELLED, True, None))
-    group = {"a": {"a", "b"}, "b": {"a", "b"}, "c": {"c"}}[first]
+
+def test_a_retry_under_a_key_goes_only_to_the_server_that_may_have_run_it(reduce):
+    (first,) = servers_sent_to(reduce_with_probes(reduce, 1.0, request_arrived("1")))
+    reduce(2.0, core.ClientLeft("1"))
+    reduce(2.0, core.AttemptEnded("1", 0, Outcome.CANCELLED, True, None))
+    same_cell = {"a": {"a", "b"}, "b": {"a", "b"}, "c": {"c"}}[first]
     for i in range(2, 12):
-        (again,) = sends(answered(node, 3.0 + i, node(3.0 + i, unit(str(i)))))
-        assert again in group
-        node(3.5 + i, core.ClientLeft(str(i)))
-        node(3.5 + i, core.AttemptEnded(str(i), 1, Outcome.CANCELLED, True, None))
+        (second,) = servers_sent_to(reduce_with_probes(reduce, 3.0 + i, request_arrived(str(i))))
+        assert second in same_cell
+        reduce(3.5 + i, core.ClientLeft(str(i)))
+        reduce(3.5 + i, core.AttemptEnded(str(i), 1, Outcome.CANCELLED, True, None))
 
 
-def test_a_restored_key_whose_server_is_gone_is_failed_and_runs_nowhere(node):
-    node(1.0, core.HistoryRecovered({"k": [AttemptRecord("gone", 0, 9, 0.0, 9000.0)]}))
-    effects = node(2.0, unit("1"))
-    assert not sends(effects)
-    assert not any(type(e) is core.Probe for e in effects)
-    due = [e for e in effects if type(e) is core.SetTimer]
-    effects += [more for e in due for more in node(4999.0, core.TimerFired(e.timer_id))]
-    assert [type(e) for e in effects if type(e) in (core.Fail, core.Reject)] == [core.Fail]
+def test_a_restored_key_whose_server_is_gone_is_failed_and_runs_nowhere(reduce):
+    reduce(1.0, core.HistoryRecovered({"k": [AttemptRecord("gone", 0, 9, 0.0, 9000.0)]}))
+    effects = reduce(2.0, request_arrived("1"))
+    assert not servers_sent_to(effects)
+    assert not any(type(effect) is core.Probe for effect in effects)
+    timers = [effect for effect in effects if type(effect) is core.SetTimer]
+    for timer in timers:
+        effects += reduce(4999.0, core.TimerFired(timer.timer_id))
+    assert [type(effect) for effect in effects if type(effect) in (core.Fail, core.Reject)] == [core.Fail]
 
 
-def test_a_restored_key_is_free_again_once_its_deduplication_window_is_over(node):
-    node(1.0, core.HistoryRecovered({"k": [AttemptRecord("gone", 0, 9, 0.0, 50.0)]}))
-    assert sends(answered(node, 60.0, node(60.0, unit("1"))))
+def test_a_restored_key_is_free_again_once_its_deduplication_window_is_over(reduce):
+    reduce(1.0, core.HistoryRecovered({"k": [AttemptRecord("gone", 0, 9, 0.0, 50.0)]}))
+    assert servers_sent_to(reduce_with_probes(reduce, 60.0, request_arrived("1")))
 
 
-def test_an_unsafe_request_of_unknown_fate_is_failed_at_once(node):
-    node(1.0, core.HistoryRecovered({"k": [AttemptRecord("a", 0, 1, 0.0, 9000.0)]}))
-    assert [type(e) for e in node(2.0, unit("1", type=2))][-1] is core.Fail
+def test_an_unsafe_request_of_unknown_fate_is_failed_at_once(reduce):
+    reduce(1.0, core.HistoryRecovered({"k": [AttemptRecord("a", 0, 1, 0.0, 9000.0)]}))
+    assert type(reduce(2.0, request_arrived("1", class_index=2))[-1]) is core.Fail
 
 
-def test_what_never_ran_is_off_the_record(node):
-    (first,) = sends(answered(node, 1.0, node(1.0, unit("1"))))
-    effects = node(2.0, core.AttemptEnded("1", 0, Outcome.AT_CAPACITY, False, None))
-    assert any(type(e) is core.ErasePersisted and e.server == first for e in effects)
-    later = node.reducer.idempotency_records.attempts("k", 3.0)
-    assert all(trace.server != first for trace in later)
+def test_an_attempt_that_never_ran_is_erased_from_the_records(reduce):
+    (first,) = servers_sent_to(reduce_with_probes(reduce, 1.0, request_arrived("1")))
+    effects = reduce(2.0, core.AttemptEnded("1", 0, Outcome.AT_CAPACITY, False, None))
+    assert any(type(effect) is core.ErasePersisted and effect.server == first for effect in effects)
+    remembered = reduce.reducer.idempotency_records.attempts("k", 3.0)
+    assert all(record.server != first for record in remembered)
 
 
-def test_an_attempt_is_persisted_before_it_is_sent(node):
-    effects = answered(node, 1.0, node(1.0, unit("1")))
-    kinds = [type(e) for e in effects]
-    assert kinds.index(core.PersistAttempt) < kinds.index(core.SendAttempt)
-    assert core.PersistAttempt not in [
-        type(e) for e in answered(node, 2.0, node(2.0, unit("2", type=0, key=None)))
-    ]
+def test_an_attempt_is_persisted_before_it_is_sent(reduce):
+    effects = reduce_with_probes(reduce, 1.0, request_arrived("1"))
+    types = [type(effect) for effect in effects]
+    assert types.index(core.PersistAttempt) < types.index(core.SendAttempt)
+    effects = reduce_with_probes(reduce, 2.0, request_arrived("2", class_index=0, key=None))
+    assert core.PersistAttempt not in [type(effect) for effect in effects]
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_past_the_maximum_a_new_key_is_rejected_with_advice_and_an_old_one_still_goes(seed):
-    node = begun(seed)
-    node.reducer.idempotency_records.max_keys = 1
-    assert sends(answered(node, 1.0, node(1.0, unit("1", key="old"))))
-    (refused,) = node(2.0, unit("2", key="new"))
-    assert type(refused) is core.Reject
-    assert refused.retry_after_ms > 0.0
-    # Called off, as the pod's other server, if it has one, need not have room.
-    node(2.5, core.ClientLeft("1"))
-    node(2.5, core.AttemptEnded("1", 0, Outcome.CANCELLED, True, None))
-    assert sends(answered(node, 3.0, node(3.0, unit("3", key="old"))))
-
-
-def test_entries_of_a_cached_list_are_in_slow_start_and_get_no_keyed_request_until_proven(node):
-    old = [entry("x", 5)]
-    node(
-        0.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry(n, state=EndpointState.GONE) for n in "abc"])
+def test_past_the_maximum_a_new_key_is_rejected_with_retry_after_and_a_known_one_is_sent(seed):
+    reduce = start_reducer(seed)
+    reduce.reducer.idempotency_records.max_keys = 1
+    assert servers_sent_to(reduce_with_probes(reduce, 1.0, request_arrived("1", key="old")))
+    (rejection,) = reduce(2.0, request_arrived("2", key="new"))
+    assert type(rejection) is core.Reject
+    assert rejection.retry_after_ms > 0.0
+    # The first attempt is cancelled, as the other server of its cell, if there is one, may have no free slot.
+    reduce(2.5, core.ClientLeft("1"))
+    reduce(2.5, core.AttemptEnded("1", 0, Outcome.CANCELLED, True, None))
+    assert servers_sent_to(reduce_with_probes(reduce, 3.0, request_arrived("3", key="old")))
+
+
+def test_entries_of_a_cached_list_are_in_slow_start_and_get_no_keyed_request_until_proven(reduce):
+    cached = [make_entry("x", 5)]
+    reduce(
+        0.0,
+        core.EndpointListUpdate(
+            ListUpdateKind.FULL, [make_entry(name, state=EndpointState.GONE) for name in "abc"]
+        ),
     )
-    node(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, old, 0.6))
-    decider = node.reducer.dispatcher
-    e = node.reducer.servers.by_name["x"]
-    assert decider.slow_start_budget(e) < float("inf")
-    assert decider.identity_doubt[e] == 0.6
-    decider.slow_start_tokens[e] = 1.0
-    assert not sends(answered(node, 2.0, node(2.0, unit("1"))))
-    plain = answered(node, 3.0, node(3.0, unit("2", type=0, key=None)))
-    assert sends(plain) == ["x"]
-    assert 0.0 < decider.identity_doubt[e] < 0.6
-    node(4.0, core.AttemptStarted("2", 0))
-    assert decider.identity_doubt[e] == 0.0
-
-
-def test_the_live_endpoint_list_ends_all_doubt(node):
-    node(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, [entry("x", 5)], 0.6))
-    e = node.reducer.servers.by_name["x"]
-    node(2.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("x", 5), entry("a", 1)]))
-    decider = node.reducer.dispatcher
-    assert decider.identity_doubt[e] == 0.0
-    assert decider.slow_start_budget(e) == float("inf")
-    assert decider.endpoint_state[node.reducer.servers.by_name["b"]] is EndpointState.GONE
-
-
-def test_a_drain_during_recovery_holds_though_the_cached_list_says_ready(node):
-    node(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, [entry("x", 5), entry("y", 6)], 0.6))
-    node(
+    reduce(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, cached, 0.6))
+    dispatcher = reduce.reducer.dispatcher
+    server = reduce.reducer.servers.by_name["x"]
+    assert dispatcher.slow_start_budget(server) < float("inf")
+    assert dispatcher.identity_doubt[server] == 0.6
+    dispatcher.slow_start_tokens[server] = 1.0
+    assert not servers_sent_to(reduce_with_probes(reduce, 2.0, request_arrived("1")))
+    safe_effects = reduce_with_probes(reduce, 3.0, request_arrived("2", class_index=0, key=None))
+    assert servers_sent_to(safe_effects) == ["x"]
+    assert 0.0 < dispatcher.identity_doubt[server] < 0.6
+    reduce(4.0, core.AttemptStarted("2", 0))
+    assert dispatcher.identity_doubt[server] == 0.0
+
+
+def test_the_live_endpoint_list_ends_all_doubt(reduce):
+    reduce(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, [make_entry("x", 5)], 0.6))
+    server = reduce.reducer.servers.by_name["x"]
+    reduce(2.0, core.EndpointListUpdate(ListUpdateKind.FULL, [make_entry("x", 5), make_entry("a", 1)]))
+    dispatcher = reduce.reducer.dispatcher
+    assert dispatcher.identity_doubt[server] == 0.0
+    assert dispatcher.slow_start_budget(server) == float("inf")
+    assert dispatcher.endpoint_state[reduce.reducer.servers.by_name["b"]] is EndpointState.GONE
+
+
+def test_a_drain_during_recovery_holds_though_the_cached_list_says_ready(reduce):
+    reduce(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, [make_entry("x", 5), make_entry("y", 6)], 0.6))
+    reduce(
         2.0,
-        core.EndpointListUpdate(ListUpdateKind.FULL, [entry("x", 5, EndpointState.DRAINING), entry("y", 6)]),
+        core.EndpointListUpdate(
+            ListUpdateKind.FULL, [make_entry("x", 5, EndpointState.DRAINING), make_entry("y", 6)]
+        ),
     )
     for i in range(6):
-        effects = answered(node, 3.0 + i, node(3.0 + i, unit(str(i), type=0, key=None)))
-        assert sends(effects) in (["y"], [])
-
+        effects = reduce_with_probes(reduce, 3.0 + i, request_arrived(str(i), class_index=0, key=None))
+        assert servers_sent_to(effects) in (["y"], [])
 
-def test_a_live_list_older_than_the_saved_one_still_replaces_it(node, deployment, loop, upstream):
-    from marlseam.net.discovery import Discovery
 
-    parts = upstream()
-    heard = []
+def test_a_live_list_older_than_the_saved_one_still_replaces_it(deployment, loop, make_upstream):
+    upstream = make_upstream()
+    events = []
 
     class Config:
         known = {}
         discovery = ("127.0.0.1", 1)
 
     Config.deployment = deployment
-    live = Discovery(loop, parts.log, Config, parts, heard.append)
-    row = {
+    discovery = Discovery(loop, upstream.log, Config, upstream, events.append)
+    entry_values = {
         "dial": "127.0.0.1:9",
         "site": "here",
         "class": "plain",
@@ -280,90 +194,91 @@
         "health": "active",
         "born_ms": 0,
     }
-    assert live.take({"seq": 90, "whole": True, "hosts": [row | {"host": "old"}]}, cached=True, doubt=0.6)
-    assert heard[-1].update_kind is ListUpdateKind.CACHED
-    assert heard[-1].doubt == 0.6
-    assert live.take({"seq": 3, "whole": True, "hosts": [row | {"host": "new"}]})
-    assert set(live.held) == {"new"}
-    assert heard[-1].update_kind is ListUpdateKind.FULL
-    assert heard[-1].doubt == 0.0
-
-
-# What is not known, or cannot be put on record.
-
-
-def answers(effects):
-    return [type(e) for e in effects if type(e) in (core.SendAttempt, core.Reject, core.Fail)]
-
-
-def retry(request_id, type=1, key="k"):
-    return core.RequestArrived(Request(request_id, type, 1e6, idempotency_key=key, may_be_retry=True))
-
-
-@pytest.mark.parametrize("type", [1, 2])
-def test_a_retry_of_what_is_not_known_is_failed_at_once_until_it_is_known(node, type):
-    node(1.0, core.HistoryUnavailable("store"))
-    # The old code took an empty memory for a true one, and sent it.
-    assert answers(node(2.0, retry("1", type))) == [core.Fail]
-    node(900000.0, core.HistoryUnavailable("store"))
-    assert answers(node(900001.0, retry("2", type))) == [core.Fail]  # no time ends it while more may go out
-    assert core.SendAttempt in answers(answered(node, 900002.0, node(900002.0, retry("3", type=0))))
-    node(900003.0, core.HistoryAvailable("store"))
-    assert core.SendAttempt in answers(answered(node, 900004.0, node(900004.0, retry("4", type))))
+    assert discovery.take(
+        {"seq": 90, "whole": True, "hosts": [entry_values | {"host": "old"}]}, cached=True, doubt=0.6
+    )
+    assert events[-1].update_kind is ListUpdateKind.CACHED
+    assert events[-1].doubt == 0.6
+    assert discovery.take({"seq": 3, "whole": True, "hosts": [entry_values | {"host": "new"}]})
+    assert set(discovery.held) == {"new"}
+    assert events[-1].update_kind is ListUpdateKind.FULL
+    assert events[-1].doubt == 0.0
+
+
+def answer_types(effects):
+    """Return the types of the attempts and final answers among some effects."""
+    answers = (core.SendAttempt, core.Reject, core.Fail)
+    return [type(effect) for effect in effects if type(effect) in answers]
+
+
+def retry_arrived(request_id, class_index=1, key="k"):
+    """Return the arrival of a request that its client marks as a retry."""
+    request = Request(request_id, class_index, 1e6, idempotency_key=key, may_be_retry=True)
+    return core.RequestArrived(request)
+
+
+@pytest.mark.parametrize("class_index", [1, 2])
+def test_a_retry_is_failed_at_once_while_the_history_is_unavailable(reduce, class_index):
+    reduce(1.0, core.HistoryUnavailable("store"))
+    # Guards against taking an empty history for a true one, and sending the retry.
+    assert answer_types(reduce(2.0, retry_arrived("1", class_index))) == [core.Fail]
+    reduce(900000.0, core.HistoryUnavailable("store"))
+    # No time ends it while further attempts may be sent.
+    assert answer_types(reduce(900001.0, retry_arrived("2", class_index))) == [core.Fail]
+    assert core.SendAttempt in answer_types(
+        reduce_with_probes(reduce, 900002.0, retry_arrived("3", class_index=0))
+    )
+    reduce(900003.0, core.HistoryAvailable("store"))
+    assert core.SendAttempt in answer_types(
+        reduce_with_probes(reduce, 900004.0, retry_arrived("4", class_index))
+    )
 
 
-def test_unavailable_history_binds_for_as_long_as_servers_remember_and_each_source_alone(node):
-    node(1.0, core.HistoryUnavailable("store", 1.0))
-    node(1.0, core.HistoryUnavailable("process", 500.0))
-    assert answers(node(4990.0, retry("1"))) == [core.Fail]
-    node(4991.0, core.HistoryAvailable("store"))
-    assert answers(node(5400.0, retry("2"))) == [core.Fail]
-    assert core.SendAttempt in answers(answered(node, 5501.0, node(5501.0, unit("3", expires=9000.0))))
-    assert not node.reducer.is_history_incomplete()
+def test_each_source_of_history_is_unavailable_until_the_deduplication_window_is_over(reduce):
+    reduce(1.0, core.HistoryUnavailable("store", 1.0))
+    reduce(1.0, core.HistoryUnavailable("process", 500.0))
+    assert answer_types(reduce(4990.0, retry_arrived("1"))) == [core.Fail]
+    reduce(4991.0, core.HistoryAvailable("store"))
+    assert answer_types(reduce(5400.0, retry_arrived("2"))) == [core.Fail]
+    assert core.SendAttempt in answer_types(
+        reduce_with_probes(reduce, 5501.0, request_arrived("3", deadline_at_ms=9000.0))
+    )
+    assert not reduce.reducer.is_history_incomplete()
 
 
-def test_a_rejection_promises_nothing_past_the_deduplication_window(make_dispatcher, make_request):
-    wide = replace(KEYED, deduplication_scope=DeduplicationScope.ALL)
-    dispatcher = make_dispatcher(0.0, 0.0, request_classes=(*SETTINGS.request_classes[:1], wide))
+def test_no_request_is_rejected_safely_near_the_end_of_its_deduplication_window(
+    make_dispatcher, make_request
+):
+    keyed_everywhere = replace(KEYED, deduplication_scope=DeduplicationScope.ALL)
+    dispatcher = make_dispatcher(0.0, 0.0, request_classes=(*SETTINGS.request_classes[:1], keyed_everywhere))
     state = make_request(dispatcher, class_index=1, attempts=((0, Outcome.BROKEN),))
     assert state.may_reject_safely()
-    dispatcher.port.clock += (
-        wide.deduplication_window_ms - dispatcher.ejection_base_ms / 2.0
-    )  # it would come back to a pod that has forgotten
+    # A retry of the client would now come to a server that has forgotten the key.
+    dispatcher.port.clock += keyed_everywhere.deduplication_window_ms - dispatcher.ejection_base_ms / 2.0
     assert not state.may_reject_safely()
 
 
-def test_what_cannot_be_put_on_record_is_answered_at_once_and_the_rest_served(node):
-    def request(request_id, type, key="k"):
+def test_a_keyed_request_that_cannot_be_recorded_is_rejected_and_others_are_served(reduce):
+    def request(request_id, class_index, key="k"):
         return core.RequestArrived(
-            Request(request_id, type, 5000.0, idempotency_key=key, is_recordable=False)
+            Request(request_id, class_index, 5000.0, idempotency_key=key, is_recordable=False)
         )
 
-    (refused,) = [e for e in node(1.0, request("1", 1)) if answers([e])]
-    assert type(refused) is core.Reject
-    assert refused.retry_after_ms > 0.0
-    assert core.SendAttempt in answers(answered(node, 2.0, node(2.0, request("2", 0))))
-    assert core.SendAttempt in answers(answered(node, 3.0, node(3.0, request("3", 2, key=None))))
-    node(4.0, core.HistoryRecovered({"old": [AttemptRecord("a", 0, 1, 0.0, 9000.0)]}))
-    assert answers(node(5.0, request("4", 1, key="old"))) == [core.Fail]
-
-
-def test_an_attempt_whose_record_is_not_durable_never_ran_and_none_follows(node):
-    (first,) = sends(answered(node, 1.0, node(1.0, unit("1"))))
-    effects = node(2.0, core.NotDurable("1", 0))
-    assert [type(e) for e in effects if type(e) is not core.SetTimer] == [core.ErasePersisted, core.Reject]
-    assert not node.reducer.idempotency_records.attempts("k", 3.0)
-    assert "1" not in node.reducer.open_requests
-
-
-def test_records_restored_late_go_before_those_added_meanwhile():
-    idempotency_records = IdempotencyRecords(10)
-    idempotency_records.add("a", AttemptRecord("g", 0, 0, 10.0, 60.0))
-    idempotency_records.add("b", AttemptRecord("h", 0, 0, 10.0, 70.0))
-    idempotency_records.restore(
-        {"a": [AttemptRecord("e", 0, 0, 0.0, 50.0)], "c": [AttemptRecord("f", 0, 0, 1.0, 40.0)]}
-    )
-    assert [t.server for t in idempotency_records.attempts("a", 20.0)] == ["e", "g"]
-    assert idempotency_records.expire(45.0) == ["c"]
-    assert idempotency_records.expire(65.0) == ["a"]
-    assert idempotency_records.attempts("b", 65.0)
+    (rejection,) = [effect for effect in reduce(1.0, request("1", 1)) if answer_types([effect])]
+    assert type(rejection) is core.Reject
+    assert rejection.retry_after_ms > 0.0
+    assert core.SendAttempt in answer_types(reduce_with_probes(reduce, 2.0, request("2", 0)))
+    assert core.SendAttempt in answer_types(reduce_with_probes(reduce, 3.0, request("3", 2, key=None)))
+    reduce(4.0, core.HistoryRecovered({"old": [AttemptRecord("a", 0, 1, 0.0, 9000.0)]}))
+    assert answer_types(reduce(5.0, request("4", 1, key="old"))) == [core.Fail]
+
+
+def test_an_attempt_whose_record_is_not_durable_is_erased_and_its_request_rejected(reduce):
+    assert len(servers_sent_to(reduce_with_probes(reduce, 1.0, request_arrived("1")))) == 1
+    effects = reduce(2.0, core.NotDurable("1", 0))
+    assert [type(effect) for effect in effects if type(effect) is not core.SetTimer] == [
+        core.ErasePersisted,
+        core.Reject,
+    ]
+    assert not reduce.reducer.idempotency_records.attempts("k", 3.0)
+    assert "1" not in reduce.reducer.open_requests
