--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,6 +12,7 @@
 import h11
 import pytest
 from hypothesis import settings as hypothesis_settings
+from operator_calls import OperatorReply, read_more
 
 from marlseam.configuration import Config, ConfigError, Deployment, deployment_from, load, operator_settings
 from marlseam.core import Event
@@ -494,6 +495,25 @@
     return wait
 
 
+@pytest.fixture
+def call_operator(
+    node: Node,
+    client: Callable[..., socket.socket],
+    reply: Callable[[socket.socket], bytes],
+) -> Callable[..., OperatorReply]:
+    """Return a function that makes one call at the operators' address."""
+
+    def call(method: str, path: str, headers: str = "") -> OperatorReply:
+        sock = client(f"{method} {path} HTTP/1.1\r\nHost: h\r\n{headers}\r\n".encode(), node.admin)
+        data = reply(sock)
+        while more := b"" if b"Content-Length: 0" in data else read_more(node, sock):
+            data += more
+        head, _, body = data.partition(b"\r\n\r\n")
+        return OperatorReply(int(head.split()[1]), body.decode(), head.decode())
+
+    return call
+
+
 @pytest.fixture
 def start_server(node: Node) -> Callable[[], list[bytes]]:
     """Return a function that starts server e1 for the node, and returns the methods of its requests."""
