--- a/tests/test_quota_leasing.py
+++ b/tests/test_quota_leasing.py
@@ -21,28 +21,28 @@
 )
 
 
-def test_no_interleaving_of_few_steps_goes_over():
-    found = explore(8)
-    assert found.path == []
-    assert found.depth == 8
-    assert found.states > 20000
+def test_no_interleaving_of_eight_steps_exceeds_the_limit():
+    explored = explore(8)
+    assert explored.path == []
+    assert explored.depth == 8
+    assert explored.states > 20000
 
 
-def test_long_random_walks_do_not_go_over_either():
+def test_long_random_walks_do_not_exceed_the_limit():
     assert random_walks(400, 30, Rules()) == []
 
 
 class ReusesRequestIds(Rules):
-    """Planted: a process that restarts numbers its requests as the one before."""
+    """Planted defect: a process that restarts numbers its requests as the one before."""
 
     def request(self, state, now_ms, lender, amount, renewed_lease_id=None):
-        anew = state._replace(generation=0)
-        after, request = super().request(anew, now_ms, lender, amount, renewed_lease_id)
+        without_generation = state._replace(generation=0)
+        after, request = super().request(without_generation, now_ms, lender, amount, renewed_lease_id)
         return Transition(after._replace(generation=state.generation), request)
 
 
 class CountsFromTheGrant(Rules):
-    """Planted: a borrower's lease counts from when the grant came."""
+    """Planted defect: a borrower's lease counts from when the grant came."""
 
     def handle_grant(self, state, now_ms, sender, grant):
         pending = tuple(request._replace(sent_ms=now_ms) for request in state.pending_requests)
@@ -50,14 +50,14 @@
 
 
 class SendsBeforeDurable(Rules):
-    """Planted: a grant is sent before it is on record."""
+    """Planted defect: a grant is sent before it is on record."""
 
     def may_send_before_durable(self):
         return True
 
 
 class UsesItsShareAtOnce(Rules):
-    """Planted: a process without its record uses its share at once."""
+    """Planted defect: a process without its record uses its share at once."""
 
     def restarted(self, share, generation, now_ms, recorded):
         state = super().restarted(share, generation, now_ms, recorded)
@@ -65,21 +65,21 @@
 
 
 class LendsWhatIsInUse(Rules):
-    """Planted: what is in use is lent."""
+    """Planted defect: what is in use is lent."""
 
     def lendable(self, state, now_ms):
         return self.unlent_share(state, now_ms)
 
 
 class LendsTwice(Rules):
-    """Planted: what is lent is forgotten."""
+    """Planted defect: what is lent is forgotten."""
 
     def unlent_share(self, state, now_ms):
         return state.share if now_ms >= state.share_withheld_until_ms else 0.0
 
 
 class LendsWhatIsBorrowed(Rules):
-    """Planted: what is borrowed is lent to a third member, for a lease of its own."""
+    """Planted defect: what is borrowed is lent to a third member, for a lease of its own."""
 
     def lendable(self, state, now_ms):
         return max(0.0, self.usable(state, now_ms) - state.used)
@@ -92,7 +92,7 @@
 
 
 class RenewsWhatWasReturned(Rules):
-    """Planted: the renewal of a lease that was returned brings it back."""
+    """Planted defect: the renewal of a lease that was returned brings it back."""
 
     def handle_grant(self, state, now_ms, sender, grant):
         pending = find_request(state, sender, grant.request_id)
@@ -105,28 +105,28 @@
 
 
 class TakesAnyReturn(Rules):
-    """Planted: a returned lease counts for all that is lent to that member."""
+    """Planted defect: a returned lease counts for all that is lent to that member."""
 
     def handle_return(self, state, sender, _returned):
         return state._replace(granted=tuple(lease for lease in state.granted if lease.borrower != sender))
 
 
 class LenderLeaseTooShort(Rules):
-    """Planted: the lender's lease is shorter than the borrower's."""
+    """Planted defect: the lender's lease is shorter than the borrower's."""
 
     def lender_lease_ms(self):
         return self.lease_ms - 1
 
 
 class HeldLeaseNeverExpires(Rules):
-    """Planted: a borrower goes on after its lease."""
+    """Planted defect: a borrower goes on after its lease."""
 
     def usable(self, state, now_ms):
         return self.unlent_share(state, now_ms) + sum(lease.amount for lease in state.held)
 
 
 class TakesAGrantTwice(Rules):
-    """Planted: a grant that comes twice counts twice."""
+    """Planted defect: a grant that comes twice counts twice."""
 
     def handle_grant(self, state, now_ms, sender, grant):
         after, returned = super().handle_grant(state, now_ms, sender, grant)
@@ -156,7 +156,19 @@
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["time", "ask", "hear", "again", "give", "durable", "restart", "forget", "use"]),
+        st.sampled_from(
+            [
+                "advance_time",
+                "borrow",
+                "deliver",
+                "renew",
+                "return_lease",
+                "make_durable",
+                "restart",
+                "restart_without_record",
+                "use",
+            ]
+        ),
         st.integers(0, 2),
         st.integers(0, 30),
     ),
@@ -168,94 +180,108 @@
     """Three members with shares of 4, 2 and 0, by clocks of their own; messages come late, repeated or never.
 
     Each step is for one member, and takes a number that says how much, to whom or which.
+
+    Attributes:
+        rules: the rules of leasing that all follow.
+        rates: how fast each member's clock runs, by true time.
+        real_ms: the true time.
+        generations: how many processes have been started.
+        states: each member's state.
+        disks: the grants that each member has on its disk.
+        sent: all messages so far, with their sender and receiver.
+
     """
 
     def __init__(self, rates):
         self.rules, self.rates = QuotaLeasing(1000.0), rates
         self.real_ms, self.generations = 0.0, 3
-        self.states = [QuotaState(share, i) for i, share in enumerate((4.0, 2.0, 0.0))]
+        self.states = [QuotaState(share, generation) for generation, share in enumerate((4.0, 2.0, 0.0))]
         self.disks = [(), (), ()]
         self.sent = []
 
-    def now(self, member):
+    def local_ms(self, member):
         return self.real_ms * self.rates[member]
 
-    def time(self, _member, number):
+    def advance_time(self, _member, number):
         self.real_ms += 60.0 * number
 
-    def ask(self, member, number):
-        to = (member + 1 + number % 2) % 3
-        self.request(member, str(to), 1.0 + number % 4)
+    def borrow(self, member, number):
+        lender = (member + 1 + number % 2) % 3
+        self.request(member, str(lender), 1.0 + number % 4)
 
-    def again(self, member, number):
+    def renew(self, member, number):
         if held := self.states[member].held:
             lease = held[number % len(held)]
             self.request(member, lease.lender, 1.0, lease.lease_id)
 
-    def request(self, member, lender, *what):
+    def request(self, member, lender, amount, renewed_lease_id=None):
         self.states[member], request = self.rules.request(
-            self.states[member], self.now(member), lender, *what
+            self.states[member], self.local_ms(member), lender, amount, renewed_lease_id
         )
         self.sent.append((member, int(lender), request))
 
-    def give(self, member, number):
+    def return_lease(self, member, number):
         if held := self.states[member].held:
             lease = held[number % len(held)]
-            state, returned = self.rules.return_lease(self.states[member], self.now(member), lease)
+            state, returned = self.rules.return_lease(self.states[member], self.local_ms(member), lease)
             self.answer(member, int(lease.lender), state, returned)
 
-    def durable(self, member, _number):
+    def make_durable(self, member, _number):
         if self.states[member].unsent_grants:
-            state, grants = self.rules.send_durable(self.states[member], self.now(member))
+            state, grants = self.rules.send_durable(self.states[member], self.local_ms(member))
             self.states[member], self.disks[member] = state, state.granted
-            self.sent += [(member, int(to), grant) for to, grant in grants]
+            self.sent += [(member, int(borrower), grant) for borrower, grant in grants]
 
     def restart(self, member, _number):
-        self.begin(member, self.disks[member])
+        self.start_process(member, self.disks[member])
 
-    def forget(self, member, _number):
-        self.begin(member, None)
+    def restart_without_record(self, member, _number):
+        self.start_process(member, None)
 
-    def begin(self, member, recorded):
+    def start_process(self, member, recorded):
         self.generations += 1
-        share, now = self.states[member].share, self.now(member)
-        self.states[member] = self.rules.restarted(share, self.generations, now, recorded)
+        share, now_ms = self.states[member].share, self.local_ms(member)
+        self.states[member] = self.rules.restarted(share, self.generations, now_ms, recorded)
 
     def use(self, member, number):
         state = self.states[member]
-        used = self.rules.usable(state, self.now(member)) * number / 30.0
+        used = self.rules.usable(state, self.local_ms(member)) * number / 30.0
         self.states[member] = state._replace(used=used)
 
-    def hear(self, _member, number):
+    def deliver(self, _member, number):
         if not self.sent:
             return
-        sender, to, message = self.sent[number % len(self.sent)]
-        state, now = self.states[to], self.now(to)
+        sender, receiver, message = self.sent[number % len(self.sent)]
+        state, now_ms = self.states[receiver], self.local_ms(receiver)
         if isinstance(message, LeaseRequest):
-            self.answer(to, sender, *self.rules.handle_request(state, now, str(sender), message))
+            self.answer(receiver, sender, *self.rules.handle_request(state, now_ms, str(sender), message))
         elif isinstance(message, LeaseGrant):
-            self.answer(to, sender, *self.rules.handle_grant(state, now, str(sender), message))
+            self.answer(receiver, sender, *self.rules.handle_grant(state, now_ms, str(sender), message))
         else:
-            self.states[to] = self.rules.handle_return(state, str(sender), message)
+            self.states[receiver] = self.rules.handle_return(state, str(sender), message)
 
-    def answer(self, member, to, state, message):
+    def answer(self, member, receiver, state, message):
         self.states[member] = state
         if message is not None:
-            self.sent.append((member, to, message))
+            self.sent.append((member, receiver, message))
 
     def expire(self):
-        """Drop what has expired, and stop using what may be used no more."""
+        """Drop expired leases, and lower the use of each member to what it may still use."""
         for member, state in enumerate(self.states):
-            now = self.now(member)
-            state = self.rules.without_expired(state, now)
-            self.states[member] = state._replace(used=min(state.used, self.rules.usable(state, now)))
+            now_ms = self.local_ms(member)
+            remaining = self.rules.without_expired(state, now_ms)
+            used = min(remaining.used, self.rules.usable(remaining, now_ms))
+            self.states[member] = remaining._replace(used=used)
 
     def usable(self):
-        return sum(self.rules.usable(state, self.now(i)) for i, state in enumerate(self.states))
+        """Return how much of the quota all members may use together."""
+        return sum(
+            self.rules.usable(state, self.local_ms(member)) for member, state in enumerate(self.states)
+        )
 
 
 @given(STEPS, st.tuples(*[st.floats(1.0 - CLOCK_DRIFT, 1.0 + CLOCK_DRIFT)] * 3))
-def test_clocks_within_the_drift_never_bring_the_sum_over(steps, rates):
+def test_with_clocks_within_the_drift_members_never_exceed_the_limit(steps, rates):
     members = Members(rates)
     for step, member, number in steps:
         getattr(members, step)(member, number)
@@ -264,23 +290,24 @@
 
 
 @pytest.mark.parametrize("seed", [0, 1, 2, 3, 4, 5])
-def test_no_schedule_brings_the_sum_over_and_quota_follows_the_demand(seed):
-    assert quota_schedules.play(7, seed, quota_schedules.schedule(7, seed) if seed else []).violations == []
+def test_no_schedule_exceeds_the_limit_and_quota_follows_the_demand(seed):
+    faults = quota_schedules.schedule(7, seed) if seed else []
+    assert quota_schedules.play(7, seed, faults).violations == []
 
 
-def test_a_member_with_high_demand_gets_what_others_do_not_use_in_a_few_periods():
+def test_a_member_with_high_demand_borrows_what_others_do_not_use_in_a_few_periods():
     # Fixed shares would leave it at one of the five that it wants.
     simulation = quota_schedules.QuotaSimulation(
         7, 1, [], 70.0, quota_schedules.demand_on_one(70.0, 7, "n3", 5.0)
     )
     simulation.run(6000.0)
-    at, used, wanted = simulation.samples[-1]
+    sampled_ms, used, wanted = simulation.samples[-1]
     assert used >= 0.95 * wanted == 0.95 * 56.0
-    assert at < 6001.0
+    assert sampled_ms < 6001.0
     assert simulation.max_usable <= 70.0 + 1e-9
 
 
-def test_a_member_cut_off_keeps_its_own_share_and_no_more():
+def test_a_partitioned_member_keeps_its_own_share_and_no_more():
     simulation = quota_schedules.QuotaSimulation(
         7, 1, [], 70.0, quota_schedules.demand_on_one(70.0, 7, "n3", 5.0)
     )
@@ -293,16 +320,18 @@
 
 
 @pytest.mark.parametrize(
-    "machine",
+    "rules",
     [
-        type("Early", (QuotaLeasing,), {"lender_lease_ms": lambda self: 0.5 * self.lease_ms}),
-        type("Late", (QuotaLeasing,), {"borrower_lease_ms": lambda self: 2.0 * self.lease_ms}),
+        type("LenderLeaseEndsEarly", (QuotaLeasing,), {"lender_lease_ms": lambda self: 0.5 * self.lease_ms}),
+        type(
+            "BorrowerLeaseEndsLate", (QuotaLeasing,), {"borrower_lease_ms": lambda self: 2.0 * self.lease_ms}
+        ),
     ],
 )
-def test_a_lease_that_is_wrong_on_one_side_brings_the_sum_over(machine):
-    # A borrower that is cut off: its lender uses the quota again by its own lease.
+def test_a_lease_that_is_wrong_on_one_side_exceeds_the_limit(rules):
+    # The borrower is partitioned off: its lender uses the quota again by its own lease.
     simulation = quota_schedules.QuotaSimulation(
-        7, 1, [], 70.0, quota_schedules.demand_on_one(70.0, 7, "n3", 5.0), rules=machine
+        7, 1, [], 70.0, quota_schedules.demand_on_one(70.0, 7, "n3", 5.0), rules=rules
     )
     simulation.run(6000.0)
     simulation.cuts += [("n3", "", 1e9), ("", "n3", 1e9)]
@@ -310,7 +339,7 @@
     assert simulation.max_usable > 70.0 + 1.0
 
 
-def test_nothing_is_lent_below_the_minimum_or_beyond_a_share_of_what_is_free():
+def test_a_grant_is_at_least_the_minimum_and_at_most_a_part_of_what_is_free():
     rules = QuotaLeasing(1000.0, min_lease=1.0)
     request = LeaseRequest(SerialNumber(2, 1), 9.0)
     state, grant = rules.handle_request(QuotaState(10.0, 1, used=4.0), 0.0, "b", request)
@@ -329,7 +358,7 @@
     assert grant.amount == 0.0
 
 
-def test_a_lease_in_use_is_not_returned_and_one_that_came_too_late_is_at_once():
+def test_a_lease_in_use_is_not_returned_and_a_late_grant_is_returned_at_once():
     rules = QuotaLeasing(1000.0)
     lease = HeldLease("a", SerialNumber(1, 1), 2.0, 500.0)
     state, returned = rules.return_lease(QuotaState(1.0, 2, used=2.0, held=(lease,)), 0.0, lease)
@@ -343,7 +372,7 @@
     assert not state.held
 
 
-def test_a_smaller_share_holds_at_once_and_a_larger_one_once_it_is_on_all():
+def test_a_smaller_share_holds_at_once_and_a_larger_one_once_all_members_have_it():
     rules = QuotaLeasing(1000.0)
     state = QuotaState(4.0, 1)
     assert rules.with_share(state, 6.0, is_on_all=False).share == 4.0
