--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -1,4 +1,4 @@
-"""Agreement on a version's content: every interleaving in a small size, and defects that the search finds."""
+"""Paxos on a version's content: every interleaving of a small size, and planted defects that are found."""
 
 import pytest
 
@@ -23,71 +23,71 @@
 )
 
 
-def test_no_interleaving_of_few_steps_gives_one_number_two_contents():
-    found = explore(8)
-    assert found.path == []
-    assert found.depth == 8
-    assert found.states > 10000
+def test_no_interleaving_of_eight_steps_gives_one_number_two_contents():
+    explored = explore(8)
+    assert explored.path == []
+    assert explored.depth == 8
+    assert explored.states > 10000
 
 
 def test_long_random_walks_find_no_broken_state():
     assert random_walks(150, 24, Rules()) == []
 
 
-def changed(**named):
-    return type("Changed", (Proposer,), named)
+def proposer_with(**methods):
+    """Return a kind of proposer with other methods."""
+    return type("DefectiveProposer", (Proposer,), methods)
 
 
 class ForgetsPromise(Rules):
-    """Planted: a voter's promise is not on its disk, what it accepted is."""
+    """Planted defect: a voter's promise is not on its disk, what it accepted is."""
 
     def durable_state(self, voter, new):
         return new if new.accepted > voter.disk.accepted else voter.disk
 
 
 class ForgetsAccepted(Rules):
-    """Planted: what a voter accepted is not on its disk, its promise is."""
+    """Planted defect: what a voter accepted is not on its disk, its promise is."""
 
-    def durable_state(self, voter, new):
+    def durable_state(self, _voter, new):
         return new._replace(accepted=NO_BALLOT, value="")
 
 
-class SpeaksFirst(Rules):
-    """Planted: a voter speaks before its disk has it."""
+class AnswersBeforeDurable(Rules):
+    """Planted defect: a voter answers before its state is on its disk."""
 
-    def durable_state(self, voter, new):
+    def durable_state(self, voter, _new):
         return voter.process
 
 
 class Proposers(Rules):
-    """Operators of another kind."""
+    """Rules under which operators use another kind of proposer."""
 
     kind = Proposer
 
     def proposer(self, place, operator):
-        held = operator.round, operator.is_open
-        electorate = self.electorate(place)
         return self.kind(
             self.ballot_place(place, operator),
             NUMBER,
             operator.value,
-            electorate,
-            *held,
+            self.electorate(place),
+            operator.round,
+            operator.is_open,
             requested_value=operator.requested,
         )
 
 
 class HalfIsEnough(Proposers):
-    """Planted: half of the voters count as a majority."""
+    """Planted defect: half of the voters count as a majority."""
 
-    kind = changed(quorum_size=lambda self: len(self.voters) // 2)
+    kind = proposer_with(quorum_size=lambda self: len(self.voters) // 2)
 
     def quorum_size(self, electorate):
         return len(electorate) // 2
 
 
-class WrongVoters(Rules):
-    """Planted: an operator takes the voters of another version."""
+class VotersOfAnotherVersion(Rules):
+    """Planted defect: an operator takes the voters of another version."""
 
     voters = ("a", "b", "c", "d", "e")
 
@@ -95,107 +95,120 @@
         return frozenset("abc" if place == 1 else "cde")
 
 
-class OwnGoesFirst(Proposers):
-    """Planted: what was accepted before is not looked at."""
+def handle_without_accepted(self, message):
+    """Handle a message as if no voter had accepted a value before."""
+    if type(message) is Promise:
+        message = message._replace(accepted=NO_BALLOT)
+    return Proposer.handle(self, message)
+
 
-    kind = changed(
-        handle=lambda self, m: Proposer.handle(
-            self, m._replace(accepted=NO_BALLOT) if type(m) is Promise else m
-        )
-    )
+class ProposesItsOwnValue(Proposers):
+    """Planted defect: values that were accepted before are ignored."""
+
+    kind = proposer_with(handle=handle_without_accepted)
 
 
-def earliest(self, message):
+def handle_with_earliest(self, message):
+    """Handle a message so that of the values accepted before, the earliest counts as the latest."""
     if type(message) is Promise and message.accepted > NO_BALLOT:
         other = {"1.0": "2.0", "2.0": "1.0"}[message.accepted[1]]
         message = message._replace(accepted=(9 - message.accepted[0], other))
     return Proposer.handle(self, message)
 
 
-class EarliestGoesFirst(Proposers):
-    """Planted: of what was accepted before, the earliest is taken."""
+class ProposesTheEarliestValue(Proposers):
+    """Planted defect: of the values accepted before, the earliest is proposed."""
 
-    kind = changed(handle=earliest)
+    kind = proposer_with(handle=handle_with_earliest)
 
 
-class SameRoundAgain(Rules):
-    """Planted: an operator that restarts begins its rounds anew."""
+class ReusesRounds(Rules):
+    """Planted defect: an operator that restarts begins its rounds anew."""
 
-    def ballot_place(self, place, operator):
+    def ballot_place(self, place, _operator):
         return f"{place}.0"
 
 
-class LossUnknown(Rules):
-    """Planted: a voter whose folder was set back goes on as if it were whole."""
+class LossNotDetected(Rules):
+    """Planted defect: a voter whose state was restored from a backup goes on as if it were complete."""
 
     def knows_loss(self):
         return False
 
 
 class VotesAfterLoss(Rules):
-    """Planted: a voter that knows of its loss votes all the same."""
+    """Planted defect: a voter that knows of its loss votes all the same."""
 
-    def may_vote(self, voter):
+    def may_vote(self, _voter):
         return True
 
 
-class FromTheAnswer(Rules):
-    """Planted: a proof holds as of when the answers came."""
+class ProofTimedByAnswers(Rules):
+    """Planted defect: a proof holds as of when the answers came."""
 
     def is_proof_false(self, state):
         return bool(chosen_contents(state, self))
 
 
-class ClearByDisk(Rules):
-    """Planted: a voter that has promised and not accepted in this life says it is clear."""
+class ClearAfterPromise(Rules):
+    """Planted defect: a voter that has promised but not accepted since its start answers that it is clear."""
 
     def is_clear(self, voter):
         return voter.has_memory
 
 
-class ProvedByOne(Rules):
-    """Planted: one voter's word is a proof."""
+class ProofByOneVoter(Rules):
+    """Planted defect: one voter's answer is a proof."""
 
     def is_proof(self, voters):
         return bool(voters)
 
 
-class TakesAnything(Rules):
-    """Planted: a voter accepts under an earlier ballot than it promised."""
+class AcceptsEarlierBallots(Rules):
+    """Planted defect: a voter accepts under an earlier ballot than it promised."""
 
     def acceptor(self, name, held):
-        class Lax(Acceptor):
+        class LaxAcceptor(Acceptor):
             def handle(self, message):
                 if type(message) is Prepare:
                     return super().handle(message)
                 new = AcceptorState(max(message.ballot, held.ballot), message.ballot, message.value)
                 return new, Accepted(message.number, message.ballot, name, message.value)
 
-        return Lax(name, {NUMBER: held})
+        return LaxAcceptor(name, {NUMBER: held})
 
 
-ONE = ["1 begins 1", "a hears Prepare", "b hears Prepare", "1 asks", "a hears Accept"]
-TWO = ["2 begins 1", *(f"{v} hears Prepare(number=2, ballot=(1, '2.0')" for v in "bc"), "2 asks"]
-FAR = [*ONE, *TWO, *(f"{v} hears Accept(number=2, ballot=(1, '2.0')" for v in "bc"), "1 begins 2"]
+FIRST_PROPOSAL = ["1 begins 1", "a hears Prepare", "b hears Prepare", "1 asks", "a hears Accept"]
+SECOND_PROPOSAL = [
+    "2 begins 1",
+    *(f"{voter} hears Prepare(number=2, ballot=(1, '2.0')" for voter in "bc"),
+    "2 asks",
+]
+THIRD_ROUND = [
+    *FIRST_PROPOSAL,
+    *SECOND_PROPOSAL,
+    *(f"{voter} hears Accept(number=2, ballot=(1, '2.0')" for voter in "bc"),
+    "1 begins 2",
+]
 
 
 @pytest.mark.parametrize(
     ("rules", "path"),
     [
-        (ForgetsPromise, ONE[:4]),
-        (ForgetsAccepted, ONE),
-        (SpeaksFirst, ONE[:4]),
+        (ForgetsPromise, FIRST_PROPOSAL[:4]),
+        (ForgetsAccepted, FIRST_PROPOSAL),
+        (AnswersBeforeDurable, FIRST_PROPOSAL[:4]),
         (HalfIsEnough, []),
-        (WrongVoters, [*ONE, "b hears Accept", "2 begins 1"]),
-        (OwnGoesFirst, ONE),
-        (EarliestGoesFirst, FAR),
-        (SameRoundAgain, ONE),
-        (TakesAnything, ONE[:4]),
-        (LossUnknown, ONE),
-        (VotesAfterLoss, ONE),
-        (FromTheAnswer, ONE[:5]),
-        (ClearByDisk, ONE),
-        (ProvedByOne, ONE),
+        (VotersOfAnotherVersion, [*FIRST_PROPOSAL, "b hears Accept", "2 begins 1"]),
+        (ProposesItsOwnValue, FIRST_PROPOSAL),
+        (ProposesTheEarliestValue, THIRD_ROUND),
+        (ReusesRounds, FIRST_PROPOSAL),
+        (AcceptsEarlierBallots, FIRST_PROPOSAL[:4]),
+        (LossNotDetected, FIRST_PROPOSAL),
+        (VotesAfterLoss, FIRST_PROPOSAL),
+        (ProofTimedByAnswers, FIRST_PROPOSAL[:5]),
+        (ClearAfterPromise, FIRST_PROPOSAL),
+        (ProofByOneVoter, FIRST_PROPOSAL),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
@@ -212,27 +225,27 @@
     assert voter.handle(Accept(2, (1, "2"), "y")) == (None, Refused(2, (1, "2"), (2, "1")))
     new, _ = voter.handle(Accept(2, (2, "1"), "x"))
     voter.record(2, new)
-    assert voter.handle(Prepare(3, (1, "2")))[0] == AcceptorState((1, "2"))  # each number for itself
+    assert voter.handle(Prepare(3, (1, "2")))[0] == AcceptorState((1, "2"))  # each number has its own promise
 
 
 def test_a_proposer_counts_only_voters_of_its_number_in_its_own_round():
-    operator = Proposer("1", 2, "x", frozenset("abc"))
-    assert operator.handle(Promise(2, (0, "1"), "a", NO_BALLOT, "")) is None  # nothing has begun
-    operator.begin_round()
+    proposer = Proposer("1", 2, "x", frozenset("abc"))
+    assert proposer.handle(Promise(2, (0, "1"), "a", NO_BALLOT, "")) is None  # no round has begun
+    proposer.begin_round()
     for number, place, voter in ((2, "1", "z"), (3, "1", "a"), (2, "2", "a")):
-        assert operator.handle(Promise(number, (1, place), voter, NO_BALLOT, "")) is None
-        assert not operator.promises
-    assert operator.handle(Refused(2, (1, "1"), (4, "2"))) == Prepare(2, (5, "1"))
-    operator.handle(Promise(2, (5, "1"), "a", (3, "2"), "y"))
-    assert operator.handle(Promise(2, (5, "1"), "b", (1, "1"), "x")) == Accept(2, (5, "1"), "y")
+        assert proposer.handle(Promise(number, (1, place), voter, NO_BALLOT, "")) is None
+        assert not proposer.promises
+    assert proposer.handle(Refused(2, (1, "1"), (4, "2"))) == Prepare(2, (5, "1"))
+    proposer.handle(Promise(2, (5, "1"), "a", (3, "2"), "y"))
+    assert proposer.handle(Promise(2, (5, "1"), "b", (1, "1"), "x")) == Accept(2, (5, "1"), "y")
     for voter in "ab":
-        operator.handle(Accepted(2, (5, "1"), voter, "y"))
-    assert operator.chosen == "y"
-    assert operator.handle(Accepted(2, (5, "1"), "c", "y")) is None
+        proposer.handle(Accepted(2, (5, "1"), voter, "y"))
+    assert proposer.chosen == "y"
+    assert proposer.handle(Accepted(2, (5, "1"), "c", "y")) is None
 
 
 def test_two_contents_are_detected_where_a_majority_accepted_each():
-    state = state_after(FAR, Rules())
+    state = state_after(THIRD_ROUND, Rules())
     assert chosen_contents(state, Rules()) == {"y1.0"}
     both = state.sent | {Accepted(2, (2, "1"), voter, "x2.0") for voter in "ab"}
     assert chosen_contents(state._replace(sent=both), Rules()) == {"y1.0", "x2.0"}
--- a/tests/test_key_ordering.py
+++ b/tests/test_key_ordering.py
@@ -1,4 +1,4 @@
-"""Requests of one key one at a time: each hard case, any history, and that no idle key is held."""
+"""Requests of one key run one at a time: hard cases, any history, and that idle keys are dropped."""
 
 from dataclasses import replace
 from heapq import heappop, heappush
@@ -24,190 +24,217 @@
 )
 
 
-class World:
-    """A reducer in virtual time that notes sends, and what is broken of the order as the rule words it."""
-
-    def __init__(self, rules=ORDERED_SETTINGS):
-        self.core, self.clock, self.timers, self.sent, self.wrong = Reducer(), 1000.0, [], [], []
-        self.keys, self.over, self.out, self.rests, self.ended = {}, {}, {}, {}, []
-        self.post(core.NodeStarted(rules, 7))
-        self.core.dispatcher.mean_run_ms = [50.0] * 3
-        self.core.dispatcher.run_samples = [
-            seen + 1.0 for seen in self.core.dispatcher.run_samples
-        ]  # no guesses
-        self.post(
-            core.EndpointListUpdate(
-                ListUpdateKind.FULL,
-                [core.EndpointEntry(f"e{i}", EndpointState.READY, 0, 0, 0, None) for i in range(4)],
-            )
-        )
+class OrderingSimulation:
+    """A reducer in virtual time, and a check of the order by the words of the rule.
+
+    Attributes:
+        reducer: the reducer.
+        now_ms: the virtual time.
+        timers: when each timer fires, with its id; a heap.
+        sent: the requests of all attempts, in their order.
+        violations: requests that were sent while earlier ones of their key had to end first, with these.
+        ordered_after: by request, its key and the earlier requests of that key.
+        is_over: by request, whether it has its final answer, or its client has left.
+        in_flight: by request, its attempts in flight.
+        paused_until_ms: by request, until when its key pauses, as an attempt of it may still run.
+        answers: the final answers, each the name of its effect and its request.
+
+    """
+
+    def __init__(self, settings=ORDERED_SETTINGS):
+        self.reducer, self.now_ms, self.timers = Reducer(), 1000.0, []
+        self.sent, self.violations, self.answers = [], [], []
+        self.ordered_after, self.is_over, self.in_flight, self.paused_until_ms = {}, {}, {}, {}
+        self.post(core.NodeStarted(settings, 7))
+        self.reducer.dispatcher.mean_run_ms = [50.0] * 3
+        # One more sample than the guess has makes the means measured ones.
+        self.reducer.dispatcher.run_samples = [count + 1.0 for count in self.reducer.dispatcher.run_samples]
+        entries = [core.EndpointEntry(f"e{i}", EndpointState.READY, 0, 0, 0, None) for i in range(4)]
+        self.post(core.EndpointListUpdate(ListUpdateKind.FULL, entries))
 
     def post(self, event):
-        for effect in self.core.reduce(self.clock, event):
+        """Have the reducer take an event, and note its effects."""
+        for effect in self.reducer.reduce(self.now_ms, event):
             if type(effect) is core.SetTimer:
-                heappush(self.timers, (self.clock + effect.delay_ms, effect.timer_id))
+                heappush(self.timers, (self.now_ms + effect.delay_ms, effect.timer_id))
             elif type(effect) is core.SendAttempt:
-                self.sent.append(effect.request_id)
-                key, before = self.keys.get(effect.request_id, (None, []))
-                held = [r for r in before if not self.over[r] or self.out[r]]
-                if held or any(self.rests.get(r, 0.0) > self.clock for r in before):
-                    self.wrong.append((effect.request_id, held))
-                self.out[effect.request_id].add(effect.attempt_index)
+                self.note_attempt(effect)
             elif type(effect) in (core.Reject, core.Fail, core.Respond):
-                self.over[effect.request_id] = True
-                self.ended.append((type(effect).__name__, effect.request_id))
-
-    def take(self, request_id, key="k", type=0, limit=5000.0):
-        if key is not None and type < 2:
-            self.keys[request_id] = key, [r for r, (other, _) in self.keys.items() if other == key]
-        self.over[request_id], self.out[request_id] = False, set()
-        self.post(core.RequestArrived(Request(request_id, type, self.clock + limit, resource_key=key)))
-
-    def settle(self, request_id, outcome=Outcome.COMPLETED):
-        attempt_index = min(self.out[request_id])
-        self.out[request_id].discard(attempt_index)
+                self.is_over[effect.request_id] = True
+                self.answers.append((type(effect).__name__, effect.request_id))
+
+    def take(self, request_id, key="k", class_index=0, deadline_ms=5000.0):
+        """Have a request arrive."""
+        if key is not None and class_index < 2:
+            earlier = [other for other, (other_key, _) in self.ordered_after.items() if other_key == key]
+            self.ordered_after[request_id] = key, earlier
+        self.is_over[request_id], self.in_flight[request_id] = False, set()
+        deadline_at_ms = self.now_ms + deadline_ms
+        self.post(core.RequestArrived(Request(request_id, class_index, deadline_at_ms, resource_key=key)))
+
+    def note_attempt(self, attempt):
+        """Note an attempt, and a violation where an earlier request of its key had to end first."""
+        self.sent.append(attempt.request_id)
+        _, earlier = self.ordered_after.get(attempt.request_id, (None, []))
+        unfinished = [
+            request_id for request_id in earlier if not self.is_over[request_id] or self.in_flight[request_id]
+        ]
+        is_paused = any(self.paused_until_ms.get(request_id, 0.0) > self.now_ms for request_id in earlier)
+        if unfinished or is_paused:
+            self.violations.append((attempt.request_id, unfinished))
+        self.in_flight[attempt.request_id].add(attempt.attempt_index)
+
+    def end_attempt(self, request_id, outcome=Outcome.COMPLETED):
+        """End the earliest attempt in flight of a request."""
+        attempt_index = min(self.in_flight[request_id])
+        self.in_flight[request_id].discard(attempt_index)
         if outcome in (Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED):
-            self.rests[request_id] = self.clock + 50.0
-        done = outcome is Outcome.COMPLETED
-        self.over[request_id] = self.over[request_id] or done
-        self.post(core.AttemptEnded(request_id, attempt_index, outcome, self.over[request_id], None))
-
-    def wait(self, ms):
-        until = self.clock + ms
-        while self.timers and self.timers[0][0] <= until:
-            at, mark = heappop(self.timers)
-            self.clock = max(self.clock, at)
-            self.post(core.TimerFired(mark))
-        self.clock = until
+            self.paused_until_ms[request_id] = self.now_ms + 50.0
+        self.is_over[request_id] = self.is_over[request_id] or outcome is Outcome.COMPLETED
+        self.post(core.AttemptEnded(request_id, attempt_index, outcome, self.is_over[request_id], None))
+
+    def wait(self, duration_ms):
+        """Let time pass, and fire the timers that are due."""
+        end_ms = self.now_ms + duration_ms
+        while self.timers and self.timers[0][0] <= end_ms:
+            due_ms, timer_id = heappop(self.timers)
+            self.now_ms = max(self.now_ms, due_ms)
+            self.post(core.TimerFired(timer_id))
+        self.now_ms = end_ms
+
+    def requests_in_flight(self):
+        """Return the requests with attempts in flight, in the order of their arrival."""
+        return [request_id for request_id, attempts in self.in_flight.items() if attempts]
 
     def queue_count(self):
-        return len(self.core.dispatcher.key_queues)
+        """Return for how many keys there is a queue."""
+        return len(self.reducer.dispatcher.key_queues)
 
 
 @pytest.fixture
-def world():
-    return World()
+def simulation():
+    return OrderingSimulation()
 
 
-def test_one_key_one_at_a_time_in_the_order_of_arrival_and_classes_share_keys(world):
-    for request_id, type in (("a", 0), ("b", 1), ("c", 0)):
-        world.take(request_id, type=type)
-    world.take("other", key="x")
-    world.take("free", key=None)
-    world.take("plain", type=2)
-    assert world.sent == ["a", "other", "free", "plain"]
-    world.settle("a")
-    world.settle("b")
-    assert world.sent[4:] == ["b", "c"]
+def test_requests_of_one_key_run_one_at_a_time_in_order_of_arrival_across_classes(simulation):
+    for request_id, class_index in (("a", 0), ("b", 1), ("c", 0)):
+        simulation.take(request_id, class_index=class_index)
+    simulation.take("other", key="x")
+    simulation.take("free", key=None)
+    simulation.take("plain", class_index=2)
+    assert simulation.sent == ["a", "other", "free", "plain"]
+    simulation.end_attempt("a")
+    simulation.end_attempt("b")
+    assert simulation.sent[4:] == ["b", "c"]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED])
-def test_a_key_pauses_after_an_attempt_that_may_still_run(world, outcome):
-    world.take("a")
-    world.take("b")
-    world.settle("a", outcome)
-    world.wait(49.0)
-    assert world.sent == ["a"]
-    assert world.over["a"]
-    world.wait(1.0)
-    assert world.sent == ["a", "b"]
-
-
-def test_the_first_is_answered_while_its_attempt_is_in_flight(world):
-    world.take("a", limit=700.0)
-    world.take("b", limit=3000.0)
-    world.wait(699.0)
-    assert world.over["a"]
-    assert world.sent == ["a"]
-    world.wait(30.0)
-    world.settle("a", Outcome.CANCELLED)
-    world.wait(50.0)
-    assert world.sent == ["a", "b"] or world.over["b"]
-
-
-def test_a_pause_past_the_next_ones_deadline_ends_it_in_time():
-    world = World(replace(ORDERED_SETTINGS, key_gap_ms=900.0))
-    world.take("a")
-    world.take("b", limit=600.0)
-    world.settle("a", Outcome.BROKEN)
-    world.wait(600.0)
-    assert ("Reject", "b") in world.ended
-    assert world.sent == ["a"]
-    world.wait(300.0)
-    assert world.queue_count() == 0
+def test_a_key_pauses_after_an_attempt_that_may_still_run(simulation, outcome):
+    simulation.take("a")
+    simulation.take("b")
+    simulation.end_attempt("a", outcome)
+    simulation.wait(49.0)
+    assert simulation.sent == ["a"]
+    assert simulation.is_over["a"]
+    simulation.wait(1.0)
+    assert simulation.sent == ["a", "b"]
+
+
+def test_the_first_request_is_answered_while_its_attempt_is_in_flight(simulation):
+    simulation.take("a", deadline_ms=700.0)
+    simulation.take("b", deadline_ms=3000.0)
+    simulation.wait(699.0)
+    assert simulation.is_over["a"]
+    assert simulation.sent == ["a"]
+    simulation.wait(30.0)
+    simulation.end_attempt("a", Outcome.CANCELLED)
+    simulation.wait(50.0)
+    assert simulation.sent == ["a", "b"] or simulation.is_over["b"]
+
+
+def test_a_pause_past_the_next_requests_deadline_rejects_it_in_time():
+    simulation = OrderingSimulation(replace(ORDERED_SETTINGS, key_gap_ms=900.0))
+    simulation.take("a")
+    simulation.take("b", deadline_ms=600.0)
+    simulation.end_attempt("a", Outcome.BROKEN)
+    simulation.wait(600.0)
+    assert ("Reject", "b") in simulation.answers
+    assert simulation.sent == ["a"]
+    simulation.wait(300.0)
+    assert simulation.queue_count() == 0
 
 
 @pytest.mark.parametrize(
-    ("taken", "leaves", "sent"),
+    ("arriving", "disconnecting", "sent"),
     [
-        ("abc", "b", "ac"),  # a rejection from the middle
+        ("abc", "b", "ac"),  # one disconnects from the middle of the queue
         (["a", "b", "c", "b again"], "", ["a", "b", "c", "b again"]),  # a retry goes to the back
     ],
 )
-def test_clients_that_leave_or_retry_keep_the_order(world, taken, leaves, sent):
-    for request_id in taken:
-        world.take(request_id)
-    for request_id in leaves:
-        world.post(core.ClientLeft(request_id))
-        world.over[request_id] = True
-    while out := [request_id for request_id, attempts in world.out.items() if attempts]:
-        world.settle(out[0])
-    assert world.sent == list(sent)
-    assert not world.wrong
-
-
-def test_a_queue_of_hundreds_ends_with_its_node_and_a_late_request_is_answered_at_once(world):
+def test_clients_that_disconnect_or_retry_keep_the_order(simulation, arriving, disconnecting, sent):
+    for request_id in arriving:
+        simulation.take(request_id)
+    for request_id in disconnecting:
+        simulation.post(core.ClientLeft(request_id))
+        simulation.is_over[request_id] = True
+    while in_flight := simulation.requests_in_flight():
+        simulation.end_attempt(in_flight[0])
+    assert simulation.sent == list(sent)
+    assert not simulation.violations
+
+
+def test_a_long_queue_ends_with_its_node_and_requests_without_time_to_spare_are_answered_at_once(simulation):
     for i in range(600):
-        world.take(f"w{i}")
-    assert 0 < len(world.ended) < 600
-    assert world.sent == ["w0"]
-    world.post(core.ShutdownBegun(10.0))
-    world.wait(10.0)
-    assert all(world.over.values())
-    world.settle("w0", Outcome.CANCELLED)
-    world.wait(50.0)
-    assert world.queue_count() == 0
-    assert not world.wrong
-
-
-def test_a_reload_without_the_order_keeps_queues_and_one_with_it_orders_open_requests(world):
-    world.take("a")
-    world.take("b")
-    world.post(core.SettingsChanged(replace(ORDERED_SETTINGS, request_classes=(UNSAFE, SAFE, SAFE))))
-    assert world.sent == ["a"]
-    world.keys.clear()
-    world.take("c")
-    world.take("d")
-    assert world.sent == ["a", "c", "d"]
-    world.wrong.clear()  # what was sent while no order was asked for
-    world.post(core.SettingsChanged(ORDERED_SETTINGS))
-    world.keys |= {"e": ("k", ["c", "d"])}
-    world.over["e"], world.out["e"] = False, set()
-    world.post(core.RequestArrived(Request("e", 0, world.clock + 5000.0, resource_key="k")))
+        simulation.take(f"w{i}")
+    assert 0 < len(simulation.answers) < 600
+    assert simulation.sent == ["w0"]
+    simulation.post(core.ShutdownBegun(10.0))
+    simulation.wait(10.0)
+    assert all(simulation.is_over.values())
+    simulation.end_attempt("w0", Outcome.CANCELLED)
+    simulation.wait(50.0)
+    assert simulation.queue_count() == 0
+    assert not simulation.violations
+
+
+def test_a_reload_without_the_order_keeps_queues_and_one_with_it_orders_open_requests(simulation):
+    simulation.take("a")
+    simulation.take("b")
+    simulation.post(core.SettingsChanged(replace(ORDERED_SETTINGS, request_classes=(UNSAFE, SAFE, SAFE))))
+    assert simulation.sent == ["a"]
+    simulation.ordered_after.clear()
+    simulation.take("c")
+    simulation.take("d")
+    assert simulation.sent == ["a", "c", "d"]
+    simulation.violations.clear()  # of attempts sent while the settings asked for no order
+    simulation.post(core.SettingsChanged(ORDERED_SETTINGS))
+    simulation.ordered_after |= {"e": ("k", ["c", "d"])}
+    simulation.is_over["e"], simulation.in_flight["e"] = False, set()
+    simulation.post(core.RequestArrived(Request("e", 0, simulation.now_ms + 5000.0, resource_key="k")))
     for request_id in "abcd":
-        world.settle(request_id)
-    assert world.sent == ["a", "c", "d", "b", "e"]
-    assert not world.wrong
+        simulation.end_attempt(request_id)
+    assert simulation.sent == ["a", "c", "d", "b", "e"]
+    assert not simulation.violations
 
 
-def test_no_queue_is_held_for_a_key_without_requests(world):
+def test_no_queue_is_held_for_a_key_without_requests(simulation):
     for i in range(100_000):
-        world.take(f"w{i}", key=f"k{i}", limit=300.0)
-        if world.out[f"w{i}"]:
-            world.settle(f"w{i}", Outcome.BROKEN if i % 100 == 0 else Outcome.COMPLETED)
-        world.keys.clear()
+        simulation.take(f"w{i}", key=f"k{i}", deadline_ms=300.0)
+        if simulation.in_flight[f"w{i}"]:
+            simulation.end_attempt(f"w{i}", Outcome.BROKEN if i % 100 == 0 else Outcome.COMPLETED)
+        simulation.ordered_after.clear()
         if i % 5000 == 0:
-            world.wait(500.0)
-    world.wait(500.0)
-    assert world.queue_count() == 0
-    assert not world.core.open_requests
+            simulation.wait(500.0)
+    simulation.wait(500.0)
+    assert simulation.queue_count() == 0
+    assert not simulation.reducer.open_requests
 
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["take", "take", "settle", "wait", "left"]),
+        st.sampled_from(["take", "take", "end_attempt", "wait", "disconnect"]),
         st.integers(0, 5),
-        st.sampled_from([o for o in Outcome if o is not Outcome.STALE_CONNECTION]),
+        st.sampled_from([outcome for outcome in Outcome if outcome is not Outcome.STALE_CONNECTION]),
     ),
     max_size=60,
 )
@@ -215,24 +242,27 @@
 
 @settings(max_examples=200, deadline=None)
 @given(STEPS)
-def test_over_any_history_the_order_holds_and_each_queue_ends(steps):
-    world = World()
-    for i, (what, n, outcome) in enumerate(steps):
-        out = [request_id for request_id, attempts in world.out.items() if attempts]
-        if what == "take":
-            world.take(f"w{i}", key="kl"[n % 2], type=n % 3, limit=400.0 + 600.0 * n)
-        elif what == "settle" and out:
-            world.settle(out[n % len(out)], outcome)
-        elif what == "wait":
-            world.wait(40.0 * n)
-        elif what == "left" and (alive := [r for r, over in world.over.items() if not over]):
-            world.over[alive[n % len(alive)]] = True
-            world.post(core.ClientLeft(alive[n % len(alive)]))
-        check_reducer(world.core)
-    while any(world.out.values()) or not all(world.over.values()):
-        for request_id in [request_id for request_id, attempts in world.out.items() if attempts]:
-            world.settle(request_id)
-        world.wait(1000.0)
-    world.wait(100.0)
-    assert not world.wrong
-    assert world.queue_count() == 0
+def test_in_any_history_the_order_holds_and_each_queue_ends(steps):
+    simulation = OrderingSimulation()
+    for i, (step, number, outcome) in enumerate(steps):
+        in_flight = simulation.requests_in_flight()
+        connected = [request_id for request_id, is_over in simulation.is_over.items() if not is_over]
+        if step == "take":
+            deadline_ms = 400.0 + 600.0 * number
+            simulation.take(f"w{i}", key="kl"[number % 2], class_index=number % 3, deadline_ms=deadline_ms)
+        elif step == "end_attempt" and in_flight:
+            simulation.end_attempt(in_flight[number % len(in_flight)], outcome)
+        elif step == "wait":
+            simulation.wait(40.0 * number)
+        elif step == "disconnect" and connected:
+            request_id = connected[number % len(connected)]
+            simulation.is_over[request_id] = True
+            simulation.post(core.ClientLeft(request_id))
+        check_reducer(simulation.reducer)
+    while any(simulation.in_flight.values()) or not all(simulation.is_over.values()):
+        for request_id in simulation.requests_in_flight():
+            simulation.end_attempt(request_id)
+        simulation.wait(1000.0)
+    simulation.wait(100.0)
+    assert not simulation.violations
+    assert simulation.queue_count() == 0
--- a/tests/test_shadow_policy.py
+++ b/tests/test_shadow_policy.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import OPTIONS
+from conftest import NODE_CONFIG, OPTIONS
 
 from marlseam import core
 from marlseam.configuration import ConfigError, deployment_from, load
@@ -19,57 +19,61 @@
 SETTINGS = deployment_from(OPTIONS).settings
 
 
-def entry(name, weight=None):
+def make_entry(name, weight=None):
     return EndpointEntry(name, EndpointState.READY, 0, 0, 0, None, weight)
 
 
-def day(rounds=60, plain=False):
-    """Yield a day's events: arrivals, starts, ends of each sort, a list that moves, timers."""
+def day_events(rounds=60, has_weights_and_keys=True):
+    """Yield times and events of a day: arrivals, ends of attempts, changes of the list, timers.
+
+    None in place of an event stands for the answers to what was sent and probed before.
+    """
     yield 0.0, core.NodeStarted(SETTINGS, 7)
-    yield 1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry(f"e{i}", 3.0) for i in range(4)])
+    yield 1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [make_entry(f"e{i}", 3.0) for i in range(4)])
     for i in range(rounds):
-        at = 10.0 + 40.0 * i
-        yield (
-            at,
-            core.RequestArrived(
-                Request(f"w{i}", i % 2, at + 5000.0, resource_key=None if plain else f"k{i % 3}")
-            ),
-        )
-        yield at + 5.0, None
+        arrival_ms = 10.0 + 40.0 * i
+        resource_key = f"k{i % 3}" if has_weights_and_keys else None
+        request = Request(f"w{i}", i % 2, arrival_ms + 5000.0, resource_key=resource_key)
+        yield arrival_ms, core.RequestArrived(request)
+        yield arrival_ms + 5.0, None
         if i % 10 == 9:
-            yield (
-                at + 9.0,
-                core.EndpointListUpdate(
-                    ListUpdateKind.DELTA, [entry(f"e{j}", None if plain else 3.0 / (1 + j)) for j in range(4)]
-                ),
-            )
+            weights = [3.0 / (1 + j) if has_weights_and_keys else None for j in range(4)]
+            entries = [make_entry(f"e{j}", weight) for j, weight in enumerate(weights)]
+            yield arrival_ms + 9.0, core.EndpointListUpdate(ListUpdateKind.DELTA, entries)
         if i >= 8:
-            ended = Outcome.ERROR if i % 7 == 0 else Outcome.COMPLETED
-            final, report = ended is Outcome.COMPLETED, LoadReport(queued=1.0)
-            yield at + 12.0, core.AttemptEnded(f"w{i - 8}", 0, ended, final, report)
-    for mark in range(1, 40):
-        yield 9000.0 + mark, core.TimerFired(mark)
-
-
-def play(watch=None, plain=False):
-    """Play the day; each probe is answered and each send started in the next event. Return all effects."""
-    made, done, probes, sends = Reducer(watch), [], [], []
-    for at, event in day(plain=plain):
-        events = [event] if event is not None else []
+            outcome = Outcome.ERROR if i % 7 == 0 else Outcome.COMPLETED
+            is_final, report = outcome is Outcome.COMPLETED, LoadReport(queued=1.0)
+            yield arrival_ms + 12.0, core.AttemptEnded(f"w{i - 8}", 0, outcome, is_final, report)
+    for timer_id in range(1, 40):
+        yield 9000.0 + timer_id, core.TimerFired(timer_id)
+
+
+def answers_to(probes, attempts):
+    """Return the events by which servers answer probes and start attempts."""
+    report = LoadReport(queued=0.0, free_slots=2.0)
+    ended = [core.ProbeEnded(probe.server, Outcome.COMPLETED, 1.0, report) for probe in probes]
+    started = [core.AttemptStarted(attempt.request_id, attempt.attempt_index) for attempt in attempts]
+    return ended + started
+
+
+def effects_of_day(shadow_policy=None, has_weights_and_keys=True):
+    """Return all effects of a reducer over the day."""
+    reducer, all_effects, probes, attempts = Reducer(shadow_policy), [], [], []
+    for now_ms, event in day_events(has_weights_and_keys=has_weights_and_keys):
+        events = [event]
         if event is None:
-            report = LoadReport(queued=0.0, free_slots=2.0)
-            events = [core.ProbeEnded(e, Outcome.COMPLETED, 1.0, report) for e in probes]
-            events += [core.AttemptStarted(request_id, attempt_index) for request_id, attempt_index in sends]
-            probes, sends = [], []
-        for each in events:
-            effects = made.reduce(at, each)
-            done += effects
-            probes += [e.server for e in effects if type(e) is core.Probe]
-            sends += [(e.request_id, e.attempt_index) for e in effects if type(e) is core.SendAttempt]
-    return done
-
-
-def other(**changes):
+            events = answers_to(probes, attempts)
+            probes, attempts = [], []
+        for due_event in events:
+            effects = reducer.reduce(now_ms, due_event)
+            all_effects += effects
+            probes += [effect for effect in effects if type(effect) is core.Probe]
+            attempts += [effect for effect in effects if type(effect) is core.SendAttempt]
+    return all_effects
+
+
+def policy_with(**changes):
+    """Return a shadow policy whose settings differ in these."""
     return ShadowPolicy(lambda settings: replace(settings, **changes))
 
 
@@ -78,55 +82,51 @@
     [{}, {"live_weights": True, "reports_in_responses": True, "fetch_cost": 0.03, "weight_by_size": True}],
 )
 def test_a_shadow_policy_changes_no_effect(changes):
-    watch = other(**changes)
-    assert play(watch) == play()
-    assert watch.decided > 60
+    shadow_policy = policy_with(**changes)
+    assert effects_of_day(shadow_policy) == effects_of_day()
+    assert shadow_policy.decided > 60
 
 
-def test_without_their_settings_weights_and_keys_change_no_effect():
-    assert play() == play(plain=True)
+def test_weights_and_keys_change_no_effect_without_their_settings():
+    assert effects_of_day() == effects_of_day(has_weights_and_keys=False)
 
 
 def test_the_same_settings_agree_and_answered_requests_are_forgotten():
-    watch = other()
-    play(watch)
-    by_chance = {
-        (Decision.PROBE_HOME, Decision.HOME),
-        (Decision.HOME, Decision.PROBE_HOME),
-    }  # another home was drawn
-    assert set(watch.otherwise) <= by_chance
-    assert all(not state.is_closed or state.in_flight_count() for state in watch.open_requests.values())
+    shadow_policy = policy_with()
+    effects_of_day(shadow_policy)
+    # The home server is drawn at random, so that the two may draw different ones.
+    by_chance = {(Decision.PROBE_HOME, Decision.HOME), (Decision.HOME, Decision.PROBE_HOME)}
+    assert set(shadow_policy.otherwise) <= by_chance
+    open_requests = shadow_policy.open_requests.values()
+    assert all(not state.is_closed or state.in_flight_count() for state in open_requests)
 
 
 def test_a_known_difference_is_counted():
-    made = Reducer(other(may_probe=False))
-    made.reduce(0.0, core.NodeStarted(SETTINGS, 7))
-    made.reduce(1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [entry("e0")]))
-    made.reduce(2.0, core.RequestArrived(Request("w", 0, 5000.0)))
-    assert made.follower.otherwise == {(Decision.PROBE_HOME, Decision.HOME): 1}
-    assert made.follower.decided == 1
-    assert made.follower.lines()[1] == "watch: 1 times home asked where it would be home"
-
-
-# Its settings.
+    reducer = Reducer(policy_with(may_probe=False))
+    reducer.reduce(0.0, core.NodeStarted(SETTINGS, 7))
+    reducer.reduce(1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [make_entry("e0")]))
+    reducer.reduce(2.0, core.RequestArrived(Request("w", 0, 5000.0)))
+    assert reducer.follower.otherwise == {(Decision.PROBE_HOME, Decision.HOME): 1}
+    assert reducer.follower.decided == 1
+    assert reducer.follower.lines()[1] == "watch: 1 times home asked where it would be home"
 
 
 @pytest.fixture
-def own(tmp_path):
-    """Return a function that loads a node's configuration with an operator's own settings of this text."""
+def load_with(tmp_path):
+    """Return a function that loads a node's configuration with operators' settings of this text."""
 
     def read(text):
-        good = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": OPTIONS}
-        (tmp_path / "node.json").write_text(json.dumps(good))
-        (tmp_path / "own.toml").write_text(text)
-        return load(str(tmp_path / "node.json"), {}, own=str(tmp_path / "own.toml"))
+        values = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": OPTIONS}
+        (tmp_path / "node.json").write_text(json.dumps(values))
+        (tmp_path / "operators.toml").write_text(text)
+        return load(str(tmp_path / "node.json"), {}, own=str(tmp_path / "operators.toml"))
 
     return read
 
 
-def test_the_shadow_settings_stand_beside_those_in_force(own):
-    config = own('[watch]\nweights = "live"\nreports = "answers"\n')
-    assert own("").shadow is None
+def test_shadow_settings_leave_the_nodes_own_unchanged(load_with):
+    config = load_with('[watch]\nweights = "live"\nreports = "answers"\n')
+    assert load_with("").shadow is None
     assert not config.deployment.settings.live_weights
     changed = config.shadow.change(config.deployment.settings)
     assert (changed.live_weights, changed.reports_in_responses, changed.fetch_cost) == (True, True, 0.0)
@@ -144,36 +144,27 @@
         ("[watch]\nprobes = false", "watch.probes"),
     ],
 )
-def test_an_invalid_key_is_named(own, text, key):
+def test_an_invalid_key_is_named(load_with, text, key):
     with pytest.raises(ConfigError) as error:
-        own(text)
+        load_with(text)
     assert error.value.key == key
 
 
-# On loopback: a node of its own process, and a server's address that refuses.
-
-
-def test_a_real_node_logs_its_counts_at_the_end_and_answers_as_ever(tmp_path):
-    host = {"host": "e1", "dial": "127.0.0.1:1", "health": "active", "site": "here", "class": "plain"}
-    values = {
-        "listen": "127.0.0.1:0",
-        "discovery": "127.0.0.1:1",
-        "settings": OPTIONS,
-        "known": {"seq": 1, "whole": True, "hosts": [host]},
-    }
-    (tmp_path / "node.json").write_text(json.dumps(values))
-    (tmp_path / "own.toml").write_text('[watch]\nweights = "live"\nreports = "answers"\n')
-    files = ["--config", str(tmp_path / "node.json"), "--settings", str(tmp_path / "own.toml")]
+def test_a_node_process_logs_its_counts_at_the_end_and_answers_requests(tmp_path):
+    # Its one server has an address that refuses connections.
+    (tmp_path / "node.json").write_text(json.dumps(NODE_CONFIG))
+    (tmp_path / "operators.toml").write_text('[watch]\nweights = "live"\nreports = "answers"\n')
+    files = ["--config", str(tmp_path / "node.json"), "--settings", str(tmp_path / "operators.toml")]
     command = [sys.executable, "-m", "marlseam", "serve", *files]
     process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
 
-    def says(text):
+    def wait_for_line(text):
         while text not in (line := process.stderr.readline()):
             assert line
         return line
 
     try:
-        port = int(says("listens on").rsplit(":", 1)[1])
+        port = int(wait_for_line("listens on").rsplit(":", 1)[1])
         with socket.create_connection(("127.0.0.1", port)) as client:
             client.sendall(
                 b"POST /statement HTTP/1.1\r\nHost: h\r\nX-Service-Class: statement\r\n"
@@ -181,7 +172,7 @@
             )
             assert client.recv(4096).startswith(b"HTTP/1.1 503 ")
         process.send_signal(signal.SIGTERM)
-        assert int(says("watch: ").split("watch: ")[1].split()[0]) >= 2
+        assert int(wait_for_line("watch: ").split("watch: ")[1].split()[0]) >= 2
         assert process.wait(timeout=20.0) == 0
     finally:
         process.kill()
