--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""The codecs: clients' requests, servers' lines and reports, discovery's lists."""
+"""The codecs of clients' requests, of servers' lines and reports, and of discovery's lists."""
 
 import json
 from dataclasses import replace
@@ -10,35 +10,35 @@
 from marlseam.net.errors import MalformedMessageError
 from marlseam.net.protocol import Head, Lines
 
-NAMES = {"backlog": "queued", "x0": "free_slots"}
+REPORT_NAMES = {"backlog": "queued", "x0": "free_slots"}
 HEADERS = {"x-correlation-id": "9b", "x-service-class": "statement", "x-time-left": "0.480"}
 
 
-def head(**changes):
-    found = HEADERS | {name.replace("_", "-"): value for name, value in changes.items()}
-    return Head([(name.encode(), value.encode()) for name, value in found.items() if value is not None])
+def make_head(**changes):
+    """Return a request's headers, some of them changed, or left out where the value is None."""
+    headers = HEADERS | {name.replace("_", "-"): value for name, value in changes.items()}
+    return Head([(name.encode(), value.encode()) for name, value in headers.items() if value is not None])
 
 
-def line(**changes):
-    row = {"id": "9b", "from": "e1", "state": "done", "result": "r"} | changes
-    return protocol.parse_line(json.dumps(row).encode(), "9b", "e1", NAMES)
+def parse_line(**changes):
+    """Read a server's last line, some of its values changed."""
+    values = {"id": "9b", "from": "e1", "state": "done", "result": "r"} | changes
+    return protocol.parse_line(json.dumps(values).encode(), "9b", "e1", REPORT_NAMES)
 
 
-# Clients.
+def read_request(deployment, target="/statement", body=b"", **changes):
+    """Read a client's request, some of its headers changed."""
+    return protocol.client_request_from(target, make_head(**changes), body, deployment)
 
 
 def test_a_request_is_read(deployment):
-    job = protocol.client_request_from(
-        "/statement?user=7", head(x_facts="slots=4,odd=1"), b"body", deployment
-    )
-    assert (job.id, job.class_index, job.time_left_ms, job.slots, job.body) == ("9b", 0, 480.0, 4.0, b"body")
+    request = read_request(deployment, "/statement?user=7", b"body", x_facts="slots=4,odd=1")
+    assert (request.id, request.class_index, request.time_left_ms) == ("9b", 0, 480.0)
+    assert (request.slots, request.body) == (4.0, b"body")
 
 
-def test_time_left_is_capped_by_the_types_hard_limit(deployment):
-    assert (
-        protocol.client_request_from("/statement", head(x_time_left="400"), b"", deployment).time_left_ms
-        == 5000.0
-    )
+def test_time_left_is_capped_by_the_deadline_of_the_class(deployment):
+    assert read_request(deployment, x_time_left="400").time_left_ms == 5000.0
 
 
 @pytest.mark.parametrize(
@@ -66,21 +66,18 @@
         {"idempotency_key": "\xe9"},
     ],
 )
-def test_a_bad_request_is_told_400(deployment, changes):
+def test_an_invalid_header_is_answered_400(deployment, changes):
     with pytest.raises(MalformedMessageError) as raised:
-        protocol.client_request_from("/statement", head(**changes), b"", deployment)
+        read_request(deployment, **changes)
     assert raised.value.status == 400
 
 
-def test_a_keyed_request_needs_its_receipt(deployment):
-    receipted = replace(deployment.settings.request_classes[0], idempotency=Idempotency.KEYED)
-    deployment = replace(deployment, settings=replace(deployment.settings, request_classes=(receipted,)))
+def test_a_keyed_request_needs_its_idempotency_key(deployment):
+    keyed = replace(deployment.settings.request_classes[0], idempotency=Idempotency.KEYED)
+    deployment = replace(deployment, settings=replace(deployment.settings, request_classes=(keyed,)))
     with pytest.raises(MalformedMessageError, match="Idempotency-Key is missing"):
-        protocol.client_request_from("/statement", head(), b"", deployment)
-    assert (
-        protocol.client_request_from("/statement", head(idempotency_key="k"), b"", deployment).idempotency_key
-        == "k"
-    )
+        read_request(deployment)
+    assert read_request(deployment, idempotency_key="k").idempotency_key == "k"
 
 
 @pytest.mark.parametrize(
@@ -92,29 +89,24 @@
         ("POST", "/odd/statement", 404),
     ],
 )
-def test_what_cannot_be_asked_for_has_its_status(deployment, method, target, status):
+def test_an_unknown_path_or_method_has_its_status(deployment, method, target, status):
     with pytest.raises(MalformedMessageError) as raised:
         protocol.check_route(method, target, deployment.types)
     assert raised.value.status == status
 
 
-def test_no_advice_leaves_no_header():
-    assert (protocol.retry_after_headers(0.0), protocol.retry_after_headers(250.0)) == (
-        [],
-        [("Retry-After", "0.250")],
-    )
+def test_retry_after_is_a_header_only_where_there_is_one():
+    assert protocol.retry_after_headers(0.0) == []
+    assert protocol.retry_after_headers(250.0) == [("Retry-After", "0.250")]
 
 
-def test_what_clients_sent_goes_on_unchanged(deployment):
-    job = protocol.client_request_from("/statement?user=7", head(idempotency_key="k"), b"abc", deployment)
-    headers = dict(protocol.attempt_headers(job, "h:1", 1234.5))
+def test_an_attempt_carries_the_clients_headers(deployment):
+    request = read_request(deployment, "/statement?user=7", b"abc", idempotency_key="k")
+    headers = dict(protocol.attempt_headers(request, "h:1", 1234.5))
     assert (headers["X-Correlation-Id"], headers["Idempotency-Key"]) == ("9b", "k")
     assert (headers["X-Time-Left"], headers["Content-Length"]) == ("1.234", "3")
 
 
-# Servers.
-
-
 @pytest.mark.parametrize(
     ("state", "outcome"),
     [
@@ -124,8 +116,8 @@
         ("lost", Outcome.BROKEN),
     ],
 )
-def test_a_last_line_tells_the_outcome(state, outcome):
-    assert line(state=state).outcome is outcome
+def test_a_last_line_has_the_outcome(state, outcome):
+    assert parse_line(state=state).outcome is outcome
 
 
 @pytest.mark.parametrize(
@@ -139,12 +131,12 @@
     ],
 )
 def test_only_an_unprocessed_refusal_never_ran(status, headers, outcome):
-    assert protocol.outcome_of_refusal(status, head(**headers)) is outcome
+    assert protocol.outcome_of_refusal(status, make_head(**headers)) is outcome
 
 
 def test_starts_and_progress_are_read():
-    assert line(state="started").has_started
-    assert line(state="running", share=0.4).progress == 0.4
+    assert parse_line(state="started").has_started
+    assert parse_line(state="running", share=0.4).progress == 0.4
 
 
 @pytest.mark.parametrize(
@@ -159,21 +151,21 @@
         {"result": "\ud800"},
     ],
 )
-def test_an_odd_line_is_malformed(changes):
+def test_a_line_with_an_invalid_value_is_malformed(changes):
     with pytest.raises(MalformedMessageError, match="."):
-        line(**changes)
+        parse_line(**changes)
 
 
 @pytest.mark.parametrize("raw", [b"{", b"[]", b"\xff", b"[" * 100000])
-def test_a_broken_line_is_malformed(raw):
+def test_a_line_that_is_no_object_is_malformed(raw):
     with pytest.raises(MalformedMessageError, match="."):
-        protocol.parse_line(raw, "9b", "e1", NAMES)
+        protocol.parse_line(raw, "9b", "e1", REPORT_NAMES)
 
 
-@pytest.mark.parametrize("at", range(9))
-def test_lines_are_whole_wherever_they_are_cut(at):
+@pytest.mark.parametrize("first_read_bytes", range(9))
+def test_lines_are_whole_wherever_reads_end(first_read_bytes):
     lines, text = Lines(), b"ab\ncd\n\nef"
-    assert lines.feed(text[:at]) + lines.feed(text[at:]) == [b"ab", b"cd"]
+    assert lines.feed(text[:first_read_bytes]) + lines.feed(text[first_read_bytes:]) == [b"ab", b"cd"]
 
 
 def test_a_line_without_end_is_malformed():
@@ -186,26 +178,24 @@
     "value", ["TEXT backlog=2, x0=0.5, odd=1, broken", {"backlog": 2, "x0": 0.5, "odd": [], "held": "x"}]
 )
 def test_a_report_is_read_as_text_and_as_object(value):
-    assert protocol.report_from(value, NAMES) == LoadReport(queued=2.0, free_slots=0.5)
+    assert protocol.report_from(value, REPORT_NAMES) == LoadReport(queued=2.0, free_slots=0.5)
 
 
-def test_an_odd_figure_in_a_report_is_passed_by():
-    assert protocol.report_from({"backlog": "nan", "x0": None}, NAMES) == LoadReport()
+def test_an_invalid_value_in_a_report_is_ignored():
+    assert protocol.report_from({"backlog": "nan", "x0": None}, REPORT_NAMES) == LoadReport()
 
 
 @pytest.mark.parametrize("body", [b"TEXT backlog=2", b'{"backlog":2}'])
-def test_a_probes_report_is_its_body(body):
-    assert protocol.report_from_answer(body, head(), NAMES) == LoadReport(queued=2.0)
-
+def test_a_health_checks_answer_has_the_report_in_its_body(body):
+    assert protocol.report_from_answer(body, make_head(), REPORT_NAMES) == LoadReport(queued=2.0)
 
-@pytest.mark.parametrize(("body", "found"), [(b"", None), (b"{", None)])
-def test_a_probe_without_a_report_has_none(body, found):
-    assert protocol.report_from_answer(body, head(), NAMES) is found
 
+@pytest.mark.parametrize(("body", "report"), [(b"", None), (b"{", None)])
+def test_a_health_checks_answer_may_have_no_report(body, report):
+    assert protocol.report_from_answer(body, make_head(), REPORT_NAMES) is report
 
-# Discovery.
 
-HOST = {
+ENTRY = {
     "host": "e1",
     "dial": "127.0.0.1:9",
     "site": "there",
@@ -216,23 +206,24 @@
 }
 
 
-def news(*hosts, **changes):
-    return {"seq": 4, "whole": True, "hosts": list(hosts)} | changes
+def make_answer(*entries, **changes):
+    """Return an answer of discovery with these entries, some of its values changed."""
+    return {"seq": 4, "whole": True, "hosts": list(entries)} | changes
 
 
 def test_an_entry_is_read(deployment):
-    found = list_codec.list_answer_from(news(HOST), deployment)
-    assert found.entries == [("e1", EndpointState.READY, 0, 1, 3, 5000.0, None)]
-    assert found.addresses == {"e1": ("127.0.0.1", 9)}
+    answer = list_codec.list_answer_from(make_answer(ENTRY), deployment)
+    assert answer.entries == [("e1", EndpointState.READY, 0, 1, 3, 5000.0, None)]
+    assert answer.addresses == {"e1": ("127.0.0.1", 9)}
 
 
-def test_one_that_has_left_needs_no_address(deployment):
-    found = list_codec.list_answer_from(news({"host": "e1", "health": "left"}, whole=False), deployment)
-    assert (found.kind, found.entries[0].state, found.addresses) == (
-        ListUpdateKind.DELTA,
-        EndpointState.GONE,
-        {},
+def test_an_entry_of_a_server_that_left_needs_no_address(deployment):
+    answer = list_codec.list_answer_from(
+        make_answer({"host": "e1", "health": "left"}, whole=False), deployment
     )
+    assert answer.kind is ListUpdateKind.DELTA
+    assert answer.entries[0].state is EndpointState.GONE
+    assert answer.addresses == {}
 
 
 @pytest.mark.parametrize(
@@ -248,13 +239,13 @@
         {"born_ms": "x"},
     ],
 )
-def test_an_odd_entry_is_left_out(deployment, change):
-    found = list_codec.list_answer_from(news(HOST | {"host": "e0"}, HOST | change), deployment)
-    assert [entry.server for entry in found.entries] == ["e0"]
-    assert len(found.invalid) == 1
+def test_an_invalid_entry_is_left_out(deployment, change):
+    answer = list_codec.list_answer_from(make_answer(ENTRY | {"host": "e0"}, ENTRY | change), deployment)
+    assert [entry.server for entry in answer.entries] == ["e0"]
+    assert len(answer.invalid) == 1
 
 
-@pytest.mark.parametrize("value", [None, [], {}, news(seq="x"), news(hosts={})])
+@pytest.mark.parametrize("value", [None, [], {}, make_answer(seq="x"), make_answer(hosts={})])
 def test_an_answer_without_a_list_is_malformed(deployment, value):
     with pytest.raises(MalformedMessageError, match="."):
         list_codec.list_answer_from(value, deployment)
