--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,21 +13,21 @@
 from marlseam.__main__ import main
 from marlseam.configuration import ConfigError, deployment_from, load
 
-GOOD = {"listen": "127.0.0.1:8443", "discovery": "127.0.0.1:8500", "seed": "ff", "settings": OPTIONS}
+VALID = {"listen": "127.0.0.1:8443", "discovery": "127.0.0.1:8500", "seed": "ff", "settings": OPTIONS}
 
 
 @pytest.fixture
 def write(tmp_path):
-    """Return a function that writes the good configuration with one entry changed, and gives its path."""
+    """Return a function that writes the valid configuration with one entry changed, and returns its path."""
 
     def change(key="", value=None):
-        values = copy.deepcopy(GOOD)
+        values = copy.deepcopy(VALID)
         if key:
             *tables, last = key.split(".")
-            at = values
+            table = values
             for name in tables:
-                at = at[int(name)] if isinstance(at, list) else at.setdefault(name, {})
-            at[last] = value
+                table = table[int(name)] if isinstance(table, list) else table.setdefault(name, {})
+            table[last] = value
         path = tmp_path / "node.json"
         path.write_text(json.dumps(values))
         return str(path)
@@ -35,54 +35,49 @@
     return change
 
 
-def test_a_good_file_is_read(write):
+def test_a_valid_file_is_read(write):
     config = load(write(), {})
     assert (config.listen, config.seed, config.sockets) == (("127.0.0.1", 8443), 255, 1024)
 
 
-def test_the_environment_goes_before_the_file(write):
+def test_the_environment_takes_precedence_over_the_file(write):
     config = load(write(), {"EDGE_LISTEN": "[::1]:99", "EDGE_NAME": "n7"})
     assert (config.listen, config.name) == (("::1", 99), "n7")
 
 
 def test_times_become_milliseconds(deployment):
-    assert (deployment.settings.request_classes[0].latency_objective_ms, deployment.keepalive_ms) == (
-        200.0,
-        1000.0,
-    )
+    assert deployment.settings.request_classes[0].latency_objective_ms == 200.0
+    assert deployment.keepalive_ms == 1000.0
 
 
-def test_what_is_missing_is_least_generous():
+def test_missing_settings_permit_nothing():
     settings = deployment_from({"requestClasses": [{"name": "x"}]}).settings
-    assert not (settings.may_cancel)
-    assert not (settings.may_probe)
-    assert not (settings.may_hedge)
-    assert not (settings.max_retry_after_ms)
-
-
-def test_order_and_drains_are_read_and_off_without_them():
-    row = {"name": "x", "oneAtATime": True}
-    rules = {"turnGapUs": 50000, "drainBindsAlone": True}
-    now = deployment_from({"requestClasses": [row], "guarantees": rules}).settings
-    assert (now.request_classes[0].ordered_by_key, now.key_gap_ms, now.only_draining_excludes) == (
-        True,
-        50.0,
-        True,
-    )
-    now = deployment_from({"requestClasses": [{"name": "x"}]}).settings
-    assert (now.request_classes[0].ordered_by_key, now.key_gap_ms, now.only_draining_excludes) == (
-        False,
-        0.0,
-        False,
-    )
+    assert not settings.may_cancel
+    assert not settings.may_probe
+    assert not settings.may_hedge
+    assert not settings.max_retry_after_ms
+
+
+def test_ordering_and_draining_settings_are_read_and_off_by_default():
+    request_class = {"name": "x", "oneAtATime": True}
+    guarantees = {"turnGapUs": 50000, "drainBindsAlone": True}
+    settings = deployment_from({"requestClasses": [request_class], "guarantees": guarantees}).settings
+    assert settings.request_classes[0].ordered_by_key
+    assert settings.key_gap_ms == 50.0
+    assert settings.only_draining_excludes
+    settings = deployment_from({"requestClasses": [{"name": "x"}]}).settings
+    assert not settings.request_classes[0].ordered_by_key
+    assert settings.key_gap_ms == 0.0
+    assert not settings.only_draining_excludes
 
 
-def test_a_reports_extra_figure_has_the_meaning_that_the_settings_give(deployment):
-    assert (deployment.report_names["x0"], "x1" in deployment.report_names) == ("free_slots", False)
+def test_an_extra_value_of_reports_has_the_meaning_that_the_settings_give(deployment):
+    assert deployment.report_names["x0"] == "free_slots"
+    assert "x1" not in deployment.report_names
 
 
 @pytest.mark.parametrize(
-    ("key", "value", "shown"),
+    ("key", "value", "message_start"),
     [
         ("listen", "nowhere", "listen: 'nowhere'"),
         ("listen", None, "listen: missing"),
@@ -102,19 +97,19 @@
         ("settings.zone", ["here"], "settings.zone: ['here']"),
     ],
 )
-def test_a_bad_entry_is_named(write, key, value, shown):
+def test_an_invalid_entry_is_named(write, key, value, message_start):
     with pytest.raises(ConfigError, match=".") as raised:
         load(write(key, value), {})
-    assert str(raised.value).startswith(shown)
+    assert str(raised.value).startswith(message_start)
     assert ", expected " in str(raised.value)
 
 
-def test_a_bad_configuration_ends_with_2_and_one_line(write):
+def test_an_invalid_configuration_exits_with_2_and_one_line(write):
     result = CliRunner().invoke(main, ["check", "--config", write("seed", "xyz")])
     assert (result.exit_code, result.stderr.count("\n")) == (2, 1)
 
 
-def test_no_configuration_ends_with_2(monkeypatch):
+def test_no_configuration_exits_with_2(monkeypatch):
     monkeypatch.delenv("EDGE_CONFIG", raising=False)
     monkeypatch.setattr(signal, "pthread_sigmask", lambda *_: None)
     assert CliRunner().invoke(main, ["serve"]).exit_code == 2
@@ -125,14 +120,11 @@
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
 
 
-def test_check_of_a_good_configuration_ends_with_0(write):
+def test_check_of_a_valid_configuration_exits_with_0(write):
     assert CliRunner().invoke(main, ["check", "--config", write()]).exit_code == 0
 
 
-# In service.
-
-
-def test_what_a_file_newly_says_goes_before_the_environment_of_the_start(write):
+def test_a_changed_entry_of_the_file_takes_precedence_over_the_environment(write):
     before = load(write(), {"EDGE_DISCOVERY": "127.0.0.1:1"})
     after = load(write("discovery", "127.0.0.1:2"), before=before)
     assert (before.discovery[1], after.discovery[1], load(write(), before=after).discovery[1]) == (1, 2, 8500)
@@ -146,21 +138,25 @@
 
 def test_request_classes_zones_and_kinds_keep_their_indices(write):
     before = load(write(), {}).deployment
-    rows = [OPTIONS["requestClasses"][1], OPTIONS["requestClasses"][0] | {"name": "new"}]
-    changed = OPTIONS | {"requestClasses": rows, "dcs": ["far", "there"], "kinds": ["big", "plain"]}
+    request_classes = [OPTIONS["requestClasses"][1], OPTIONS["requestClasses"][0] | {"name": "new"}]
+    changed = OPTIONS | {
+        "requestClasses": request_classes,
+        "dcs": ["far", "there"],
+        "kinds": ["big", "plain"],
+    }
     after = deployment_from(changed, before=before)
     assert after.types == {"posting": 1, "new": 2}
     assert after.settings.request_classes[1] == before.settings.request_classes[1]
     assert (after.zones["there"], after.kinds["plain"], after.kinds["big"]) == (1, 0, 1)
-    again = deployment_from(OPTIONS, before=after)
-    assert again.types == before.types
-    assert again.settings.request_classes[:2] == before.settings.request_classes
+    restored = deployment_from(OPTIONS, before=after)
+    assert restored.types == before.types
+    assert restored.settings.request_classes[:2] == before.settings.request_classes
 
 
-def test_a_request_class_offered_no_more_sets_no_times(write):
+def test_a_removed_request_class_does_not_determine_times(write):
     before = load(write(), {}).deployment
     after = deployment_from(OPTIONS | {"requestClasses": OPTIONS["requestClasses"][1:]}, before=before)
-    assert min(range(2), key=lambda i: after.settings.request_classes[i].latency_objective_ms) == 1
+    assert min(range(2), key=lambda index: after.settings.request_classes[index].latency_objective_ms) == 1
 
 
 def test_a_node_loads_nothing_of_the_bench():
@@ -172,9 +168,7 @@
     assert not {"numpy", "msgspec", "hdrh", "httptools", "asyncio"} & set(loaded)
 
 
-# What deployments of another shape set.
-
-SHAPE = {
+LIVE_SETTINGS = {
     "weights": "live",
     "worthBy": "work",
     "loadReport": {"how": "answers", "fields": ["backlog"]},
@@ -182,22 +176,18 @@
 }
 
 
-@pytest.mark.parametrize(
-    ("more", "shape"), [({}, (False, False, 0.0, False)), (SHAPE, (True, True, 0.03, True))]
-)
-def test_settings_of_another_shape_are_read_and_off_without_them(more, shape):
-    now = deployment_from(OPTIONS | more).settings
-    assert (
-        now.live_weights,
-        now.reports_in_responses,
-        now.fetch_cost,
-        now.weight_by_size,
-    ) == shape
-    assert not now.may_gossip
+@pytest.mark.parametrize(("changes", "is_on", "fetch_cost"), [({}, False, 0.0), (LIVE_SETTINGS, True, 0.03)])
+def test_live_weights_reports_costs_and_sizes_are_read_and_off_by_default(changes, is_on, fetch_cost):
+    settings = deployment_from(OPTIONS | changes).settings
+    assert settings.live_weights is is_on
+    assert settings.reports_in_responses is is_on
+    assert settings.weight_by_size is is_on
+    assert settings.fetch_cost == fetch_cost
+    assert not settings.may_gossip
 
 
 @pytest.mark.parametrize(
-    ("key", "value", "named"),
+    ("key", "value", "named_key"),
     [
         ("weights", "moving", "settings.weights"),
         ("weights", 3, "settings.weights"),
@@ -214,9 +204,9 @@
         ("guarantees.drainBindsAlone", "no", "settings.guarantees.drainBindsAlone"),
     ],
 )
-def test_a_faulty_setting_of_another_shape_ends_with_one_line(write, key, value, named):
-    done = CliRunner().invoke(main, ["check", "--config", write("settings." + key, value)])
-    assert done.exit_code == 2
-    assert done.stderr.count("\n") == 1
-    assert done.stderr.startswith(f"marlseam: {named}: ")
-    assert "expected" in done.stderr
+def test_an_invalid_setting_of_these_exits_with_2_and_one_line(write, key, value, named_key):
+    result = CliRunner().invoke(main, ["check", "--config", write("settings." + key, value)])
+    assert result.exit_code == 2
+    assert result.stderr.count("\n") == 1
+    assert result.stderr.startswith(f"marlseam: {named_key}: ")
+    assert "expected" in result.stderr
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -8,9 +8,9 @@
 @pytest.fixture
 def queue():
     """Return the queue of a member with two others, which sends each change eight times."""
-    made = GossipQueue()
-    made.resize(2)
-    return made
+    queue = GossipQueue()
+    queue.resize(2)
+    return queue
 
 
 def test_a_change_is_sent_a_number_of_times_that_grows_with_the_logarithm_of_the_group(queue):
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -1,4 +1,4 @@
-"""The rules of attempts and answers: one final answer in time, no effect twice, attempts limited."""
+"""The rules of attempts and answers: one final answer in time, no unsafe repeat, a limit of attempts."""
 
 from dataclasses import replace
 
@@ -6,8 +6,14 @@
 
 from marlseam.decisions.types import Outcome, Request
 
-RAN = (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED, Outcome.STALE_CONNECTION)
-NEVER = (Outcome.AT_CAPACITY, Outcome.UNREACHABLE, Outcome.CANCELLED_UNSENT)
+OUTCOMES_THAT_MAY_HAVE_RUN = (
+    Outcome.ERROR,
+    Outcome.TIMED_OUT,
+    Outcome.BROKEN,
+    Outcome.CANCELLED,
+    Outcome.STALE_CONNECTION,
+)
+OUTCOMES_THAT_NEVER_RAN = (Outcome.AT_CAPACITY, Outcome.UNREACHABLE, Outcome.CANCELLED_UNSENT)
 
 
 def test_open_requests_get_no_more_attempts_than_were_allowed_then_or_are_now(make_dispatcher, make_request):
@@ -24,10 +30,10 @@
 def test_a_request_is_answered_before_its_deadline(make_dispatcher):
     dispatcher = make_dispatcher(0.0)
     dispatcher.accept(Request("w", 2, dispatcher.port.clock + 5000.0))
-    at, guard = max(dispatcher.port.timers, key=lambda timer: timer[0])
-    assert at < dispatcher.port.clock + 5000.0
-    guard()
-    guard()
+    due_ms, answer_in_time = max(dispatcher.port.timers, key=lambda timer: timer[0])
+    assert due_ms < dispatcher.port.clock + 5000.0
+    answer_in_time()
+    answer_in_time()
     assert dispatcher.port.did("fail") == [("fail", "w")]
 
 
@@ -39,7 +45,7 @@
     assert not dispatcher.port.did("send")
 
 
-def test_a_request_without_any_server_waits_then_is_rejected(make_dispatcher):
+def test_a_request_without_any_server_is_queued_then_rejected(make_dispatcher):
     dispatcher = make_dispatcher()
     state = dispatcher.accept(Request("w", 0, dispatcher.port.clock + 5000.0))
     assert not state.is_closed
@@ -48,7 +54,7 @@
     assert dispatcher.port.did("reject") == [("reject", "w")]
 
 
-@pytest.mark.parametrize("outcome", RAN)
+@pytest.mark.parametrize("outcome", OUTCOMES_THAT_MAY_HAVE_RUN)
 def test_an_unsafe_request_that_may_have_run_is_failed(make_dispatcher, make_request, outcome):
     dispatcher = make_dispatcher(0.0, 0.0)
     make_request(dispatcher, 2, ((0, None),)).attempt_ended(0, outcome, False, None)
@@ -56,7 +62,7 @@
     assert not dispatcher.port.did("reject")
 
 
-@pytest.mark.parametrize("outcome", NEVER)
+@pytest.mark.parametrize("outcome", OUTCOMES_THAT_NEVER_RAN)
 def test_an_unsafe_request_that_never_ran_may_be_retried(make_dispatcher, make_request, outcome):
     dispatcher = make_dispatcher(0.0, 0.0)
     state = make_request(dispatcher, 2, ((0, outcome),))
@@ -89,10 +95,12 @@
     assert not make_request(make_dispatcher(0.0), 0, ((0, Outcome.ERROR),) * 4).may_attempt()
 
 
-@pytest.mark.parametrize("type", range(3))
-def test_an_invalid_request_is_failed_at_once_and_blames_no_server(make_dispatcher, make_request, type):
+@pytest.mark.parametrize("class_index", range(3))
+def test_an_invalid_request_is_failed_at_once_and_blames_no_server(
+    make_dispatcher, make_request, class_index
+):
     dispatcher = make_dispatcher(0.0, 0.0)
-    state = make_request(dispatcher, type, ((0, None),))
+    state = make_request(dispatcher, class_index, ((0, None),))
     state.attempt_ended(0, Outcome.INVALID_REQUEST, False, None)
     assert dispatcher.port.acts == [("fail", state.request.request_id)]
     assert dispatcher.log_likelihood_ratio[0] == 0.0
@@ -109,7 +117,7 @@
     assert dispatcher.port.did("cancel") == [("cancel", "w0", 0)]
 
 
-def test_an_attempt_cancelled_beside_another_in_flight_brings_no_third(make_dispatcher, make_request):
+def test_an_attempt_cancelled_beside_another_in_flight_is_not_retried(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0, 0.0, 0.0, may_hedge=True)
     state = make_request(dispatcher, attempts=((0, None), (1, None)))
     state.attempt_ended(0, Outcome.CANCELLED_UNSENT, False, None)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,14 +1,14 @@
 """What nodes publish to each other of their slots."""
 
 import pytest
-from dispatchers import listed
+from dispatchers import update_weights
 
-WORD = (100).to_bytes(3, "big")  # of the first server
+FIRST_SERVER = (100).to_bytes(3, "big")  # its name hash, as on the wire
 
 
 def test_a_node_publishes_its_slots(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0, 0.0, may_gossip=True, subscribes_to_endpoints=False)
-    listed(dispatcher, None, None)
+    update_weights(dispatcher, None, None)
     dispatcher.port.publish = lambda message: dispatcher.port.acts.append(("publish", message))
     make_request(dispatcher).send(1)
     dispatcher.publish_gossip()
@@ -18,26 +18,26 @@
 @pytest.mark.parametrize(
     ("messages", "count"),
     [
-        ([WORD + b"\x03", WORD + b"\x02"], 2.0),  # the last word holds
-        ([WORD + b"\x03", WORD], 3.0),  # cut short
-        ([b"\xff\xff\xff\x05\x01"], 0.0),  # of a server that is not listed
+        ([FIRST_SERVER + b"\x03", FIRST_SERVER + b"\x02"], 2.0),  # the last count holds
+        ([FIRST_SERVER + b"\x03", FIRST_SERVER], 3.0),  # truncated
+        ([b"\xff\xff\xff\x05\x01"], 0.0),  # of a server that is not update_weights
     ],
 )
-def test_what_others_published_counts_until_they_fall_silent(make_dispatcher, messages, count):
+def test_slots_that_peers_published_count_until_they_fall_silent(make_dispatcher, messages, count):
     dispatcher = make_dispatcher(0.0, may_gossip=True)
-    listed(dispatcher, None)
+    update_weights(dispatcher, None)
     for message in messages:
         dispatcher.merge_gossip(4, dispatcher.port.now(), message)
     assert dispatcher.count(0) == count
     dispatcher.port.clock += 2.0 * dispatcher.peer_silence_limit_ms
-    listed(dispatcher, None)
+    update_weights(dispatcher, None)
     assert dispatcher.count(0) == 0.0
     assert not dispatcher.peer_slots
 
 
 def test_gossip_of_a_forgotten_server_counts_for_none(make_dispatcher):
     dispatcher = make_dispatcher(0.0, may_gossip=True)
-    listed(dispatcher, None)
+    update_weights(dispatcher, None)
     dispatcher.reset(0)
-    dispatcher.merge_gossip(4, 0.0, WORD + b"\x03")
+    dispatcher.merge_gossip(4, 0.0, FIRST_SERVER + b"\x03")
     assert dispatcher.others_slots[0] is None
--- a/tests/test_load_estimates.py
+++ b/tests/test_load_estimates.py
@@ -1,7 +1,7 @@
 """Counts, thresholds and expected waits, and what reports change of them."""
 
 import pytest
-from dispatchers import LIVE, listed
+from dispatchers import LIVE, update_weights
 
 from marlseam.decisions.invariants import InvariantError, check_dispatcher
 from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind, LoadReport, Outcome
@@ -25,7 +25,7 @@
 
 
 def test_wide_requests_count_by_the_slots_that_are_not_free(make_dispatcher):
-    # Seen at quito-render: a node that read requests held as slots sent to servers without a free one.
+    # Guards against reading a count of requests as one of slots, and sending to servers without a free slot.
     dispatcher = make_dispatcher(0.0)
     dispatcher.merge_report(0, LoadReport(held=2.0, free_slots=0.0), dispatcher.port.now())
     assert dispatcher.count(0) == 4.0
@@ -43,7 +43,7 @@
     assert not dispatcher.is_over_threshold(0)
 
 
-def test_a_wide_request_waits_for_all_its_slots(make_dispatcher, make_request):
+def test_the_expected_wait_is_for_all_slots_of_a_request(make_dispatcher, make_request):
     dispatcher = make_dispatcher(2.0)
     assert dispatcher.expected_wait_ms(0, make_request(dispatcher).request) == 0.0
     assert dispatcher.expected_wait_ms(0, make_request(dispatcher, slots=4.0).request) > 0.0
@@ -74,11 +74,9 @@
     dispatcher.eject(2, "test")
     dispatcher.retry_elsewhere(2)
     assert dispatcher.threshold(0) == 3
-    assert (
-        dispatcher.ready_count[0],
-        dispatcher.others_slots_sum[0],
-        dispatcher.own_slots_sum[0],
-    ) == (1, 2.0, 1.0)
+    assert dispatcher.ready_count[0] == 1
+    assert dispatcher.others_slots_sum[0] == 2.0
+    assert dispatcher.own_slots_sum[0] == 1.0
     check_dispatcher(dispatcher)
 
 
@@ -98,7 +96,7 @@
     assert wide.meets_latency_objective(0)
 
 
-def test_first_runs_seen_soon_outweigh_the_guess(make_dispatcher, make_request):
+def test_measured_runs_soon_outweigh_the_guess(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
     guess = dispatcher.mean_slot_ms
     for _ in range(20):
@@ -117,41 +115,45 @@
 
 def test_a_weight_that_moves_counts_as_a_departure_from_the_level(make_dispatcher):
     dispatcher = make_dispatcher(0.0, 0.0, **LIVE)
-    listed(dispatcher, 3.0, 3.0)
+    update_weights(dispatcher, 3.0, 3.0)
     dispatcher.at_capacity[0] = dispatcher.forwarded_since_report[0] = True
-    listed(dispatcher, 3.0, 1.5)  # size over one plus held a core: the second holds one a slot
+    update_weights(
+        dispatcher, 3.0, 1.5
+    )  # a weight is size over one plus held a slot: the second server now holds one a slot
     assert dispatcher.count(0) < dispatcher.count(1) < 4.0
-    assert not (dispatcher.at_capacity[0])
-    assert not (dispatcher.forwarded_since_report[0])
+    assert not dispatcher.at_capacity[0]
+    assert not dispatcher.forwarded_since_report[0]
 
 
 def test_the_others_slots_follow_our_own_requests_at_once(make_dispatcher, make_request):
-    # Incident ie3063f: at a start and in a burst 21 nodes knew of no load before lists told it.
+    # Guards against knowing of no load at a start or in a burst, before a list shows it (incident ie3063f).
     dispatcher = make_dispatcher(None, None, **LIVE)
     before = dispatcher.threshold(0), dispatcher.count(1)
-    for e in (0, 0, 1, 1):
-        make_request(dispatcher, attempts=((e, None),))
+    for server in (0, 0, 1, 1):
+        make_request(dispatcher, attempts=((server, None),))
     assert before == (0.0, 0.0)
     assert dispatcher.threshold(0) >= 8.0
     assert dispatcher.count(1) > 6.0
-    for e in (0, 1):
-        for state, _ in list(dispatcher.own_attempts[e]):
+    for server in (0, 1):
+        for state, _ in list(dispatcher.own_attempts[server]):
             state.attempt_ended(0, Outcome.COMPLETED, True, None)
     assert dispatcher.count(1) == 0.0
 
 
 def test_late_lists_alone_do_not_make_a_kind_look_full(make_dispatcher):
     dispatcher = make_dispatcher(0.0, 0.0, **LIVE)
-    listed(dispatcher, 3.0, 3.0)
+    update_weights(dispatcher, 3.0, 3.0)
     for _ in range(8):
-        listed(dispatcher, 0.5, 0.5)  # twenty held at each, says the list; nothing of ours is out
+        update_weights(
+            dispatcher, 0.5, 0.5
+        )  # by the list each holds twenty, though nothing of this node is in flight
     assert dispatcher.count(0) < 11.0
 
 
 def test_a_server_that_holds_our_requests_long_counts_as_full_whatever_it_reports(
     make_dispatcher, make_request
 ):
-    # Seen at ledger-semarang: slow servers of one hall told a tenth of their load, and all nodes sent on.
+    # Guards against slow servers that report a tenth of their load, to which all nodes would go on sending.
     dispatcher = make_dispatcher(3.0, 3.0, 3.0, 3.0, **LIVE)
     dispatcher.listed_others_slots[0] = 3.0
     for _ in range(3):
@@ -165,14 +167,14 @@
     assert not dispatcher.is_over_threshold(0)
 
 
-def test_a_wide_request_waits_until_its_slots_are_free_together(make_dispatcher, make_request):
+def test_the_expected_wait_is_until_all_slots_are_free_at_once(make_dispatcher, make_request):
     dispatcher = make_dispatcher(3.0, reports_in_responses=True)
-    assert dispatcher.expected_wait_ms(
-        0, make_request(dispatcher, slots=4.0).request
-    ) > 1.5 * make_dispatcher(3.0).expected_wait_ms(0, make_request(dispatcher, slots=4.0).request)
+    request = make_request(dispatcher, slots=4.0).request
+    wait_ms = make_dispatcher(3.0).expected_wait_ms(0, request)
+    assert dispatcher.expected_wait_ms(0, request) > 1.5 * wait_ms
 
 
-def test_a_sum_that_departs_from_its_servers_is_found(make_dispatcher):
+def test_a_sum_that_differs_from_its_servers_is_detected(make_dispatcher):
     dispatcher = make_dispatcher(2.0, 4.0)
     dispatcher.others_slots_sum[0] += 1.0
 
@@ -183,7 +185,7 @@
     assert (error.value.expected, error.value.found) == (6.0, 7.0)
 
 
-def test_an_attempt_that_has_ended_is_not_tracked(make_dispatcher, make_request):
+def test_an_ended_attempt_that_is_still_tracked_is_detected(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
     state = make_request(dispatcher, attempts=((0, None),))
     state.attempts[0].outcome = Outcome.COMPLETED
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,7 +1,7 @@
 """Ejection and trial of servers, by outcomes, probes and stalled attempts."""
 
 import pytest
-from dispatchers import LIVE, ready
+from dispatchers import LIVE, usable_servers
 
 from marlseam.decisions.types import LoadReport, Outcome
 
@@ -11,26 +11,26 @@
     dispatcher = make_dispatcher(0.0, 0.0)
     for _ in range(2):
         make_request(dispatcher, attempts=((0, None),)).attempt_ended(0, outcome, False, None)
-    assert 0 not in ready(dispatcher)
+    assert 0 not in usable_servers(dispatcher)
 
 
 def test_requests_that_fail_wherever_they_go_blame_no_server(make_dispatcher, make_request):
-    # Incident i89b8ef: two types failed on every server; all of these rested, and other work waited.
+    # Guards against ejecting all servers where two request classes fail on each (incident i89b8ef).
     dispatcher = make_dispatcher(*(0.0,) * 6)
     for i in range(120):
         outcome = Outcome.COMPLETED if i % 5 in (1, 3) else Outcome.ERROR
         make_request(dispatcher, attempts=((i % 6, None),)).attempt_ended(0, outcome, False, None)
         dispatcher.port.clock += 500.0
-    rests = len(dispatcher.port.did("log"))
+    logged_before = len(dispatcher.port.did("log"))
     for i in range(120):
         outcome = Outcome.COMPLETED if i % 5 in (1, 3) else Outcome.ERROR
         make_request(dispatcher, attempts=((i % 6, None),)).attempt_ended(0, outcome, False, None)
         dispatcher.port.clock += 20.0
-    assert len(dispatcher.port.did("log")) - rests <= 2
-    assert len(ready(dispatcher)) >= 5
-    for _ in range(3):  # a type that does not fail elsewhere still tells of a sick one
+    assert len(dispatcher.port.did("log")) - logged_before <= 2
+    assert len(usable_servers(dispatcher)) >= 5
+    for _ in range(3):  # failures of a class that succeeds elsewhere still count against the server
         make_request(dispatcher, 1, ((3, None),)).attempt_ended(0, Outcome.ERROR, False, None)
-    assert 3 not in ready(dispatcher)
+    assert 3 not in usable_servers(dispatcher)
 
 
 def test_an_ejected_server_is_tried_again_with_one_request(make_dispatcher, make_request):
@@ -38,15 +38,15 @@
     dispatcher.eject(0, "test")
     dispatcher.retry_elsewhere(0)
     dispatcher.port.clock = dispatcher.ejected_until_ms[0]
-    assert ready(dispatcher) == [0]
+    assert usable_servers(dispatcher) == [0]
     make_request(dispatcher, attempts=((0, None),))
-    assert ready(dispatcher) == []
+    assert usable_servers(dispatcher) == []
 
 
 def test_an_unresponsive_server_is_probed_when_it_is_drawn(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
     dispatcher.probe_ended(0, Outcome.TIMED_OUT, 400.0, None)
-    assert ready(dispatcher) == []
+    assert usable_servers(dispatcher) == []
     dispatcher.port.clock = dispatcher.ejected_until_ms[0]
     make_request(dispatcher).place()
     assert dispatcher.port.did("probe")
@@ -60,7 +60,7 @@
     dispatcher = make_dispatcher(0.0)
     dispatcher.probe(0, lambda _server: None)
     dispatcher.port.clock += 2.0 * dispatcher.probe_wait_ms
-    assert ready(dispatcher) == []
+    assert usable_servers(dispatcher) == []
 
 
 def test_a_started_attempt_without_progress_is_stalled(make_dispatcher, make_request):
@@ -79,7 +79,7 @@
     assert not dispatcher.detect_stall(0)
 
 
-def test_a_stale_connection_says_nothing_of_its_server(make_dispatcher, make_request):
+def test_a_stale_connection_does_not_count_against_its_server(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
     state = make_request(dispatcher, attempts=((0, None),))
     state.attempt_ended(0, Outcome.STALE_CONNECTION, False, None)
@@ -91,7 +91,7 @@
     make_request(dispatcher, attempts=((0, None),))
     dispatcher.record_outcome(0, 99.0)
     dispatcher.probe_ended(0, Outcome.BROKEN, 1.0, None)
-    assert 0 not in ready(dispatcher)
+    assert 0 not in usable_servers(dispatcher)
     assert not dispatcher.port.did("cancel")
     dispatcher.probe_ended(0, Outcome.TIMED_OUT, 1.0, None)
     assert dispatcher.port.did("cancel") == [("cancel", "w0", 0)]
@@ -106,14 +106,14 @@
     dispatcher.eject(0, "test")
     dispatcher.retry_elsewhere(0)
     dispatcher.port.clock = dispatcher.ejected_until_ms[0] + 3.0 * dispatcher.report_max_age_ms
-    assert ready(dispatcher) == [0]
+    assert usable_servers(dispatcher) == [0]
     assert not dispatcher.detect_stall(0)
     make_request(dispatcher, 1, ((0, None),))
-    assert ready(dispatcher) == []
+    assert usable_servers(dispatcher) == []
 
 
 def test_a_report_from_before_an_attempt_shows_no_stall(make_dispatcher, make_request):
-    # Incident ie3063f: servers rested 238 times, as reports of a second before had them free.
+    # Guards against ejecting servers by reports of a second before, which had them free (incident ie3063f).
     dispatcher = make_dispatcher(0.0, **LIVE)
     make_request(dispatcher, attempts=((0, None),))
     dispatcher.refresh_period_ms, dispatcher.free_slots[0] = 1000.0, 4.0
--- a/tests/test_pending_queue.py
+++ b/tests/test_pending_queue.py
@@ -2,23 +2,23 @@
 
 from dataclasses import replace
 
-from dispatchers import waiting
+from dispatchers import pending_count
 
 from marlseam.decisions.types import LoadReport, Outcome
 
 
-def test_a_request_that_would_be_late_waits(make_dispatcher, make_request):
+def test_a_request_that_would_miss_its_objective_is_queued(make_dispatcher, make_request):
     dispatcher = make_dispatcher(40.0)
     make_request(dispatcher).place()
     assert not dispatcher.port.did("send")
-    assert waiting(dispatcher) == 1
+    assert pending_count(dispatcher) == 1
 
 
 def test_further_attempts_wait_in_a_queue_of_their_own(make_dispatcher, make_request):
     dispatcher = make_dispatcher(40.0)
     make_request(dispatcher, 0, ((0, Outcome.AT_CAPACITY),)).enqueue()
-    assert not waiting(dispatcher)
-    assert waiting(dispatcher, True) == 1
+    assert not pending_count(dispatcher)
+    assert pending_count(dispatcher, is_retry=True) == 1
 
 
 def test_a_node_with_nothing_in_flight_sets_no_timer(make_dispatcher, make_request):
@@ -42,11 +42,11 @@
     dispatcher = make_dispatcher(*[40.0] * 5)
     for _ in range(200):
         make_request(dispatcher).enqueue()
-    looks = []
-    dispatcher.draw_server = lambda *_: looks.append(1) or -1
+    draws = []
+    dispatcher.draw_server = lambda *_: draws.append(1) or -1
     dispatcher.dispatch_queue()
-    assert len(looks) < 10
-    assert waiting(dispatcher) == 200
+    assert len(draws) < 10
+    assert pending_count(dispatcher) == 200
 
 
 def test_an_unsuccessful_placement_for_one_kind_holds_up_no_other_kind(make_dispatcher, make_request):
@@ -57,7 +57,7 @@
     make_request(dispatcher).enqueue()
     dispatcher.dispatch_queue()
     assert len(dispatcher.port.did("send")) == 1
-    assert waiting(dispatcher) == 1
+    assert pending_count(dispatcher) == 1
 
 
 def test_after_a_successful_probe_the_next_request_is_placed(make_dispatcher, make_request):
@@ -74,13 +74,12 @@
     make_dispatcher, make_request
 ):
     dispatcher = make_dispatcher(40.0, weight_by_size=True)
-    rich = replace(dispatcher.request_classes[2], priority_weight=5.0)
+    weighty_class = replace(dispatcher.request_classes[2], priority_weight=5.0)
     dispatcher.configure(
-        replace(dispatcher.settings, request_classes=(*dispatcher.request_classes[:2], rich))
+        replace(dispatcher.settings, request_classes=(*dispatcher.request_classes[:2], weighty_class))
     )
-    poor, better = make_request(dispatcher, 0), make_request(dispatcher, 2)
-    poor.enqueue()
-    better.enqueue()
+    make_request(dispatcher, 0).enqueue()
+    make_request(dispatcher, 2).enqueue()
     dispatcher.set_others_slots(0, 3.0)
     dispatcher.dispatch_queue()
     assert dispatcher.port.did("send")[0] == ("send", "w2", 0)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,6 +1,6 @@
 """Forward probing: the home server, its threshold, probes, and the server picked."""
 
-from dispatchers import LIVE, waiting
+from dispatchers import LIVE, pending_count
 
 from marlseam.decisions.types import Request
 
@@ -54,7 +54,8 @@
     dispatcher.port.clock += 1.0
     state.probe([1, 2], state.probes_ended)
     dispatcher.others_slots[0] = 0.0
-    dispatcher.port.timers[-1][1]()
+    _, time_out = dispatcher.port.timers[-1]
+    time_out()
     assert dispatcher.port.did("send") == [("send", "w0", 0)]
 
 
@@ -76,15 +77,15 @@
     state.home_server = 0
     state.place_at_home(state.decide_at_home(state.home_server))
     assert not dispatcher.port.did("probe")
-    assert waiting(dispatcher) == 1
+    assert pending_count(dispatcher) == 1
 
 
-def test_home_is_first_sought_where_slots_are_free(make_dispatcher, make_request):
+def test_home_is_drawn_first_where_slots_are_free(make_dispatcher, make_request):
     dispatcher = make_dispatcher(5.0, 5.0, 0.0, 5.0, **LIVE)
     assert {make_request(dispatcher).choose_initial_placement().server for _ in range(20)} == {2}
 
 
-def test_home_is_sought_where_slots_are_free_once_nodes_gossip(make_dispatcher, make_request):
+def test_home_is_drawn_where_slots_are_free_once_nodes_gossip(make_dispatcher, make_request):
     dispatcher = make_dispatcher(4.0, 4.0, 0.0, may_gossip=True)
     dispatcher.peer_slots[4] = {}
     assert {make_request(dispatcher).choose_initial_placement().server for _ in range(20)} == {2}
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -12,10 +12,10 @@
 @pytest.fixture
 def instance():
     """Return an instance with one server that has just reported."""
-    made = Instance("node_3", 7, OPTIONS, 1000.0, [])
-    play(made, "directory_update node_3 1 1 1", ENTRY)
-    play(made, "sampled node_3 900 10.0.0.1:80 success backlog:0,x0:4")
-    return made
+    instance = Instance("node_3", 7, OPTIONS, 1000.0, [])
+    play(instance, "directory_update node_3 1 1 1", ENTRY)
+    play(instance, "sampled node_3 900 10.0.0.1:80 success backlog:0,x0:4")
+    return instance
 
 
 def play(instance, line, *entries):
@@ -26,8 +26,9 @@
     return list(instance.out)
 
 
-def arrive(instance, type="statement"):
-    return play(instance, f"arrival node_3 c:1 {type} - - 6000000 - 1 - 0 0 0")
+def arrive(instance, class_name="statement"):
+    """Have a request arrive, and return the actions."""
+    return play(instance, f"arrival node_3 c:1 {class_name} - - 6000000 - 1 - 0 0 0")
 
 
 def test_a_new_instance_asks_for_discovery():
@@ -43,28 +44,28 @@
     assert play(instance, "settled node_3 c:1 0 10.0.0.1:80 success 9000 1 - -") == []
 
 
-def test_unsafe_work_that_may_have_run_is_finished_with_an_error(instance):
+def test_an_unsafe_request_that_may_have_run_is_finished_with_an_error(instance):
     arrive(instance, "posting")
     assert play(instance, "settled node_3 c:1 0 10.0.0.1:80 broken 9000 - - -") == ["finish_error node_3 c:1"]
 
 
-def test_a_client_that_left_has_its_attempt_stopped(instance):
+def test_a_client_that_disconnects_has_its_attempt_stopped(instance):
     arrive(instance)
     assert play(instance, "left node_3 c:1") == ["stop_attempt node_3 c:1 0"]
 
 
 @pytest.mark.parametrize(
-    ("line", "started", "share"),
+    ("line", "started_ms", "progress"),
     [
         ("change node_3 c:1 0 10.0.0.1:80 1 0", 1000.0, 0.0),
         ("change node_3 c:1 0 10.0.0.1:80 2 0.4", None, 0.4),
     ],
 )
-def test_news_of_an_attempt_reaches_its_handle(instance, line, started, share):
+def test_the_start_and_progress_of_an_attempt_are_recorded(instance, line, started_ms, progress):
     arrive(instance)
     play(instance, line)
-    (attempt_index,) = instance.reducer.open_requests["c:1"].attempts
-    assert (attempt_index.started_ms, attempt_index.progress) == (started, share)
+    (attempt,) = instance.reducer.open_requests["c:1"].attempts
+    assert (attempt.started_ms, attempt.progress) == (started_ms, progress)
 
 
 @pytest.mark.parametrize(
@@ -92,7 +93,7 @@
 
 
 def test_an_entrys_weight_and_an_arrivals_key_are_read(instance):
-    assert instance.entry(wire.parse("m 0 here 1.5 plain - 1 10.0.0.1:80")[1]).weight == 1.5
-    assert (
-        instance.request(wire.parse("arrival node_3 c:1 statement - fn:k 6000000")[1]).resource_key == "fn:k"
-    )
+    _, entry_values = wire.parse("m 0 here 1.5 plain - 1 10.0.0.1:80")
+    assert instance.entry(entry_values).weight == 1.5
+    _, request_values = wire.parse("arrival node_3 c:1 statement - fn:k 6000000")
+    assert instance.request(request_values).resource_key == "fn:k"
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -3,50 +3,45 @@
 from dataclasses import replace
 
 import pytest
-from dispatchers import ready
+from dispatchers import usable_servers
 
 from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind
 
 
 def test_a_process_share_is_a_share_of_a_slow_start_budget(make_dispatcher):
     dispatcher = make_dispatcher(0.0, node_count=2)
-    (
-        dispatcher.process_started_ms[0],
-        dispatcher.slow_start_tokens[0],
-        dispatcher.slow_start_refilled_ms[0],
-    ) = (
-        dispatcher.port.clock,
-        0.0,
-        dispatcher.port.clock,
-    )
+    dispatcher.process_started_ms[0] = dispatcher.slow_start_refilled_ms[0] = dispatcher.port.clock
+    dispatcher.slow_start_tokens[0] = 0.0
     dispatcher.port.clock += 100.0
     dispatcher.has_budget(0)
-    whole = dispatcher.slow_start_tokens[0]
+    whole_budget = dispatcher.slow_start_tokens[0]
     dispatcher.configure(replace(dispatcher.settings, process_share=0.5))
     dispatcher.slow_start_tokens[0], dispatcher.slow_start_refilled_ms[0] = 0.0, dispatcher.port.clock - 100.0
     dispatcher.has_budget(0)
-    assert 0.0 < dispatcher.slow_start_tokens[0] == pytest.approx(whole / 2)
+    assert 0.0 < dispatcher.slow_start_tokens[0] == pytest.approx(whole_budget / 2)
 
 
 def test_a_server_in_slow_start_gets_only_this_nodes_part(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0, 0.0)
     dispatcher.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, 900.0)])
-    assert 0 not in ready(dispatcher)
+    assert 0 not in usable_servers(dispatcher)
     dispatcher.port.clock += 3000.0
-    assert 0 in ready(dispatcher)
+    assert 0 in usable_servers(dispatcher)
     dispatcher.slow_start_tokens[0] = 0.5
     make_request(dispatcher).send(0)
-    assert 0 not in ready(dispatcher)
+    assert 0 not in usable_servers(dispatcher)
 
 
-def test_nodes_do_not_begin_on_a_server_in_slow_start_at_once(make_dispatcher):
+def test_a_node_begins_on_a_server_in_slow_start_with_no_more_than_an_empty_bucket(make_dispatcher):
     dispatcher = make_dispatcher(0.0)
-    for born in (910.0, 920.0, 930.0):
-        dispatcher.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, born)])
+    for started_ms in (910.0, 920.0, 930.0):
+        dispatcher.update_endpoints(
+            ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, started_ms)]
+        )
         assert -1.0 < dispatcher.slow_start_tokens[0] <= 0.0
 
 
-def test_a_request_past_the_window_is_kept_from_a_server_in_slow_start(make_dispatcher, make_request):
+def test_a_request_that_would_run_past_the_slow_start_is_not_eligible(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
     dispatcher.mean_run_ms[0] = 100.0 * dispatcher.mean_slot_ms
     state = make_request(dispatcher)
