--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""A port that records what the module asks of it, and nodes in a given state."""
+"""Fixtures: dispatchers and nodes in a given state, connections that play a script, sockets.
+
+Samples and stand-ins are in modules of their own; those that many tests import from here are re-exported.
+"""
 
 import json
 import os
@@ -13,23 +16,23 @@
 import pytest
 from hypothesis import settings as hypothesis_settings
 from operator_calls import OperatorReply, read_more
+from recording_port import RecordingPort
+from scripted_socket import ANSWER as ANSWER
+from scripted_socket import LINES as LINES
+from scripted_socket import ScriptedSocket as ScriptedSocket
+from settings_samples import ENDPOINT as ENDPOINT
+from settings_samples import KEYED as KEYED
+from settings_samples import NODE_CONFIG, OPTIONS, SETTINGS
+from settings_samples import PAYMENTS as PAYMENTS
+from settings_samples import SAFE as SAFE
+from settings_samples import UNSAFE as UNSAFE
 
 from marlseam.configuration import Config, ConfigError, Deployment, deployment_from, load, operator_settings
 from marlseam.core import Event
 from marlseam.counters import Counters
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.request_state import RequestState
-from marlseam.decisions.types import (
-    Attempt,
-    DeduplicationScope,
-    Endpoint,
-    EndpointState,
-    Idempotency,
-    ListUpdateKind,
-    Request,
-    RequestClass,
-    Settings,
-)
+from marlseam.decisions.types import Attempt, Endpoint, EndpointState, ListUpdateKind, Request
 from marlseam.net.connection import Connection, Steps
 from marlseam.net.log import Log
 from marlseam.net.loop import READ, Loop
@@ -39,77 +42,6 @@
 # The same examples each time: whether a change lands does not hang on chance, or on how busy the machine is.
 hypothesis_settings.register_profile("fixed", derandomize=True, deadline=None)
 hypothesis_settings.load_profile("fixed")
-SAFE = RequestClass(200.0, 2.0, 5000.0, Idempotency.SAFE, DeduplicationScope.ALL, 5000.0, -1)
-KEYED = replace(
-    SAFE,
-    idempotency=Idempotency.KEYED,
-    deduplication_scope=DeduplicationScope.CELL,
-    deduplication_window_ms=3000.0,
-)
-UNSAFE = replace(SAFE, idempotency=Idempotency.UNSAFE)
-SETTINGS = Settings(
-    request_classes=(SAFE, KEYED, UNSAFE),
-    kind_count=1,
-    zone=0,
-    node_count=2,
-    tick_ms=4.0,
-    max_attempts=4,
-    may_probe=True,
-    may_cancel=True,
-    may_hedge=False,
-    max_retry_after_ms=2000.0,
-    subscribes_to_endpoints=True,
-    list_max_age_ms=10000.0,
-    reports_start=True,
-    progress_period_ms=1000.0,
-    slow_start_initial_share=0.3,
-    slow_start_ms=8000.0,
-    overload_multiple=3.0,
-    overload_window_ms=1000.0,
-    cross_zone_cost=0.02,
-)
-
-
-class RecordingPort:
-    """Notes each action; time stands still until a test moves it."""
-
-    def __init__(self) -> None:
-        self.clock = 1000.0
-        self.acts: list[tuple] = []
-        self.timers: list[tuple[float, Callable[[], None]]] = []
-
-    def now(self) -> float:
-        return self.clock
-
-    def send(self, state: RequestState, server: int, time_left_ms: float) -> None:
-        self.acts.append(("send", state.request.request_id, server))
-
-    def cancel(self, state: RequestState, attempt_index: int) -> None:
-        self.acts.append(("cancel", state.request.request_id, attempt_index))
-
-    def reject(self, state: RequestState, retry_after_ms: float) -> None:
-        self.acts.append(("reject", state.request.request_id))
-
-    def fail(self, state: RequestState) -> None:
-        self.acts.append(("fail", state.request.request_id))
-
-    def probe(self, server: int) -> None:
-        self.acts.append(("probe", server))
-
-    def after(self, delay_ms: float, call: Callable[[], None]) -> None:
-        self.timers.append((self.clock + delay_ms, call))
-
-    def never_ran(self, state: RequestState, server: int, sent_ms: float) -> None:
-        self.acts.append(("never_ran", state.request.request_id, server))
-
-    def watch_endpoints(self) -> None:
-        self.acts.append(("watch_endpoints",))
-
-    def log(self, text: str) -> None:
-        self.acts.append(("log", text))
-
-    def did(self, what: str) -> list[tuple]:
-        return [act for act in self.acts if act[0] == what]
 
 
 @pytest.fixture
@@ -152,106 +84,7 @@
     return build
 
 
-# The real node: settings as the file holds them, a socket that plays a script, and the parts round it.
-
-OPTIONS = {
-    "zone": "here",
-    "dcs": ["here", "there"],
-    "kinds": ["plain"],
-    "tickUs": 4000,
-    "registryMode": "subscribe",
-    "requestClasses": [
-        {"name": "statement", "aimUs": 200000, "deadlineUs": 5000000, "semantics": "safe"},
-        {"name": "posting", "aimUs": 200000, "deadlineUs": 5000000, "semantics": "unsafe"},
-    ],
-    "ceilings": {"sendCap": 4, "mayProbe": True, "cancel": True, "keepaliveUs": 1000000},
-    "familyInfo": {"tellsStart": True, "reportX0": "free slots"},
-}
-PAYMENTS = OPTIONS | {
-    "requestClasses": [
-        *OPTIONS["requestClasses"],
-        {
-            "name": "payment",
-            "aimUs": 200000,
-            "deadlineUs": 5000000,
-            "semantics": "keyed",
-            "dedupScope": "cell",
-            "memorySpanUs": 30000000,
-        },
-    ],
-    "clients": {"marksRetry": True},
-}
-ENDPOINT = {
-    "host": "e1",
-    "dial": "127.0.0.1:1",
-    "health": "active",
-    "site": "here",
-    "class": "plain",
-    "block": 0,
-}
-NODE_CONFIG = {
-    "listen": "127.0.0.1:0",
-    "discovery": "127.0.0.1:1",
-    "settings": OPTIONS,
-    "known": {"seq": 1, "whole": True, "hosts": [ENDPOINT]},
-}
-
-
-LINES = b'{"id":"9b","from":"e1","state":"started"}\n{"id":"9b","from":"e1","state":"done","result":"r"}\n'
-CHUNK = b"%x\r\n%b\r\n" % (len(LINES), LINES)
-ANSWER = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + CHUNK + b"0\r\n\r\n"
-
-
-class ScriptedSocket:
-    """Takes so many bytes and then breaks; gives its replies one by one, then the end or silence."""
-
-    def __init__(
-        self,
-        replies: tuple[bytes, ...] = (),
-        takes: int = 1 << 30,
-        silent: bool = False,
-        piece: int = 1 << 30,
-    ) -> None:
-        self.replies, self.takes, self.silent, self.piece = list(replies), takes, silent, piece
-        self.blocks = piece < 1 << 30
-        self.pair = socket.socketpair()
-        self.sent, self.open = b"", True
-        self.upon_send: list[bytes] = []
-
-    def fileno(self) -> int:
-        return self.pair[0].fileno()
-
-    def send(self, data: memoryview) -> int:
-        self.blocks = not self.blocks and self.piece < 1 << 30
-        if self.blocks:
-            raise BlockingIOError
-        count = min(len(data), self.piece, self.takes - len(self.sent))
-        if not count:
-            raise ConnectionResetError
-        self.sent += bytes(data[:count])
-        self.replies += self.upon_send
-        self.upon_send = []
-        return count
-
-    def recv_into(self, room: memoryview) -> int:
-        if not self.replies:
-            if self.silent:
-                raise BlockingIOError
-            return 0
-        data = self.replies[0][: len(room)]
-        self.replies[0] = self.replies[0][len(data) :]
-        if not self.replies[0]:
-            del self.replies[0]
-        room[: len(data)] = data
-        return len(data)
-
-    def shutdown(self, how: int) -> None:
-        """Nothing to do: what was sent is all there is."""
-
-    def close(self) -> None:
-        self.open = False
-        for end in self.pair:
-            end.close()
+# Parts of a node, and whole nodes.
 
 
 @pytest.fixture
@@ -351,7 +184,7 @@
     """
 
     def build(*replies: bytes, **script: object) -> Upstream:
-        def connect(loop: Loop, log: Log, address: tuple[str, int], what: str, until_ms: float) -> Steps:
+        def connect(_loop: Loop, _log: Log, address: tuple[str, int], *_: object) -> Steps:
             opened = make_connection(h11.CLIENT, *replies, **script)
             opened.address = address
             upstream.connections.append(opened)
--- /dev/null
+++ b/tests/recording_port.py
@@ -0,0 +1,55 @@
+"""A port that records what decisions ask of it."""
+
+from collections.abc import Callable
+
+from marlseam.decisions.request_state import RequestState
+
+
+class RecordingPort:
+    """Records each action; its clock stays where a test sets it.
+
+    Attributes:
+        clock: the time in ms.
+        acts: the actions, each a tuple of its name and arguments.
+        timers: when each timer fires, in ms, with its call.
+
+    """
+
+    def __init__(self) -> None:
+        self.clock = 1000.0
+        self.acts: list[tuple] = []
+        self.timers: list[tuple[float, Callable[[], None]]] = []
+
+    def now(self) -> float:
+        return self.clock
+
+    def send(self, state: RequestState, server: int, _time_left_ms: float) -> None:
+        self.acts.append(("send", state.request.request_id, server))
+
+    def cancel(self, state: RequestState, attempt_index: int) -> None:
+        self.acts.append(("cancel", state.request.request_id, attempt_index))
+
+    def reject(self, state: RequestState, _retry_after_ms: float) -> None:
+        self.acts.append(("reject", state.request.request_id))
+
+    def fail(self, state: RequestState) -> None:
+        self.acts.append(("fail", state.request.request_id))
+
+    def probe(self, server: int) -> None:
+        self.acts.append(("probe", server))
+
+    def after(self, delay_ms: float, call: Callable[[], None]) -> None:
+        self.timers.append((self.clock + delay_ms, call))
+
+    def never_ran(self, state: RequestState, server: int, _sent_ms: float) -> None:
+        self.acts.append(("never_ran", state.request.request_id, server))
+
+    def watch_endpoints(self) -> None:
+        self.acts.append(("watch_endpoints",))
+
+    def log(self, text: str) -> None:
+        self.acts.append(("log", text))
+
+    def did(self, name: str) -> list[tuple]:
+        """Return the actions of one name."""
+        return [act for act in self.acts if act[0] == name]
--- a/tests/test_bytes.py
+++ b/tests/test_bytes.py
@@ -5,10 +5,10 @@
 
 import h11
 import pytest
-from conftest import ScriptedSocket
 from http_samples import CHUNKED_REQUEST, REQUEST
 from hypothesis import example, given
 from hypothesis import strategies as st
+from scripted_socket import ScriptedSocket
 
 from marlseam.net import admin, downstream, http
 from marlseam.net.connection import Connection
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,7 +8,7 @@
 
 import pytest
 from click.testing import CliRunner
-from conftest import OPTIONS
+from settings_samples import OPTIONS
 
 from marlseam.__main__ import main
 from marlseam.configuration import ConfigError, deployment_from, load
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -4,9 +4,9 @@
 from pathlib import Path
 
 import pytest
-from conftest import OPTIONS
 from http_samples import CHUNKED_REQUEST, CLIENT_REQUEST, REQUEST
 from operator_calls import send_request
+from settings_samples import OPTIONS
 
 from marlseam.counters import Counters
 from marlseam.decisions.types import Endpoint, EndpointState
--- a/tests/test_durable_state.py
+++ b/tests/test_durable_state.py
@@ -8,7 +8,8 @@
 from dataclasses import replace
 
 import pytest
-from conftest import PAYMENTS, turn_until
+from conftest import turn_until
+from settings_samples import PAYMENTS
 from state_samples import attempt_sent, keys_on_disk
 
 from marlseam import core
--- a/tests/test_handover_to_later_process.py
+++ b/tests/test_handover_to_later_process.py
@@ -6,8 +6,9 @@
 from pathlib import Path
 
 import pytest
-from conftest import PAYMENTS, turn_until
+from conftest import turn_until
 from handover_samples import encode_hello
+from settings_samples import PAYMENTS
 
 from marlseam import core
 from marlseam.core.idempotency import AttemptRecord
--- a/tests/test_key_ordering.py
+++ b/tests/test_key_ordering.py
@@ -6,12 +6,12 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
+from settings_samples import SAFE, SETTINGS, UNSAFE
 
 from marlseam import core
 from marlseam.core import Reducer
 from marlseam.core.invariants import check_reducer
 from marlseam.decisions.types import EndpointState, ListUpdateKind, Outcome, Request
-from tests.conftest import SAFE, SETTINGS, UNSAFE
 
 ORDERED = replace(UNSAFE, ordered_by_key=True)
 ORDERED_SAFE = replace(SAFE, ordered_by_key=True)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -5,12 +5,12 @@
 import subprocess
 import sys
 
-from conftest import OPTIONS
 from http_samples import CHUNKED_REQUEST as CHUNKED  # noqa: F401  (re-exports, see the note below)
 from http_samples import CLIENT_REQUEST as JOB  # noqa: F401
 from http_samples import REQUEST
 from http_samples import attempt_outcomes as outcomes  # noqa: F401
 from http_samples import send_attempt as sent  # noqa: F401
+from settings_samples import OPTIONS
 
 from marlseam.net import graceful_shutdown
 
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -6,8 +6,9 @@
 import socket
 
 import pytest
-from conftest import ENDPOINT, PAYMENTS, turn_until
+from conftest import turn_until
 from handover_samples import attempt_sent, encode_hello, node_epoch_ms, now_ms
+from settings_samples import ENDPOINT, PAYMENTS
 
 from marlseam.configuration import load
 from marlseam.decisions.types import EndpointState
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import KEYED, SETTINGS
+from settings_samples import KEYED, SETTINGS
 
 from marlseam import core
 from marlseam.core import EndpointEntry, Reducer
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 
 import pytest
-from conftest import OPTIONS
 from http_samples import REQUEST, endpoint_list, logged_codes
+from settings_samples import OPTIONS
 
 from marlseam.decisions.types import ListUpdateKind
 
--- a/tests/test_shadow_policy.py
+++ b/tests/test_shadow_policy.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 import pytest
-from conftest import NODE_CONFIG, OPTIONS
+from settings_samples import NODE_CONFIG, OPTIONS
 
 from marlseam import core
 from marlseam.configuration import ConfigError, deployment_from, load
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,7 +1,7 @@
 """The simulator's adapter: the wire's lines become events, and effects become the wire's actions."""
 
 import pytest
-from conftest import OPTIONS
+from settings_samples import OPTIONS
 
 from marlseam.simhost import wire
 from marlseam.simhost.instance import Instance
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -3,8 +3,8 @@
 from dataclasses import replace
 
 import pytest
-from conftest import ANSWER, LINES
 from http_samples import CLIENT_REQUEST, attempt_outcomes, logged_codes, send_attempt
+from scripted_socket import ANSWER, LINES
 
 from marlseam import core
 from marlseam.decisions.types import Outcome
