--- a/tests/faulty_disk.py
+++ b/tests/faulty_disk.py
@@ -12,7 +12,7 @@
 
     Attributes:
         visible: by name, the parts written to each file, as the running system sees them.
-        durable: as `visible`, of the names that outlive a crash: those at the last sync of the folder.
+        durable: as `visible`, of the names that outlive a crash: those at the last sync of the directory.
         open_files: by descriptor, the parts of its file and how many bytes of them are synced.
         budget: bytes written and calls that change something, until the machine crashes.
         error: the number of the error with which each such call fails; None where none does.
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,6 +1,7 @@
 """A node's counters, as operators read them."""
 
 import json
+from functools import partial
 from pathlib import Path
 
 import pytest
@@ -43,6 +44,14 @@
     } | {f"invariant_violations_total.{invariant.value}": 0 for invariant in Invariant}
 
 
+def take_without_answer(node, pending):
+    """Accept a request and leave its answer to the test; return its id."""
+    node.requests.last_request_id += 1
+    request_id = str(node.requests.last_request_id)
+    node.requests.pending[request_id] = pending
+    return request_id
+
+
 def write_class(node, name):
     """Rewrite the node's file so that it has one request class of that name."""
     path = Path(node.config.path)
@@ -60,11 +69,6 @@
         status = int(reply(sock).split()[1])
         seen[{200: "completed", 503: "rejected"}.get(status, "failed")] += 1
 
-    def hold(pending):
-        node.requests.last_request_id += 1
-        node.requests.pending[str(node.requests.last_request_id)] = pending
-        return str(node.requests.last_request_id)
-
     def answer_request(request, status, body=b""):
         sock, request_id = send_request(node, client, request)
         node.requests.answer(request_id, status, [], body)
@@ -72,7 +76,7 @@
 
     for _ in range(3):
         count_answer(client(REQUEST))
-    node.downstream.take_request = hold  # from here on the test answers
+    node.downstream.take_request = partial(take_without_answer, node)  # the test answers from here on
     for i, status in enumerate((503, 500, 400, 503)):
         answer_request(REQUEST.replace(b"9b", b"w%d" % i), status)
     disconnected, _ = send_request(node, client, CHUNKED_REQUEST)
--- a/tests/test_key_ordering.py
+++ b/tests/test_key_ordering.py
@@ -25,7 +25,7 @@
 
 
 class OrderingSimulation:
-    """A reducer in virtual time, and a check of the order by the words of the rule.
+    """A reducer in virtual time, with a check of the order that the rule asks for.
 
     Attributes:
         reducer: the reducer.
--- a/tests/test_quota_leasing.py
+++ b/tests/test_quota_leasing.py
@@ -119,7 +119,7 @@
 
 
 class HeldLeaseNeverExpires(Rules):
-    """Planted defect: a borrower goes on after its lease."""
+    """Planted defect: a borrower uses its quota after its lease."""
 
     def usable(self, state, now_ms):
         return self.unlent_share(state, now_ms) + sum(lease.amount for lease in state.held)
--- a/tests/test_shadow_policy.py
+++ b/tests/test_shadow_policy.py
@@ -26,7 +26,7 @@
 def day_events(rounds=60, has_weights_and_keys=True):
     """Yield times and events of a day: arrivals, ends of attempts, changes of the list, timers.
 
-    None in place of an event stands for the answers to what was sent and probed before.
+    None in place of an event means that servers answer the probes and attempts so far.
     """
     yield 0.0, core.NodeStarted(SETTINGS, 7)
     yield 1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [make_entry(f"e{i}", 3.0) for i in range(4)])
