--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,9 +1,14 @@
-"""A port that records what the module asks of it, and nodes in a given state."""
+"""Fixtures: dispatchers and nodes in a given state, connections that play a script, sockets.
+
+Samples and stand-ins are in modules of their own; those that many tests import from here are re-exported.
+"""
 
 import json
+import os
 import socket
 from collections.abc import Callable, Iterator
 from dataclasses import replace
+from functools import partial
 from math import inf
 from pathlib import Path
 from typing import TYPE_CHECKING
@@ -11,23 +16,24 @@
 import h11
 import pytest
 from hypothesis import settings as hypothesis_settings
+from operator_calls import OperatorReply, read_more
+from recording_port import RecordingPort
+from scripted_socket import ANSWER as ANSWER
+from scripted_socket import LINES as LINES
+from scripted_socket import ScriptedSocket as ScriptedSocket
+from settings_samples import ENDPOINT as ENDPOINT
+from settings_samples import KEYED as KEYED
+from settings_samples import NODE_CONFIG, OPTIONS, SETTINGS
+from settings_samples import PAYMENTS as PAYMENTS
+from settings_samples import SAFE as SAFE
+from settings_samples import UNSAFE as UNSAFE
 
 from marlseam.configuration import Config, ConfigError, Deployment, deployment_from, load, operator_settings
 from marlseam.core import Event
 from marlseam.counters import Counters
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.request_state import RequestState
-from marlseam.decisions.types import (
-    Attempt,
-    DeduplicationScope,
-    Endpoint,
-    EndpointState,
-    Idempotency,
-    ListUpdateKind,
-    Request,
-    RequestClass,
-    Settings,
-)
+from marlseam.decisions.types import Attempt, Endpoint, EndpointState, ListUpdateKind, Request
 from marlseam.net.connection import Connection, Steps
 from marlseam.net.log import Log
 from marlseam.net.loop import READ, Loop
@@ -40,77 +46,6 @@
 # The same examples each time: whether a change lands does not hang on chance, or on how busy the machine is.
 hypothesis_settings.register_profile("fixed", derandomize=True, deadline=None)
 hypothesis_settings.load_profile("fixed")
-SAFE = RequestClass(200.0, 2.0, 5000.0, Idempotency.SAFE, DeduplicationScope.ALL, 5000.0, -1)
-KEYED = replace(
-    SAFE,
-    idempotency=Idempotency.KEYED,
-    deduplication_scope=DeduplicationScope.CELL,
-    deduplication_window_ms=3000.0,
-)
-UNSAFE = replace(SAFE, idempotency=Idempotency.UNSAFE)
-SETTINGS = Settings(
-    request_classes=(SAFE, KEYED, UNSAFE),
-    kind_count=1,
-    zone=0,
-    node_count=2,
-    tick_ms=4.0,
-    max_attempts=4,
-    may_probe=True,
-    may_cancel=True,
-    may_hedge=False,
-    max_retry_after_ms=2000.0,
-    subscribes_to_endpoints=True,
-    list_max_age_ms=10000.0,
-    reports_start=True,
-    progress_period_ms=1000.0,
-    slow_start_initial_share=0.3,
-    slow_start_ms=8000.0,
-    overload_multiple=3.0,
-    overload_window_ms=1000.0,
-    cross_zone_cost=0.02,
-)
-
-
-class RecordingPort:
-    """Notes each action; time stands still until a test moves it."""
-
-    def __init__(self) -> None:
-        self.clock = 1000.0
-        self.acts: list[tuple] = []
-        self.timers: list[tuple[float, Callable[[], None]]] = []
-
-    def now(self) -> float:
-        return self.clock
-
-    def send(self, state: RequestState, server: int, time_left_ms: float) -> None:
-        self.acts.append(("send", state.request.request_id, server))
-
-    def cancel(self, state: RequestState, attempt_index: int) -> None:
-        self.acts.append(("cancel", state.request.request_id, attempt_index))
-
-    def reject(self, state: RequestState, retry_after_ms: float) -> None:
-        self.acts.append(("reject", state.request.request_id))
-
-    def fail(self, state: RequestState) -> None:
-        self.acts.append(("fail", state.request.request_id))
-
-    def probe(self, server: int) -> None:
-        self.acts.append(("probe", server))
-
-    def after(self, delay_ms: float, call: Callable[[], None]) -> None:
-        self.timers.append((self.clock + delay_ms, call))
-
-    def never_ran(self, state: RequestState, server: int, sent_ms: float) -> None:
-        self.acts.append(("never_ran", state.request.request_id, server))
-
-    def watch_endpoints(self) -> None:
-        self.acts.append(("watch_endpoints",))
-
-    def log(self, text: str) -> None:
-        self.acts.append(("log", text))
-
-    def did(self, what: str) -> list[tuple]:
-        return [act for act in self.acts if act[0] == what]
 
 
 @pytest.fixture
@@ -153,108 +88,31 @@
     return build
 
 
-# The real node: settings as the file holds them, a socket that plays a script, and the parts round it.
-
-OPTIONS = {
-    "zone": "here",
-    "dcs": ["here", "there"],
-    "kinds": ["plain"],
-    "tickUs": 4000,
-    "registryMode": "subscribe",
-    "requestClasses": [
-        {"name": "statement", "aimUs": 200000, "deadlineUs": 5000000, "semantics": "safe"},
-        {"name": "posting", "aimUs": 200000, "deadlineUs": 5000000, "semantics": "unsafe"},
-    ],
-    "ceilings": {"sendCap": 4, "mayProbe": True, "cancel": True, "keepaliveUs": 1000000},
-    "familyInfo": {"tellsStart": True, "reportX0": "free slots"},
-}
-PAYMENTS = OPTIONS | {
-    "requestClasses": [
-        *OPTIONS["requestClasses"],
-        {
-            "name": "payment",
-            "aimUs": 200000,
-            "deadlineUs": 5000000,
-            "semantics": "keyed",
-            "dedupScope": "cell",
-            "memorySpanUs": 30000000,
-        },
-    ],
-    "clients": {"marksRetry": True},
-}
-
-
-LINES = b'{"id":"9b","from":"e1","state":"started"}\n{"id":"9b","from":"e1","state":"done","result":"r"}\n'
-CHUNK = b"%x\r\n%b\r\n" % (len(LINES), LINES)
-ANSWER = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + CHUNK + b"0\r\n\r\n"
-
-
-class ScriptedSocket:
-    """Takes so many bytes and then breaks; gives its replies one by one, then the end or silence."""
-
-    def __init__(
-        self,
-        replies: tuple[bytes, ...] = (),
-        takes: int = 1 << 30,
-        silent: bool = False,
-        piece: int = 1 << 30,
-    ) -> None:
-        self.replies, self.takes, self.silent, self.piece = list(replies), takes, silent, piece
-        self.blocks = piece < 1 << 30
-        self.pair = socket.socketpair()
-        self.sent, self.open = b"", True
-        self.upon_send: list[bytes] = []
-
-    def fileno(self) -> int:
-        return self.pair[0].fileno()
-
-    def send(self, data: memoryview) -> int:
-        self.blocks = not self.blocks and self.piece < 1 << 30
-        if self.blocks:
-            raise BlockingIOError
-        count = min(len(data), self.piece, self.takes - len(self.sent))
-        if not count:
-            raise ConnectionResetError
-        self.sent += bytes(data[:count])
-        self.replies += self.upon_send
-        self.upon_send = []
-        return count
-
-    def recv_into(self, room: memoryview) -> int:
-        if not self.replies:
-            if self.silent:
-                raise BlockingIOError
-            return 0
-        data = self.replies[0][: len(room)]
-        self.replies[0] = self.replies[0][len(data) :]
-        if not self.replies[0]:
-            del self.replies[0]
-        room[: len(data)] = data
-        return len(data)
-
-    def shutdown(self, how: int) -> None:
-        """Nothing to do: what was sent is all there is."""
-
-    def close(self) -> None:
-        self.open = False
-        for end in self.pair:
-            end.close()
+# Parts of a node, and whole nodes.
 
 
 @pytest.fixture
-def refuse(monkeypatch: pytest.MonkeyPatch) -> Callable[[int, int], None]:
+def refuse_sockets(monkeypatch: pytest.MonkeyPatch) -> Callable[[int, int], None]:
     """Return a function that has one family of sockets refused with an error number."""
-    real = socket.socket
+    open_socket = socket.socket
+
+    def refuse(refused_family: int, error_number: int) -> None:
+        def open_or_refuse(
+            family: int = socket.AF_INET, *arguments: object, **keywords: object
+        ) -> socket.socket:
+            if family == refused_family:
+                raise OSError(error_number, "refused")
+            return open_socket(family, *arguments, **keywords)
+
+        monkeypatch.setattr(socket, "socket", open_or_refuse)
 
-    def begin(refused: int, number: int) -> None:
-        def made(family: int = socket.AF_INET, *rest: object, **named: object) -> socket.socket:
-            if family == refused:
-                raise OSError(number, "refused")
-            return real(family, *rest, **named)
+    return refuse
 
-        monkeypatch.setattr(socket, "socket", made)
 
-    return begin
+@pytest.fixture
+def refuse(refuse_sockets: Callable[[int, int], None]) -> Callable[[int, int], None]:
+    """Return `refuse_sockets` under its former name."""
+    return refuse_sockets
 
 
 @pytest.fixture
@@ -286,22 +144,23 @@
     made.finish()
 
 
+def turn_until(loop: Loop, holds: Callable[[], object]) -> None:
+    """Turn a loop until something holds, or fail after a generous time."""
+    end_ms = loop.now() + 10000.0
+    loop.at(end_ms, lambda: None)
+    while not holds():
+        assert loop.now() < end_ms
+        loop.turn()
+
+
 @pytest.fixture
 def until(loop: Loop) -> Callable[[Callable[[], object]], None]:
     """Return a function that turns the loop until something holds, or fails after a generous time."""
-
-    def run(holds: Callable[[], object]) -> None:
-        end = loop.now() + 10000.0
-        loop.at(end, lambda: None)
-        while not holds():
-            assert loop.now() < end
-            loop.turn()
-
-    return run
+    return partial(turn_until, loop)
 
 
 @pytest.fixture
-def connection(loop: Loop) -> Callable[..., Connection]:
+def make_connection(loop: Loop) -> Callable[..., Connection]:
     """Return a maker of connections over a scripted socket."""
 
     def build(role: type, *replies: bytes, **script: object) -> Connection:
@@ -311,55 +170,91 @@
 
 
 @pytest.fixture
-def upstream(
-    loop: Loop, deployment: Deployment, connection: Callable[..., Connection], monkeypatch: pytest.MonkeyPatch
+def connection(make_connection: Callable[..., Connection]) -> Callable[..., Connection]:
+    """Return `make_connection` under its former name."""
+    return make_connection
+
+
+@pytest.fixture
+def make_upstream(
+    loop: Loop,
+    deployment: Deployment,
+    make_connection: Callable[..., Connection],
+    monkeypatch: pytest.MonkeyPatch,
 ) -> Callable[..., Upstream]:
-    """Return a maker of servers whose one connection plays a script; events are kept in `events`."""
+    """Return a maker of clients of server e1, each of whose connections plays the same script.
+
+    Their events are kept in `events`, the connections that they open in `connections`.
+    """
 
     def build(*replies: bytes, **script: object) -> Upstream:
-        def connected(loop: Loop, log: Log, address: tuple[str, int], what: str, until_ms: float) -> Steps:
-            made = connection(h11.CLIENT, *replies, **script)
-            made.address = address
-            parts.connections.append(made)
-            return made
+        def connect(_loop: Loop, _log: Log, address: tuple[str, int], *_: object) -> Steps:
+            opened = make_connection(h11.CLIENT, *replies, **script)
+            opened.address = address
+            upstream.connections.append(opened)
+            return opened
             yield
 
-        monkeypatch.setattr("marlseam.net.upstream.pool.connect", connected)
+        monkeypatch.setattr("marlseam.net.upstream.pool.connect", connect)
         events: list[Event] = []
-        parts = Upstream(loop, Log("test", loop.now), deployment, 64, events.append, Counters())
-        parts.events, parts.connections = events, []
-        parts.update_endpoints({"e1"}, {"e1": ("127.0.0.1", 9)})
-        return parts
+        upstream = Upstream(loop, Log("test", loop.now), deployment, 64, events.append, Counters())
+        upstream.events, upstream.connections = events, []
+        upstream.update_endpoints({"e1"}, {"e1": ("127.0.0.1", 9)})
+        return upstream
 
     return build
 
 
+@pytest.fixture
+def upstream(make_upstream: Callable[..., Upstream]) -> Callable[..., Upstream]:
+    """Return `make_upstream` under its former name."""
+    return make_upstream
+
+
 @pytest.fixture
 def node(tmp_path: Path) -> Node:
     """Return a node on a free port, with one server listed that refuses connections."""
-    hosts = [
-        {
-            "host": "e1",
-            "dial": "127.0.0.1:1",
-            "health": "active",
-            "site": "here",
-            "class": "plain",
-            "block": 0,
-        }
-    ]
-    values = {
-        "listen": "127.0.0.1:0",
-        "admin": "127.0.0.1:0",
-        "discovery": "127.0.0.1:1",
-        "settings": OPTIONS,
-        "known": {"seq": 1, "whole": True, "hosts": hosts},
-    }
     path = tmp_path / "node.json"
-    path.write_text(json.dumps(values))
-    made = Node(load(str(path), {}))
-    yield made
-    made.is_reducing = True
-    made.loop.finish()
+    path.write_text(json.dumps(NODE_CONFIG | {"admin": "127.0.0.1:0"}))
+    node = Node(load(str(path), {}))
+    yield node
+    node.is_reducing = True
+    node.loop.finish()
+
+
+@pytest.fixture
+def listening_socket() -> Iterator[socket.socket]:
+    """Return the socket that processes of a node inherit."""
+    with socket.create_server(("127.0.0.1", 0)) as sock:
+        yield sock
+
+
+@pytest.fixture
+def config_path(tmp_path: Path) -> Path:
+    """Return the path of a valid configuration."""
+    path = tmp_path / "node.json"
+    path.write_text(json.dumps(NODE_CONFIG))
+    return path
+
+
+@pytest.fixture
+def make_inheriting_node(
+    listening_socket: socket.socket, config_path: Path, tmp_path: Path
+) -> Iterator[Callable[..., Node]]:
+    """Return a maker of nodes on the inherited socket, in a directory that a node's processes share."""
+    nodes = []
+
+    def build(**changes: object) -> Node:
+        config_path.write_text(json.dumps(NODE_CONFIG | changes))
+        environment = {"EDGE_SOCKET_FD": str(os.dup(listening_socket.fileno())), "TMPDIR": str(tmp_path)}
+        nodes.append(Node(load(str(config_path), environment)))
+        return nodes[-1]
+
+    yield build
+    for node in nodes:
+        node.is_reducing = True
+        node.handover.close()
+        node.loop.finish()
 
 
 def reconfigured(node: Node, path: Path, **values: object) -> Config:
@@ -368,6 +263,37 @@
     return replace(load(str(path), {}), admin=None)
 
 
+@pytest.fixture
+def follow_discovery(
+    node: Node, monkeypatch: pytest.MonkeyPatch, make_connection: Callable[..., Connection]
+) -> Callable[..., list[Event]]:
+    """Return a function that has the node watch a scripted discovery, and returns the events posted."""
+
+    def follow(*answers: bytes, status: int = 200, silent: bool = False) -> list[Event]:
+        events: list[Event] = []
+        replies = [
+            b"HTTP/1.1 %d -\r\nContent-Length: %d\r\n\r\n%b" % (status, len(answer), answer)
+            for answer in answers
+        ]
+
+        def connect(*_: object) -> Steps:
+            return make_connection(h11.CLIENT, *replies, silent=silent)
+            yield
+
+        monkeypatch.setattr("marlseam.net.discovery.connect", connect)
+        node.discovery.task, node.discovery.post = None, events.append
+        node.discovery.watch()
+        return events
+
+    return follow
+
+
+@pytest.fixture
+def executor(start_server: Callable[[], list[bytes]]) -> Callable[[], list[bytes]]:
+    """Return `start_server` under its former name."""
+    return start_server
+
+
 @pytest.fixture
 def client(node: Node) -> Callable[[bytes], socket.socket]:
     """Return a function that connects to the node and writes some bytes."""
@@ -407,37 +333,57 @@
 
 
 @pytest.fixture
-def executor(node: Node) -> Callable[[], list[bytes]]:
-    """Return a function that stands up a server for the node, and gives the methods it is asked by."""
+def call_operator(
+    node: Node,
+    client: Callable[..., socket.socket],
+    reply: Callable[[socket.socket], bytes],
+) -> Callable[..., OperatorReply]:
+    """Return a function that makes one call at the operators' address."""
+
+    def call(method: str, path: str, headers: str = "") -> OperatorReply:
+        sock = client(f"{method} {path} HTTP/1.1\r\nHost: h\r\n{headers}\r\n".encode(), node.admin)
+        data = reply(sock)
+        while more := b"" if b"Content-Length: 0" in data else read_more(node, sock):
+            data += more
+        head, _, body = data.partition(b"\r\n\r\n")
+        return OperatorReply(int(head.split()[1]), body.decode(), head.decode())
+
+    return call
+
+
+@pytest.fixture
+def start_server(node: Node) -> Callable[[], list[bytes]]:
+    """Return a function that starts server e1 for the node, and returns the methods of its requests."""
     servers = []
 
-    def stand() -> list[bytes]:
-        server, asked = socket.create_server(("127.0.0.1", 0)), []
+    def start() -> list[bytes]:
+        server, methods = socket.create_server(("127.0.0.1", 0)), []
         servers.append(server)
         server.setblocking(False)
 
-        def talk(sock: socket.socket) -> Steps:
-            made = Connection(node.loop, node.log, sock, h11.SERVER, "emulated server's side")
+        def serve(sock: socket.socket) -> Steps:
+            connection = Connection(node.loop, node.log, sock, h11.SERVER, "emulated server's side")
             sock.setblocking(False)
-            while type(request := (yield from made.event(inf))) is h11.Request:
-                yield from made.body(1000, inf)
-                asked.append(request.method)
-                done = ANSWER if request.method == b"POST" else b"HTTP/1.1 200 -\r\nContent-Length: 0\r\n\r\n"
-                made.http.send(h11.Response(status_code=200, headers=[("Content-Length", "0")]))
-                made.http.send(h11.EndOfMessage())
-                yield from made.write(done, inf)
-                made.start_next_message()
+            while type(request := (yield from connection.event(inf))) is h11.Request:
+                yield from connection.body(1000, inf)
+                methods.append(request.method)
+                is_attempt = request.method == b"POST"
+                answer = ANSWER if is_attempt else b"HTTP/1.1 200 -\r\nContent-Length: 0\r\n\r\n"
+                connection.http.send(h11.Response(status_code=200, headers=[("Content-Length", "0")]))
+                connection.http.send(h11.EndOfMessage())
+                yield from connection.write(answer, inf)
+                connection.start_next_message()
 
         def accept() -> Steps:
             while True:
                 yield (server.fileno(), READ, inf)
-                node.loop.spawn(talk(server.accept()[0]))
+                node.loop.spawn(serve(server.accept()[0]))
 
         node.loop.spawn(accept())
         node.upstream.update_endpoints({"e1"}, {"e1": server.getsockname()})
-        return asked
+        return methods
 
-    yield stand
+    yield start
     for server in servers:
         server.close()
 
