--- a/tests/test_content_fetch.py
+++ b/tests/test_content_fetch.py
@@ -290,11 +290,11 @@
 @pytest.mark.parametrize(
     ("make_chunk", "code"),
     [
-        (lambda content_id, base_id: Chunk(digest(b"x"), 5, 0, b"12345"), "unasked"),
-        (lambda content_id, base_id: Chunk(content_id, 5000, 0, b"x" * 1024, digest(b"x")), "other-form"),
-        (lambda content_id, base_id: Chunk(content_id, 50000, 20480, b"x" * 1024), "out-of-turn"),
-        (lambda content_id, base_id: Chunk(content_id, 5000, 3, b"x" * 1024), "out-of-turn"),
-        (lambda content_id, base_id: Chunk(content_id, 5000, 1024, b"x" * 10), "out-of-turn"),
+        (lambda _content_id, _base_id: Chunk(digest(b"x"), 5, 0, b"12345"), "unasked"),
+        (lambda content_id, _base_id: Chunk(content_id, 5000, 0, b"x" * 1024, digest(b"x")), "other-form"),
+        (lambda content_id, _base_id: Chunk(content_id, 50000, 20480, b"x" * 1024), "out-of-turn"),
+        (lambda content_id, _base_id: Chunk(content_id, 5000, 3, b"x" * 1024), "out-of-turn"),
+        (lambda content_id, _base_id: Chunk(content_id, 5000, 1024, b"x" * 10), "out-of-turn"),
     ],
 )
 def test_a_discarded_chunk_is_counted_and_changes_nothing(make_chunk, code):
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -129,7 +129,7 @@
 
 def test_an_infinite_figure_is_missed_and_printed_as_inf(run, monkeypatch):
     endless = plays.RunResult({"heal_s": float("inf")})
-    monkeypatch.setitem(plays.PLAYS, "endless", lambda experiment, out, show_progress: endless)
+    monkeypatch.setitem(plays.PLAYS, "endless", lambda _experiment, _out, _show_progress: endless)
     result, _ = run("[expect]\nheal_s = { most = 5 }", play="endless")
     assert result.exit_code == 1
     assert "MISSED heal_s: at most 5, seen inf" in result.output
@@ -223,7 +223,7 @@
 def test_a_day_whose_records_have_holes_ends_with_1(run, monkeypatch):
     from marlseam import records
 
-    monkeypatch.setattr(records.StreamWriter, "end", lambda self, t: self.file.flush())
+    monkeypatch.setattr(records.StreamWriter, "end", lambda self, _at_ms: self.file.flush())
     result, _ = run()
     assert result.exit_code == 1
     assert "not judged" in result.output
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -131,7 +131,8 @@
     assert not played(day(**changes)).verdict.violation_count
     verdict, book, _, _ = played(day(**changes), make_reducer=core)
     broken = {r.name: r.violations for r in verdict.rules}
-    assert verdict.is_judged and broken[rule], {name: rows[:2] for name, rows in broken.items()}
+    assert verdict.is_judged
+    assert broken[rule], {name: rows[:2] for name, rows in broken.items()}
     who, what = broken[rule][0]
     assert what
     assert book.timeline(who) or who in book.attempts or any(t.by == who for t in book.records)
@@ -223,7 +224,7 @@
     assert not rules(tried(), *ends)[0]["one answer"].violations
 
 
-def ran(t, by, id="a"):
+def ran(t, _server, id="a"):
     return [
         records.AttemptReceived(t=t, by="executors", id=id),
         records.AttemptStarted(t=t, by="executors", id=id),
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -95,7 +95,7 @@
     resource.setrlimit(resource.RLIMIT_FSIZE, (0, hard_limit))
     try:
         for _ in range(4):
-            with pytest.raises(OSError):
+            with pytest.raises(OSError, match="File too large"):
                 ledger.renew()
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, (soft_limit, hard_limit))
--- a/tests/test_replication_defects.py
+++ b/tests/test_replication_defects.py
@@ -19,7 +19,7 @@
 class UnverifiedStore(ContentStore):
     """Does not compare what deltas lead to with the id asked for."""
 
-    def apply_delta_chain(self, base_id, chain, content_id):
+    def apply_delta_chain(self, base_id, chain, content_id):  # noqa: ARG002 - as it is called
         document, before = self.document(base_id), base_id
         try:
             for change in delta.CHAIN.decode(chain):
@@ -38,7 +38,7 @@
 class LastDeltaStore(ContentStore):
     """Gives the last delta alone, whatever the base."""
 
-    def delta_chain(self, base_id, content_id):
+    def delta_chain(self, base_id, content_id):  # noqa: ARG002 - as it is called
         link = self.delta_links.get(content_id)
         return delta.encode_chain([link]) if link is not None else None
 
--- a/tests/test_replication_schedules.py
+++ b/tests/test_replication_schedules.py
@@ -136,7 +136,7 @@
 class EndlessLease(QuorumLease):
     """Never expires."""
 
-    def is_proven(self, now):
+    def is_proven(self, now):  # noqa: ARG002 - as it is called
         return self.replica.applied_number == self.replica.number
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -65,21 +65,25 @@
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
 def test_a_signal_to_end_unwinds_a_run_and_removes_its_directory(tmp_path, number):
-    with (
-        pytest.raises(KeyboardInterrupt),
-        isolation.time_limit(),
-        isolation.working_directory(tmp_path) as directory,
-    ):
-        (directory / "x").write_text("x")
-        os.kill(os.getpid(), number)
-        signal.pause()
+    def run_until_signalled():
+        with isolation.time_limit(), isolation.working_directory(tmp_path) as directory:
+            (directory / "x").write_text("x")
+            os.kill(os.getpid(), number)
+            signal.pause()
+
+    with pytest.raises(KeyboardInterrupt):
+        run_until_signalled()
     assert list(tmp_path.iterdir()) == []
 
 
 def test_the_directory_stays_where_a_process_failed(tmp_path):
-    with pytest.raises(RunFailedError), isolation.working_directory(tmp_path) as directory:
-        (directory / "x").write_text("why")
-        raise RunFailedError("x")
+    def run_and_fail():
+        with isolation.working_directory(tmp_path) as directory:
+            (directory / "x").write_text("why")
+            raise RunFailedError("x")
+
+    with pytest.raises(RunFailedError):
+        run_and_fail()
     assert (tmp_path / "band" / "x").read_text() == "why"
 
 
--- a/tests/test_size_changes.py
+++ b/tests/test_size_changes.py
@@ -20,9 +20,9 @@
 def test_the_short_experiment_holds_and_gives_the_same_counts_twice(tmp_path):
     registered_plays.register()
     experiment = file.load(SHORT)
-    summary = runner.run(experiment, tmp_path / "one", lambda text: None)
+    summary = runner.run(experiment, tmp_path / "one", lambda _text: None)
     assert summary.exit_code == 0, summary.missed
-    runs = [plays.PLAYS["size_changes"](experiment, tmp_path / name, lambda text: None) for name in "ab"]
+    runs = [plays.PLAYS["size_changes"](experiment, tmp_path / name, lambda _text: None) for name in "ab"]
     counts = [{key: value for key, value in run.figures.items() if is_count(key)} for run in runs]
     assert counts[0] == counts[1]
     assert len(counts[0]) > 30
--- a/tests/test_slope.py
+++ b/tests/test_slope.py
@@ -27,7 +27,7 @@
 def test_points_of_one_size_and_all_zero_are_flat():
     assert slope.fit([(5, 2.0), (5, 2.0)]) == (2.0, 0.0, 0.0)
     assert slope.fit([(5, 0.0), (50, 0.0)]) == (0.0, 0.0, 0.0)
-    with pytest.raises(ValueError):
+    with pytest.raises(ValueError, match="no points"):
         slope.fit([])
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,6 +1,7 @@
 """The soak: what a seed draws, which calls fail, what logs show, and one seed on real processes."""
 
 import errno
+import os
 import select
 import socket
 import tomllib
@@ -35,7 +36,7 @@
 def test_a_call_fails_in_bursts_alone() -> None:
     wrapper = CallWrapper(NodeFaults(1, [CallFailure("send", "ENOBUFS", 1.0)], every_s=10.0, for_s=5.0))
     send = wrapper.failing_call("send", lambda data: len(data))
-    with pytest.raises(OSError) as error:
+    with pytest.raises(OSError, match=os.strerror(errno.ENOBUFS)) as error:
         send(b"x")
     assert error.value.errno == errno.ENOBUFS
     assert wrapper.failing_call("recv", lambda: b"y")() == b"y"
@@ -56,7 +57,7 @@
     look = wrapper.failing_factory(select.poll, {"poll": "poll"})()
     one, other = socket.socketpair()
     look.register(one, select.POLLOUT)
-    with pytest.raises(OSError) as error:
+    with pytest.raises(OSError, match=os.strerror(errno.ENOMEM)) as error:
         look.poll(0)
     assert error.value.errno == errno.ENOMEM
     wrapper.first_burst_s -= 1.0  # the burst is over
