--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -109,12 +109,6 @@
     return refuse
 
 
-@pytest.fixture
-def refuse(refuse_sockets: Callable[[int, int], None]) -> Callable[[int, int], None]:
-    """Return `refuse_sockets` under its former name."""
-    return refuse_sockets
-
-
 @pytest.fixture
 def deployment() -> Deployment:
     return deployment_from(OPTIONS)
@@ -169,12 +163,6 @@
     return build
 
 
-@pytest.fixture
-def connection(make_connection: Callable[..., Connection]) -> Callable[..., Connection]:
-    """Return `make_connection` under its former name."""
-    return make_connection
-
-
 @pytest.fixture
 def make_upstream(
     loop: Loop,
@@ -205,12 +193,6 @@
     return build
 
 
-@pytest.fixture
-def upstream(make_upstream: Callable[..., Upstream]) -> Callable[..., Upstream]:
-    """Return `make_upstream` under its former name."""
-    return make_upstream
-
-
 @pytest.fixture
 def node(tmp_path: Path) -> Node:
     """Return a node on a free port, with one server listed that refuses connections."""
@@ -288,12 +270,6 @@
     return follow
 
 
-@pytest.fixture
-def executor(start_server: Callable[[], list[bytes]]) -> Callable[[], list[bytes]]:
-    """Return `start_server` under its former name."""
-    return start_server
-
-
 @pytest.fixture
 def client(node: Node) -> Callable[[bytes], socket.socket]:
     """Return a function that connects to the node and writes some bytes."""
--- a/tests/departure_scenario.py
+++ b/tests/departure_scenario.py
@@ -6,6 +6,7 @@
 from math import inf
 
 from conftest import ANSWER, OPTIONS
+from http_samples import CLIENT_REQUEST
 from loopback_servers import (
     MUCH_AHEAD,
     NEVER_RAN_RESPONSE,
@@ -16,7 +17,6 @@
     run_until,
     update_endpoint_list,
 )
-from test_net import JOB
 
 from marlseam.decisions.types import EndpointState, ListUpdateKind
 from marlseam.net.connection import MAX_AHEAD_BYTES
@@ -84,7 +84,7 @@
             until_ms = self.node.loop.now() + 1000.0
             for attempt_index in range(2):
                 self.node.upstream.attempts.send(
-                    AttemptOrder("0", attempt_index, name, JOB, until_ms, until_ms)
+                    AttemptOrder("0", attempt_index, name, CLIENT_REQUEST, until_ms, until_ms)
                 )
             run_until(self.node, lambda server=server: server.accept() and len(server.held) == 2)
             for sock in server.held:
--- a/tests/loopback_servers.py
+++ b/tests/loopback_servers.py
@@ -12,8 +12,8 @@
 from dataclasses import replace
 from pathlib import Path
 
-import test_net
 from conftest import OPTIONS
+from http_samples import REQUEST
 
 from marlseam import configuration, core
 from marlseam.configuration import deployment_from
@@ -26,7 +26,7 @@
 REAL_TIME_LIMIT_MS = 10000.0  # for conditions that wait for the machine
 CLOCK_STEP_MS = 0.01  # by which a controlled clock moves at each look
 
-SAFE_REQUEST = test_net.REQUEST.replace(b"0.5", b"5")
+SAFE_REQUEST = REQUEST.replace(b"0.5", b"5")
 UNSAFE_REQUEST = SAFE_REQUEST.replace(b"statement", b"posting")
 LONG_BODY_BYTES = 65536
 MUCH_AHEAD = b"x" * 20000  # more than a node reads ahead
--- a/tests/test_attempt_outcomes.py
+++ b/tests/test_attempt_outcomes.py
@@ -7,6 +7,7 @@
 
 import pytest
 from conftest import ANSWER, OPTIONS
+from http_samples import CLIENT_REQUEST, attempt_outcomes, send_attempt
 from loopback_servers import (
     NEVER_RAN_RESPONSE,
     NO_PROBES,
@@ -21,7 +22,6 @@
     small_socket,
     with_long_body,
 )
-from test_net import JOB, outcomes, sent
 
 from marlseam.decisions.types import Outcome
 from marlseam.net.connection import Connection
@@ -54,7 +54,7 @@
     # Both have an idle connection, on which the next can be sent in the turn in which the one before ends.
     for name, server in (("e1", one), ("e2", two)):
         until_ms = node.loop.now() + 1000.0
-        node.upstream.attempts.send(AttemptOrder("0", 0, name, JOB, until_ms, until_ms))
+        node.upstream.attempts.send(AttemptOrder("0", 0, name, CLIENT_REQUEST, until_ms, until_ms))
         run_until(node, lambda server=server: b"abc" in server.read())
         server.held[0].sendall(ANSWER.replace(b'"e1"', b'"%b"' % name.encode()))
         run_until(node, lambda name=name: node.upstream.pool.servers[name].idle)
@@ -89,7 +89,7 @@
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
     events = []
     node.upstream.attempts.post = events.append
-    job = replace(JOB, is_unsafe=True)
+    job = replace(CLIENT_REQUEST, is_unsafe=True)
     for attempt_index in range(2):
         until_ms = node.loop.now() + 5000.0
         node.upstream.attempts.send(AttemptOrder("1", attempt_index, "e1", job, until_ms, until_ms))
@@ -183,17 +183,17 @@
 # Responses that never end.
 
 
-def test_a_response_that_never_ends_leaves_others_their_turns(upstream, loop):
+def test_a_response_that_never_ends_leaves_others_their_turns(make_upstream, loop):
     running = b'{"id":"9b","from":"e1","state":"running","share":0.5}\n'
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-    upstream_parts = upstream(head, *[b"%x\r\n%b\r\n" % (len(running), running)] * 2000, silent=True)
+    upstream_parts = make_upstream(head, *[b"%x\r\n%b\r\n" % (len(running), running)] * 2000, silent=True)
     turns = []
     loop.soon(lambda: turns.append(1))
-    sent(upstream_parts)
+    send_attempt(upstream_parts)
     assert upstream_parts.connections[0].sock.replies  # others have a turn before all was read
     loop.turn()
     assert turns
-    assert not outcomes(upstream_parts)
+    assert not attempt_outcomes(upstream_parts)
 
 
 @pytest.mark.parametrize(
@@ -201,14 +201,14 @@
     [b"HTTP/1.1 102 -\r\n\r\n", b"HTTP/1.1 200 -\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\n \r\n" * 50],
     ids=["informational", "blanks"],
 )
-def test_a_response_that_never_ends_is_cut_at_its_time_limit(upstream, loop, until, endless):
+def test_a_response_that_never_ends_is_cut_at_its_time_limit(make_upstream, loop, until, endless):
     clock = count(loop.now(), 0.001)  # moves at each look alone, however busy the machine is
     loop.now = lambda: next(clock)
-    upstream_parts = upstream(endless, *[endless[-300:]] * 2000)
-    sent(upstream_parts)
+    upstream_parts = make_upstream(endless, *[endless[-300:]] * 2000)
+    send_attempt(upstream_parts)
     loop.turn()
-    assert not outcomes(upstream_parts)
+    assert not attempt_outcomes(upstream_parts)
     clock = count(loop.now() + 1000.0, 0.001)  # the limit is over while the response still comes
-    until(lambda: outcomes(upstream_parts))
-    assert outcomes(upstream_parts) == [Outcome.TIMED_OUT]
+    until(lambda: attempt_outcomes(upstream_parts))
+    assert attempt_outcomes(upstream_parts) == [Outcome.TIMED_OUT]
     assert upstream_parts.connections[0].sock.replies
--- a/tests/test_attempt_retries.py
+++ b/tests/test_attempt_retries.py
@@ -7,6 +7,7 @@
 import h11
 import pytest
 from conftest import ANSWER
+from http_samples import CLIENT_REQUEST
 from loopback_servers import (
     CLASS_OF_EACH_IDEMPOTENCY,
     KEYED_CLASS,
@@ -23,7 +24,6 @@
     update_endpoint_list,
     with_long_body,
 )
-from test_net import JOB
 
 from marlseam import core
 from marlseam.core import EndpointEntry
@@ -73,8 +73,8 @@
     assert not node.upstream.attempts.in_flight
 
 
-def test_a_blocked_write_sends_nothing_once_its_time_is_over(connection):
-    upstream_connection = connection(h11.CLIENT, piece=10)
+def test_a_blocked_write_sends_nothing_once_its_time_is_over(make_connection):
+    upstream_connection = make_connection(h11.CLIENT, piece=10)
     steps = upstream_connection.write(b"x" * 100, upstream_connection.loop.now() + 5.0)
     next(steps)
     late_ms, sent_before = upstream_connection.loop.now() + 5.0, upstream_connection.sock.sent
@@ -94,7 +94,10 @@
 )
 @pytest.mark.parametrize(
     "job",
-    [replace(JOB, is_unsafe=True, must_run_once=True), replace(JOB, must_run_once=True)],
+    [
+        replace(CLIENT_REQUEST, is_unsafe=True, must_run_once=True),
+        replace(CLIENT_REQUEST, must_run_once=True),
+    ],
     ids=["unsafe", "keyed"],
 )
 @pytest.mark.usefixtures("advance_clock")
@@ -105,7 +108,7 @@
     events = []
     node.upstream.attempts.post = events.append
     until_ms = node.loop.now() + 5000.0
-    node.upstream.attempts.send(AttemptOrder("1", 0, "e1", JOB, until_ms, until_ms))
+    node.upstream.attempts.send(AttemptOrder("1", 0, "e1", CLIENT_REQUEST, until_ms, until_ms))
     run_until(node, lambda: b"abc" in server.read())
     server.held[0].sendall(ANSWER)
     run_until(node, lambda: node.upstream.pool.servers["e1"].idle)
@@ -130,14 +133,16 @@
     node.upstream.attempts.post = events.append
     until_ms = node.loop.now() + 5000.0
     if wait_ms:
-        node.upstream.attempts.send(AttemptOrder("1", 0, "e1", JOB, until_ms, until_ms))
+        node.upstream.attempts.send(AttemptOrder("1", 0, "e1", CLIENT_REQUEST, until_ms, until_ms))
         run_until(node, lambda: b"abc" in server.read())
         server.held[0].sendall(ANSWER)
         run_until(node, lambda: node.upstream.pool.servers["e1"].idle)
         advance_clock(wait_ms)
         events.clear()
     node.upstream.attempts.send(
-        AttemptOrder("2", 0, "e1", replace(JOB, is_unsafe=True, must_run_once=True), until_ms, until_ms)
+        AttemptOrder(
+            "2", 0, "e1", replace(CLIENT_REQUEST, is_unsafe=True, must_run_once=True), until_ms, until_ms
+        )
     )
     run_until(node, lambda: b"abc" in server.read())
     server.held[0].sendall(NEVER_RAN_RESPONSE)
--- a/tests/test_descriptor_release.py
+++ b/tests/test_descriptor_release.py
@@ -6,9 +6,9 @@
 import socket
 
 import pytest
+from http_samples import REQUEST
 from limited_node import REAL_TIME_LIMIT_S
 from loopback_servers import run_loop
-from test_net import REQUEST
 
 from marlseam.net import http
 from marlseam.net.connection import connect
@@ -147,8 +147,8 @@
     node.loop.descriptors.drop_spares()
 
 
-def test_a_call_without_a_descriptor_reports_its_reason(loop, refuse, capsys):
-    refuse(socket.AF_INET, errno.EMFILE)
+def test_a_call_without_a_descriptor_reports_its_reason(loop, refuse_sockets, capsys):
+    refuse_sockets(socket.AF_INET, errno.EMFILE)
     caught = []
 
     def call():
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -5,17 +5,11 @@
 import subprocess
 import sys
 
-from http_samples import CHUNKED_REQUEST as CHUNKED  # noqa: F401  (re-exports, see the note below)
-from http_samples import CLIENT_REQUEST as JOB  # noqa: F401
 from http_samples import REQUEST
-from http_samples import attempt_outcomes as outcomes  # noqa: F401
-from http_samples import send_attempt as sent  # noqa: F401
 from settings_samples import OPTIONS
 
 from marlseam.net import graceful_shutdown
 
-# Names of `http_samples` that other test modules still import from here are re-exported above.
-
 
 def test_sigterm_ends_an_idle_node_after_new_connections_have_ceased(node, monkeypatch):
     monkeypatch.setattr(graceful_shutdown, "LISTEN_MS", 1.0)
--- a/tests/test_own_faults.py
+++ b/tests/test_own_faults.py
@@ -32,8 +32,8 @@
     return inject
 
 
-def test_a_request_is_rejected_where_taking_it_fails(client, reply, executor, inject_fault):
-    executor()
+def test_a_request_is_rejected_where_taking_it_fails(client, reply, start_server, inject_fault):
+    start_server()
     inject_fault(core.RequestArrived)
     assert reply(client(SAFE_REQUEST)).startswith(b"HTTP/1.1 503")
 
@@ -44,9 +44,9 @@
     ids=["safe", "unsafe"],
 )
 def test_a_request_is_answered_at_once_where_taking_in_its_attempts_end_fails(
-    node, client, reply, executor, inject_fault, request_bytes, status_line
+    node, client, reply, start_server, inject_fault, request_bytes, status_line
 ):
-    methods_received = executor()
+    methods_received = start_server()
     inject_fault(core.AttemptEnded)
     began_s = time.monotonic()
     assert reply(client(request_bytes)).startswith(status_line)
@@ -57,9 +57,9 @@
 
 @pytest.mark.parametrize("kind", [core.AttemptEnded, core.ClientLeft, core.TimerFired, core.ProbeEnded])
 def test_repeated_faults_cost_no_answer_and_no_second_attempt(
-    node, client, reply, executor, inject_fault, kind
+    node, client, reply, start_server, inject_fault, kind
 ):
-    methods_received = executor()
+    methods_received = start_server()
     inject_fault(kind)
     for _ in range(3):
         assert reply(client(UNSAFE_REQUEST)).startswith((b"HTTP/1.1 200", b"HTTP/1.1 500", b"HTTP/1.1 503"))
@@ -67,21 +67,21 @@
     assert not node.requests.pending
 
 
-def test_a_fault_while_a_request_is_read_is_reported_to_its_client(client, reply, executor, monkeypatch):
-    executor()
+def test_a_fault_while_a_request_is_read_is_reported_to_its_client(client, reply, start_server, monkeypatch):
+    start_server()
     monkeypatch.setattr(protocol, "client_request_from", raise_fault)
     assert reply(client(SAFE_REQUEST)).startswith(b"HTTP/1.1 500")
 
 
-def test_a_request_that_was_given_up_on_a_fault_is_counted(node, client, reply, executor, inject_fault):
-    executor()
+def test_a_request_that_was_given_up_on_a_fault_is_counted(node, client, reply, start_server, inject_fault):
+    start_server()
     inject_fault(core.RequestArrived)
     reply(client(SAFE_REQUEST))
     assert "requests_given_up_on_faults=1\n" in node.figures()
 
 
-def test_a_request_is_rejected_where_sending_it_fails(node, client, reply, executor, inject_fault):
-    methods_received = executor()
+def test_a_request_is_rejected_where_sending_it_fails(node, client, reply, start_server, inject_fault):
+    methods_received = start_server()
     inject_fault(core.SendAttempt)
     began_s = time.monotonic()
     assert reply(client(SAFE_REQUEST)).startswith(b"HTTP/1.1 503")
@@ -90,9 +90,9 @@
     assert b"POST" not in methods_received
 
 
-def test_closing_a_connection_with_an_unanswered_request_is_counted(node, client, executor, monkeypatch):
+def test_closing_a_connection_with_an_unanswered_request_is_counted(node, client, start_server, monkeypatch):
     # The injected fault drops the request: the connection ends without an answer to its client.
-    executor()
+    start_server()
 
     def drop_request(*_arguments: object) -> object:
         raise ConnectionEndedError(Reason.FAULT)
@@ -105,8 +105,10 @@
     assert f"invariant_violations_total.{Invariant.CLOSE.value}=1\n" in node.figures()
 
 
-def test_requests_that_are_answered_or_whose_client_leaves_break_no_invariant(node, client, reply, executor):
-    executor()
+def test_requests_that_are_answered_or_whose_client_leaves_break_no_invariant(
+    node, client, reply, start_server
+):
+    start_server()
     for _ in range(3):
         reply(client(SAFE_REQUEST))
     client(UNSAFE_REQUEST).close()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -49,9 +49,9 @@
 
 @pytest.mark.parametrize("error_number", [errno.ENOMEM, errno.EINTR])
 def test_connections_are_accepted_after_poll_has_failed(
-    node, client, reply, executor, monkeypatch, error_number
+    node, client, reply, start_server, monkeypatch, error_number
 ):
-    executor()
+    start_server()
     real = select.poll
     failing = FailingCalls(None, "poll", error_number)
 
@@ -70,8 +70,8 @@
 
 @pytest.mark.parametrize("error_number", [errno.ENOMEM, errno.ENOSPC])
 @pytest.mark.parametrize("name", ["register", "modify"])
-def test_the_loop_goes_on_after_epoll_ctl_has_failed(node, client, reply, executor, name, error_number):
-    executor()
+def test_the_loop_goes_on_after_epoll_ctl_has_failed(node, client, reply, start_server, name, error_number):
+    start_server()
     node.loop.poll = failing = FailingCalls(node.loop.poll, name, error_number)
     node.loop.pollers = dict.fromkeys(node.loop.pollers, failing)
     for _ in range(3):
@@ -142,9 +142,9 @@
 @pytest.mark.parametrize("error_number", [errno.ENOMEM, errno.ENOBUFS, errno.EINTR])
 @pytest.mark.parametrize("name", ["recv_into", "send"])
 def test_a_request_is_answered_and_sent_once_though_reads_and_writes_fail_for_a_moment(
-    client, reply, executor, fail_connection_calls, name, error_number
+    client, reply, start_server, fail_connection_calls, name, error_number
 ):
-    methods_received = executor()
+    methods_received = start_server()
     failing_sockets = fail_connection_calls(name, error_number)
     assert reply(client(SAFE_REQUEST)).startswith(b"HTTP/1.1 200")
     assert methods_received.count(b"POST") == 1
@@ -153,8 +153,8 @@
 
 
 @pytest.mark.parametrize("error_number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
-def test_a_broken_connection_ends(connection, error_number):
-    broken = connection(h11.SERVER)
+def test_a_broken_connection_ends(make_connection, error_number):
+    broken = make_connection(h11.SERVER)
     broken.sock = FailingSocket(broken.sock, "recv_into", error_number)
     with pytest.raises(connection_module.ConnectionEndedError):
         broken.fill()
@@ -164,9 +164,9 @@
     "error_number", [errno.ENFILE, errno.EMFILE, errno.ENOMEM, errno.ENOBUFS, errno.ECONNABORTED]
 )
 def test_a_request_in_the_accept_queue_is_answered_though_accept_fails_as_the_listener_closes(
-    node, client, reply, executor, error_number
+    node, client, reply, start_server, error_number
 ):
-    executor()
+    start_server()
     listener = node.downstream.listener
     listener.task.cancel()  # nothing accepts any more, as while no descriptor is free
     sock = client(SAFE_REQUEST)
@@ -175,8 +175,8 @@
     assert reply(sock).startswith(b"HTTP/1.1 200")
 
 
-def test_a_node_does_not_end_before_its_accept_queue_is_served(node, client, reply, executor):
-    executor()
+def test_a_node_does_not_end_before_its_accept_queue_is_served(node, client, reply, start_server):
+    start_server()
     listener = node.downstream.listener
     listener.task.cancel()
     sock = client(SAFE_REQUEST)
