--- a/marlseam/cluster/replication/quorum_lease.py
+++ b/marlseam/cluster/replication/quorum_lease.py
@@ -52,6 +52,9 @@
 class QuorumLease:
     """The proof that a replica has, and the quorum reads that renew it.
 
+    Each member proves its version for itself: there is no one holder of a lease. A process of the same node
+    may hand its proof on. What follows without a proof is said in `serving`.
+
     Attributes:
         proven_at_ms: as of when the version held was in force; -inf without any proof.
         stagger_share: this member's place, 0 to 1, between the first and the last that leave service.
--- a/marlseam/decisions/outlier_detection.py
+++ b/marlseam/decisions/outlier_detection.py
@@ -53,7 +53,10 @@
         ]
 
     def eject(self, server: int, reason: str) -> None:
-        """Send nothing to a server for a time that doubles with each ejection in a row."""
+        """Send nothing to a server for a time that doubles with each ejection in a row.
+
+        After that time it is on trial, with one attempt of ours at a time, until it is readmitted.
+        """
         now, until_ms = self.port.now(), self.ejected_until_ms[server]
         if until_ms is not None and now < until_ms:
             return
@@ -70,7 +73,7 @@
         self.log_likelihood_ratio[server] = LOG_LIKELIHOOD_THRESHOLD / 2.0
 
     def readmit(self, server: int) -> None:
-        """End a server's ejection."""
+        """End a server's ejection, and its trial."""
         self.subtract_from_sums(server)  # it may not have been ejected: then it is counted anew
         self.ejected_until_ms[server] = None
         self.ejection_ms[server], self.is_unresponsive[server] = self.ejection_base_ms, False
--- a/marlseam/decisions/pending_queue.py
+++ b/marlseam/decisions/pending_queue.py
@@ -136,7 +136,10 @@
         return min(heads)[3] if heads else None
 
     def serve_head(self, key: QueueKey, slots_limit: dict[int, float]) -> bool:
-        """Place or answer the head of a queue; return False if it has to go on waiting."""
+        """Take the head of a queue out, and place or answer it; return False if it has to go on waiting.
+
+        One that is late while an attempt of it is in flight is left to that attempt's end.
+        """
         now, (latest_start_ms, _, state) = self.port.now(), heappop(self.pending_queues[key])
         state.is_queued = False
         if state.is_closed:
--- a/marlseam/decisions/retry.py
+++ b/marlseam/decisions/retry.py
@@ -1,4 +1,8 @@
-"""What follows where a request is not sent at once: it waits, is tried again, or gets its final answer."""
+"""What follows where a request is not sent at once: it waits, is tried again, or gets its final answer.
+
+Whether a further attempt is allowed is for `eligibility` to say (`may_attempt`, and by server `is_eligible`);
+whether one may be made in place of, or beside, an attempt in flight for `hedging` (`may_replace`).
+"""
 
 from marlseam.decisions.eligibility import Eligibility
 
--- a/marlseam/emulators/disk.py
+++ b/marlseam/emulators/disk.py
@@ -1,4 +1,4 @@
-"""A node whose writer process has a faulty disk: slow, hanging, failing, or with a lock that is kept.
+"""A node whose state is written to a faulty disk: slow, hanging, failing, or with a lock that is kept.
 
 python -m marlseam.emulators.disk serve ...    runs such a node
 python -m marlseam.emulators.disk FOLDER ...   runs its writer process, with the arguments of
--- a/marlseam/experiment/cluster_fault_injector.py
+++ b/marlseam/experiment/cluster_fault_injector.py
@@ -13,7 +13,7 @@
 from marlseam import records
 from marlseam.experiment.cluster_nodes import ClusterNodes
 from marlseam.experiment.cluster_relay import Cut, DatagramRelay, Pair
-from marlseam.experiment.cluster_tables import Fault, FaultKind
+from marlseam.experiment.cluster_tables import ClusterFault, FaultKind
 from marlseam.experiment.sockets import SocketDriver
 
 ANY_NODE = ""  # of a cut
@@ -35,7 +35,7 @@
     until_ms: float
 
 
-class FaultInjector:
+class ClusterFaultInjector:
     """Injects faults.
 
     Attributes:
@@ -53,7 +53,7 @@
         self._nodes, self._relay, self._driver, self._publish = nodes, relay, driver, publish
         self.spans: list[FaultSpan] = []
 
-    def inject(self, fault: Fault, pair: Pair, data: bytes) -> None:
+    def inject(self, fault: ClusterFault, pair: Pair, data: bytes) -> None:
         """Inject a fault before a datagram of a pair of nodes."""
         now_ms = self._driver.recorder.now_ms()
         span = FaultSpan(fault.node, FaultKind(fault.fault), now_ms, now_ms + fault.for_ms)
@@ -93,7 +93,7 @@
     def _pid(self, name: str) -> int:
         return self._driver.node_processes.running[name].process.pid
 
-    def _kill(self, fault: Fault, kind: FaultKind) -> None:
+    def _kill(self, fault: ClusterFault, kind: FaultKind) -> None:
         """Kill a node; the driver starts it again, for KILL once the fault's time is over."""
         pid = self._pid(fault.node)
         if kind in (FaultKind.OLD, FaultKind.LOST):
@@ -112,7 +112,7 @@
         os.kill(pid, signal.SIGSTOP)
         threading.Timer(for_ms / 1000.0, os.kill, (pid, signal.SIGCONT)).start()
 
-    def _fill_disk(self, fault: Fault) -> None:
+    def _fill_disk(self, fault: ClusterFault) -> None:
         """Let the writer process of a node's ledger write nothing for a time."""
         self._limit_file_size(fault.node, 0)
         no_limit = (fault.node, resource.RLIM_INFINITY)
@@ -126,7 +126,7 @@
                 resource.prlimit(int(child), resource.RLIMIT_FSIZE, (max_bytes, resource.RLIM_INFINITY))
 
 
-def cuts_of(fault: Fault, span: FaultSpan) -> list[Cut]:
+def cuts_of(fault: ClusterFault, span: FaultSpan) -> list[Cut]:
     """Return what is lost by a fault of the network."""
     name, until_ms = span.node, span.until_ms
     outgoing, incoming = Cut(name, ANY_NODE, until_ms), Cut(ANY_NODE, name, until_ms)
@@ -144,7 +144,7 @@
 
 
 def split_cuts(groups: str, until_ms: float) -> list[Cut]:
-    """Return the cuts between groups of names, as the attribute `other` of a `Fault` describes them."""
+    """Return the cuts between groups of names, as `ClusterFault.other` describes them."""
     is_one_way = ">" in groups
     members = [group.split() for group in re.split("[|>]", groups)]
     cuts = []
--- a/marlseam/experiment/cluster_faults.py
+++ b/marlseam/experiment/cluster_faults.py
@@ -10,14 +10,14 @@
 from marlseam.cluster.membership_codec import read as read_membership_datagram
 from marlseam.cluster.replication import messages
 from marlseam.experiment import file
-from marlseam.experiment.cluster_tables import ClusterTable, Fault, FaultKind
+from marlseam.experiment.cluster_tables import ClusterFault, ClusterTable, FaultKind
 
 CLUSTER_NAME = "rig"  # of the nodes' settings, and on each of their datagrams
 DIRECTIONS = ("sends", "receives")
 DUPLICATE_PROCESS = "twin"  # a fault of the simulation that real nodes have no counterpart for
 
-# Numbers of kinds by name. Both protocols have an `ask`: the later one's number stands for both, as schedules
-# count on.
+# Numbers of kinds by name. Both protocols have an `ask`: the name stands for replication's, so that
+# membership's cannot be a step of a schedule.
 KINDS_BY_NAME = {kind.name.lower(): int(kind) for kind in (*DatagramKind, *messages.MessageKind)}
 
 
@@ -36,7 +36,7 @@
     ordinal: int
 
 
-def parse_step(fault: Fault, names: Collection[str]) -> Step:
+def parse_step(fault: ClusterFault, names: Collection[str]) -> Step:
     """Return the step of a fault of a cluster with these nodes; raise FileError where there is none."""
     direction, kind, ordinal = fault.step.split()
     is_fault = fault.fault in list(FaultKind)
@@ -47,13 +47,13 @@
     return Step(StepKind(fault.node, direction == "sends", KINDS_BY_NAME[kind]), int(ordinal))
 
 
-def draw_faults(nodes: int, seed: int, period_ms: float) -> list[Fault]:
+def draw_faults(nodes: int, seed: int, period_ms: float) -> list[ClusterFault]:
     """Return the seed's schedule of `fleet hunt`, with times scaled to this cluster's protocol period."""
     faults = []
     for drawn in membership_schedules.schedule(nodes, seed):
         direction = "sends" if drawn.sends else "receives"
         faults.append(
-            Fault(
+            ClusterFault(
                 node=drawn.node,
                 step=f"{direction} {drawn.kind.name.lower()} {drawn.ordinal}",
                 fault=FaultKind.HOLD.value if drawn.fault == DUPLICATE_PROCESS else drawn.fault,
@@ -86,11 +86,11 @@
         """Take a table's faults, or draw them by the seed where it has none."""
         self._names = frozenset(names)
         faults = table.faults or draw_faults(len(names), seed, table.period_ms)
-        self.pending: dict[Step, Fault] = {parse_step(fault, names): fault for fault in faults}
+        self.pending: dict[Step, ClusterFault] = {parse_step(fault, names): fault for fault in faults}
         self.is_counting = False
         self._counts: Counter[StepKind] = Counter()
 
-    def next_fault(self, node: str, is_sent: bool, data: bytes) -> Fault | None:
+    def next_fault(self, node: str, is_sent: bool, data: bytes) -> ClusterFault | None:
         """Count a datagram that a node is about to send or receive; return the fault due before it."""
         if not self.is_counting:
             return None
--- a/marlseam/experiment/cluster_run.py
+++ b/marlseam/experiment/cluster_run.py
@@ -11,7 +11,7 @@
 from typing import Any, TypeAlias
 
 from marlseam.experiment import cluster_admin
-from marlseam.experiment.cluster_fault_injector import FaultInjector
+from marlseam.experiment.cluster_fault_injector import ClusterFaultInjector
 from marlseam.experiment.cluster_faults import FaultSchedule
 from marlseam.experiment.cluster_logs import LogReader
 from marlseam.experiment.cluster_nodes import ClusterNodes
@@ -68,7 +68,7 @@
         self.publisher = ChangePublisher(
             day, self.nodes.admin_addresses, self.driver.recorder.now_ms, lambda: self.relay.is_over
         )
-        self.injector = FaultInjector(self.nodes, self.relay, self.driver, self.publisher.publish)
+        self.injector = ClusterFaultInjector(self.nodes, self.relay, self.driver, self.publisher.publish)
         self.logs = LogReader(self.names, out / "logs")
         self.last_statuses: dict[str, dict[str, Any] | None] = {}
         self.healed_after_ms = inf
--- a/marlseam/experiment/cluster_tables.py
+++ b/marlseam/experiment/cluster_tables.py
@@ -47,7 +47,7 @@
     UPGRADE = "upgrade"
 
 
-class Fault(Strict, frozen=True):
+class ClusterFault(Strict, frozen=True):
     """A fault, and the step before which it is injected.
 
     Attributes:
@@ -85,7 +85,7 @@
     period_ms: Positive = 200.0
     loss: Share = 0.0
     doubles: Share = 0.0
-    faults: list[Fault] = []
+    faults: list[ClusterFault] = []
     until_s: Positive = 30.0
     voters: list[str] = []
     lease_ms: Positive = 2000.0
--- a/marlseam/experiment/sizing/comparison.py
+++ b/marlseam/experiment/sizing/comparison.py
@@ -1,4 +1,4 @@
-"""Figures of in-process nodes beside those of real ones."""
+"""Figures of in-process nodes, which reports call hollow, beside those of real ones."""
 
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
--- a/marlseam/experiment/sizing/isolation.py
+++ b/marlseam/experiment/sizing/isolation.py
@@ -19,7 +19,7 @@
 from marlseam.experiment.sizing.resource_need import MAX_MEMORY_MB
 
 MAX_RUN_S = 600.0
-WORKING_DIRECTORY = "band"  # in the directory that a run writes to
+WORKING_DIRECTORY = "band"  # of real nodes, in the directory that a run writes to
 
 Parameters = ParamSpec("Parameters")
 Result = TypeVar("Result")
--- a/marlseam/experiment/sockets/driver.py
+++ b/marlseam/experiment/sockets/driver.py
@@ -24,7 +24,7 @@
 START_LEAD_S = 0.3  # from telling the processes the run's zero until that zero
 POLL_S = 0.05  # between two looks at the processes while the day is played
 PROGRESS_PERIOD_MS = 500.0  # between two calls that show the progress
-END_TIMEOUT_S = 5.0  # after the longest deadline, until the generators must have ended
+GENERATOR_END_TIMEOUT_S = 5.0  # after the longest deadline, until the generators must have ended
 RESTART_S = 0.05  # how long a killed node is away at least
 
 ShowProgress = Callable[[float], None]
@@ -62,6 +62,9 @@
 class SocketDriver:
     """Plays one day on loopback.
 
+    Nodes are watched while the day is played. An emulator that fails in it is noticed by the gaps in its
+    records.
+
     Attributes:
         day: the day.
         schedule: its faults.
@@ -109,7 +112,7 @@
         for name in self._zones:
             self._record_state(0.0, name, "began")
         self._follow(generators, zero_s + self._longest_run_s(), show_progress)
-        counts = [generator.read_json(END_TIMEOUT_S) for generator in generators]
+        counts = [generator.read_json(GENERATOR_END_TIMEOUT_S) for generator in generators]
         self.cpu_s = {
             name: process.cpu_s() - cpu_before_s.get(name, 0.0)
             for name, process in self.node_processes.running.items()
@@ -156,7 +159,7 @@
     def _longest_run_s(self) -> float:
         """Return how long the day may take from the run's zero on, in seconds."""
         longest_s = max(request_class.limit_ms for request_class in self.day.types) / 1000.0
-        return self.day.seconds + longest_s + END_TIMEOUT_S
+        return self.day.seconds + longest_s + GENERATOR_END_TIMEOUT_S
 
     def _take_step(self, step: FaultStep, now_ms: float) -> None:
         """Record the begin of a fault, or do to a node what the fault is."""
--- a/marlseam/experiment/sockets/nodes.py
+++ b/marlseam/experiment/sockets/nodes.py
@@ -18,7 +18,7 @@
 from marlseam.simulation.model import Day, node_settings, placed_nodes
 
 START_TIMEOUT_S = 30.0
-READY_TIMEOUT_S = 20.0
+NODE_READY_TIMEOUT_S = 20.0  # from its start until a node must be ready
 READY_CALL_TIMEOUT_S = 2.0
 POLL_S = 0.02  # between two looks whether a node has started or is ready
 UPGRADE_OVERLAP_S = 1.0  # for which both processes of an upgrade run
@@ -125,12 +125,12 @@
 
     def wait_until_ready(self, name: str) -> float:
         """Wait until a node is ready for clients, and return how long that took since its start, in s."""
-        address, end_s = self.addresses[name], time.monotonic() + READY_TIMEOUT_S
+        address, end_s = self.addresses[name], time.monotonic() + NODE_READY_TIMEOUT_S
         while time.monotonic() < end_s:
             if _is_ready(address):
                 return time.monotonic() - self.started_s[name]
             time.sleep(POLL_S)
-        raise NodeFailedError(name, f"was not ready in {READY_TIMEOUT_S:g} s")
+        raise NodeFailedError(name, f"was not ready in {NODE_READY_TIMEOUT_S:g} s")
 
 
 def _wait_for_address(name: str, process: ChildProcess, log_offset: int) -> str:
--- a/marlseam/experiment/virtual/discovery.py
+++ b/marlseam/experiment/virtual/discovery.py
@@ -38,7 +38,7 @@
         return EndpointEntry(name, state, server.kind_index, zone_index, server.cell, started_ms)
 
     def initial_update(self) -> core.EndpointListUpdate:
-        """Return the saved list that a node starts from."""
+        """Return the list as it is now, as one that a node had saved before its start."""
         entries = [*self.endpoints.answer_since(0).entries, *self._gone]
         return core.EndpointListUpdate(ListUpdateKind.CACHED, entries, self._doubt)
 
--- a/marlseam/experiment/virtual/fault_injector.py
+++ b/marlseam/experiment/virtual/fault_injector.py
@@ -19,7 +19,9 @@
 class FaultInjector:
     """Begins and ends faults.
 
-    Faults without a handler (`surge`, `flapping`) change arrivals or the schedule, and nothing here.
+    Elsewhere: `simulation.faults` expands `flapping`, says what servers do while a fault is on
+    (`fault_effects`) and what discovery lists (`listings`); `simulation.plan` adds the arrivals of a `surge`.
+    A mended link resets no connection here, as it does on sockets.
     """
 
     def __init__(
--- a/marlseam/experiment/virtual/lifecycle.py
+++ b/marlseam/experiment/virtual/lifecycle.py
@@ -62,6 +62,7 @@
         shutdown_ms = min(MAX_DRAIN_MS, longest_ms) + ANSWER_MS
         self._nodes.post(node, core.ShutdownBegun(shutdown_ms))
         closes_ms = world.now_ms + LISTENING_AFTER_SHUTDOWN_MS
+        # Noted as if long ago, so that no client picks the node from then on.
         world.queue.schedule(closes_ms, world.load_balancer.mark_down, node.name, -inf)
         world.queue.schedule(world.now_ms + shutdown_ms + EXIT_MS, self._end, node, "ended")
 
--- a/marlseam/net/graceful_shutdown.py
+++ b/marlseam/net/graceful_shutdown.py
@@ -13,9 +13,11 @@
 
 LISTEN_MS = 600.0  # how long new connections may still come after the signal
 IDLE_GRACE_MS = 300.0  # how long clients may go on using the connections that they have, once out of service
-MAX_DRAIN_MS = 3000.0  # how long requests go on after the signal; the longest deadline if that is less
+# How long requests are to go on after the signal, the longest deadline if that is less; what is still open
+# ANSWER_MS later is answered then.
+MAX_DRAIN_MS = 3000.0
 KEEP_SHARE = 0.4  # of that time, in which clients may go on using the connections that they have
-ANSWER_MS = 300.0  # by when after the drain all is answered
+ANSWER_MS = 300.0  # after the drain, until all that is still open is answered
 EXIT_MS = 500.0  # by when after the drain the node ends at the latest,
 LAST_READ_MS = 100.0  # but not before what came on the last connections could be read
 
--- a/marlseam/net/ledger_client.py
+++ b/marlseam/net/ledger_client.py
@@ -53,7 +53,7 @@
         """Read the ledger once its lock could be had: it is small."""
         self.load()
         return
-        yield
+        yield  # makes this a coroutine, as `read` is, which ends at once
 
     def append(self, record: LogRecord) -> int:
         """Have a record written; return its number, 0 where the disk does not serve."""
--- a/marlseam/simulation/fleet.py
+++ b/marlseam/simulation/fleet.py
@@ -42,11 +42,11 @@
     return Server(name, kind, memories, stream(seed, "executor", name), settings, started_ms)
 
 
-def job(arrival: Arrival, type: RequestType, job_id: str, attempt: object) -> Job:
+def job(arrival: Arrival, type: RequestType, try_id: str, attempt: object) -> Job:
     """Return an arrival's job as one attempt of a try hands it to a server."""
     return Job(
-        id=f"{job_id}/{attempt}",
-        try_id=job_id,
+        id=f"{try_id}/{attempt}",
+        try_id=try_id,
         class_name=type.name,
         work=arrival.work,
         slots=arrival.slots,
--- a/marlseam/store/ledger_writer.py
+++ b/marlseam/store/ledger_writer.py
@@ -1,5 +1,8 @@
 """The files of a node's ledger (`cluster.audit_log`): read back with their chain, begun anew, appended to.
 
+A process of its own, a child of the node, appends to them (`python -m marlseam.store.ledger_writer`); the
+node reads them by the same class before it starts that.
+
     lock       held by the process that writes here (flock)
     ledger-N   a header as in `file_format`, then frames with the records of `cluster.audit_log`
 
--- a/marlseam/store/writer_process.py
+++ b/marlseam/store/writer_process.py
@@ -1,5 +1,7 @@
 """The process that writes a node's state, so that a slow disk never stalls the node's loop.
 
+That of the ledger is `ledger_writer`.
+
     python -m marlseam.store.writer_process FOLDER NODE SYNC CHANNEL LOCK BOOT ZERO
 
 `writer_channel` has the messages. All appends that wait are written at once and synced once. What this
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -181,7 +181,7 @@
             opened.address = address
             upstream.connections.append(opened)
             return opened
-            yield
+            yield  # makes this a coroutine, which ends at once
 
         monkeypatch.setattr("marlseam.net.upstream.pool.connect", connect)
         events: list[Event] = []
@@ -200,7 +200,7 @@
     path.write_text(json.dumps(NODE_CONFIG | {"admin": "127.0.0.1:0"}))
     node = Node(load(str(path), {}))
     yield node
-    node.is_reducing = True
+    node.is_reducing = True  # nothing is decided while the loop closes connections
     node.loop.finish()
 
 
@@ -260,7 +260,7 @@
 
         def connect(*_: object) -> Steps:
             return make_connection(h11.CLIENT, *replies, silent=silent)
-            yield
+            yield  # makes this a coroutine, which ends at once
 
         monkeypatch.setattr("marlseam.net.discovery.connect", connect)
         node.discovery.task, node.discovery.post = None, events.append
--- a/tests/test_cluster_faults.py
+++ b/tests/test_cluster_faults.py
@@ -8,7 +8,7 @@
 from marlseam.experiment.cluster_fault_injector import split_cuts
 from marlseam.experiment.cluster_faults import CLUSTER_NAME, FaultSchedule, draw_faults
 from marlseam.experiment.cluster_relay import Cut, Pair
-from marlseam.experiment.cluster_tables import ClusterTable, Fault
+from marlseam.experiment.cluster_tables import ClusterFault, ClusterTable
 from marlseam.experiment.file import FileError
 from marlseam.random_source import number
 
@@ -23,10 +23,10 @@
 @pytest.mark.parametrize(
     "fault",
     [
-        Fault("n0", "sends ping 1", "melt"),
-        Fault("n9", "sends ping 1", "kill"),
-        Fault("n0", "says ping 1", "kill"),
-        Fault("n0", "sends ping 1", "pair", "n9"),
+        ClusterFault("n0", "sends ping 1", "melt"),
+        ClusterFault("n9", "sends ping 1", "kill"),
+        ClusterFault("n0", "says ping 1", "kill"),
+        ClusterFault("n0", "sends ping 1", "pair", "n9"),
     ],
 )
 def test_a_fault_that_cannot_be_injected_is_named(fault):
@@ -44,7 +44,7 @@
 
 
 def test_a_fault_is_due_before_the_nth_datagram_of_its_kind_and_direction():
-    fault = Fault("n0", "sends ping 2", "cut")
+    fault = ClusterFault("n0", "sends ping 2", "cut")
     schedule = FaultSchedule(NAMES, ClusterTable(faults=[fault]), 1)
     assert schedule.next_fault("n0", True, datagram()) is None  # not counted before the run's zero
     schedule.is_counting = True
