--- a/marlseam/__init__.py
+++ b/marlseam/__init__.py
@@ -1,3 +1,3 @@
-"""marlseam: a dispatcher that pushes jobs to workers by forward probing."""
+"""marlseam: a request dispatcher whose nodes push requests to servers by forward probing."""
 
 __version__ = "0.1.0"
--- a/marlseam/configuration/__init__.py
+++ b/marlseam/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given its defaults; errors name the key."""
+"""Reads and checks all configuration and applies its defaults; errors name the key at fault."""
 
 from marlseam.configuration.addresses import address_from, member_address
 from marlseam.configuration.deployment import Deployment, deployment_from
--- a/marlseam/configuration/addresses.py
+++ b/marlseam/configuration/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses in a configuration: IP addresses in figures with a port, as 127.0.0.1:8443 or [::1]:8443."""
+"""Addresses in a configuration: an IP address and a port, such as 127.0.0.1:8443 or [::1]:8443."""
 
 from ipaddress import ip_address
 
@@ -8,9 +8,9 @@
 
 
 def address_from(value: object) -> tuple[str, int] | None:
-    """Return the IP address and port of a text, or None.
+    """Parse an IP address and a port; return None for any other value.
 
-    Names of hosts are no addresses here: looking one up would block the node.
+    Host names are not accepted: resolving one would block the node.
     """
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     try:
@@ -22,14 +22,14 @@
 
 
 def member_address(key: str, value: object, trusted: bool) -> tuple[str, int]:
-    """Return the address of a cluster's member.
+    """Parse the address of a cluster member.
 
-    Messages between members are not signed, so other addresses than loopback need a trusted network.
+    Messages between members are not signed, so an address other than loopback requires a trusted network.
     Raises ConfigError with the key.
     """
-    found = address_from(value)
-    if found is None or not found[1]:
+    address = address_from(value)
+    if address is None or not address[1]:
         raise ConfigError(key, value, "an IP address and a port")
-    if not (trusted or ip_address(found[0]).is_loopback):
+    if not (trusted or ip_address(address[0]).is_loopback):
         raise ConfigError(key, value, "a loopback address, or trusted = true")
-    return found
+    return address
--- a/marlseam/configuration/deployment.py
+++ b/marlseam/configuration/deployment.py
@@ -1,7 +1,7 @@
-"""A deployment's settings: one form for the simulator's first message and a real node's configuration file.
+"""A deployment's settings, in one format for the simulator's first message and a real node's file.
 
-The platform's keys and words (`requestClasses`, `sendCap`, `keyed` ...) are mapped to the terms of the code
-here alone; docs/GLOSSARY.md has the table.
+This module alone maps the platform's keys and values (`requestClasses`, `sendCap`, `keyed` ...) to the terms
+of the code; docs/GLOSSARY.md has the table.
 """
 
 from collections.abc import Mapping
@@ -18,29 +18,30 @@
 REPORTS_IN_RESPONSES = {"none": False, "probe": False, "answers": True}
 WEIGHT_BY_SIZE = {"request": False, "work": True}
 REPORT_FIELDS = {"outstanding": "held", "inflight": "held", "backlog": "queued", "queue": "queued"}
-# The longest pause between two calls for the endpoint list, from the beginning of one to that of the next, as
-# a share of the time after which one must call; and at most, of the 6 s after which a change counts as
-# notified (docs/node.md).
+# The longest interval between two polls of the endpoint list, from start to start, as a share of the list's
+# maximum age; and its upper bound, which follows from the 6 s after which a change counts as notified
+# (docs/node.md).
 POLL_SHARE_OF_MAX_AGE = 0.2
 MAX_POLL_INTERVAL_MS = 2000.0
-# Likewise, where changes count as notified when they are made, as a share of the grace for ending sends.
+# The longest poll interval where changes count as notified when they are made, as a share of the grace within
+# which sends to a draining server must stop.
 POLL_SHARE_OF_GRACE = 0.375
 MIN_GRACE_MS = 100.0
 
 
 @dataclass(frozen=True)
 class Deployment:
-    """A deployment's settings: the decisions' part, and what the adapters read of them.
+    """A deployment's settings: those of the decisions, and those that the adapters read.
 
     Attributes:
-        settings: what decisions are made by.
-        zones, kinds, types: index by name, of zones, kinds of server and request classes on offer.
+        settings: the settings of the decisions.
+        zones, kinds, types: index by name, of zones, server kinds and the request classes now configured.
         all_types: index by name of request classes, those of earlier configurations included.
-        report_names: which field of a LoadReport each name of the wire's load report means.
-        keepalive_ms: after which a server may close an idle connection.
-        connect_ms: how long a connection may take to come up.
+        report_names: field of a LoadReport by its name in the load reports on the wire.
+        keepalive_ms: idle time after which a server may close a connection.
+        connect_ms: maximum time to establish a connection.
         pushed: whether changes of the endpoint list count as notified when they are made.
-        grace_ms: within which sends to a draining server have to stop.
+        grace_ms: time within which sends to a draining server must stop.
         marks_retry: whether clients mark their retries.
     """
 
@@ -58,7 +59,7 @@
 
 
 class Sections(NamedTuple):
-    """The objects of a deployment's settings: limits on attempts, rules, costs, what is told of servers."""
+    """The objects of a deployment's settings: top level, attempt limits, rules, costs, server information."""
 
     top: ConfigTable
     limits: ConfigTable
@@ -68,17 +69,17 @@
 
 
 class RequestClasses(NamedTuple):
-    """The request classes of a deployment."""
+    """The request classes of a deployment, those of earlier configurations included."""
 
-    offered: list[str]  # names
+    offered: list[str]  # names of those now configured
     index_of: dict[str, int]  # by name, those of earlier configurations included
     classes: tuple[RequestClass, ...]  # in the order of their indices
 
 
 class ListTimes(NamedTuple):
-    """How old the endpoint list may get, and how soon sends have to stop."""
+    """Maximum age and poll interval of the endpoint list, and the grace for sends to a draining server."""
 
-    is_subscribed: bool  # else changes are pushed, and count as notified when they are made
+    is_subscribed: bool  # False: changes are pushed, and count as notified when they are made
     max_age_ms: float
     max_poll_interval_ms: float
     grace_ms: float
@@ -87,10 +88,11 @@
 def deployment_from(
     options: object, key: str = "settings", before: Deployment | None = None, whole: bool = False
 ) -> Deployment:
-    """Return a deployment's settings; what is missing means what is least generous.
+    """Parse a deployment's settings; a missing entry gets its most restrictive value.
 
-    `before` is the deployment in force, of which names keep their indices. `whole` settings, as a node's file
-    holds them, have to say how requests are answered: nothing stands in for that. Raises ConfigError.
+    `key` is the full key of `options` in errors. `before` is the deployment in force, whose names keep their
+    indices. `whole` settings, as in a node's file, must give each request class an objective, a deadline and
+    its semantics, and the number of attempts: these have no default. Raises ConfigError.
     """
     top = ConfigTable(options, key)
     sections = Sections(
@@ -127,7 +129,7 @@
     times: ListTimes,
     whole: bool,
 ) -> Settings:
-    """Return what decisions are made by."""
+    """Return the settings of the decisions."""
     top, limits, rules, costs, info = sections
     return Settings(
         request_classes=classes,
@@ -144,10 +146,10 @@
         **slow_start_rules(rules),
         cross_zone_cost=costs.number("crossZone", 0.0),
         reports_in_responses=reports_in_responses(top),
-        live_weights=top.word("weights", LIVE_WEIGHTS, "none"),
+        live_weights=top.choice("weights", LIVE_WEIGHTS, "none"),
         may_gossip=limits.flag("peers"),
         fetch_cost=costs.number("origin", 0.0),
-        weight_by_size=top.word("worthBy", WEIGHT_BY_SIZE, "request"),
+        weight_by_size=top.choice("worthBy", WEIGHT_BY_SIZE, "request"),
         key_gap_ms=rules.milliseconds("turnGapUs", 0.0),
         only_draining_excludes=rules.flag("drainBindsAlone"),
     )
@@ -156,31 +158,31 @@
 def request_classes(
     top: ConfigTable, info: ConfigTable, before: Deployment | None, whole: bool
 ) -> RequestClasses:
-    """Read the request classes; one that is offered no more keeps its index for what is open of it."""
-    required_ms, least_us = (REQUIRED, 1.0) if whole else (0.0, 0.0)
+    """Read the request classes; one that was removed keeps its index for its requests that are still open."""
+    required_ms, minimum_us = (REQUIRED, 1.0) if whole else (0.0, 0.0)
     run_factors, class_kinds = info.numbers("classStretch"), info.numbers("classKind")
     rows = top.tables("requestClasses")
     offered = [row.text("name") for row in rows]
     index = indexed(offered, before.all_types if before else {})
-    known = without_times(before.settings.request_classes) if before else {}
+    classes = without_time_limits(before.settings.request_classes) if before else {}
     for i, row in enumerate(rows):
         run_factor = run_factors[i] if i < len(run_factors) else row.number("aimStretch", 0.0)
-        known[index[offered[i]]] = RequestClass(
+        classes[index[offered[i]]] = RequestClass(
             latency_objective_ms=row.milliseconds("aimUs", required_ms),
             objective_run_factor=run_factor,
-            deadline_ms=row.milliseconds("deadlineUs", required_ms, least_us),
-            idempotency=row.word("semantics", IDEMPOTENCY, REQUIRED if whole else "unsafe"),
-            deduplication_scope=row.word("dedupScope", DeduplicationScope, "cell"),
+            deadline_ms=row.milliseconds("deadlineUs", required_ms, minimum_us),
+            idempotency=row.choice("semantics", IDEMPOTENCY, REQUIRED if whole else "unsafe"),
+            deduplication_scope=row.choice("dedupScope", DeduplicationScope, "cell"),
             deduplication_window_ms=row.milliseconds("memorySpanUs", 0.0),
             kind=int(class_kinds[i]) if i < len(class_kinds) else -1,
             priority_weight=row.number("worth", 1.0),
             ordered_by_key=row.flag("oneAtATime"),
         )
-    return RequestClasses(offered, index, tuple(known.values()))
+    return RequestClasses(offered, index, tuple(classes.values()))
 
 
-def without_times(classes: tuple[RequestClass, ...]) -> dict[int, RequestClass]:
-    """Return request classes by index that set no times any more, unless they are offered again."""
+def without_time_limits(classes: tuple[RequestClass, ...]) -> dict[int, RequestClass]:
+    """Return the request classes by index, each with an infinite objective and deadline."""
     return {
         index: replace(request_class, latency_objective_ms=inf, deadline_ms=inf)
         for index, request_class in enumerate(classes)
@@ -188,7 +190,7 @@
 
 
 def list_times(top: ConfigTable, rules: ConfigTable) -> ListTimes:
-    """Read how soon a change of the endpoint list counts as notified."""
+    """Read how the endpoint list is updated, its maximum age and poll interval, and the drain grace."""
     is_subscribed = top.get("registryMode", "") == "subscribe"
     max_age_ms = rules.milliseconds("mustAskInUs", 10000.0)
     interval_ms = min(POLL_SHARE_OF_MAX_AGE * max_age_ms, MAX_POLL_INTERVAL_MS)
@@ -199,10 +201,10 @@
 
 
 def attempt_limits(limits: ConfigTable, whole: bool) -> dict[str, Any]:
-    """Read what a node may do for a request, as arguments of Settings."""
-    required, least = (REQUIRED, 1.0) if whole else (1, 0.0)
+    """Read the limits on attempts of one request, as keyword arguments of Settings."""
+    required, minimum = (REQUIRED, 1.0) if whole else (1, 0.0)
     return {
-        "max_attempts": int(limits.number("sendCap", required, least)),
+        "max_attempts": int(limits.number("sendCap", required, minimum)),
         "may_probe": limits.flag("mayProbe"),
         "may_cancel": limits.flag("cancel"),
         "may_hedge": limits.flag("secondCopies"),
@@ -213,7 +215,7 @@
 
 
 def slow_start_rules(rules: ConfigTable) -> dict[str, Any]:
-    """Read what a server in slow start bears, as arguments of Settings."""
+    """Read the slow start and overload parameters of servers, as keyword arguments of Settings."""
     return {
         "slow_start_initial_share": rules.number("startCapacity", 0.1),
         "slow_start_ms": rules.milliseconds("warmWithinUs", 30000.0),
@@ -223,19 +225,19 @@
 
 
 def reports_in_responses(top: ConfigTable) -> bool:
-    """Return whether servers report their load in responses; then the fields of a report have to be named."""
+    """Return whether servers report their load in responses, which requires the names of its fields."""
     reports = top.table("loadReport", {})
-    found: bool = reports.word("how", REPORTS_IN_RESPONSES, "probe")
+    is_in_responses: bool = reports.choice("how", REPORTS_IN_RESPONSES, "probe")
     fields = reports.get("fields", [])
     if not isinstance(fields, list) or not all(isinstance(name, str) for name in fields):
         raise ConfigError(reports.path("fields"), fields, "a list of names")
-    if found and not fields:
-        raise ConfigError(reports.path("fields"), fields, "one name at least where reports come with answers")
-    return found
+    if is_in_responses and not fields:
+        raise ConfigError(reports.path("fields"), fields, "at least one name, because `how` is answers")
+    return is_in_responses
 
 
 def report_names(info: ConfigTable) -> dict[str, str]:
-    """Return which field of a LoadReport each name of the wire's load report means."""
+    """Return the field of a LoadReport by its name in the load reports on the wire."""
     names = dict(REPORT_FIELDS)
     for extra in ("X0", "X1"):
         if "slot" in str(info.get("report" + extra, "")):
@@ -244,6 +246,6 @@
 
 
 def require_request_classes(settings: Mapping[str, Any]) -> None:
-    """Raise ConfigError for settings without request classes."""
+    """Raise ConfigError if the settings have no request class."""
     if not ConfigTable(settings, "settings").tables("requestClasses"):
-        raise ConfigError("settings.requestClasses", [], "one request class at least")
+        raise ConfigError("settings.requestClasses", [], "at least one request class")
--- a/marlseam/configuration/errors.py
+++ b/marlseam/configuration/errors.py
@@ -1,14 +1,15 @@
-"""What is wrong with a configuration, told by key, value and what was expected."""
+"""The error of a configuration that cannot be used."""
 
-REQUIRED = object()  # the default of an entry that has none
+REQUIRED = object()  # marks an entry without a default; as a value, a missing entry
 
 
 class ConfigError(Exception):
-    """A configuration that cannot be used.
+    """A configuration cannot be used; the message has the key, the value got and what was expected.
 
     Attributes:
-        key: the full key at fault, as `settings.requestClasses[0].aimUs`, or the name of a variable.
-        expected: what should stand there, in words.
+        key: the full key at fault, such as `settings.requestClasses[0].aimUs`, or the name of an environment
+            variable.
+        expected: a description of a valid value.
     """
 
     def __init__(self, key: str, value: object, expected: str) -> None:
--- a/marlseam/configuration/loader.py
+++ b/marlseam/configuration/loader.py
@@ -1,4 +1,4 @@
-"""A real node's configuration: its JSON file, the environment before it, and the operator's own settings."""
+"""Loads a real node's configuration from its JSON file, environment variables and the operator settings."""
 
 import json
 import os
@@ -23,7 +23,7 @@
 FILE_VARIABLE = "EDGE_CONFIG"
 SOCKET_VARIABLE = "EDGE_SOCKET_FD"
 FOLDER_VARIABLE = "TMPDIR"
-# Entries of the file that a variable of the environment goes before, at the start of a process.
+# Entries of the file that an environment variable overrides when the process starts.
 VARIABLES = {
     "name": "EDGE_NAME",
     "listen": "EDGE_LISTEN",
@@ -37,21 +37,21 @@
     """A real node's configuration.
 
     Attributes:
-        path: of the file.
-        in_file: what the file says where the environment may go before it.
-        in_force: what holds there.
-        name: of the node.
-        listen, discovery, admin: addresses; admin is None where there is no operators' port.
-        seed: of the node's random source.
-        memory_mb, sockets: limits of the process.
-        known: the endpoint list to begin with, as discovery writes it.
-        deployment: the deployment's settings, read.
-        shape: the keys of the file, which a later file has to have too.
-        settings: the deployment's settings as they are in force, where a cluster has to know.
-        socket_fd: the clients' listening socket, where the platform hands it on.
-        folder: that processes of one node share, with the socket.
-        store, shadow, cluster: the operator's settings of store, shadow policy and cluster; None where off.
-        settings_path: of the operator's own settings.
+        path: path of the node's file.
+        in_file: the file's values of the entries that environment variables can override.
+        in_force: the values of these entries that the node uses.
+        name: name of the node.
+        listen, discovery, admin: IP addresses and ports; admin is None without an operator port.
+        seed: seed of the node's random source.
+        memory_mb, sockets: limits of the process: memory in MB and the number of sockets.
+        known: the initial endpoint list, in discovery's format.
+        deployment: the parsed settings of the deployment.
+        shape: the keys of the file, all of which a reloaded file must have.
+        settings: the deployment's settings in force as JSON values; empty without a cluster.
+        socket_fd: descriptor of the inherited listening socket for clients; None where there is none.
+        folder: directory shared by the processes of one node, for their handover sockets.
+        store, shadow, cluster: operator settings of store, shadow policy and cluster; None where off.
+        settings_path: path of the operator settings file.
     """
 
     path: str
@@ -77,14 +77,14 @@
 
 
 class Sources(NamedTuple):
-    """What a configuration is made of, read and checked for what is missing.
+    """The inputs of a configuration, after the check for missing entries.
 
     Attributes:
-        path: of the node's file.
+        path: path of the node's file.
         top: the file's outermost object.
-        seed: of the node's random source.
-        operator: the operator's own settings.
-        operator_path: where they stand; None where there are none.
+        seed: seed of the node's random source.
+        operator: the operator settings.
+        operator_path: path of the operator settings file; None without one.
         in_file, in_force: as in Config.
     """
 
@@ -103,10 +103,10 @@
     before: Config | None = None,
     own: str | None = None,
 ) -> Config:
-    """Return a node's configuration; `before` is the one in force, `own` the path of the operator's settings.
+    """Load a node's configuration; `before` is the one in force, `own` the path of the operator settings.
 
-    At the start variables of the environment go before the file. Later the file has the last word (see
-    `values_in_force`). Raises ConfigError.
+    At the start of a process, environment variables override the file; on a reload, changed entries of the
+    file override them (see `values_in_force`). Raises ConfigError.
     """
     sources = read_sources(path, env, before, own)
     top, operator, in_force = sources.top, sources.operator, sources.in_force
@@ -119,8 +119,8 @@
         listen=address(in_force, "listen", env),
         discovery=address(in_force, "discovery", env),
         seed=sources.seed,
-        memory_mb=limits.number("memory_mb", 192.0, least=1.0),
-        sockets=int(limits.number("sockets", 1024.0, least=1.0)),
+        memory_mb=limits.number("memory_mb", 192.0, minimum=1.0),
+        sockets=int(limits.number("sockets", 1024.0, minimum=1.0)),
         known=dict(top.table("known", {}).values),
         deployment=deployment_from(settings, before=before.deployment if before else None, whole=True),
         shape=shape_of(top.values),
@@ -136,7 +136,7 @@
 
 
 def read_sources(path: str | None, env: Mapping[str, str], before: Config | None, own: str | None) -> Sources:
-    """Read the node's file and the operator's settings; raises ConfigError."""
+    """Read the node's file and the operator settings; raises ConfigError."""
     path = path or env.get(FILE_VARIABLE)
     top = ConfigTable(read_file(path), "")
     top.table("limits", {})
@@ -154,7 +154,7 @@
 
 
 def with_settings(config: Config, settings: Mapping[str, Any]) -> Config:
-    """Return a configuration with a cluster's settings in place of its file's, all but the zone."""
+    """Return a configuration with the cluster's settings in place of its file's, except for the zone."""
     whole = {**settings, **{key: config.settings[key] for key in ("zone",) if key in config.settings}}
     require_request_classes(whole)
     deployment = deployment_from(whole, before=config.deployment, whole=True)
@@ -162,9 +162,11 @@
 
 
 def read_file(path: str | None) -> object:
-    """Return what the configuration file holds."""
+    """Parse the node's file; raises ConfigError where there is no path or no readable JSON."""
     if not path:
-        raise ConfigError(FILE_VARIABLE, REQUIRED, "the configuration file's path, here or as an option")
+        raise ConfigError(
+            FILE_VARIABLE, REQUIRED, "the path of the configuration file, in this variable or as an option"
+        )
     try:
         return json.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError, RecursionError) as error:
@@ -172,7 +174,7 @@
 
 
 def seed_from(top: ConfigTable) -> int:
-    """Read the seed of the node's random source."""
+    """Read the seed of the node's random source, a hexadecimal number."""
     seed = top.text("seed", "0")
     try:
         return int(seed, 16)
@@ -181,7 +183,7 @@
 
 
 def values_in_file(top: ConfigTable) -> dict[str, Any]:
-    """Return what a file says where the environment may go before it."""
+    """Return the file's values of the entries that environment variables can override."""
     return {"name": top.text("name", "node")} | {
         key: top.get(key, None) for key in ("listen", "discovery", "admin")
     }
@@ -190,10 +192,11 @@
 def values_in_force(
     in_file: Mapping[str, Any], env: Mapping[str, str], before: Config | None
 ) -> dict[str, Any]:
-    """Return what holds of the entries that the environment may go before.
+    """Return the values in force of the entries that environment variables can override.
 
-    In service, what the file newly says holds, and the rest stays as it was: the environment cannot follow a
-    change, and would keep a node at an address that is no more.
+    On a reload, an entry that changed in the file takes the file's value, and the others stay as they were:
+    environment variables cannot change in a running process, and would keep the node at an address that is
+    no longer valid.
     """
     if before is None:
         return {key: env.get(variable) or in_file[key] for key, variable in VARIABLES.items()}
@@ -204,55 +207,55 @@
 
 
 def require_membership(operator: OperatorSettings, name: str) -> None:
-    """Raise ConfigError where a node is not among the members of its own cluster."""
+    """Raise ConfigError if a node is not among the members of its own cluster."""
     cluster = operator.cluster
     if cluster is not None and name not in cluster.members:
-        expected = f"this node's name, {name}, among them"
+        expected = f"a table that includes this node's name, {name}"
         raise ConfigError("fleet.members", sorted(cluster.members), expected)
 
 
 def address(values: Mapping[str, Any], name: str, env: Mapping[str, str]) -> tuple[str, int]:
-    """Return the address and port of an entry, wherever it comes from."""
+    """Parse the address of an entry; an error names the environment variable if the value came from it."""
     value = values[name] or REQUIRED
-    found = address_from(value)
-    if found is None:
+    parsed = address_from(value)
+    if parsed is None:
         variable = VARIABLES[name]
         key = variable if env.get(variable) == value else name
-        raise ConfigError(key, value, "an address in figures and a port, as 127.0.0.1:8443")
-    return found
+        raise ConfigError(key, value, "an IP address and a port, such as 127.0.0.1:8443")
+    return parsed
 
 
 def descriptor(value: str | None) -> int | None:
-    """Return the number of a descriptor that the process was started with, None for none."""
+    """Parse the number of an inherited descriptor; None without one."""
     if not value:
         return None
     if not (value.isascii() and value.isdigit()):
-        raise ConfigError(SOCKET_VARIABLE, value, "the number of a descriptor")
+        raise ConfigError(SOCKET_VARIABLE, value, "a descriptor number")
     return int(value)
 
 
 def shape_of(values: Mapping[str, Any]) -> dict[str, Any]:
-    """Return the keys of a file: of objects within it, and those that all objects of a list have."""
-    found: dict[str, Any] = {}
+    """Return the keys of a file: nested for objects, and for a list of objects the keys common to them."""
+    shape: dict[str, Any] = {}
     for key, value in values.items():
-        found[key] = None
+        shape[key] = None
         if isinstance(value, Mapping):
-            found[key] = shape_of(value)
+            shape[key] = shape_of(value)
         elif isinstance(value, list) and value and all(isinstance(row, Mapping) for row in value):
             common = set.intersection(*(set(row) for row in value))
-            found[key] = [sorted(common)]
-    return found
+            shape[key] = [sorted(common)]
+    return shape
 
 
 def require_keys(values: Mapping[str, Any], shape: Mapping[str, Any], path: str = "") -> None:
-    """Raise ConfigError for a file without a key that the one in force has; the servers listed are free.
+    """Raise ConfigError if a file lacks a key of the file in force; the servers in `known` are not checked.
 
-    Guards a running node against a file that was cut short.
+    Guards a running node against a truncated file.
     """
     for key, inner in shape.items():
         full_key = f"{path}{key}"
         if key not in values:
-            raise ConfigError(full_key, REQUIRED, "what the file in force has")
+            raise ConfigError(full_key, REQUIRED, "an entry, as in the file in force")
         value = values[key]
         if full_key == "known":
             continue
--- a/marlseam/configuration/operator_settings.py
+++ b/marlseam/configuration/operator_settings.py
@@ -1,7 +1,7 @@
-"""The operator's own settings: a TOML file with a table for each subsystem, which is off without its table.
+"""The operator settings: a TOML file with one table per subsystem; a subsystem without a table is off.
 
-The tables are called `store`, `watch` (the shadow policy) and `fleet` (the cluster); these names and the keys
-in them are the operators' and are mapped to the terms of the code here alone.
+The tables are `store`, `watch` (the shadow policy) and `fleet` (the cluster). Their names and keys are those
+of the operators; this module alone maps them to the terms of the code.
 """
 
 from collections.abc import Mapping
@@ -18,11 +18,11 @@
 
 SETTINGS_VARIABLE = "MARLSEAM_SETTINGS"
 MAX_NAME_CHARACTERS = 64  # of a member's name
-MIN_PERIOD_MS = 20.0  # in which each member pings one other
+MIN_PERIOD_MS = 20.0  # of the protocol period, in which each member pings one other
 DEFAULT_PERIOD_MS = 1000.0
 DEFAULT_LEASE_PERIODS = 15.0
 MIN_LEASE_PERIODS = 6.0
-DEFAULT_SERVE_LEASES = 100.0  # for how long nodes serve on without a proof, in leases
+DEFAULT_SERVE_LEASES = 100.0  # for how long a node stays in service without a proof, in leases
 VERSION_KEYS = ("folder", "voters", "lease_ms", "past_lease", "serve_ms", "local")
 KNOWN_KEYS = {
     "store": ("folder", "sync", "journal_mb", "wait_ms", "keys"),
@@ -33,15 +33,15 @@
 
 @dataclass(frozen=True)
 class StoreSettings:
-    """Where and how a node keeps its state.
+    """Where and how a node stores its state.
 
     Attributes:
         folder: the state directory.
-        sync: `durable`: records are on the disk before a request goes out; `written`: they are with the
-            system, which outlives a killed node but not the machine.
-        journal_mb: size at which the journal is replaced by a snapshot.
-        wait_ms: how long a request waits for the disk.
-        keys: idempotency keys on record at most; a request with a further one is rejected.
+        sync: `durable`: records are on the disk before a request is sent; `written`: they are with the
+            operating system, and survive a killed node but not a crash of the machine.
+        journal_mb: size in MB at which the journal is replaced by a snapshot.
+        wait_ms: how long a request waits at most for its record to become durable.
+        keys: maximum number of recorded idempotency keys; a request with a further key is rejected.
     """
 
     folder: str
@@ -53,11 +53,11 @@
 
 @dataclass(frozen=True)
 class ShadowSettings:
-    """What the shadow policy holds to be otherwise than the node's settings; None: as the node's.
+    """Settings in which the shadow policy differs from its node; None: as the node's.
 
     Attributes:
         reports_in_responses, live_weights, fetch_cost, weight_by_size: as in `Settings`.
-        every_s: how often the counts are logged.
+        every_s: interval in s at which the counts are logged.
     """
 
     reports_in_responses: bool | None
@@ -67,10 +67,10 @@
     every_s: float
 
     def change(self, settings: Settings) -> Settings:
-        """Return a node's settings with those of the shadow policy in their place."""
+        """Return the node's settings with those of the shadow policy that are not None in their place."""
         names = ("reports_in_responses", "live_weights", "fetch_cost", "weight_by_size")
-        found = {name: getattr(self, name) for name in names}
-        return replace(settings, **{name: value for name, value in found.items() if value is not None})
+        values = {name: getattr(self, name) for name in names}
+        return replace(settings, **{name: value for name, value in values.items() if value is not None})
 
 
 @dataclass(frozen=True)
@@ -78,17 +78,17 @@
     """Which nodes may belong to one cluster, and how it agrees on configuration versions.
 
     Attributes:
-        name: of the cluster.
-        members: address by name.
-        period_ms: in which each member pings one other.
-        folder: of this node's ledger; None: membership alone, without versions.
+        name: name of the cluster.
+        members: address by member name.
+        period_ms: the protocol period, in which each member pings one other.
+        folder: directory of this node's ledger; None: membership only, without configuration versions.
         voters: names of the members that vote on version 1.
-        lease_ms: for how long a proof is good that the version acted on is in force.
-        strict: whether a node without such a proof leaves service; else it serves on, and its actions are
-            marked.
-        serve_ms: for how long it serves on.
-        local: whether a changed file of the node's own is let in at SIGHUP.
-        trusted: whether the network is.
+        lease_ms: how long a proof is valid that the version acted on is in force.
+        strict: whether a node without a valid proof goes out of service; if not, it stays in service and
+            marks its actions.
+        serve_ms: how long a node without a valid proof stays in service where `strict` is not set.
+        local: whether SIGHUP applies a changed configuration file of the node itself.
+        trusted: whether the network between the members is trusted.
     """
 
     name: str
@@ -104,7 +104,7 @@
 
 
 class OperatorSettings(NamedTuple):
-    """The settings of each subsystem; None where it is off."""
+    """The settings of each subsystem; None for one that is off."""
 
     store: StoreSettings | None = None
     shadow: ShadowSettings | None = None
@@ -112,13 +112,13 @@
 
 
 def operator_settings(path: str | None) -> OperatorSettings:
-    """Read the operator's own settings; without a path all subsystems are off.
+    """Read the operator settings; without a path all subsystems are off.
 
-    Raises ConfigError where the file cannot be read, or with the key that is at fault.
+    Raises ConfigError if the file cannot be read, or with the key at fault.
     """
     if path is None:
         return OperatorSettings()
-    import tomllib  # a node without such a file does not need it
+    import tomllib  # here, as a node without operator settings does not use it
 
     try:
         values = tomllib.loads(Path(path).read_text(encoding="utf-8"))
@@ -134,47 +134,47 @@
 
 
 def store_settings(values: Mapping[str, Any]) -> StoreSettings | None:
-    """Read where and how a node keeps its state."""
+    """Read where and how a node stores its state; None without the table `store`."""
     if "store" not in values:
         return None
     store = ConfigTable(values["store"], "store")
     return StoreSettings(
         folder=store.text("folder"),
-        sync=store.word("sync", {"durable": "durable", "written": "written"}, "durable"),
-        journal_mb=store.number("journal_mb", 8.0, least=0.01),
+        sync=store.choice("sync", {"durable": "durable", "written": "written"}, "durable"),
+        journal_mb=store.number("journal_mb", 8.0, minimum=0.01),
         wait_ms=store.number("wait_ms", 200.0),
-        keys=int(store.number("keys", 100000, least=1.0)),
+        keys=int(store.number("keys", 100000, minimum=1.0)),
     )
 
 
 def shadow_settings(values: Mapping[str, Any]) -> ShadowSettings | None:
-    """Read what the shadow policy holds to be otherwise: one setting at least."""
+    """Read the shadow policy's own settings, of which there must be one; None without the table `watch`."""
     if "watch" not in values:
         return None
     watch = ConfigTable(values["watch"], "watch")
     if not set(watch.values) - {"every_s"}:
-        raise ConfigError("watch", watch.values, "one at least of reports, weights, fetch_price, worth_by")
+        raise ConfigError("watch", watch.values, "at least one of reports, weights, fetch_price, worth_by")
 
-    def word(key: str, meanings: Mapping[str, bool], default: str) -> bool | None:
-        return watch.word(key, meanings, default) if key in watch.values else None
+    def choice(key: str, meanings: Mapping[str, bool], default: str) -> bool | None:
+        return watch.choice(key, meanings, default) if key in watch.values else None
 
     return ShadowSettings(
-        reports_in_responses=word("reports", REPORTS_IN_RESPONSES, "probe"),
-        live_weights=word("weights", LIVE_WEIGHTS, "none"),
+        reports_in_responses=choice("reports", REPORTS_IN_RESPONSES, "probe"),
+        live_weights=choice("weights", LIVE_WEIGHTS, "none"),
         fetch_cost=watch.number("fetch_price") if "fetch_price" in watch.values else None,
-        weight_by_size=word("worth_by", WEIGHT_BY_SIZE, "request"),
-        every_s=watch.number("every_s", 60.0, least=1.0),
+        weight_by_size=choice("worth_by", WEIGHT_BY_SIZE, "request"),
+        every_s=watch.number("every_s", 60.0, minimum=1.0),
     )
 
 
 def cluster_settings(values: Mapping[str, Any]) -> ClusterSettings | None:
-    """Read who belongs to a cluster, and how it agrees on versions."""
+    """Read a cluster's members and settings of configuration versions; None without the table `fleet`."""
     if "fleet" not in values:
         return None
     cluster = ConfigTable(values["fleet"], "fleet")
     trusted = cluster.flag("trusted")
     members = cluster_members(cluster.table("members"), trusted)
-    period_ms = cluster.number("period_ms", DEFAULT_PERIOD_MS, least=MIN_PERIOD_MS)
+    period_ms = cluster.number("period_ms", DEFAULT_PERIOD_MS, minimum=MIN_PERIOD_MS)
     settings = ClusterSettings(
         name=cluster.text("name"), members=members, period_ms=period_ms, trusted=trusted
     )
@@ -182,48 +182,50 @@
 
 
 def cluster_members(table: ConfigTable, trusted: bool) -> dict[str, tuple[str, int]]:
-    """Read the members of a cluster: names, each with an address of its own."""
+    """Read the members of a cluster: address by name, no address twice."""
     if not 1 <= len(table.values) <= MAX_MEMBERS:
         raise ConfigError("fleet.members", len(table.values), f"1 to {MAX_MEMBERS} names")
-    found: dict[str, tuple[str, int]] = {}
+    members: dict[str, tuple[str, int]] = {}
     for name, value in table.values.items():
         key = table.path(name)
         if not 1 <= len(name) <= MAX_NAME_CHARACTERS:
             raise ConfigError(key, name, f"a name of 1 to {MAX_NAME_CHARACTERS} characters")
         address = member_address(key, value, trusted)
-        if address in found.values():
-            raise ConfigError(key, value, "an address of its own")
-        found[name] = address
-    return found
+        if address in members.values():
+            raise ConfigError(key, value, "an address that no other member has")
+        members[name] = address
+    return members
 
 
 def with_versions(cluster: ConfigTable, settings: ClusterSettings) -> ClusterSettings:
-    """Read how a cluster has versions: with a folder for each node's ledger and voters, or not at all."""
+    """Read the settings of configuration versions, which require the ledger's folder and the voters."""
     given = [key for key in VERSION_KEYS if key in cluster.values]
     if not given:
         return settings
     for key in ("folder", "voters"):
         if key not in given:
-            raise ConfigError(cluster.path(key), REQUIRED, f"it together with {given[0]}")
+            raise ConfigError(
+                cluster.path(key), REQUIRED, f"an entry, as is required together with {given[0]}"
+            )
     voters = cluster.get("voters", [])
     if not isinstance(voters, list) or not all(isinstance(name, str) for name in voters):
-        raise ConfigError(cluster.path("voters"), voters, "a list of members' names")
-    # Imported here: a node of a cluster without versions needs nothing of it.
+        raise ConfigError(cluster.path("voters"), voters, "a list of member names")
+    # Imported here, as a node of a cluster without versions does not use the module.
     from marlseam.cluster.replication.content import voters_fault
 
-    wrong = voters_fault(voters, frozenset(settings.members))
-    if wrong:
-        raise ConfigError(cluster.path("voters"), voters, f"3, 5 or 7 different members, or all ({wrong})")
+    fault = voters_fault(voters, frozenset(settings.members))
+    if fault:
+        raise ConfigError(cluster.path("voters"), voters, f"3, 5 or 7 different members, or all ({fault})")
     period_ms = settings.period_ms
     lease_ms = cluster.number(
-        "lease_ms", DEFAULT_LEASE_PERIODS * period_ms, least=MIN_LEASE_PERIODS * period_ms
+        "lease_ms", DEFAULT_LEASE_PERIODS * period_ms, minimum=MIN_LEASE_PERIODS * period_ms
     )
     return replace(
         settings,
         folder=cluster.text("folder"),
         voters=tuple(voters),
         lease_ms=lease_ms,
-        strict=cluster.word("past_lease", {"serve": False, "strict": True}, "serve"),
-        serve_ms=cluster.number("serve_ms", DEFAULT_SERVE_LEASES * lease_ms, least=lease_ms),
-        local=cluster.word("local", {"refuse": False, "allow": True}, "refuse"),
+        strict=cluster.choice("past_lease", {"serve": False, "strict": True}, "serve"),
+        serve_ms=cluster.number("serve_ms", DEFAULT_SERVE_LEASES * lease_ms, minimum=lease_ms),
+        local=cluster.choice("local", {"refuse": False, "allow": True}, "refuse"),
     )
--- a/marlseam/configuration/table.py
+++ b/marlseam/configuration/table.py
@@ -1,4 +1,4 @@
-"""Objects of a configuration, read entry by entry; one of the wrong kind raises ConfigError with its key."""
+"""Typed access to the entries of configuration objects; an invalid entry raises ConfigError with its key."""
 
 from collections.abc import Iterable, Mapping
 from enum import Enum
@@ -12,8 +12,8 @@
     """One object of a configuration.
 
     Attributes:
-        values: the object as it was read.
-        key: its own full key; "" for the outermost.
+        values: the object's entries, unchecked.
+        key: the object's full key; "" for the outermost object.
     """
 
     def __init__(self, values: object, key: str) -> None:
@@ -31,45 +31,45 @@
         return default if value is None else value
 
     def table(self, name: str, default: object = REQUIRED) -> "ConfigTable":
-        """Return an entry that is an object."""
+        """Return an entry that must be an object."""
         return ConfigTable(self.get(name, default), self.path(name))
 
     def tables(self, name: str) -> list["ConfigTable"]:
-        """Return an entry that is a list of objects; an absent one counts as empty."""
+        """Return an entry that must be a list of objects; an absent one counts as empty."""
         rows = self.get(name, [])
         if not isinstance(rows, list):
             raise ConfigError(self.path(name), rows, "a list")
         return [ConfigTable(row, f"{self.path(name)}[{i}]") for i, row in enumerate(rows)]
 
-    def number(self, name: str, default: object = REQUIRED, least: float = 0.0) -> float:
-        """Return an entry that is a finite number of at least some size."""
+    def number(self, name: str, default: object = REQUIRED, minimum: float = 0.0) -> float:
+        """Return an entry that must be a finite number not below a minimum."""
         value = self.get(name, default)
-        found = finite(value)
-        if found is None or found < least:
-            raise ConfigError(self.path(name), value, f"a number of at least {least:g}")
-        return found
+        number = finite(value)
+        if number is None or number < minimum:
+            raise ConfigError(self.path(name), value, f"a number of at least {minimum:g}")
+        return number
 
-    def milliseconds(self, name: str, default_ms: object = REQUIRED, least_us: float = 0.0) -> float:
-        """Return an entry in microseconds as milliseconds."""
+    def milliseconds(self, name: str, default_ms: object = REQUIRED, minimum_us: float = 0.0) -> float:
+        """Return an entry in microseconds, converted to milliseconds."""
         default = default_ms * 1000.0 if isinstance(default_ms, float) else default_ms
-        return self.number(name, default, least_us) / 1000.0
+        return self.number(name, default, minimum_us) / 1000.0
 
     def flag(self, name: str) -> bool:
-        """Return an entry that is true or false; an absent one counts as false."""
+        """Return an entry that must be true or false; an absent one counts as false."""
         value = self.get(name, False)
         if not isinstance(value, bool):
             raise ConfigError(self.path(name), value, "true or false")
         return value
 
     def text(self, name: str, default: object = REQUIRED) -> str:
-        """Return an entry that is a text and not empty."""
+        """Return an entry that must be a non-empty string."""
         value = self.get(name, default)
         if not isinstance(value, str) or not value:
-            raise ConfigError(self.path(name), value, "a text")
+            raise ConfigError(self.path(name), value, "a non-empty string")
         return value
 
-    def word(self, name: str, meanings: Mapping[str, Any] | type[Enum], default: object) -> Any:  # noqa: ANN401
-        """Return what a word means; of an enum the members are meant by their values."""
+    def choice(self, name: str, meanings: Mapping[str, Any] | type[Enum], default: object) -> Any:  # noqa: ANN401
+        """Return the meaning of an entry that must be one of some words; those of an enum are its values."""
         table = meanings if isinstance(meanings, Mapping) else {str(row.value): row for row in meanings}
         value = self.get(name, default) or default
         if not isinstance(value, str) or value not in table:
@@ -77,14 +77,14 @@
         return table[value]
 
     def indexed_names(self, name: str, before: Mapping[str, int]) -> dict[str, int]:
-        """Return a list of names as dense indices; a name that had an index `before` keeps it."""
+        """Return dense indices by name of an entry that must be a list of names; see `indexed`."""
         rows = self.get(name, [])
         if not isinstance(rows, list) or not all(isinstance(row, str) for row in rows):
             raise ConfigError(self.path(name), rows, "a list of names")
         return indexed(rows, before)
 
     def numbers(self, name: str) -> list[float]:
-        """Return a list of finite numbers; an absent one counts as empty."""
+        """Return an entry that must be a list of finite numbers; an absent one counts as empty."""
         rows = self.get(name, [])
         found = [finite(row) for row in rows] if isinstance(rows, list) else [None]
         numbers = [number for number in found if number is not None]
@@ -94,7 +94,7 @@
 
 
 def finite(value: object) -> float | None:
-    """Return a finite number, else None. Guards against whole numbers that no float holds."""
+    """Return a finite number as a float, else None. Guards against integers beyond the range of a float."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         return None
     try:
@@ -104,7 +104,7 @@
 
 
 def indexed(names: Iterable[str], before: Mapping[str, int]) -> dict[str, int]:
-    """Return dense indices of names; one that had an index keeps it, so that figures under it stay true."""
+    """Return dense indices by name; a name keeps an index `before`, so that figures under it stay valid."""
     found = dict(before)
     for name in names:
         found.setdefault(name, len(found))
--- a/marlseam/recovery/__init__.py
+++ b/marlseam/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What a node starts from after a restart or a handover, and how far it trusts it. Pure: no clock, no I/O."""
+"""Recovery of a node after a restart or a handover, and the validity of old data. Pure: no clock, no I/O."""
--- a/marlseam/recovery/handover_codec.py
+++ b/marlseam/recovery/handover_codec.py
@@ -1,19 +1,19 @@
-"""What processes of one node tell each other while one takes over from the other; pure.
+"""The codec of the handover between two processes of one node; pure.
 
-A line is a JSON object of one of these forms, with times in Unix ms, `zone` by name:
+A line is a JSON object of one of these forms, with times in Unix ms and `zone` by name:
 
-    {"marlseam": 1, "node": "n3", "process": 17}                  first, from both sides
-    {"seq": 41, "hosts": [...]}                                   the endpoint list as held, perhaps in parts
+    {"marlseam": 1, "node": "n3", "process": 17}                  hello: the first line in both directions
+    {"seq": 41, "hosts": [...]}                                   the endpoint list, maybe in several lines
     {"sent": [[key, server, zone, cell, sent, until], ...]}       keyed attempts that may have run
-    {"never": [key, server, sent]}                                one of them that provably never ran
-    {"whole": true}                                               all of the above was told; news may follow
-    {"over": true}                                                last: this process sends nothing any more
-    {"proof": [number, id, at]}                                   that version of a cluster was in force then
-
-A hello with `"fleet": true` asks for proofs; `at` is in ms of the machine's monotonic clock. `"epoch"` of a
-hello is the Unix time that its process takes for the zero of that clock: wall clocks are read once, at a
-process's start, and may have been stepped between two starts. The first five are a snapshot for the one who
-called; `sent` and `never` go on both ways from then on.
+    {"never": [key, server, sent]}                                one of these attempts provably never ran
+    {"whole": true}                                               the end of the snapshot; updates may follow
+    {"over": true}                                                last line: the sender sends no more requests
+    {"proof": [number, id, at]}                                   proof that a cluster's version was in force
+
+A hello with `"fleet": true` requests proofs; `at` is in ms of the machine's monotonic clock. `"epoch"` of a
+hello is the Unix time that its process assumes for the zero of that clock: a process reads the wall clock
+once, at its start, and the clock may have been stepped between two starts. The first five lines are a
+snapshot for the process that connected; after the snapshot, both processes send `sent` and `never`.
 """
 
 import json
@@ -21,18 +21,18 @@
 from typing import Any, NamedTuple
 
 PROTOCOL_VERSION = 1
-MAX_ROWS_PER_LINE = 200  # entries of the list, or attempts
-MAX_TEXT_CHARACTERS = 256  # of a key or name
-MAX_TIME_MS = 1e15  # the latest Unix time that can be meant
-MAX_SHOWN_CHARACTERS = 20  # of a value that is no version, in an error
+MAX_ROWS_PER_LINE = 200  # entries of the endpoint list, or attempts
+MAX_TEXT_CHARACTERS = 256  # of a key or a name
+MAX_TIME_MS = 1e15  # the latest valid Unix time
+MAX_SHOWN_CHARACTERS = 20  # of an unsupported protocol version, in an error
 
 
 class InvalidLineError(Exception):
-    """A line that cannot be used.
+    """A line is invalid.
 
     Attributes:
-        code: why, in a word for the log: `version` (of the protocol) or `odd` (anything else); the handover
-            itself adds `foreign` and `too-large`.
+        code: the reason code for the log: `version` (unsupported protocol version) or `odd` (anything else);
+            the handover itself adds `foreign` and `too-large`.
     """
 
     def __init__(self, code: str, text: str) -> None:
@@ -41,13 +41,14 @@
 
 
 class Hello(NamedTuple):
-    """Who speaks.
+    """The first line of a process, which identifies the sender.
 
     Attributes:
         node: the node's name.
-        process: the process's id.
-        is_in_cluster: whether it asks for proofs.
-        epoch_ms: the Unix time that it takes for the machine's monotonic zero, None where it does not say.
+        process: the process id.
+        is_in_cluster: whether the sender requests proofs.
+        epoch_ms: the Unix time (ms) that the sender assumes for the zero of the machine's monotonic clock;
+            None where the line has none.
     """
 
     node: str
@@ -57,12 +58,12 @@
 
 
 class VersionProof(NamedTuple):
-    """A cluster's version was in force at a time.
+    """Proof that a cluster's configuration version was in force at some time.
 
     Attributes:
-        number: of the version.
-        id: the digest of its content.
-        mono_ms: the time on the monotonic clock, which the processes of a machine share.
+        number: the version's number.
+        id: the digest of the version's content.
+        mono_ms: the time in ms on the monotonic clock, which the processes of a machine share.
     """
 
     number: int
@@ -71,7 +72,7 @@
 
 
 class ListPart(NamedTuple):
-    """Some entries of the endpoint list that is held, as discovery wrote them, and the list's version."""
+    """Some entries of the sender's endpoint list, in discovery's format, and the list's version."""
 
     seq: int
     hosts: list[dict[str, Any]]
@@ -82,10 +83,10 @@
 
     Attributes:
         key: the idempotency key.
-        server: the name of the server that it was sent to.
-        zone: the server's zone, by name; empty where it has none.
+        server: name of the server that the attempt was sent to.
+        zone: name of the server's zone; empty where it has none.
         cell: the server's cell in that zone.
-        sent_ms: when (Unix ms).
+        sent_ms: time of the attempt (Unix ms).
         until_ms: when the server forgets the key (Unix ms).
     """
 
@@ -98,7 +99,7 @@
 
 
 class AttemptNeverRan(NamedTuple):
-    """An attempt, known by key, server and time (Unix ms), provably never ran."""
+    """An attempt, identified by key, server and time (Unix ms), provably never ran."""
 
     key: str
     server: str
@@ -106,11 +107,11 @@
 
 
 class SnapshotEnd(NamedTuple):
-    """The snapshot ends."""
+    """The snapshot is complete."""
 
 
 class Goodbye(NamedTuple):
-    """The sender has told all and sends no request any more; one that ends without it may have."""
+    """The sender has reported all its attempts and sends no more requests; without this line, it may have."""
 
 
 HandoverItem = Hello | ListPart | AttemptSent | AttemptNeverRan | SnapshotEnd | Goodbye | VersionProof
@@ -120,14 +121,14 @@
 
 
 def encode_line(fields: dict[str, Any]) -> bytes:
-    """Return a line of some fields."""
+    """Encode fields as a line."""
     return json.dumps(fields, separators=(",", ":")).encode() + b"\n"
 
 
 def encode_hello(
     node: str, process: int, is_in_cluster: bool = False, epoch_ms: float | None = None
 ) -> bytes:
-    """Return the first line; the parameters are the fields of `Hello`."""
+    """Encode the first line; the parameters are the fields of `Hello`."""
     fields: dict[str, Any] = {"marlseam": PROTOCOL_VERSION, "node": node, "process": process}
     if is_in_cluster:
         fields["fleet"] = True
@@ -137,24 +138,24 @@
 
 
 def encode_proof(proof: VersionProof) -> bytes:
-    """Return the line that says which version was in force when."""
+    """Encode a proof that a version was in force."""
     return encode_line({"proof": proof})
 
 
 def encode_sent(attempts: list[AttemptSent]) -> bytes:
-    """Return the line on some attempts."""
+    """Encode a line of attempts that may have run, at most MAX_ROWS_PER_LINE."""
     return encode_line({"sent": attempts})
 
 
 def encode_never(attempt: AttemptNeverRan) -> bytes:
-    """Return the line on an attempt that never ran."""
+    """Encode the line for an attempt that never ran."""
     return encode_line({"never": attempt})
 
 
 def encode_snapshot(
     seq: int, hosts: list[dict[str, Any]], attempts: Iterable[AttemptSent]
 ) -> Iterator[bytes]:
-    """Return the lines that tell all that is held: the list of version `seq`, the attempts, the end."""
+    """Yield the lines of a snapshot: the endpoint list of version `seq`, the attempts, the end."""
     for start in range(0, len(hosts), MAX_ROWS_PER_LINE):
         yield encode_line({"seq": seq, "hosts": hosts[start : start + MAX_ROWS_PER_LINE]})
     rows = list(attempts)
@@ -167,7 +168,7 @@
 
 
 def parse_line(raw: bytes) -> list[HandoverItem]:
-    """Return what a line says; raises InvalidLineError."""
+    """Parse a line into its items; raises InvalidLineError."""
     fields = _parse_object(raw)
     for name, parse in _PARSERS:
         if name in fields:
@@ -176,38 +177,38 @@
         return [SnapshotEnd()]
     if fields.get("over") is True:
         return [Goodbye()]
-    raise _invalid("a line says nothing known")
+    raise _invalid("the line has no known field")
 
 
 def _invalid(text: str) -> InvalidLineError:
-    """Return the error for a line that does not have its form."""
+    """Return the error for a line that is malformed, with the code `odd`."""
     return InvalidLineError("odd", text)
 
 
 def _parse_object(raw: bytes) -> dict[str, Any]:
-    """Return a line's fields."""
+    """Parse a line as a JSON object."""
     try:
         fields = json.loads(raw)
     except (ValueError, RecursionError):
-        raise _invalid("a line is no JSON") from None
+        raise _invalid("the line is not valid JSON") from None
     if not isinstance(fields, dict):
-        raise _invalid("a line is no object")
+        raise _invalid("the line is not a JSON object")
     return fields
 
 
 def _parse_hello(fields: dict[str, Any]) -> list[HandoverItem]:
-    """Read who speaks."""
+    """Parse a hello."""
     version = fields["marlseam"]
     if version != PROTOCOL_VERSION:
         shown = f"{version!r:.{MAX_SHOWN_CHARACTERS}}"
-        raise InvalidLineError("version", f"version {shown}, here {PROTOCOL_VERSION}")
+        raise InvalidLineError("version", f"protocol version {shown}, expected {PROTOCOL_VERSION}")
     process = int(_parse_number(fields.get("process")))
     epoch_ms = _parse_number(fields["epoch"]) if "epoch" in fields else None
     return [Hello(_parse_text(fields.get("node")), process, fields.get("fleet") is True, epoch_ms)]
 
 
 def _parse_proof(fields: dict[str, Any]) -> list[HandoverItem]:
-    """Read which version was in force when."""
+    """Parse a proof that a version was in force."""
     number, id, mono_ms = _parse_fixed_list(fields["proof"], 3)
     return [
         VersionProof(int(_parse_number(number)), _parse_text(id, min_characters=0), _parse_number(mono_ms))
@@ -215,23 +216,23 @@
 
 
 def _parse_list_part(fields: dict[str, Any]) -> list[HandoverItem]:
-    """Read a part of the endpoint list."""
+    """Parse a part of the endpoint list."""
     hosts = _parse_rows(fields["hosts"])
     if not all(isinstance(host, dict) for host in hosts):
-        raise _invalid("a list holds no objects")
+        raise _invalid("an entry of `hosts` is not a JSON object")
     return [ListPart(int(_parse_number(fields.get("seq"))), hosts)]
 
 
 def _parse_sent(fields: dict[str, Any]) -> list[HandoverItem]:
-    """Read attempts that may have run."""
+    """Parse attempts that may have run."""
     return [_parse_attempt(row) for row in _parse_rows(fields["sent"])]
 
 
 def _parse_attempt(row: object) -> AttemptSent:
-    """Read one attempt that may have run."""
+    """Parse one attempt that may have run."""
     key, server, zone, cell, sent_ms, until_ms = _parse_fixed_list(row, 6)
     if not isinstance(cell, int) or isinstance(cell, bool):
-        raise _invalid("a cell is no whole number")
+        raise _invalid("the cell of an attempt is not an integer")
     return AttemptSent(
         _parse_text(key),
         _parse_text(server),
@@ -243,40 +244,40 @@
 
 
 def _parse_never(fields: dict[str, Any]) -> list[HandoverItem]:
-    """Read an attempt that never ran."""
+    """Parse an attempt that never ran."""
     key, server, sent_ms = _parse_fixed_list(fields["never"], 3)
     return [AttemptNeverRan(_parse_text(key), _parse_text(server), _parse_number(sent_ms))]
 
 
 def _parse_rows(value: object) -> list[Any]:
-    """Return a list that is no longer than a line may hold."""
+    """Return a value that must be a list of at most MAX_ROWS_PER_LINE rows."""
     if not isinstance(value, list) or len(value) > MAX_ROWS_PER_LINE:
-        raise _invalid("no list, or one that is too long")
+        raise _invalid("expected a list, no longer than the limit of a line")
     return value
 
 
 def _parse_fixed_list(value: object, count: int) -> list[Any]:
-    """Return a list of exactly so many values."""
+    """Return a value that must be a list of exactly `count` values."""
     if not isinstance(value, list) or len(value) != count:
-        raise _invalid(f"no list of {count}")
+        raise _invalid(f"expected a list of {count} values")
     return value
 
 
 def _parse_text(value: object, min_characters: int = 1) -> str:
-    """Return a text of a key's or name's length."""
+    """Return a value that must be a string of a valid length for a key or a name."""
     if not isinstance(value, str) or not min_characters <= len(value) <= MAX_TEXT_CHARACTERS:
-        raise _invalid("no text, or one that is too long")
+        raise _invalid("expected a string of a valid length for a key or a name")
     return value
 
 
 def _parse_number(value: object) -> float:
-    """Return a number that a time can be."""
+    """Return a value that must be a number from 0 to MAX_TIME_MS."""
     if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value <= MAX_TIME_MS:
-        raise _invalid("no number, or out of range")
+        raise _invalid("expected a number in the range of a time")
     return value
 
 
-# By the field that tells a line's form; where a line has several, the first here counts.
+# By the field that identifies a line's form; in a line with several of them, the first one here counts.
 _PARSERS: tuple[tuple[str, Callable[[dict[str, Any]], list[HandoverItem]]], ...] = (
     ("marlseam", _parse_hello),
     ("proof", _parse_proof),
--- a/marlseam/shared_limits.py
+++ b/marlseam/shared_limits.py
@@ -1,3 +1,3 @@
-"""Bounds that several packages share of which not every node loads all."""
+"""Limits shared by several packages, in a module of its own as not every node loads all of these packages."""
 
-MAX_MEMBERS = 1000  # names that a cluster may have
+MAX_MEMBERS = 1000  # member names of a cluster
--- a/marlseam/simhost/__init__.py
+++ b/marlseam/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the decision module and the simulator's wire."""
+"""The adapter between the reducer and the simulator's wire protocol."""
--- a/marlseam/simhost/__main__.py
+++ b/marlseam/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the simulator's nodes: batches of events on standard input, one reply for each on standard output."""
+"""Runs the simulator's nodes: reads batches of events from standard input, writes one reply per batch."""
 
 import gc
 import sys
@@ -9,20 +9,20 @@
 from marlseam.simhost.instance import Instance
 
 
-def handle(line: str, entries: list[str], clock: float, nodes: dict[str, Instance], out: list[str]) -> None:
-    """Play one event, with the list entries that follow it."""
+def handle(line: str, entries: list[str], now_ms: float, nodes: dict[str, Instance], out: list[str]) -> None:
+    """Process one event line with its list entries; an exception of the node becomes a line `give_in`."""
     name, values = wire.parse(line)
-    node = wire.need(values, "node")
+    node = wire.required(values, "node")
     parsed = [wire.parse(entry)[1] for entry in entries]
     try:
         if name == "provision":
-            seed = wire.whole(values, "nonce64")
-            nodes[node] = Instance(node, seed, wire.options_of(values), clock, out)
+            seed = wire.integer(values, "nonce64")
+            nodes[node] = Instance(node, seed, wire.parse_options(values), now_ms, out)
         elif name == "detach":
             nodes.pop(node, None)
         elif node in nodes:
-            nodes[node].clock = clock
-            nodes[node].on(name, values, parsed)
+            nodes[node].now_ms = now_ms
+            nodes[node].handle_event(name, values, parsed)
     except wire.MalformedLineError:
         raise
     except Exception as error:
@@ -31,36 +31,36 @@
 
 
 def with_entries(events: list[str]) -> Iterator[tuple[str, list[str]]]:
-    """Yield each event's line of a batch with the list entries that follow it."""
+    """Yield each event line of a batch with the list entries that follow; raises MalformedLineError."""
     i = 0
     while i < len(events):
         line = events[i]
         i += 1
-        count = wire.whole(wire.parse(line)[1], "members") if line.startswith("directory_update ") else 0
+        count = wire.integer(wire.parse(line)[1], "members") if line.startswith("directory_update ") else 0
         entries = events[i : i + count]
         if len(entries) < count or any(not entry.startswith(wire.ENTRY + " ") for entry in entries):
-            raise wire.MalformedLineError(f"{count} entries should follow", line)
+            raise wire.MalformedLineError(f"directory_update: expected {count} entries after it", line)
         i += count
         yield line, entries
 
 
 def main() -> int:
-    """Answer batches until the input ends."""
+    """Answer batches until the input ends; return the exit status, 2 after a malformed line."""
     gc.freeze()
     nodes: dict[str, Instance] = {}
     out: list[str] = []
     line = ""
     try:
-        for clock, events in wire.batches(iter(sys.stdin.readline, "")):
+        for now_ms, events in wire.batches(iter(sys.stdin.readline, "")):
             for line, entries in with_entries(events):
-                handle(line, entries, clock, nodes, out)
+                handle(line, entries, now_ms, nodes, out)
             out.append(wire.ACK)
             sys.stdout.write("\n".join(out) + "\n")
             sys.stdout.flush()
             out.clear()
     except wire.MalformedLineError as error:
         shown = error.line or line
-        print(f"marlseam: cannot read this line: {shown}\nmarlseam: {error}", file=sys.stderr)
+        print(f"marlseam: malformed input line: {shown}\nmarlseam: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/marlseam/simhost/wire.py
+++ b/marlseam/simhost/wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: its lines taken apart, its words turned into ours, and our actions into its lines."""
+"""The simulator's wire protocol: parses its lines and maps its values to the terms of the code."""
 
 import json
 from base64 import b64decode
@@ -9,6 +9,7 @@
 
 BEGIN, END, ACK, ENTRY = "begin_batch", "eof_batch", "ack", "m"
 
+# Fields of each event line, and of the entries of an endpoint list, in their order on the wire.
 FIELDS = {
     "provision": ("node", "nonce64", "options"),
     "directory_update": ("node", "index", "scope", "members"),
@@ -36,7 +37,7 @@
     "change": ("node", "opId", "attempt", "executor", "kind", "x"),
     ENTRY: ("cohort", "dc", "weight", "familyType", "bornUs", "availability", "executor"),
 }
-TEXT_LAST = {"provision"}
+TEXT_LAST = {"provision"}  # events whose last field may contain spaces
 
 OUTCOMES = {
     "success": Outcome.COMPLETED,
@@ -48,23 +49,23 @@
     "withdrawn": Outcome.CANCELLED,
     "void": Outcome.CANCELLED_UNSENT,
 }
-LISTINGS = {
+UPDATE_KINDS = {
     "0": ListUpdateKind.DELTA,
     "1": ListUpdateKind.FULL,
     "2": ListUpdateKind.CACHED,
     "3": ListUpdateKind.FAILED,
 }
-STATES = {"0": EndpointState.GONE, "1": EndpointState.READY, "2": EndpointState.DRAINING}
+ENDPOINT_STATES = {"0": EndpointState.GONE, "1": EndpointState.READY, "2": EndpointState.DRAINING}
 
 
-Fields = dict[str, str | None]  # of a line, by name; None for one that is absent or `-`
+Fields = dict[str, str | None]  # value by name; None for a field that is absent or `-`
 
 
 class MalformedLineError(Exception):
-    """A line that the wire's description does not allow.
+    """A line does not conform to the wire protocol.
 
     Attributes:
-        line: the line, where it is another than the one in hand.
+        line: the malformed line; empty for the line being processed.
     """
 
     def __init__(self, text: str, line: str = "") -> None:
@@ -80,18 +81,18 @@
 
 
 class Batch(NamedTuple):
-    """Events that happen at one time: the clock in ms, and their lines."""
+    """Events at one point in time: the time in ms, and the event lines."""
 
     clock_ms: float
     events: list[str]
 
 
 def parse(line: str) -> ParsedLine:
-    """Take one line apart into its name and its fields; a field that is absent or `-` is None."""
+    """Split a line into its name and its fields; a field that is absent or `-` is None."""
     name, _, fields_text = line.partition(" ")
     fields = FIELDS.get(name)
     if fields is None:
-        raise MalformedLineError(f"no event is called {name!r}")
+        raise MalformedLineError(f"unknown event {name!r}")
     parts = fields_text.split(" ", len(fields) - 1) if name in TEXT_LAST else fields_text.split(" ")
     if fields_text == "":
         parts = []
@@ -101,93 +102,93 @@
     )
 
 
-def need(values: Fields, field: str) -> str:
-    """Return a field that may not be absent."""
+def required(values: Fields, field: str) -> str:
+    """Return a field that must be present."""
     value = values.get(field)
     if value is None:
-        raise MalformedLineError(f"{field} is missing")
+        raise MalformedLineError(f"field {field} is missing")
     return value
 
 
 def number(values: Fields, field: str, default: float | None = None) -> float:
-    """Return a field as a number; an absent one counts as the default, where there is one."""
+    """Return a field as a number; an absent field has the default, and must be present without one."""
     value = values.get(field)
     if value is None:
         if default is None:
-            raise MalformedLineError(f"{field} is missing")
+            raise MalformedLineError(f"field {field} is missing")
         return default
     try:
         return float(value)
     except ValueError:
-        raise MalformedLineError(f"{field} is no number: {value!r}") from None
+        raise MalformedLineError(f"field {field}: expected a number, got {value!r}") from None
 
 
-def whole(values: Fields, field: str) -> int:
-    """Return a field as a whole number of any size."""
-    value = need(values, field)
+def integer(values: Fields, field: str) -> int:
+    """Return a field that must be present as an integer of any size."""
+    value = required(values, field)
     try:
         return int(value)
     except ValueError:
-        raise MalformedLineError(f"{field} is no whole number: {value!r}") from None
+        raise MalformedLineError(f"field {field}: expected an integer, got {value!r}") from None
 
 
-def word(table: dict[str, Any], values: Fields, field: str) -> Any:  # noqa: ANN401
-    """Return what a table says a word means."""
-    value = need(values, field)
+def choice(table: dict[str, Any], values: Fields, field: str) -> Any:  # noqa: ANN401
+    """Return the meaning of a field that must be one of a table's keys."""
+    value = required(values, field)
     if value not in table:
-        raise MalformedLineError(f"{field} cannot be {value!r}")
+        raise MalformedLineError(f"field {field}: unknown value {value!r}")
     return table[value]
 
 
 def milliseconds(values: Fields, field: str) -> float | None:
-    """Return a time in milliseconds, or None where it is absent or zero."""
+    """Return a time in microseconds, converted to milliseconds; None if the field is absent or zero."""
     value = number(values, field, 0.0)
     return value / 1000.0 if value else None
 
 
-def report(names: dict[str, str], text: str | None) -> LoadReport | None:
-    """Read a load report by the names that the deployment gives; unknown pairs are passed by."""
+def load_report(names: dict[str, str], text: str | None) -> LoadReport | None:
+    """Parse a load report by the deployment's names of its fields; pairs of unknown names are ignored."""
     if text is None:
         return None
-    found: dict[str, float] = {}
+    fields: dict[str, float] = {}
     for pair in text.split(","):
         name, _, value = pair.partition(":")
         if name in names:
             try:
-                found[names[name]] = float(value)
+                fields[names[name]] = float(value)
             except ValueError:
-                raise MalformedLineError(f"the load report holds no number: {pair!r}") from None
-    return LoadReport(**found)
+                raise MalformedLineError(f"load report: expected a number in {pair!r}") from None
+    return LoadReport(**fields)
 
 
-def message(values: Fields) -> bytes:
-    """Read another node's message."""
+def decode_message(values: Fields) -> bytes:
+    """Decode the base64 message of another node."""
     try:
         return b64decode(values.get("msg") or "", validate=True)
     except ValueError:
-        raise MalformedLineError(f"msg is no base64: {values['msg']!r}") from None
+        raise MalformedLineError(f"field msg: expected base64, got {values['msg']!r}") from None
 
 
-def options_of(values: Fields) -> dict[str, Any]:
-    """Read the settings' JSON text."""
+def parse_options(values: Fields) -> dict[str, Any]:
+    """Parse the deployment's settings, a JSON object."""
     try:
-        options = json.loads(need(values, "options"))
-    except json.JSONDecodeError as e:
-        raise MalformedLineError(f"options is no JSON: {e}") from None
+        options = json.loads(required(values, "options"))
+    except json.JSONDecodeError as error:
+        raise MalformedLineError(f"field options: not valid JSON: {error}") from None
     if not isinstance(options, dict):
-        raise MalformedLineError("options is no JSON object")
+        raise MalformedLineError("field options: expected a JSON object")
     return options
 
 
 def batches(lines: Iterator[str]) -> Iterator[Batch]:
-    """Yield each batch's clock in milliseconds and its event lines."""
+    """Yield each batch; raises MalformedLineError for an invalid head line or an incomplete batch."""
     for line in lines:
         head = line.rstrip("\n")
         if not head:
             continue
-        name, _, clock = head.partition(" ")
-        if name != BEGIN or not clock.isdigit():
-            raise MalformedLineError(f"{head!r}: a batch begins with {BEGIN} and its clock")
+        name, _, clock_us = head.partition(" ")
+        if name != BEGIN or not clock_us.isdigit():
+            raise MalformedLineError(f"got {head!r}, expected {BEGIN} and the time in microseconds")
         events: list[str] = []
         for event in lines:
             event = event.rstrip("\n")
@@ -196,5 +197,5 @@
             if event:
                 events.append(event)
         else:
-            raise MalformedLineError("the input ended inside a batch")
-        yield Batch(int(clock) / 1000.0, events)
+            raise MalformedLineError("the input ended within a batch")
+        yield Batch(int(clock_us) / 1000.0, events)
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -22,7 +22,7 @@
     """Play one line and return the actions."""
     instance.out.clear()
     name, values = wire.parse(line)
-    instance.on(name, values, [wire.parse(entry)[1] for entry in entries])
+    instance.handle_event(name, values, [wire.parse(entry)[1] for entry in entries])
     return list(instance.out)
 
 
