--- a/marlseam/store/__init__.py
+++ b/marlseam/store/__init__.py
@@ -1,4 +1,4 @@
-"""Durable state.
+"""Durable state: snapshots and a journal in a directory.
 
-Snapshots and a journal in a folder, written so that a crash at any byte leaves the old or the new.
+A crash at any byte written leaves either the state before the write or the state after it.
 """
--- a/marlseam/store/check.py
+++ b/marlseam/store/check.py
@@ -1,4 +1,4 @@
-"""Whether a directory can be used: tried as a node would use it, and left as it was."""
+"""Checks whether a node can use a directory of the store; leaves the directory's content unchanged."""
 
 import time
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class DirectorySummary(NamedTuple):
-    """What a directory holds, in a line that begins with its kind, and what is wrong with its files."""
+    """A directory's content, as a line that begins with its kind, and the findings about its files."""
 
     text: str
     findings: list[Finding]
@@ -25,19 +25,21 @@
 def check_directory(path: Path, key: str, summarize: Callable[[Disk], DirectorySummary]) -> None:
     """Lock a directory, write and sync a file in it, and read it; print its summary and findings.
 
-    Raises ConfigError with the setting's key where it cannot be used.
+    Raises ConfigError with the setting's key if the directory cannot be used.
     """
     with ExitStack() as stack:
         try:
             stack.enter_context(directory_lock(path))
         except OSError as error:
-            raise _unusable(path, key, "a folder that this node alone may write", error) from None
+            raise _unusable(
+                path, key, "a writable directory that no other process has locked", error
+            ) from None
         disk = Disk(path)
         try:
             sync_ms = _time_sync(disk)
             summary = summarize(disk)
         except OSError as error:
-            raise _unusable(path, key, "a folder that can be written", error) from None
+            raise _unusable(path, key, "a writable directory", error) from None
     print(f"{summary.text}, a sync takes {sync_ms:.1f} ms")
     kind = summary.text.split()[0]
     for finding in summary.findings:
@@ -45,12 +47,12 @@
 
 
 def _unusable(path: Path, key: str, expected: str, error: OSError) -> ConfigError:
-    """Return the error for a directory that a system call failed on."""
+    """Return the error for a directory on which a system call failed."""
     return ConfigError(key, str(path), f"{expected} ({code_of(error)}: {error.strerror})")
 
 
 def _time_sync(disk: Disk) -> float:
-    """Write and sync a file, and remove it; return how long that took until it was durable, in ms."""
+    """Write, sync and remove a file; return the time in ms until it was durable."""
     descriptor = disk.open(TRIAL_FILE)
     try:
         began = time.perf_counter()
@@ -63,10 +65,10 @@
 
 
 def check_state(settings: StoreSettings, node: str) -> None:
-    """Check a node's state directory; raises ConfigError with what is wrong."""
+    """Check a node's state directory; raises ConfigError if it cannot be used."""
 
     def summarize(disk: Disk) -> DirectorySummary:
-        """Summarize the state."""
+        """Return the number of servers and keys in the state."""
         directory = StateDirectory(disk, node)
         state = directory.load(time.time() * 1000.0)
         listed = len(state.listed.rows) if state.listed else 0
@@ -77,10 +79,10 @@
 
 
 def check_ledger(settings: ClusterSettings, node: str) -> None:
-    """Check a ledger's directory; raises ConfigError with what is wrong."""
+    """Check a ledger's directory; raises ConfigError if it is not set or cannot be used."""
 
     def summarize(disk: Disk) -> DirectorySummary:
-        """Summarize the ledger."""
+        """Return the ledger's version and whether its node votes."""
         ledger = LedgerWriter(disk, node)
         recovered = ledger.load()
         number = recovered.held.number if recovered.held is not None else 0
@@ -88,5 +90,5 @@
         return DirectorySummary(f"ledger in {disk.path}: version {number}, {votes}", ledger.findings)
 
     if settings.folder is None:
-        raise ConfigError("fleet.folder", "", "a folder")
+        raise ConfigError("fleet.folder", "", "a directory")
     check_directory(Path(settings.folder), "fleet.folder", summarize)
--- a/marlseam/store/clock_era.py
+++ b/marlseam/store/clock_era.py
@@ -1,4 +1,4 @@
-"""Times that stay comparable when a clock is set: the start of the machine that they count from."""
+"""Clock eras: times relative to a start of the machine, which stay comparable when the clock is set."""
 
 import time
 from pathlib import Path
@@ -8,13 +8,14 @@
 
 
 class ClockEra(NamedTuple):
-    """One start of the machine as one process sees it.
+    """One start of the machine, with one process's time scale.
 
-    Times of one start can be compared whatever becomes of the clock; those of two starts cannot.
+    Times of the same start can be compared even if the clock is set in between; times of different starts
+    cannot.
 
     Attributes:
-        boot: the kernel's id of this start, empty where it is not known.
-        zero_ms: the Unix time (ms) at that start, by the clock of the process that writes.
+        boot: the kernel's boot id, empty if it is not known.
+        zero_ms: the Unix time (ms) of that start, by the clock of the process that writes.
     """
 
     boot: str
@@ -22,19 +23,19 @@
 
 
 def since_boot_ms() -> float:
-    """Return the time since the machine's start, in ms, with the time that it was suspended."""
+    """Return the time since the machine's start in ms, including time in which the machine was suspended."""
     return 1000.0 * time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def current_era(unix_now_ms: float | None = None) -> ClockEra:
-    """Return the present era.
+    """Return the era of the current start of the machine.
 
-    `unix_now_ms` is what the writer's clock says now (Unix ms); None takes the system's clock.
+    `unix_now_ms` is the present time of the writer's clock (Unix ms); None takes the system's clock.
     """
     try:
         boot = BOOT_ID_PATH.read_text().strip()
     except OSError:
-        boot = ""  # no start of the machine is known for the same as another
+        boot = ""  # without an id, no two starts count as the same
     since_ms = since_boot_ms()
     return ClockEra(boot, (1000.0 * time.time() if unix_now_ms is None else unix_now_ms) - since_ms)
 
--- a/marlseam/store/disk.py
+++ b/marlseam/store/disk.py
@@ -1,4 +1,4 @@
-"""The system calls on a directory of the store, and its lock."""
+"""The system calls on a directory of the store, and the directory's lock."""
 
 import errno
 import fcntl
@@ -12,11 +12,11 @@
 
 
 class FileIdentity(NamedTuple):
-    """What the file system knows of a file.
+    """Metadata that identifies a file and its last change.
 
     Attributes:
-        inode: the file's number in its file system.
-        changed_ms: when its content or its inode was last changed (Unix ms).
+        inode: the file's inode number.
+        changed_ms: when the file's content or inode was last changed (Unix ms).
     """
 
     inode: int
@@ -24,16 +24,16 @@
 
 
 class Disk:
-    """The system calls that a directory makes; tests put one in its place that fails.
+    """The system calls on the files of one directory; tests replace it by a disk that fails.
 
-    Each method raises OSError as the system call does.
+    Each method raises OSError where its system call fails.
     """
 
     def __init__(self, path: Path) -> None:
         self.path = path
 
     def names(self) -> list[str]:
-        """Return the names in the directory."""
+        """Return the names of the directory's files."""
         return os.listdir(self.path)
 
     def read(self, name: str) -> bytes:
@@ -41,11 +41,11 @@
         return (self.path / name).read_bytes()
 
     def open(self, name: str) -> int:
-        """Open a file to append to, created if there is none; return its descriptor."""
+        """Open a file for appending, created if it does not exist; return its descriptor."""
         return os.open(self.path / name, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
 
     def write(self, descriptor: int, data: bytes) -> int:
-        """Append some of the bytes; return how many."""
+        """Append bytes; return how many were written, which may be fewer."""
         return os.write(descriptor, data)
 
     def sync(self, descriptor: int) -> None:
@@ -58,8 +58,8 @@
 
     def identity(self, name: str) -> FileIdentity:
         """Return a file's inode number and the time of its last change."""
-        found = os.stat(self.path / name)
-        return FileIdentity(found.st_ino, found.st_ctime_ns / 1e6)
+        status = os.stat(self.path / name)
+        return FileIdentity(status.st_ino, status.st_ctime_ns / 1e6)
 
     def rename(self, old: str, new: str) -> None:
         """Rename a file."""
@@ -79,19 +79,19 @@
 
 
 def write_all(disk: Disk, descriptor: int, data: bytes) -> None:
-    """Append all of the bytes to a file; raise OSError where the disk takes no more."""
+    """Append all bytes to a file; raises OSError, with ENOSPC if the disk takes no more."""
     view = memoryview(data)
     while view:
         count = disk.write(descriptor, bytes(view))
         if not count:
-            raise OSError(errno.ENOSPC, "nothing was written")
+            raise OSError(errno.ENOSPC, "write returned 0 bytes")
         view = view[count:]
 
 
 def lock_directory(path: Path) -> int:
-    """Lock a directory, created if there is none, and return the lock's descriptor: closing it unlocks.
+    """Lock a directory, created if it does not exist; return the lock's descriptor, whose closing unlocks.
 
-    Raises OSError, with EAGAIN where another process has the lock.
+    Raises OSError, with EAGAIN if another process has the lock.
     """
     path.mkdir(parents=True, exist_ok=True, mode=0o700)
     descriptor = os.open(path / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o600)
@@ -105,7 +105,7 @@
 
 @contextmanager
 def directory_lock(path: Path) -> Iterator[None]:
-    """Hold a directory's lock for the length of a block; raises OSError as `lock_directory` does."""
+    """Hold a directory's lock during a block; raises OSError as `lock_directory` does."""
     descriptor = lock_directory(path)
     try:
         yield
--- a/marlseam/store/durability.py
+++ b/marlseam/store/durability.py
@@ -6,45 +6,45 @@
 
 
 class DurabilityWait:
-    """One task that waits for a message.
+    """A task that waits until a message is durable.
 
     Attributes:
-        number: of the message.
-        task: what waits.
+        number: the message's number.
+        task: the waiting task.
         is_durable: whether the message is known to be durable.
-        is_over: whether it is decided, one way or the other.
+        is_resolved: whether the wait has ended, with either result.
     """
 
     def __init__(self, number: int, task: Task) -> None:
         self.number, self.task = number, task
         self.is_durable = False
-        self.is_over = False
+        self.is_resolved = False
 
     def resolve(self, is_durable: bool) -> None:
-        """Decide it and let the task go on; does nothing where it is decided already."""
-        if self.is_over:
+        """End the wait with a result and wake the task; no effect on a wait that has ended."""
+        if self.is_resolved:
             return
-        self.is_durable, self.is_over = is_durable, True
+        self.is_durable, self.is_resolved = is_durable, True
         self.task.wake()
 
-    def give_up(self) -> None:
-        """Decide that it did not become durable in time; the task goes on by itself."""
-        self.is_over = True
+    def time_out(self) -> None:
+        """End the wait without durability; the task is running and is not woken."""
+        self.is_resolved = True
 
 
 class DurabilityWaitQueue:
-    """The tasks that wait, in the order of their messages."""
+    """The waiting tasks, in the order of their messages' numbers."""
 
     def __init__(self) -> None:
         self._queue: deque[DurabilityWait] = deque()
 
     def add(self, number: int, task: Task) -> DurabilityWait:
-        """Return the wait of a task for a message, whose number is no lower than any waited for before."""
+        """Add and return a task's wait for a message; numbers must not decrease from call to call."""
         wait = DurabilityWait(number, task)
         self._queue.append(wait)
         return wait
 
     def resolve_up_to(self, number: float, is_durable: bool) -> None:
-        """Decide all waits for messages up to a number, that one included."""
+        """End all waits for messages up to a number, inclusive, with a result."""
         while self._queue and self._queue[0].number <= number:
             self._queue.popleft().resolve(is_durable)
--- a/marlseam/store/errors.py
+++ b/marlseam/store/errors.py
@@ -1,6 +1,6 @@
-"""The errors of this package, what is found wrong with files, and the reason codes of failed disk calls.
+"""The errors of this package, findings about files, and the reason codes of failed disk calls.
 
-A failed system call stays an OSError: `code_of` names its reason for operators.
+A failed system call stays an OSError; `code_of` returns its reason code for operators.
 """
 
 import errno
@@ -25,15 +25,15 @@
 
 
 class StoreError(Exception):
-    """Base of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class UnusableFileError(StoreError):
-    """A file that cannot be used.
+    """A file cannot be used.
 
     Attributes:
-        code: `foreign` (not a file of this kind or node), `version` (a format that this program does not
-            read) or `torn` (not whole).
+        code: `foreign` (not a file of this kind or node), `version` (unsupported format version) or `torn`
+            (incomplete).
     """
 
     def __init__(self, code: str, text: str) -> None:
@@ -42,17 +42,17 @@
 
 
 class NodeGoneError(StoreError):
-    """The node whose writer process this is has ended without telling it to end."""
+    """The node of this writer process has ended without sending END."""
 
 
 @dataclass(frozen=True)
 class Finding:
-    """Something wrong with a file or a whole directory, as operators are told of it.
+    """A fault of a file or of a whole directory, reported to operators.
 
     Attributes:
         name: the file's name, empty for the directory.
-        code: one word that operators and tests can match.
-        text: an explanation in a few words.
+        code: the reason code, which operators and tests match.
+        text: a short explanation.
     """
 
     name: str
@@ -61,5 +61,5 @@
 
 
 def code_of(error: OSError) -> str:
-    """Return the reason code of a failed system call."""
+    """Return the reason code of a failed system call, `broken` for an unknown error number."""
     return UNKNOWN_ERROR_CODE if error.errno is None else ERROR_CODES.get(error.errno, UNKNOWN_ERROR_CODE)
--- a/marlseam/store/file_format.py
+++ b/marlseam/store/file_format.py
@@ -1,9 +1,9 @@
 """The codec of the store's files, pure: a magic number, then frames.
 
 A frame is a length, a CRC-32 and a payload in MessagePack. The first frame is a `FileHeader`. A frame whose
-length or checksum does not match ends what can be read of its file: the bytes behind it are never used.
-docs/design/state.md has the layout byte by byte. A record is stored under its tag and by the order of its
-fields, so that neither may change; the names of types and fields are free.
+length or checksum does not match ends the readable part of its file: the bytes after it are never used.
+docs/design/state.md has the layout byte by byte. A record is stored as its tag and its fields in their order,
+so neither the tag nor the order may change; types and fields may be renamed.
 """
 
 import struct
@@ -17,24 +17,24 @@
 
 MAGIC = b"MARLSEAM"
 FORMAT_VERSION = 2
-READABLE_VERSIONS = (1, 2)  # 1 has neither the start of the machine nor lost history
+READABLE_VERSIONS = (1, 2)  # version 1 has neither the start of the machine nor the record `lost`
 FRAME_HEADER = struct.Struct(">II")  # the payload's length in bytes, its CRC-32
-MAX_PAYLOAD_BYTES = 16 << 20  # a longer length is damaged
-MAX_TORN_BYTES = 4096  # of a frame whose writing a crash cut short; a longer rest counts as damaged
+MAX_PAYLOAD_BYTES = 16 << 20  # a frame with a greater length counts as damaged
+MAX_TORN_BYTES = 4096  # of a frame cut short by a crash; a longer unreadable end of a file counts as damaged
 MAX_ATTEMPTS_PER_BATCH = 1000
 
 
 class FileHeader(msgspec.Struct, tag="head", array_like=True):
-    """What a file is.
+    """A file's kind, format, node and time scale.
 
     Attributes:
         kind: `snapshot`, `journal` or `ledger`.
-        version: of the format.
-        node: the name of the node whose file it is.
-        number: the file's, which counts up.
-        created_ms: when it was begun (Unix ms).
-        boot: the start of the machine on which it was begun, empty where not known.
-        zero_ms: the writer's Unix time at that start, in ms.
+        version: the format version.
+        node: the name of the node that the file belongs to.
+        number: the file's number, which increases from file to file.
+        created_ms: when the file was created (Unix ms).
+        boot: the boot id of the machine when the file was created, empty if not known.
+        zero_ms: the writer's Unix time (ms) at that start of the machine.
     """
 
     kind: str
@@ -47,12 +47,12 @@
 
 
 class ListStored(msgspec.Struct, tag="list", array_like=True):
-    """The endpoint list as discovery wrote it.
+    """The endpoint list.
 
     Attributes:
-        version: of the list.
-        rows: its entries.
-        confirmed_ms: when discovery last confirmed it (Unix ms).
+        version: the list's version.
+        rows: the list's entries, in discovery's format.
+        confirmed_ms: when discovery last confirmed the list (Unix ms).
     """
 
     version: int
@@ -61,20 +61,20 @@
 
 
 class ListConfirmed(msgspec.Struct, tag="heard", array_like=True):
-    """Discovery has confirmed the stored list as it is (Unix ms)."""
+    """Discovery has confirmed the stored list without a change, at a time in Unix ms."""
 
     confirmed_ms: float
 
 
 class AttemptSent(msgspec.Struct, tag="sent", array_like=True, gc=False):
-    """A keyed request is about to be sent: it may have run from now on.
+    """An attempt of a keyed request that is about to be sent, and may have run from then on.
 
     Attributes:
         key: the idempotency key.
-        server: the name of the server that it is sent to.
-        zone: the server's zone, by name.
+        server: the name of the server that the attempt is sent to.
+        zone: the name of the server's zone.
         cell: the server's cell in that zone.
-        sent_ms: when (Unix ms).
+        sent_ms: time of the attempt (Unix ms).
         until_ms: when the server forgets the key (Unix ms).
     """
 
@@ -87,13 +87,13 @@
 
 
 class AttemptBatch(msgspec.Struct, tag="batch", array_like=True):
-    """Many attempts in one frame, as a snapshot holds them: read several times as fast as one by one."""
+    """Many attempts in one frame of a snapshot, which is read several times as fast as one frame each."""
 
     rows: list[AttemptSent]
 
 
 class AttemptNeverRan(msgspec.Struct, tag="never", array_like=True):
-    """An attempt, known by key, server and time (Unix ms), provably never ran."""
+    """An attempt, identified by key, server and time (Unix ms), provably never ran."""
 
     key: str
     server: str
@@ -101,20 +101,20 @@
 
 
 class DepartureRateStored(msgspec.Struct, tag="turnover", array_like=True):
-    """How often servers leave: departures seen, and the time of all servers together, in ms."""
+    """The rate at which servers leave: observed departures, and time on the list in ms over all servers."""
 
     departures: float
     lived_ms: float
 
 
 class HistoryLost(msgspec.Struct, tag="lost", array_like=True):
-    """What may have run before some time is not known any more (Unix ms)."""
+    """Records of attempts before a time (Unix ms) were lost: which of them may have run is not known."""
 
     since_ms: float
 
 
 class SnapshotEnd(msgspec.Struct, tag="whole", array_like=True):
-    """A snapshot's last frame: how many frames lie between it and the header. One without it is not whole."""
+    """A snapshot's last frame: the number of frames after the header. A snapshot without it is incomplete."""
 
     records: int
 
@@ -135,21 +135,21 @@
 
 
 class FramePayload(NamedTuple):
-    """One whole frame's payload, and the offset in the file at which the frame ends, in bytes."""
+    """The payload of a complete frame, and the offset in bytes at which the frame ends in its file."""
 
     end: int
     payload: bytes
 
 
 class FileContents(NamedTuple):
-    """What a file holds.
+    """The content of a file.
 
     Attributes:
-        header: its first frame.
-        records: what follows, as far as it can be read.
-        unread_bytes: how many bytes at its end cannot be read.
-        is_cut_short: whether these are one frame whose writing a crash cut short, which was never reported
-            as durable. Other bytes that cannot be read may have been records.
+        header: the file's first frame.
+        records: the records after the header, up to the first frame that cannot be read.
+        unread_bytes: number of bytes at the file's end that cannot be read.
+        is_cut_short: whether the unread bytes are one frame cut short by a crash, which was never reported as
+            durable. Other unread bytes may have been durable records.
     """
 
     header: FileHeader
@@ -162,17 +162,17 @@
 
 
 def encode_frame(payload: bytes) -> bytes:
-    """Return a payload as a frame."""
+    """Encode a payload as a frame."""
     return FRAME_HEADER.pack(len(payload), zlib.crc32(payload, len(payload))) + payload
 
 
 def encode_record(record: StateRecord) -> bytes:
-    """Return a record as a frame."""
+    """Encode a record as a frame."""
     return encode_frame(ENCODER.encode(record))
 
 
 def encode_records(records: list[StateRecord]) -> list[bytes]:
-    """Return records as frames, attempts last and in batches."""
+    """Encode records as frames, with the attempts last, in batches of at most MAX_ATTEMPTS_PER_BATCH."""
     attempts = [record for record in records if type(record) is AttemptSent]
     others = [record for record in records if type(record) is not AttemptSent]
     batches = [
@@ -183,12 +183,12 @@
 
 
 def encode_header(header: FileHeader) -> bytes:
-    """Return the first bytes of a file: the magic number and the header's frame."""
+    """Encode the start of a file: the magic number and the header's frame."""
     return MAGIC + encode_record(header)
 
 
 def encode_snapshot(header: FileHeader, frames: list[bytes]) -> bytes:
-    """Return a whole snapshot that holds some frames."""
+    """Encode a complete snapshot of some frames."""
     return encode_header(header) + b"".join(frames) + encode_record(SnapshotEnd(len(frames)))
 
 
@@ -196,10 +196,10 @@
 
 
 def is_cut_short(tail: bytes) -> bool:
-    """Return whether a file's last bytes are one frame whose writing was cut short, and nothing else.
+    """Return whether a file's last bytes are one incomplete frame, cut short by a crash, and nothing else.
 
-    Guards against a damaged length, which makes a whole frame, and all behind it, look like the end of one:
-    bytes in which any whole frame can be found are damage, not a cut.
+    Guards against a damaged length, with which a complete frame and all bytes after it look like the start of
+    one longer frame: bytes that contain any complete frame count as damaged, not as cut short.
     """
     if len(tail) < FRAME_HEADER.size:
         return True
@@ -210,7 +210,7 @@
 
 
 def _has_frame_at(tail: bytes, offset: int) -> bool:
-    """Return whether a whole frame begins at an offset; at 0 with any length, as that one is in doubt."""
+    """Return whether a complete frame starts at an offset; at 0 its length may be damaged, so any counts."""
     length, checksum = FRAME_HEADER.unpack_from(tail, offset)
     start = offset + FRAME_HEADER.size
     bytes_left = len(tail) - start
@@ -219,26 +219,26 @@
     elif 0 < length <= bytes_left:
         lengths = range(length, length + 1)
     else:
-        # Guards an ordinary cut against counting as damage: eight zero bytes of a record look like the header
-        # of an empty frame, but no frame is empty.
+        # Guards against an ordinary cut that counts as damage: eight zero bytes of a record look like the
+        # header of an empty frame, but no frame is empty.
         return False
     return any(zlib.crc32(tail[start : start + size], size) == checksum for size in lengths)
 
 
 def has_begun(data: bytes) -> bool:
-    """Return whether a file has more than a part of its header, which a crash leaves without any record."""
+    """Return whether a file has more than a part of its header, which is all that a crash may leave of it."""
     if len(data) <= len(MAGIC):
         return not MAGIC.startswith(data)
     return not (data.startswith(MAGIC) and is_cut_short(data[len(MAGIC) :]))
 
 
 def iterate_payloads(data: bytes) -> Generator[FramePayload, None, None]:
-    """Yield the payload of each frame, up to the first frame that is not whole.
+    """Yield the payload of each frame, up to the first incomplete or damaged frame.
 
-    Raises UnusableFileError where there is no magic number.
+    Raises UnusableFileError for data without the magic number.
     """
     if not data.startswith(MAGIC):
-        raise UnusableFileError("foreign", "not a file of marlseam")
+        raise UnusableFileError("foreign", "not a marlseam file: no magic number")
     offset = len(MAGIC)
     while offset + FRAME_HEADER.size <= len(data):
         length, checksum = FRAME_HEADER.unpack_from(data, offset)
@@ -253,21 +253,23 @@
 
 
 def check_header(first: object, kind: str, node: str | None) -> FileHeader:
-    """Return a file's first record as its header; a `node` of None allows any node's file.
+    """Check that a file's first record is a valid header; a `node` of None accepts any node's file.
 
     Raises UnusableFileError for a file without a header, or of another kind, version or node.
     """
     if not isinstance(first, FileHeader):
-        raise UnusableFileError("torn", "its header cannot be read")
+        raise UnusableFileError("torn", "the file header cannot be read")
     if first.version not in READABLE_VERSIONS:
-        raise UnusableFileError("version", f"format {first.version}, this program reads {READABLE_VERSIONS}")
+        raise UnusableFileError(
+            "version", f"format version {first.version}, supported are {READABLE_VERSIONS}"
+        )
     if first.kind != kind or (node is not None and first.node != node):
-        raise UnusableFileError("foreign", f"a {first.kind} of node {first.node}")
+        raise UnusableFileError("foreign", f"the file is a {first.kind} of node {first.node}")
     return first
 
 
 def read_file(data: bytes, kind: str, node: str | None) -> Generator[None, None, FileContents]:
-    """Return what a file holds, read frame by frame: each step of the generator is one frame.
+    """Read a file's content; each step of the generator reads one frame.
 
     Raises UnusableFileError as `check_header` does.
     """
@@ -285,9 +287,9 @@
 
 
 def read_snapshot(data: bytes, node: str | None) -> Generator[None, None, FileContents]:
-    """Return what a snapshot holds; raises UnusableFileError also for one that is not whole."""
+    """Read a snapshot's content; raises UnusableFileError also for an incomplete snapshot."""
     contents = yield from read_file(data, "snapshot", node)
     records = contents.records
     if contents.unread_bytes or not records or records[-1] != SnapshotEnd(len(records) - 1):
-        raise UnusableFileError("torn", "it is not whole")
+        raise UnusableFileError("torn", "the snapshot is incomplete")
     return contents._replace(records=records[:-1])
--- a/marlseam/store/ledger_audit.py
+++ b/marlseam/store/ledger_audit.py
@@ -1,4 +1,4 @@
-"""Reads ledgers' folders for an audit."""
+"""Reads the directories of ledgers for an audit."""
 
 import fcntl
 import os
@@ -12,7 +12,7 @@
 
 
 def is_being_written(folder: Path) -> bool:
-    """Return whether a process has a ledger's lock."""
+    """Return whether a process holds a ledger's lock."""
     try:
         fd = os.open(folder / "lock", os.O_RDWR)
     except OSError:
@@ -27,24 +27,28 @@
 
 
 def read(folders: Iterable[Path], error_ms: float) -> audit.Audit:
-    """Return the audit of ledgers' folders, with what is wrong with their files; raises OSError.
+    """Audit the ledgers in some directories, findings about their files included; raises OSError.
 
-    A process that began beside another one wrote to a folder in the node's own, which is read with it.
+    A process that started while another process of its node held the ledger wrote to the subdirectory BESIDE,
+    which is read together with its parent. `error_ms` is the maximum difference of the
+    clocks of two machines.
     """
     ledgers: dict[str, list[list[LogRecord]]] = {}
     running_nodes: list[str] = []
     findings: list[str] = []
-    for folder in (path for each in folders for path in (each, each / BESIDE)):
+    for folder in (path for parent in folders for path in (parent, parent / BESIDE)):
         is_beside = folder.name == BESIDE
         if is_beside and not folder.exists():
             continue
         ledger = LedgerWriter(Disk(folder), None)
         is_running = is_being_written(folder)
         files = ledger.files()
-        findings += [f"{folder}: {found.name} code={found.code}: {found.text}" for found in ledger.findings]
+        findings += [
+            f"{folder}: {finding.name} code={finding.code}: {finding.text}" for finding in ledger.findings
+        ]
         if not files:
-            if not is_beside:  # beside, a process ended before it wrote
-                findings.append(f"{folder}: no ledger is there")
+            if not is_beside:  # an empty BESIDE is left by a process that ended before it wrote
+                findings.append(f"{folder}: no ledger file found")
             continue
         node = files[-1].node
         if is_running:
--- a/marlseam/store/ledger_writer.py
+++ b/marlseam/store/ledger_writer.py
@@ -1,16 +1,16 @@
-"""The files of a node's ledger (`cluster.audit_log`): read back with their chain, begun anew, appended to.
+"""Reads and writes the files of a node's ledger (`cluster.audit_log`) and verifies their hash chain.
 
-A process of its own, a child of the node, appends to them (`python -m marlseam.store.ledger_writer`); the
-node reads them by the same class before it starts that.
+A child process of the node (`python -m marlseam.store.ledger_writer`) appends to the files; the node reads
+them with the same class before it starts that process.
 
-    lock       held by the process that writes here (flock)
+    lock       locked by the process that writes here (flock)
     ledger-N   a header as in `file_format`, then frames with the records of `cluster.audit_log`
 
-Each file begins with what the earlier ones add up to; the newest MAX_LEDGER_FILES of them are retained.
+Each file starts with a summary of the earlier files; the newest MAX_LEDGER_FILES are retained.
 
-A directory that was set back to an older copy of itself is detected: a file notes its inode number, and each
-write notes its time, which must match the file system's time of the file's last change. (An image of a whole
-file system that is set back looks whole: docs/design/fleet.md.)
+A directory that was restored from an older copy of itself is detected: each file records its inode number,
+and each write records its time, which must match the file system's time of the file's last change. (A
+restored image of a whole file system is not detected: docs/design/fleet.md.)
 """
 
 import contextlib
@@ -50,27 +50,27 @@
 
 LEDGER = "ledger"
 FILE_NAME = re.compile(r"ledger-(\d{10})$")
-MAX_LEDGER_FILES = 16  # the newest that are retained
-BESIDE = "beside"  # the subdirectory in which a process writes while another of its node has the ledger
-MAX_WRITE_TIME_DIFFERENCE_MS = 10000.0  # between a write's own time and the file system's
+MAX_LEDGER_FILES = 16  # the newest are retained
+BESIDE = "beside"  # subdirectory for a process while another process of its node holds the ledger
+MAX_WRITE_TIME_DIFFERENCE_MS = 10000.0  # between a write's recorded time and the file system's
 
 
 def file_name(number: int) -> str:
-    """Return the name of the file of a number."""
+    """Return the name of the ledger file with a number."""
     return f"{LEDGER}-{number:010d}"
 
 
 @dataclass
 class LedgerFile:
-    """What one file holds.
+    """The content of one file.
 
     Attributes:
-        number: the file's.
-        node: whose ledger it is.
-        before: the digest that its first record is chained to.
-        records: what it holds, as far as the chain is whole.
+        number: the file's number.
+        node: the node that the ledger belongs to.
+        before: the digest that the file's first record is chained to.
+        records: the file's records, up to the first break of the chain.
         last: the digest of the last of these records.
-        findings: what is wrong with it.
+        findings: faults of the file.
     """
 
     number: int
@@ -80,19 +80,19 @@
     last: bytes = START
     findings: list[Finding] = field(default_factory=list)
 
-    def note(self, code: str, text: str) -> None:
-        """Note something wrong with the file."""
+    def add_finding(self, code: str, text: str) -> None:
+        """Add a finding about the file."""
         self.findings.append(Finding(file_name(self.number), code, text))
 
-    def take_record(self, linked_record: bytes) -> bool:
-        """Add a record with the digest that it is chained to; return whether the chain is whole so far."""
+    def add_record(self, linked_record: bytes) -> bool:
+        """Add a record, prefixed with the digest it is chained to; return whether the chain is intact."""
         try:
             before, entry = parse_record(linked_record)
         except ValueError as error:
-            self.note("damaged", f"a record that cannot be read: {error}")
+            self.add_finding("damaged", f"unreadable record: {error}")
             return False
         if self.records and before != self.last:
-            self.note("chain", "a record is not chained to the one before it")
+            self.add_finding("chain", "a record is not chained to the record before it")
             return False
         if not self.records:
             self.before = before
@@ -102,9 +102,9 @@
 
 
 def read_file(data: bytes, number: int, node: str | None) -> LedgerFile:
-    """Return what a file holds as far as its chain is whole.
+    """Read a file's records up to the first break of the chain.
 
-    Raises UnusableFileError where it has no header of a ledger of the node's (None: of any node's).
+    Raises UnusableFileError if the file has no header of a ledger of `node` (None accepts any node).
     """
     frames = iterate_payloads(data)
     first = next(frames, FramePayload(0, b""))
@@ -115,32 +115,32 @@
     file = LedgerFile(number, check_header(header, LEDGER, node).node)
     end = first.end
     for frame in frames:
-        if not file.take_record(frame.payload):
+        if not file.add_record(frame.payload):
             return file
         end = frame.end
     if end < len(data) and not is_cut_short(data[end:]):
-        file.note("damaged", f"{len(data) - end} bytes that cannot be read")
+        file.add_finding("damaged", f"{len(data) - end} bytes at the end of the file cannot be read")
     return file
 
 
 class LedgerWriter:
-    """The files of one node's ledger; a process that writes here holds the directory's lock.
+    """The files of one node's ledger; only a process with the directory's lock may write them.
 
     Attributes:
-        era: the start of the machine that is noted in the files.
-        number: of the newest file.
-        last: the digest of the last record, which the next one is chained to.
-        size: of the open file, in bytes.
-        findings: what the last reading found wrong.
+        era: the clock era that is recorded in the files.
+        number: the number of the newest file.
+        last: the digest of the last record, which the next record is chained to.
+        size: the size of the open file in bytes.
+        findings: faults found by the last read.
     """
 
     def __init__(
         self, disk: Disk, node: str | None, era: ClockEra | None = None, outlives_machine: bool = True
     ) -> None:
-        """Open nothing yet.
+        """Set up the ledger without opening a file.
 
-        `node` is whose files these are, None to read any node's. `era` of None takes the present one.
-        `outlives_machine` is as in `StateDirectory`; a ledger is always synced.
+        `node` is the node that the files belong to; None reads any node's. An `era` of None takes the current
+        one. `outlives_machine` is as in `StateDirectory`; a ledger is always synced.
         """
         self.disk, self.node, self.outlives_machine = disk, node, outlives_machine
         self.era = era or current_era()
@@ -152,12 +152,12 @@
     # Reading.
 
     def numbers(self) -> list[int]:
-        """Return the numbers of the files, in order."""
+        """Return the numbers of the files, in ascending order."""
         matches = (FILE_NAME.match(name) for name in self.disk.names())
         return sorted(int(match[1]) for match in matches if match)
 
     def files(self, first_number: int = 0) -> list[LedgerFile]:
-        """Return what the files from a number on hold, in order; `findings` says what is wrong with them."""
+        """Read the files from a number on, in order, and set `findings`; unusable files are left out."""
         self.findings = []
         files: list[LedgerFile] = []
         numbers = [number for number in self.numbers() if number >= first_number]
@@ -166,19 +166,19 @@
             if file is None:
                 continue
             if files and file.records and file.before != files[-1].last:
-                file.note("chain", "is not chained to the file before it")
+                file.add_finding("chain", "the first record is not chained to the previous file")
             self.findings += file.findings
             files.append(file)
         for number, following in zip(numbers, numbers[1:], strict=False):
             if following != number + 1:
-                self.findings.append(Finding(file_name(number + 1), "missing", "is not there"))
+                self.findings.append(Finding(file_name(number + 1), "missing", "the file does not exist"))
         return files
 
     def _read_file(self, number: int, is_newest: bool) -> LedgerFile | None:
-        """Return what a file holds, None where it cannot be used."""
+        """Read a file; return None, with a finding, if the file cannot be used."""
         data = self.disk.read(file_name(number))
         if is_newest and not has_begun(data):
-            return None  # a crash while it was begun leaves this: it holds no record
+            return None  # left by a crash while the file was created: the file has no record
         try:
             return read_file(data, number, self.node)
         except UnusableFileError as error:
@@ -186,12 +186,12 @@
             return None
 
     def load(self) -> RecoveredLog:
-        """Return what the directory adds up to; raises OSError where it cannot be read.
+        """Recover the ledger's state from its files; raises OSError if the directory cannot be read.
 
-        Where its memory of votes may not be whole, `votes_excluded_up_to` is None, and `findings` says why.
+        If promises and votes may be lost, `votes_excluded_up_to` is None, and `findings` has the reason.
         """
         numbers = self.numbers()
-        # A file begins with all that counts, so the last two do: the last may be cut short in that.
+        # Each file starts with a summary. The last file's may be cut short, so the last two files are needed.
         files = self.files(numbers[-2] if len(numbers) > 1 else 0)
         recovered = RecoveredLog()
         for file in files:
@@ -199,57 +199,57 @@
                 recovered.apply(entry)
         loss = self._loss(files, recovered)
         if loss:
-            self.findings.append(Finding("", "lost", f"{loss}: what was promised is not known"))
+            self.findings.append(Finding("", "lost", f"{loss}: earlier promises and votes are not known"))
             recovered.votes_excluded_up_to = None
         self.number, self.last = max(numbers, default=0), files[-1].last if files else START
         return recovered
 
     def _loss(self, files: list[LedgerFile], recovered: RecoveredLog) -> str:
-        """Return why the memory of votes may not be whole, empty where it is."""
+        """Return why promises and votes may have been lost, empty if none were."""
         if not files:
-            return "the folder is empty"
+            return "the directory has no usable ledger file"
         if self.findings:
             return f"{self.findings[0].name} {self.findings[0].code}"
         if not recovered.begun:
-            return "its beginning is not known"
+            return "the beginning of the ledger is missing"
         newest = files[-1]
         inode, changed_ms = self.disk.identity(file_name(newest.number))
-        noted_inode = next((entry.inode for entry in newest.records if type(entry) is FileOpened), None)
-        if noted_inode is not None and noted_inode != inode:
-            return "the folder is a copy"
+        recorded_inode = next((entry.inode for entry in newest.records if type(entry) is FileOpened), None)
+        if recorded_inode is not None and recorded_inode != inode:
+            return "the directory is a copy: the file has another inode number"
         last = newest.records[-1] if newest.records else None
         if type(last) is BatchWritten:
             difference_ms = abs(changed_ms - last.wall_ms)
             if difference_ms > MAX_WRITE_TIME_DIFFERENCE_MS:
-                return "the folder was changed by another"
+                return "the file was changed by another program than the writer process"
         return ""
 
     # Writing.
 
     def append(self, parts: list[bytes], sync: bool) -> None:
-        """Append records, each chained to the one before, and if wished flush them; raises OSError."""
+        """Append records, each chained to the one before, and flush them if `sync` is set; raises OSError."""
         if self.fd is None:
-            raise OSError(errno.ENOENT, "no file is open")
+            raise OSError(errno.ENOENT, "no ledger file is open")
         last, frames = self.last, []
         for part in (*parts, encode(BatchWritten(unix_ms(current_era())))):
             record, last = chain_record(last, part)
             frames.append(encode_frame(record))
         data = b"".join(frames)
         write_all(self.disk, self.fd, data)
-        # As written: after a failed sync the file may hold it, and `renew` reads what it does hold.
+        # Set before the sync: after a failed sync the file may have the data, and `renew` reads the file.
         self.size, self.last = self.size + len(data), last
         if sync:
             self.disk.sync(self.fd)
 
     def renew(self) -> list[str]:
-        """Begin a new file with what is there; return what of it is lost, a text for each loss."""
+        """Begin a new file from the existing ones; return a text for each loss found in them."""
         self.close()
         recovered = self.load()
         self.begin(recovered)
         return [finding.text for finding in self.findings if finding.code == "lost"]
 
     def begin(self, recovered: RecoveredLog) -> None:
-        """Begin a new file with what counts, and remove the files that are too old."""
+        """Begin a new file with a summary of the ledger, and remove the oldest files; raises OSError."""
         number = self.number + 1
         name = file_name(number)
         fd = self.disk.open(name)
@@ -266,7 +266,8 @@
             self.close()
             if self.number == number:
                 self.number -= 1
-            # Guards the file before it: the last two are read, and a disk that stays full would leave many.
+            # Guards the previous file: only the last two files are read, and a disk that stays full would
+            # otherwise leave many unfinished files after it.
             with contextlib.suppress(OSError):
                 self.disk.remove(name)
             raise
@@ -283,12 +284,12 @@
 def create_ledger(path: Path, node: str) -> None:
     """Create the ledger of a node that has never run, under the directory's lock.
 
-    Raises FileExistsError where there is one, and OSError as the disk has it.
+    Raises FileExistsError if the directory has a ledger, and OSError if a disk call fails.
     """
     with directory_lock(path):
         ledger = LedgerWriter(Disk(path), node)
         if ledger.numbers():
-            raise FileExistsError(errno.EEXIST, "there is a ledger")
+            raise FileExistsError(errno.EEXIST, "the directory already has a ledger")
         ledger.begin(RecoveredLog(begun=True, wall_ms=unix_ms(current_era())))
         ledger.close()
 
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -1,7 +1,7 @@
-"""The node's side of its writer process, and what it knows to be durable.
+"""The node's client of a writer process: sends it records and tracks which of them are durable.
 
-Where the disk cannot be used, `is_available` says so beforehand and `wait_durable` to a task that waits. The
-log gives the reason with a code, and all is tried again with backoff.
+If the disk cannot be used, `is_available` returns False before a record is sent, and `wait_durable` returns
+False to a waiting task. The reason is logged with a code, and the disk is retried with backoff.
 """
 
 import contextlib
@@ -33,46 +33,46 @@
     encode_message,
 )
 
-MAX_LOCK_WAIT_S = 0.5  # at a start, for the lock that the last process's writer holds until it has ended
-LOCK_RETRY_S = 0.01  # between tries in that time
-LOCK_POLL_MS = 50.0  # between tries of a lock that another process has, while the loop runs
-MIN_RETRY_DELAY_MS = 1000.0  # between tries of a disk that failed
+MAX_LOCK_WAIT_S = 0.5  # at a start: the previous process's writer holds the lock until the writer has ended
+LOCK_RETRY_S = 0.01  # between attempts within MAX_LOCK_WAIT_S
+LOCK_POLL_MS = 50.0  # between attempts to take another process's lock while the loop runs
+MIN_RETRY_DELAY_MS = 1000.0  # before a failed disk is retried
 MAX_RETRY_DELAY_MS = 60000.0
-MAX_OUTGOING_BYTES = 8 << 20  # that may wait for the writer process before the disk counts as slow
+MAX_OUTGOING_BYTES = 8 << 20  # unsent to the writer process; beyond this the disk counts as slow
 MAX_RECEIVE_BYTES = 65536
-MAX_CLOSE_SEND_S = 1.0  # for the last messages, as the node ends
-MAX_CLOSE_WAIT_S = 2.0  # for the writer process to end after them
+MAX_CLOSE_SEND_S = 1.0  # to send the last messages when the node ends
+MAX_CLOSE_WAIT_S = 2.0  # for the writer process to end after the last messages
 BYTES_PER_MB = 1 << 20
 
 
 class LogWriterClient:
-    """Runs a writer process for a directory, sends it records and tells what became durable.
+    """Runs a writer process for a directory, sends it records and reports which became durable.
 
     Attributes:
-        writer_module: the module that is run; stand-ins for a disk set another.
-        what: the name of what is written, in log lines.
-        max_retry_delay_ms: the longest delay between tries of a disk that failed.
-        era: the scale of the times in the directory.
-        is_loaded: whether what the directory holds was read.
-        sent_count: how many messages were sent, over all writer processes.
-        answered_count: how many of these were answered; those of a process that ended count as answered.
-        answered_before_process: how many of these had been answered as the present process was started.
+        writer_module: the module that the writer process runs; emulators of a disk set another.
+        what: the name of the written data in log lines.
+        max_retry_delay_ms: the longest delay before a failed disk is retried.
+        era: the clock era of the times in the directory.
+        is_loaded: whether the directory was read.
+        sent_count: number of messages sent, over all writer processes.
+        answered_count: number of these messages answered; those of a process that ended count as answered.
+        answered_before_process: `answered_count` at the start of the current writer process.
         unanswered_since_ms: since when messages have waited for an answer (ms on the loop's clock).
-        accepts_records: whether records are sent on. From the process's start, not from its first answer: it
-            compacts what is there before them. Guards what is sent in a node's first moments against being
-            on no record.
+        accepts_records: whether records are sent to the writer process. True from the process's start, not
+            from its first answer, as the process compacts the directory before it appends. Guards against
+            attempts in a node's first moments that are sent without a record.
         is_compacting: whether a file that has grown too large is being replaced.
-        is_success_logged: whether the log has said that records become durable, since the last failure.
+        is_success_logged: whether it was logged, since the last failure, that records become durable.
         wait_queue: the tasks that wait for a message to become durable.
-        outgoing: bytes that the writer process has not taken yet.
+        outgoing: bytes that are not yet sent to the writer process.
         channel: the socket to the writer process; None while none runs.
-        process: the writer process; None while none runs.
-        send_task: writes `outgoing`; None before the first message.
-        supervise_task: keeps a writer process running; None before `begin`.
-        is_loss_logged: whether the log has said that something in the directory is lost.
-        retry_delay_ms: the delay before the next try of a disk that failed.
-        code: why records do not become durable, empty where they do.
-        lock_fd: the descriptor of the directory's lock, None while this process does not have it.
+        process: the writer process; None before the first one.
+        send_task: the task that sends `outgoing`; None before the first message.
+        supervise_task: the task that keeps a writer process running; None before `begin`.
+        is_loss_logged: whether a loss of data in the directory was logged.
+        retry_delay_ms: the delay before the next retry of a failed disk.
+        code: the reason code why records do not become durable, empty while they do.
+        lock_fd: the descriptor of the directory's lock, None while this process does not hold the lock.
     """
 
     writer_module = "marlseam.store.writer_process"
@@ -82,10 +82,10 @@
     def __init__(
         self, loop: Loop, log: Log, path: Path, node: str, sync: str, max_file_mb: float, max_wait_ms: float
     ) -> None:
-        """Open nothing yet.
+        """Set up the client without opening a file or starting a process.
 
-        `sync` is as in the settings, `max_file_mb` the size at which a file is begun anew, and `max_wait_ms`
-        for how long a record may take to become durable.
+        `sync` is as in the settings, `max_file_mb` the size in MB at which a new file is begun, and
+        `max_wait_ms` the time in which a record must become durable.
         """
         self.loop, self.log, self.path, self.node = loop, log, path, node
         self.sync, self.max_file_mb, self.max_wait_ms = sync, max_file_mb, max_wait_ms
@@ -106,30 +106,30 @@
 
     # The directory.
 
-    def take_lock(self, within_s: float | None = None) -> None:
-        """Take the directory's lock before the loop runs; raises OSError where it is not free in time.
+    def take_lock(self, timeout_s: float | None = None) -> None:
+        """Take the directory's lock before the loop runs; raises OSError if the lock is not free in time.
 
-        `within_s` is how long to wait for it; None takes MAX_LOCK_WAIT_S.
+        `timeout_s` is the longest time to wait for the lock; None takes MAX_LOCK_WAIT_S.
         """
-        end = time.monotonic() + (MAX_LOCK_WAIT_S if within_s is None else within_s)
+        end = time.monotonic() + (MAX_LOCK_WAIT_S if timeout_s is None else timeout_s)
         while self.lock_fd is None:
             try:
                 self.lock_fd = lock_directory(self.path)
             except OSError as error:
                 if error.errno != errno.EAGAIN or time.monotonic() >= end:
                     raise
-                time.sleep(LOCK_RETRY_S)  # nothing else waits
+                time.sleep(LOCK_RETRY_S)  # blocks no other task, as the loop does not run yet
 
     def read(self) -> Coroutine:
-        """Read what is there, before anything is written, and set `is_loaded`; raises OSError."""
+        """Read the directory before anything is written to it, and set `is_loaded`; raises OSError."""
         raise NotImplementedError
 
     def begin(self) -> None:
-        """Read what is not read yet, start the writer process, and have it compact what is there."""
+        """Read the directory if it was not read yet, start the writer process, and request a compaction."""
         self.supervise_task = self.loop.spawn(self.supervise())
 
     def leave(self) -> None:
-        """Write no more here, while the node goes on: what is under way is on the disk or is not."""
+        """Stop writing, and release the lock while the node runs on; pending records may not be durable."""
         if self.supervise_task is not None:
             self.supervise_task.cancel()
         self.stop_process()
@@ -140,7 +140,7 @@
     # The writer process.
 
     def supervise(self) -> Coroutine:
-        """Keep a writer process for as long as the node runs; one that ends is followed by another."""
+        """Keep a writer process running as long as the node runs; a process that ends is replaced."""
         while True:
             try:
                 channel = yield from self.open()
@@ -150,8 +150,8 @@
                     yield from sleep(self.loop.now() + LOCK_POLL_MS)
                     continue
             else:
-                # By the process itself: compacting here would stall the loop. A record is durable before its
-                # request is sent, so no snapshot replaces what was not read.
+                # The writer process compacts, as compacting here would stall the loop. A record is durable
+                # before its request is sent, so no snapshot replaces records that were not read.
                 self.compact()
                 yield from self.receive_answers(channel)
                 self.stop_process()
@@ -159,7 +159,7 @@
             self.increase_retry_delay()
 
     def open(self) -> Steps:
-        """Lock the directory, read it, and start a writer process; return the channel to it."""
+        """Lock and read the directory, and start a writer process; return the channel to the process."""
         descriptors = self.loop.descriptors
         if self.lock_fd is None:
             self.lock_fd = descriptors.opened(lambda: lock_directory(self.path), own=True)
@@ -169,7 +169,7 @@
         return descriptors.opened(lambda: self.start_process(lock_fd), own=True)
 
     def start_process(self, lock_fd: int) -> socket.socket:
-        """Start a writer process that holds the lock with this one; return the channel to it."""
+        """Start a writer process, which shares this process's lock; return the channel to the new process."""
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         arguments = [str(self.path), self.node, self.sync, str(theirs.fileno()), str(lock_fd)]
@@ -192,7 +192,7 @@
         return ours
 
     def stop_process(self) -> None:
-        """Close the channel to a writer process, which then ends; what waited for it is not durable."""
+        """Close the channel to the writer process, which then ends; waiting tasks get False."""
         if self.channel is not None:
             self.loop.close(self.channel)
             self.channel = None
@@ -202,7 +202,7 @@
         self.wait_queue.resolve_up_to(inf, False)
 
     def close(self) -> None:
-        """Have the writer process write all, and end it, as the node ends."""
+        """Have the writer process write all pending messages and end, when the node ends."""
         if self.channel is None:
             return
         with contextlib.suppress(OSError):
@@ -215,16 +215,16 @@
         self.loop.close(self.channel)
         self.channel = None
 
-    # Messages to it.
+    # Messages to the writer process.
 
     def compact(self) -> None:
-        """Have the writer process begin a new file with what the directory holds."""
+        """Have the writer process begin a new file with the directory's content."""
         self.send_message(COMPACT, b"")
 
     def send_message(self, command: int, payload: bytes) -> int:
-        """Send a message on, with all others of this turn of the loop.
+        """Send a message, together with all others of this turn of the loop.
 
-        Return its number, under which `wait_durable` knows it; 0 where it is not sent.
+        Return the message's number, for `wait_durable`; 0 if the message is not sent.
         """
         if self.channel is None or (command == APPEND and not self.accepts_records):
             return 0
@@ -233,18 +233,18 @@
         self.sent_count += 1
         self.outgoing += encode_message(Message(command, payload))
         if len(self.outgoing) > MAX_OUTGOING_BYTES:
-            self.mark_unavailable("slow", f"{len(self.outgoing) >> 20} MB wait to be written")
-            self.channel.shutdown(socket.SHUT_RDWR)  # which `receive_answers` sees
+            self.mark_unavailable("slow", f"{len(self.outgoing) >> 20} MB are waiting to be written")
+            self.channel.shutdown(socket.SHUT_RDWR)  # ends `receive_answers`, and with it the process
             return 0
         if self.send_task is None or self.send_task.done:
             self.send_task = self.loop.spawn(self.send_outgoing(self.channel))
         return self.sent_count
 
     def send_outgoing(self, channel: socket.socket) -> Coroutine:
-        """Send what waits, at the end of this turn of the loop."""
+        """Send the outgoing bytes at the end of this turn of the loop."""
         yield from sleep(self.loop.now())
         if channel is not self.channel:
-            return  # guards against a writer process that ended in this very turn
+            return  # guards against a writer process that ended in this turn
         try:
             del self.outgoing[: channel.send(self.outgoing)]
         except BlockingIOError:
@@ -255,8 +255,8 @@
             yield from self.send_remainder(channel)
 
     def send_remainder(self, channel: socket.socket) -> Coroutine:
-        """Send what the channel did not take at once, as it takes more."""
-        # A copy of the descriptor: the loop knows one task a socket, and another reads the answers.
+        """Send the outgoing bytes that the channel did not take at once, as the channel becomes writable."""
+        # A copy of the descriptor: the loop allows one task per socket, and another task reads the answers.
         copy = self.loop.descriptors.opened(channel.dup, own=True)
         try:
             while self.outgoing and channel is self.channel:
@@ -269,10 +269,10 @@
         finally:
             self.loop.close(copy)
 
-    # Its answers.
+    # Answers of the writer process.
 
     def receive_answers(self, channel: socket.socket) -> Coroutine:
-        """Take in the writer process's answers until it ends."""
+        """Handle the writer process's answers until the process ends."""
         partial_line = b""
         while True:
             yield (channel.fileno(), READ, inf)
@@ -288,10 +288,10 @@
             for line in lines:
                 self.handle_answer(decode_answer(line))
         if self.accepts_records:
-            self.mark_unavailable("helper", "the writing process ended")
+            self.mark_unavailable("helper", "the writer process ended")
 
     def handle_answer(self, answer: Answer) -> None:
-        """Take in one answer."""
+        """Count the messages that an answer covers, and handle its result."""
         self.answered_count = self.answered_before_process + answer.done_count
         self.unanswered_since_ms = self.loop.now()
         if isinstance(answer, WriteFailed):
@@ -300,13 +300,13 @@
             self.handle_written(answer)
 
     def handle_failure(self, answer: WriteFailed) -> None:
-        """Note that the disk failed, and try it again after a delay."""
+        """Mark the disk as failed, and retry after a delay with a compaction."""
         self.mark_unavailable(answer.code, answer.text)
         self.loop.at(self.loop.now() + self.retry_delay_ms, self.compact)
         self.increase_retry_delay()
 
     def handle_written(self, answer: Written) -> None:
-        """Let go on what waited, and begin a new file where this one has grown too large."""
+        """Resolve the waits for written messages, and begin a new file if this one has grown too large."""
         self.wait_queue.resolve_up_to(self.answered_count, True)
         if not self.is_success_logged:
             self.log.line(f"{self.what} is kept in {self.path}")
@@ -325,45 +325,46 @@
     # What is durable.
 
     def is_available(self) -> bool:
-        """Return whether a record sent now should become durable in time, as far as is known."""
+        """Return whether a record sent now is expected to become durable in time."""
         waited_ms = self.loop.now() - self.unanswered_since_ms
         is_late = self.sent_count > self.answered_count and waited_ms > self.max_wait_ms
         return self.accepts_records and not is_late
 
     def wait_durable(self, number: int) -> Steps:
-        """Wait until the message of a number is durable; return whether it is.
+        """Wait until the message with a number is durable; return whether it is.
 
-        False after `max_wait_ms`, though it may still be written, as an attempt that may have run.
+        The result is False after `max_wait_ms`. The record may still be written later, and then counts as an
+        attempt that may have run.
         """
         if not number or not self.accepts_records:
             return False
         until_ms = self.loop.now() + self.max_wait_ms
         task = self.loop.current
-        assert task is not None  # the loop runs this as a part of a task
+        assert task is not None  # this coroutine always runs within a task of the loop
         wait = self.wait_queue.add(number, task)
-        while not wait.is_over and self.loop.now() < until_ms:
+        while not wait.is_resolved and self.loop.now() < until_ms:
             yield from sleep(until_ms)
-        if not wait.is_over:
-            wait.give_up()
-            self.log_failure("slow", f"not written in {self.max_wait_ms:.0f} ms")
+        if not wait.is_resolved:
+            wait.time_out()
+            self.log_failure("slow", f"a record was not durable within {self.max_wait_ms:.0f} ms")
         return wait.is_durable
 
     def log_failure(self, code: str, text: str) -> None:
-        """Log why records do not become durable, once for each cause in a row."""
+        """Log why records do not become durable, once as long as the reason code stays the same."""
         if code != self.code:
             self.log.line(f"{self.what} is not kept code={code}: {text}")
         self.code, self.is_success_logged = code, False
 
     def mark_unavailable(self, code: str, text: str) -> None:
-        """Note that nothing can be written: what waits for it is not durable."""
+        """Log that nothing can be written, stop accepting records, and resolve all waits as not durable."""
         self.log_failure(code, text)
         self.accepts_records = False
         self.wait_queue.resolve_up_to(inf, False)
 
     def mark_failed(self, error: OSError) -> None:
-        """Note that nothing can be written, because of a system call that failed."""
+        """Mark the disk as unavailable because of a failed system call."""
         self.mark_unavailable(code_of(error), error.strerror or str(error))
 
     def increase_retry_delay(self) -> None:
-        """Double the delay before the next try, up to its bound."""
+        """Double the delay before the next retry, up to `max_retry_delay_ms`."""
         self.retry_delay_ms = min(2.0 * self.retry_delay_ms, self.max_retry_delay_ms)
--- a/marlseam/store/node_state.py
+++ b/marlseam/store/node_state.py
@@ -1,4 +1,4 @@
-"""What a state directory holds, in memory: made of its records in their order, written back as a snapshot."""
+"""The content of a state directory in memory: built from its records in order, written as a snapshot."""
 
 from collections.abc import Generator
 from dataclasses import dataclass, field
@@ -16,10 +16,12 @@
     StateRecord,
 )
 
-Steps = Generator[None, None, None]  # long work in steps, which a caller may spread over turns of its loop
+Steps = Generator[
+    None, None, None
+]  # long work in steps, which a caller may spread over several turns of its loop
 KEYS_PER_STEP = 1000
-MIN_CLOCK_CHANGE_MS = 20.0  # by which a clock must differ to count as set
-UNKNOWN_SENT_MS = 0.0  # Unix ms of an attempt whose age is not known: no server is relied on to know its key
+MIN_CLOCK_CHANGE_MS = 20.0  # smallest difference of two clocks that counts as a change of the clock
+UNKNOWN_SENT_MS = 0.0  # of an attempt of unknown age: no server is assumed to remember its key
 
 
 @dataclass
@@ -28,9 +30,9 @@
 
     Attributes:
         listed: the endpoint list stored last, None for none.
-        departure_rate: how often servers leave.
-        sent: by idempotency key, the attempts that may have run, oldest first.
-        lost_ms: what may have run before then is not known; None where all is known.
+        departure_rate: the rate at which servers leave.
+        sent: the attempts that may have run by idempotency key, oldest first.
+        lost_ms: attempts before this time may be missing; None if no record was lost.
     """
 
     listed: ListStored | None = None
@@ -39,7 +41,7 @@
     lost_ms: float | None = None
 
     def apply(self, record: StateRecord) -> None:
-        """Change the state as a record says."""
+        """Apply a record to the state."""
         match record:
             case AttemptSent():
                 self.sent.setdefault(record.key, []).append(record)
@@ -58,7 +60,7 @@
                 self.lost_ms = record.since_ms
 
     def _add_attempts(self, attempts: list[AttemptSent]) -> None:
-        """Note attempts, each as its key's latest."""
+        """Add attempts, each as the latest of its key."""
         by_key = self.sent
         for attempt in attempts:
             if attempt.key in by_key:
@@ -67,7 +69,7 @@
                 by_key[attempt.key] = [attempt]
 
     def _remove_attempt(self, never: AttemptNeverRan) -> None:
-        """Forget an attempt that never ran, and its key where no other attempt is left."""
+        """Remove an attempt that never ran, and its key if no other attempt is left."""
         attempts = self.sent.get(never.key, [])
         attempts[:] = [
             attempt
@@ -78,7 +80,7 @@
             self.sent.pop(never.key, None)
 
     def expire(self, now_ms: float) -> Steps:
-        """Drop the keys that every server has forgotten; a key's last attempt is remembered longest."""
+        """Remove the keys that every server has forgotten; a key's last attempt is remembered longest."""
         expired = []
         for position, (key, attempts) in enumerate(self.sent.items()):
             if attempts[-1].until_ms <= now_ms:
@@ -89,7 +91,7 @@
             del self.sent[key]
 
     def shift_to(self, old_zero_ms: float, new_zero_ms: float) -> Steps:
-        """Move all times from one scale to another, both given by their zero: a clock was set meanwhile."""
+        """Move all times to another scale after the clock was set; a scale is given by its zero (Unix ms)."""
         shift_ms = new_zero_ms - old_zero_ms
         if abs(shift_ms) < MIN_CLOCK_CHANGE_MS:
             return
@@ -105,10 +107,10 @@
         if self.lost_ms is not None:
             self.lost_ms += shift_ms
 
-    def doubt_times(self, now_ms: float) -> Steps:
-        """Take times as unknown, each so that no server's memory is thought longer, or over too early.
+    def invalidate_times(self, now_ms: float) -> Steps:
+        """Treat all times as unknown: no server counts as remembering a key, and no key expires too early.
 
-        Guards against a clock that was set while the machine was down: nothing can tell.
+        Guards against a clock that was set while the machine was down, which cannot be detected.
         """
         for position, attempts in enumerate(self.sent.values()):
             attempts[:] = [_without_known_age(attempt, now_ms) for attempt in attempts]
@@ -118,7 +120,7 @@
             self.lost_ms = now_ms
 
     def entries(self) -> list[StateRecord]:
-        """Return the records that a snapshot holds."""
+        """Return the records of a snapshot of this state."""
         records: list[StateRecord] = [self.departure_rate]
         if self.listed is not None:
             records.append(self.listed)
@@ -128,6 +130,6 @@
 
 
 def _without_known_age(attempt: AttemptSent, now_ms: float) -> AttemptSent:
-    """Return an attempt as one of unknown age, kept for as long as a server can remember its key."""
+    """Return an attempt with an unknown age, retained as long as a server can remember its key."""
     until_ms = max(attempt.until_ms, now_ms + attempt.until_ms - attempt.sent_ms)
     return replace(attempt, sent_ms=UNKNOWN_SENT_MS, until_ms=until_ms)
--- a/marlseam/store/state_directory.py
+++ b/marlseam/store/state_directory.py
@@ -1,12 +1,12 @@
-"""A node's state directory: which files there are, and how they are written and replaced.
+"""A node's state directory: its files, and how they are written and replaced.
 
-    lock         held by the process that writes here (flock)
-    snapshot-N   the state when journal N was begun; the last good one before it is left there too
-    journal-N    what has happened since
+    lock         locked by the process that writes here (flock)
+    snapshot-N   the state when journal N was begun; the previous snapshot is retained too
+    journal-N    the records since snapshot N
 
-A snapshot is written under another name (`.new`), synced and renamed, and the directory is synced; then a
-journal of the same number begins. `state_reader` reads both back. A file that cannot be used is reported with
-its code, renamed to `bad-...` once a new snapshot is durable, and never read again.
+A snapshot is written under a temporary name (`.new`), synced and renamed, and the directory is synced; then a
+journal of the same number is begun. `state_reader` reads both. A file that cannot be used is reported with a
+code, renamed to `bad-...` once a new snapshot is durable, and never read again.
 """
 
 import errno
@@ -31,25 +31,25 @@
 
 
 class StateDirectory:
-    """The files of one node; a process that writes here holds the directory's lock.
+    """The state files of one node; only a process with the directory's lock may write them.
 
     Attributes:
-        era: the scale of the times that are passed in, returned and written.
-        number: of the newest snapshot or journal.
-        size: of the open journal, in bytes.
-        findings: what the last reading found wrong.
-        unusable: the names of files that the last reading could not use.
-        owner: the node whose files were read, empty where none was.
+        era: the clock era of all times that are passed in, returned and written.
+        number: the number of the newest snapshot or journal.
+        size: the size of the open journal in bytes.
+        findings: faults found by the last read.
+        unusable: the names of files that the last read could not use.
+        owner: the node whose files were read, empty if none was read.
     """
 
     def __init__(
         self, disk: Disk, node: str | None, era: ClockEra | None = None, outlives_machine: bool = True
     ) -> None:
-        """Open nothing yet.
+        """Set up the directory without opening a file.
 
-        `node` is whose files these are, None to read any node's. `era` of None takes the present one.
-        `outlives_machine` says whether what was written is there after the machine has been started anew, as
-        it was synced.
+        `node` is the node that the files belong to; None reads any node's. An `era` of None takes the current
+        one. `outlives_machine` is whether written records survive a restart of the machine because they were
+        synced.
         """
         self.disk, self.node, self.outlives_machine = disk, node, outlives_machine
         self.era = era or current_era()
@@ -61,13 +61,13 @@
         self.owner = ""
 
     def files(self, kind: str) -> list[int]:
-        """Return the numbers of the files of a kind, in order."""
+        """Return the numbers of the files of a kind, in ascending order."""
         return file_numbers(self.disk, kind)
 
     # Reading.
 
     def load(self, now_ms: float) -> NodeState:
-        """Return the state as of now (Unix ms); raises OSError where it cannot be read."""
+        """Return the state as of now (Unix ms); raises OSError if the directory cannot be read."""
         steps = self.read(now_ms)
         while True:
             try:
@@ -77,7 +77,7 @@
                 return state
 
     def read(self, now_ms: float) -> Generator[None, None, NodeState]:
-        """Return the state, read in steps; raises OSError where it cannot be read."""
+        """Read the state in steps and return it; raises OSError if the directory cannot be read."""
         reader = StateReader(self.disk, self.node, self.era, self.outlives_machine)
         self.findings, self.unusable = reader.findings, reader.unusable
         state = yield from reader.read(now_ms)
@@ -87,7 +87,7 @@
     # Writing.
 
     def snapshot(self, frames: list[bytes], now_ms: float) -> None:
-        """Write a snapshot, begin the journal after it, and remove the files that both replace."""
+        """Write a snapshot, begin its journal, and remove the files that both replace; raises OSError."""
         self.close()
         number = self.number + 1
         name = file_name(SNAPSHOT, number)
@@ -105,14 +105,14 @@
         self._remove_old()
 
     def renew(self) -> list[str]:
-        """Write a snapshot of what the directory holds; return what of it is lost, a text for each loss."""
+        """Write a snapshot of the directory's content; return a text for each loss found while reading."""
         now = unix_ms(self.era)
         state = self.load(now)
         self.snapshot(encode_records(state.entries()), now)
         return [finding.text for finding in self.findings if finding.code == "lost"]
 
     def append(self, parts: list[bytes], sync: bool) -> None:
-        """Append frames to the journal and, if wished, flush them to the disk; raises OSError."""
+        """Append frames to the journal and flush them to the disk if `sync` is set; raises OSError."""
         if self.fd is None:
             raise OSError(errno.ENOENT, "no journal is open")
         data = b"".join(parts)
@@ -128,11 +128,11 @@
             self.disk.close(fd)
 
     def _header(self, kind: str, number: int, now_ms: float) -> FileHeader:
-        """Return the header of a file that is written here."""
+        """Return the header of a new file."""
         return FileHeader(kind, FORMAT_VERSION, self.node or "", number, now_ms, *self.era)
 
     def _begin_journal(self, now_ms: float) -> None:
-        """Begin the journal of the present number."""
+        """Create the journal with the current number, and open it for appending."""
         fd = self.disk.open(file_name(JOURNAL, self.number))
         try:
             data = encode_header(self._header(JOURNAL, self.number, now_ms))
@@ -147,14 +147,14 @@
     def _rename_unusable(self) -> None:
         """Rename the files that cannot be used.
 
-        Not before a snapshot notes what was lost: until then they are the only sign of it.
+        Call this only once a snapshot records the loss: until then, these files are the only evidence of it.
         """
         for name in self.unusable:
             self.disk.rename(name, f"bad-{name}")
         self.unusable = set()
 
     def _remove_old(self) -> None:
-        """Remove all but the newest snapshots, the journals before these, and files left half written."""
+        """Remove all but the newest snapshots, the journals before these, and unfinished snapshots."""
         retained = self.files(SNAPSHOT)[-SNAPSHOTS_RETAINED:]
         in_progress = file_name(SNAPSHOT, self.number + 1) + UNFINISHED_SUFFIX
         for name in self.disk.names():
@@ -167,11 +167,11 @@
 def create_state(path: Path, node: str) -> None:
     """Create the state of a node that has never run, under the directory's lock.
 
-    Raises FileExistsError where there is any state, and OSError as the disk has it.
+    Raises FileExistsError if the directory has any state, and OSError if a disk call fails.
     """
     with directory_lock(path):
         directory = StateDirectory(Disk(path), node)
         if directory.files(SNAPSHOT) or directory.files(JOURNAL):
-            raise FileExistsError(errno.EEXIST, "there is a state")
+            raise FileExistsError(errno.EEXIST, "the directory already has a state")
         directory.snapshot([], unix_ms(directory.era))
         directory.close()
--- a/marlseam/store/state_store.py
+++ b/marlseam/store/state_store.py
@@ -1,6 +1,6 @@
-"""The node's store: reads the state directory, at the start or as soon as it can, and has records written.
+"""The node's store: reads the state directory at the start, or once it can be read, and has records written.
 
-Where the disk cannot be used, what needs a record is not sent (`log_writer_client`).
+While the disk cannot be used, requests that need a record are not sent (`log_writer_client`).
 """
 
 import gc
@@ -20,14 +20,15 @@
 from marlseam.store.state_directory import StateDirectory
 from marlseam.store.writer_channel import APPEND
 
-MAX_READ_MS_PER_TURN = 5.0  # that reading may take of a turn of the loop
+MAX_READ_MS_PER_TURN = 5.0  # for reading the directory in a turn of the loop
 
 
 @contextmanager
 def collection_paused() -> Iterator[None]:
-    """Pause garbage collection for a block that creates many objects which stay for long.
+    """Pause garbage collection during a block that creates many long-lived objects.
 
-    Guards the loop: each collection would look at all the keys read so far, 58 ms with 100,000 of them.
+    Guards against stalls of the loop: each collection would visit all keys read so far, which takes 58 ms
+    with 100,000 keys.
     """
     gc.disable()
     try:
@@ -41,15 +42,20 @@
     """A node's durable state.
 
     Attributes:
-        take_in: what the node does with a state that is read while the loop runs.
+        on_late_load: called with a state that is read while the loop runs.
     """
 
     def __init__(
-        self, loop: Loop, log: Log, settings: StoreSettings, node: str, take_in: Callable[[NodeState], Steps]
+        self,
+        loop: Loop,
+        log: Log,
+        settings: StoreSettings,
+        node: str,
+        on_late_load: Callable[[NodeState], Steps],
     ) -> None:
         path = Path(settings.folder)
         super().__init__(loop, log, path, node, settings.sync, settings.journal_mb, settings.wait_ms)
-        self.take_in = take_in
+        self.on_late_load = on_late_load
 
     # Reading.
 
@@ -58,7 +64,7 @@
         return StateDirectory(Disk(self.path), self.node, self.era, outlives_machine=self.sync == "durable")
 
     def load(self) -> NodeState | None:
-        """Read what the last process left, before the loop runs; None where that cannot be yet."""
+        """Read the state of the previous process before the loop runs; None if it cannot be read yet."""
         try:
             self.take_lock()
             directory = self.directory()
@@ -66,26 +72,26 @@
         except OSError as error:
             self.mark_failed(error)
             return None
-        self.note_read(directory)
+        self.mark_loaded(directory)
         return state
 
-    def note_read(self, directory: StateDirectory) -> None:
-        """Note that the directory was read, and log what is wrong with its files."""
+    def mark_loaded(self, directory: StateDirectory) -> None:
+        """Mark the directory as read, and log the findings about its files."""
         self.is_loaded = True
         for finding in directory.findings:
             self.log.line(f"state file {finding.name or self.path} code={finding.code}: {finding.text}")
             self.is_loss_logged = self.is_loss_logged or finding.code == "lost"
 
     def read(self) -> Coroutine:
-        """Read in steps, while the node serves, and have it taken in before anything is written."""
+        """Read the directory in steps while the node serves; pass the state on before anything is written."""
         directory = self.directory()
         with collection_paused():
             state = yield from self.read_in_turns(directory)
-            self.note_read(directory)
-            yield from self.take_in(state)
+            self.mark_loaded(directory)
+            yield from self.on_late_load(state)
 
     def read_in_turns(self, directory: StateDirectory) -> Steps:
-        """Return the state, read in steps that give way to the loop's other tasks."""
+        """Read the state in steps, yielding to the loop's other tasks, and return it."""
         began_ms = self.loop.now()
         steps = directory.read(unix_ms(self.era))
         while True:
@@ -100,8 +106,8 @@
     # Writing.
 
     def append(self, *records: StateRecord) -> int:
-        """Hand records to the writer process.
+        """Send records to the writer process.
 
-        Return the number under which they become durable, 0 where they never do.
+        Return the number to pass to `wait_durable`, 0 if the records are not sent.
         """
         return self.send_message(APPEND, b"".join(encode_record(record) for record in records))
--- a/marlseam/store/writer_channel.py
+++ b/marlseam/store/writer_channel.py
@@ -1,11 +1,11 @@
 """The messages between a node and its writer process, on a Unix stream; pure.
 
-The node sends frames: one byte (A append, C compact what the directory holds, E end), four bytes of length,
-a payload, which is the frames to append as they go into the journal. The writer process answers in lines of
-JSON:
+The node sends frames: one byte for the command (A append, C compact the directory, E end), four bytes for the
+payload's length, and the payload, which is the frames to append to the file. The writer process answers in
+lines of JSON:
 
-    {"done": N, "size": BYTES}                      N messages are carried out, the open file has BYTES
-    {"done": N, "size": BYTES, "lost": [TEXT]}      likewise, after a compaction, and what it found to be lost
+    {"done": N, "size": BYTES}                      N messages are executed, the open file has BYTES
+    {"done": N, "size": BYTES, "lost": [TEXT]}      the same after a compaction, with the losses that it found
     {"failed": CODE, "text": TEXT, "done": N}       the disk failed: appends are dropped until a compaction
 """
 
@@ -18,17 +18,17 @@
 
 
 class Message(NamedTuple):
-    """One message to the writer process: its command, and for APPEND the frames to append."""
+    """One message to the writer process: the command, and for APPEND the frames to append."""
 
     command: int
     payload: bytes = b""
 
 
 class Written(NamedTuple):
-    """An answer: all messages so far are carried out.
+    """An answer: all messages so far are executed.
 
     Attributes:
-        done_count: how many messages this process has carried out.
+        done_count: number of messages that this writer process has executed.
         file_bytes: the size of the open file.
         losses: after a compaction, a text for each loss found in the directory; None after appends.
     """
@@ -42,9 +42,9 @@
     """An answer: a disk call failed.
 
     Attributes:
-        done_count: how many messages this process has taken, the failed one included.
+        done_count: number of messages that this writer process has received, the failed one included.
         code: the reason code of the failure.
-        text: what the system says of it.
+        text: the error message of the system.
     """
 
     done_count: int
@@ -56,17 +56,17 @@
 
 
 class MessageBuffer:
-    """Bytes that came from the node, cut into messages."""
+    """Buffers the bytes received from the node and splits them into messages."""
 
     def __init__(self) -> None:
         self._unparsed = b""
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes."""
+        """Add received bytes."""
         self._unparsed += data
 
     def next_message(self) -> Message | None:
-        """Return the next whole message and remove it; None where none is whole."""
+        """Remove and return the next complete message; None if there is none."""
         if len(self._unparsed) < MESSAGE_HEADER.size:
             return None
         command, length = MESSAGE_HEADER.unpack_from(self._unparsed)
@@ -79,12 +79,12 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a message as bytes of the channel."""
+    """Encode a message for the channel."""
     return MESSAGE_HEADER.pack(message.command, len(message.payload)) + message.payload
 
 
 def encode_answer(answer: Answer) -> bytes:
-    """Return an answer as a line."""
+    """Encode an answer as a line."""
     fields: dict[str, Any]
     if isinstance(answer, WriteFailed):
         fields = {"failed": answer.code, "text": answer.text, "done": answer.done_count}
@@ -96,7 +96,7 @@
 
 
 def decode_answer(line: bytes) -> Answer:
-    """Return what a line says; the writer process is this program, so that any line is well formed."""
+    """Decode a line, assumed to be well formed, as the writer process runs this same program."""
     fields = json.loads(line)
     if "failed" in fields:
         return WriteFailed(fields["done"], fields["failed"], fields["text"])
--- a/marlseam/store/writer_process.py
+++ b/marlseam/store/writer_process.py
@@ -1,12 +1,12 @@
 """The process that writes a node's state, so that a slow disk never stalls the node's loop.
 
-That of the ledger is `ledger_writer`.
+`ledger_writer` is the corresponding process for the ledger.
 
     python -m marlseam.store.writer_process FOLDER NODE SYNC CHANNEL LOCK BOOT ZERO
 
-`writer_channel` has the messages. All appends that wait are written at once and synced once. What this
-process has not answered for has not let any request out, so where the node is gone without END nothing more
-is written: the lock is free after the disk call that is under way.
+`writer_channel` has the messages. All pending appends are written together and synced once. The node sends no
+request before this process has answered for its record, so if the node ends without END, nothing more is
+written: the lock is free after the disk call in progress.
 """
 
 import contextlib
@@ -37,7 +37,7 @@
 
 
 class NodeBoundDisk(Disk):
-    """A disk that is written to only as long as the node lives, which is checked before each slow call."""
+    """A disk that is written only while the node runs, which is checked before each slow call."""
 
     def __init__(self, path: Path, channel: socket.socket) -> None:
         super().__init__(path)
@@ -45,16 +45,15 @@
         self.poll.register(channel, 0)
 
     def check_node(self) -> None:
-        """Raise NodeGoneError where the node has ended.
+        """Raise NodeGoneError if the node has ended.
 
-        Guards the node's next start against a lock that a backlog of syncs, four for a snapshot, holds for
-        seconds.
+        Guards the node's next start against a lock held for seconds by a backlog of syncs, four per snapshot.
         """
         if self.poll.poll(0):
             raise NodeGoneError
 
     def open(self, name: str) -> int:
-        """Open a file to append to, created if there is none; return its descriptor."""
+        """Open a file for appending, created if it does not exist; return its descriptor."""
         self.check_node()
         return super().open(name)
 
@@ -75,34 +74,34 @@
 
 
 class WritableLog(Protocol):
-    """What is written to: a state directory or a ledger.
+    """The directory that is written: a state directory or a ledger.
 
     Attributes:
-        size: of the open file, in bytes.
+        size: the size of the open file in bytes.
     """
 
     size: int
 
     def append(self, parts: list[bytes], sync: bool) -> None:
-        """Append what came, and if wished flush it to the disk."""
+        """Append frames or records, and flush them to the disk if `sync` is set; raises OSError."""
 
     def renew(self) -> list[str]:
-        """Begin a new file with what is there; return what of it is lost."""
+        """Begin a new file with the directory's content; return a text for each loss; raises OSError."""
 
     def close(self) -> None:
-        """Close what is open."""
+        """Close the open file."""
 
 
 class WriterProcess:
-    """Carries out the node's messages and answers what came of them.
+    """Executes the node's messages and answers with their results.
 
     Attributes:
         log: the directory that is written.
         channel: the stream to the node.
         is_synced: whether each append is flushed to the disk before it is answered.
-        done_count: how many messages were taken so far.
+        done_count: number of messages received so far.
         is_failed: whether appends are dropped: until the first compaction, and after a failure.
-        is_ended: whether the node has said that this process ends.
+        is_ended: whether the node has sent END.
     """
 
     def __init__(self, log: WritableLog, channel: socket.socket, is_synced: bool) -> None:
@@ -113,24 +112,24 @@
         self.is_ended = False
 
     def run(self) -> None:
-        """Work until the node says so, or is gone."""
+        """Execute messages until the node sends END or has ended."""
         with contextlib.suppress(NodeGoneError):
             while not self.is_ended and (data := self.channel.recv(MAX_RECEIVE_BYTES)):
                 self.messages.feed(data)
-                self.receive_waiting()
-                self.carry_out_messages()
+                self.receive_available()
+                self.execute_messages()
         self.log.close()
 
-    def receive_waiting(self) -> None:
-        """Take in what else has come by now."""
+    def receive_available(self) -> None:
+        """Receive all bytes that are available without waiting."""
         while select.select([self.channel], [], [], 0.0)[0]:
             data = self.channel.recv(MAX_RECEIVE_BYTES)
             if not data:
                 return
             self.messages.feed(data)
 
-    def carry_out_messages(self) -> None:
-        """Carry out the messages that have come whole, appends that follow each other together."""
+    def execute_messages(self) -> None:
+        """Execute the complete messages, consecutive appends together."""
         appends: list[bytes] = []
         while (message := self.messages.next_message()) is not None:
             if message.command == APPEND:
@@ -138,18 +137,18 @@
                 continue
             self.append(appends)
             appends = []
-            self.carry_out(message)
+            self.execute(message)
         self.append(appends)
 
-    def carry_out(self, message: Message) -> None:
-        """Carry out a message that is no append."""
+    def execute(self, message: Message) -> None:
+        """Execute a message other than an append."""
         if message.command == COMPACT:
             self.compact()
         else:
             self.is_ended = True
 
     def append(self, parts: list[bytes]) -> None:
-        """Append what came together, and sync once."""
+        """Append the payloads of several messages, and sync once; dropped after a failure."""
         if not parts:
             return
         self.done_count += len(parts)
@@ -163,9 +162,10 @@
             self.answer(Written(self.done_count, self.log.size))
 
     def compact(self) -> None:
-        """Begin a new file with what the directory holds.
+        """Begin a new file with the directory's content.
 
-        After a failure this is the way back: all that has let a request out is there.
+        After a failure, this makes appends possible again: the directory has the records of all requests that
+        were sent.
         """
         self.done_count += 1
         try:
@@ -177,14 +177,14 @@
             self.answer(Written(self.done_count, self.log.size, losses))
 
     def report_failure(self, error: OSError) -> None:
-        """Close what is open and answer that a disk call failed."""
+        """Close the open file and answer that a disk call failed."""
         self.is_failed = True
         with contextlib.suppress(OSError):
             self.log.close()
         self.answer(WriteFailed(self.done_count, code_of(error), error.strerror or str(error)))
 
     def answer(self, answer: Answer) -> None:
-        """Write an answer; a node that is gone needs none."""
+        """Send an answer; ignored if the node has ended."""
         with contextlib.suppress(OSError):
             self.channel.sendall(encode_answer(answer))
 
@@ -193,12 +193,12 @@
 
 
 def main(make_log: LogFactory = StateDirectory, disk_type: type[NodeBoundDisk] = NodeBoundDisk) -> None:
-    """Run the writer process of what `make_log` returns, on inherited descriptors.
+    """Run the writer process for the log that `make_log` returns, with inherited descriptors.
 
-    The lock's descriptor is only held: the lock is free once this process and the node have ended.
+    The lock's descriptor only stays open: the lock is free once this process and the node have ended.
     """
     path, node, sync, channel_fd, _, boot, zero_ms = sys.argv[1:8]
-    # The node's own end tells this process to end, so that what is under way is written.
+    # Ignored, as the node's end also ends this process, so that messages in progress are still written.
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
     channel = socket.socket(fileno=int(channel_fd))
--- a/tests/test_state_store.py
+++ b/tests/test_state_store.py
@@ -20,20 +20,20 @@
 
 @pytest.fixture
 def make_store(loop, tmp_path):
-    """Return a maker of stores on one directory; `taken` of each holds the states that it read late."""
+    """Return a factory of stores on one directory; `late_states` of each has the states read in the loop."""
     stores = []
     create_state(tmp_path / "state", "n")
 
     def build(path=tmp_path / "state", **options):
         values = {"sync": "durable", "journal_mb": 8.0, "wait_ms": 5000.0} | options
 
-        def take_in(state):
-            store.taken.append(state)
+        def on_late_load(state):
+            store.late_states.append(state)
             return
             yield
 
-        store = StateStore(loop, Log("n", loop.now), StoreSettings(str(path), **values), "n", take_in)
-        store.taken = []
+        store = StateStore(loop, Log("n", loop.now), StoreSettings(str(path), **values), "n", on_late_load)
+        store.late_states = []
         stores.append(store)
         return store
 
@@ -106,7 +106,7 @@
     os.close(first_store.lock_fd)
     first_store.lock_fd = None
     until(lambda: second_store.is_success_logged)
-    assert set(second_store.taken[0].sent) == {"a"}
+    assert set(second_store.late_states[0].sent) == {"a"}
     assert keys_on_disk(second_store) == {"a"}
     until(lambda: second_store.is_available())
 
@@ -229,4 +229,4 @@
         loop.turn()
     until(lambda: store.is_success_logged)
     assert len(turns) > 10
-    assert len(store.taken[0].sent) == 10 * form.MAX_ATTEMPTS_PER_BATCH
+    assert len(store.late_states[0].sent) == 10 * form.MAX_ATTEMPTS_PER_BATCH
