--- a/marlseam/store/file_format.py
+++ b/marlseam/store/file_format.py
@@ -108,7 +108,7 @@
 
 
 class HistoryLost(msgspec.Struct, tag="lost", array_like=True):
-    """Records of attempts before a time (Unix ms) were lost: which of them may have run is not known."""
+    """Records may be lost: which attempts before a time (Unix ms) may have run is not known."""
 
     since_ms: float
 
@@ -210,7 +210,7 @@
 
 
 def _has_frame_at(tail: bytes, offset: int) -> bool:
-    """Return whether a complete frame starts at an offset; at 0 its length may be damaged, so any counts."""
+    """Return whether a complete frame starts at an offset; at 0, of any length, as its length is in doubt."""
     length, checksum = FRAME_HEADER.unpack_from(tail, offset)
     start = offset + FRAME_HEADER.size
     bytes_left = len(tail) - start
@@ -219,14 +219,14 @@
     elif 0 < length <= bytes_left:
         lengths = range(length, length + 1)
     else:
-        # Guards against an ordinary cut that counts as damage: eight zero bytes of a record look like the
+        # Guards an ordinary cut against being counted as damage: eight zero bytes of a record look like the
         # header of an empty frame, but no frame is empty.
         return False
     return any(zlib.crc32(tail[start : start + size], size) == checksum for size in lengths)
 
 
 def has_begun(data: bytes) -> bool:
-    """Return whether a file has more than a part of its header, which is all that a crash may leave of it."""
+    """Return whether a file has more than an incomplete header, as a crash during its creation leaves it."""
     if len(data) <= len(MAGIC):
         return not MAGIC.startswith(data)
     return not (data.startswith(MAGIC) and is_cut_short(data[len(MAGIC) :]))
--- a/marlseam/store/ledger_audit.py
+++ b/marlseam/store/ledger_audit.py
@@ -30,8 +30,7 @@
     """Audit the ledgers in some directories, findings about their files included; raises OSError.
 
     A process that started while another process of its node held the ledger wrote to the subdirectory BESIDE,
-    which is read together with its parent. `error_ms` is the maximum difference of the
-    clocks of two machines.
+    which is read together with its parent. `error_ms` is the maximum difference of two machines' clocks.
     """
     ledgers: dict[str, list[list[LogRecord]]] = {}
     running_nodes: list[str] = []
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -356,7 +356,7 @@
         self.code, self.is_success_logged = code, False
 
     def mark_unavailable(self, code: str, text: str) -> None:
-        """Log that nothing can be written, stop accepting records, and resolve all waits as not durable."""
+        """Log why nothing can be written, stop accepting records, and resolve all waits as not durable."""
         self.log_failure(code, text)
         self.accepts_records = False
         self.wait_queue.resolve_up_to(inf, False)
--- a/marlseam/store/node_state.py
+++ b/marlseam/store/node_state.py
@@ -16,12 +16,10 @@
     StateRecord,
 )
 
-Steps = Generator[
-    None, None, None
-]  # long work in steps, which a caller may spread over several turns of its loop
+Steps = Generator[None, None, None]  # long work in steps, which a caller may spread over turns of its loop
 KEYS_PER_STEP = 1000
 MIN_CLOCK_CHANGE_MS = 20.0  # smallest difference of two clocks that counts as a change of the clock
-UNKNOWN_SENT_MS = 0.0  # of an attempt of unknown age: no server is assumed to remember its key
+UNKNOWN_SENT_MS = 0.0  # Unix time of an attempt of unknown age: no server is assumed to remember its key
 
 
 @dataclass
--- a/tests/faulty_disk.py
+++ b/tests/faulty_disk.py
@@ -4,18 +4,18 @@
 
 
 class CrashError(Exception):
-    """The machine went down."""
+    """The simulated machine has crashed."""
 
 
 class FaultyDisk:
-    """A disk in memory: what is not synced may be lost, calls fail on demand, and the machine may crash.
+    """A disk in memory: unsynced data may be lost, calls fail on demand, and the machine may crash.
 
     Attributes:
-        visible: by name, the parts written to each file, as the running system sees them.
-        durable: as `visible`, of the names that outlive a crash: those at the last sync of the directory.
-        open_files: by descriptor, the parts of its file and how many bytes of them are synced.
-        budget: bytes written and calls that change something, until the machine crashes.
-        error: the number of the error with which each such call fails; None where none does.
+        visible: the parts written to each file by name, as the running system sees them.
+        durable: as `visible`, of the names that survive a crash: those at the last sync of the directory.
+        open_files: the parts of the file and the number of its synced bytes, by descriptor.
+        budget: number of written bytes and modifying calls until the machine crashes.
+        error: the error number with which each modifying call fails; None if calls succeed.
 
     """
 
@@ -24,7 +24,7 @@
         self.budget, self.error = budget, None
 
     def spend(self, count=1):
-        """Take as much of a count from the budget as there is, and return that."""
+        """Deduct up to `count` from the budget and return the amount; raises OSError if `error` is set."""
         if self.error is not None:
             raise OSError(self.error, os.strerror(self.error))
         spent = min(count, self.budget)
@@ -76,14 +76,14 @@
         self.durable = dict(self.visible)
 
     def after_crash(self, torn=True):
-        """Return the disk as it is found after a crash.
+        """Return the disk after a crash.
 
-        Where the crash is `torn`, names and bytes that were never synced are there, else they are lost.
+        If the crash is `torn`, names and bytes that were never synced are on the disk, else they are lost.
         """
-        found = FaultyDisk()
+        disk = FaultyDisk()
         for name, parts in (self.visible if torn else self.durable).items():
             data = b"".join(parts)
             synced = max([size for opened, size in self.open_files.values() if opened is parts], default=0)
-            found.visible[name] = [data if torn else data[:synced]]
-        found.durable = dict(found.visible)
-        return found
+            disk.visible[name] = [data if torn else data[:synced]]
+        disk.durable = dict(disk.visible)
+        return disk
--- a/tests/ledgers.py
+++ b/tests/ledgers.py
@@ -1,4 +1,4 @@
-"""Ledgers for tests."""
+"""Sample ledgers, written and read."""
 
 from replicas import LEASE_MS
 
@@ -39,6 +39,6 @@
 
 
 def load_ledger(path):
-    """Return what a ledger recovers, and the ledger."""
+    """Return the recovered log of a ledger, and the ledger."""
     ledger = LedgerWriter(Disk(path), "n")
     return ledger.load(), ledger
--- a/tests/state_samples.py
+++ b/tests/state_samples.py
@@ -1,4 +1,4 @@
-"""Records and files of a node's state, as tests write and read them."""
+"""Sample records and files of a node's state; times in Unix ms."""
 
 from marlseam.store import file_format as form
 from marlseam.store.clock_era import ClockEra
@@ -11,12 +11,12 @@
 
 
 def encode_entries(*entries):
-    """Return the frames of some records."""
+    """Encode some records as frames."""
     return form.encode_records(list(entries))
 
 
 def attempt_sent(key, sent_ms=1.0, server="e", until_ms=NOW * 2):
-    """Return the record of an attempt at a server of zone z and cell 3."""
+    """Return the record of an attempt on a server in zone z and cell 3."""
     return AttemptSent(key, server, "z", 3, sent_ms, until_ms)
 
 
@@ -26,7 +26,7 @@
 
 
 def load_state(disk, node="n"):
-    """Return the state that a node finds on a disk, and its directory."""
+    """Return the state that a node reads from a disk, and the directory."""
     directory = StateDirectory(disk, node, ERA)
     return directory.load(NOW), directory
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: what is read, the defaults, and messages that name the key at fault."""
+"""Configuration: values read, defaults, and errors that name the key at fault."""
 
 import copy
 import json
@@ -17,10 +17,10 @@
 
 
 @pytest.fixture
-def write(tmp_path):
+def write_config(tmp_path):
     """Return a function that writes the valid configuration with one entry changed, and returns its path."""
 
-    def change(key="", value=None):
+    def write_changed(key="", value=None):
         values = copy.deepcopy(VALID)
         if key:
             *tables, last = key.split(".")
@@ -32,20 +32,20 @@
         path.write_text(json.dumps(values))
         return str(path)
 
-    return change
+    return write_changed
 
 
-def test_a_valid_file_is_read(write):
-    config = load(write(), {})
+def test_a_valid_file_is_read(write_config):
+    config = load(write_config(), {})
     assert (config.listen, config.seed, config.sockets) == (("127.0.0.1", 8443), 255, 1024)
 
 
-def test_the_environment_takes_precedence_over_the_file(write):
-    config = load(write(), {"EDGE_LISTEN": "[::1]:99", "EDGE_NAME": "n7"})
+def test_the_environment_takes_precedence_over_the_file(write_config):
+    config = load(write_config(), {"EDGE_LISTEN": "[::1]:99", "EDGE_NAME": "n7"})
     assert (config.listen, config.name) == (("::1", 99), "n7")
 
 
-def test_times_become_milliseconds(deployment):
+def test_times_in_microseconds_are_converted_to_milliseconds(deployment):
     assert deployment.settings.request_classes[0].latency_objective_ms == 200.0
     assert deployment.keepalive_ms == 1000.0
 
@@ -71,7 +71,7 @@
     assert not settings.only_draining_excludes
 
 
-def test_an_extra_value_of_reports_has_the_meaning_that_the_settings_give(deployment):
+def test_an_extra_field_of_load_reports_has_the_meaning_given_in_the_settings(deployment):
     assert deployment.report_names["x0"] == "free_slots"
     assert "x1" not in deployment.report_names
 
@@ -97,15 +97,15 @@
         ("settings.zone", ["here"], "settings.zone: ['here']"),
     ],
 )
-def test_an_invalid_entry_is_named(write, key, value, message_start):
+def test_the_error_for_an_invalid_entry_names_its_key_and_value(write_config, key, value, message_start):
     with pytest.raises(ConfigError, match=".") as raised:
-        load(write(key, value), {})
+        load(write_config(key, value), {})
     assert str(raised.value).startswith(message_start)
     assert ", expected " in str(raised.value)
 
 
-def test_an_invalid_configuration_exits_with_2_and_one_line(write):
-    result = CliRunner().invoke(main, ["check", "--config", write("seed", "xyz")])
+def test_an_invalid_configuration_exits_with_2_and_one_line(write_config):
+    result = CliRunner().invoke(main, ["check", "--config", write_config("seed", "xyz")])
     assert (result.exit_code, result.stderr.count("\n")) == (2, 1)
 
 
@@ -115,29 +115,33 @@
     assert CliRunner().invoke(main, ["serve"]).exit_code == 2
 
 
-def test_the_command_line_loads_nothing_that_only_the_version_needs():
+def test_the_command_line_does_not_import_the_module_for_the_version():
     code = "import sys, marlseam.__main__; sys.exit('importlib.metadata' in sys.modules)"
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
 
 
-def test_check_of_a_valid_configuration_exits_with_0(write):
-    assert CliRunner().invoke(main, ["check", "--config", write()]).exit_code == 0
+def test_check_of_a_valid_configuration_exits_with_0(write_config):
+    assert CliRunner().invoke(main, ["check", "--config", write_config()]).exit_code == 0
 
 
-def test_a_changed_entry_of_the_file_takes_precedence_over_the_environment(write):
-    before = load(write(), {"EDGE_DISCOVERY": "127.0.0.1:1"})
-    after = load(write("discovery", "127.0.0.1:2"), before=before)
-    assert (before.discovery[1], after.discovery[1], load(write(), before=after).discovery[1]) == (1, 2, 8500)
+def test_a_changed_entry_of_the_file_takes_precedence_over_the_environment(write_config):
+    before = load(write_config(), {"EDGE_DISCOVERY": "127.0.0.1:1"})
+    after = load(write_config("discovery", "127.0.0.1:2"), before=before)
+    assert (before.discovery[1], after.discovery[1], load(write_config(), before=after).discovery[1]) == (
+        1,
+        2,
+        8500,
+    )
 
 
-def test_a_file_read_again_unchanged_changes_nothing(write):
-    before = load(write(), {"EDGE_DISCOVERY": "127.0.0.1:1", "EDGE_NAME": "n7"})
-    after = load(write(), before=before)
+def test_a_reload_of_an_unchanged_file_changes_no_value(write_config):
+    before = load(write_config(), {"EDGE_DISCOVERY": "127.0.0.1:1", "EDGE_NAME": "n7"})
+    after = load(write_config(), before=before)
     assert (after.discovery, after.name) == (before.discovery, "n7")
 
 
-def test_request_classes_zones_and_kinds_keep_their_indices(write):
-    before = load(write(), {}).deployment
+def test_request_classes_zones_and_kinds_keep_their_indices(write_config):
+    before = load(write_config(), {}).deployment
     request_classes = [OPTIONS["requestClasses"][1], OPTIONS["requestClasses"][0] | {"name": "new"}]
     changed = OPTIONS | {
         "requestClasses": request_classes,
@@ -153,13 +157,13 @@
     assert restored.settings.request_classes[:2] == before.settings.request_classes
 
 
-def test_a_removed_request_class_does_not_determine_times(write):
-    before = load(write(), {}).deployment
+def test_a_removed_request_class_has_no_latency_objective(write_config):
+    before = load(write_config(), {}).deployment
     after = deployment_from(OPTIONS | {"requestClasses": OPTIONS["requestClasses"][1:]}, before=before)
     assert min(range(2), key=lambda index: after.settings.request_classes[index].latency_objective_ms) == 1
 
 
-def test_a_node_loads_nothing_of_the_bench():
+def test_the_command_line_imports_no_module_of_the_test_bench():
     script = "import sys, marlseam.__main__; print(*{name.partition('.')[0] for name in sys.modules})"
     loaded = subprocess.run(
         [sys.executable, "-c", script], capture_output=True, text=True, check=True
@@ -204,8 +208,8 @@
         ("guarantees.drainBindsAlone", "no", "settings.guarantees.drainBindsAlone"),
     ],
 )
-def test_an_invalid_setting_of_these_exits_with_2_and_one_line(write, key, value, named_key):
-    result = CliRunner().invoke(main, ["check", "--config", write("settings." + key, value)])
+def test_an_invalid_policy_setting_exits_with_2_and_one_line(write_config, key, value, named_key):
+    result = CliRunner().invoke(main, ["check", "--config", write_config("settings." + key, value)])
     assert result.exit_code == 2
     assert result.stderr.count("\n") == 1
     assert result.stderr.startswith(f"marlseam: {named_key}: ")
--- a/tests/test_durable_state.py
+++ b/tests/test_durable_state.py
@@ -1,4 +1,4 @@
-"""A whole node on its state directory."""
+"""A node with a state directory: its start, a locked directory, and a lost state."""
 
 import errno
 import json
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def make_node(tmp_path):
-    """Return a maker of nodes that keep their state in one directory."""
+    """Return a factory of nodes that store their state in the same directory."""
     nodes = []
 
     def build(listen="127.0.0.1:0"):
@@ -48,7 +48,7 @@
 
 
 def immediate_effects(node, key, may_be_retry):
-    """Have the reducer take a keyed request; return the types of its first answers and attempts."""
+    """Pass a keyed request to the reducer; return the types of the immediate answers and attempts."""
     request = Request(key, 2, node.loop.now() + 5000.0, idempotency_key=key, may_be_retry=may_be_retry)
     request = replace(request, is_recordable=node.durable_state.store.is_available())
     effects = node.reducer.reduce(node.loop.now(), core.RequestArrived(request))
@@ -67,7 +67,7 @@
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
     monkeypatch.setattr(StateStore, "load", load)
-    # Guards against accepting clients before, and counting their time from the end of the read.
+    # Guards against clients accepted before the read, whose time would only be counted from its end.
     node = make_node(f"127.0.0.1:{port}")
     assert connect_errors == [errno.ECONNREFUSED]
     assert node.is_ready()
@@ -80,7 +80,7 @@
     monkeypatch.setattr("marlseam.store.log_writer_client.MAX_LOCK_WAIT_S", 0.02)
     path, far_ms = tmp_path / "state", time.time() * 1000.0 + 20000.0
     create_state(path, "node")
-    other = make_node() if other_starts else None  # two processes start on one directory at once
+    other = make_node() if other_starts else None  # two processes start on the same directory
     lock_fd = None if other_starts else lock_directory(path)
     node = make_node()
     assert node.is_ready()
@@ -102,16 +102,18 @@
         directory.close()
         os.close(lock_fd)
     turn_until(node.loop, node.durable_state.store.is_available)
-    # The retry may only go to the server that may have run the first attempt, which is off the list.
+    # The retry may only go to the server that may have run the first attempt, which is not on the list.
     assert immediate_effects(node, "old", True) == []
     assert not node.reducer.unavailable_history.last_sent_ms
     assert "old" in keys_on_disk(node.durable_state.store)
 
 
-def test_a_node_that_lost_its_state_fails_retries_until_its_history_is_over_also_after_a_restart(make_node):
+def test_a_node_that_lost_its_state_fails_retries_until_the_deduplication_window_is_over_also_after_a_restart(
+    make_node,
+):
     for _ in range(2):
         node = make_node()  # on a directory without a state
-        # After the restart this holds by what the first process has stored.
+        # After the restart, this follows from the state stored by the first process.
         assert node.reducer.unavailable_history.last_sent_ms
         turn_until(node.loop, node.durable_state.store.is_available)
         assert immediate_effects(node, "old", True) == [core.Fail]
--- a/tests/test_handover_codec.py
+++ b/tests/test_handover_codec.py
@@ -1,4 +1,4 @@
-"""Lines of the handover: writing and reading."""
+"""The codec of the handover's lines."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -21,7 +21,7 @@
         max_size=450,
     )
 )
-def test_attempts_are_read_as_they_were_written(attempts):
+def test_attempts_are_parsed_as_they_were_encoded(attempts):
     lines = list(handover_codec.encode_snapshot(1, [], attempts))
     assert [item for line in lines for item in handover_codec.parse_line(line)] == [
         *attempts,
@@ -30,13 +30,13 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_line_is_read_or_refused_with_a_code(line):
-    refusal = None
+def test_any_line_is_parsed_or_rejected_with_a_code(line):
+    rejection = None
     try:
         items = handover_codec.parse_line(line)
     except handover_codec.InvalidLineError as error:
-        refusal = error
-    if refusal is None:
+        rejection = error
+    if rejection is None:
         assert isinstance(items, list)
     else:
-        assert refusal.code in ("odd", "version")
+        assert rejection.code in ("odd", "version")
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Ledgers: what is recovered after a restart, damage that is detected, and how large they become."""
+"""Ledgers: recovery after a restart, detection of damage, and retention of files."""
 
 import resource
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def ledger_folder(tmp_path):
-    """Return the folder of a ledger with two files."""
+    """Return the directory of a ledger with two files."""
     path = tmp_path / "n"
     write_ledger(path)
     return path
@@ -31,7 +31,7 @@
         ledger.close()
 
 
-def test_a_ledger_truncated_at_any_byte_is_read_up_to_there(ledger_folder):
+def test_a_ledger_truncated_at_any_byte_is_read_up_to_that_byte(ledger_folder):
     path = max(ledger_folder.glob("ledger-*"))
     whole = path.read_bytes()
     for size in range(len(whole) - 1, 0, -7):
@@ -45,7 +45,7 @@
         ]
 
 
-def test_a_changed_byte_breaks_the_chain_and_its_node_does_not_vote(ledger_folder):
+def test_a_changed_byte_breaks_the_chain_and_the_node_does_not_vote(ledger_folder):
     path = max(ledger_folder.glob("ledger-*"))
     data = bytearray(path.read_bytes())
     data[len(data) // 2] ^= 1
@@ -55,7 +55,7 @@
     assert {"damaged", "lost"} <= {finding.code for finding in ledger.findings}
 
 
-def test_a_record_left_out_breaks_the_chain(ledger_folder):
+def test_a_removed_record_breaks_the_chain(ledger_folder):
     path = max(ledger_folder.glob("ledger-*"))
     data = path.read_bytes()
     ends = [end for end, _ in file_format.iterate_payloads(data)]
@@ -63,7 +63,7 @@
     assert "chain" in {finding.code for finding in load_ledger(ledger_folder)[1].findings}
 
 
-def test_a_folder_that_was_set_back_emptied_or_copied_is_detected(ledger_folder, tmp_path):
+def test_a_restored_or_copied_file_and_an_empty_directory_are_detected(ledger_folder, tmp_path):
     path = max(ledger_folder.glob("ledger-*"))
     data, stat = path.read_bytes(), path.stat()
     copy = path.with_name("copy")
@@ -72,11 +72,11 @@
     recovered, ledger = load_ledger(ledger_folder)
     assert recovered.votes_excluded_up_to is None
     assert "copy" in ledger.findings[-1].text
-    assert load_ledger(tmp_path)[0].votes_excluded_up_to is None  # no ledger was begun there
+    assert load_ledger(tmp_path)[0].votes_excluded_up_to is None  # a directory without a ledger
     assert stat.st_ino != path.stat().st_ino
 
 
-def test_a_file_overwritten_in_place_is_detected_by_its_time(ledger_folder, monkeypatch):
+def test_a_file_overwritten_in_place_is_detected_by_its_change_time(ledger_folder, monkeypatch):
     real = Disk.identity
 
     def changed_a_minute_later(disk, name):
@@ -89,7 +89,7 @@
     assert "changed by another" in ledger.findings[-1].text
 
 
-def test_a_full_disk_leaves_no_file_behind_that_hides_the_last_good_one(ledger_folder):
+def test_a_full_disk_leaves_no_file_that_hides_the_last_valid_one(ledger_folder):
     _, ledger = load_ledger(ledger_folder)
     soft_limit, hard_limit = resource.getrlimit(resource.RLIMIT_FSIZE)
     resource.setrlimit(resource.RLIMIT_FSIZE, (0, hard_limit))
@@ -106,7 +106,7 @@
     ledger.close()
 
 
-def test_ledgers_are_bounded(ledger_folder, monkeypatch):
+def test_only_the_newest_ledger_files_are_retained(ledger_folder, monkeypatch):
     monkeypatch.setattr("marlseam.store.ledger_writer.MAX_LEDGER_FILES", 3)
     _, ledger = load_ledger(ledger_folder)
     for _ in range(6):
@@ -117,7 +117,7 @@
     assert ledger_audit.read([ledger_folder], 10.0).findings == []
 
 
-def test_a_ledger_is_begun_once(tmp_path):
+def test_a_second_begin_of_a_ledger_exits_with_1(tmp_path):
     arguments = ["begin", str(tmp_path / "l"), "n"]
     assert CliRunner().invoke(fleet_command.group, arguments).exit_code == 0
     again = CliRunner().invoke(fleet_command.group, arguments)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""What the reducer decides after a start: with restored records, cached lists and unavailable history."""
+"""Decisions of the reducer after a start: with restored records, cached lists and unavailable history."""
 
 from dataclasses import replace
 
@@ -17,9 +17,9 @@
 
 
 def start_reducer(seed):
-    """Return a function that reduces an event at a time, for three servers, two of them in one cell.
+    """Return a function that passes an event to a new reducer with three servers, two of them in one cell.
 
-    Its `reducer` is the reducer.
+    The reducer is the function's attribute `reducer`.
     """
     reducer = Reducer()
     reducer.reduce(0.0, core.NodeStarted(SETTINGS, seed))
@@ -39,7 +39,7 @@
 
 @pytest.fixture
 def reduce():
-    """Return what `start_reducer` gives for one seed."""
+    """Return the function of `start_reducer` for one seed."""
     return start_reducer(7)
 
 
@@ -49,12 +49,12 @@
 
 
 def request_arrived(request_id, class_index=1, key="k", deadline_at_ms=5000.0):
-    """Return the arrival of a request, of the keyed class where none is given."""
+    """Return the arrival of a request, by default of the keyed class."""
     return core.RequestArrived(Request(request_id, class_index, deadline_at_ms, idempotency_key=key))
 
 
 def answer_probes(reduce, now_ms, effects):
-    """Answer all probes among some effects; return these effects and all that follow."""
+    """Answer all probes among some effects; return these effects and those of the answers."""
     all_effects = list(effects)
     for effect in effects:
         if type(effect) is core.Probe:
@@ -64,7 +64,7 @@
 
 
 def reduce_with_probes(reduce, now_ms, event):
-    """Reduce an event and answer all probes that follow; return all effects."""
+    """Pass an event to the reducer and answer all resulting probes; return all effects."""
     return answer_probes(reduce, now_ms, reduce(now_ms, event))
 
 
@@ -91,12 +91,12 @@
     assert [type(effect) for effect in effects if type(effect) in (core.Fail, core.Reject)] == [core.Fail]
 
 
-def test_a_restored_key_is_free_again_once_its_deduplication_window_is_over(reduce):
+def test_a_restored_key_may_run_on_any_server_once_its_deduplication_window_is_over(reduce):
     reduce(1.0, core.HistoryRecovered({"k": [AttemptRecord("gone", 0, 9, 0.0, 50.0)]}))
     assert servers_sent_to(reduce_with_probes(reduce, 60.0, request_arrived("1")))
 
 
-def test_an_unsafe_request_of_unknown_fate_is_failed_at_once(reduce):
+def test_an_unsafe_request_that_may_have_run_is_failed_at_once(reduce):
     reduce(1.0, core.HistoryRecovered({"k": [AttemptRecord("a", 0, 1, 0.0, 9000.0)]}))
     assert type(reduce(2.0, request_arrived("1", class_index=2))[-1]) is core.Fail
 
@@ -125,7 +125,7 @@
     (rejection,) = reduce(2.0, request_arrived("2", key="new"))
     assert type(rejection) is core.Reject
     assert rejection.retry_after_ms > 0.0
-    # The first attempt is cancelled, as the other server of its cell, if there is one, may have no free slot.
+    # The first attempt is cancelled, as the only other server of its cell, if any, may have no free slot.
     reduce(2.5, core.ClientLeft("1"))
     reduce(2.5, core.AttemptEnded("1", 0, Outcome.CANCELLED, True, None))
     assert servers_sent_to(reduce_with_probes(reduce, 3.0, request_arrived("3", key="old")))
@@ -153,7 +153,7 @@
     assert dispatcher.identity_doubt[server] == 0.0
 
 
-def test_the_live_endpoint_list_ends_all_doubt(reduce):
+def test_the_live_endpoint_list_sets_all_doubt_to_0(reduce):
     reduce(1.0, core.EndpointListUpdate(ListUpdateKind.CACHED, [make_entry("x", 5)], 0.6))
     server = reduce.reducer.servers.by_name["x"]
     reduce(2.0, core.EndpointListUpdate(ListUpdateKind.FULL, [make_entry("x", 5), make_entry("a", 1)]))
@@ -220,10 +220,10 @@
 @pytest.mark.parametrize("class_index", [1, 2])
 def test_a_retry_is_failed_at_once_while_the_history_is_unavailable(reduce, class_index):
     reduce(1.0, core.HistoryUnavailable("store"))
-    # Guards against taking an empty history for a true one, and sending the retry.
+    # Guards against an empty history that counts as complete, with which the retry would be sent.
     assert answer_types(reduce(2.0, retry_arrived("1", class_index))) == [core.Fail]
     reduce(900000.0, core.HistoryUnavailable("store"))
-    # No time ends it while further attempts may be sent.
+    # No passage of time ends the unavailability while further attempts may be sent.
     assert answer_types(reduce(900001.0, retry_arrived("2", class_index))) == [core.Fail]
     assert core.SendAttempt in answer_types(
         reduce_with_probes(reduce, 900002.0, retry_arrived("3", class_index=0))
@@ -253,7 +253,7 @@
     dispatcher = make_dispatcher(0.0, 0.0, request_classes=(*SETTINGS.request_classes[:1], keyed_everywhere))
     state = make_request(dispatcher, class_index=1, attempts=((0, Outcome.BROKEN),))
     assert state.may_reject_safely()
-    # A retry of the client would now come to a server that has forgotten the key.
+    # A retry of the client would now reach a server that has forgotten the key.
     dispatcher.port.clock += keyed_everywhere.deduplication_window_ms - dispatcher.ejection_base_ms / 2.0
     assert not state.may_reject_safely()
 
--- a/tests/test_saved_list.py
+++ b/tests/test_saved_list.py
@@ -1,4 +1,4 @@
-"""Which saved endpoint list is chosen, and how much doubt its entries carry."""
+"""The choice of a saved endpoint list, and the doubt of its entries."""
 
 from math import exp
 
@@ -30,7 +30,7 @@
     assert (chosen and chosen.version) == chosen_version
 
 
-def test_doubt_grows_with_age_and_departures_and_is_full_where_the_age_is_unknown():
+def test_doubt_grows_with_age_and_departures_and_is_1_if_the_age_is_unknown():
     calm, busy = DepartureRate(), DepartureRate(1000.0, 1000.0 * DEFAULT_LIFETIME_MS / 24.0)
     day_ms = 24.0 * 3600e3
     assert saved_list.entry_doubt(0.0, calm) == 0.0
@@ -40,6 +40,6 @@
     assert saved_list.entry_doubt(None, calm) == 1.0
 
 
-def test_the_age_of_a_list_is_unknown_where_the_clock_was_set_back():
+def test_the_age_of_a_list_is_unknown_if_the_clock_was_set_back():
     assert saved_list.list_age_ms(make_list(1, confirmed_ms=5000.0), 1000.0) is None
     assert saved_list.list_age_ms(make_list(1, confirmed_ms=500.0), 1000.0) == 500.0
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: the wire's lines become events, and effects become the wire's actions."""
+"""The simulator's adapter: lines of the wire become events, and effects become actions on the wire."""
 
 import pytest
 from settings_samples import OPTIONS
@@ -13,45 +13,47 @@
 def instance():
     """Return an instance with one server that has just reported."""
     instance = Instance("node_3", 7, OPTIONS, 1000.0, [])
-    play(instance, "directory_update node_3 1 1 1", ENTRY)
-    play(instance, "sampled node_3 900 10.0.0.1:80 success backlog:0,x0:4")
+    handle_line(instance, "directory_update node_3 1 1 1", ENTRY)
+    handle_line(instance, "sampled node_3 900 10.0.0.1:80 success backlog:0,x0:4")
     return instance
 
 
-def play(instance, line, *entries):
-    """Play one line and return the actions."""
+def handle_line(instance, line, *entries):
+    """Process one line with its list entries, and return the actions."""
     instance.out.clear()
     name, values = wire.parse(line)
     instance.handle_event(name, values, [wire.parse(entry)[1] for entry in entries])
     return list(instance.out)
 
 
-def arrive(instance, class_name="statement"):
-    """Have a request arrive, and return the actions."""
-    return play(instance, f"arrival node_3 c:1 {class_name} - - 6000000 - 1 - 0 0 0")
+def handle_arrival(instance, class_name="statement"):
+    """Process the arrival of a request, and return the actions."""
+    return handle_line(instance, f"arrival node_3 c:1 {class_name} - - 6000000 - 1 - 0 0 0")
 
 
-def test_a_new_instance_asks_for_discovery():
+def test_a_new_instance_watches_the_endpoint_list():
     assert "watch node_3 1" in Instance("node_3", 7, OPTIONS, 1000.0, []).out
 
 
-def test_an_arrival_is_forwarded_with_the_time_that_is_left(instance):
-    assert arrive(instance)[-1] == "forward node_3 c:1 10.0.0.1:80 5000000"
+def test_an_arrival_is_forwarded_with_the_time_left(instance):
+    assert handle_arrival(instance)[-1] == "forward node_3 c:1 10.0.0.1:80 5000000"
 
 
-def test_a_success_needs_no_action(instance):
-    arrive(instance)
-    assert play(instance, "settled node_3 c:1 0 10.0.0.1:80 success 9000 1 - -") == []
+def test_a_successful_attempt_causes_no_action(instance):
+    handle_arrival(instance)
+    assert handle_line(instance, "settled node_3 c:1 0 10.0.0.1:80 success 9000 1 - -") == []
 
 
 def test_an_unsafe_request_that_may_have_run_is_finished_with_an_error(instance):
-    arrive(instance, "posting")
-    assert play(instance, "settled node_3 c:1 0 10.0.0.1:80 broken 9000 - - -") == ["finish_error node_3 c:1"]
+    handle_arrival(instance, "posting")
+    assert handle_line(instance, "settled node_3 c:1 0 10.0.0.1:80 broken 9000 - - -") == [
+        "finish_error node_3 c:1"
+    ]
 
 
 def test_a_client_that_disconnects_has_its_attempt_stopped(instance):
-    arrive(instance)
-    assert play(instance, "left node_3 c:1") == ["stop_attempt node_3 c:1 0"]
+    handle_arrival(instance)
+    assert handle_line(instance, "left node_3 c:1") == ["stop_attempt node_3 c:1 0"]
 
 
 @pytest.mark.parametrize(
@@ -62,8 +64,8 @@
     ],
 )
 def test_the_start_and_progress_of_an_attempt_are_recorded(instance, line, started_ms, progress):
-    arrive(instance)
-    play(instance, line)
+    handle_arrival(instance)
+    handle_line(instance, line)
     (attempt,) = instance.reducer.open_requests["c:1"].attempts
     assert (attempt.started_ms, attempt.progress) == (started_ms, progress)
 
@@ -74,7 +76,7 @@
 )
 def test_a_line_that_the_wire_does_not_allow_is_malformed(instance, line):
     with pytest.raises(wire.MalformedLineError, match="."):
-        play(instance, line)
+        handle_line(instance, line)
 
 
 def test_batches_are_read_with_their_clock():
@@ -83,13 +85,13 @@
 
 
 def test_another_nodes_message_reaches_the_reducer(instance):
-    play(instance, "mail node_3 1 AAAAAQ==")
+    handle_line(instance, "mail node_3 1 AAAAAQ==")
     assert instance.reducer.dispatcher.peer_slots == {1: {0: 1}}
 
 
-def test_a_message_that_is_no_base64_is_malformed(instance):
+def test_a_message_that_is_not_base64_is_malformed(instance):
     with pytest.raises(wire.MalformedLineError, match="msg"):
-        play(instance, "mail node_3 1 a*b")
+        handle_line(instance, "mail node_3 1 a*b")
 
 
 def test_an_entrys_weight_and_an_arrivals_key_are_read(instance):
--- a/tests/test_state_commands.py
+++ b/tests/test_state_commands.py
@@ -1,4 +1,4 @@
-"""Settings of the store, and operators' commands on a state directory."""
+"""Settings of the store, and the operator commands for a state directory."""
 
 import json
 import os
@@ -27,11 +27,11 @@
         ("[store]\nfolder = 'x'\njournal_mb = -1\n", "store.journal_mb"),
     ],
 )
-def test_an_invalid_setting_is_named(at_fault, text, key):
+def test_the_error_for_an_invalid_setting_names_its_key(at_fault, text, key):
     assert at_fault(text) == key
 
 
-def test_operators_see_what_a_directory_holds(tmp_path):
+def test_the_state_commands_show_verify_export_and_begin_a_state(tmp_path):
     directory = StateDirectory(Disk(tmp_path), "n")
     now_ms = time.time() * 1000.0
     directory.snapshot(
@@ -64,7 +64,7 @@
     assert CliRunner().invoke(main, ["state", "show", str(tmp_path / "none")]).exit_code == 1
 
 
-def test_check_writes_to_the_directory_and_refuses_a_locked_one(tmp_path, capsys):
+def test_check_writes_to_the_directory_and_rejects_a_locked_one(tmp_path, capsys):
     check.check_state(StoreSettings(str(tmp_path / "s"), "durable", 8.0, 100.0), "n")
     assert "a sync takes" in capsys.readouterr().out
     assert os.listdir(tmp_path / "s") == ["lock"]
--- a/tests/test_state_directory.py
+++ b/tests/test_state_directory.py
@@ -1,4 +1,4 @@
-"""State files on a disk that fails at each call and each byte, against a plain model."""
+"""State files on a disk that crashes at each call and each byte, compared with a model in memory."""
 
 import errno
 import os
@@ -32,9 +32,9 @@
 
 
 def run_steps(steps, disk):
-    """Append, sync and compact as the steps say, until the disk crashes.
+    """Append and sync records, and write snapshots, until the steps end or the disk crashes.
 
-    Return the states that may be found after a crash: the durable one and all later.
+    Return the states that are valid after a crash: the durable one and all later ones.
     """
     directory, model = StateDirectory(disk, "n", ERA), NodeState()
     states = [model.entries()]
@@ -110,14 +110,14 @@
     written = {form.ENCODER.encode(step) for step in steps if step != "snapshot"}
     found = {form.ENCODER.encode(row) for rows in state.sent.values() for row in rows}
     assert found <= written or state.lost_ms is not None
-    # Guards against skipping the records behind the bit, and serving as if they had never been sent.
+    # Guards against skipping the records after the flipped bit as if their attempts had never been sent.
     assert state.lost_ms is not None or set("abcd") <= set(state.sent)
     assert all(
         finding.code in ("torn", "foreign", "version", "clock", "lost") for finding in directory.findings
     )
 
 
-def test_files_are_compacted_and_the_last_valid_snapshot_stays():
+def test_old_files_are_removed_and_the_previous_snapshot_is_retained():
     disk = FaultyDisk()
     directory = StateDirectory(disk, "n", ERA)
     for i in range(6):
@@ -129,7 +129,7 @@
     state, reopened = load_state(disk)
     assert set(state.sent) == {"k4"}
     assert [finding.code for finding in reopened.findings] == ["torn"]
-    assert state.lost_ms is None  # the earlier snapshot and its journal hold all
+    assert state.lost_ms is None  # the earlier snapshot and its journal have all records
 
 
 @pytest.mark.parametrize(
@@ -151,7 +151,7 @@
     assert [finding.code for finding in directory.findings] == [code, "lost"]
     assert list(disk.visible) == [
         "snapshot-0000000001"
-    ]  # after a crash now it must not pass for a first start
+    ]  # a crash at this point must not look like a first start
     directory.snapshot(form.encode_records(state.entries()), NOW)
     assert "bad-snapshot-0000000001" in disk.visible
     state, directory = load_state(disk)
@@ -173,7 +173,7 @@
     assert set(state.sent) == {"b"}
 
 
-def test_only_a_journal_end_that_a_crash_explains_counts_as_no_loss():
+def test_an_unreadable_journal_end_is_no_loss_only_if_a_crash_explains_it():
     def state_with_journal(change):
         disk = FaultyDisk()
         run_steps([attempt_sent("a"), attempt_sent("b", 2.0)], disk)
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize("missing", ["journal-0000000001", "snapshot-0000000001"])
-def test_a_missing_file_counts_as_lost_unless_the_others_hold_all(missing):
+def test_a_missing_file_counts_as_a_loss_unless_the_others_have_all_records(missing):
     disk = FaultyDisk()
     run_steps([attempt_sent("a"), "snapshot", attempt_sent("b", 2.0)], disk)
     assert load_state(disk)[0].lost_ms is None
@@ -202,7 +202,7 @@
     assert load_state(disk)[0].lost_ms is not None
 
 
-def test_a_new_nodes_directory_differs_from_one_that_lost_all(tmp_path):
+def test_a_created_state_has_no_loss_and_an_empty_directory_has_one(tmp_path):
     assert load_state(FaultyDisk())[0].lost_ms == NOW
     create_state(tmp_path / "new", "n")
     state = StateDirectory(Disk(tmp_path / "new"), "n").load(time.time() * 1000.0)
@@ -216,13 +216,13 @@
 def test_a_clock_set_while_the_node_was_down_shortens_no_deduplication_window(step_ms):
     disk = FaultyDisk()
     run_steps([attempt_sent("a", NOW - 500.0, until_ms=NOW + 500.0)], disk)
-    # The same start of the machine: a second later its clock says an hour more, or less.
+    # The same start of the machine, after its clock was set an hour forward or back.
     reopened = StateDirectory(disk, "n", ClockEra(ERA.boot, ERA.zero_ms + step_ms))
     (row,) = reopened.load(NOW + 400.0 + step_ms).sent["a"]
     assert (row.sent_ms, row.until_ms) == (NOW - 500.0 + step_ms, NOW + 500.0 + step_ms)
     assert "a" not in reopened.load(NOW + 600.0 + step_ms).sent
-    # Another start of the machine: how long ago the first was is not known, so no server counts as one that
-    # still has the key, and the key itself is not dropped.
+    # Another start of the machine: the time since the first start is not known, so no server counts as
+    # remembering the key, and the key itself does not expire.
     (row,) = StateDirectory(disk, "n", ClockEra("another boot", 0.0)).load(NOW + step_ms).sent["a"]
     assert row.sent_ms == 0.0
     assert row.until_ms >= NOW + step_ms + 1000.0
--- a/tests/test_state_store.py
+++ b/tests/test_state_store.py
@@ -46,7 +46,7 @@
 
 @pytest.fixture
 def record_attempt(loop):
-    """Return a function that records an attempt of a key, and lists whether it became durable."""
+    """Return a function that records an attempt, and later adds to `results` whether it became durable."""
 
     def record(store, key, results):
         def wait():
@@ -66,7 +66,7 @@
     first_store.begin()
     results = record_attempt(first_store, "a", [])
     until(lambda: results)
-    first_store.process.kill()  # as the whole node would be
+    first_store.process.kill()  # as if the whole node were killed
     first_store.process.wait()
     assert results == [("a", True)]
     assert "a" in keys_on_disk(first_store)
@@ -95,7 +95,7 @@
     first_store.begin()
     results = record_attempt(first_store, "a", [])
     until(lambda: results)
-    # Guards against taking an empty state here, and writing it over the true one once the lock is free.
+    # Guards against an empty state here that overwrites the stored one once the lock is free.
     assert second_store.load() is None
     second_store.begin()
     assert "code=locked" in capsys.readouterr().err
@@ -127,7 +127,7 @@
     first_store.channel = None
     first_store.process.send_signal(signal.SIGCONT)
     assert first_store.process.wait(20.0) == 0
-    # None of those records was reported durable, so none of the attempts was sent, and no sync was made.
+    # None of these records was reported as durable, so none of the attempts was sent, and no sync was made.
     directory = StateDirectory(Disk(first_store.path), "n")
     assert directory.files("snapshot") == [1, 2]
     assert directory.load(0.0).lost_ms is None
@@ -146,7 +146,7 @@
     store.handle_answer(WriteFailed(answered + 1, "full", "No space left on device"))
     store.handle_answer(Written(answered, 0))  # read together with the failure
     until(lambda: results)
-    assert results == [("a", False)]  # it must not be sent
+    assert results == [("a", False)]  # so the attempt must not be sent
     store.mark_unavailable("full", "No space left on device")
     assert not store.is_available()
     assert store.append(attempt_sent("b")) == 0
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize("error_number", [errno.ENOSYS, errno.EINVAL])
-def test_where_no_writer_process_can_start_nothing_becomes_durable(
+def test_if_no_writer_process_can_start_nothing_becomes_durable(
     make_store, until, capsys, monkeypatch, error_number
 ):
     def refuse(*_arguments, **_options):
@@ -168,7 +168,7 @@
     store = make_store()
     store.load()
     store.begin()
-    until(lambda: store.retry_delay_ms > 40.0)  # it was tried more than once
+    until(lambda: store.retry_delay_ms > 40.0)  # after more than one retry
     assert not store.is_available()
     assert store.append(attempt_sent("a")) == 0
     assert capsys.readouterr().err.count("code=unsupported") == 1
@@ -180,7 +180,7 @@
     store = make_store(wait_ms=1.0)
     store.load()
     store.begin()
-    store.process.send_signal(signal.SIGSTOP)  # a disk that hangs
+    store.process.send_signal(signal.SIGSTOP)  # emulates a disk that hangs
     results = record_attempt(store, "a", [])
     until(lambda: results)
     assert results == [("a", False)]
