--- a/marlseam/configuration/loader.py
+++ b/marlseam/configuration/loader.py
@@ -155,14 +155,14 @@
 
 def with_settings(config: Config, settings: Mapping[str, Any]) -> Config:
     """Return a configuration with the cluster's settings in place of its file's, except for the zone."""
-    whole = {**settings, **{key: config.settings[key] for key in ("zone",) if key in config.settings}}
-    require_request_classes(whole)
-    deployment = deployment_from(whole, before=config.deployment, whole=True)
-    return replace(config, deployment=deployment, settings=whole)
+    merged = {**settings, **{key: config.settings[key] for key in ("zone",) if key in config.settings}}
+    require_request_classes(merged)
+    deployment = deployment_from(merged, before=config.deployment, whole=True)
+    return replace(config, deployment=deployment, settings=merged)
 
 
 def read_file(path: str | None) -> object:
-    """Parse the node's file; raises ConfigError where there is no path or no readable JSON."""
+    """Parse the node's file; raises ConfigError without a path or if the file is not readable JSON."""
     if not path:
         raise ConfigError(
             FILE_VARIABLE, REQUIRED, "the path of the configuration file, in this variable or as an option"
--- a/marlseam/configuration/table.py
+++ b/marlseam/configuration/table.py
@@ -86,9 +86,9 @@
     def numbers(self, name: str) -> list[float]:
         """Return an entry that must be a list of finite numbers; an absent one counts as empty."""
         rows = self.get(name, [])
-        found = [finite(row) for row in rows] if isinstance(rows, list) else [None]
-        numbers = [number for number in found if number is not None]
-        if len(numbers) < len(found):
+        parsed = [finite(row) for row in rows] if isinstance(rows, list) else [None]
+        numbers = [number for number in parsed if number is not None]
+        if len(numbers) < len(parsed):
             raise ConfigError(self.path(name), rows, "a list of numbers")
         return numbers
 
@@ -105,7 +105,7 @@
 
 def indexed(names: Iterable[str], before: Mapping[str, int]) -> dict[str, int]:
     """Return dense indices by name; a name keeps an index `before`, so that figures under it stay valid."""
-    found = dict(before)
+    indices = dict(before)
     for name in names:
-        found.setdefault(name, len(found))
-    return found
+        indices.setdefault(name, len(indices))
+    return indices
--- a/marlseam/store/writer_process.py
+++ b/marlseam/store/writer_process.py
@@ -198,7 +198,7 @@
     The lock's descriptor only stays open: the lock is free once this process and the node have ended.
     """
     path, node, sync, channel_fd, _, boot, zero_ms = sys.argv[1:8]
-    # Ignored, as the node's end also ends this process, so that messages in progress are still written.
+    # Ignored: the node ends this process when the node itself ends, so that messages in progress are written.
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         signal.signal(number, signal.SIG_IGN)
     channel = socket.socket(fileno=int(channel_fd))
