--- a/marlseam/net/buffer.py
+++ b/marlseam/net/buffer.py
@@ -2,7 +2,7 @@
 
 
 class Buffer:
-    """Bytes that came in and were not used yet: filled at the end, taken from the front."""
+    """Received bytes that were not consumed yet: appended at the end, taken from the front."""
 
     def __init__(self, size: int = 4096) -> None:
         self.bytes = bytearray(size)
@@ -11,22 +11,22 @@
     def __len__(self) -> int:
         return self.end - self.start
 
-    def space(self, least: int = 2048) -> memoryview:
-        """Return room for at least so many bytes, to be filled and then noted by `added`."""
-        if len(self.bytes) - self.end < least and self.start:
+    def reserve(self, min_bytes: int = 2048) -> memoryview:
+        """Return writable space of at least `min_bytes`; call `commit` after writing into it."""
+        if len(self.bytes) - self.end < min_bytes and self.start:
             self.bytes[: len(self)] = self.bytes[self.start : self.end]
             self.start, self.end = 0, len(self)
-        if len(self.bytes) - self.end < least:
-            self.bytes.extend(bytes(max(least, len(self.bytes))))
+        if len(self.bytes) - self.end < min_bytes:
+            self.bytes.extend(bytes(max(min_bytes, len(self.bytes))))
         return memoryview(self.bytes)[self.end :]
 
-    def added(self, count: int) -> None:
-        """Note that so many bytes were written into the room."""
+    def commit(self, count: int) -> None:
+        """Append the first `count` bytes that were written into the space."""
         self.end += count
 
-    def take(self, most: int) -> bytes:
-        """Take up to so many bytes from the front."""
-        stop = min(self.end, self.start + most)
+    def take(self, max_bytes: int) -> bytes:
+        """Remove and return up to `max_bytes` from the front."""
+        stop = min(self.end, self.start + max_bytes)
         with memoryview(self.bytes) as view:
             taken = bytes(view[self.start : stop])
         self.start = stop
--- a/marlseam/net/configured_socket.py
+++ b/marlseam/net/configured_socket.py
@@ -1,4 +1,4 @@
-"""Names the key at fault where a configured socket cannot be had."""
+"""Reports the configuration key whose socket cannot be opened."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -8,7 +8,7 @@
 
 @contextmanager
 def config_error_on_failure(key: str, value: object, expected: str) -> Iterator[None]:
-    """Raise ConfigError with the key, its value and what was expected in place of an OSError."""
+    """Raise ConfigError with the key, its value and what was expected instead of an OSError."""
     try:
         yield
     except OSError as error:
--- a/marlseam/net/connection.py
+++ b/marlseam/net/connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection of either role: its socket, its one buffer, h11 to parse, and its line in the log."""
+"""One HTTP connection, as client or server: socket, buffer, h11 parser, and a log line when it ends."""
 
 import contextlib
 import errno
@@ -16,38 +16,38 @@
 from marlseam.net.log import Log, Reason
 from marlseam.net.loop import END, LATE, READ, WRITE, Cancelled, Loop, Wait, sleep
 
-PARSE_BYTES = 4096  # bytes handed to the parser at a time, and in one turn of the loop
+PARSE_BYTES = 4096  # bytes passed to the parser at a time, and in one turn of the loop
 MAX_HEAD_BYTES = 16384  # bytes of a message's head
-MAX_AHEAD_BYTES = 2048  # bytes kept of what a peer sends ahead of its turn
-AHEAD_CHECK_MS = 20.0  # how often a peer that sent as much is looked at for more
-# Of the system's buffer for what is unread, up to DISCARD_BUFFER's size, past which an end may be hidden.
+MAX_AHEAD_BYTES = 2048  # bytes of pipelined data that are kept while a message is worked on
+AHEAD_CHECK_MS = 20.0  # how often a peer that sent as much is checked for more
+# Share of the socket's receive buffer, at most DISCARD_BUFFER's size; more unread bytes may hide an end.
 HIDDEN_END_SHARE = 0.5
-# Of DISCARD_BUFFER's size, before a connection is closed without a wait, and in one check.
+# Reads of DISCARD_BUFFER's size, in one check and before a connection is closed without a wait.
 MAX_DISCARD_READS = 16
-DISCARD_BUFFER = bytearray(65536)  # where bytes go that nobody wants
+DISCARD_BUFFER = bytearray(65536)  # target of reads whose bytes are discarded
 Headers = list[tuple[str, str]]
 Steps = Generator[Wait, str, Any]
 
 
 class Connection:
-    """Reads and writes messages; whoever holds it closes it once, with a reason.
+    """Reads and writes the messages of one connection; its user closes it once, with a reason.
 
     Attributes:
-        sock: the socket, which does not block.
-        description: what the log calls it.
-        http: the parser and writer.
-        buffer: bytes that came and were not parsed.
-        raw_head: the head of the message in hand, as it came.
-        messages: how many were written.
-        closed: whether it was closed here.
-        eof: whether the peer has ended its sending.
-        has_discarded: whether something that came was thrown away, after which no message can follow.
-        parsed_bytes: handed to the parser since this connection last let others go on.
-        opened_ms, used_ms: when it was opened, and last used.
-        last_empty_ms: when nothing was unread for the last time.
-        earliest_sent_ms: that time before the bytes that were read last: they were sent after it.
-        is_empty: whether nothing was unread at the last look.
-        address: of the server, on our side of a call; None on the other.
+        sock: the non-blocking socket.
+        description: name of the peer in log lines.
+        http: h11's parser and writer.
+        buffer: bytes that were received and not parsed.
+        raw_head: the head of the current message, as received.
+        messages: number of messages written.
+        closed: whether this side has closed the connection.
+        eof: whether the peer has closed its sending side.
+        has_discarded: whether received bytes were discarded, after which no message can follow.
+        parsed_bytes: bytes passed to the parser since this connection last yielded to the loop.
+        opened_ms, used_ms: when the connection was opened and last used, by the loop's clock.
+        last_empty_ms: when the socket last had no unread bytes, by the loop's clock.
+        earliest_sent_ms: `last_empty_ms` before the last read, whose bytes were sent after this time.
+        is_empty: whether the socket had no unread bytes at the last check.
+        address: the server's address on the client side; None on the server side.
 
     """
 
@@ -57,9 +57,7 @@
         self.buffer = Buffer()
         self.raw_head = bytearray()
         self.messages, self.closed, self.eof = 0, False, False
-        self.has_discarded = (
-            False  # whether something that came was thrown away, after which no message can follow
-        )
+        self.has_discarded = False  # whether received bytes were discarded, after which no message can follow
         self.parsed_bytes = 0
         self.opened_ms = self.used_ms = loop.now()
         self.last_empty_ms = self.earliest_sent_ms = self.opened_ms
@@ -69,27 +67,27 @@
     # Reading.
 
     def fill(self) -> bool:
-        """Read what is there without waiting; return whether anything came, the end included."""
+        """Read available bytes without waiting; return whether bytes or the peer's end were read."""
         try:
-            count = syscalls.none_if_transient(lambda: self.sock.recv_into(self.buffer.space()))
+            count = syscalls.none_if_transient(lambda: self.sock.recv_into(self.buffer.reserve()))
         except OSError:
             raise ConnectionEndedError(Reason.PEER_RESET) from None
         if count is None:
             self.note_empty(self.loop.now())
             return False
-        if self.is_empty:  # so it was as the loop looked for the last time before these bytes
+        if self.is_empty:  # it was still empty at the loop's last poll before these bytes
             self.last_empty_ms, self.is_empty = max(self.last_empty_ms, self.loop.ready_since_ms), False
         self.earliest_sent_ms = self.last_empty_ms
-        self.buffer.added(count)
+        self.buffer.commit(count)
         self.eof = self.eof or not count
         return True
 
     def note_empty(self, at_ms: float) -> None:
-        """Note that nothing was unread at a time: what is read later was sent after that."""
+        """Record that the socket had no unread bytes at a time; bytes read later were sent after it."""
         self.last_empty_ms, self.is_empty = max(self.last_empty_ms, at_ms), True
 
     def event(self, until_ms: float) -> Steps:
-        """Return the next part of a message, waiting for it until some time."""
+        """Return the next h11 event of a message; raises ConnectionEndedError if none comes by `until_ms`."""
         while True:
             event = self.parse()
             if event is not h11.NEED_DATA:
@@ -98,7 +96,7 @@
                 go_on = h11.InformationalResponse(status_code=100, headers=[])
                 yield from self.write(self.http.send(go_on), until_ms)
             if self.parsed_bytes >= PARSE_BYTES:
-                # Guards the other connections' turns against a peer that sends at full speed, also in many
+                # Guards other connections against starvation by a peer that sends at full speed, also in many
                 # small parts.
                 yield from sleep(self.loop.now())
                 self.parsed_bytes = 0
@@ -114,22 +112,22 @@
             raise ConnectionEndedError(reason, error.error_status_hint) from None
 
     def wait_for_bytes(self, until_ms: float) -> Steps:
-        """Wait until bytes or the end have come; what has come by the end of a wait is read.
+        """Wait until bytes or the peer's end are received; raises ConnectionEndedError after `until_ms`.
 
-        It was in time, though the loop be late.
+        Bytes that have arrived when the wait ends are read: they were in time even if the loop runs late.
         """
-        came = ""
+        event = ""
         while not len(self.buffer) and not self.eof:
-            if not came and self.loop.now() >= until_ms:
+            if not event and self.loop.now() >= until_ms:
                 raise ConnectionEndedError(Reason.TIMED_OUT, 408)
             if not self.fill():
-                if came == LATE:
+                if event == LATE:
                     raise ConnectionEndedError(Reason.TIMED_OUT, 408)
                 self.parsed_bytes = 0
-                came = yield (self.sock.fileno(), READ, until_ms)
+                event = yield (self.sock.fileno(), READ, until_ms)
 
     def feed_parser(self) -> None:
-        """Hand some bytes to the parser, none for the end of the stream."""
+        """Pass received bytes to the parser; no bytes mean the end of the stream."""
         data = self.buffer.take(PARSE_BYTES)
         self.parsed_bytes += len(data)
         if self.http.their_state is h11.IDLE:
@@ -137,13 +135,13 @@
         self.http.receive_data(data)
 
     def wait_for_first_byte(self, until_ms: float) -> Steps:
-        """Wait for the first byte of an answer, or for the peer's end."""
+        """Wait for the first byte of an answer, or for the peer's end; raises TIMED_OUT after `until_ms`."""
         while not (self.eof or self.has_ahead() or self.fill()):
             if (yield (self.sock.fileno(), READ, until_ms)) == LATE:
                 raise ConnectionEndedError(Reason.TIMED_OUT)
 
     def answer(self, until_ms: float) -> Steps:
-        """Return the head of a server's answer."""
+        """Return the head of a server's answer, skipping informational responses."""
         while True:
             event = yield from self.event(until_ms)
             if type(event) is h11.Response:
@@ -152,7 +150,7 @@
                 raise ConnectionEndedError(Reason.PEER_CLOSED)
 
     def body(self, max_bytes: int, until_ms: float) -> Steps:
-        """Return the rest of a message as one, up to some size."""
+        """Return the remaining body of a message; raises ConnectionEndedError (413) above `max_bytes`."""
         parts, size = [], 0
         while True:
             event = yield from self.event(until_ms)
@@ -167,40 +165,42 @@
                 raise ConnectionEndedError(Reason.PEER_CLOSED)
 
     def has_ahead(self) -> bool:
-        """Return whether some of a further message has come, handed to the parser or not.
+        """Return whether bytes of a further message have been received, passed to the parser or not.
 
-        Guards clients that write several requests at once: the parser may hold all of them.
+        Guards clients that pipeline requests: the parser may hold all of them.
         """
         return bool(len(self.buffer) or self.http.trailing_data[0])
 
     def is_quiet(self) -> bool:
-        """Return whether an unused connection is still open with nothing said on it."""
+        """Return whether an idle connection is still open and has received nothing."""
         try:
             return not self.has_ahead() and not self.eof and not self.fill()
         except ConnectionEndedError:
             return False
 
     def wait_for_end(self) -> Wait:
-        """Return the wait for a peer's end while its message is worked on; what it sends ahead is kept.
+        """Return the wait for a peer's end while its message is worked on; pipelined bytes are buffered.
 
-        Past some bytes it is left with the system. The end is seen all the same: it is asked for by itself,
-        and what may hide it is looked for.
+        Beyond MAX_AHEAD_BYTES, pipelined bytes stay in the socket. The peer's end is still detected: the wait
+        is for the end alone, and every AHEAD_CHECK_MS the socket is checked for bytes that may hide it.
         """
         if len(self.buffer) < MAX_AHEAD_BYTES and not self.has_discarded:
             return (self.sock.fileno(), END | READ, inf)
         return (self.sock.fileno(), END, self.loop.now() + AHEAD_CHECK_MS)
 
     def discard_ahead(self) -> None:
-        """Throw away what a peer has sent far ahead of its turn, and all behind it.
+        """Discard pipelined bytes if they fill much of the socket's receive buffer, and all later bytes.
 
-        Guards against work for one that has gone: without room the system takes neither a peer's bytes nor
-        the end behind them, so that nothing shows it.
+        Guards against work for a client that has disconnected: with a full receive buffer the system accepts
+        neither more bytes nor the end behind them, so that the end would not be detected.
         """
         try:
             if not self.has_discarded:
                 buffer_bytes = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF)
-                far = min(len(DISCARD_BUFFER), int(HIDDEN_END_SHARE * buffer_bytes))
-                self.has_discarded = self.sock.recv_into(DISCARD_BUFFER, far, socket.MSG_PEEK) == far
+                limit_bytes = min(len(DISCARD_BUFFER), int(HIDDEN_END_SHARE * buffer_bytes))
+                self.has_discarded = (
+                    self.sock.recv_into(DISCARD_BUFFER, limit_bytes, socket.MSG_PEEK) == limit_bytes
+                )
             for _ in range(MAX_DISCARD_READS if self.has_discarded else 0):
                 if not self.sock.recv_into(DISCARD_BUFFER):
                     self.eof = True
@@ -208,12 +208,12 @@
         except ConnectionError:
             self.eof = True
         except OSError:
-            return  # nothing more is there
+            return  # no more bytes
 
     def is_peer_gone(self) -> bool:
-        """Return whether the peer has ended its sending or reset, whatever of its bytes lies unread.
+        """Return whether the peer has closed its sending side or reset, even if bytes are unread.
 
-        One whose connection was closed here has gone as well: it gets no answer.
+        A peer whose connection was closed by this side counts as gone too: it gets no answer.
         """
         if self.closed:
             return True
@@ -226,21 +226,22 @@
     # Writing.
 
     def wait_writable(self, until_ms: float) -> Steps:
-        """Wait until the system takes bytes at once: a peer may not have read what it was sent before."""
+        """Wait until the socket accepts bytes without blocking: the peer may not have read earlier ones."""
         poller = select.poll()
         poller.register(self.sock.fileno(), select.POLLOUT)
         while not syscalls.is_poll_ready(poller, if_unknown=True):
             if (yield (self.sock.fileno(), WRITE, until_ms)) == LATE:
                 raise ConnectionEndedError(Reason.TIMED_OUT)
 
-    def write(self, data: bytes, until_ms: float, left: Callable[[], bool] | None = None) -> Steps:
-        """Write all of some bytes; none once the time is over, also where there is room just then.
+    def write(self, data: bytes, until_ms: float, has_left: Callable[[], bool] | None = None) -> Steps:
+        """Write all bytes; raises ConnectionEndedError with TIMED_OUT once a wait ends after `until_ms`.
 
-        Nor once `left` says that whom they are for has gone, which is asked right before each part.
+        Nothing is written after that time, even if the socket is writable then. `has_left` is checked right
+        before each part is written: if it returns that the client has disconnected, raises WITHDRAWN.
         """
         view = memoryview(data)
         while view:
-            if left is not None and left():
+            if has_left is not None and has_left():
                 raise ConnectionEndedError(Reason.WITHDRAWN)
             try:
                 sent = self.sock.send(view)
@@ -249,8 +250,8 @@
                     raise ConnectionEndedError(Reason.PEER_RESET) from None
                 if not isinstance(error, BlockingIOError):
                     yield from sleep(min(until_ms, self.loop.now() + syscalls.TRANSIENT_RETRY_MS))
-                came = yield (self.sock.fileno(), WRITE, until_ms)
-                if came == LATE or self.loop.now() >= until_ms:
+                event = yield (self.sock.fileno(), WRITE, until_ms)
+                if event == LATE or self.loop.now() >= until_ms:
                     raise ConnectionEndedError(Reason.TIMED_OUT) from None
             else:
                 view = view[sent:]
@@ -260,21 +261,21 @@
         head: h11.Request | h11.Response,
         body: bytes,
         until_ms: float,
-        left: Callable[[], bool] | None = None,
+        has_left: Callable[[], bool] | None = None,
     ) -> Steps:
-        """Write a whole message, or as much as may go out."""
+        """Write a whole message; raises as `write` does, and then only a part may have been written."""
         data = self.http.send(head)
         if body:
             data += self.http.send(h11.Data(data=body))
         data += self.http.send(h11.EndOfMessage())
-        yield from self.write(data, until_ms, left)
+        yield from self.write(data, until_ms, has_left)
         self.messages += 1
         self.used_ms = self.loop.now()
 
     def send_last_response(self, status: int) -> None:
-        """Answer a request that has not come whole, as far as that goes without waiting."""
+        """Answer a request that was not received completely, as far as possible without waiting."""
         if self.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-            return  # it has an answer, or a part of one
+            return  # the request already has an answer, or a part of one
         head = h11.Response(
             status_code=status, headers=[("Content-Length", "0"), ("Connection", "close")], reason=""
         )
@@ -282,16 +283,14 @@
         with contextlib.suppress(OSError):
             self.sock.send(data)
             self.sock.shutdown(socket.SHUT_WR)
-            for _ in range(
-                MAX_DISCARD_READS
-            ):  # what stays unread would reset the connection and lose the answer
+            for _ in range(MAX_DISCARD_READS):  # unread bytes would reset the connection and lose the answer
                 if not self.sock.recv_into(DISCARD_BUFFER):
                     break
 
     def linger(self, until_ms: float) -> Steps:
-        """Read on for a while after a last answer: unread bytes would make the system reset the connection.
+        """Discard bytes after the last answer: unread bytes would make the system reset the connection.
 
-        Guards against a client that never sees what was wrong with its request.
+        Guards against a client that never receives the error answer to its request.
         """
         try:
             self.sock.shutdown(socket.SHUT_WR)
@@ -303,7 +302,7 @@
             return
 
     def start_next_message(self) -> bool:
-        """Make ready for another message, where both sides may go on."""
+        """Prepare for the next message; return False if one side does not allow another one."""
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.raw_head[:] = self.http.trailing_data[0]
             self.http.start_next_cycle()
@@ -312,7 +311,7 @@
         return False
 
     def close(self, reason: Reason) -> None:
-        """Close, and leave the one line."""
+        """Close the connection once, and log its one line."""
         if not self.closed:
             self.closed = True
             self.loop.close(self.sock)
@@ -322,7 +321,10 @@
 def connect(
     loop: Loop, log: Log, address: tuple[str, int], what: str, until_ms: float, own: bool = False
 ) -> Steps:
-    """Open a connection to a server; `own`: it is for the node itself, which has spare descriptors."""
+    """Open a connection to a server; `own` allows the node's spare descriptors.
+
+    Raises ConnectionEndedError with NO_SOCKETS, REFUSED, or NO_CONNECT if not established by `until_ms`.
+    """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     try:
         sock = loop.descriptors.opened(lambda: socket.socket(family, socket.SOCK_STREAM), own)
--- a/marlseam/net/descriptors.py
+++ b/marlseam/net/descriptors.py
@@ -1,7 +1,7 @@
-"""File descriptors where none is left: what closes one, and spares for the node's own needs.
+"""File descriptors in a shortage: releases others to open one, and holds spares for the node's own needs.
 
-The node counts what it opens (docs/node.md, "Limits"), but the system may have fewer: descriptors that the
-process was started with, a limit that was lowered, other processes of the machine.
+The node counts what it opens (docs/node.md, "Limits"), but fewer descriptors may be available: the process
+may have inherited some, the limit may have been lowered, or other processes of the machine may use them.
 """
 
 import contextlib
@@ -11,43 +11,43 @@
 from typing import TypeVar
 
 SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # in this process or the system
-SPARE_COUNT = 4  # for discovery, an operator, a file, and one more
-MAX_TRIES = 8  # of one call, each after something was given up: a writing process needs five at once
+SPARE_COUNT = 4  # for discovery, an operator, a file, and one in reserve
+MAX_TRIES = 8  # of one call, each after a release: starting a writer process needs five descriptors at once
 T = TypeVar("T")
 
 
 class Descriptors:
-    """Has others give up theirs for what is to be opened.
+    """Opens file descriptors, and releases others if none is left.
 
-    `givers` each close one connection that nothing is owed on and return whether there was one; they are
-    asked in order.
+    Each of `releasers` closes one connection on which nobody waits for an answer, and returns whether there
+    was one; they are called in order.
     """
 
     def __init__(self) -> None:
         self.releasers: list[Callable[[], bool]] = []
-        self.on_shortage: Callable[[], None] = lambda: None  # told whenever nothing is left
+        self.on_shortage: Callable[[], None] = lambda: None  # called whenever no descriptor is left
         self.spares: list[int] = []
         self.is_holding = False
 
     def hold_spares(self) -> None:
-        """Hold spares from here on."""
+        """Hold spare descriptors from now on."""
         self.is_holding = True
         self.hold_all_spares()
 
     def hold_all_spares(self) -> bool:
-        """Return whether all spares are held, and hold those that were used again where that can be."""
+        """Open the spare descriptors that were used, if possible; return whether all spares are held."""
         while self.is_holding and len(self.spares) < SPARE_COUNT:
             try:
                 self.spares.append(os.dup(2))
             except OSError as error:
-                # Where there is no standard error, or no copy may be made, there is nothing to wait for.
+                # Without standard error, or if it may not be copied, waiting for spares is useless.
                 return error.errno not in SHORTAGE_ERRNOS
         return True
 
     def release_one(self, own: bool = False) -> bool:
-        """Have one descriptor given up; return whether one was. `own`: the node's needs may have a spare."""
+        """Release one descriptor; return whether one was. `own` allows a spare, for the node's own needs."""
         self.on_shortage()
-        if any(give() for give in self.releasers):
+        if any(release() for release in self.releasers):
             return True
         if own and self.spares:
             os.close(self.spares.pop())
@@ -55,7 +55,7 @@
         return False
 
     def opened(self, call: Callable[[], T], own: bool = False) -> T:
-        """Return what a call opens, made again after something was given up where nothing is left."""
+        """Return what a call opens; without a descriptor, release one and retry, MAX_TRIES times at most."""
         for _ in range(MAX_TRIES):
             try:
                 return call()
@@ -65,12 +65,12 @@
         return call()
 
     def ensure(self) -> None:
-        """See to it that a file can be opened next, where that is in our power."""
+        """Release a descriptor if needed, so that a file can be opened next; a failure is ignored."""
         with contextlib.suppress(OSError):
             os.close(self.opened(lambda: os.dup(2), own=True))
 
     def drop_spares(self) -> None:
-        """Hold no spares any more."""
+        """Close the spare descriptors and hold none from now on."""
         self.is_holding = False
         while self.spares:
             os.close(self.spares.pop())
--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: the list that the node was given, then the whole list and a watch on its changes."""
+"""Discovery client: begins with a configured or saved endpoint list, then fetches and watches the list."""
 
 import json
 from collections.abc import Callable
@@ -18,21 +18,25 @@
 from marlseam.net.server_start_times import StartTimes
 from marlseam.net.upstream import Upstream
 
-# How long a call may take beyond its wait before it counts as failed, in times after which one must ask.
+# Time-out of a call beyond its wait, after which the call counts as failed, as a share of the settings'
+# `list_max_age_ms`.
 CALL_TIMEOUT_SHARE = 0.2
-# At most, of the 6 s after which what is missed counts as told, and of the 2 s that this takes after the wait
-# of a watch: the list is fetched in the rest.
+# Upper limits of that time-out: a missed change counts as known after 6 s, or 2 s after the wait of a
+# watch. The list is fetched in the remaining time.
 MAX_CALL_MS, MAX_WATCH_LATE_MS = 2000.0, 1000.0
-# How long a call for the list is listened to in all, in times after which it counts as failed; at least as
-# long as a call may take at most, whatever the settings.
+# How long an overdue call for the list is still read, in call time-outs; at least MAX_CALL_MS, whatever the
+# settings.
 OVERDUE = 3.0
-PUSHED_CALL_TIMEOUT_SHARE = 0.5  # likewise where lists are pushed, in times within which sends have to stop
-MAX_WATCH_GAP_MS = 100.0  # least time between two calls of a watch, which goes on for 200 ms without one
-WATCH_GAP_SHARE = 0.1  # or less, likewise
-# How long discovery may hold a watch, likewise: for each node, at least and at most, and in all.
+PUSHED_CALL_TIMEOUT_SHARE = 0.5  # time-out of a call if lists are pushed, as a share of the grace period
+# Minimum time between two calls of a watch; discovery keeps a watch open for 200 ms without a call.
+MAX_WATCH_GAP_MS = 100.0
+WATCH_GAP_SHARE = 0.1  # upper limit of that minimum time, as a share of the grace period
+# How long discovery may hold a watch: share of `list_max_age_ms` per node, its minimum and maximum, and the
+# maximum in ms.
 WATCH_SHARE_PER_NODE, MIN_WATCH_SHARE, MAX_WATCH_SHARE, MAX_WATCH_MS = 0.1, 0.3, 0.5, 60000.0
 RESUME_MS = 10.0  # how long discovery may hold the first call of a watch that resumes from a version
-# After these the process that numbers versions may be another, which numbers anew: the whole list is needed.
+# After these, another discovery process with its own version numbers may have taken over: the whole list is
+# needed.
 RESTART_REASONS = (
     Reason.REFUSED,
     Reason.PEER_RESET,
@@ -43,27 +47,27 @@
 
 
 class ListSnapshot(NamedTuple):
-    """An endpoint list that was saved or handed over: its version and entries as discovery writes them."""
+    """A saved or handed-over endpoint list: its version, and its entries in discovery's format."""
 
     version: int
     rows: list[dict[str, Any]]
 
 
 class Discovery:
-    """Follows discovery while it can; a failure is posted to the reducer, which says when to ask again.
+    """Follows the endpoint list of discovery; posts failures to the reducer, which schedules the next call.
 
     Attributes:
-        version: of the list that is held; -1 before the first.
-        is_confirmed: whether discovery itself has told the list that is held.
-        is_version_live: whether `version` is a number of the discovery that is called.
-        held: the endpoint list, by server.
-        on_answer: called at each answer with whether it changed the list.
-        task: that follows discovery; None while nothing does.
-        overdue: calls for the list that were posted as failed and may yet be answered.
-        listed_ms: when the call began that brought the list.
-        confirmed_ms: when discovery last said something of the list.
+        version: version of the held list; -1 before the first list.
+        is_confirmed: whether the held list came from discovery itself, not from a file or a handover.
+        is_version_live: whether `version` was numbered by the discovery process that is called now.
+        held: the entries of the held list, by server.
+        on_answer: called at each answer, with whether the answer changed the list.
+        task: the task that follows discovery; None while there is none.
+        overdue: tasks of list calls that were posted as failed and may still be answered.
+        listed_ms: when the call that returned the held list began, by the loop's clock.
+        confirmed_ms: when discovery last answered with the state of the list, by the loop's clock.
         incomplete: whether an entry was left out since the last whole list.
-        cancel_reason: with which the connection ends when the task is cancelled.
+        cancel_reason: reason logged for the connection when the task is cancelled.
 
     """
 
@@ -86,26 +90,27 @@
         self.set(config)
 
     def set(self, config: Config) -> None:
-        """Note a configuration."""
+        """Set the configuration and the time limits that follow from it."""
         self.config = config
         settings = config.deployment.settings
         grace_ms = config.deployment.grace_ms
         self.call_ms = min(CALL_TIMEOUT_SHARE * settings.list_max_age_ms, MAX_CALL_MS)
         if config.deployment.pushed:
-            # Guards against a call begun while the agent was down, which may never be answered: what the
-            # agent has at its return counts as told at once.
+            # Guards against a call that began while the discovery agent was down and may never be answered:
+            # the changes that the agent has when it returns count as known at once.
             self.call_ms = min(self.call_ms, PUSHED_CALL_TIMEOUT_SHARE * grace_ms)
         self.max_call_ms = max(OVERDUE * self.call_ms, MAX_CALL_MS)
         self.min_watch_gap_ms = min(MAX_WATCH_GAP_MS, WATCH_GAP_SHARE * grace_ms)
-        # Guards against a watch that falls silent and is missed for long; large fleets make fewer calls each.
+        # Guards against late detection of a silent watch; nodes of large fleets call less often.
         share = min(max(MIN_WATCH_SHARE, WATCH_SHARE_PER_NODE * settings.node_count), MAX_WATCH_SHARE)
         self.wait_ms = min(share * settings.list_max_age_ms, MAX_WATCH_MS)
 
     def configure(self, config: Config) -> None:
-        """Take in a new configuration; the list that is held serves until discovery has told another.
+        """Apply a new configuration; the held list stays in use until discovery returns another one.
 
-        The watch ends where its address or what entries mean has changed, and the module, told so, begins the
-        next at a time of its own chance. Guards against a storm from many nodes that are told together.
+        The watch ends if discovery's address or the meaning of entries (zones, kinds) has changed. This is
+        posted as a failure, and the reducer starts the next watch at a random time. Guards against a storm of
+        calls from many nodes that are reconfigured together.
         """
         before = self.config
         self.set(config)
@@ -125,48 +130,48 @@
         self.cancel_reason = Reason.DRAINING
 
     def begin(self, saved: ListSnapshot | None = None, doubt: float = 0.0) -> None:
-        """Take in the list that the configuration holds, or another that was saved.
+        """Apply the list in the configuration or a saved list, unless the held list has a later version.
 
-        Unless one as new is held.
+        `doubt` is the chance that an entry of the list is no longer true.
         """
         try:
             answer = self.config.known
             if saved is not None:
                 answer = {"seq": saved.version, "whole": True, "hosts": saved.rows}
             held = self.take(answer, cached=True, doubt=doubt)
-            # What was saved may be of another discovery; what the configuration holds is of this one.
+            # A saved list may come from another discovery; the configured list comes from the configured one.
             self.is_version_live = saved is None and held and not self.is_confirmed
         except MalformedMessageError as error:
-            self.log.line(f"the list in the configuration: {error}")
+            self.log.line(f"endpoint list of the configuration or the saved state is invalid: {error}")
 
     def watch(self) -> None:
-        """Ask for the list and follow its changes, unless that is under way."""
+        """Start a task that requests the list and follows its changes, unless one is running."""
         if self.task is None or self.task.done:
             self.task = self.loop.spawn(self.follow())
 
     def follow(self) -> Coroutine:
-        """Bring the list up to date, then watch back to back until a call fails."""
+        """Fetch the list, then make one watch call after the other until a call fails."""
         connection: Connection | None = None
         reason = Reason.FAULT
         try:
-            began = self.loop.now()
-            until = began + self.call_ms
+            began_ms = self.loop.now()
+            until_ms = began_ms + self.call_ms
             address = self.config.discovery
-            connection = yield from connect(self.loop, self.log, address, "discovery", until, True)
-            yield from self.fetch(connection, began)
+            connection = yield from connect(self.loop, self.log, address, "discovery", until_ms, True)
+            yield from self.fetch(connection, began_ms)
             while True:
-                began = self.loop.now()
+                began_ms = self.loop.now()
                 target = protocol.watch_target(self.version, self.wait_ms)
-                until = began + self.wait_ms + min(self.call_ms, MAX_WATCH_LATE_MS)
-                # A watch's wait is over once its answer begins. Guards against one that is cut off in it and
-                # missed only after all of its wait, which is long in large fleets.
-                answer = yield from self.call(connection, target, until, self.call_ms)
-                self.confirmed_ms = self.loop.now()  # what it tells has changed just now
+                until_ms = began_ms + self.wait_ms + min(self.call_ms, MAX_WATCH_LATE_MS)
+                # The wait of a watch is over once its answer begins. Guards against detecting a watch that is
+                # cut off within its answer only after the whole wait, which is long in large fleets.
+                answer = yield from self.call(connection, target, until_ms, self.call_ms)
+                self.confirmed_ms = self.loop.now()  # a watch reports changes as they happen
                 if not self.heed(connection, answer):
-                    until = self.loop.now() + self.call_ms
-                    self.heed(connection, (yield from self.call(connection, protocol.LIST_PATH, until)))
-                # Guards discovery against a storm of calls where it answers watches without waiting.
-                yield from sleep(began + self.min_watch_gap_ms)
+                    until_ms = self.loop.now() + self.call_ms
+                    self.heed(connection, (yield from self.call(connection, protocol.LIST_PATH, until_ms)))
+                # Guards discovery against a storm of calls if it answers watches without waiting.
+                yield from sleep(began_ms + self.min_watch_gap_ms)
         except ConnectionEndedError as ended:
             reason = ended.reason
         except MalformedMessageError as error:
@@ -185,82 +190,89 @@
                 self.fail()
 
     def fail(self) -> None:
-        """Tell that the list is not followed now."""
+        """Post to the reducer that the list is not followed now."""
         self.task = None
         self.post(EndpointListUpdate(ListUpdateKind.FAILED, []))
 
-    def fetch(self, connection: Connection, began: float) -> Steps:
-        """Call for the list, and take it in unless a later call has brought one.
+    def fetch(self, connection: Connection, began_ms: float) -> Steps:
+        """Call for the list, and apply the answer unless a later call has already returned one.
 
-        Where a list of this discovery is held, its changes since are asked for, as the first call of a watch.
-        Guards a fleet against itself: a whole list and then a new watch take two turns of discovery's, and
-        where it declines some, those that get a list keep the others from one by asking for a watch again.
+        If a list of this discovery process is held, only its changes are requested, as the first call of a
+        watch. Guards a fleet against overloading discovery: fetching a whole list and then opening a watch
+        takes two calls in discovery's queue, and if discovery declines some calls, the nodes that have a list
+        would take the place of others with their second call.
 
-        A call that is overdue is told as failed, and still listened to beside those that follow it. Guards a
-        fleet against a discovery that answers more slowly than calls are given up: all its time would go
-        into answers that nobody waits for.
+        An overdue call is posted as failed, and its answer is still awaited beside the calls that follow.
+        Guards a fleet against a discovery that answers more slowly than the call time-out: discovery would
+        spend all its time on answers that no node reads.
         """
-        task, over = self.loop.running_task(), self.overdue
+        task, overdue_calls = self.loop.running_task(), self.overdue
 
         def give_up() -> None:
-            over.add(task)
+            overdue_calls.add(task)
             self.fail()
 
         resumed = self.is_version_live and bool(self.held) and not self.incomplete
         target = protocol.watch_target(self.version, RESUME_MS) if resumed else protocol.LIST_PATH
-        timer = self.loop.at(began + self.call_ms, give_up)
+        timer = self.loop.at(began_ms + self.call_ms, give_up)
         try:
-            answer = yield from self.call(connection, target, began + self.max_call_ms)
+            answer = yield from self.call(connection, target, began_ms + self.max_call_ms)
         finally:
             self.loop.drop(timer)
-        if began < self.listed_ms:
+        if began_ms < self.listed_ms:
             raise ConnectionEndedError(Reason.DONE)
-        self.listed_ms = began
+        self.listed_ms = began_ms
         if not self.heed(connection, answer, resumed):
-            # What discovery has is older than what is held: it has begun to number anew.
-            until = self.loop.now() + self.call_ms
-            self.heed(connection, (yield from self.call(connection, protocol.LIST_PATH, until)))
+            # Discovery's version is older than the held one, so discovery has restarted its numbering.
+            until_ms = self.loop.now() + self.call_ms
+            self.heed(connection, (yield from self.call(connection, protocol.LIST_PATH, until_ms)))
         self.is_version_live = True
-        if task in over:
+        if task in overdue_calls:
             if self.task is not None and not self.task.done:
                 raise ConnectionEndedError(Reason.DONE)
-            over.remove(task)
+            overdue_calls.remove(task)
             self.task = task
 
-    def call(self, connection: Connection, target: str, until: float, within: float = inf) -> Steps:
-        """Make one call, which ends at some time, or so long after its answer began; return what it says."""
+    def call(self, connection: Connection, target: str, until_ms: float, answer_ms: float = inf) -> Steps:
+        """Make one call and return the decoded answer.
+
+        The call must end by `until_ms`, and at most `answer_ms` after the first byte of its answer.
+        """
         host = f"{self.config.discovery[0]}:{self.config.discovery[1]}"
         request = h11.Request(method="GET", target=target, headers=[("Host", host)])
-        yield from connection.message(request, b"", until)
-        yield from connection.wait_for_first_byte(until)
-        until = min(until, self.loop.now() + within)
-        answer = yield from connection.answer(until)
-        body = yield from connection.body(protocol.MAX_LIST_BYTES, until)
+        yield from connection.message(request, b"", until_ms)
+        yield from connection.wait_for_first_byte(until_ms)
+        until_ms = min(until_ms, self.loop.now() + answer_ms)
+        answer = yield from connection.answer(until_ms)
+        body = yield from connection.body(protocol.MAX_LIST_BYTES, until_ms)
         if answer.status_code != 200:
             raise ConnectionEndedError(Reason.DECLINED)
         try:
             return json.loads(body)
         except (ValueError, RecursionError):
-            raise MalformedMessageError("the answer is no JSON") from None
+            raise MalformedMessageError("the answer is not valid JSON") from None
 
     def heed(self, connection: Connection, answer: Any, resumed: bool = False) -> bool:  # noqa: ANN401
-        """Take in a whole answer, also a connection's last, and return whether it follows on what is held."""
-        fits = self.take(answer, resumed=resumed)
+        """Apply a complete answer, and return whether it was applied or is older than the held list (False).
+
+        Raises ConnectionEndedError if the answer was the last one on its connection.
+        """
+        is_applied = self.take(answer, resumed=resumed)
         if not connection.start_next_message():
             raise ConnectionEndedError(Reason.DONE)
-        return fits
+        return is_applied
 
-    def place_starts(self, answer: list_codec.ListAnswer, cached: bool) -> None:
-        """Bring the starts of servers in an answer onto the node's clock."""
+    def convert_starts(self, answer: list_codec.ListAnswer, cached: bool) -> None:
+        """Convert the process start times in an answer from Unix time to the loop's clock."""
         now = self.loop.now()
-        answer.entries[:] = self.starts.place_all(
+        answer.entries[:] = self.starts.convert_all(
             answer.entries, now, self.confirmed_ms if self.is_confirmed else None
         )
         if not cached:
             self.confirmed_ms = now
 
     def rows(self) -> list[dict[str, Any]]:
-        """Return the list as it is held, as discovery writes it; servers without an address are left out."""
+        """Return the held list in discovery's format; servers without an address are left out."""
         servers, deployment = self.upstream.pool.servers, self.config.deployment
         found = []
         for name, entry in self.held.items():
@@ -271,20 +283,21 @@
         return found
 
     def take(self, value: Any, cached: bool = False, doubt: float = 0.0, resumed: bool = False) -> bool:  # noqa: ANN401
-        """Take in an answer; a change that is older than what is held does not fit, and is left.
+        """Apply an answer; return False for a change or a cached list that is older than the held list.
 
-        One that resumes and brings nothing new is not told: it shows no watch that lasts, so that rests grow.
+        An empty answer to a resumed watch is not posted: it does not show that a watch lasts, and the
+        reducer's back-off must keep growing.
         """
         answer = list_codec.list_answer_from(value, self.config.deployment)
         whole = answer.kind is ListUpdateKind.FULL
         if (not whole or cached) and answer.version < self.version:
             return False
-        self.place_starts(answer, cached)
+        self.convert_starts(answer, cached)
         self.version, self.is_confirmed = answer.version, not cached
         for host, text in answer.invalid:
-            self.log.line(f"discovery: entry of {host[:80] or 'no host'} left out: {text}")
+            self.log.line(f"discovery: entry of host {host[:80] or 'no host'} left out: {text}")
             if whole and host in self.held:
-                answer.entries.append(self.held[host])  # what was last good of it stays
+                answer.entries.append(self.held[host])  # the last valid entry stays
         self.incomplete = bool(answer.invalid) or (self.incomplete and not whole)
         if whole:
             self.held.clear()
--- a/marlseam/net/downstream.py
+++ b/marlseam/net/downstream.py
@@ -1,4 +1,4 @@
-"""The side towards clients: accepts their connections, reads requests and writes answers."""
+"""The node's server for clients: accepts connections, reads requests and writes answers."""
 
 import socket
 import traceback
@@ -18,22 +18,22 @@
 from marlseam.net.loop import LATE, READ, READY, WOKEN, Cancelled, Coroutine, Loop, Task, Timer, sleep
 from marlseam.net.pending_request import PendingRequest
 
-IDLE_TIMEOUT_MS = 300000.0  # how long a client may keep an unused connection
-DRAIN_CHECK_MS = 20.0  # how often a drain looks for unused connections
-NEW_GRACE_MS = 250.0  # for which a new connection that has sent nothing is not closed to make room
-MAX_NEW_SHARE = 0.25  # of the clients' connections, which new ones may have before they are closed for others
-# How long a request may take to come: the first from connecting, others from their first byte.
+IDLE_TIMEOUT_MS = 300000.0  # how long a client may keep an idle connection
+DRAIN_CHECK_MS = 20.0  # how often a drain checks for idle connections
+NEW_GRACE_MS = 250.0  # during which a new connection that has sent nothing is not closed to free capacity
+MAX_NEW_SHARE = 0.25  # of clients' connections; above this share, new ones lose NEW_GRACE_MS
+# Time limit for receiving a request: the first one from connecting, others from their first byte.
 READ_TIMEOUT_MS = 2500.0
-WRITE_TIMEOUT_MS = 2500.0  # how long a client may take to read its answer
+WRITE_TIMEOUT_MS = 2500.0  # time limit for a client to read its answer
 
 
 @dataclass(frozen=True)
 class AdmissionLimits:
-    """What clients may have of the node's limits.
+    """The share of the node's limits that clients may use.
 
     Attributes:
-        clients: connections.
-        body_bytes: memory for the bodies of their requests together.
+        clients: maximum number of connections.
+        body_bytes: maximum memory for the bodies of all their requests together, in bytes.
 
     """
 
@@ -42,26 +42,26 @@
 
 
 class DownstreamServer:
-    """Accepts connections and serves each by a coroutine.
+    """Accepts clients' connections and serves each in a coroutine.
 
     Attributes:
-        is_ready: asks the node whether clients should come.
-        take_request: hands a request to the node and returns the node's own name of it.
-        client_left: tells the node that the client of a request has gone.
+        is_ready: returns whether the node is ready for clients.
+        take_request: passes a request to the node and returns the node's own id of the request.
+        client_left: notifies the node that the client of a request has disconnected.
         open: all connections.
-        idle: those between requests, the longest unused first.
-        unproven: those that have sent nothing good, the oldest first.
-        reading: those whose request has begun to come.
-        reserved_bytes: memory reserved for the bodies of requests.
-        unanswered: requests that were read and have no answer yet, by their correlation ids.
-        correlation_ids: of the requests that are with the node.
-        limits: how many clients there may be, and how many bytes of bodies.
-        violations: counts connections closed over an unanswered request; None where nothing is counted.
-        drain_timer: the next check of a drain; None while there is none.
-        close_answered_at_ms, close_idle_at_ms: from when on each answer closes its connection, and unused
-            connections are closed; inf while no drain is on.
-        shared: whether another process listens on the socket as well.
-        listener: None until the node listens.
+        idle: tasks of connections without a request in progress, the longest idle first.
+        unvalidated: tasks of connections that have not sent a valid request, the oldest first.
+        reading: tasks of connections whose request has begun to arrive.
+        reserved_bytes: bytes of memory reserved for the body of each connection's request.
+        unanswered: correlation ids of requests that were read and not answered, by connection.
+        correlation_ids: correlation ids of the requests that the node is handling.
+        limits: maximum number of clients, and of bytes of their requests' bodies.
+        violations: counts connections closed with an unanswered request; None if they are not counted.
+        drain_timer: timer of a drain's next check; None while no drain is in progress.
+        close_answered_at_ms, close_idle_at_ms: from when on each answer closes its connection, and idle
+            connections are closed, by the loop's clock; inf while no drain is in progress.
+        shared: whether another process also listens on the socket.
+        listener: accepts connections; None until the node listens.
 
     """
 
@@ -71,15 +71,15 @@
         log: Log,
         config: Config,
         limits: AdmissionLimits,
-        ready: Callable[[], bool],
-        take: Callable[[PendingRequest], str],
-        left: Callable[[str], None],
+        is_ready: Callable[[], bool],
+        take_request: Callable[[PendingRequest], str],
+        client_left: Callable[[str], None],
     ) -> None:
         self.loop, self.log = loop, log
-        self.is_ready, self.take_request, self.client_left = ready, take, left
+        self.is_ready, self.take_request, self.client_left = is_ready, take_request, client_left
         self.open: dict[Connection, None] = {}
         self.idle: dict[Connection, Task] = {}
-        self.unproven: dict[Connection, Task] = {}
+        self.unvalidated: dict[Connection, Task] = {}
         self.reading: dict[Connection, Task] = {}
         self.reserved_bytes: dict[Connection, int] = {}
         self.configure(config.deployment, limits)
@@ -94,7 +94,7 @@
         self.listener: http.Listener | None = None
 
     def configure(self, deployment: Deployment, limits: AdmissionLimits) -> None:
-        """Take in settings, and for how many clients and bytes of their bodies there is room."""
+        """Apply settings and the limits for clients, and close connections above the limit."""
         self.deployment, self.limits = deployment, limits
         while len(self.open) > limits.clients and self.close_one():
             pass
@@ -102,28 +102,31 @@
     # Connections.
 
     def listen(self) -> None:
-        """Begin to accept connections."""
+        """Start accepting connections."""
         self.listener = http.Listener(self.loop, self.sock, self.has_capacity, self.accept)
 
-    def limit_clients(self, most: int) -> None:
-        """Take so many clients at most until it is configured anew; those there are stay while they can."""
-        self.limits = replace(self.limits, clients=min(self.limits.clients, most))
+    def limit_clients(self, max_clients: int) -> None:
+        """Lower the maximum number of clients until the next `configure`; open connections are not closed."""
+        self.limits = replace(self.limits, clients=min(self.limits.clients, max_clients))
 
-    def has_capacity(self, short: bool) -> bool:
-        """Return whether another connection may be had; others without taken work give up theirs for it."""
-        if short:
+    def has_capacity(self, is_short: bool) -> bool:
+        """Return whether a connection may be accepted; closes connections without a taken request for it.
+
+        `is_short`: the system has no descriptor left, so that one descriptor must be released.
+        """
+        if is_short:
             return self.loop.descriptors.release_one()
         while len(self.open) >= self.limits.clients:
             if not self.close_one():
                 return False
-        # Guards the node's own needs: what becomes free is held for them again before clients have it.
+        # Guards the node's own needs: freed descriptors first refill the spares, before clients use them.
         descriptors = self.loop.descriptors
         return descriptors.hold_all_spares() or (self.close_one() and descriptors.hold_all_spares())
 
     def accept(self, sock: socket.socket) -> None:
-        """Serve a connection; without room, as the listener closes, what came on it is refused at once."""
+        """Serve a new connection, or refuse it with 503 without capacity, as when the listener closes."""
         connection = Connection(self.loop, self.log, sock, h11.SERVER, "client")
-        # It may have stood in the queue since then, and its first request with it.
+        # The connection and its first request may have waited in the accept queue since then.
         if self.listener is not None:
             connection.last_empty_ms = connection.earliest_sent_ms = self.listener.last_empty_ms
         if not self.has_capacity(False):
@@ -134,24 +137,25 @@
         self.loop.spawn(self.serve(connection))
 
     def close_one(self) -> bool:
-        """Close a connection without taken work, if there is one; those that sent nothing good go first.
+        """Close a connection without a taken request and return whether there was one.
 
-        Guards usual clients against floods of connections that say nothing, or nothing good; and new ones,
-        whose request comes some moments after them, against giving way to each other while others rest.
+        Connections that have sent no valid request are closed first. Guards regular clients against floods of
+        connections that send nothing or nothing valid, and guards new clients, whose first request arrives
+        shortly after connecting, against being closed for each other while other connections are idle.
         """
-        few = len(self.unproven) <= MAX_NEW_SHARE * self.limits.clients
-        new_ms = self.loop.now() - (NEW_GRACE_MS if few else 0.0)
-        first = [connection for connection in self.unproven if connection.opened_ms <= new_ms]
-        resting = [connection for connection in self.idle if connection not in self.unproven]
-        found = dict.fromkeys((*first, *resting, *self.unproven))
-        return any(self.close_or_wake(connection, Reason.CROWDED) for connection in found)
+        has_few_new = len(self.unvalidated) <= MAX_NEW_SHARE * self.limits.clients
+        new_ms = self.loop.now() - (NEW_GRACE_MS if has_few_new else 0.0)
+        old_unvalidated = [connection for connection in self.unvalidated if connection.opened_ms <= new_ms]
+        idle_validated = [connection for connection in self.idle if connection not in self.unvalidated]
+        closable = dict.fromkeys((*old_unvalidated, *idle_validated, *self.unvalidated))
+        return any(self.close_or_wake(connection, Reason.CROWDED) for connection in closable)
 
     def close_or_wake(self, connection: Connection, reason: Reason) -> bool:
-        """Close a connection unless it was idle and a request has begun to come; return whether it is.
+        """Close a connection unless it was idle and a request has begun to arrive; return whether it closed.
 
-        One whose request is on its way is told that it is not served.
+        A request that is being received is answered with 503.
         """
-        task = self.unproven.get(connection) or self.idle.get(connection) or self.reading[connection]
+        task = self.unvalidated.get(connection) or self.idle.get(connection) or self.reading[connection]
         if connection in self.idle and not connection.is_quiet():
             del self.idle[connection]
             task.wake()
@@ -163,11 +167,15 @@
         return True
 
     def reserve_body(self, connection: Connection, size: int, until_ms: float) -> Steps:
-        """Wait for room for a request's body; those that have sent nothing good give up theirs first."""
+        """Reserve memory for a request's body, waiting until it is free.
+
+        Connections that have sent no valid request are closed to free theirs. Raises ConnectionEndedError
+        with status 408 after `until_ms`.
+        """
         while sum(self.reserved_bytes.values()) + size > self.limits.body_bytes:
-            held = next((c for c in self.unproven if self.reserved_bytes.get(c)), None)
-            if held is not None:
-                self.close_or_wake(held, Reason.CROWDED)
+            unvalidated_holder = next((c for c in self.unvalidated if self.reserved_bytes.get(c)), None)
+            if unvalidated_holder is not None:
+                self.close_or_wake(unvalidated_holder, Reason.CROWDED)
             elif self.loop.now() < until_ms:
                 yield from sleep(self.loop.now() + http.CAPACITY_RETRY_MS)
             else:
@@ -176,14 +184,15 @@
 
     # A drain.
 
-    def drain(self, keep_ms: float, part_ms: float) -> None:
-        """Send clients away, until `resume`; a second drain can only hasten the first.
+    def drain(self, answered_grace_ms: float, idle_grace_ms: float) -> None:
+        """Close clients' connections step by step until `resume`; a second drain can only shorten the first.
 
-        After `keep_ms` each answer closes its connection, and after `part_ms` unused connections are closed.
+        After `answered_grace_ms` each answer closes its connection, and after `idle_grace_ms` idle
+        connections are closed.
         """
         now = self.loop.now()
-        self.close_answered_at_ms = min(self.close_answered_at_ms, now + keep_ms)
-        self.close_idle_at_ms = min(self.close_idle_at_ms, now + part_ms)
+        self.close_answered_at_ms = min(self.close_answered_at_ms, now + answered_grace_ms)
+        self.close_idle_at_ms = min(self.close_idle_at_ms, now + idle_grace_ms)
         if self.drain_timer is None:
             self.close_idle()
 
@@ -194,105 +203,106 @@
         self.drain_timer, self.close_answered_at_ms, self.close_idle_at_ms = None, inf, inf
 
     def close_idle(self) -> None:
-        """Close connections on which nothing is under way, once it is time, and check again later."""
+        """Close idle connections once their grace is over, and schedule the next check."""
         now = self.loop.now()
         for connection in list(self.idle) if now >= self.close_idle_at_ms else ():
-            if connection not in self.unproven or now >= connection.opened_ms + NEW_GRACE_MS:
+            if connection not in self.unvalidated or now >= connection.opened_ms + NEW_GRACE_MS:
                 self.close_or_wake(connection, Reason.DRAINING)
         self.drain_timer = self.loop.at(now + DRAIN_CHECK_MS, self.close_idle)
 
     def refuse_unread(self) -> None:
-        """Refuse the requests that are still on their way, as the node ends: later nobody would answer."""
+        """Refuse the requests that are still being received as the node ends; later they get no answer."""
         for connection in list(self.reading):
             self.close_or_wake(connection, Reason.DRAINING)
 
     def is_last_message(self, connection: Connection) -> bool:
-        """Return whether a connection ends with the answer in hand: a drain is on, nothing more has come.
+        """Return whether the current answer is the last one on its connection.
 
-        Or some of what came was thrown away.
+        That is the case if received bytes were discarded, or if a drain closes answered connections and no
+        further bytes have arrived.
         """
         return connection.has_discarded or (
             self.loop.now() >= self.close_answered_at_ms and connection.is_quiet()
         )
 
     def stop_listening(self) -> None:
-        """Take no more connections; where nobody else will, first those that the system has for us."""
+        """Stop accepting connections; if no other process accepts the queued ones, accept these first."""
         if self.listener is not None:
             self.listener.close(accepts_queued=not self.shared)
         else:
             self.loop.close(self.sock)
 
     def has_waiting_clients(self) -> bool:
-        """Return whether somebody may wait for an answer: a connection is open, or stands in the queue."""
+        """Return whether a client may be waiting: a connection is open or may be in the accept queue."""
         return bool(self.open) or (self.listener is not None and not self.listener.closed)
 
     # One connection.
 
     def serve(self, connection: Connection) -> Coroutine:
-        """Serve a client's requests one after the other."""
+        """Serve the requests on a client's connection one after the other."""
         reason = Reason.FAULT
-        self.unproven[connection] = self.loop.running_task()
+        self.unvalidated[connection] = self.loop.running_task()
         try:
             while (yield from self.request(connection)):
-                # Guards the others' turns against a client that sends many requests ahead.
+                # Guards other connections against starvation by a client that pipelines many requests.
                 yield from sleep(self.loop.now())
             reason = Reason.DRAINING if self.drain_timer is not None else Reason.DONE
-        except ConnectionEndedError as ended:
-            reason = ended.reason
+        except ConnectionEndedError as end:
+            reason = end.reason
             self.reserved_bytes.pop(connection, None)
             self.reading.pop(connection, None)
-            if ended.status:
-                self.unproven[connection] = self.loop.running_task()
+            if end.status:
+                self.unvalidated[connection] = self.loop.running_task()
                 self.unanswered.pop(connection, None)
-                yield from http.complain(connection, ended, self.loop.now() + WRITE_TIMEOUT_MS)
+                yield from http.complain(connection, end, self.loop.now() + WRITE_TIMEOUT_MS)
         except Cancelled:
             reason = Reason.DRAINING
             raise
         except Exception:
-            # Guards the client against an error of this program: whoever has sent a request gets an answer.
+            # Guards the client against an error of this program: each request that was sent gets an answer.
             self.loop.fault(traceback.format_exc())
             self.unanswered.pop(connection, None)
             failed = ConnectionEndedError(
-                Reason.FAULT, HTTPStatus.INTERNAL_SERVER_ERROR, "an error of this node"
+                Reason.FAULT, HTTPStatus.INTERNAL_SERVER_ERROR, "internal error of this node"
             )
             yield from http.complain(connection, failed, self.loop.now() + WRITE_TIMEOUT_MS)
         finally:
             id = self.unanswered.pop(connection, None)
             if id is not None and self.violations is not None and not connection.is_peer_gone():
                 self.violations.note(Invariant.CLOSE, id=id, reason=reason.value)
-            for table in (self.unproven, self.reading, self.idle, self.reserved_bytes, self.open):
+            for table in (self.unvalidated, self.reading, self.idle, self.reserved_bytes, self.open):
                 table.pop(connection, None)
             connection.close(reason)
 
     def first_byte(self, connection: Connection) -> Steps:
-        """Wait for a request to begin; meanwhile the connection may be closed to make room."""
-        until = self.loop.now() + IDLE_TIMEOUT_MS
-        if connection in self.unproven:
-            until = connection.opened_ms + READ_TIMEOUT_MS
+        """Wait for the first byte of a request; meanwhile the connection may be closed to free capacity."""
+        until_ms = self.loop.now() + IDLE_TIMEOUT_MS
+        if connection in self.unvalidated:
+            until_ms = connection.opened_ms + READ_TIMEOUT_MS
         while not connection.has_ahead() and not connection.eof:
             if connection.fill():
                 continue
             self.idle[connection] = self.loop.running_task()
-            came = yield (connection.sock.fileno(), READ, until)
+            event = yield (connection.sock.fileno(), READ, until_ms)
             self.idle.pop(connection, None)
-            if came == LATE and connection.is_quiet():  # not where a request comes just then
+            if event == LATE and connection.is_quiet():  # unless a request is arriving
                 raise ConnectionEndedError(Reason.IDLE)
         if not connection.has_ahead():
             raise ConnectionEndedError(Reason.PEER_CLOSED)
 
     def request(self, connection: Connection) -> Steps:
-        """Serve one request; return whether another may follow."""
+        """Serve one request; return whether another one may follow on the connection."""
         yield from self.first_byte(connection)
-        began = self.loop.now()
-        until = (connection.opened_ms if connection in self.unproven else began) + READ_TIMEOUT_MS
+        began_ms = self.loop.now()
+        until_ms = (connection.opened_ms if connection in self.unvalidated else began_ms) + READ_TIMEOUT_MS
         self.reading[connection] = self.loop.running_task()
         try:
             call = yield from http.read(
                 connection,
-                until,
+                until_ms,
                 lambda method, target: protocol.check_route(method, target, self.deployment.types),
                 protocol.MAX_BODY_BYTES,
-                lambda size: self.reserve_body(connection, size, until),
+                lambda size: self.reserve_body(connection, size, until_ms),
             )
             del self.reading[connection]
             if protocol.path_of(call.target) == protocol.READY_PATH:
@@ -318,17 +328,17 @@
         return connection.start_next_message()
 
     def serve_request(self, connection: Connection, pending: PendingRequest) -> Steps:
-        """Hand a request to the node and wait for its answer, or for the client to go."""
+        """Pass a request to the node and wait for its answer, or until the client disconnects."""
         id = pending.client_request.id
         if connection.has_ahead():
             connection.discard_ahead()
-        if connection.is_peer_gone():  # guards against work for one that left while it waited to be read
+        if connection.is_peer_gone():  # guards against work for a client that has already left
             raise ConnectionEndedError(Reason.PEER_CLOSED)
         if id in self.correlation_ids:
             raise MalformedMessageError("a work unit with this id is out", 409)
         pending.task = self.loop.running_task()
         self.correlation_ids.add(id)
-        self.unproven.pop(connection, None)
+        self.unvalidated.pop(connection, None)
         request_id = ""
         try:
             request_id = self.take_request(pending)
@@ -336,7 +346,7 @@
         except ConnectionEndedError:
             raise
         except Exception:
-            self.client_left(request_id)  # its client is told of the error, and nothing more of it is sent
+            self.client_left(request_id)  # its client gets an error answer, and no more attempts are sent
             raise
         finally:
             self.correlation_ids.discard(id)
@@ -345,22 +355,22 @@
         return answer
 
     def wait_for_answer(self, connection: Connection, pending: PendingRequest, request_id: str) -> Steps:
-        """Wait for a request's answer, or for its client to go."""
+        """Wait for the answer to a request, or until its client disconnects."""
         while pending.answer is None:
-            wait, asked = connection.wait_for_end(), self.loop.now()
-            came = yield wait
-            if came == LATE:
+            wait, asked_ms = connection.wait_for_end(), self.loop.now()
+            event = yield wait
+            if event == LATE:
                 connection.discard_ahead()
-            elif came == WOKEN and wait[1] & READ and self.loop.polled_ms > asked:
+            elif event == WOKEN and wait[1] & READ and self.loop.polled_ms > asked_ms:
                 connection.note_empty(self.loop.polled_ms)
-            if came != WOKEN and pending.answer is None:
+            if event != WOKEN and pending.answer is None:
                 try:
-                    gone = connection.is_peer_gone() or (
-                        came == READY and connection.fill() and connection.eof
+                    is_gone = connection.is_peer_gone() or (
+                        event == READY and connection.fill() and connection.eof
                     )
                 except ConnectionEndedError:
-                    gone = True
-                if gone:
+                    is_gone = True
+                if is_gone:
                     self.client_left(request_id)
                     raise ConnectionEndedError(Reason.PEER_CLOSED)
         pending.task = None
--- a/marlseam/net/errors.py
+++ b/marlseam/net/errors.py
@@ -1,19 +1,19 @@
-"""Errors of the node's network side, each with what its handler needs."""
+"""Errors of the node's network code."""
 
 from marlseam.net.log import Reason
 
 
 class NetError(Exception):
-    """Any error of this package."""
+    """Base class of the errors of this package."""
 
 
 class ConnectionEndedError(NetError):
     """A connection cannot go on.
 
     Attributes:
-        reason: why, as the connection's line in the log tells it.
-        status: the HTTP status that the peer is told; 0 for nothing.
-        allow: the method that the peer is told is allowed; "" for none.
+        reason: the reason code for the connection's line in the log.
+        status: the HTTP status of the answer to the peer; 0 for no answer.
+        allow: the method in the answer's Allow header; "" for no header.
 
     """
 
@@ -23,11 +23,11 @@
 
 
 class MalformedMessageError(NetError):
-    """Something came that the protocol does not allow.
+    """A received message violates the protocol.
 
     Attributes:
-        status: the HTTP status that a client is told.
-        allow: the method that it is told is allowed; "" for none.
+        status: the HTTP status of the answer to a client.
+        allow: the method in the answer's Allow header; "" for no header.
 
     """
 
--- a/marlseam/net/http.py
+++ b/marlseam/net/http.py
@@ -1,4 +1,4 @@
-"""What serving clients and operators shares: a listener, reading a request whole, writing an answer."""
+"""HTTP serving for clients and operators: a listener, reading of complete requests, writing of answers."""
 
 import errno
 import select
@@ -21,12 +21,12 @@
 
 MAX_ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the loop
 BACKLOG = 512
-LINGER_MS = 1000.0  # how long it is read on after a complaint
-CAPACITY_RETRY_MS = 20.0  # after which what found no capacity tries again
+LINGER_MS = 1000.0  # how long bytes are read and discarded after an error answer
+CAPACITY_RETRY_MS = 20.0  # wait before a retry if there was no capacity
 
 
 def bound(address: tuple[str, int]) -> socket.socket:
-    """Return a socket that has an address; OSError where that is not free."""
+    """Return a socket that is bound to an address; raises OSError if the address is not available."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -39,85 +39,86 @@
 
 
 def inherited(number: int) -> socket.socket:
-    """Return the listening socket that the process was started with; OSError where there is none."""
+    """Return the listening socket that the process inherited; raises OSError if the descriptor is none."""
     try:
         sock = socket.socket(fileno=number)
     except OSError as error:
-        raise OSError(error.errno, "no socket") from None
+        raise OSError(error.errno, "not a socket") from None
     stream = sock.type == socket.SOCK_STREAM
     if not stream or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        sock.detach()  # not ours to close
-        raise OSError(errno.EINVAL, "not a stream socket that listens")
+        sock.detach()  # the descriptor belongs to another part of the process
+        raise OSError(errno.EINVAL, "not a listening stream socket")
     sock.set_inheritable(False)
     sock.setblocking(False)
     return sock
 
 
 class AcceptResult(Enum):
-    """What an attempt to accept one connection came to."""
+    """The result of trying to accept one connection."""
 
     ACCEPTED = auto()
     QUEUE_EMPTY = auto()
-    LOST = auto()  # it is gone already, or a signal came
-    CAPACITY_MADE = auto()  # nothing was left, and something was given up for it
+    LOST = auto()  # the connection ended already, or a signal arrived
+    CAPACITY_MADE = auto()  # no descriptor was left, and one was released
     NO_CAPACITY = auto()
 
 
 class Listener:
     """Accepts connections for as long as it is open.
 
-    `room` returns whether another connection may be had and makes room for it where it can, told whether the
-    system has no descriptor left: then, whether one was given up.
+    `has_capacity` returns whether another connection may be accepted, and frees capacity for it if possible.
+    Its argument is whether the system has no descriptor left; then it returns whether one was released.
     """
 
     def __init__(
         self,
         loop: Loop,
         sock: socket.socket,
-        reserve_body: Callable[[bool], bool],
-        taken: Callable[[socket.socket], None],
+        has_capacity: Callable[[bool], bool],
+        on_accept: Callable[[socket.socket], None],
         first: bool = False,
     ) -> None:
-        self.loop, self.sock, self.has_capacity, self.on_accept = loop, sock, reserve_body, taken
-        self.closed = False  # the socket too: nobody stands in the queue
-        self.last_empty_ms = loop.now()  # when nobody stood in the queue for the last time
+        self.loop, self.sock, self.has_capacity, self.on_accept = loop, sock, has_capacity, on_accept
+        self.closed = False  # whether the socket is closed, so that no client is in its accept queue
+        self.last_empty_ms = loop.now()  # when the accept queue was last empty
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            # Not before: a client's time runs, unseen by the node, while it waits for a start that reads its
-            # memory; and one that is turned away goes elsewhere at once.
+            # Not listening before: a client's time would pass, unnoticed by the node, while the node recovers
+            # its state at the start; a client whose connection is refused tries another node at once.
             sock.listen(BACKLOG)
         self.task = loop.spawn(self.accept(), first)
 
     def accept(self) -> Coroutine:
-        """Accept connections, some in each turn of the loop."""
+        """Accept connections, at most MAX_ACCEPTS_PER_TURN in each turn of the loop."""
         poller = select.poll()
         poller.register(self.sock, select.POLLIN)
-        was_empty = True  # whether nobody stood in the queue as it was waited for
+        was_empty = True  # whether the accept queue was empty when the wait began
         while True:
             yield (self.sock.fileno(), READ, inf)
             if was_empty:
                 self.last_empty_ms = max(self.last_empty_ms, self.loop.ready_since_ms)
             was_empty = False
-            has_made_capacity = False  # and it is not used yet
+            has_made_capacity = False  # whether released capacity is not used yet
             for _ in range(MAX_ACCEPTS_PER_TURN):
                 if not syscalls.is_poll_ready(poller, if_unknown=True):
                     was_empty, self.last_empty_ms = True, self.loop.now()
-                    break  # before room is made: for nobody a connection would be closed
+                    break  # before capacity is made: no connection is closed if no client waits
                 while not self.has_capacity(False):
-                    # Guards against losing requests: what is not accepted yet waits, what is would be lost.
+                    # Guards against losing requests: a queued connection waits, an accepted one is closed.
                     yield from sleep(self.loop.now() + CAPACITY_RETRY_MS)
                 result = self.try_accept(has_made_capacity)
                 if result is AcceptResult.QUEUE_EMPTY:
                     break
                 if result is AcceptResult.NO_CAPACITY:
-                    # Guards against a busy loop: the listener stays readable while nothing can be taken;
-                    # and connections, where the whole system is short and giving up ours does not help.
+                    # Guards against a busy loop: the listener stays readable while nothing can be accepted.
+                    # Also guards open connections if the whole system has no descriptors, where closing them
+                    # does not help.
                     yield from sleep(self.loop.now() + CAPACITY_RETRY_MS)
                     break
                 if result is not AcceptResult.LOST:
                     has_made_capacity = result is AcceptResult.CAPACITY_MADE
 
     def try_accept(self, has_made_capacity: bool) -> AcceptResult:
-        """Accept one connection; where nothing is left, have something given up, unless that was no use."""
+        """Accept one connection; without a descriptor, release one, unless the last release did not help."""
         try:
             self.accept_one()
         except BlockingIOError:
@@ -131,17 +132,17 @@
         return AcceptResult.ACCEPTED
 
     def accept_one(self) -> None:
-        """Accept one connection; OSError where there is none, it is gone already, or nothing can be had."""
+        """Accept one connection; raises OSError if none is queued, it has ended, or no descriptor is left."""
         sock, _ = self.sock.accept()
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.on_accept(sock)
 
     def close(self, accepts_queued: bool = False) -> None:
-        """Take no more connections; `rest`: but for those that the system has accepted for us.
+        """Stop accepting connections; with `accepts_queued`, only after those in the accept queue.
 
-        Guards requests that stand in the queue, as for want of room: they count as taken, and closing the
-        listener would reset them. `taken` sees to it that no limit is passed.
+        Guards requests in the accept queue, for example while there is no capacity: they count as taken, and
+        closing the listener would reset them. `on_accept` must enforce the limits.
         """
         self.task.cancel()
         if accepts_queued:
@@ -155,8 +156,8 @@
         self.loop.close(self.sock)
 
     def accept_queued(self) -> None:
-        """Accept what stands in the queue, then close; where nothing can be had, go on a little later."""
-        has_made_capacity = False  # and it is not used yet
+        """Accept the queued connections, then close; without a descriptor, retry after CAPACITY_RETRY_MS."""
+        has_made_capacity = False  # whether released capacity is not used yet
         for _ in range(BACKLOG):
             result = self.try_accept(has_made_capacity)
             if result is AcceptResult.QUEUE_EMPTY:
@@ -171,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request, read whole."""
+    """One complete request."""
 
     method: str
     target: str
@@ -182,14 +183,15 @@
 def read(
     connection: Connection,
     until_ms: float,
-    allows: Callable[[str, str], object],
+    check_allowed: Callable[[str, str], object],
     max_bytes: int,
     reserve_body: Callable[[int], Steps] | None = None,
 ) -> Steps:
-    """Read one request.
+    """Read one complete request and return a `Call`.
 
-    `allows` refuses a method and target by Malformed before a body of up to `most` bytes is read; `room`
-    waits for a place for it. Raises Ended, and Malformed for what can be understood in another way.
+    `check_allowed` raises MalformedMessageError for a refused method or target before the body, of up to
+    `max_bytes`, is read; `reserve_body` waits for memory for the body. Raises ConnectionEndedError, and
+    MalformedMessageError for a head that parsers read differently.
     """
     request = yield from connection.event(until_ms)
     if type(request) is not h11.Request:
@@ -197,7 +199,7 @@
     head = protocol.head_from(request.headers, request.http_version, bytes(connection.raw_head))
     connection.raw_head.clear()
     method, target = request.method.decode("latin-1"), request.target.decode("latin-1")
-    allows(method, target)
+    check_allowed(method, target)
     size = max_bytes if "Transfer-Encoding" in head else int(head.get("Content-Length", "0"))
     if size > max_bytes:
         raise ConnectionEndedError(Reason.TOO_LARGE, 413)
@@ -207,19 +209,19 @@
 
 
 def bad(error: MalformedMessageError) -> ConnectionEndedError:
-    """Return the end of a connection on which something came that the protocol does not allow."""
+    """Return the ConnectionEndedError for a malformed message."""
     return ConnectionEndedError(Reason.BAD_MESSAGE, error.status, str(error), error.allow)
 
 
 def answer(connection: Connection, status: int, headers: Headers, body: bytes, until_ms: float) -> Steps:
-    """Write an answer."""
+    """Write a complete answer."""
     headers = [*headers, ("Content-Length", str(len(body)))]
     head = h11.Response(status_code=status, headers=headers, reason=HTTPStatus(status).phrase)
     yield from connection.message(head, body, until_ms)
 
 
 def complain(connection: Connection, ended: ConnectionEndedError, until_ms: float) -> Steps:
-    """Tell a client what is wrong with its request, if its connection allows it, and read on a while."""
+    """Answer a client with the error in its request, if possible, then read on for up to LINGER_MS."""
     headers = [("Connection", "close")] + ([("Allow", ended.allow)] if ended.allow else [])
     try:
         yield from answer(connection, ended.status, headers, str(ended).encode() + b"\n", until_ms)
--- a/marlseam/net/limits.py
+++ b/marlseam/net/limits.py
@@ -1,7 +1,7 @@
-"""A process's part of the node's limits: connections, memory for bodies, and settings that are budgets.
+"""A process's share of the node's limits: connections, memory for bodies, and settings that are budgets.
 
-The node counts what it opens against the settings. Where the system has fewer descriptors than these say,
-`DescriptorShortage` takes fewer clients for a while.
+The node counts what it opens against the settings. If the system has fewer descriptors than the settings
+allow, `DescriptorShortage` lowers the limit of clients for a while.
 """
 
 import resource
@@ -17,33 +17,33 @@
 from marlseam.net.upstream import Upstream
 
 OWN_SOCKETS = 32  # descriptors for listeners, epoll, signals, discovery, logs and the interpreter
-OWN_MEMORY_MB = 20.0  # for the node itself
-CONNECTION_KB = 20.0  # memory for a connection without its body
-BODY_MEMORY_SHARE = 0.5  # of the other memory, for bodies of clients' requests
-OPERATOR_CONNECTIONS = 16  # beside all others
-MIN_CONNECTIONS = 16  # however tight the limits: fewer could not serve
+OWN_MEMORY_MB = 20.0  # memory for the node itself
+CONNECTION_KB = 20.0  # memory for a connection, without the body of its request
+BODY_MEMORY_SHARE = 0.5  # of the memory beyond OWN_MEMORY_MB, for bodies of clients' requests
+OPERATOR_CONNECTIONS = 16  # reserved for operators, in addition to all other connections
+MIN_CONNECTIONS = 16  # whatever the limits: a node cannot serve with fewer
 CLIENT_SHARE = 0.5  # of the connections, for clients
-MIN_CLIENTS = 2  # however few descriptors the system has
-SHORTAGE_MS = 10000.0  # after a shortage, until the settings' limit is tried again
+MIN_CLIENTS = 2  # whatever the number of descriptors that the system has
+SHORTAGE_MS = 10000.0  # time after a shortage until the settings' limit is tried again
 
 
 class ConnectionLimits(NamedTuple):
-    """What one process may have: `clients` their connections and bodies, `servers` connections to these."""
+    """The limits of one process: `clients` for connections and bodies, `servers` for connections."""
 
     clients: AdmissionLimits
     servers: int
 
 
 def settings_for_process(settings: Settings, processes: int = 1) -> Settings:
-    """Return settings as they hold on sockets, and for one of the processes that serve as this node.
+    """Return the settings for serving on sockets, for one of the processes that serve as this node.
 
-    The platform's protocol has no messages between nodes, and its lists come to those that watch alone.
+    The platform's protocol has no messages between nodes, and sends lists only to nodes that watch.
     """
     return replace(settings, may_gossip=False, subscribes_to_endpoints=True, process_share=1.0 / processes)
 
 
 def max_connections(config: Config, processes: int = 1) -> int:
-    """Return how many connections the limits leave room for in one of some processes, bodies apart."""
+    """Return how many connections the limits allow in one of `processes` processes, without bodies."""
     allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     sockets = config.sockets if allowed == resource.RLIM_INFINITY else min(config.sockets, allowed)
     free_kb = (1.0 - BODY_MEMORY_SHARE) * (config.memory_mb / processes - OWN_MEMORY_MB) * 1024.0
@@ -52,7 +52,7 @@
 
 
 def connection_limits(config: Config, processes: int = 1) -> ConnectionLimits:
-    """Return the limits of one of some processes."""
+    """Return the limits of one of `processes` processes."""
     connections = max_connections(config, processes)
     clients = int(CLIENT_SHARE * connections)
     body_bytes = BODY_MEMORY_SHARE * (config.memory_mb / processes - OWN_MEMORY_MB) * 1024.0 * 1024.0
@@ -61,9 +61,9 @@
 
 
 class DescriptorShortage:
-    """Takes fewer clients for a while where the system has fewer descriptors than the settings say.
+    """Lowers the limit of clients for a while if the system has fewer descriptors than the settings allow.
 
-    `restore` takes as many clients again as the settings say.
+    `restore` applies the settings' limit again.
     """
 
     def __init__(
@@ -75,9 +75,9 @@
         loop.descriptors.on_shortage = self.reduce_clients
 
     def reduce_clients(self) -> None:
-        """Take no more clients than a share of what is open.
+        """Lower the limit of clients to CLIENT_SHARE of the open connections.
 
-        Guards the sends of what was taken, which need as many descriptors again as clients have.
+        Guards the attempts of taken requests, which need as many descriptors as the clients' connections.
         """
         connections = len(self.downstream.open) + self.upstream.pool.open_count()
         self.downstream.limit_clients(max(MIN_CLIENTS, int(CLIENT_SHARE * connections)))
@@ -85,6 +85,6 @@
         self.restoring = self.loop.at(self.loop.now() + SHORTAGE_MS, self.end)
 
     def end(self) -> None:
-        """Try the settings' limit again: other processes may have given descriptors back."""
+        """Try the settings' limit again: other processes may have released descriptors."""
         self.loop.descriptors.hold_all_spares()
         self.restore()
--- a/marlseam/net/list_codec.py
+++ b/marlseam/net/list_codec.py
@@ -1,4 +1,4 @@
-"""Discovery's answers turned into an endpoint list, and back; no I/O."""
+"""Decodes discovery's answers into an endpoint list, and encodes list entries; no I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -17,14 +17,14 @@
 
 
 class InvalidEntry(NamedTuple):
-    """An entry that was left out: its host, "" where that cannot be told, and what is wrong with it."""
+    """An entry that was left out: its host ("" if unknown) and the error."""
 
     host: str
     problem: str
 
 
 class AddressedEntry(NamedTuple):
-    """An entry of the list and the server's address; None where the entry tells none."""
+    """An entry of the list and the server's address; None if the entry has no address."""
 
     entry: EndpointEntry
     address: tuple[str, int] | None
@@ -35,11 +35,11 @@
     """One answer of discovery.
 
     Attributes:
-        version: of the list.
-        kind: whether it tells the whole list or what changed.
-        entries: those that are valid.
-        addresses: by server, where an entry tells one.
-        invalid: the others.
+        version: version of the list.
+        kind: whether the answer holds the whole list or only changes.
+        entries: the valid entries.
+        addresses: host and port by server, for entries that have an address.
+        invalid: the entries that were left out.
 
     """
 
@@ -51,12 +51,15 @@
 
 
 def list_answer_from(value: object, deployment: Deployment) -> ListAnswer:
-    """Read discovery's answer, with starts in Unix ms as listed; an odd entry is left out and told of."""
+    """Decode an answer of discovery, with process starts in Unix ms; collects invalid entries in `invalid`.
+
+    Raises MalformedMessageError if the answer itself has no list or no version.
+    """
     if not isinstance(value, dict) or not isinstance(value.get("hosts"), list):
-        raise MalformedMessageError("the answer holds no list")
+        raise MalformedMessageError("the answer is not an object with a list under hosts")
     version = value.get("seq")
     if not isinstance(version, int) or isinstance(version, bool):
-        raise MalformedMessageError("the answer holds no version")
+        raise MalformedMessageError("the answer has no integer version under seq")
     answer = ListAnswer(
         version, ListUpdateKind.FULL if value.get("whole") else ListUpdateKind.DELTA, [], {}, []
     )
@@ -74,12 +77,12 @@
 
 
 def entry_from(row: object, deployment: Deployment) -> AddressedEntry:
-    """Read one entry of the list; of one that wants nothing new, host and health are enough.
+    """Decode one entry of the list; an entry of a draining or gone server needs only host and health.
 
-    Guards a drain that is told in an entry that is spoilt elsewhere.
+    Guards a drain that is reported in an entry whose other fields are malformed.
     """
     if not isinstance(row, dict):
-        raise MalformedMessageError("no object")
+        raise MalformedMessageError("the entry is not an object")
     name, state, block, started_unix_ms = (
         row.get("host"),
         row.get("health"),
@@ -88,11 +91,11 @@
     )
     share, at = finite(row.get("share")), finite(started_unix_ms)
     if not isinstance(name, str) or not name:
-        raise MalformedMessageError("no host")
+        raise MalformedMessageError("host is not a non-empty string")
     if not isinstance(state, str) or state not in STATE_BY_HEALTH:
-        raise MalformedMessageError("unknown health")
+        raise MalformedMessageError("health is not one of active, leaving, left")
     if started_unix_ms is not None and at is None and STATE_BY_HEALTH[state] is EndpointState.READY:
-        raise MalformedMessageError("born_ms is no number")
+        raise MalformedMessageError("born_ms is not a finite number")
     entry = EndpointEntry(
         server=name,
         state=STATE_BY_HEALTH[state],
@@ -106,12 +109,12 @@
         return AddressedEntry(entry, None)
     address = address_from(row.get("dial"))
     if address is None and entry.state is EndpointState.READY:
-        raise MalformedMessageError("dial is no address and port")
+        raise MalformedMessageError("dial is not an IP address and port")
     return AddressedEntry(entry, address)
 
 
 def row_of(entry: EndpointEntry, address: tuple[str, int], deployment: Deployment) -> dict[str, Any]:
-    """Write an entry, whose start is as listed, as discovery does."""
+    """Encode an entry, whose process start is in Unix ms, in discovery's format."""
     zones, kinds = list(deployment.zones), list(deployment.kinds)
     host = f"[{address[0]}]" if ":" in address[0] else address[0]
     return {
@@ -127,5 +130,5 @@
 
 
 def index_of(value: Any, names: Mapping[str, int]) -> int:  # noqa: ANN401
-    """Return a name's index; -1 for what is not among the names."""
+    """Return the index of a name; -1 if the value is not one of the names."""
     return names.get(value, -1) if isinstance(value, str) else -1
--- a/marlseam/net/log.py
+++ b/marlseam/net/log.py
@@ -1,4 +1,4 @@
-"""Lines on standard error by plain print, rate-limited, with the reason codes of ended connections."""
+"""The rate-limited log on standard error, and the reason codes of ended connections."""
 
 import select
 import sys
@@ -7,41 +7,41 @@
 
 from marlseam.net import syscalls
 
-MAX_BURST_LINES, LINES_PER_S = 200.0, 50.0  # lines at once, and lines a second after that
-MAX_LINE_BYTES = select.PIPE_BUF  # bytes, which a pipe that is ready takes at once
-RESERVED_LINES = 100.0  # of the lines at once, kept from the ends of connections for all else
+MAX_BURST_LINES, LINES_PER_S = 200.0, 50.0  # lines at once, and lines per second after these
+MAX_LINE_BYTES = select.PIPE_BUF  # bytes, which a writable pipe accepts without blocking
+RESERVED_LINES = 100.0  # of MAX_BURST_LINES, not available to lines on ended connections
 
 
 class Reason(Enum):
     """Why a connection ended."""
 
-    DONE = "done"  # the last message said so
-    IDLE = "idle"  # stood unused for its time
+    DONE = "done"  # the last message on the connection was complete
+    IDLE = "idle"  # its idle time-out expired
     PEER_CLOSED = "peer-closed"
     PEER_RESET = "peer-reset"
     REFUSED = "refused"
-    NO_CONNECT = "no-connect"  # did not come up in time
-    NO_SOCKETS = "no-sockets"  # this process may open no more
-    CROWDED = "crowded"  # closed to make room
-    DECLINED = "declined"  # answered with an error
+    NO_CONNECT = "no-connect"  # was not established in time
+    NO_SOCKETS = "no-sockets"  # this process may open no more sockets
+    CROWDED = "crowded"  # closed to free capacity
+    DECLINED = "declined"  # the peer answered with an error
     TIMED_OUT = "timed-out"
-    WITHDRAWN = "withdrawn"  # nobody waits for it any more
+    WITHDRAWN = "withdrawn"  # its message is no longer needed
     BAD_MESSAGE = "bad-message"
     TOO_LARGE = "too-large"
-    FORGOTTEN = "forgotten"  # its server is gone or has another address
-    DRAINING = "draining"  # this node stops
+    FORGOTTEN = "forgotten"  # its server was removed or its address changed
+    DRAINING = "draining"  # this node drains or stops
     FAULT = "fault"  # an error of this program
 
 
 class Log:
-    """Prints lines while a budget lasts, and says how many it dropped once there is some again."""
+    """Prints lines within a budget; when the budget allows, logs how many lines were dropped before."""
 
     def __init__(self, name: str, now: Callable[[], float]) -> None:
         self.name, self.now = name, now
         self.budget, self.at_ms, self.dropped = MAX_BURST_LINES, now(), 0
 
     def line(self, text: str, reserved: float = 0.0) -> None:
-        """Print a line, or count it as dropped where it would take from what is kept for others."""
+        """Print a line, or count it as dropped if the budget would fall below `reserved` lines."""
         now = self.now()
         self.budget = min(MAX_BURST_LINES, self.budget + (now - self.at_ms) * LINES_PER_S / 1000.0)
         self.at_ms = now
@@ -55,16 +55,17 @@
         self.write(text)
 
     def connection_ended(self, what: str, reason: Reason, messages: int) -> None:
-        """Print the one line of a connection that has ended, with how many messages it carried out.
+        """Print the one line of a connection that has ended, with the number of messages written on it.
 
-        Guards what staff wait for, as that a new configuration holds, against floods of connections.
+        Guards lines that operators wait for, such as the line on a new configuration, against being dropped
+        in a flood of connections.
         """
         self.line(f"{what} ended code={reason.value} messages={messages}", RESERVED_LINES)
 
     def write(self, text: str) -> None:
-        """Print a line at once, cut to a length; one that would have to be waited for is dropped and counted.
+        """Print a line at once, cut to MAX_LINE_BYTES; a line that would block is dropped and counted.
 
-        A closed standard error is no reason to stop, nor is one that nobody reads.
+        The node keeps running if standard error is closed or not read.
         """
         line = f"marlseam {self.name}: {text}".encode(errors="replace")[: MAX_LINE_BYTES - 1]
         try:
@@ -77,11 +78,11 @@
 
 
 def can_write_line() -> bool:
-    """Return whether standard error takes a line without a wait; also where it is no file of the system's."""
+    """Return whether standard error accepts a line without blocking; True if it has no file descriptor."""
     try:
         number = sys.stderr.fileno()
     except (OSError, AttributeError):
-        return True  # a stand-in of a test's
+        return True  # replaced by an object of a test
     poller = select.poll()
     poller.register(number, select.POLLOUT)
     return syscalls.is_poll_ready(poller, if_unknown=False)
--- a/marlseam/net/loop.py
+++ b/marlseam/net/loop.py
@@ -1,7 +1,7 @@
-"""The event loop: select.epoll, generators as coroutines, timers, and the one place where clocks are joined.
+"""The event loop: select.epoll, generators as coroutines, timers, and the only clock conversion.
 
-A coroutine yields what it waits for, `(fd, mask, until_ms)`, and is resumed with READY, LATE or WOKEN; an fd
-below 0 waits for time or a wake alone. `task.cancel()` raises Cancelled where the coroutine stands.
+A coroutine yields its wait, `(fd, mask, until_ms)`, and is resumed with READY, LATE or WOKEN; an fd below 0
+waits only for the time or a wake. `task.cancel()` raises Cancelled in the coroutine at its current wait.
 """
 
 import contextlib
@@ -21,8 +21,8 @@
 
 READ, WRITE, END = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
 READY, LATE, WOKEN = "ready", "late", "woken"
-MIN_WAITED_MS = 1.0  # a poll that took longer has waited
-FIRST_CHECK_MS = 5.0  # how often within a turn the tasks that go first are polled
+MIN_WAITED_MS = 1.0  # a poll that took longer than this had to wait for an event
+FIRST_CHECK_MS = 5.0  # how often within a turn the prioritized tasks are polled
 Wait = tuple[int, int, float]
 Coroutine = Generator[Wait, str, None]
 
@@ -32,41 +32,41 @@
 
 
 class Clock:
-    """Milliseconds since the start by the monotonic clock, and Unix time brought onto that scale."""
+    """Milliseconds since the start by the monotonic clock, and conversion from and to Unix time."""
 
     def __init__(self) -> None:
         self.zero = time.monotonic()
         self.unix_zero_ms = time.time() * 1000.0
 
     def now(self) -> float:
-        """Return the time."""
+        """Return the time in ms since the start."""
         return (time.monotonic() - self.zero) * 1000.0
 
     def from_unix(self, unix_ms: float) -> float:
-        """Return a Unix time on this clock; the offset never changes, so that equal times stay equal."""
+        """Convert a Unix time in ms to this clock; the offset never changes, so equal times stay equal."""
         return unix_ms - self.unix_zero_ms
 
     def to_unix(self, now_ms: float) -> float:
-        """Return a time on this clock as Unix time."""
+        """Convert a time on this clock to Unix time in ms."""
         return now_ms + self.unix_zero_ms
 
     def epoch_ms(self) -> float:
-        """Return the Unix time that this process takes for the zero of the machine's monotonic clock."""
+        """Return the Unix time in ms that this process assumes for the monotonic clock's zero."""
         return self.unix_zero_ms - self.zero * 1000.0
 
 
 class Timer:
-    """A call that is due at some time unless it is dropped before."""
+    """A call that is due at a time, unless it is dropped before."""
 
     __slots__ = ("call", "earliest_ms")
 
     def __init__(self, call: Callable[[], None], earliest_ms: float) -> None:
         self.call: Callable[[], None] | None = call
-        self.earliest_ms = earliest_ms  # when it can come at the earliest
+        self.earliest_ms = earliest_ms  # when the loop can run the call at the earliest
 
 
 class Task:
-    """One coroutine and what it waits for."""
+    """A coroutine and its current wait."""
 
     def __init__(self, loop: "Loop", coroutine: Coroutine, first: bool) -> None:
         self.loop, self.coroutine, self.first = loop, coroutine, first
@@ -79,7 +79,7 @@
         if self.done or self.running:
             return
         self.clear_wait()
-        outer, self.loop.current = self.loop.current, self
+        outer_task, self.loop.current = self.loop.current, self
         self.running, self.woken = True, False
         try:
             wait = self.resume(value, error)
@@ -87,62 +87,62 @@
             self.end()
             return
         except Exception:
-            # Guards the process: whatever goes wrong on one connection ends that one alone.
+            # Guards the process: an error on one connection ends this connection only.
             self.end()
             self.loop.fault(traceback.format_exc())
             return
         finally:
-            self.running, self.loop.current = False, outer
+            self.running, self.loop.current = False, outer_task
         if self.woken:
             self.loop.soon(lambda: self.step(WOKEN))
             return
-        descriptor, mask, until = wait
+        descriptor, mask, until_ms = wait
         if descriptor >= 0:
             self.fd = descriptor
             self.arm(mask)
-        if until < inf:
-            self.timer = self.loop.at(until, lambda: self.step(LATE))
+        if until_ms < inf:
+            self.timer = self.loop.at(until_ms, lambda: self.step(LATE))
 
     def resume(self, value: str | None, error: BaseException | None) -> Wait:
-        """Run the coroutine up to its next wait, from its start where there is no value to resume it with."""
+        """Run the coroutine up to its next wait; a value of None starts it."""
         if error is not None:
             return self.coroutine.throw(error)
         return next(self.coroutine) if value is None else self.coroutine.send(value)
 
     def arm(self, mask: int) -> None:
-        """Wait for a socket; where the system cannot note that for a moment, it is asked again soon."""
+        """Register the wait for a socket; a transient failure is retried after TRANSIENT_RETRY_MS."""
         descriptor = self.fd
         try:
             self.loop.arm(descriptor, mask, self)
         except OSError as error:
             if syscalls.is_transient(error):
                 self.loop.at(
-                    self.loop.now() + syscalls.TRANSIENT_RETRY_MS, lambda: self.arm_again(descriptor, mask)
+                    self.loop.now() + syscalls.TRANSIENT_RETRY_MS, lambda: self.retry_arm(descriptor, mask)
                 )
             else:
-                self.loop.soon(partial(self.break_off, descriptor, error))
+                self.loop.soon(partial(self.fail_wait, descriptor, error))
 
-    def arm_again(self, descriptor: int, mask: int) -> None:
-        """Wait for a socket after all, unless the coroutine has gone on meanwhile."""
+    def retry_arm(self, descriptor: int, mask: int) -> None:
+        """Retry to register the wait for a socket, unless the coroutine was resumed meanwhile."""
         if self.is_waiting_for(descriptor):
             self.arm(mask)
 
-    def break_off(self, descriptor: int, error: OSError) -> None:
-        """Raise in the coroutine that its socket cannot be waited for, unless it has gone on meanwhile."""
+    def fail_wait(self, descriptor: int, error: OSError) -> None:
+        """Raise an error in the coroutine whose wait failed to register, unless it was resumed meanwhile."""
         if self.is_waiting_for(descriptor):
             self.step(None, error)
 
     def is_waiting_for(self, descriptor: int) -> bool:
-        """Return whether the coroutine still waits for a socket."""
+        """Return whether the coroutine still waits for the descriptor."""
         return not self.done and self.fd == descriptor and self.loop.waiting.get(descriptor) is self
 
     def end(self) -> None:
-        """Note that the coroutine has run to its end."""
+        """Mark the task as done and remove it from the loop."""
         self.done = True
         self.loop.tasks.pop(self, None)
 
     def clear_wait(self) -> None:
-        """Forget what the coroutine waited for."""
+        """Remove the current wait: its descriptor and its timer."""
         if self.fd >= 0:
             self.loop.waiting.pop(self.fd, None)
             self.fd = -1
@@ -151,27 +151,40 @@
             self.timer = None
 
     def wake(self) -> None:
-        """Resume the coroutine with WOKEN, from its next wait on if it runs now."""
+        """Resume the coroutine with WOKEN; if it is running, at its next wait."""
         if not self.woken:
             self.woken = True
             if not self.running:
                 self.loop.soon(lambda: self.step(WOKEN) if self.woken else None)
 
     def cancel(self) -> None:
-        """End the coroutine where it stands."""
+        """Raise Cancelled in the coroutine at its current wait; does nothing while it is running."""
         if not self.running:
             self.step(None, Cancelled())
 
 
 class Loop:
-    """Waits for sockets and timers, and runs what is due."""
+    """Waits for sockets and timers, and runs the tasks and calls that are due.
+
+    Attributes:
+        clock: its monotonic clock; `now` returns the time in ms.
+        fault: called with the traceback of an unexpected error.
+        descriptors: opens file descriptors, and releases some in a shortage.
+        poll, first: epoll objects of all tasks, and of the prioritized tasks.
+        pollers: by descriptor, the epoll object in which it is registered.
+        waiting: by descriptor, the task that waits for it.
+        tasks: the tasks that have not ended, in order of their start.
+        current: the task that is running; None outside of tasks.
+        stopped: set to end `run`.
+
+    """
 
     def __init__(self, fault: Callable[[str], None]) -> None:
         self.clock, self.fault, self.descriptors = Clock(), fault, Descriptors()
         self.now = self.clock.now
         self.poll, self.first = select.epoll(), select.epoll()
         syscalls.retry_transient(lambda: self.poll.register(self.first.fileno(), READ))
-        self.first_run_ms = 0.0  # when the tasks that go first were last polled
+        self.prioritized_run_ms = 0.0  # when the prioritized tasks were last polled
         self.pollers: dict[int, select.epoll] = {}
         self.closed_fds: set[int] = set()  # in this turn
         self.waiting: dict[int, Task] = {}
@@ -181,14 +194,14 @@
         self.current: Task | None = None
         self.timer_count = self.dropped_timers = 0
         self.stopped = False
-        # When this turn's poll was over, and since when what it found may have been there.
+        # When this turn's poll returned, and the earliest time at which its events may have occurred.
         self.polled_ms = self.ready_since_ms = self.now()
-        self.late_ms = self.turn_ms = 0.0  # the longest that a timer came late, and that a turn took
+        self.late_ms = self.turn_ms = 0.0  # the longest delay of a timer, and the longest turn
 
     def spawn(self, coroutine: Coroutine, first: bool = False) -> Task:
         """Start a coroutine, which runs up to its first wait at once.
 
-        One that goes first is resumed before all others that are ready, also in the middle of a turn.
+        With `first`, the task is prioritized: it is resumed before all other ready tasks, also within a turn.
         """
         task = Task(self, coroutine, first)
         self.tasks[task] = None
@@ -196,23 +209,27 @@
         return task
 
     def running_task(self) -> Task:
-        """Return the task whose coroutine runs now; for use within one."""
+        """Return the running task; may only be called within a task."""
         assert self.current is not None
         return self.current
 
     def soon(self, call: Callable[[], None]) -> None:
-        """Call before the next wait."""
+        """Schedule a call before the next poll."""
         self.calls.append(call)
 
     def at(self, due_ms: float, call: Callable[[], None]) -> Timer:
-        """Call at a time."""
+        """Schedule a call at a time; return its timer."""
         timer = Timer(call, max(due_ms, self.now()))
         self.timer_count += 1
         heapq.heappush(self.timers, (due_ms, self.timer_count, timer))
         return timer
 
     def drop(self, timer: Timer) -> None:
-        """Drop a call. Guards against waits with long limits that end early and fill the memory."""
+        """Drop a scheduled call.
+
+        Guards against waits with long limits that end early and fill the memory: once more than 1000 dropped
+        timers are more than half of all timers, they are removed.
+        """
         if timer.call is not None:
             timer.call = None
             self.dropped_timers += 1
@@ -222,7 +239,7 @@
             self.dropped_timers = 0
 
     def arm(self, descriptor: int, mask: int, task: Task) -> None:
-        """Have a task resumed once when a socket is ready."""
+        """Register a descriptor with epoll, to resume a task once when it is ready."""
         self.waiting[descriptor] = task
         poll = self.pollers.get(descriptor)
         if poll is not None:
@@ -233,7 +250,7 @@
             self.pollers[descriptor] = poll
 
     def close(self, sock: socket.socket) -> None:
-        """Close a socket that the loop may know."""
+        """Close a socket and remove its registration, if there is one."""
         descriptor = sock.fileno()
         self.waiting.pop(descriptor, None)
         poll = self.pollers.pop(descriptor, None)
@@ -244,31 +261,31 @@
         sock.close()
 
     def run(self) -> None:
-        """Run until stopped."""
+        """Run turns until `stopped` is set."""
         while not self.stopped:
             self.turn()
 
     def finish(self) -> None:
-        """Cancel all that still runs."""
+        """Cancel all tasks."""
         for task in list(self.tasks):
             task.cancel()
 
     def turn(self) -> None:
-        """Wait once, and run what is due by then."""
-        pause_s, asked = self.pause_s(), self.now()
+        """Poll once, then run the tasks and calls that are due."""
+        pause_s, asked_ms = self.pause_s(), self.now()
         events = syscalls.none_if_transient(lambda: self.poll.poll(pause_s)) or []
-        began = self.now()
-        # A poll that had to wait ended with what it found; one that had not found what came since the last.
-        self.ready_since_ms = began if began - asked > MIN_WAITED_MS else self.polled_ms
-        self.polled_ms = began
+        began_ms = self.now()
+        # Events of a poll that had to wait occurred as it returned; others occurred since the last poll.
+        self.ready_since_ms = began_ms if began_ms - asked_ms > MIN_WAITED_MS else self.polled_ms
+        self.polled_ms = began_ms
         self.closed_fds.clear()
-        self.run_first()
+        self.run_prioritized()
         for descriptor, _ in events:
-            # Guards a new socket under a closed one's number against what was reported of the old one.
+            # Guards a new socket that reuses a closed socket's descriptor against events of the closed one.
             task = self.waiting.get(descriptor) if descriptor not in self.closed_fds else None
             if task is not None:
                 task.step(READY)
-                self.run_first_if_due()
+                self.run_prioritized_if_due()
         self.run_calls()
         now = self.now()
         while self.timers and self.timers[0][0] <= now:
@@ -280,36 +297,36 @@
                 self.run_calls()
             else:
                 self.dropped_timers -= 1
-        self.turn_ms = max(self.turn_ms, self.now() - began)
+        self.turn_ms = max(self.turn_ms, self.now() - began_ms)
 
-    def run_first(self) -> None:
-        """Resume the ready tasks of those that go first."""
-        self.first_run_ms = self.now()
+    def run_prioritized(self) -> None:
+        """Resume the prioritized tasks that are ready."""
+        self.prioritized_run_ms = self.now()
         for descriptor, _ in syscalls.none_if_transient(lambda: self.first.poll(0)) or []:
             task = self.waiting.get(descriptor)
             if task is not None:
                 task.step(READY)
 
-    def run_first_if_due(self) -> None:
-        """Resume those that go first where a turn is long. Guards operators against a busy node."""
-        if self.now() - self.first_run_ms > FIRST_CHECK_MS:
-            self.run_first()
+    def run_prioritized_if_due(self) -> None:
+        """Resume the prioritized tasks within a long turn. Guards operators' calls against a busy node."""
+        if self.now() - self.prioritized_run_ms > FIRST_CHECK_MS:
+            self.run_prioritized()
 
     def run_calls(self) -> None:
-        """Run what is to be called before the next wait."""
+        """Run the calls that were scheduled before the next poll."""
         while self.calls:
             self.guarded(self.calls.popleft())
-            self.run_first_if_due()
+            self.run_prioritized_if_due()
 
     def guarded(self, call: Callable[[], None]) -> None:
-        """Call, and go on whatever comes of it."""
+        """Run a call and report an exception to `fault`."""
         try:
             call()
         except Exception:
             self.fault(traceback.format_exc())
 
     def pause_s(self) -> float:
-        """Return how long nothing is due; -1 for ever."""
+        """Return the time in s until the next timer is due; 0 if calls are scheduled, -1 without timers."""
         while self.timers and self.timers[0][2].call is None:
             heapq.heappop(self.timers)
             self.dropped_timers -= 1
@@ -318,24 +335,26 @@
         return max(0.0, (self.timers[0][0] - self.now()) / 1000.0) if self.timers else -1.0
 
     def on_signals(self, calls: Mapping[int, Callable[[], None]]) -> None:
-        """Call from within the loop when a signal comes, also one that was held back until now."""
-        ours, self.bell = socket.socketpair()
-        ours.setblocking(False)
-        self.bell.setblocking(False)
-        signal.set_wakeup_fd(self.bell.fileno(), warn_on_full_buffer=False)
+        """Run a call within the loop when its signal arrives, or was blocked until now."""
+        wakeup_reader, self.wakeup_writer = socket.socketpair()
+        wakeup_reader.setblocking(False)
+        self.wakeup_writer.setblocking(False)
+        signal.set_wakeup_fd(self.wakeup_writer.fileno(), warn_on_full_buffer=False)
         for number in calls:
             signal.signal(number, lambda *_: None)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, calls)
 
         def listen() -> Coroutine:
             while True:
-                yield (ours.fileno(), READ, inf)
-                for number in dict.fromkeys(syscalls.none_if_transient(lambda: ours.recv(4096)) or b""):
+                yield (wakeup_reader.fileno(), READ, inf)
+                for number in dict.fromkeys(
+                    syscalls.none_if_transient(lambda: wakeup_reader.recv(4096)) or b""
+                ):
                     self.guarded(calls[number])
 
         self.spawn(listen())
 
 
 def sleep(until_ms: float) -> Generator[Wait, str, str]:
-    """Wait until a time or a wake."""
+    """Wait until a time or a wake; return LATE or WOKEN."""
     return (yield (-1, 0, until_ms))
--- a/marlseam/net/protocol.py
+++ b/marlseam/net/protocol.py
@@ -1,4 +1,4 @@
-"""The protocol's names, and its messages turned into ours and back; no I/O. Its names end in this package."""
+"""The protocol's names, and the codec of its messages; no I/O. No other package uses the protocol's names."""
 
 import json
 import re
@@ -13,15 +13,15 @@
 
 READY_PATH, LOAD_PATH, LIST_PATH = "/-/ready", "/-/load", "/api/targets"
 ID, TYPE, TIME_LEFT, RECEIPT = "X-Correlation-Id", "X-Service-Class", "X-Time-Left", "Idempotency-Key"
-ACTING = "X-Marlseam-Acting"  # where a fleet is on: on what an attempt stands
+ACTING = "X-Marlseam-Acting"  # with a fleet: the configuration version under which an attempt is sent
 FACTS, LOAD, NEVER_RAN, REPEAT = "X-Facts", "X-Backend-Load", "X-Unprocessed", "X-Repeat"
-KEY = "user"  # the parameter that names the thing that a request needs
+KEY = "user"  # the query parameter that names the resource that a request needs
 MAX_BODY_BYTES = 65536  # bytes of a request's body, and of a server's answer
-MAX_LINE_BYTES = 2 * MAX_BODY_BYTES  # bytes of one line, which is a body in JSON
-MAX_LIST_BYTES = 1 << 22  # bytes of a whole list
+MAX_LINE_BYTES = 2 * MAX_BODY_BYTES  # bytes of one line, which holds a body in JSON
+MAX_LIST_BYTES = 1 << 22  # bytes of a whole endpoint list
 SINGLE_HEADERS = (ID, TYPE, TIME_LEFT, RECEIPT, FACTS, "Host", "Content-Length", "Transfer-Encoding")
 MAX_ID_LENGTH = 256
-MAX_TIME_LEFT_IN_DEADLINES = 100.0  # time left that can be meant, in deadlines of the request class
+MAX_TIME_LEFT_IN_DEADLINES = 100.0  # longest plausible time left, in deadlines of the request class
 OUTCOME_BY_STATE = {
     "done": Outcome.COMPLETED,
     "failed": Outcome.ERROR,
@@ -32,20 +32,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A request as its client wrote it: what goes on to servers unchanged, and what we read of it.
+    """A client's request: the parts that are forwarded to servers unchanged, and the decoded values.
 
     Attributes:
         id: the client's correlation id.
         target: path and query.
-        idempotency_key: None where the client gave none.
-        body: as it came.
-        class_index: of its request class, in the settings' order.
-        type_name: that class's name.
-        time_left_ms: how long the client waits, cut to the class's deadline.
-        slots: how much of a server it takes.
-        is_unsafe: whether its class was unsafe when it was taken.
-        must_run_once: likewise, whether it may not run twice everywhere.
-        resource_key: the thing that it needs; None for nothing.
+        idempotency_key: None if the client sent none.
+        body: the body as received.
+        class_index: index of its request class, in the settings' order.
+        type_name: name of its request class.
+        time_left_ms: how long the client waits, at most the class's deadline.
+        slots: number of server slots that it uses.
+        is_unsafe: whether its class was unsafe when the request was received.
+        must_run_once: whether its class was not safe (keyed or unsafe) when the request was received.
+        resource_key: the resource that it needs; None for none.
         may_be_retry: whether it may be a client's retry.
 
     """
@@ -65,7 +65,7 @@
 
 
 class Head(Mapping[str, str]):
-    """A message's headers by name, in any case of letters."""
+    """A message's headers, by case-insensitive name."""
 
     def __init__(self, headers: Iterable[tuple[bytes, bytes]]) -> None:
         self.values_by_name = {key.decode("latin-1"): value.decode("latin-1") for key, value in headers}
@@ -81,18 +81,18 @@
 
 
 def parse_number(text: str, what: str) -> float:
-    """Read a finite number that is not below zero."""
+    """Parse a finite number that is not negative; errors name `what`."""
     try:
         value = float(text)
     except ValueError:
-        raise MalformedMessageError(f"{what} is no number") from None
+        raise MalformedMessageError(f"{what} is not a number") from None
     if not isfinite(value) or value < 0.0 or "_" in text:  # float() would read 1_0 as 10
-        raise MalformedMessageError(f"{what} is out of range")
+        raise MalformedMessageError(f"{what} is not a finite number of 0 or more")
     return value
 
 
 def parse_pairs(text: str) -> dict[str, str]:
-    """Read `name=value,name=value`."""
+    """Parse `name=value,name=value`; parts without `=` are ignored."""
     return {
         name.strip(): value.strip()
         for name, separator, value in (pair.partition("=") for pair in text.split(","))
@@ -108,82 +108,82 @@
 
 
 def head_from(headers: Iterable[tuple[bytes, bytes]], version: bytes, raw: bytes) -> Head:
-    """Read a client's headers, and refuse a head that another reader could understand in another way.
+    """Return a client's headers; raises MalformedMessageError for a head that parsers read differently.
 
-    Guards against a request hidden in another's body. h11 goes by the chunks where a length is given too,
-    takes several equal lengths for one, and joins folded lines; `raw` is the head as it came.
+    Guards against request smuggling, a request hidden in the body of another one. h11 prefers chunks to a
+    given length, accepts several equal lengths, and joins folded lines; `raw` is the head as received.
     """
     headers = list(headers)
     head, header_names = Head(headers), [name for name, _ in headers]
     for name in SINGLE_HEADERS:
         if header_names.count(name.lower().encode()) > 1:
-            raise MalformedMessageError(f"{name} comes more than once")
+            raise MalformedMessageError(f"{name} is given more than once")
     if "Transfer-Encoding" in head and ("Content-Length" in head or version != b"1.1"):
-        raise MalformedMessageError("Transfer-Encoding where it may not be")
+        raise MalformedMessageError("Transfer-Encoding with Content-Length, or not in HTTP/1.1")
     end = HEAD_END.search(raw)
     raw = raw[: end.start()] if end else raw
     lengths = LENGTHS.findall(raw)
     if FOLDED.search(raw) or len(lengths) > 1 or not all(length.strip().isdigit() for length in lengths):
-        raise MalformedMessageError("a folded line, or a length that is odd")
+        raise MalformedMessageError("folded header line, or Content-Length that is repeated or not a number")
     return head
 
 
 def is_header_safe(text: str) -> bool:
-    """Return whether a text can go on in a header: short, with nothing but visible characters."""
+    """Return whether a text can be forwarded in a header: not empty, short, only visible ASCII characters."""
     return 0 < len(text) <= MAX_ID_LENGTH and text.isascii() and text.isprintable() and " " not in text
 
 
 def class_name_of(target: str) -> str:
-    """Return the first part of a path, which is the request class's name."""
+    """Return the first segment of the path, which is the name of the request class."""
     return path_of(target).strip("/").partition("/")[0]
 
 
 def path_of(target: str) -> str:
-    """Return the path of a target."""
+    """Return the path of a request target, without its query."""
     return target.partition("?")[0]
 
 
 def check_route(method: str, target: str, types: Mapping[str, int]) -> str:
-    """Return the path that a client asks for, where such a request exists."""
+    """Return the requested path; raises MalformedMessageError (404, 405) for an unknown path or method."""
     path = path_of(target)
     if path == READY_PATH:
         allowed = "GET"
     elif class_name_of(target) in types:
         allowed = "POST"
     else:
-        raise MalformedMessageError("no such path", 404)
+        raise MalformedMessageError("unknown path", 404)
     check_method(allowed, method)
     return path
 
 
 def check_method(allowed: str, method: str) -> None:
-    """Refuse any other method."""
+    """Raise MalformedMessageError (405) for any other method than `allowed`."""
     if method != allowed:
-        raise MalformedMessageError(f"only {allowed} is possible here", 405, allowed)
+        raise MalformedMessageError(f"method must be {allowed} for this path", 405, allowed)
 
 
 def client_request_from(target: str, head: Head, body: bytes, deployment: Deployment) -> ClientRequest:
-    """Read a request out of a client's request."""
+    """Decode a client's request; raises MalformedMessageError if a header is missing or invalid."""
     id = head.get(ID, "")
     if not is_header_safe(id):
-        raise MalformedMessageError(f"{ID} is missing or bad")
+        raise MalformedMessageError(f"{ID} is missing or invalid")
     name = head.get(TYPE, "")
     if name not in deployment.types or class_name_of(target) != name:
-        raise MalformedMessageError(f"{TYPE} is missing, unknown or another than the path's")
+        raise MalformedMessageError(f"{TYPE} is missing, unknown or differs from the path's request class")
     left_ms = 1000.0 * parse_number(head.get(TIME_LEFT, ""), TIME_LEFT)
     type = deployment.types[name]
     of_type = deployment.settings.request_classes[type]
     deadline_ms = of_type.deadline_ms or inf
     if left_ms > MAX_TIME_LEFT_IN_DEADLINES * deadline_ms:
-        raise MalformedMessageError(f"{TIME_LEFT} is out of range")
+        raise MalformedMessageError(f"{TIME_LEFT} is too long for the deadline of the request class")
     idempotency_key = head.get(RECEIPT)
     if not is_header_safe(idempotency_key or "") and (
         idempotency_key is not None or of_type.idempotency is Idempotency.KEYED
     ):
-        raise MalformedMessageError(f"{RECEIPT} is missing or bad")
+        raise MalformedMessageError(f"{RECEIPT} is missing or invalid")
     facts = parse_pairs(head.get(FACTS, ""))
     if head.get(FACTS) and len(facts) < head[FACTS].count(",") + 1:
-        raise MalformedMessageError(f"{FACTS} is bad")
+        raise MalformedMessageError(f"{FACTS} is not a list of distinct name=value pairs")
     return ClientRequest(
         id=id,
         target=target,
@@ -201,7 +201,7 @@
 
 
 def retry_after_headers(retry_after_ms: float) -> list[tuple[str, str]]:
-    """Return the headers that tell a client when to come back."""
+    """Return the Retry-After header, in s; no header without a delay."""
     return [("Retry-After", f"{retry_after_ms / 1000.0:.3f}")] if retry_after_ms > 0.0 else []
 
 
@@ -211,7 +211,7 @@
 def attempt_headers(
     client_request: ClientRequest, host: str, left_ms: float, acting: str = ""
 ) -> list[tuple[str, str]]:
-    """Return the headers under which a request goes to a server; `acting` tells on what that stands."""
+    """Return the headers of an attempt; `acting` is the configuration version under which it is sent."""
     headers = [
         ("Host", host),
         (ID, client_request.id),
@@ -227,7 +227,7 @@
 
 
 def outcome_of_refusal(status: int, head: Head) -> Outcome:
-    """Return what a server's answer means that is no stream of lines."""
+    """Return the outcome that the status and headers of a refusal mean."""
     if 400 <= status < 500:
         return Outcome.INVALID_REQUEST
     return Outcome.AT_CAPACITY if status in (503, 504) and head.get(NEVER_RAN) == "1" else Outcome.ERROR
@@ -238,11 +238,11 @@
     """One line of a server's answer.
 
     Attributes:
-        has_started: whether it tells that the server has started.
-        progress: the share that is done; None where it tells none.
+        has_started: whether the line reports that the server has started the request.
+        progress: the completed share; None if the line reports none.
         outcome: how the attempt ended; None before the last line.
-        result: what a complete attempt brought.
-        report: the server's load report; None where it holds none.
+        result: the result of a completed attempt.
+        report: the server's load report; None if the line has none.
 
     """
 
@@ -254,13 +254,15 @@
 
 
 def parse_line(raw: bytes, correlation_id: str, server: str, report_names: Mapping[str, str]) -> AnswerLine:
-    """Read one line of a server's answer."""
+    """Decode one line of a server's answer; raises MalformedMessageError if a field is invalid."""
     try:
         row = json.loads(raw)
     except (ValueError, RecursionError):
-        raise MalformedMessageError("a line is no JSON") from None
+        raise MalformedMessageError("answer line is not valid JSON") from None
     if not isinstance(row, dict) or row.get("id") != correlation_id or row.get("from") != server:
-        raise MalformedMessageError("a line is not from this server on this request")
+        raise MalformedMessageError(
+            "answer line is not an object with the id of the request and its server under from"
+        )
     state, share, result = row.get("state"), row.get("share"), row.get("result")
     report = report_from(row.get("load"), report_names)
     if state == "started":
@@ -269,30 +271,30 @@
         return AnswerLine(progress=finite(share))
     outcome = OUTCOME_BY_STATE.get(state) if isinstance(state, str) else None
     if outcome is None or (state == "done" and not isinstance(result, str)):
-        raise MalformedMessageError("a line tells no known state")
+        raise MalformedMessageError("answer line has an unknown state, or no result with state done")
     text = str(result) if state == "done" else ""
     try:
         return AnswerLine(outcome=outcome, result=text.encode(), report=report)
     except UnicodeEncodeError:
-        raise MalformedMessageError("a result is no text") from None
+        raise MalformedMessageError("result of an answer line is not valid Unicode text") from None
 
 
 class Lines:
-    """Cuts a streamed answer into its lines."""
+    """Splits a streamed answer into its lines."""
 
     def __init__(self) -> None:
         self.remainder = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take in some bytes and return the lines that they end."""
+        """Add received bytes and return the lines that they complete, without blank lines."""
         *lines, self.remainder = (self.remainder + data).split(b"\n")
         if len(self.remainder) > MAX_LINE_BYTES or any(len(line) > MAX_LINE_BYTES for line in lines):
-            raise MalformedMessageError("a line is too long")
+            raise MalformedMessageError("answer line is too long")
         return [line for line in lines if line.strip()]
 
 
 def report_from(value: object, report_names: Mapping[str, str]) -> LoadReport | None:
-    """Read a load report, as an object or as the text of a header; what is odd in it is passed by."""
+    """Decode a load report from an object or a header's text; invalid and unknown values are ignored."""
     if isinstance(value, str):
         value = parse_pairs(value.strip().removeprefix("TEXT").removeprefix("JSON"))
     if not isinstance(value, dict):
@@ -310,7 +312,7 @@
 
 
 def report_from_answer(body: bytes, head: Head, report_names: Mapping[str, str]) -> LoadReport | None:
-    """Read the load report that a probe's answer holds as its body or in its header."""
+    """Decode the load report in the body or the header of a probe's answer; None if there is none."""
     text = body.decode("latin-1").strip()
     if text.startswith("{"):
         try:
@@ -324,5 +326,5 @@
 
 
 def watch_target(version: int, wait_ms: float) -> str:
-    """Return the call that waits for what is newer than a version."""
+    """Return the target of a call that waits up to `wait_ms` for changes after a version."""
     return f"{LIST_PATH}?since={version}&timeout_ms={wait_ms:.0f}"
--- a/marlseam/net/server_start_times.py
+++ b/marlseam/net/server_start_times.py
@@ -1,18 +1,18 @@
-"""When servers started, on the node's monotonic clock, although no wall clock is sure to be right.
+"""Start times of servers' processes on the node's monotonic clock, robust against wrong wall clocks.
 
-The list tells a start as Unix time, by a clock that may have been stepped, as may the node's own. A start
-that is taken for too early ends a server's slow start too soon.
+The endpoint list gives a start as Unix time, by a clock that may have been stepped; the node's own wall clock
+may have been stepped too. A start that is estimated too early ends a server's slow start too soon.
 
-A start that a change tells is taken by the node's own wall clock where that has it shortly before the change
-was told, or since the list that it changes was: both clocks agree then to
-MAX_CLOCK_ERROR_MS. Any other is taken for the latest of these, the present at most:
+A start in a change of the list is converted by the node's own wall clock if the result lies between the last
+confirmation of the list, less MAX_CLOCK_ERROR_MS, and the present: then both clocks agree to
+MAX_CLOCK_ERROR_MS. Any other start is estimated as the latest of these times, but not later than the present:
 
-- the start by the node's own wall clock, as it was when the process began;
-- the start by the list's clock, which is at least as far as the latest start that it has told;
-- the present, where a change tells a start that lies long before the list that it changes.
+- the start by the node's own wall clock, as the clock was when the node's process began;
+- the start by the list's clock, which has reached at least the latest start that the list has given;
+- the present, if a change gives a start long before the list that it changes.
 
-Not noticed: clocks that differ by less than MAX_CLOCK_ERROR_MS; in a first list, a node whose clock is ahead
-beside a server whose clock is ahead.
+Not detected: clocks that differ by less than MAX_CLOCK_ERROR_MS; in a first list, a node whose clock is ahead
+together with a server whose clock is ahead.
 """
 
 from collections.abc import Callable, Collection, Iterable
@@ -20,62 +20,63 @@
 
 from marlseam.core import EndpointEntry
 
-MAX_CLOCK_ERROR_MS = 3000.0  # how long before a list was told what it did not tell yet may have started
-MIN_DELISTED = 1000  # servers off the list whose starts are known still
+MAX_CLOCK_ERROR_MS = 3000.0  # how long before a list's confirmation an unlisted server may have started
+MIN_DELISTED = 1000  # servers off the list whose starts are kept at least
 
 
 class StartTimes:
-    """Brings the starts that the list tells onto the node's clock; one start keeps its time for good."""
+    """Converts the starts in the list to the node's clock; a start, once converted, keeps its time."""
 
     def __init__(self, from_unix: Callable[[float], float]) -> None:
-        self.from_unix = from_unix  # by the node's own wall clock
-        self.ahead_ms = -inf  # how far the list's clock is ahead of the node's monotonic one, at least
-        self.starts: dict[str, tuple[float, float]] = {}  # by server: as listed, and on the node's clock
+        self.from_unix = from_unix  # converts Unix ms by the node's own wall clock
+        self.ahead_ms = -inf  # lower bound of the list's clock minus the node's monotonic clock
+        self.starts: dict[str, tuple[float, float]] = {}  # by server: Unix ms as listed, node's clock
 
-    def place_all(
+    def convert_all(
         self, entries: Iterable[EndpointEntry], now_ms: float, confirmed_ms: float | None
     ) -> list[EndpointEntry]:
-        """Return entries whose `born_ms`, Unix time as listed, is brought onto the node's clock.
+        """Return the entries with `process_started_ms` converted from Unix ms to the node's clock.
 
-        `confirmed_ms`: when the list was last known to be true that these are changes of; None where they are
-        a first list.
+        `confirmed_ms` is when the list that these entries change was last confirmed; None for a first list.
         """
         entries = list(entries)
-        started = [entry.process_started_ms for entry in entries if entry.process_started_ms is not None]
-        self.ahead_ms = max([self.ahead_ms, *(process_started_ms - now_ms for process_started_ms in started)])
+        starts_ms = [entry.process_started_ms for entry in entries if entry.process_started_ms is not None]
+        self.ahead_ms = max(
+            [self.ahead_ms, *(process_started_ms - now_ms for process_started_ms in starts_ms)]
+        )
         return [
-            entry._replace(process_started_ms=self.place(entry, now_ms, confirmed_ms)) for entry in entries
+            entry._replace(process_started_ms=self.convert(entry, now_ms, confirmed_ms)) for entry in entries
         ]
 
-    def place(self, entry: EndpointEntry, now_ms: float, confirmed_ms: float | None) -> float | None:
-        """Return when a server started, or None where that was long ago."""
-        listed = entry.process_started_ms
-        if listed is None:
+    def convert(self, entry: EndpointEntry, now_ms: float, confirmed_ms: float | None) -> float | None:
+        """Return when a server started, on the node's clock, or None if that was long ago."""
+        listed_ms = entry.process_started_ms
+        if listed_ms is None:
             self.starts.pop(entry.server, None)
             return None
         known = self.starts.get(entry.server)
-        if known is not None and known[0] == listed:
+        if known is not None and known[0] == listed_ms:
             return known[1]
         start = self.estimate(
-            listed, now_ms, -inf if confirmed_ms is None else confirmed_ms - MAX_CLOCK_ERROR_MS
+            listed_ms, now_ms, -inf if confirmed_ms is None else confirmed_ms - MAX_CLOCK_ERROR_MS
         )
-        self.starts[entry.server] = (listed, start)
+        self.starts[entry.server] = (listed_ms, start)
         return start
 
-    def estimate(self, listed: float, now_ms: float, earliest_ms: float) -> float:
-        """Return a start on the node's clock; where it is told by a change, it has an earliest time."""
-        own = self.from_unix(listed)
-        if -inf < earliest_ms <= own <= now_ms:
-            return own
-        latest = min(now_ms, max(own, listed - self.ahead_ms))
-        return latest if latest >= earliest_ms else now_ms
+    def estimate(self, listed_ms: float, now_ms: float, earliest_ms: float) -> float:
+        """Estimate a start on the node's clock; `earliest_ms` is -inf for a first list."""
+        by_own_clock_ms = self.from_unix(listed_ms)
+        if -inf < earliest_ms <= by_own_clock_ms <= now_ms:
+            return by_own_clock_ms
+        latest_ms = min(now_ms, max(by_own_clock_ms, listed_ms - self.ahead_ms))
+        return latest_ms if latest_ms >= earliest_ms else now_ms
 
     def listed_unix_ms(self, server: str) -> float:
-        """Return a server's start as the list told it, Unix ms; 0 for long ago."""
+        """Return a server's start in Unix ms as listed; 0 if it was long ago."""
         return self.starts[server][0] if server in self.starts else 0.0
 
     def forget_delisted(self, servers: Collection[str]) -> None:
-        """Forget servers that have left the list, once there are many: one may come back as it was."""
+        """Remove servers that left the list once there are many; a server may return with the same start."""
         if len(self.starts) <= 2 * len(servers) + MIN_DELISTED:
             return
         for server in self.starts.keys() - set(servers):
--- a/marlseam/net/syscalls.py
+++ b/marlseam/net/syscalls.py
@@ -1,8 +1,8 @@
-"""What the error of a system call means for a connection: the one place that reads error numbers of sockets.
+"""Transient errors of system calls on sockets, and retries.
 
-Linux documents errors that pass by themselves and say nothing of the peer: a signal came, the kernel had no
-memory or buffer at that moment, a limit of the system was reached. Taken for the peer's end they would lose
-requests that were read, and have attempts sent twice.
+Linux documents errors that are transient and do not concern the peer: a signal arrived, the kernel had no
+memory or buffer at that moment, or a limit of the system was reached. If these were taken for the peer's end,
+requests that were read would be lost and attempts would be sent twice.
 """
 
 import errno
@@ -12,19 +12,19 @@
 from typing import TypeVar
 
 TRANSIENT_ERRNOS = frozenset({errno.ENOMEM, errno.ENOBUFS, errno.ENOSPC})
-MAX_START_TRIES = 200  # of a call without which no process can start, RETRY_MS apart
-TRANSIENT_RETRY_MS = 5.0  # how long what has failed for a moment waits before it is tried again
-MAX_POLL_TRIES = 8  # of a poll that waits for nothing
+MAX_START_TRIES = 200  # of a call that a process needs to start, TRANSIENT_RETRY_MS apart
+TRANSIENT_RETRY_MS = 5.0  # wait before a call with a transient error is retried
+MAX_POLL_TRIES = 8  # of a poll with time-out 0
 T = TypeVar("T")
 
 
 def is_transient(error: OSError) -> bool:
-    """Return whether an error passes by itself and says nothing of the peer."""
+    """Return whether an error is transient and does not concern the peer."""
     return isinstance(error, BlockingIOError | InterruptedError) or error.errno in TRANSIENT_ERRNOS
 
 
 def is_poll_ready(poller: select.poll, if_unknown: bool) -> bool:
-    """Return whether a poll object has anything to tell now; `unknown` where the system cannot say."""
+    """Return whether a poll object has events now; `if_unknown` if all tries fail transiently."""
     for _ in range(MAX_POLL_TRIES):
         try:
             return bool(poller.poll(0))
@@ -35,7 +35,7 @@
 
 
 def none_if_transient(call: Callable[[], T]) -> T | None:
-    """Return what a call gives, or None where it fails for a moment; raises any other OSError."""
+    """Return a call's result, or None if it fails with a transient error; raises any other OSError."""
     try:
         return call()
     except OSError as error:
@@ -45,9 +45,9 @@
 
 
 def retry_transient(call: Callable[[], T]) -> T:
-    """Return what a call gives that a start needs, tried again for a second while it fails for a moment.
+    """Return the result of a call, retried for 1 s while it fails with a transient error.
 
-    It blocks: for the time before a process serves alone.
+    Blocks the process: only for calls at the start, before the process serves.
     """
     for _ in range(MAX_START_TRIES):
         try:
--- a/marlseam/net/upstream/__init__.py
+++ b/marlseam/net/upstream/__init__.py
@@ -1,7 +1,8 @@
-"""The node's side towards servers: a connection pool, attempts and health checks, cut by duty.
+"""The node's side towards servers: a connection pool, attempts and health checks.
 
-`timeouts` derives every time limit from the settings, `pool` owns connections, `attempts` carries attempts
-out, `health_checks` calls for load reports, and `client` joins them into the `Upstream` that a node holds.
+`timeouts` derives all time limits from the settings, `pool` manages the connections, `attempts` carries out
+attempts, `health_checks` requests load reports, and `client` combines these modules into the `Upstream` that
+a node uses.
 """
 
 from marlseam.net.upstream.attempts import AttemptOrder, AttemptStamp, InFlightAttempt
--- a/marlseam/net/upstream/attempts.py
+++ b/marlseam/net/upstream/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: each carries a request to one server and reads the answer, a stream of lines, to its outcome."""
+"""Attempts: each sends a request to one server and reads the answer, a stream of lines, up to its outcome."""
 
 from collections.abc import Callable, Collection, Mapping
 from dataclasses import dataclass
@@ -21,17 +21,17 @@
 from marlseam.net.upstream.pool import CONNECTION_LOST, ConnectionPool
 from marlseam.net.upstream.timeouts import UpstreamTimeouts
 
-DUPLICATE_ANSWER_MS = 50.0  # by when a second answer to an earlier request has come on its connection
+DUPLICATE_ANSWER_MS = 50.0  # within which a duplicate answer to an earlier request arrives on its connection
 
 
 class AttemptStamp(Protocol):
-    """The configuration version that an attempt is sent under, as a cluster knows it."""
+    """The cluster's configuration version under which an attempt is sent."""
 
     def stamp_if_serving(self) -> str:
-        """Return the header that tells the version, or "" where the attempt must not go out."""
+        """Return the value of the version header, or "" if the attempt must not be sent."""
 
     def record_sent(self) -> None:
-        """Count the attempt: it has gone out."""
+        """Count the attempt as sent."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,16 +39,18 @@
     """One attempt to be carried out.
 
     Attributes:
-        request_id: the node's own name of the request.
-        attempt_index: which of its attempts this is.
+        request_id: the node's own id of the request.
+        attempt_index: index of this attempt among the request's attempts.
         server: the server's name.
-        client_request: the request as its client wrote it.
+        client_request: the request as received from its client.
         until_ms: when the attempt times out, by the loop's clock.
-        deadline_at_ms: until when the client waits, by the loop's clock.
-        await_durable: waits until the attempt is on record and returns whether it is; None for no record.
-        stamp: the configuration version it is sent under; None for a node of no cluster.
-        begin_until_ms: by when its last byte must have gone out, else it never ran.
-        has_client_left: looks whether the client has gone at that moment; None for nobody to look at.
+        deadline_at_ms: when the client stops waiting, by the loop's clock.
+        await_durable: waits until the attempt is durably recorded and returns whether it is; None if no
+            record is kept.
+        stamp: the configuration version under which it is sent; None for a node outside a cluster.
+        begin_until_ms: by when its last byte must have been written, by the loop's clock; otherwise the
+            attempt never ran.
+        has_client_left: checks whether the client has disconnected by now; None if there is none to check.
 
     """
 
@@ -66,12 +68,12 @@
 
 @dataclass
 class InFlightAttempt:
-    """An attempt until its outcome is posted.
+    """An attempt whose outcome has not been posted.
 
     Attributes:
         server: the server's name.
         task: the coroutine that carries it out.
-        has_begun: whether its last byte has gone out, at which the server begins the request.
+        has_begun: whether its last byte has been written; the server begins the request at this byte.
 
     """
 
@@ -84,7 +86,7 @@
     """Sends and cancels attempts; each ends with exactly one event, its outcome or `NotDurable`.
 
     Attributes:
-        in_flight: by request and attempt index, those without an outcome.
+        in_flight: the attempts without an outcome, by request id and attempt index.
 
     """
 
@@ -103,42 +105,42 @@
         self.configure(deployment, timeouts)
 
     def configure(self, deployment: Deployment, timeouts: UpstreamTimeouts) -> None:
-        """Take in settings; attempts in flight go by them from their next wait on."""
+        """Apply settings; attempts in flight use the new time limits from their next wait on."""
         self.deployment, self.timeouts = deployment, timeouts
 
     def send(self, order: AttemptOrder) -> None:
-        """Send an attempt."""
+        """Start sending an attempt."""
         flight = self.in_flight[order.request_id, order.attempt_index] = InFlightAttempt(order.server)
         flight.task = self.loop.spawn(AttemptRun(self, order, flight).run())
 
     def cancel(self, request_id: str, attempt_index: int, may_have_begun: bool = True) -> None:
-        """Cancel an attempt that is in flight; where it may not have begun, only one that has not."""
+        """Cancel an attempt if it is in flight; with `may_have_begun` false, only if it has not begun."""
         flight = self.in_flight.get((request_id, attempt_index))
         if flight is not None and flight.task is not None and (may_have_begun or not flight.has_begun):
             flight.task.cancel()
 
     def cancel_unbegun(self, servers: Collection[str]) -> None:
-        """Cancel the attempts to some servers that have not begun."""
+        """Cancel all attempts to the given servers that have not begun."""
         for (request_id, attempt_index), flight in list(self.in_flight.items()) if servers else ():
             if flight.server in servers:
                 self.cancel(request_id, attempt_index, may_have_begun=False)
 
     def has_begun(self, request_id: str, attempt_index: int) -> bool:
-        """Return whether an attempt has begun, or is over."""
+        """Return whether an attempt has begun or has ended."""
         flight = self.in_flight.get((request_id, attempt_index))
         return flight is None or flight.has_begun
 
 
 class AttemptRun:
-    """One attempt from its sending to its outcome, which is posted exactly once.
+    """One attempt from sending to its outcome, which is posted exactly once.
 
     Attributes:
-        connection: the one it holds; None before, and after it is released.
-        is_reused: whether that carried messages before, until this one's answer begins.
-        suspect_until_ms: before which a refusal may be a second answer to an earlier request.
-        outcome: how it ended, once known.
-        end_reason: why its connection ends where it is not released.
-        is_settled: whether its outcome was posted.
+        connection: the connection in use; None before one is acquired and after it is released.
+        is_reused: whether the connection carried earlier messages; false once this attempt's answer begins.
+        duplicate_until_ms: time until which a refusal may be a duplicate answer to an earlier request.
+        outcome: how the attempt ended; None while unknown.
+        end_reason: the reason logged for its connection if the connection is closed instead of released.
+        is_settled: whether the outcome has been posted.
 
     """
 
@@ -147,7 +149,7 @@
         self.loop, self.pool = attempts.loop, attempts.pool
         self.server = self.pool.server(order.server)
         self.connection: Connection | None = None
-        self.is_reused, self.suspect_until_ms = False, -inf
+        self.is_reused, self.duplicate_until_ms = False, -inf
         self.outcome: Outcome | None = None
         self.end_reason = Reason.FAULT
         self.is_settled = False
@@ -155,8 +157,9 @@
     def run(self) -> Coroutine:
         """Carry the attempt out.
 
-        Without a whole answer the outcome is posted only once the connection is closed. Guards against two
-        attempts that are out together: a time-out or a broken line may have the next one go out at once.
+        Without a complete answer, the outcome is posted only after the connection is closed. Guards against
+        two attempts of one request in flight at the same time: after a time-out or a malformed line the next
+        attempt may be sent at once.
         """
         try:
             yield from self.exchange()
@@ -177,7 +180,7 @@
             self.settle(self.outcome or unknown)
 
     def exchange(self) -> Steps:
-        """Wait for the record, send the request and read the answer."""
+        """Wait until the attempt is recorded, send the request and read the answer."""
         order = self.order
         if order.await_durable is not None and not (yield from order.await_durable()):
             self.settle_unsent()
@@ -194,43 +197,45 @@
         yield from connection.body(protocol.MAX_BODY_BYTES, end_until_ms)
         self.end_reason = Reason.DONE
         if self.outcome is not Outcome.AT_CAPACITY:
-            # Guards what is sent next against a second answer that comes late: what says that it never
-            # ran may name no request, and would be believed.
+            # Guards the next request on this connection against a late duplicate of this answer: a refusal
+            # that states that the request never ran may not name the request, and would be accepted.
             self.release(connection)
 
     # The connection.
 
     def acquire(self) -> Steps:
-        """Take a connection that accepts bytes at once, and return it."""
+        """Return a connection to the server that accepts bytes without blocking."""
         until_ms = self.order.until_ms
         connection = yield from self.pool.acquire(self.server, self.pool.max_per_server(), until_ms)
         self.connection = connection
         self.is_reused = connection.messages > 0
         if self.is_reused and self.order.client_request.must_run_once:
-            self.suspect_until_ms = connection.used_ms + DUPLICATE_ANSWER_MS
+            self.duplicate_until_ms = connection.used_ms + DUPLICATE_ANSWER_MS
         if self.is_reused:
-            # Guards the checks that follow, and what may still be cancelled, against a wait behind them.
+            # Guards the checks that follow against becoming outdated during a blocked write, and keeps the
+            # attempt cancellable as not begun meanwhile.
             yield from connection.wait_writable(until_ms)
         return connection
 
     def release(self, connection: Connection) -> None:
-        """Give the connection back to the pool."""
+        """Return the connection to the pool."""
         self.pool.release(self.server, connection)
         self.connection = None
 
     # The request.
 
     def send_request(self, connection: Connection, stamp: str) -> Steps:
-        """Write the request, unless it is too late or would break an invariant.
+        """Write the request, unless its time is over or sending would violate an invariant.
 
-        The attempt begins with its last byte. Whether the client has left is asked right before each write.
-        Guards against work for nobody: the client's end may be handled later in this turn, or have come since
-        that began.
+        The attempt begins when its last byte is written. Right before each write, the client's connection is
+        checked for its end. Guards against work whose client has disconnected: the loop may handle that event
+        later in this turn, or the client may have disconnected since the turn began.
         """
         order, now = self.order, self.loop.now()
         begin_until_ms = min(order.until_ms, order.begin_until_ms)
         if now >= begin_until_ms:
-            # Guards the deadline, and servers' records of keys, against a connection that comes up late.
+            # Guards the deadline, and servers' records of idempotency keys, against a connection that is
+            # established late.
             raise ConnectionEndedError(Reason.TIMED_OUT)
         headers = protocol.attempt_headers(
             order.client_request, self.server.name, order.deadline_at_ms - now, stamp
@@ -247,7 +252,7 @@
         self.attempts.counters.attempts += 1
 
     def is_allowed(self, headers: Headers, now: float) -> bool:
-        """Return whether the invariants allow the attempt now, with the deadline that its headers tell."""
+        """Return whether the invariants allow the attempt now, given the time left in its headers."""
         guard, order = self.attempts.guard, self.order
         time_left_ms = 1000.0 * float(dict(headers)[protocol.TIME_LEFT])
         if guard is None:
@@ -257,7 +262,7 @@
     # The answer.
 
     def read_answer(self, connection: Connection) -> Steps:
-        """Read the answer up to what decides the outcome, and post that."""
+        """Read the answer up to the line or head that decides the outcome, and post the outcome."""
         answer = yield from connection.answer(self.silence_until_ms(self.attempts.timeouts.accept_ms))
         self.is_reused = False
         if answer.status_code == 200:
@@ -268,7 +273,7 @@
             self.settle_refusal(answer.status_code, Head(answer.headers))
 
     def read_last_line(self, connection: Connection) -> Steps:
-        """Read an answer's lines, post starts and progress, and return the last line."""
+        """Read the lines of an answer, post starts and progress, and return the last line."""
         lines, until_ms = protocol.Lines(), self.order.until_ms
         names = self.attempts.deployment.report_names
         has_started = False
@@ -285,14 +290,14 @@
                 self.post_progress(line)
 
     def parse_line(self, raw: bytes, names: Mapping[str, str], has_started: bool) -> AnswerLine:
-        """Parse one line; raises where it hands a request back unstarted that has started."""
+        """Parse one line; raises MalformedMessageError if it returns a started request as never started."""
         line = protocol.parse_line(raw, self.order.client_request.id, self.order.server, names)
         if line.outcome is Outcome.AT_CAPACITY and has_started:
-            raise MalformedMessageError("handed back unstarted after a start")
+            raise MalformedMessageError("the server returned a request unstarted after reporting its start")
         return line
 
     def post_progress(self, line: AnswerLine) -> None:
-        """Post what a line that is not the last one tells."""
+        """Post the start or the progress that a line before the last one reports."""
         request_id, attempt_index = self.order.request_id, self.order.attempt_index
         if line.has_started:
             self.attempts.post(AttemptStarted(request_id, attempt_index))
@@ -300,10 +305,10 @@
             self.attempts.post(AttemptProgressed(request_id, attempt_index, line.progress))
 
     def silence_until_ms(self, silence_ms: float) -> float:
-        """Return until when to wait for a server's next word.
+        """Return until when to wait for the server's next bytes, at most `silence_ms` from now.
 
-        Guards against connections that fall silent while their server goes on. Only unsafe requests, which
-        cannot go elsewhere, wait to the end.
+        Guards against connections that fall silent while their server keeps running. Unsafe requests wait
+        until the attempt times out, since they cannot be sent to another server.
         """
         if self.order.client_request.is_unsafe:
             return self.order.until_ms
@@ -312,7 +317,7 @@
     # The outcome.
 
     def outcome_of_end(self, reason: Reason) -> Outcome:
-        """Return what the connection's end says of the attempt."""
+        """Return the outcome of an attempt whose connection ended for a reason."""
         if not self.flight.has_begun:
             return Outcome.CANCELLED_UNSENT if reason is Reason.WITHDRAWN else Outcome.UNREACHABLE
         if reason is Reason.TIMED_OUT:
@@ -320,18 +325,18 @@
         return Outcome.STALE_CONNECTION if self.is_reused and reason in CONNECTION_LOST else Outcome.BROKEN
 
     def settle_refusal(self, status: int, head: Head) -> None:
-        """Post the outcome of an answer that is no stream of lines."""
+        """Post the outcome of an answer with another status than 200, which has no lines."""
         report = protocol.report_from(head.get(protocol.LOAD), self.attempts.deployment.report_names)
         outcome = protocol.outcome_of_refusal(status, head)
-        if outcome is not Outcome.INVALID_REQUEST and self.loop.now() < self.suspect_until_ms:
-            # Guards what may not run twice: this names no request, and may be a second answer to what the
-            # connection carried before.
-            raise MalformedMessageError("perhaps a second answer")
+        if outcome is not Outcome.INVALID_REQUEST and self.loop.now() < self.duplicate_until_ms:
+            # Guards requests that must not run twice: this refusal names no request, and may be a duplicate
+            # answer to the previous request on this connection.
+            raise MalformedMessageError("refusal may be a duplicate answer to the previous request")
         self.outcome = outcome
         self.settle(outcome, report)
 
     def settle(self, outcome: Outcome, report: LoadReport | None = None, result: bytes = b"") -> None:
-        """Post the outcome, unless that was done."""
+        """Post the outcome, unless it was already posted."""
         if self.is_settled:
             return
         self.remove_from_in_flight(outcome)
@@ -340,12 +345,12 @@
         self.attempts.post(AttemptEnded(request_id, attempt_index, outcome, is_complete, report, result))
 
     def settle_unsent(self) -> None:
-        """Post that the attempt was not sent: it is not on record, or the node may not serve."""
+        """Post that the attempt was not sent: it is not durably recorded, or the node may not serve."""
         self.remove_from_in_flight(Outcome.CANCELLED_UNSENT)
         self.attempts.post(NotDurable(self.order.request_id, self.order.attempt_index))
 
     def remove_from_in_flight(self, outcome: Outcome) -> None:
-        """Note that the attempt is in flight no more."""
+        """Remove the attempt from those in flight."""
         self.is_settled = True
         request_id, attempt_index = self.order.request_id, self.order.attempt_index
         self.attempts.in_flight.pop((request_id, attempt_index), None)
--- a/marlseam/net/upstream/client.py
+++ b/marlseam/net/upstream/client.py
@@ -1,4 +1,4 @@
-"""What a node holds of its side towards servers: the pool, attempts and health checks."""
+"""The node's client for servers, which combines the connection pool, attempts and health checks."""
 
 from collections.abc import Callable, Collection
 
@@ -15,14 +15,14 @@
 
 
 class Upstream:
-    """Joins the connection pool, attempts and health checks.
+    """Combines the connection pool, attempts and health checks.
 
     Attributes:
-        timeouts: its time limits, from the settings.
+        timeouts: time limits derived from the settings.
         pool: the connections to servers.
-        attempts: those that are in flight; sends and cancels.
+        attempts: sends and cancels attempts, and tracks those in flight.
         health_checks: starts health checks.
-        guard: checks each attempt right before it begins; None where nothing is checked.
+        guard: checks the invariants of each attempt right before it begins; None if they are not checked.
 
     """
 
@@ -43,17 +43,17 @@
         self.health_checks = Prober(loop, self.pool, deployment, timeouts, post)
 
     def configure(self, deployment: Deployment, max_connections: int) -> None:
-        """Take in settings and how many connections to servers there may be."""
+        """Apply settings and the maximum number of connections to servers."""
         self.timeouts = timeouts = UpstreamTimeouts.from_deployment(deployment)
         self.attempts.configure(deployment, timeouts)
         self.health_checks.configure(deployment, timeouts)
         self.pool.configure(deployment, timeouts, max_connections)
 
     def update_endpoints(self, names: Collection[str], addresses: dict[str, tuple[str, int]]) -> None:
-        """Take in which servers there are, and the addresses of some.
+        """Apply the names of all listed servers, and the addresses of some of them.
 
-        Guards whoever is at a server's old address now against requests meant for it: attempts to a server
-        that has moved are cancelled where they have not begun.
+        Attempts to a server whose address has changed are cancelled if they have not begun. Guards against
+        requests sent to another process that now listens on the server's old address.
         """
         moved = self.pool.update_addresses(addresses)
         self.pool.retain_listed(names)
--- a/marlseam/net/upstream/health_checks.py
+++ b/marlseam/net/upstream/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: calls for load reports, made a second time where one connection may be at fault."""
+"""Health checks: requests for load reports, repeated once if the connection may be at fault."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -17,25 +17,25 @@
 from marlseam.net.upstream.pool import CONNECTION_LOST, ConnectionPool, ServerConnections
 from marlseam.net.upstream.timeouts import UpstreamTimeouts
 
-EXTRA_CONNECTIONS = 4  # to one server, which health checks may open beyond those of attempts
-FIRST_CALL_SHARE = 0.5  # of a health check's time, after which it calls again on a new connection
-OUTCOME_BY_END = {  # of a call that got no answer; any other end counts as BROKEN
+EXTRA_CONNECTIONS = 4  # to one server, which health checks may open beyond the limit of attempts
+FIRST_CALL_SHARE = 0.5  # of a health check's time limit, after which it calls again on a new connection
+OUTCOME_BY_END = {  # of a call without an answer; any other reason counts as BROKEN
     Reason.TIMED_OUT: Outcome.TIMED_OUT,
     Reason.NO_CONNECT: Outcome.UNREACHABLE,
-    Reason.NO_SOCKETS: Outcome.CANCELLED_UNSENT,  # says nothing of the server: the lack is ours
+    Reason.NO_SOCKETS: Outcome.CANCELLED_UNSENT,  # no evidence about the server: this node lacks sockets
 }
-OUTCOME_BY_STATUS = {200: Outcome.COMPLETED, 503: Outcome.AT_CAPACITY}  # any other counts as ERROR
+OUTCOME_BY_STATUS = {200: Outcome.COMPLETED, 503: Outcome.AT_CAPACITY}  # any other status counts as ERROR
 
 
 class HealthCheckResult(NamedTuple):
-    """What one call for a load report came to; `report` is None where the answer held none."""
+    """The result of one call for a load report; `report` is None if the answer contained none."""
 
     outcome: Outcome
     report: LoadReport | None
 
 
 class Prober:
-    """Carries out health checks; each ends with exactly one `ProbeEnded`."""
+    """Carries out health checks; each posts exactly one `ProbeEnded`."""
 
     def __init__(
         self,
@@ -49,15 +49,15 @@
         self.configure(deployment, timeouts)
 
     def configure(self, deployment: Deployment, timeouts: UpstreamTimeouts) -> None:
-        """Take in settings."""
+        """Apply settings."""
         self.deployment, self.timeouts = deployment, timeouts
 
     def start(self, name: str) -> None:
-        """Begin to check a server."""
+        """Start a health check of a server."""
         self.loop.spawn(self.check(name))
 
     def check(self, name: str) -> Coroutine:
-        """Carry one health check to its end."""
+        """Carry out one health check and post its result."""
         server = self.pool.server(name)
         began_ms = self.loop.now()
         result = HealthCheckResult(Outcome.BROKEN, None)
@@ -69,7 +69,8 @@
             except ConnectionEndedError as end:
                 if end.reason not in (*CONNECTION_LOST, Reason.TIMED_OUT):
                     raise
-                # Guards servers against blame for one connection, such as a kept one that they had closed.
+                # Guards servers against being blamed for one lost connection, such as an idle connection that
+                # the server had closed.
                 began_ms = self.loop.now()
                 result = yield from self.call(server, until_ms, is_new=True)
         except ConnectionEndedError as end:
@@ -79,7 +80,7 @@
             self.post(ProbeEnded(name, result.outcome, self.loop.now() - began_ms, result.report))
 
     def call(self, server: ServerConnections, until_ms: float, is_new: bool = False) -> Steps:
-        """Make one call for a load report and return its result; `is_new` asks for a new connection."""
+        """Make one call for a load report and return its result; `is_new` requires a new connection."""
         reason = Reason.FAULT
         max_count = self.pool.max_per_server() + EXTRA_CONNECTIONS
         connection = yield from self.pool.acquire(server, max_count, until_ms, is_new)
@@ -92,7 +93,7 @@
             outcome = OUTCOME_BY_STATUS.get(answer.status_code, Outcome.ERROR)
             reason = Reason.DONE
             if outcome is Outcome.COMPLETED:
-                # Only then: a refusal might come twice, and be taken for the answer to what is sent next.
+                # Not after a refusal, whose duplicate could be taken for the answer to the next request.
                 self.pool.release(server, connection)
                 connection = None
             return HealthCheckResult(outcome, report)
--- a/marlseam/net/upstream/pool.py
+++ b/marlseam/net/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to servers: bounded in all and for each server, the last used first."""
+"""The pool of connections to servers: bounded in total and per server; reuses the last used one first."""
 
 from collections.abc import Collection
 from dataclasses import dataclass, field
@@ -12,17 +12,17 @@
 from marlseam.net.loop import READ, READY, Coroutine, Loop, Task
 from marlseam.net.upstream.timeouts import UpstreamTimeouts
 
-PER_SERVER_SHARE = 0.25  # of all connections, which attempts to one server may use
+PER_SERVER_SHARE = 0.25  # of `max_connections`, which attempts to one server may use
 CONNECTION_LOST = (
     Reason.PEER_CLOSED,
     Reason.PEER_RESET,
     Reason.REFUSED,
-)  # end one connection, maybe no other
-MIN_PER_SERVER = 4  # connections that attempts to one server may use, however few there are in all
+)  # these end one connection, and may affect no other connection to the server
+MIN_PER_SERVER = 4  # connections that attempts to one server may use, whatever `max_connections`
 
 
 class IdleConnection(NamedTuple):
-    """An unused connection and the task that waits for its end."""
+    """An idle connection and the task that waits for its end."""
 
     connection: Connection
     watcher: Task
@@ -34,11 +34,11 @@
 
     Attributes:
         name: the server's name.
-        address: its host and port; None until the endpoint list has told one.
-        is_listed: whether it is on the endpoint list, or still kept after it left that.
-        delisted_ms: since when it is off the list; None while it is on it.
-        count: connections that are open or being opened.
-        idle: those of them that are unused, the last used last.
+        address: its host and port; None until the endpoint list has given one.
+        is_listed: whether it is on the endpoint list, or is retained after leaving the list.
+        delisted_ms: when it left the list; None while it is listed.
+        count: number of connections that are open or being opened.
+        idle: the idle connections, the most recently used last.
 
     """
 
@@ -55,7 +55,7 @@
 
     Attributes:
         servers: by name, each server that is listed or has a connection.
-        max_connections: to all servers together.
+        max_connections: limit on the connections to all servers together.
 
     """
 
@@ -72,7 +72,7 @@
         self.configure(deployment, timeouts, max_connections)
 
     def configure(self, deployment: Deployment, timeouts: UpstreamTimeouts, max_connections: int) -> None:
-        """Take in settings, and close unused connections above the new bound."""
+        """Apply settings, and close idle connections above the new limit."""
         self.deployment, self.timeouts, self.max_connections = deployment, timeouts, max_connections
         while self.open_count() > max_connections and self.close_longest_idle():
             pass
@@ -80,7 +80,7 @@
     # The endpoint list.
 
     def update_addresses(self, addresses: dict[str, tuple[str, int]]) -> set[str]:
-        """Take in addresses of listed servers; return those that had another, their idle ones closed."""
+        """Apply addresses of listed servers; return the moved servers, with their idle connections closed."""
         moved = set()
         for name, address in addresses.items():
             server = self.servers.setdefault(name, ServerConnections(name))
@@ -91,9 +91,10 @@
         return moved
 
     def retain_listed(self, names: Collection[str]) -> None:
-        """Give up servers that are not among these.
+        """Remove the servers that are not among `names`.
 
-        Where only draining excludes a server it may still be sent to, for as long as the reducer knows it.
+        If only draining excludes servers, requests may still be sent to a delisted server, which is retained
+        for as long as the reducer retains it.
         """
         settings, now = self.deployment.settings, self.loop.now()
         retention_ms = (
@@ -108,26 +109,26 @@
             self.forget_if_unused(server)
 
     def server(self, name: str) -> ServerConnections:
-        """Return a server's connections; for one unknown a record that has no address and is not kept."""
+        """Return a server's connections; for an unknown server, an empty record that is not stored."""
         return self.servers.get(name) or ServerConnections(name, is_listed=False)
 
     def forget_if_unused(self, server: ServerConnections) -> None:
-        """Forget a server that has left once no connection to it is open."""
+        """Remove a delisted server once it has no open connections."""
         if not server.is_listed and not server.count and self.servers.get(server.name) is server:
             del self.servers[server.name]
 
     # Bounds.
 
     def open_count(self) -> int:
-        """Return how many connections to servers there are."""
+        """Return the number of connections to all servers, including those being opened."""
         return sum(server.count for server in self.servers.values())
 
     def max_per_server(self) -> int:
-        """Return how many connections one server may get for attempts."""
+        """Return the maximum number of connections that attempts to one server may use."""
         return max(MIN_PER_SERVER, int(PER_SERVER_SHARE * self.max_connections))
 
     def close_longest_idle(self) -> bool:
-        """Close the connection that was unused for longest; return whether there was one."""
+        """Close the connection that has been idle for longest; return whether there was one."""
         server = min(
             (server for server in self.servers.values() if server.idle),
             key=lambda server: server.idle[0].connection.used_ms,
@@ -145,10 +146,10 @@
     def acquire(
         self, server: ServerConnections, max_count: int, until_ms: float, is_new: bool = False
     ) -> Steps:
-        """Return a connection: the last used that is still open, else a new one.
+        """Return a connection: the most recently used idle one that is still open, else a new one.
 
-        `max_count` bounds the server's connections; `is_new` asks for a new one in any case. Raises an end
-        with NO_SOCKETS where there may be no more, and what `connect` raises.
+        `max_count` limits the server's connections; `is_new` requires a new connection. Raises
+        ConnectionEndedError with NO_SOCKETS if a limit is reached, or with the reason that `connect` gives.
         """
         while server.idle and not is_new:
             connection = self.take_idle(server)
@@ -169,7 +170,7 @@
             raise
 
     def release(self, server: ServerConnections, connection: Connection) -> None:
-        """Keep a connection for later where both sides may go on, else close it."""
+        """Keep a connection for reuse if its address is still listed and both sides allow it; else close."""
         if server.is_listed and connection.address == server.address and connection.start_next_message():
             watcher = self.loop.spawn(self.watch_idle(server, connection))
             server.idle.append(IdleConnection(connection, watcher))
@@ -177,29 +178,29 @@
             self.close_connection(server, connection, Reason.DONE)
 
     def take_idle(self, server: ServerConnections) -> Connection:
-        """Take the unused connection that was used last."""
+        """Remove the most recently used idle connection from the pool and return it."""
         connection, watcher = server.idle.pop()
         watcher.cancel()
         return connection
 
     def watch_idle(self, server: ServerConnections, connection: Connection) -> Coroutine:
-        """Close an unused connection once its time is over or anything comes on it."""
+        """Close an idle connection when its idle time-out expires or when bytes or an end arrive on it."""
         came = yield (connection.sock.fileno(), READ, self.loop.now() + self.timeouts.idle_ms)
         server.idle = [idle for idle in server.idle if idle.connection is not connection]
         self.close_connection(server, connection, Reason.PEER_CLOSED if came == READY else Reason.IDLE)
 
     def close_connection(self, server: ServerConnections, connection: Connection, reason: Reason) -> None:
-        """Close a connection."""
+        """Close a connection and remove it from the counts."""
         connection.close(reason)
         server.count -= 1
         self.forget_if_unused(server)
 
     def close_idle(self, server: ServerConnections, reason: Reason = Reason.FORGOTTEN) -> None:
-        """Close the unused connections to a server."""
+        """Close the idle connections to a server."""
         while server.idle:
             self.close_connection(server, self.take_idle(server), reason)
 
     def close(self) -> None:
-        """Close all unused connections, as the node ends."""
+        """Close all idle connections when the node ends."""
         for server in list(self.servers.values()):
             self.close_idle(server, Reason.DRAINING)
--- a/marlseam/net/upstream/timeouts.py
+++ b/marlseam/net/upstream/timeouts.py
@@ -1,4 +1,4 @@
-"""Time limits towards servers, each a share of a time that the settings hold."""
+"""Time limits towards servers, each a multiple of a time in the settings."""
 
 from dataclasses import dataclass
 from math import inf
@@ -6,11 +6,12 @@
 
 from marlseam.configuration import Deployment
 
-IDLE_TIMEOUT_SHARE = 0.7  # of the servers' keep-alive time: we close first, so that no request meets a close
-PROBE_TIMEOUT_IN_OBJECTIVES = 2.0  # of the most urgent request class, as all `_IN_OBJECTIVES` here
+IDLE_TIMEOUT_SHARE = 0.7  # of servers' keep-alive time: the node closes first, so no request meets a close
+# Times with the suffix _IN_OBJECTIVES: in latency objectives of the most urgent request class.
+PROBE_TIMEOUT_IN_OBJECTIVES = 2.0
 ACCEPT_TIMEOUT_IN_OBJECTIVES = 1.0
 ANSWER_END_TIMEOUT_IN_OBJECTIVES = 1.0
-PROGRESS_GAP_IN_PERIODS = 2.5  # in the settings' progress periods
+PROGRESS_GAP_IN_PERIODS = 2.5  # in progress periods of the settings
 
 
 @dataclass(slots=True)
@@ -18,10 +19,10 @@
     """Time limits towards servers, all in milliseconds.
 
     Attributes:
-        idle_ms: after which an unused connection is closed.
-        probe_ms: how long a health check may take in all.
-        accept_ms: how long a server may take to say that it has a request.
-        progress_gap_ms: how long it may say nothing of a request that has started; inf for no limit.
+        idle_ms: idle time after which a connection is closed.
+        probe_ms: limit on a whole health check.
+        accept_ms: how long a server may take to begin its answer to a request.
+        progress_gap_ms: how long a server may send nothing about a started request; inf for no limit.
         answer_end_ms: how long the end of an answer may take after its last line.
 
     """
@@ -34,7 +35,7 @@
 
     @classmethod
     def from_deployment(cls, deployment: Deployment) -> Self:
-        """Return the limits that a deployment's settings give."""
+        """Return the time limits that follow from a deployment's settings."""
         urgent_ms = deployment.settings.shortest_objective_ms
         return cls(
             idle_ms=IDLE_TIMEOUT_SHARE * deployment.keepalive_ms,
--- a/tests/test_connecting.py
+++ b/tests/test_connecting.py
@@ -1,4 +1,4 @@
-"""Opening, waiting on and closing one connection."""
+"""Opening, waiting on and closing a single connection."""
 
 import errno
 import socket
@@ -29,7 +29,7 @@
     assert "code=no-sockets" in capsys.readouterr().err
 
 
-def test_a_refused_connection_is_logged(loop, until, capsys):
+def test_a_refused_connection_raises_refused_and_is_logged(loop, until, capsys):
     reasons = []
 
     def call():
@@ -44,7 +44,7 @@
     assert logged_codes(capsys) == ["refused"]
 
 
-def test_a_connection_that_does_not_open_in_time_is_logged(loop, capsys):
+def test_a_connection_that_is_not_established_in_time_raises_no_connect_and_is_logged(loop, capsys):
     server = socket.create_server(("127.0.0.1", 0))
     call = connect(loop, Log("n", loop.now), server.getsockname(), "x", inf)
     next(call)
@@ -65,12 +65,12 @@
     assert logged_codes(capsys) == ["withdrawn"]
 
 
-def test_a_wait_for_the_end_stops_reading_once_much_is_buffered(make_connection):
+def test_a_wait_for_the_end_stops_reading_past_the_limit_of_buffered_bytes(make_connection):
     connection = make_connection(h11.SERVER)
     assert connection.wait_for_end()[1] == READ | END
-    connection.buffer.space(1 << 17)
-    connection.buffer.added(1 << 17)
-    assert connection.wait_for_end()[1] == END  # its end alone is waited for
+    connection.buffer.reserve(1 << 17)
+    connection.buffer.commit(1 << 17)
+    assert connection.wait_for_end()[1] == END  # waits only for the peer's end
 
 
 def test_a_connection_logs_one_line_for_its_end(make_connection, capsys):
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop: buffers, timers, waits of coroutines, and the log they write to."""
+"""The event loop and modules around it: buffers, timers, waits of coroutines, and the log."""
 
 import socket
 from math import inf
@@ -8,25 +8,25 @@
 from marlseam.net.loop import LATE, READ, WOKEN
 
 
-def test_a_buffer_gives_what_came_in_order():
+def test_a_buffer_returns_bytes_in_the_order_received():
     buffer = Buffer(8)
     for part in (b"abc", b"defg", b"hijklmnop"):
-        buffer.space(len(part))[: len(part)] = part
-        buffer.added(len(part))
+        buffer.reserve(len(part))[: len(part)] = part
+        buffer.commit(len(part))
     assert buffer.take(5) + buffer.take(100) == b"abcdefghijklmnop"
     assert not len(buffer)
 
 
 def test_a_buffer_is_compacted_before_it_grows():
     buffer = Buffer(8)
-    buffer.added(8)
+    buffer.commit(8)
     buffer.take(6)
-    assert len(buffer.space(6)) == 6
+    assert len(buffer.reserve(6)) == 6
     assert len(buffer.bytes) == 8
     assert len(buffer) == 2
 
 
-def test_timers_come_in_order(loop, until):
+def test_timers_run_in_order_of_their_time(loop, until):
     seen = []
     loop.at(2.0, lambda: seen.append(2))
     loop.at(1.0, lambda: seen.append(1))
@@ -41,7 +41,7 @@
     assert loop.late_ms < 5000.0
 
 
-def test_a_dropped_timer_never_comes(loop, until):
+def test_a_dropped_timer_never_runs(loop, until):
     seen = []
     loop.drop(loop.at(1.0, lambda: seen.append("dropped")))
     loop.at(2.0, lambda: seen.append("kept"))
@@ -49,13 +49,13 @@
     assert seen == ["kept"]
 
 
-def test_many_dropped_timers_leave_the_memory(loop):
+def test_many_dropped_timers_are_removed(loop):
     for _ in range(5000):
         loop.drop(loop.at(1e9, lambda: None))
     assert len(loop.timers) < 2000
 
 
-def test_a_wait_ends_late(loop, until):
+def test_a_wait_that_reaches_its_time_resumes_with_late(loop, until):
     seen = []
 
     def wait():
@@ -78,7 +78,7 @@
     assert seen == [WOKEN]
 
 
-def test_a_cancelled_coroutine_runs_its_end(loop):
+def test_a_cancelled_coroutine_runs_its_finally_block(loop):
     seen = []
 
     def wait():
@@ -92,7 +92,7 @@
     assert not loop.tasks
 
 
-def test_an_error_in_one_coroutine_or_call_leaves_the_others(loop, until):
+def test_an_error_in_one_coroutine_or_call_does_not_affect_others(loop, until):
     faults, seen = [], []
     loop.fault = faults.append
 
@@ -107,7 +107,7 @@
     assert len(faults) == 2
 
 
-def test_an_event_of_a_closed_socket_does_not_reach_a_new_one_of_its_number(loop):
+def test_an_event_of_a_closed_socket_does_not_reach_a_new_socket_with_its_descriptor(loop):
     seen = []
     first, second = (socket.socketpair() for _ in range(2))
 
@@ -130,7 +130,7 @@
     assert not seen
 
 
-def test_an_idle_loop_waits_without_a_time_limit(loop):
+def test_a_loop_without_timers_polls_without_a_time_limit(loop):
     loop.drop(loop.at(5.0, lambda: None))
     assert loop.pause_s() == -1.0
 
