--- a/tests/http_samples.py
+++ b/tests/http_samples.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and endpoint lists that tests of a node's connections share."""
+"""Requests, attempts and endpoint lists shared by tests of a node's connections."""
 
 import json
 
@@ -20,7 +20,7 @@
 
 
 def send_attempt(upstream: Upstream, timeout_ms: float = 1000.0) -> list[Outcome]:
-    """Send one attempt to server e1 and return the outcomes of all attempts that have ended."""
+    """Send one attempt to server e1 and return the outcomes of all attempts that have ended so far."""
     now = upstream.loop.now()
     upstream.attempts.send(AttemptOrder("1", 0, "e1", CLIENT_REQUEST, now + timeout_ms, now + 1000.0))
     return attempt_outcomes(upstream)
@@ -37,7 +37,7 @@
 
 
 def endpoint_list(version: int, *servers: str, whole: bool = True, **changes: object) -> bytes:
-    """Return discovery's answer with these servers, each entry with some of its values changed."""
+    """Return discovery's answer with an entry for each server; `changes` apply to each entry."""
     entry = {"dial": "127.0.0.1:9", "health": "active", "site": "here", "class": "plain", "block": 0}
     entries = [entry | {"host": server} | changes for server in servers]
     return json.dumps({"seq": version, "whole": whole, "hosts": entries}).encode()
--- a/tests/limited_node.py
+++ b/tests/limited_node.py
@@ -1,9 +1,9 @@
-"""A real node in a process of its own, under a descriptor limit, and all that it talks to.
+"""A real node in its own process, under a descriptor limit, and all its peers.
 
-The test plays discovery, servers, operators and clients. `use_up_descriptors` takes the last descriptor from
-the node: it sets that process's limit to the number of those that it has, so that the next call that needs
-one fails in every run, whatever else goes on; what the node releases from then on it can have again. Every
-wait ends by an event, or after a long time that only a node reaches that never does what is awaited.
+The test acts as discovery, servers, operators and clients. `use_up_descriptors` leaves the node no free
+descriptor: it sets the process's limit to the number of open descriptors, so that the next call that needs
+one fails in every run, whatever else happens; descriptors that the node releases later can be used again.
+Every wait ends with an event, or after REAL_TIME_LIMIT_S if the node never does what the test waits for.
 """
 
 import contextlib
@@ -20,10 +20,10 @@
 from conftest import OPTIONS
 
 DESCRIPTOR_LIMIT = 256
-MAX_CLIENTS = (DESCRIPTOR_LIMIT - 32 - 16) // 2  # of a node with an operators' listener (docs/node.md)
-REAL_TIME_LIMIT_S = 30.0  # by when a node that does something at all has done it
+MAX_CLIENTS = (DESCRIPTOR_LIMIT - 32 - 16) // 2  # of a node with a listener for operators (docs/node.md)
+REAL_TIME_LIMIT_S = 30.0  # limit of each wait, reached only if the awaited event never happens
 READINESS_REQUEST = b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"
-SAMPLES = 5  # of the count of descriptors: a call to discovery that is refused has one for a moment
+SAMPLES = 5  # of the descriptor count: a refused call to discovery uses one for a moment
 LIST_CALL = b"GET /api/targets HTTP/1.1"
 LIMITED_PROCESS = """
 import resource, runpy, sys
@@ -31,19 +31,19 @@
 sys.argv[0] = "marlseam"
 runpy.run_module("marlseam", run_name="__main__", alter_sys=True)
 """
-# Requests of these may be in flight for as long as a test lasts, and are neither given up nor retried.
-PATIENT_CLASSES = [
+# Requests of these classes stay in flight for a whole test, without a time-out or a retry.
+LONG_RUNNING_CLASSES = [
     {"name": "statement", "aimUs": 5000000, "deadlineUs": 60000000, "semantics": "safe"},
     {"name": "posting", "aimUs": 50000000, "deadlineUs": 60000000, "semantics": "unsafe"},
 ]
 
 
 class ScriptedServer:
-    """A listening socket that the test serves; before `listen` it has its address and refuses.
+    """A listening socket that the test serves; before `listen` it has an address and refuses connections.
 
     Attributes:
-        open: the connections, with what has come and was not taken
-        received: heads of the requests, in their order
+        open: the connections, with their received bytes that are not answered yet
+        received: heads of the requests, in the order of arrival
     """
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         self.listens = True
 
     def step(self, answer) -> None:
-        """Accept, read, and answer each whole request; `answer` returns bytes, or None for silence."""
+        """Accept, read, and answer each complete request; `answer` returns bytes, or None for no answer."""
         while self.listens and self.accept():
             pass
         for sock in list(self.open):
@@ -79,7 +79,7 @@
         return True
 
     def read(self, sock: socket.socket) -> bool:
-        """Return whether something has come on a connection; drop one that has ended."""
+        """Read a connection and return whether bytes arrived; close a connection that has ended."""
         try:
             data = sock.recv(1 << 16)
         except BlockingIOError:
@@ -94,7 +94,7 @@
         return True
 
     def answer_requests(self, sock: socket.socket, answer) -> None:
-        """Answer all requests that have come whole on a connection."""
+        """Answer all complete requests on a connection."""
         while b"\r\n\r\n" in self.open[sock]:
             head, _, rest = self.open[sock].partition(b"\r\n\r\n")
             size = 3 if head.startswith(b"POST") else 0
@@ -112,23 +112,23 @@
 
 
 def response(status: bytes, body: bytes, *headers: bytes) -> bytes:
-    """Return a response with this status, body and further headers."""
+    """Return an HTTP response with this status, body and further headers."""
     lines = [b"HTTP/1.1 " + status + b" -", b"Content-Length: %d" % len(body), *headers]
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
 class LimitedNode:
-    """One node, and all that it talks to.
+    """One node and all its peers.
 
     Attributes:
-        discovery, server: what the test serves
-        server_answers: whether the server does
+        discovery, server: the peers that the test serves
+        server_answers: whether the server answers requests
         clients: the clients' sockets, in the order in which they connected
-        request_count: how many requests have been made up
-        values: the node's configuration, and `path` its file
-        log: what the node has logged
-        address: where it listens
-        own_descriptors: how many descriptors it has without clients
+        request_count: number of requests created, which numbers their ids
+        values, path: the node's configuration and its file
+        log: the node's log so far
+        address: host and port on which the node listens for clients
+        own_descriptors: number of the node's descriptors without clients
     """
 
     def __init__(self, path, **values) -> None:
@@ -161,7 +161,7 @@
         """Return the node's configuration."""
         ceilings = OPTIONS["ceilings"] | {"mayProbe": False, "sendCap": 1, "keepaliveUs": 600000000}
         options = {
-            "requestClasses": PATIENT_CLASSES,
+            "requestClasses": LONG_RUNNING_CLASSES,
             "ceilings": ceilings,
             "guarantees": {"mustAskInUs": 10000000},
         }
@@ -176,7 +176,7 @@
         }
 
     def step(self) -> None:
-        """Let discovery and the server answer, and read the node's log."""
+        """Serve requests to discovery and the server, and read the node's log; fail if the node has ended."""
         self.discovery.step(self.answer_discovery)
         self.server.step(self.answer_attempt)
         while True:
@@ -190,7 +190,7 @@
         assert self.process.poll() is None, self.log
 
     def answer_discovery(self, head: bytes) -> bytes | None:
-        """Answer calls for the list, and hold watches."""
+        """Answer calls for the list, and leave watches open."""
         return response(b"200", json.dumps(self.list).encode()) if b"since" not in head else None
 
     def answer_attempt(self, head: bytes) -> bytes | None:
@@ -205,10 +205,10 @@
         return response(b"200", json.dumps(line).encode() + b"\n", b"Connection: close")
 
     def run_until(self, condition, seconds: float = REAL_TIME_LIMIT_S):
-        """Run all parts until a condition holds; return its value."""
+        """Run `step` until a condition holds; return the condition's value."""
         end_s = time.monotonic() + seconds
         while not (result := condition()):
-            assert time.monotonic() < end_s, f"it did not come; the node's log: {self.log[-2000:]}"
+            assert time.monotonic() < end_s, f"condition not met in time; the node's log: {self.log[-2000:]}"
             sources = [self.process.stderr, *self.discovery.open, *self.server.open]
             sources += [server.sock for server in (self.discovery, self.server) if server.listens]
             select.select(sources, [], [], 0.005)
@@ -216,7 +216,7 @@
         return result
 
     def connect(self, data: bytes = b"", address=None) -> socket.socket:
-        """Connect as a client, and send some bytes."""
+        """Connect as a client, send `data` and return the socket."""
         sock = socket.create_connection(address or self.address, timeout=REAL_TIME_LIMIT_S)
         sock.setblocking(False)
         if data:
@@ -225,7 +225,7 @@
         return sock
 
     def request(self, class_name: bytes = b"statement", time_left_s: bytes = b"50") -> bytes:
-        """Return a request under an id of its own."""
+        """Return a request with a new id."""
         self.request_count += 1
         return (
             b"POST /%b HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %x\r\nX-Service-Class: %b\r\n"
@@ -243,10 +243,10 @@
         return data
 
     def read_answer(self, sock: socket.socket) -> bytes:
-        """Return the answer to a client, empty if the connection ends."""
+        """Return the answer to a client; empty if the connection ends without one."""
         data = b""
 
-        def has_come() -> bool:
+        def is_answered() -> bool:
             nonlocal data
             try:
                 received = sock.recv(1 << 16)
@@ -257,16 +257,16 @@
             data += received
             return not received or b"\r\n\r\n" in data
 
-        self.run_until(has_come)
+        self.run_until(is_answered)
         return data
 
     def serve_client(self, sock: socket.socket) -> None:
-        """Have a request of a client completed."""
+        """Send a request of a client and assert that it is answered with 200."""
         sock.sendall(self.request())
         assert self.read_answer(sock).startswith(b"HTTP/1.1 200 ")
 
     def add_idle_clients(self, count: int) -> None:
-        """Add clients whose connections are idle after an answer; a node keeps these for minutes."""
+        """Add clients whose connections are idle after an answer; a node keeps these open for minutes."""
         for _ in range(count):
             self.serve_client(self.connect())
 
@@ -281,46 +281,46 @@
 
     @contextlib.contextmanager
     def stopped(self):
-        """Stop the node's process for a while."""
+        """Suspend the node's process by SIGSTOP within a `with` block."""
         self.process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WNOWAIT)
         yield
         self.process.send_signal(signal.SIGCONT)
 
     def descriptor_count(self) -> int:
-        """Return how many descriptors the node has."""
+        """Return how many descriptors the node has open."""
         return len(self.descriptors())
 
     def sample_descriptor_count(self) -> int:
-        """Return how many descriptors the node has a moment later."""
+        """Return how many descriptors the node has open after another 5 ms and a step."""
         select.select([], [], [], 0.005)
         self.step()
         return self.descriptor_count()
 
     def settled_descriptor_count(self) -> int:
-        """Return how many descriptors the node has but for calls to discovery, which are refused at once."""
+        """Return how many descriptors the node has open, except for calls to discovery, which are refused."""
         return min(self.sample_descriptor_count() for _ in range(SAMPLES))
 
     def descriptors(self) -> set[int]:
-        """Return the numbers of the node's descriptors."""
+        """Return the numbers of the node's open descriptors."""
         return {int(name) for name in os.listdir(f"/proc/{self.process.pid}/fd")}
 
     def has_gap(self, used: set[int] | None = None) -> bool:
-        """Return whether a number below others in use is free."""
+        """Return whether a descriptor number below the highest used one is free."""
         used = self.descriptors() if used is None else used
         return used != set(range(len(used)))
 
     def set_limit(self, count: int) -> None:
-        """Set the node's own limit."""
+        """Set the soft descriptor limit of the node's process."""
         hard = resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE)[1]
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (count, hard))
 
     def use_up_descriptors(self, fill=None) -> None:
-        """Leave the node no descriptor but those that it has.
+        """Lower the node's descriptor limit to the descriptors that it has open.
 
-        A number that is free below others in use would stay the lowest, whatever is released: a call to
-        discovery may have had it when another client came. One more client takes it: an idle one, or what
-        `fill` adds where no server answers and no client could become idle.
+        A free number below used ones would stay available under any limit: a call to discovery may have used
+        it while another client connected. One more client takes this number: an idle client, or the one that
+        `fill` adds if the server does not answer, so that no client becomes idle.
         """
         full_samples, gap_samples, end_s = 0, 0, time.monotonic() + REAL_TIME_LIMIT_S
         while full_samples < SAMPLES:
@@ -342,13 +342,13 @@
             self.sample_descriptor_count()
 
     def add_idle_client_of_answering_server(self) -> None:
-        """Add an idle client also where the server answers nothing in a test."""
+        """Add an idle client even if the server does not answer in this test."""
         answers, self.server_answers = self.server_answers, True
         self.add_idle_clients(1)
         self.server_answers = answers
 
     def assert_all_given_back(self) -> None:
-        """Have all connections end, and assert that the node has only its first descriptors."""
+        """Close all peers' connections, and assert that the node has only its own descriptors left."""
         self.set_limit(DESCRIPTOR_LIMIT)
         for sock in self.clients:
             sock.close()
@@ -356,13 +356,13 @@
             server.close()
             server.open, server.listens = {}, False
         self.run_until(lambda: self.descriptor_count() <= self.own_descriptors)
-        # Spares are held again by now.
+        # The answer shows that the spare descriptors are held again.
         assert self.read_answer(self.connect(READINESS_REQUEST)).startswith(b"HTTP/1.1 200 ")
         self.clients[-1].close()
         self.run_until(lambda: self.descriptor_count() == self.own_descriptors)
 
     def end_reasons(self, kind: str) -> list[str]:
-        """Return the reason codes with which connections of a kind ended."""
+        """Return the logged reason codes of ended connections of a kind."""
         lines = [line for line in self.log.splitlines() if f"{kind} ended code=" in line]
         return [line.split("code=")[1].split()[0] for line in lines]
 
@@ -375,7 +375,7 @@
 
 
 def operator_address(limited):
-    """Return where the node listens for operators: its one other listening socket."""
+    """Return where the node listens for operators: the address of its only other listening socket."""
     inodes = set()
     for name in os.listdir(f"/proc/{limited.process.pid}/fd"):
         try:
@@ -392,6 +392,6 @@
 
 
 def child_processes(pid):
-    """Return the processes that a process has started."""
+    """Return the ids of a process's child processes."""
     with open(f"/proc/{pid}/task/{pid}/children") as file:
         return [int(word) for word in file.read().split()]
--- a/tests/loopback_servers.py
+++ b/tests/loopback_servers.py
@@ -1,4 +1,4 @@
-"""Servers on real loopback sockets that a test plays itself, and ways to run a node's loop beside them.
+"""Servers on real loopback sockets that a test controls, and functions that run a node's loop.
 
 A test accepts, reads, answers and closes at the instants that it chooses and runs the node's loop in between,
 so that the order of events is the same in every run.
@@ -22,23 +22,23 @@
 from marlseam.net.loop import Loop
 from marlseam.net.node import Node
 
-CONDITION_LIMIT_MS = 2000.0  # less than a request's own time, which ends everything
-REAL_TIME_LIMIT_MS = 10000.0  # for conditions that wait for the machine
-CLOCK_STEP_MS = 0.01  # by which a controlled clock moves at each look
+CONDITION_LIMIT_MS = 2000.0  # shorter than the requests' deadlines, after which nothing is left to wait for
+REAL_TIME_LIMIT_MS = 10000.0  # for conditions whose time depends on the load of the machine
+CLOCK_STEP_MS = 0.01  # by which a controlled clock advances at each reading
 
 SAFE_REQUEST = REQUEST.replace(b"0.5", b"5")
 UNSAFE_REQUEST = SAFE_REQUEST.replace(b"statement", b"posting")
 LONG_BODY_BYTES = 65536
-MUCH_AHEAD = b"x" * 20000  # more than a node reads ahead
+MUCH_AHEAD = b"x" * 20000  # more pipelined bytes than a node buffers
 NEVER_RAN_RESPONSE = b"HTTP/1.1 503 -\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 RESPONSE_HEAD = b"HTTP/1.1 200 -\r\nContent-Length: %d\r\n\r\n"
 
-_SOCKET_CLASS = socket.socket  # before a test puts another in its place
+_SOCKET_CLASS = socket.socket  # the original class, which tests may replace
 
-HUGE_NUMBER = b"1" + b"0" * 400  # which no float holds
+HUGE_NUMBER = b"1" + b"0" * 400  # larger than any float
 DEEPLY_NESTED = b"[" * 30000
 
-# Requests and classes of each idempotency. `KEYED_STATEMENT` belongs to the first class, made keyed.
+# Requests and classes of each idempotency. `KEYED_STATEMENT` is for KEYED_CLASS, the first class made keyed.
 KEYED_CLASS = OPTIONS["requestClasses"][0] | {"semantics": "keyed", "dedupScope": "all", "aimStretch": 20}
 KEYED_STATEMENT = SAFE_REQUEST.replace(b"Host: h", b"Host: h\r\nIdempotency-Key: k")
 KEYED_REQUEST = KEYED_STATEMENT.replace(b"statement", b"payment")
@@ -49,16 +49,17 @@
 NO_PROBES = {"mayProbe": False}
 NO_PROBES_NO_CANCEL = {"mayProbe": False, "cancel": False}
 
-# Of this process alone: nodes of other test runs dial ports that were theirs before, and would come first.
+# An address for this process only. Guards against nodes of other test runs, which connect to ports that they
+# used before and could connect first.
 OWN_LOOPBACK = f"127.{1 + (os.getpid() >> 16) % 250}.{(os.getpid() >> 8) % 256}.{1 + os.getpid() % 250}"
 
 
 class ListeningServer:
-    """A listening socket that the test serves.
+    """A listening socket whose connections the test serves.
 
     Attributes:
         sock: the listening socket
-        address: where it listens
+        address: its host and port
         held: the sockets of the connections accepted so far
     """
 
@@ -79,7 +80,7 @@
         return True
 
     def read(self) -> bytes:
-        """Return what has come and was not read, on all connections."""
+        """Accept all connections, and return all unread bytes of all of them."""
         while self.accept():
             pass
         data = b""
@@ -97,7 +98,7 @@
 
 
 class ServerLister:
-    """Lists servers that the test plays as the node's endpoints, under given settings."""
+    """Lists servers that the test controls as the node's endpoints, under given settings."""
 
     def __init__(self, node: Node, servers: dict[str, ListeningServer]) -> None:
         self.node = node
@@ -120,7 +121,7 @@
     state: EndpointState = EndpointState.READY,
     listing: ListUpdateKind = ListUpdateKind.FULL,
 ) -> None:
-    """Have discovery list servers at these addresses, in this state."""
+    """Apply an endpoint list with servers at these addresses, in this state, as if it came from discovery."""
     entries = [EndpointEntry(name, state, 0, 0, 0, None) for name in addresses]
     listed: Iterable[str] = addresses if listing is ListUpdateKind.FULL else node.upstream.pool.servers
     node.upstream.update_endpoints(listed, addresses)
@@ -130,7 +131,7 @@
 def node_with_discovery(
     node: Node, discovery: ListeningServer, settings: dict[str, object], **values: object
 ) -> Node:
-    """Return another node of the same file with other settings, which asks the test's discovery."""
+    """Return another node with the same file and changed settings, which calls the test's discovery."""
     path = Path(node.config.path)
     changes = {"settings": settings, "discovery": "{}:{}".format(*discovery.address)} | values
     path.write_text(json.dumps(json.loads(path.read_text()) | changes))
@@ -140,23 +141,23 @@
 def run_until(
     node: Node, condition: Callable[[], object], limit_ms: float = CONDITION_LIMIT_MS, wait_ms: float = 1.0
 ) -> None:
-    """Run the node's loop until a condition holds, by the node's own clock; a turn waits up to `wait_ms`."""
+    """Run the node's loop until a condition holds, by the node's clock; each turn waits up to `wait_ms`."""
     end_ms = node.loop.now() + limit_ms
     while not condition():
-        assert node.loop.now() < end_ms, "it did not come"
+        assert node.loop.now() < end_ms, "condition not met in time"
         node.loop.at(node.loop.now() + wait_ms, lambda: None)
         node.loop.turn()
 
 
 def run_loop(node: Node, turns: int = 30) -> None:
-    """Run some turns of the node's loop, by default until nothing more happens by itself."""
+    """Run turns of the node's loop, by default enough to handle all pending events."""
     for _ in range(turns):
         node.loop.at(node.loop.now(), lambda: None)
         node.loop.turn()
 
 
 def control_clock(loop: Loop) -> Callable[[float], None]:
-    """Have a loop's clock move at each look alone, however busy the machine is; return what advances it."""
+    """Replace a loop's clock by one that advances only when read, or by the function that is returned."""
     clock_ms = loop.now()
 
     def now() -> float:
@@ -173,7 +174,7 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Return whether the other side has closed a connection."""
+    """Return whether the peer has closed or reset a connection."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -183,18 +184,18 @@
 
 
 def reset_connection(sock: socket.socket) -> None:
-    """Close a connection so that the other side sees a reset."""
+    """Close a connection so that the peer receives a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 def close_sending_side(sock: socket.socket) -> None:
-    """End the sending side alone."""
+    """Close only the sending side of a connection."""
     sock.shutdown(socket.SHUT_WR)
 
 
 def hold_at_durability_barrier(node: Node) -> Callable[[], None]:
-    """Hold each attempt as long as a record that is not yet durable does; return what lets them go."""
+    """Hold all attempts as if their records were not durable yet; return a function that releases them."""
     released: list[bool] = []
     send = node.upstream.attempts.send
 
@@ -208,7 +209,7 @@
 
 
 def fill_accept_queue(server: ListeningServer) -> Callable[[], None]:
-    """Fill a server's accept queue, so that no further connection to it comes up; return what empties it."""
+    """Fill a server's accept queue, so that further connections hang; return a function that empties it."""
     fillers = []
     while True:
         sock = socket.socket()
@@ -217,7 +218,7 @@
         sock.connect_ex(server.address)
         try:
             sock.getpeername()
-        except OSError:  # this one hangs, and so will the next
+        except OSError:  # the queue is full: this connection hangs, and so will further ones
             break
 
     def empty() -> None:
@@ -228,20 +229,20 @@
 
 
 def small_socket(*arguments: object, **options: object) -> socket.socket:
-    """Return a socket that holds so little that a long request's last byte waits for its reader."""
+    """Return a socket with buffers so small that a long request's last byte waits for the reader."""
     sock = _SOCKET_CLASS(*arguments, **options)
     limit_buffers(sock)
     return sock
 
 
 def limit_buffers(sock: socket.socket) -> None:
-    """Have a socket hold as little as the system allows."""
+    """Limit a socket's buffers to the smallest size that the system allows."""
     for buffer in (socket.SO_SNDBUF, socket.SO_RCVBUF):
         sock.setsockopt(socket.SOL_SOCKET, buffer, 2048)
 
 
 def with_long_body(request: bytes) -> bytes:
-    """Return a request with a body that fills small sockets."""
+    """Return a request whose body is larger than the buffers of `small_socket`."""
     body = b"b" * LONG_BODY_BYTES
     return request.replace(b"Length: 3", b"Length: %d" % LONG_BODY_BYTES).replace(b"abc", body)
 
--- a/tests/scripted_socket.py
+++ b/tests/scripted_socket.py
@@ -1,4 +1,4 @@
-"""A socket that plays a script, and a server's answer for it."""
+"""A fake socket with scripted reads and limited writes, and a server's answer to be read from it."""
 
 import socket
 
@@ -8,18 +8,18 @@
 
 
 class ScriptedSocket:
-    """A connected socket that plays a script.
+    """A connected fake socket with scripted reads.
 
     Attributes:
-        replies: what is read from it, a read each; then its end, or silence where it is `silent`.
-        takes: how many bytes may be written to it until it breaks.
-        silent: whether it has no end.
-        piece: how many bytes one write takes at most; where it is bounded, each second write would block.
-        blocks: whether the last write would have blocked.
-        pair: real sockets, whose descriptor the loop waits for.
+        replies: the bytes to be read, one item per read; then the peer's end, or nothing if `silent`.
+        takes: how many bytes may be written before writes fail with a reset.
+        silent: whether reads block instead of returning the peer's end after the replies.
+        piece: maximum number of bytes per write; if limited, every second write raises BlockingIOError.
+        blocks: whether the last write raised BlockingIOError.
+        pair: real sockets, for a descriptor that the loop can wait for.
         sent: the bytes that were written.
-        open: whether it has not been closed.
-        upon_send: replies that come once something is written.
+        open: whether the socket has not been closed.
+        upon_send: replies that become readable after the next write.
 
     """
 
@@ -64,7 +64,7 @@
         return len(data)
 
     def shutdown(self, _how: int) -> None:
-        """Nothing to do: what was sent is all there is."""
+        """Do nothing: no test depends on the end of the sending side."""
 
     def close(self) -> None:
         self.open = False
--- a/tests/test_attempt_outcomes.py
+++ b/tests/test_attempt_outcomes.py
@@ -38,11 +38,11 @@
 def test_the_next_attempt_is_sent_only_once_the_connection_of_the_one_before_is_closed(
     node, client, list_test_servers, monkeypatch, first_response
 ):
-    patient_classes = [
+    long_objective_classes = [
         row | {"aimUs": 200000 + 800000 * number}
         for number, row in enumerate(reversed(OPTIONS["requestClasses"]))
     ]
-    one, two = list_test_servers("e1", "e2", ceilings=NO_PROBES, requestClasses=patient_classes)
+    one, two = list_test_servers("e1", "e2", ceilings=NO_PROBES, requestClasses=long_objective_classes)
     closed_at_sends, write = [], Connection.message
 
     def message(connection, head, body, until_ms, *left):
@@ -51,7 +51,8 @@
         return (yield from write(connection, head, body, until_ms, *left))
 
     monkeypatch.setattr(Connection, "message", message)
-    # Both have an idle connection, on which the next can be sent in the turn in which the one before ends.
+    # Both servers have an idle connection, on which the next attempt can be sent in the turn in which the
+    # first attempt ends.
     for name, server in (("e1", one), ("e2", two)):
         until_ms = node.loop.now() + 1000.0
         node.upstream.attempts.send(AttemptOrder("0", 0, name, CLIENT_REQUEST, until_ms, until_ms))
@@ -65,7 +66,7 @@
     server_socket = (one if attempt.server == "e1" else two).held[0]
     run_until(node, lambda: attempt.has_begun and b"abc" in one.read() + two.read())
     if first_response is None:
-        # Time itself is the subject: the server sends nothing for as long as it may.
+        # Advances the clock past the time limit for the first bytes of an answer.
         on_time = node.loop.now
         node.loop.now = lambda: on_time() + node.upstream.timeouts.accept_ms
     else:
@@ -75,24 +76,26 @@
     assert closed_at_sends[1].count(True) == 1
 
 
-# Attempts that provably never ran.
+# Proofs that an attempt never ran.
 
 
 @pytest.mark.parametrize(
     "refusal", [NEVER_RAN_RESPONSE, response_of_states(b"returned")], ids=["head", "line"]
 )
-def test_a_refusal_that_comes_twice_is_not_taken_for_the_answer_to_the_next_attempt(
+def test_a_duplicate_refusal_is_not_taken_for_the_answer_to_the_next_attempt(
     node, list_test_servers, refusal
 ):
-    # The second of two refusals names no request, or the same one: taken for the answer to what is sent
-    # next on its connection, it would have an unsafe request run twice.
+    # A duplicate refusal names no request, or the same one. Guards against taking it for the answer to the
+    # next attempt on its connection, which would make an unsafe request run twice.
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
     events = []
     node.upstream.attempts.post = events.append
-    job = replace(CLIENT_REQUEST, is_unsafe=True)
+    client_request = replace(CLIENT_REQUEST, is_unsafe=True)
     for attempt_index in range(2):
         until_ms = node.loop.now() + 5000.0
-        node.upstream.attempts.send(AttemptOrder("1", attempt_index, "e1", job, until_ms, until_ms))
+        node.upstream.attempts.send(
+            AttemptOrder("1", attempt_index, "e1", client_request, until_ms, until_ms)
+        )
         run_until(node, lambda: b"abc" in server.read())
         server.held[0].sendall(refusal)
         run_loop(node)
@@ -107,7 +110,7 @@
     ("response", "sent_again"),
     [
         (NEVER_RAN_RESPONSE, True),
-        (NEVER_RAN_RESPONSE.replace(b"Length: 0", b"Length: 5") + b"sp", True),  # its head has said all
+        (NEVER_RAN_RESPONSE.replace(b"Length: 0", b"Length: 5") + b"sp", True),  # the head is sufficient
         (
             NEVER_RAN_RESPONSE.replace(b"Content-Length: 0", b"Transfer-Encoding: chunked") + b"nonsense\r\n",
             True,
@@ -115,7 +118,7 @@
         (NEVER_RAN_RESPONSE.replace(b"X-Unprocessed: 1", b"X-Unprocessed: no"), False),
         (NEVER_RAN_RESPONSE[:-2], False),  # cut within its head
         (response_of_states(b"returned"), True),
-        # The second line claims that it was never started.
+        # The second line returns the request as never started.
         (response_of_states(b"started", b"returned"), False),
         (response_of_states(b"lost"), False),
         (response_of_states(b"failed"), False),
@@ -124,7 +127,7 @@
     ids=["refused", "cut body", "malformed body", "another value", "cut head", "returned", "started"]
     + ["lost", "failed", "reset"],
 )
-def test_an_unsafe_request_is_retried_on_proof_alone(
+def test_an_unsafe_request_is_retried_only_on_proof_that_it_never_ran(
     node, client, list_test_servers, reply, response, sent_again
 ):
     one, two = list_test_servers("e1", "e2", ceilings=NO_PROBES)
@@ -145,7 +148,7 @@
 
 
 @pytest.mark.parametrize("first_read_bytes", [1, 100, 30000])
-def test_an_attempt_that_is_cut_within_its_own_bytes_never_ran(
+def test_an_attempt_that_is_cut_before_its_last_byte_never_ran_and_is_retried(
     node, client, list_test_servers, monkeypatch, first_read_bytes
 ):
     one, two = list_test_servers("e1", "e2", ceilings=NO_PROBES)
@@ -164,11 +167,11 @@
     assert not node.counters.attempts
     reset_connection(first.held.pop())
     run_until(node, lambda: attempt.task.done)
-    # It never ran: an unsafe request is sent once more, to either server.
+    # The attempt never ran: the unsafe request is sent again, to either server.
     run_until(node, lambda: one.accept() or two.accept())
 
 
-def test_a_probe_that_was_refused_leaves_no_connection_for_requests(node, list_test_servers):
+def test_the_connection_of_a_refused_probe_is_not_reused(node, list_test_servers):
     (server,) = list_test_servers("e1")
     events = []
     node.upstream.health_checks.post = events.append
@@ -183,17 +186,17 @@
 # Responses that never end.
 
 
-def test_a_response_that_never_ends_leaves_others_their_turns(make_upstream, loop):
+def test_a_response_that_never_ends_does_not_starve_other_tasks(make_upstream, loop):
     running = b'{"id":"9b","from":"e1","state":"running","share":0.5}\n'
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-    upstream_parts = make_upstream(head, *[b"%x\r\n%b\r\n" % (len(running), running)] * 2000, silent=True)
+    upstream = make_upstream(head, *[b"%x\r\n%b\r\n" % (len(running), running)] * 2000, silent=True)
     turns = []
     loop.soon(lambda: turns.append(1))
-    send_attempt(upstream_parts)
-    assert upstream_parts.connections[0].sock.replies  # others have a turn before all was read
+    send_attempt(upstream)
+    assert upstream.connections[0].sock.replies  # other tasks run before the whole response is read
     loop.turn()
     assert turns
-    assert not attempt_outcomes(upstream_parts)
+    assert not attempt_outcomes(upstream)
 
 
 @pytest.mark.parametrize(
@@ -202,13 +205,13 @@
     ids=["informational", "blanks"],
 )
 def test_a_response_that_never_ends_is_cut_at_its_time_limit(make_upstream, loop, until, endless):
-    clock = count(loop.now(), 0.001)  # moves at each look alone, however busy the machine is
+    clock = count(loop.now(), 0.001)  # advances only when read, whatever the load of the machine
     loop.now = lambda: next(clock)
-    upstream_parts = make_upstream(endless, *[endless[-300:]] * 2000)
-    send_attempt(upstream_parts)
+    upstream = make_upstream(endless, *[endless[-300:]] * 2000)
+    send_attempt(upstream)
     loop.turn()
-    assert not attempt_outcomes(upstream_parts)
-    clock = count(loop.now() + 1000.0, 0.001)  # the limit is over while the response still comes
-    until(lambda: attempt_outcomes(upstream_parts))
-    assert attempt_outcomes(upstream_parts) == [Outcome.TIMED_OUT]
-    assert upstream_parts.connections[0].sock.replies
+    assert not attempt_outcomes(upstream)
+    clock = count(loop.now() + 1000.0, 0.001)  # the time limit is over while bytes still arrive
+    until(lambda: attempt_outcomes(upstream))
+    assert attempt_outcomes(upstream) == [Outcome.TIMED_OUT]
+    assert upstream.connections[0].sock.replies
--- a/tests/test_attempt_retries.py
+++ b/tests/test_attempt_retries.py
@@ -40,7 +40,8 @@
 def test_a_retry_whose_bytes_wait_past_the_deduplication_window_is_cut(
     node, client, list_test_servers, shrink_sockets, advance_clock, reads
 ):
-    # A server begins a request when its last byte has come: by then it has forgotten the first one's key.
+    # A server begins a request when its last byte arrives; by then, the server would have removed the key of
+    # the first attempt, and the request would run twice.
     keyed_class = KEYED_CLASS | {"memorySpanUs": 1000000}
     one, two = list_test_servers("e1", "e2", ceilings=NO_PROBES, requestClasses=[keyed_class])
     for server in (one, two):
@@ -56,15 +57,15 @@
 
     run_until(node, is_read_whole)
     shrink_sockets()
-    first.held[0].sendall(b"nonsense\r\n\r\n")  # it may have run
+    first.held[0].sendall(b"nonsense\r\n\r\n")  # the attempt may have run
     run_until(node, other.accept)
     run_loop(node)
     (attempt,) = node.upstream.attempts.in_flight.values()
-    assert not attempt.has_begun  # it waits in the middle of its bytes
+    assert not attempt.has_begun  # its write is blocked within the request
     attempts = node.counters.attempts
     advance_clock(1000.0)  # the deduplication window is over, the deadline is not
     while reads == "with" and not select.select([], [attempt.task.fd], [], 0)[1]:
-        other.read()  # there is room for more in the turn in which the time is over
+        other.read()  # the socket is writable in the turn in which the time is over
     run_loop(node)
     for _ in range(100):
         other.read()
@@ -80,11 +81,11 @@
     late_ms, sent_before = upstream_connection.loop.now() + 5.0, upstream_connection.sock.sent
     upstream_connection.loop.now = lambda: late_ms
     with pytest.raises(ConnectionEndedError):
-        steps.send(READY)  # there is room in the turn in which the time is over
+        steps.send(READY)  # the socket is writable in the turn in which the time is over
     assert upstream_connection.sock.sent == sent_before
 
 
-# Second answers, some milliseconds late.
+# Duplicate answers that arrive some milliseconds late.
 
 
 @pytest.mark.parametrize(
@@ -93,7 +94,7 @@
     ids=["never ran", "the same", "an error"],
 )
 @pytest.mark.parametrize(
-    "job",
+    "client_request",
     [
         replace(CLIENT_REQUEST, is_unsafe=True, must_run_once=True),
         replace(CLIENT_REQUEST, must_run_once=True),
@@ -101,8 +102,8 @@
     ids=["unsafe", "keyed"],
 )
 @pytest.mark.usefixtures("advance_clock")
-def test_a_second_answer_after_a_good_one_proves_nothing_of_the_next_attempt(
-    node, list_test_servers, second_response, job
+def test_a_duplicate_answer_after_a_valid_one_is_no_proof_about_the_next_attempt(
+    node, list_test_servers, second_response, client_request
 ):
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
     events = []
@@ -114,18 +115,18 @@
     run_until(node, lambda: node.upstream.pool.servers["e1"].idle)
     events.clear()
     # The next attempt is sent in the turn in which the first ends.
-    node.upstream.attempts.send(AttemptOrder("2", 0, "e1", job, until_ms, until_ms))
+    node.upstream.attempts.send(AttemptOrder("2", 0, "e1", client_request, until_ms, until_ms))
     run_until(node, lambda: b"abc" in server.read())
     server.held[0].sendall(second_response.replace(b"9b", b"9a"))
     run_until(node, lambda: events)
-    # It may run: neither retried nor erased from the records. Its own answer belongs to no attempt any more.
+    # The attempt may run: it is neither retried nor removed from the records, and its own answer is not read.
     assert [event.outcome for event in events] == [Outcome.BROKEN]
     assert is_closed_by_peer(server.held[0])
     assert not node.upstream.pool.servers["e1"].idle
 
 
 @pytest.mark.parametrize("wait_ms", [0.0, DUPLICATE_ANSWER_MS], ids=["new", "rested"])
-def test_a_refusal_is_believed_where_no_second_answer_can_come(
+def test_a_refusal_is_accepted_where_no_duplicate_answer_can_arrive(
     node, list_test_servers, advance_clock, wait_ms
 ):
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
@@ -155,7 +156,7 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False], ids=["cancelled", "runs on"])
-def test_a_retry_of_a_client_goes_to_the_cell_that_holds_its_idempotency_key(
+def test_a_clients_retry_is_sent_to_the_cell_that_holds_its_idempotency_key(
     node, client, list_test_servers, advance_clock, may_cancel
 ):
     ceilings = NO_PROBES | {"cancel": may_cancel}
@@ -165,7 +166,7 @@
     ]
     node.post(core.EndpointListUpdate(ListUpdateKind.FULL, entries[:1]))
     client_socket = client(KEYED_REQUEST)
-    run_until(node, lambda: b"abc" in first.read())  # it may run from here on
+    run_until(node, lambda: b"abc" in first.read())  # the attempt may run from here on
     for number in range(2):
         client_socket.close()
         run_until(node, lambda: not node.requests.pending)
@@ -175,7 +176,7 @@
             KEYED_REQUEST.replace(b"9b", b"a%d" % number).replace(b"Key: k", b"Key: k\r\nX-Repeat: 1")
         )
         received = b""
-        for _ in range(30):  # within the window of 1 s, past the next look at the pending queue
+        for _ in range(30):  # within the window of 1 s, past the next check of the pending queue
             advance_clock(10.0)
             run_loop(node, 3)
             received += first.read()
@@ -191,7 +192,7 @@
 def test_where_hedging_is_allowed_an_unsafe_request_still_has_one_attempt_in_flight(
     node, client, list_test_servers, advance_clock, request_bytes, is_hedged
 ):
-    # So that no attempt times out.
+    # Long latency objectives, so that no attempt times out.
     classes = [row | {"aimUs": 1000000} for row in CLASS_OF_EACH_IDEMPOTENCY]
     first, other = list_test_servers(
         "e1", "e2", ceilings=NO_PROBES | {"secondCopies": True}, requestClasses=classes
@@ -201,8 +202,10 @@
     client(request_bytes)
     run_until(node, lambda: b"abc" in first.read())
     update_endpoint_list(node, {"e1": first.address, "e2": other.address})
-    node.post(core.ProbeEnded("e1", Outcome.TIMED_OUT, 0.0, None))  # it is presumed lost, with its requests
-    for _ in range(8):  # past the next look at the pending queue
+    node.post(
+        core.ProbeEnded("e1", Outcome.TIMED_OUT, 0.0, None)
+    )  # presumes the server lost, with its requests
+    for _ in range(8):  # past the next check of the pending queue
         advance_clock(100.0)
         run_loop(node, 5)
     begun = [attempt for attempt in node.upstream.attempts.in_flight.values() if attempt.has_begun]
--- a/tests/test_bytes.py
+++ b/tests/test_bytes.py
@@ -1,4 +1,4 @@
-"""Requests in pieces, silent connections, clients that disconnect: nothing is misread and nothing leaks."""
+"""Requests split over reads, silent connections and disconnecting clients: no misread bytes, no leaks."""
 
 import os
 import socket
@@ -22,7 +22,7 @@
 
 
 def read_requests(pieces, count):
-    """Return the requests that are read from a stream that comes in these pieces."""
+    """Return the first `count` requests that are read from a stream received in these pieces."""
     loop = Loop(lambda _: None)
     connection = Connection(loop, Log("test", loop.now), ScriptedSocket(pieces), h11.SERVER, "test")
     requests = []
@@ -49,7 +49,7 @@
 
 @example(list(range(1, len(STREAM))))
 @given(st.lists(st.integers(1, len(STREAM) - 1), max_size=40, unique=True))
-def test_a_stream_is_read_the_same_however_it_is_cut(cuts):
+def test_a_stream_of_requests_is_read_the_same_however_it_is_split(cuts):
     bounds = [0, *sorted(cuts), len(STREAM)]
     pieces = tuple(STREAM[start:end] for start, end in zip(bounds, bounds[1:], strict=False))
     assert read_requests(pieces, 4) == REQUESTS_OF_STREAM
@@ -57,7 +57,7 @@
 
 
 def count_descriptors():
-    """Return how many descriptors this process has open."""
+    """Return the number of descriptors that this process has open."""
     return len(os.listdir("/proc/self/fd"))
 
 
@@ -109,7 +109,7 @@
         node.loop.turn()
 
 
-def test_connections_of_clients_take_none_of_the_operators(node, client, reply):
+def test_connections_of_clients_leave_operators_their_connections(node, client, reply):
     node.downstream.limits = AdmissionLimits(5, 1e9)
     for _ in range(40):
         client(b"POST /statement")
@@ -119,7 +119,7 @@
     assert reply(client(b"GET /control/ready HTTP/1.1\r\nHost: h\r\n\r\n", node.admin)).split()[1] == b"200"
 
 
-def test_operators_connections_that_fall_silent_leave_no_tasks(node, client, monkeypatch):
+def test_operators_connections_that_fall_silent_time_out_and_leave_no_tasks(node, client, monkeypatch):
     monkeypatch.setattr(admin, "CALL_MS", 20.0)
     monkeypatch.setattr(http, "LINGER_MS", 20.0)
     tasks_before = len(node.loop.tasks)
--- a/tests/test_connection_closing.py
+++ b/tests/test_connection_closing.py
@@ -1,4 +1,4 @@
-"""What comes at the instant at which a connection closes, and clients that flood (docs/design/endings.md)."""
+"""Bytes that arrive as a connection closes, and flooding clients (docs/design/endings.md)."""
 
 import os
 import select
@@ -24,12 +24,12 @@
 from marlseam.net.downstream import NEW_GRACE_MS, WRITE_TIMEOUT_MS
 from marlseam.net.loop import LATE, READY
 
-# Bytes that come at the instant at which the node closes a connection.
+# Bytes that arrive at the instant at which the node closes a connection.
 
 
 @pytest.fixture
 def call_before_close(node, monkeypatch):
-    """Return a function that has a call made between the last read of a client's socket and its closing."""
+    """Return a function that schedules a call between the last read of a client's socket and its close."""
     close = node.loop.close
 
     def prepare(call):
@@ -45,7 +45,7 @@
     return prepare
 
 
-def close_for_another(node):
+def close_for_capacity(node):
     node.downstream.close_one()
 
 
@@ -62,9 +62,9 @@
     node.loop.finish()
 
 
-@pytest.mark.parametrize("close_connection", [close_for_another, close_in_drain, close_idle, finish_loop])
+@pytest.mark.parametrize("close_connection", [close_for_capacity, close_in_drain, close_idle, finish_loop])
 @pytest.mark.parametrize("is_used", [False, True], ids=["new", "used"])
-def test_a_request_that_crosses_the_close_of_its_connection_is_not_read(
+def test_a_request_sent_as_its_connection_is_closed_is_not_read(
     node, client, list_test_servers, advance_clock, call_before_close, close_connection, is_used
 ):
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
@@ -90,7 +90,7 @@
     assert b"abc" not in server.read()
 
 
-def test_the_last_answer_of_a_connection_is_whole_though_a_request_crosses_it(
+def test_the_last_answer_on_a_connection_is_complete_though_a_request_arrives_at_its_close(
     node, client, list_test_servers, call_before_close
 ):
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
@@ -110,8 +110,8 @@
     assert node.requests.last_request_id == 1
 
 
-def test_all_sockets_write_small_parts_at_once(node, client, list_test_servers):
-    # Guards against bytes that the system holds back, which a reset discards.
+def test_all_sockets_send_small_writes_without_delay(node, client, list_test_servers):
+    # Guards against bytes that the system delays (Nagle's algorithm) and that a reset would discard.
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
     client(SAFE_REQUEST)
     run_until(node, server.accept)
@@ -159,10 +159,10 @@
 
 
 @pytest.mark.parametrize("event", [READY, LATE])
-def test_a_response_that_has_come_as_its_time_ends_is_taken(
+def test_a_response_that_arrived_by_its_time_limit_is_used_though_the_loop_is_late(
     node, client, list_test_servers, reply, advance_clock, event
 ):
-    # The loop runs late: the response is there, and its time is over in the same turn.
+    # The loop runs late: the response has arrived, and its time limit has expired, in the same turn.
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
     sock = client(SAFE_REQUEST)
     run_until(node, lambda: b"abc" in server.read())
@@ -179,7 +179,7 @@
 # Clients that flood.
 
 
-def test_clients_that_flood_and_leave_cost_others_nothing(node, client, list_test_servers):
+def test_clients_that_flood_and_disconnect_do_not_affect_others(node, client, list_test_servers):
     (server,) = list_test_servers("e1", backlog=128, ceilings=NO_PROBES)
     run_loop(node)
     descriptors_before = len(os.listdir("/proc/self/fd"))
@@ -189,7 +189,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 20)
         with suppress(BlockingIOError):
             sock.sendall(flood_bytes.replace(b"9b", b"f%d" % number) if number % 2 else b"\x00" * 100000)
-    run_loop(node, 3)  # some are being read, some not yet accepted
+    run_loop(node, 3)  # some connections are being read, others are not accepted yet
     for number, sock in enumerate(flooding_clients):
         (reset_connection if number % 3 else socket.socket.close)(sock)
     other_client = client(SAFE_REQUEST)
@@ -214,7 +214,7 @@
     assert not sum(node.downstream.reserved_bytes.values())
 
 
-def test_requests_of_a_burst_of_clients_that_leave_all_end(node, client, list_test_servers):
+def test_requests_of_a_burst_of_clients_that_disconnect_all_end(node, client, list_test_servers):
     servers = list_test_servers("e1", "e2", "e3", ceilings=NO_PROBES)
     client_sockets = [client(SAFE_REQUEST.replace(b"9b", b"w%d" % number)) for number in range(120)]
     run_until(node, lambda: node.requests.last_request_id == len(client_sockets))
@@ -235,17 +235,17 @@
     assert not any(b"POST" in server.read() for server in servers)
 
 
-# What no order of the node's can save.
+# Cases that the node cannot prevent, whatever the order of its steps.
 
 
-def test_a_connection_in_the_listeners_last_moment_is_reset_not_left_silent(
+def test_a_connection_made_as_the_listener_closes_is_reset_not_left_silent(
     node, list_test_servers, monkeypatch
 ):
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
     address, close, late_clients = node.downstream.sock.getsockname(), node.loop.close, []
 
     def connect_and_close(sock):
-        if sock is node.downstream.sock:  # after the last look at its queue
+        if sock is node.downstream.sock:  # after the last check of its accept queue
             late_clients.append(socket.create_connection(address))
             late_clients[0].sendall(SAFE_REQUEST)
         close(sock)
@@ -253,7 +253,7 @@
     monkeypatch.setattr(node.loop, "close", connect_and_close)
     node.downstream.stop_listening()
     with pytest.raises(ConnectionResetError):
-        late_clients[0].recv(1)  # its client knows at once; no bytes were read, nothing was sent
+        late_clients[0].recv(1)  # its client is notified at once; the node has read and sent nothing
     run_loop(node)
     assert not node.requests.last_request_id
     assert not server.accept()
@@ -266,7 +266,7 @@
     node, client, list_test_servers, advance_clock, shrink_sockets
 ):
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
-    node.downstream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # as what it accepts has
+    node.downstream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # accepted sockets inherit it
     shrink_sockets()
     sock = client(SAFE_REQUEST)
     run_until(node, lambda: b"abc" in server.read())
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -1,7 +1,8 @@
-"""Nodes whose discovery serves calls one by one and declines those that would wait too long (docs/node.md).
+"""Nodes whose discovery serves calls one by one and declines calls that would wait too long (docs/node.md).
 
-The nodes are real ones on real sockets, under a clock that the test controls. Discovery behaves as in the
-incident of 2026-12-02: lists and new watches are queued, a watch that goes on after its last answer is not.
+The nodes are real, on real sockets, with a clock that the test controls. Discovery behaves as in the incident
+of 2026-12-02: calls for lists and new watches are queued, a call that continues a watch after its last answer
+is not.
 """
 
 import json
@@ -20,16 +21,16 @@
 
 from marlseam.net.node import Node
 
-DEADLINE_TOLERANCE_MS = 6000.0  # by when a change counts as known
+DEADLINE_TOLERANCE_MS = 6000.0  # after which a change counts as known
 NODE_COUNT = 32
-CALLS_PER_S = 3.7  # what discovery serves, as in the incident
-MAX_QUEUE_MS = 2000.0  # the longest wait in the queue; a call that would wait longer is declined
-WATCH_CONTINUES_MS = 200.0  # within which the next call of a watch follows the last answer
+CALLS_PER_S = 3.7  # rate at which discovery serves calls, as in the incident
+MAX_QUEUE_MS = 2000.0  # longest wait in the queue; a call that would wait longer is declined
+WATCH_CONTINUES_MS = 200.0  # after a watch's answer, within which its next call is not queued
 DECLINED = b"HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n"
 
 
 class QueuedCall(NamedTuple):
-    """A call that waits for its answer: for a list, or for the changes since a version."""
+    """A call that waits for its answer: for the list, or for changes since a version."""
 
     due_ms: float
     sock: socket.socket
@@ -38,16 +39,16 @@
 
 
 class CrowdedDiscovery:
-    """Discovery as one queue of calls.
+    """Discovery with a queue that serves one call after the other.
 
     Attributes:
         clock: the time in ms, set by the test
-        busy_until_ms: when all queued calls are served
-        free_calls: how many calls are served at once before calls have to queue
-        queued: calls in the order in which they are served
-        watches: open watches, and when each is answered at the latest
-        answered_ms: when a watch's last answer was sent
-        lists, declined: how many lists were sent and calls declined
+        busy_until_ms: when all queued calls will have been served
+        free_calls: how many more calls are served at once before calls are queued
+        queued: queued calls, in the order in which they are served
+        watches: open watches, and by when each is answered
+        answered_ms: when the last answer of each watch was sent
+        lists, declined: numbers of lists sent and of calls declined
     """
 
     def __init__(self, free_calls: int) -> None:
@@ -64,7 +65,7 @@
         self.lists = self.declined = 0
 
     def serve(self) -> None:
-        """Read calls, and answer those that are due."""
+        """Read calls, and answer the calls that are due."""
         self.accept()
         for sock in list(self.open):
             self.read(sock)
@@ -136,7 +137,7 @@
         sock.sendall(response_of(body))
 
     def change(self) -> None:
-        """Change the list: open watches are answered at once."""
+        """Change the list, and answer open watches at once."""
         self.version += 1
         for sock in list(self.watches):
             self.answer_watch(sock)
@@ -153,13 +154,13 @@
 
 
 class CrowdedFleet:
-    """Real nodes under one controlled clock, and the discovery that all of them call."""
+    """Real nodes with one controlled clock, and the discovery that all of them call."""
 
     def __init__(self, nodes: list[ControlledNode], discovery: CrowdedDiscovery) -> None:
         self.nodes, self.discovery = nodes, discovery
 
     def advance(self, span_ms: float) -> None:
-        """Advance the clock."""
+        """Advance the clock in steps of STEP_MS, and run all nodes and discovery at each step."""
         end_ms = self.discovery.clock + span_ms
         while self.discovery.clock < end_ms:
             self.discovery.clock += STEP_MS
@@ -168,14 +169,14 @@
             self.run_loops()
 
     def run_loops(self) -> None:
-        """Deliver all that is sent at one instant."""
+        """Run discovery and the nodes until all bytes sent at this instant are handled."""
         for _ in range(3):
             self.discovery.serve()
             for controlled in self.nodes:
                 controlled.run_turn()
 
     def outdated_nodes(self) -> list[int]:
-        """Return which nodes do not know discovery's last change."""
+        """Return the indexes of the nodes whose list is older than discovery's."""
         return [
             index
             for index, controlled in enumerate(self.nodes)
@@ -184,13 +185,13 @@
 
 
 def held_list(node, **changes: object) -> dict[str, object]:
-    """Return the list that a node's configuration holds, with changes."""
+    """Return the endpoint list in a node's configuration, with changes."""
     return json.loads(Path(node.config.path).read_text())["known"] | changes
 
 
 @pytest.fixture
 def make_crowded_fleet(node, tmp_path: Path) -> Iterator[Callable[..., CrowdedFleet]]:
-    """Return a maker of fleets whose nodes hold the list as it was at their start."""
+    """Return a function that makes fleets whose nodes hold version `known` of the list at their start."""
     made: list[CrowdedFleet] = []
 
     def begin(free_calls: int, known: int = 1) -> CrowdedFleet:
@@ -216,7 +217,7 @@
         fleet.discovery.close()
 
 
-def test_a_change_soon_after_the_start_is_known_by_each_node_in_time(make_crowded_fleet):
+def test_a_change_soon_after_the_start_reaches_each_node_in_time(make_crowded_fleet):
     fleet = make_crowded_fleet(free_calls=NODE_COUNT + 3)
     fleet.advance(4600.0)
     fleet.discovery.change()
@@ -224,7 +225,7 @@
     assert not fleet.outdated_nodes()
 
 
-def test_nodes_that_all_call_again_together_know_a_change_as_fast_as_calls_are_served(make_crowded_fleet):
+def test_a_change_reaches_nodes_that_all_call_again_together_as_fast_as_calls_are_served(make_crowded_fleet):
     fleet = make_crowded_fleet(free_calls=NODE_COUNT + 3)
     fleet.advance(4600.0)
     fleet.discovery.end_watches()
@@ -233,7 +234,7 @@
     assert not fleet.outdated_nodes()
 
 
-def test_nodes_at_a_crowded_discovery_all_come_to_watch(make_crowded_fleet):
+def test_all_nodes_at_a_crowded_discovery_get_a_watch(make_crowded_fleet):
     fleet = make_crowded_fleet(free_calls=0)
     fleet.advance(1000.0 * NODE_COUNT / CALLS_PER_S + 2 * MAX_QUEUE_MS)
     declined = fleet.discovery.declined
@@ -242,24 +243,24 @@
     assert len(fleet.discovery.watches) == NODE_COUNT
 
 
-# What the first call of a node asks for: the whole list, or the changes since the version that it holds.
+# The first call of a node: for the whole list, or for changes since the held version.
 
 LIST_CALL, CHANGES_CALL = "GET /api/targets HTTP", "GET /api/targets?since={}&timeout_ms=10 HTTP"
 MALFORMED_ENTRY = {"host": "e2", "health": "active", "dial": "nowhere"}
 
 
 class ScriptedDiscovery:
-    """Discovery whose calls are answered by the test, one after the other."""
+    """Discovery whose calls the test answers one after the other."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0))
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
         self.open: list[socket.socket] = []
-        self.last_call = ""  # its first line
+        self.last_call = ""  # its request line up to the HTTP version
 
     def has_call(self) -> bool:
-        """Return whether a call has come that was not seen yet, on the last connection."""
+        """Return whether a new call has arrived on the last connection."""
         try:
             self.open.append(self.sock.accept()[0])
             self.open[-1].setblocking(False)
@@ -281,14 +282,14 @@
 
 
 def next_call(controlled: ControlledNode) -> str:
-    """Return the first line of the next call, which waits for its answer."""
+    """Return the request line of the next call, which is left unanswered."""
     controlled.advance_until(controlled.discovery.has_call)
     return controlled.discovery.last_call
 
 
 @pytest.fixture
 def make_node_with_scripted_discovery(node, tmp_path: Path) -> Iterator[Callable[..., ControlledNode]]:
-    """Return a maker of a node that holds a list, by default of version 5, and has a discovery of its own."""
+    """Return a function that makes a node with its own discovery and a list, by default of version 5."""
     made: list[ControlledNode] = []
 
     def begin(**known: object) -> ControlledNode:
@@ -307,7 +308,7 @@
         controlled.close()
 
 
-def test_a_node_with_a_list_asks_for_its_changes_and_goes_on_with_the_same_watch(
+def test_a_node_with_a_list_requests_its_changes_and_continues_the_same_watch(
     make_node_with_scripted_discovery,
 ):
     controlled = make_node_with_scripted_discovery()
@@ -319,11 +320,11 @@
 
 
 @pytest.mark.parametrize("hosts", [[], [MALFORMED_ENTRY]], ids=["empty", "malformed"])
-def test_a_node_without_a_whole_list_asks_for_one(make_node_with_scripted_discovery, hosts):
+def test_a_node_without_a_whole_list_requests_one(make_node_with_scripted_discovery, hosts):
     assert next_call(make_node_with_scripted_discovery(hosts=hosts)) == LIST_CALL
 
 
-def test_a_discovery_whose_versions_start_again_is_asked_for_the_whole_list_at_once(
+def test_the_whole_list_is_requested_at_once_where_versions_start_again(
     make_node_with_scripted_discovery,
 ):
     controlled = make_node_with_scripted_discovery()
--- a/tests/test_descriptor_release.py
+++ b/tests/test_descriptor_release.py
@@ -1,4 +1,4 @@
-"""Which connections are closed where a descriptor is needed, and the spare descriptors (docs/node.md)."""
+"""Which connections are closed in a shortage of descriptors, and the spare descriptors (docs/node.md)."""
 
 import errno
 import os
@@ -17,15 +17,15 @@
 from marlseam.net.errors import ConnectionEndedError
 from marlseam.net.log import MAX_BURST_LINES, Log, Reason
 
-# Closed are first clients that sent nothing for a while, then idle ones, and new ones last.
+# Order of closing: clients that sent nothing for a while, then idle clients, then new ones.
 
 
 @pytest.fixture
 def idle_clients(node, client, reply):
-    """Have six clients that are idle after an answer, where eight may connect."""
+    """Connect six clients that are idle after an answer; eight clients may connect."""
 
     def answer_at_once(pending):
-        pending.respond(200, [], b"r")  # at once: a server of the test's could be late on busy cores
+        pending.respond(200, [], b"r")  # without a server, which could be late on a busy machine
         return "1"
 
     node.downstream.take_request = answer_at_once
@@ -35,11 +35,11 @@
 
 
 def connect_silently(node, client):
-    """Return a client that has connected and sent nothing, and the node's side of its connection."""
+    """Connect a client that sends nothing; return its socket and the node's side of the connection."""
     before = {*node.downstream.open}
     sock, end_ms = client(b""), node.loop.now() + 1000.0 * REAL_TIME_LIMIT_S
     while not (made := {*node.downstream.open} - before):
-        assert node.loop.now() < end_ms, "it was not taken"
+        assert node.loop.now() < end_ms, "the connection was not accepted in time"
         node.loop.turn()
     return sock, made.pop()
 
@@ -68,17 +68,17 @@
 
 
 @pytest.mark.usefixtures("idle_clients")
-def test_a_flood_of_new_clients_takes_no_more_than_its_share_from_idle_ones(node, client):
+def test_a_flood_of_new_clients_closes_no_more_than_its_share_of_idle_ones(node, client):
     kept = [*node.downstream.idle]
     for _ in range(30):
         connect_silently(node, client)
-    assert sum(connection.closed for connection in kept) == 1  # three new ones are over a quarter of eight
+    assert sum(connection.closed for connection in kept) == 1  # three new clients exceed a quarter of eight
 
 
-# `Descriptors`, `connect`, the listener and the log.
+# `Descriptors`, `connect`, the listener and the log in a shortage.
 
 
-def test_descriptors_are_released_as_often_as_opening_takes():
+def test_descriptors_are_released_until_opening_succeeds():
     errors, released = [errno.EMFILE, errno.ENFILE, errno.ENOBUFS], []
     descriptors = Descriptors()
     descriptors.releasers = [lambda: released.append(1) or True]
@@ -92,7 +92,7 @@
     assert len(released) == 3
 
 
-def test_a_failure_for_another_reason_releases_no_descriptor():
+def test_an_error_other_than_a_shortage_releases_no_descriptor():
     released = []
     descriptors = Descriptors()
     descriptors.releasers = [lambda: released.append(1) or True]
@@ -105,7 +105,7 @@
     assert not released
 
 
-def test_releasing_that_does_not_help_ends():
+def test_releasing_stops_where_opening_keeps_failing():
     released = []
     descriptors = Descriptors()
     descriptors.releasers = [lambda: released.append(1) or True]
@@ -115,10 +115,10 @@
 
     with pytest.raises(OSError, match="none"):
         descriptors.opened(open_descriptor)
-    assert len(released) < 20  # the whole system is short: releasing descriptors of the node does not help
+    assert len(released) < 20  # releasing does not help if the whole system is short
 
 
-def test_spares_are_for_the_nodes_own_needs_and_come_back(monkeypatch):
+def test_spares_are_used_only_for_the_nodes_own_needs_and_are_refilled(monkeypatch):
     descriptors = Descriptors()
     descriptors.hold_spares()
     assert len(descriptors.spares) == SPARE_COUNT
@@ -133,7 +133,7 @@
     descriptors.drop_spares()
 
 
-def test_spares_are_held_again_before_more_clients_are_taken(node, client, monkeypatch):
+def test_spares_are_refilled_before_more_clients_are_accepted(node, client, monkeypatch):
     node.loop.descriptors.hold_spares()
     node.loop.descriptors.release_one(own=True)
     accepted = node.downstream.open
@@ -147,7 +147,7 @@
     node.loop.descriptors.drop_spares()
 
 
-def test_a_call_without_a_descriptor_reports_its_reason(loop, refuse_sockets, capsys):
+def test_connecting_without_a_descriptor_ends_with_no_sockets_and_is_logged(loop, refuse_sockets, capsys):
     refuse_sockets(socket.AF_INET, errno.EMFILE)
     caught = []
 
@@ -162,8 +162,8 @@
     assert "code=no-sockets" in capsys.readouterr().err
 
 
-def test_accepting_goes_on_at_once_where_an_idle_client_can_be_closed(node, client):
-    # Guards against one in 20 ms: forty clients with requests would wait for most of a second.
+def test_accepting_continues_at_once_where_an_idle_client_can_be_closed(node, client):
+    # Guards against accepting one client per 20 ms: 40 clients with requests would wait for up to 0.8 s.
     for _ in range(4):
         client(b"")
     while len(node.downstream.open) < 4:
@@ -171,7 +171,7 @@
     real, max_clients, accepted = node.downstream.listener.sock, 4, []
 
     class LimitedListener:
-        """The listening socket of a process that can have four connections of clients."""
+        """The listening socket of a process with descriptors for four clients."""
 
         def __getattr__(self, name):
             return getattr(real, name)
@@ -192,7 +192,7 @@
     node.downstream.listener.sock = real
 
 
-def test_the_ends_of_connections_leave_capacity_in_the_log_for_other_lines(capsys):
+def test_lines_of_ended_connections_leave_capacity_in_the_log_for_other_lines(capsys):
     log = Log("n", lambda: 0.0)
     for _ in range(1000):
         log.connection_ended("client", Reason.CROWDED, 0)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""A node serves on where no descriptor is left as one is needed (docs/design/endings.md)."""
+"""A node continues to serve when it needs a descriptor and none is left (docs/design/endings.md)."""
 
 import contextlib
 import json
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def make_limited_node(tmp_path):
-    """Return a maker of nodes under a descriptor limit, with own settings by their tables."""
+    """Return a function that makes nodes under a descriptor limit, with own settings by table."""
     made = []
 
     def build(**values):
@@ -33,14 +33,14 @@
         each.close()
 
 
-# The system's limit is reached before the node's own: each need with no descriptor left, and idle clients.
+# The system's limit is reached before the node's own: each need for a descriptor, with idle clients.
 
 
-def test_discovery_is_reached_at_its_return_with_no_descriptor_left(make_limited_node):
+def test_discovery_is_called_when_it_returns_with_no_descriptor_left(make_limited_node):
     limited = make_limited_node()
     limited.add_idle_clients(5)
     limited.use_up_descriptors()
-    # By a call that was due meanwhile, and refused.
+    # Clients closed for a call to discovery that was due meanwhile and was refused.
     closed_before = sum(limited.is_closed(sock) for sock in limited.clients)
     limited.discovery.listen()
     limited.run_until(lambda: limited.discovery.received or "no-sockets" in limited.end_reasons("discovery"))
@@ -48,7 +48,7 @@
     assert limited.discovery.received[0].startswith(LIST_CALL)
     assert "no-sockets" not in limited.end_reasons("discovery")
     closed = sum(limited.is_closed(sock) for sock in limited.clients)
-    assert closed - closed_before <= 1 <= closed  # one, and no more
+    assert closed - closed_before <= 1 <= closed  # at most one more, and at least one in total
     limited.assert_all_given_back()
 
 
@@ -57,10 +57,10 @@
     limited.add_idle_clients(5)
     limited.use_up_descriptors()
     before = len(limited.server.received)
-    limited.serve_client(limited.clients[-1])  # on its connection; to the server a new one is needed
+    limited.serve_client(limited.clients[-1])  # on an open connection; the connection to the server is new
     assert len(limited.server.received) == before + 1
     assert "no-sockets" not in limited.end_reasons("server e1")
-    assert limited.is_closed(limited.clients[0])  # the one that was idle for longest
+    assert limited.is_closed(limited.clients[0])  # the longest idle client
     limited.assert_all_given_back()
 
 
@@ -92,7 +92,7 @@
     limited = make_limited_node()
     limited.add_idle_clients(5)
     limited.use_up_descriptors()
-    with limited.stopped():  # so that their requests are there as they are accepted
+    with limited.stopped():  # so that the requests have arrived when the connections are accepted
         client_sockets = [limited.connect(limited.request()) for _ in range(count)]
     answers = [limited.read_answer(sock) for sock in client_sockets]
     failed = [answer for answer in answers if not answer.startswith(b"HTTP/1.1 200 ")]
@@ -115,7 +115,7 @@
     limited.assert_all_given_back()
 
 
-# No connection can be closed: each has a request in flight. Spares are kept for what the node needs itself.
+# No connection can be closed, since each has a request in flight. Spares are held for the node's own needs.
 
 
 def test_discovery_operators_and_configurations_have_spares_where_all_work_is_out(make_limited_node):
@@ -127,7 +127,7 @@
         limited.connect(limited.request(b"posting"))
         pending_line = b"\npending=%d\n" % len(limited.clients)
         limited.run_until(lambda: pending_line in limited.call_operator(operators, b"counters"))
-        # No operator's connection lingers.
+        # Waits until the operator's connection is closed.
         limited.run_until(
             lambda: limited.descriptor_count()
             == limited.own_descriptors + len(limited.clients) + len(limited.server.open)
@@ -149,27 +149,27 @@
     limited.process.send_signal(signal.SIGHUP)
     limited.run_until(lambda: "the configuration" in limited.log or "new configuration" in limited.log)
     assert "new configuration" in limited.log
-    # No client with a request in flight is closed for it.
+    # No client with a request in flight was closed.
     assert not any(limited.is_closed(client) for client in limited.clients[:count_in_flight])
     limited.assert_all_given_back()
     other_discovery.close()
 
 
-# The node's own limit is reached before the system's: more clients than it takes, all through the test.
+# The node's own limit is reached before the system's: more clients than it accepts, during the whole test.
 
 
 class ClientCrowd:
-    """Clients that send nothing, a part of a request, or one request; closed ones connect again at once."""
+    """Clients that send nothing, a part of a request, or one request, and reconnect at once when closed."""
 
     def __init__(self, limited, data) -> None:
         self.limited, self.data, self.connected_count = limited, data, 0
         self.client_sockets: list[socket.socket] = []
 
     def step(self) -> bool:
-        """Have as many connections as the node takes, and more in the accept queue; return `is_full`."""
+        """Keep more clients connected than the node accepts, the rest in its queue; return `is_full`."""
         for sock in list(self.client_sockets):
             with contextlib.suppress(BlockingIOError, ConnectionResetError):
-                while sock.recv(1 << 16):  # an answer, if there is one
+                while sock.recv(1 << 16):  # reads an answer, if there is one
                     pass
             if self.limited.is_closed(sock):
                 self.client_sockets.remove(sock)
@@ -180,12 +180,12 @@
         return self.is_full()
 
     def is_full(self) -> bool:
-        """Return whether the node has taken as many as it may."""
+        """Return whether the node has accepted as many clients as it may."""
         return self.limited.descriptor_count() >= self.limited.own_descriptors + MAX_CLIENTS
 
 
 @pytest.mark.parametrize("data", [b"", b"POST /state", READINESS_REQUEST])
-def test_a_crowd_of_clients_keeps_a_node_from_nothing(make_limited_node, data):
+def test_a_node_at_its_limit_of_clients_meets_its_own_needs_and_serves_requests(make_limited_node, data):
     limited = make_limited_node()
     operators, crowd = operator_address(limited), ClientCrowd(limited, data)
     step = limited.step
@@ -202,7 +202,7 @@
         json.dumps(limited.values | {"limits": limited.values["limits"] | {"memory_mb": 200}})
     )
     limited.process.send_signal(signal.SIGHUP)
-    # Logged among the ends of the crowd's connections.
+    # The line is logged in spite of the many lines of the crowd's ended connections.
     limited.run_until(lambda: "new configuration" in limited.log)
     assert "no-sockets" not in limited.log
     assert limited.descriptor_count() <= DESCRIPTOR_LIMIT
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Following the endpoint list of discovery."""
+"""The discovery client: lists, changes, invalid answers and the wait of a watch."""
 
 from dataclasses import replace
 
@@ -21,7 +21,7 @@
     ]
 
 
-def test_an_older_change_leads_to_the_full_list(follow_discovery):
+def test_a_change_of_an_older_version_leads_to_the_full_list(follow_discovery):
     events = follow_discovery(
         endpoint_list(5, "e1"), endpoint_list(3, "e2", whole=False), endpoint_list(3, "e2")
     )
@@ -29,13 +29,13 @@
 
 
 @pytest.mark.parametrize("answer", [b"nonsense", b"[]", b'{"seq":9,"hosts":7}'])
-def test_an_invalid_answer_leaves_the_last_valid_list(node, follow_discovery, answer):
+def test_an_invalid_answer_is_posted_as_failed_and_keeps_the_last_valid_list(node, follow_discovery, answer):
     events = follow_discovery(endpoint_list(5, "e1"), answer)
     assert events[-1].update_kind is ListUpdateKind.FAILED
     assert list(node.discovery.held) == ["e1"]
 
 
-def test_an_invalid_entry_keeps_what_was_last_valid_of_it(node, follow_discovery):
+def test_an_invalid_entry_keeps_the_last_valid_entry(node, follow_discovery):
     follow_discovery(endpoint_list(5, "e1", "e2"), endpoint_list(6, "e1", dial="odd"))
     assert list(node.discovery.held) == ["e1"]
 
@@ -48,7 +48,7 @@
     assert events == [core.EndpointListUpdate(ListUpdateKind.FAILED, [])]
 
 
-def test_a_configured_list_that_is_invalid_leaves_none(node):
+def test_a_configured_list_that_is_invalid_is_rejected(node):
     with pytest.raises(MalformedMessageError, match="list"):
         node.discovery.take({}, cached=True)
 
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -1,4 +1,4 @@
-"""Many nodes whose watches end together cause no storm of calls, and know a change in time (docs/node.md)."""
+"""Many nodes whose watches end together: no storm of calls, and changes arrive in time (docs/node.md)."""
 
 import heapq
 from collections.abc import Callable
@@ -13,8 +13,8 @@
 from marlseam.decisions.types import ListUpdateKind
 from marlseam.net.discovery import OVERDUE
 
-NOTIFICATION_LIMIT_MS = 6000.0  # by when a change counts as known
-CALL_LIMIT_MS = 2000.0  # after which a node gives a call up
+NOTIFICATION_LIMIT_MS = 6000.0  # after which a change counts as known
+CALL_LIMIT_MS = 2000.0  # time-out of a node's call
 WATCHES_END_MS = 1000.0
 NODE_COUNT = 200
 CONSECUTIVE_SEEDS = range(1, NODE_COUNT + 1)
@@ -22,19 +22,19 @@
 
 
 class SimulatedFleet:
-    """Dispatchers of many nodes in virtual time, whose watches all end at 1 s, as discovery goes down.
+    """Dispatchers of many nodes in virtual time, whose watches all end at 1 s, when discovery fails.
 
-    Restored, it serves so many calls a second one by one, given-up ones too; nodes wait for these as
-    long as `Discovery.fetch` does.
+    When restored, discovery serves `calls_per_s` calls per second one by one, including overdue calls; nodes
+    wait for the answers to overdue calls as long as `Discovery.fetch` does.
 
     Attributes:
-        clock: virtual time, in ms
-        failure_ms: how long a call takes to fail in the outage
-        restored_ms: when discovery is back
-        busy_until_ms: when discovery has served all calls so far
-        events: the calls to make, by their time and order
-        calls: when calls began
-        notified_ms: when each node knew the change
+        clock: virtual time in ms
+        failure_ms: how long a call takes to fail during the outage
+        restored_ms: when discovery is restored
+        busy_until_ms: when discovery will have served all calls so far
+        events: scheduled functions, by time and order
+        calls: start times of the calls to discovery
+        notified_ms: when each node received the change, by index
     """
 
     def __init__(self, seeds, failure_ms: float, restored_ms: float = inf, calls_per_s: float = 1.0) -> None:
@@ -54,7 +54,7 @@
 
     def call(self, node_index: int) -> None:
         if node_index in self.notified_ms:
-            return  # it follows discovery already
+            return  # the node already follows discovery
         self.calls.append(self.clock)
         if self.clock < self.restored_ms:
             fails_ms = self.clock + self.failure_ms if self.clock else WATCHES_END_MS
@@ -76,7 +76,7 @@
 
 
 class FleetPort:
-    """The port of one node's dispatcher."""
+    """The port through which one node's dispatcher calls discovery."""
 
     def __init__(self, fleet: SimulatedFleet, node_index: int) -> None:
         self.fleet, self.node_index = fleet, node_index
@@ -108,7 +108,7 @@
     ("calls_per_s", "within_ms"),
     [(40.0, 7500.0), (100.0, NOTIFICATION_LIMIT_MS), (1e9, NOTIFICATION_LIMIT_MS)],
 )
-def test_many_nodes_know_a_change_in_time_where_discovery_serves_calls_one_by_one(
+def test_a_change_reaches_many_nodes_in_time_where_discovery_serves_calls_one_by_one(
     calls_per_s, within_ms, failure_ms, seeds
 ):
     for restored_ms in range(9000, 11500, 250):
--- a/tests/test_discovery_sockets.py
+++ b/tests/test_discovery_sockets.py
@@ -41,7 +41,7 @@
     ids=["dial", "no dial", "born", "number", "share"],
 )
 @pytest.mark.parametrize("whole", [True, False], ids=["whole", "change"])
-def test_a_drain_is_taken_from_an_entry_that_is_malformed_elsewhere(node, malformed_field, whole):
+def test_a_drain_is_applied_from_an_entry_with_another_field_malformed(node, malformed_field, whole):
     entry = ENTRY | {"dial": "127.0.0.1:1", "health": "active"}
     node.discovery.take({"seq": 5, "whole": True, "hosts": [entry]})
     entry = entry | {"health": "leaving"} | malformed_field
@@ -57,13 +57,13 @@
     assert "e1" in node.discovery.held
 
 
-# The list on real sockets: a discovery of the test's, under a controlled clock.
+# The list on real sockets, from a discovery that the test controls, with a controlled clock.
 
 READY_ENTRY = ENTRY | {"dial": "127.0.0.1:1", "health": "active"}
 
 
 def list_body(seq, *states, whole=True, indent=None, **changes):
-    """Return a list, or a change, with servers e1, e2 and so on in these states."""
+    """Return a list, or a change, with servers e1, e2 and so on, one for each state."""
     entries = [
         READY_ENTRY | {"host": f"e{number}", "health": state} | changes
         for number, state in enumerate(states, start=1)
@@ -72,7 +72,7 @@
 
 
 class FollowingNode(NamedTuple):
-    """A node, the test's discovery, and what advances the node's clock and runs some turns of its loop."""
+    """A node, the test's discovery, and a function that advances the node's clock and runs its loop."""
 
     node: Node
     discovery: ListeningServer
@@ -81,7 +81,7 @@
 
 @pytest.fixture
 def make_following_node(node, listening_servers):
-    """Return a maker of nodes that follow the test's discovery, under controlled clocks."""
+    """Return a function that makes nodes that follow the test's discovery, with controlled clocks."""
     made = []
 
     def build(seed=1, **settings):
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("indent", [0, 1, 8, "\t"])
 @pytest.mark.parametrize("pieces", [1, 7], ids=["whole", "in pieces"])
-def test_a_list_may_come_indented_and_in_pieces(make_following_node, indent, pieces):
+def test_a_list_is_read_indented_and_in_pieces(make_following_node, indent, pieces):
     node, discovery, run = make_following_node()
     for body, state in (
         (list_body(5, "active", "active", indent=indent), EndpointState.READY),
@@ -123,7 +123,7 @@
         assert endpoint_state(node, "e1") is state
         assert endpoint_state(node, "e2") is EndpointState.READY
         run(advance_ms=node.discovery.min_watch_gap_ms)
-    assert len(discovery.held) == 1  # one watch
+    assert len(discovery.held) == 1  # one connection for the whole watch
 
 
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
@@ -153,7 +153,7 @@
 def test_no_request_goes_to_a_server_whose_drain_a_silent_watch_missed(
     make_following_node, listening_servers, client, mode, in_watch
 ):
-    # The time allowed for silence ends in a list on a new call, which comes late by itself, and its grace.
+    # The time limit for a silent watch covers a list on a new call, which itself arrives late, and the grace.
     server = listening_servers["e1"] = ListeningServer()
     dial = "{}:{}".format(*server.address)
     node, discovery, run = make_following_node(
@@ -176,7 +176,7 @@
     assert discovery.read().startswith(
         b"GET /api/targets?since=%d&timeout_ms=10 HTTP" % node.discovery.version
     )
-    run(advance_ms=100.0)  # lists come late
+    run(advance_ms=100.0)  # the list arrives late
     discovery.held[1].sendall(response_of(list_body(6, "leaving", dial=dial)))
     run()
     assert node.loop.now() - silent_ms < limit_ms
@@ -184,7 +184,7 @@
     run(20)
     assert node.requests.last_request_id
     assert not server.accept()
-    update_endpoint_list(node, {"e1": server.address})  # and the request goes there once it is ready again
+    update_endpoint_list(node, {"e1": server.address})  # the request is sent once the server is ready again
     run(20)
     assert server.accept()
 
@@ -197,8 +197,8 @@
     [None, b"HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n", b""],
     ids=["resets", "declines", "closes"],
 )
-def test_one_node_adds_few_calls_to_a_failing_discovery(make_following_node, mode, max_calls, response):
-    # Twenty seconds in which each call fails at once, at the shortest back-off by chance.
+def test_one_node_makes_few_calls_to_a_failing_discovery(make_following_node, mode, max_calls, response):
+    # 20 s in which each call fails at once, with the shortest random back-off.
     node, discovery, run = make_following_node(
         registryMode=mode, guarantees={"stopSendingWithinUs": 20000000}
     )
@@ -236,10 +236,10 @@
     due_ms = sorted(node.reducer.dispatcher.next_poll_ms - node.loop.now() for node, _, _ in nodes)
     backoff_ms = nodes[0].node.reducer.dispatcher.poll_backoff_ms
     most_together = max(sum(start <= at < start + 0.1 * backoff_ms for at in due_ms) for start in due_ms)
-    assert most_together <= len(due_ms) // 3  # of 24 in a tenth of the span; evenly spread it would be 3
+    assert most_together <= len(due_ms) // 3  # 24 nodes: evenly spread, a tenth of the back-off has about 3
 
 
-# A reload on SIGHUP moves discovery.
+# A reload on SIGHUP changes discovery's address.
 
 
 def in_open_watch(following):
@@ -251,7 +251,7 @@
 
 
 def in_backoff(following):
-    """Fail calls until the back-off is longest, and stop in the middle of one."""
+    """Fail calls until the back-off is longest, and return during a back-off."""
     node, discovery, run = following
     for _ in range(8):
         while discovery.held:
@@ -265,20 +265,20 @@
 
 
 def in_call(following):
-    assert following.node.discovery.task is not None  # and nothing answers
+    assert following.node.discovery.task is not None  # the call is left unanswered
 
 
-@pytest.mark.parametrize("bring_into_state", [in_open_watch, in_backoff, in_call])
+@pytest.mark.parametrize("enter_state", [in_open_watch, in_backoff, in_call])
 @pytest.mark.parametrize("mode", ["subscribe", "automatic"])
 @pytest.mark.parametrize("grace_us", [400000, 20000000])
-def test_a_drain_is_known_within_four_seconds_of_a_sighup_that_moves_discovery(
-    make_following_node, listening_servers, bring_into_state, mode, grace_us
+def test_a_drain_is_applied_within_four_seconds_of_a_sighup_that_moves_discovery(
+    make_following_node, listening_servers, enter_state, mode, grace_us
 ):
     following = make_following_node(registryMode=mode, guarantees={"stopSendingWithinUs": grace_us})
     node, discovery, run = following
     node.reducer.dispatcher.random = lambda: 1.0 - 1e-9  # the longest back-off
     discovery.read()
-    bring_into_state(following)
+    enter_state(following)
     moved_discovery = listening_servers["moved"] = ListeningServer()
     path = Path(node.config.path)
     values = json.loads(path.read_text()) | {"discovery": "{}:{}".format(*moved_discovery.address)}
@@ -290,8 +290,8 @@
         run(2, advance_ms=10.0)
     run()
     assert moved_discovery.read().startswith(b"GET /api/targets HTTP")
-    run(advance_ms=100.0)  # lists come late
-    moved_discovery.held[0].sendall(response_of(list_body(1, "leaving")))  # another discovery's versions
+    run(advance_ms=100.0)  # the list arrives late
+    moved_discovery.held[0].sendall(response_of(list_body(1, "leaving")))  # numbered by another discovery
     run()
     assert endpoint_state(node, "e1") is EndpointState.DRAINING
     assert node.loop.now() - began_ms < 4000.0
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -1,4 +1,4 @@
-"""Connections of clients: their requests, limits and answers."""
+"""Connections of clients: requests, limits, eviction and answers."""
 
 import resource
 import socket
@@ -63,12 +63,12 @@
         (CHUNKED_REQUEST.replace(b"abc\r\n0", b"abc\r\n%x\r\n%b\r\n0" % (65536, b"x" * 65536)), 413),
     ],
 )
-def test_an_invalid_request_gets_its_status_and_is_not_accepted(node, client, reply, data, status):
+def test_an_invalid_request_gets_its_status_and_is_not_passed_to_the_node(node, client, reply, data, status):
     assert reply(client(data)).startswith(b"HTTP/1.1 %d " % status)
     assert not node.requests.last_request_id
 
 
-def test_a_request_may_come_in_chunks(node, client):
+def test_a_request_in_chunks_is_accepted(node, client):
     client(CHUNKED_REQUEST)
     while not node.requests.pending:
         node.loop.turn()
@@ -89,15 +89,15 @@
     ("data", "last_bytes", "code"),
     [(b"", b"", "idle"), (REQUEST[:60], b"X", "timed-out"), (REQUEST[:-2], b"X", "timed-out")],
 )
-def test_a_first_request_has_its_time_from_connecting(
+def test_the_time_limit_of_a_first_request_starts_at_connecting(
     node, client, capsys, monkeypatch, data, last_bytes, code
 ):
     monkeypatch.setattr(downstream_module, "READ_TIMEOUT_MS", 500.0)
     sock = client(data)
     while not node.downstream.open:
         node.loop.turn()
-    (make_connection,) = node.downstream.open
-    make_connection.opened_ms -= 500.0
+    (connection,) = node.downstream.open
+    connection.opened_ms -= 500.0
     node.loop.at(node.loop.now(), lambda: sock.send(last_bytes))
     while node.downstream.open:
         node.loop.turn()
@@ -167,14 +167,14 @@
     assert "1" not in node.requests.pending
 
 
-def test_pipelined_requests_of_one_client_do_not_hold_up_the_loop(node, client):
+def test_pipelined_requests_of_one_client_do_not_block_the_loop(node, client):
     request_count = 50
     client(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n" * request_count)
     for _ in range(5):
         node.loop.at(node.loop.now(), lambda: None)
         node.loop.turn()
-    (make_connection,) = node.downstream.open
-    assert make_connection.messages < 10
+    (connection,) = node.downstream.open
+    assert connection.messages < 10
 
 
 def test_connections_accepted_in_one_turn_are_bounded(node, client):
@@ -204,7 +204,7 @@
 
 
 @pytest.mark.parametrize("first_write_bytes", range(1, len(REQUEST)))
-def test_a_request_may_come_in_two_writes(node, client, first_write_bytes):
+def test_a_request_in_two_writes_is_accepted(node, client, first_write_bytes):
     sock = client(REQUEST[:first_write_bytes])
     while not node.downstream.open:
         node.loop.turn()
@@ -223,7 +223,7 @@
             node.loop.turn()
 
 
-def test_a_client_that_disconnects_is_posted_to_the_reducer(node, client):
+def test_the_request_of_a_client_that_disconnects_ends(node, client):
     sock = client(REQUEST)
     while not node.requests.pending:
         node.loop.turn()
@@ -234,7 +234,7 @@
     assert not node.reducer.open_requests
 
 
-def test_an_answer_to_a_request_that_is_over_is_dropped(node):
+def test_an_answer_to_a_request_that_has_ended_is_dropped(node):
     node.requests.answer("9", 200, [], b"")
     assert not node.requests.pending
 
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -1,4 +1,4 @@
-"""When a watch of the endpoint list is opened again (docs/design/endings.md)."""
+"""When a watch of the endpoint list is reopened (docs/design/endings.md)."""
 
 from dataclasses import replace
 
@@ -19,12 +19,12 @@
 from marlseam.net import limits
 
 
-def test_a_pushed_list_is_watched(node, listening_servers):
-    # Guards against a node that, as changes come unprompted in the simulator, never asks for them on sockets.
+def test_a_node_watches_the_list_where_lists_are_pushed(node, listening_servers):
+    # Guards against a node that requests no changes on sockets, since the simulator sends them unrequested.
     listening_servers["discovery"] = discovery = ListeningServer()
     other_node = node_with_discovery(node, discovery, OPTIONS | {"registryMode": "automatic"})
     try:
-        run_loop(other_node, 3)  # the connection, the call
+        run_loop(other_node, 3)  # connects and calls
         assert discovery.read().startswith(b"GET /api/targets?since=1&timeout_ms=10 HTTP")
     finally:
         other_node.is_reducing = True
@@ -49,7 +49,7 @@
         if type(effect) is core.SetTimer
     ]
     assert core.WatchEndpoints() in reducer.reduce(timer.delay_ms, core.TimerFired(timer.timer_id))
-    list_ms = 100.0  # a list on the way: the time allowed leaves that much
+    list_ms = 100.0  # how long a list takes to arrive, within the time allowed
     late_ms = min(node.discovery.call_ms, discovery_module.MAX_WATCH_LATE_MS) + timer.delay_ms + list_ms
     assert late_ms < 2000.0
     assert 2.0 * (node.discovery.call_ms + timer.delay_ms) < 6000.0
@@ -77,14 +77,14 @@
     listening_servers["discovery"] = discovery = ListeningServer()
     settings = OPTIONS | {"registryMode": mode, "guarantees": {"stopSendingWithinUs": 400000}}
     other_node = node_with_discovery(node, discovery, settings)
-    clock, lead_ms = other_node.loop.now, [0.0]  # by how much the node's clock is ahead
+    clock, lead_ms = other_node.loop.now, [0.0]  # by how much the node's clock is advanced
     other_node.loop.now = lambda: clock() + lead_ms[0]
     try:
         run_loop(other_node, 3)
         assert discovery.read()
         discovery.held[0].sendall(response)
         run_loop(other_node, 3)
-        lead_ms[0] += 150.0  # the least time between two calls
+        lead_ms[0] += 150.0  # past the minimum time between two calls
         run_loop(other_node, 3)
         silent_ms = other_node.loop.now()
         assert (b"since=5" in discovery.read()) is silent_in_watch
@@ -94,7 +94,7 @@
             discovery.accept()
         bound_ms = max(6000.0, other_node.discovery.wait_ms + 2000.0) if silent_in_watch else 6000.0
         if mode == "automatic" and not silent_in_watch:
-            bound_ms = 400.0  # what was pushed counts at once
+            bound_ms = 400.0  # pushed changes count as known at once
         assert other_node.loop.now() - silent_ms < bound_ms
     finally:
         other_node.is_reducing = True
@@ -108,7 +108,7 @@
     node.discovery.set(replace(node.config, deployment=deployment))
     reducer, timers = node.reducer, []
     reducer.reduce(0.0, core.NodeStarted(limits.settings_for_process(deployment.settings), 1))
-    for _ in range(10):  # a long outage
+    for _ in range(10):  # an outage with ten failed calls
         timers += [
             effect
             for effect in reducer.reduce(0.0, core.EndpointListUpdate(ListUpdateKind.FAILED, []))
--- a/tests/test_list_notification.py
+++ b/tests/test_list_notification.py
@@ -1,9 +1,9 @@
-"""A node knows a change of the endpoint list 6 s after discovery had it and could be reached (docs/node.md).
+"""A node receives a change of the endpoint list within 6 s of discovery having it and being reachable.
 
-Each way in which a call can fail is played on real sockets at its worst instant: the random source and the
-back-off are at their longest, and the call that fails last begins right before discovery is back, or fails
-right then. The clock moves when the test says so, in steps that make each wait of the loop end late; how busy
-the machine is changes nothing.
+See docs/node.md. Each way in which a call can fail is simulated on real sockets at its worst instant: the
+random source and the back-off are at their longest, and the call that fails last begins, or fails, right
+before discovery is restored. The test advances the clock, in steps that make each wait of the loop end late;
+the load of the machine has no influence.
 """
 
 import json
@@ -20,8 +20,8 @@
 from marlseam.net import limits
 from marlseam.net.node import Node
 
-NOTIFICATION_LIMIT_MS = 6000.0  # by when a change counts as known
-# How long discovery takes for its answer, after one failed call and after two.
+NOTIFICATION_LIMIT_MS = 6000.0  # after which a change counts as known
+# Delay of discovery's answer after one failed call, and after two.
 ANSWER_AFTER_ONE_FAILURE_MS, ANSWER_AFTER_TWO_FAILURES_MS = 1900.0, 800.0
 FAILURES_TO_LONGEST_BACKOFF = 7
 GIVE_UP_MS = 1e6
@@ -37,9 +37,9 @@
 
 @pytest.fixture
 def make_controlled_node(node, monkeypatch):
-    """Return a maker of nodes that follow a discovery of their own."""
+    """Return a function that makes nodes, each with its own discovery."""
     made = []
-    # The longest back-off.
+    # Random values that give the longest back-off.
     monkeypatch.setattr(dispatcher, "RandomSource", lambda _seed: lambda: 1.0 - 2.0**-32)
 
     def begin(listens: bool = True, **settings: object) -> ControlledNode:
@@ -54,13 +54,13 @@
         controlled.close()
 
 
-# How a call can fail. Each takes a node whose call has just begun; where it hangs, only time ends the call.
+# Ways in which a call that has just begun can fail; a call that hangs ends only by its time-out.
 
 
 def fail_by_answer(
     data: bytes, end_connection: Callable[[socket.socket], None] | None = None
 ) -> Callable[[ControlledNode], None]:
-    """Return a failure in which discovery reads a call, answers something, and may end the connection."""
+    """Return a failure in which discovery reads a call, answers `data`, and may end the connection."""
 
     def fail(controlled: ControlledNode) -> None:
         sock = controlled.run_until(controlled.discovery.next_call)
@@ -74,7 +74,7 @@
 
 
 def fail_by_itself(_controlled: ControlledNode) -> None:
-    """Do nothing: the call is refused, or hangs as it connects or in the listener's queue."""
+    """Do nothing: the call is refused, or hangs while connecting or in the accept queue."""
 
 
 ERROR_RESPONSE = b"HTTP/1.1 %d -\r\nContent-Length: 0\r\n\r\n"
@@ -103,12 +103,12 @@
 
 
 def stop_discovery(controlled: ControlledNode, failure: str) -> Callable[[], None]:
-    """Stop discovery so that calls fail in one way; return what restores it."""
+    """Stop discovery so that calls fail in one way; return a function that restores it."""
     discovery = controlled.discovery
     if failure == "refused":
         discovery.stop()
         return discovery.start
-    discovery.end_connections(reset_connection)  # as discovery goes down, watches end
+    discovery.end_connections(reset_connection)  # watches end when discovery goes down
     if failure == "connecting":
         discovery.sock.listen(0)
         empty_accept_queue = fill_accept_queue(discovery)
@@ -123,10 +123,10 @@
 
 
 def fail_until_longest_backoff(controlled: ControlledNode, failure: str) -> Callable[[], None]:
-    """Have a node follow discovery, then fail until its back-off is longest; return what restores it."""
+    """Make a node follow discovery, then fail calls until the longest back-off; return what restores it."""
     controlled.run_until(controlled.discovery.next_call).sendall(response_of(OLD_LIST))
     controlled.run_until(lambda: controlled.version() == OLD_VERSION)
-    controlled.advance_until(controlled.discovery.next_call, 1000.0)  # the watch
+    controlled.advance_until(controlled.discovery.next_call, 1000.0)  # until the watch begins
     restore = stop_discovery(controlled, failure)
     controlled.run_until(controlled.has_failed)
     for _ in range(FAILURES_TO_LONGEST_BACKOFF):
@@ -137,7 +137,7 @@
 
 
 def wait_until_call_failed(controlled: ControlledNode, failure: str) -> None:
-    """Run until the call under way has failed."""
+    """Run the node until its current call has failed."""
     if failure in HANGS:
         controlled.advance_until(controlled.has_failed, 2500.0)
     else:
@@ -145,7 +145,7 @@
 
 
 def run_until_notified(controlled: ControlledNode, answer_ms: float) -> None:
-    """Have discovery answer each call from now on after a time, until the node knows the change."""
+    """Answer each call of the node after `answer_ms`, until the node has received the change."""
     due: list[tuple[float, socket.socket]] = []
 
     def answer_due_calls() -> None:
@@ -155,7 +155,7 @@
             try:
                 due.pop(0)[1].sendall(response_of(NEW_LIST))
             except OSError:
-                continue  # the node has given the call up
+                continue  # the node has closed the call's connection
 
     calls = controlled.calls
     while controlled.version() != NEW_VERSION:
@@ -178,7 +178,7 @@
 @pytest.mark.parametrize("settings", SETTINGS_OF_DISCOVERY.values(), ids=SETTINGS_OF_DISCOVERY)
 @pytest.mark.parametrize("second_failure", [None, "500", "silent"], ids=["one", "two, 500", "two, silent"])
 @pytest.mark.parametrize("failure", FAILURES)
-def test_a_change_is_known_in_time_after_failed_calls(
+def test_a_change_is_received_in_time_after_failed_calls(
     make_controlled_node, failure, second_failure, settings
 ):
     controlled = make_controlled_node(**settings)
@@ -200,7 +200,7 @@
 
 
 def follow_list(controlled: ControlledNode) -> socket.socket:
-    """Have a node take in the list and watch; return the watch's connection."""
+    """Send a node the list and run it until its watch begins; return the watch's connection."""
     controlled.run_until(controlled.discovery.next_call).sendall(response_of(OLD_LIST))
     controlled.run_until(lambda: controlled.version() == OLD_VERSION)
     controlled.advance_until(controlled.discovery.next_call, 1000.0)
@@ -211,10 +211,10 @@
 @pytest.mark.parametrize(
     "partial_response", [RESPONSE_HEAD[:9], response_of(NEW_LIST)[:-9]], ids=["half a head", "half a list"]
 )
-def test_a_change_is_known_in_time_after_a_watch_that_stops_in_its_answer(
+def test_a_change_is_received_in_time_after_a_watch_that_stops_in_its_answer(
     make_controlled_node, partial_response, settings
 ):
-    controlled = make_controlled_node(**settings, fleetSize=200)  # so that a watch may wait for long
+    controlled = make_controlled_node(**settings, fleetSize=200)  # in a large fleet a watch may wait for long
     watch_socket = follow_list(controlled)
     watch_socket.sendall(partial_response)
     began_ms = controlled.clock
@@ -225,16 +225,16 @@
 @pytest.mark.parametrize("settings", SETTINGS_OF_DISCOVERY.values(), ids=SETTINGS_OF_DISCOVERY)
 @pytest.mark.parametrize("end_connection", [socket.socket.close, reset_connection], ids=["closed", "reset"])
 @pytest.mark.parametrize("waited_share", [0.0, 0.9])
-def test_a_change_is_known_in_time_after_a_watch_that_outlasted_an_outage(
+def test_a_change_is_received_in_time_after_a_watch_that_outlasted_an_outage(
     make_controlled_node, waited_share, end_connection, settings
 ):
     controlled = make_controlled_node(**settings, fleetSize=200)
     watch_socket = follow_list(controlled)
     end_ms = controlled.clock + waited_share * controlled.node.discovery.wait_ms
-    # Discovery is gone without closing, and back.
+    # Discovery fails without closing its connections, and is restored.
     controlled.advance_until(lambda: controlled.clock >= end_ms)
     controlled.discovery.held.remove(watch_socket)
-    end_connection(watch_socket)  # as the connection's end reaches the node
+    end_connection(watch_socket)  # the connection's end reaches the node now
     restored_ms = controlled.clock
     controlled.run_until(controlled.has_failed)
     run_until_notified(controlled, ANSWER_AFTER_ONE_FAILURE_MS)
@@ -242,7 +242,7 @@
 
 
 @pytest.mark.parametrize("settings", SETTINGS_OF_DISCOVERY.values(), ids=SETTINGS_OF_DISCOVERY)
-def test_a_watch_that_stays_silent_for_good_costs_two_seconds_past_its_wait(make_controlled_node, settings):
+def test_a_change_is_received_within_two_seconds_of_the_end_of_a_silent_watch(make_controlled_node, settings):
     controlled = make_controlled_node(**settings, fleetSize=200)
     follow_list(controlled)
     wait_end_ms = controlled.clock + controlled.node.discovery.wait_ms
@@ -254,7 +254,7 @@
 @pytest.mark.parametrize("settings", SETTINGS_OF_DISCOVERY.values(), ids=SETTINGS_OF_DISCOVERY)
 @pytest.mark.parametrize("changed_setting", ["address", "zones"])
 @pytest.mark.parametrize("failure", [*HANGS, "backing off", "watch"])
-def test_a_change_is_known_in_time_after_a_new_configuration(
+def test_a_change_is_received_in_time_after_a_new_configuration(
     make_controlled_node, failure, changed_setting, settings
 ):
     controlled = make_controlled_node(**settings)
@@ -285,14 +285,14 @@
 
 
 @pytest.mark.parametrize("settings", SETTINGS_OF_DISCOVERY.values(), ids=SETTINGS_OF_DISCOVERY)
-def test_an_overdue_answer_is_taken_in_and_followed(make_controlled_node, settings):
+def test_an_overdue_answer_is_applied_and_the_list_is_followed(make_controlled_node, settings):
     controlled = make_controlled_node(**settings)
     call = controlled.run_until(controlled.discovery.next_call)
     controlled.advance_until(controlled.has_failed, 2500.0)
     assert not controlled.node.discovery.is_confirmed
     call.sendall(response_of(OLD_LIST))
     controlled.run_until(lambda: controlled.version() == OLD_VERSION)
-    assert not controlled.has_failed()  # it goes on to watch, and no other call is open
+    assert not controlled.has_failed()  # the node continues with a watch, and no other call is open
     calls = controlled.calls
     controlled.advance_until(controlled.discovery.next_call, 1000.0)
     end_ms = controlled.clock + controlled.node.discovery.wait_ms
@@ -326,18 +326,18 @@
 
 
 @pytest.mark.parametrize("settings", SETTINGS_OF_DISCOVERY.values(), ids=SETTINGS_OF_DISCOVERY)
-def test_a_list_that_comes_slowly_is_read_to_its_end(make_controlled_node, settings):
+def test_a_list_that_arrives_slowly_is_read_to_its_end(make_controlled_node, settings):
     controlled = make_controlled_node(**settings)
     call = controlled.run_until(controlled.discovery.next_call)
     call.sendall(response_of(OLD_LIST)[:-9])
-    # Longer than the limit of a call where that is short.
+    # Longer than the time-out of a call in the settings with a short one.
     end_ms = controlled.clock + ANSWER_AFTER_ONE_FAILURE_MS
     controlled.advance_until(lambda: controlled.clock >= end_ms)
     call.sendall(response_of(OLD_LIST)[-9:])
     controlled.run_until(lambda: controlled.version() == OLD_VERSION)
 
 
-def test_no_more_overdue_calls_are_kept_open_than_their_time_allows(make_controlled_node):
+def test_the_number_of_open_overdue_calls_is_limited_by_their_time_limit(make_controlled_node):
     for settings in SETTINGS_OF_DISCOVERY.values():
         controlled = make_controlled_node(**settings)
         end_ms = controlled.clock + 30000.0
@@ -350,7 +350,7 @@
 
 
 @pytest.mark.parametrize("settings", SETTINGS_OF_DISCOVERY.values(), ids=SETTINGS_OF_DISCOVERY)
-def test_a_list_on_a_connection_that_ends_with_it_is_taken_in_and_causes_no_storm_of_calls(
+def test_a_list_on_a_connection_that_ends_with_it_is_applied_and_causes_no_storm_of_calls(
     make_controlled_node, settings
 ):
     last_response = response_of(NEW_LIST).replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
--- a/tests/test_malformed_messages.py
+++ b/tests/test_malformed_messages.py
@@ -1,4 +1,4 @@
-"""Malformed responses, reports and requests are no fault of the node (docs/design/endings.md)."""
+"""Malformed responses, reports and requests cause no internal error of the node (docs/design/endings.md)."""
 
 import socket
 
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("response", MALFORMED_RESPONSES.values(), ids=MALFORMED_RESPONSES)
-def test_an_attempt_with_a_malformed_response_may_have_run_and_is_no_fault_of_the_node(
+def test_an_attempt_with_a_malformed_response_is_not_retried_and_causes_no_internal_error(
     node, client, list_test_servers, reply, capsys, response
 ):
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
@@ -61,7 +61,7 @@
     ],
     ids=["number", "nested", "text"],
 )
-def test_a_malformed_report_is_no_fault_of_the_node(node, list_test_servers, capsys, response):
+def test_a_malformed_report_is_ignored_without_an_internal_error(node, list_test_servers, capsys, response):
     (server,) = list_test_servers("e1")
     events = []
     node.upstream.health_checks.post = events.append
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("request_bytes", MALFORMED_REQUESTS.values(), ids=MALFORMED_REQUESTS)
-def test_a_malformed_request_is_answered_so_and_is_no_fault_of_the_node(
+def test_a_malformed_request_is_answered_with_4xx_and_causes_no_internal_error(
     client, reply, capsys, monkeypatch, request_bytes
 ):
     monkeypatch.setattr(downstream, "READ_TIMEOUT_MS", 300.0)
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""The codecs of clients' requests, of servers' lines and reports, and of discovery's lists."""
+"""The codecs of clients' requests, servers' lines and reports, and discovery's lists."""
 
 import json
 from dataclasses import replace
@@ -15,23 +15,23 @@
 
 
 def make_head(**changes):
-    """Return a request's headers, some of them changed, or left out where the value is None."""
+    """Return a request's headers with changes; a header whose value is None is left out."""
     headers = HEADERS | {name.replace("_", "-"): value for name, value in changes.items()}
     return Head([(name.encode(), value.encode()) for name, value in headers.items() if value is not None])
 
 
 def parse_line(**changes):
-    """Read a server's last line, some of its values changed."""
+    """Decode a server's last line with some values changed."""
     values = {"id": "9b", "from": "e1", "state": "done", "result": "r"} | changes
     return protocol.parse_line(json.dumps(values).encode(), "9b", "e1", REPORT_NAMES)
 
 
 def read_request(deployment, target="/statement", body=b"", **changes):
-    """Read a client's request, some of its headers changed."""
+    """Decode a client's request with some headers changed."""
     return protocol.client_request_from(target, make_head(**changes), body, deployment)
 
 
-def test_a_request_is_read(deployment):
+def test_a_request_is_decoded(deployment):
     request = read_request(deployment, "/statement?user=7", b"body", x_facts="slots=4,odd=1")
     assert (request.id, request.class_index, request.time_left_ms) == ("9b", 0, 480.0)
     assert (request.slots, request.body) == (4.0, b"body")
@@ -95,7 +95,7 @@
     assert raised.value.status == status
 
 
-def test_retry_after_is_a_header_only_where_there_is_one():
+def test_the_retry_after_header_is_present_only_with_a_delay():
     assert protocol.retry_after_headers(0.0) == []
     assert protocol.retry_after_headers(250.0) == [("Retry-After", "0.250")]
 
@@ -116,7 +116,7 @@
         ("lost", Outcome.BROKEN),
     ],
 )
-def test_a_last_line_has_the_outcome(state, outcome):
+def test_a_last_line_has_the_outcome_of_its_state(state, outcome):
     assert parse_line(state=state).outcome is outcome
 
 
@@ -130,11 +130,11 @@
         (500, {}, Outcome.ERROR),
     ],
 )
-def test_only_an_unprocessed_refusal_never_ran(status, headers, outcome):
+def test_only_a_refusal_marked_unprocessed_counts_as_never_run(status, headers, outcome):
     assert protocol.outcome_of_refusal(status, make_head(**headers)) is outcome
 
 
-def test_starts_and_progress_are_read():
+def test_starts_and_progress_are_decoded():
     assert parse_line(state="started").has_started
     assert parse_line(state="running", share=0.4).progress == 0.4
 
@@ -177,7 +177,7 @@
 @pytest.mark.parametrize(
     "value", ["TEXT backlog=2, x0=0.5, odd=1, broken", {"backlog": 2, "x0": 0.5, "odd": [], "held": "x"}]
 )
-def test_a_report_is_read_as_text_and_as_object(value):
+def test_a_report_is_decoded_from_text_and_from_an_object(value):
     assert protocol.report_from(value, REPORT_NAMES) == LoadReport(queued=2.0, free_slots=0.5)
 
 
@@ -186,12 +186,12 @@
 
 
 @pytest.mark.parametrize("body", [b"TEXT backlog=2", b'{"backlog":2}'])
-def test_a_health_checks_answer_has_the_report_in_its_body(body):
+def test_the_report_in_the_body_of_a_health_checks_answer_is_decoded(body):
     assert protocol.report_from_answer(body, make_head(), REPORT_NAMES) == LoadReport(queued=2.0)
 
 
 @pytest.mark.parametrize(("body", "report"), [(b"", None), (b"{", None)])
-def test_a_health_checks_answer_may_have_no_report(body, report):
+def test_a_health_checks_answer_without_a_valid_report_has_none(body, report):
     assert protocol.report_from_answer(body, make_head(), REPORT_NAMES) is report
 
 
@@ -207,11 +207,11 @@
 
 
 def make_answer(*entries, **changes):
-    """Return an answer of discovery with these entries, some of its values changed."""
+    """Return an answer of discovery with these entries and some values changed."""
     return {"seq": 4, "whole": True, "hosts": list(entries)} | changes
 
 
-def test_an_entry_is_read(deployment):
+def test_an_entry_is_decoded(deployment):
     answer = list_codec.list_answer_from(make_answer(ENTRY), deployment)
     assert answer.entries == [("e1", EndpointState.READY, 0, 1, 3, 5000.0, None)]
     assert answer.addresses == {"e1": ("127.0.0.1", 9)}
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls fail for a moment in the ways that Linux documents; no accepted request is lost by it."""
+"""Transient failures of system calls, as Linux documents them, lose no accepted request."""
 
 import errno
 import os
@@ -21,13 +21,13 @@
 
 
 class FailingCalls:
-    """Passes calls on to an object, but fails the first calls of one name.
+    """Forwards calls to an object, but fails the first calls of one method.
 
     Attributes:
         real: the object
-        name: which calls fail
-        error_number: with which they fail
-        failures_left: how many more will fail
+        name: the method whose calls fail
+        error_number: errno of the OSError that they raise
+        failures_left: how many more calls fail
     """
 
     def __init__(self, real: object, name: str, error_number: int, times: int = FAILURES_IN_A_ROW) -> None:
@@ -55,11 +55,11 @@
     real = select.poll
     failing = FailingCalls(None, "poll", error_number)
 
-    def made() -> FailingCalls:
+    def make() -> FailingCalls:
         failing.real = real()
         return failing
 
-    monkeypatch.setattr(http_module.select, "poll", made)
+    monkeypatch.setattr(http_module.select, "poll", make)
     node.downstream.listener.close()
     node.downstream.sock = socket.create_server(("127.0.0.1", 0))
     node.downstream.sock.setblocking(False)
@@ -83,7 +83,7 @@
     signals_seen, real = [], socket.socketpair
 
     class FailingWakeupSocket(socket.socket):
-        """A socket whose reads fail for a moment."""
+        """A socket whose first reads fail."""
 
         failures_left = FAILURES_IN_A_ROW
 
@@ -93,11 +93,11 @@
                 raise OSError(errno.ENOMEM, "no memory")
             return super().recv(*arguments)
 
-    def made() -> tuple[socket.socket, socket.socket]:
+    def make() -> tuple[socket.socket, socket.socket]:
         ours, wakeup_socket = real()
         return FailingWakeupSocket(fileno=ours.detach()), wakeup_socket
 
-    monkeypatch.setattr(socket, "socketpair", made)
+    monkeypatch.setattr(socket, "socketpair", make)
     before = signal.getsignal(signal.SIGUSR1)
     try:
         node.loop.on_signals({signal.SIGUSR1: lambda: signals_seen.append(1)})
@@ -110,7 +110,7 @@
 
 
 class FailingSocket:
-    """A socket of which the first calls of one name fail."""
+    """A socket whose first calls of one method fail."""
 
     def __init__(self, sock: socket.socket, name: str, error_number: int) -> None:
         self.failing = FailingCalls(sock, name, error_number)
@@ -121,7 +121,7 @@
 
 @pytest.fixture
 def fail_connection_calls(monkeypatch: pytest.MonkeyPatch) -> Callable[[str, int], list[FailingSocket]]:
-    """Return a function that has one call on each new connection, of either side, fail for a moment."""
+    """Return a function that makes the first calls of one method fail on each new connection."""
 
     def begin(name: str, error_number: int) -> list[FailingSocket]:
         made: list[FailingSocket] = []
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize("error_number", [errno.ENOMEM, errno.ENOBUFS, errno.EINTR])
 @pytest.mark.parametrize("name", ["recv_into", "send"])
-def test_a_request_is_answered_and_sent_once_though_reads_and_writes_fail_for_a_moment(
+def test_a_request_is_answered_and_sent_once_though_reads_and_writes_fail_transiently(
     client, reply, start_server, fail_connection_calls, name, error_number
 ):
     methods_received = start_server()
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize("error_number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET])
-def test_a_broken_connection_ends(make_connection, error_number):
+def test_an_error_that_is_not_transient_ends_the_connection(make_connection, error_number):
     broken = make_connection(h11.SERVER)
     broken.sock = FailingSocket(broken.sock, "recv_into", error_number)
     with pytest.raises(connection_module.ConnectionEndedError):
@@ -168,14 +168,14 @@
 ):
     start_server()
     listener = node.downstream.listener
-    listener.task.cancel()  # nothing accepts any more, as while no descriptor is free
+    listener.task.cancel()  # nothing is accepted any more, as during a shortage of descriptors
     sock = client(SAFE_REQUEST)
     listener.sock = FailingSocket(listener.sock, "accept", error_number)
     node.downstream.stop_listening()
     assert reply(sock).startswith(b"HTTP/1.1 200")
 
 
-def test_a_node_does_not_end_before_its_accept_queue_is_served(node, client, reply, start_server):
+def test_a_node_does_not_stop_before_its_accept_queue_is_served(node, client, reply, start_server):
     start_server()
     listener = node.downstream.listener
     listener.task.cancel()
@@ -187,7 +187,7 @@
     run_until(node, lambda: node.loop.stopped, REAL_TIME_LIMIT_MS)
 
 
-def test_no_new_connection_comes_up_once_the_accept_queue_was_emptied(node):
+def test_connections_are_refused_once_the_accept_queue_is_empty(node):
     address = node.downstream.listener.sock.getsockname()
     node.downstream.stop_listening()
     run_until(node, lambda: node.downstream.sock.fileno() < 0, REAL_TIME_LIMIT_MS)
@@ -196,7 +196,7 @@
 
 
 def full_pipe() -> tuple[int, int]:
-    """Return both ends of a pipe that takes nothing more."""
+    """Return both ends of a full pipe."""
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     while True:
@@ -211,26 +211,26 @@
 def test_a_log_line_that_nobody_reads_is_dropped_and_counted(monkeypatch):
     reader, writer = full_pipe()
     log = Log("n1", lambda: 0.0)
-    signal.setitimer(signal.ITIMER_REAL, 5.0)  # ends the run if the log waits for its reader
+    signal.setitimer(signal.ITIMER_REAL, 5.0)  # ends the test run if the log blocks
     with os.fdopen(writer, "w") as text, monkeypatch.context() as patch:
         patch.setattr("sys.stderr", text)
-        log.line("it is full")
+        log.line("pipe is full")
         assert log.dropped == 1
         os.read(reader, 65536)
-        log.line("and read")
+        log.line("pipe is read")
         written = os.read(reader, 65536).decode()
     signal.setitimer(signal.ITIMER_REAL, 0.0)
     os.close(reader)
     assert "1 lines dropped" in written
-    assert "and read" in written
+    assert "pipe is read" in written
 
 
-def test_a_long_log_line_is_cut_to_what_one_write_takes(capfd):
+def test_a_long_log_line_is_cut_to_the_size_of_an_atomic_pipe_write(capfd):
     Log("n1", lambda: 0.0).line("x" * 100000)
     assert 1000 < len(capfd.readouterr().err) <= select.PIPE_BUF
 
 
-def test_a_wait_without_a_descriptor_outlasts_failures(loop):
+def test_a_wait_without_a_descriptor_continues_after_poll_has_failed(loop):
     def wait_forever():
         yield (-1, 0, inf)
 
@@ -241,7 +241,7 @@
     assert not task.done
 
 
-def test_a_loop_starts_though_its_first_registration_fails_for_a_moment(monkeypatch):
+def test_a_loop_starts_though_its_first_registration_fails_transiently(monkeypatch):
     # Guards against a node that does not start.
     real = select.epoll
     monkeypatch.setattr(select, "epoll", lambda: FailingCalls(real(), "register", errno.ENOSPC))
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("first_read_bytes", range(1, len(ANSWER)))
-def test_an_answer_may_come_in_two_reads(make_upstream, first_read_bytes):
+def test_an_answer_in_two_reads_completes_the_attempt(make_upstream, first_read_bytes):
     assert send_attempt(make_upstream(ANSWER[:first_read_bytes], ANSWER[first_read_bytes:])) == [
         Outcome.COMPLETED
     ]
@@ -49,7 +49,7 @@
     assert send_attempt(make_upstream(ANSWER[:length])) == [outcome]
 
 
-def test_only_a_request_written_to_its_last_byte_may_have_run(make_upstream):
+def test_only_an_attempt_written_to_its_last_byte_may_have_run(make_upstream):
     upstream = make_upstream()
     send_attempt(upstream)
     size = len(upstream.connections[0].sock.sent)
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("piece", [1, 7, 100])
-def test_a_request_may_go_out_in_pieces(make_upstream, until, piece):
+def test_a_request_is_written_in_pieces(make_upstream, until, piece):
     upstream = make_upstream(ANSWER, piece=piece)
     send_attempt(upstream)
     until(lambda: attempt_outcomes(upstream))
@@ -119,7 +119,7 @@
         (ANSWER[: ANSWER.index(b"\r\n\r\n") + 4], False, None),
     ],
 )
-def test_a_connection_that_falls_silent_is_given_up_before_the_deadline(
+def test_a_connection_that_falls_silent_times_out_before_the_deadline_unless_unsafe(
     make_upstream, until, answer_start, is_unsafe, outcome
 ):
     upstream = make_upstream(*filter(None, [answer_start]), silent=True)
@@ -150,14 +150,14 @@
     assert not upstream.connections[0].sock.open
 
 
-def test_a_server_not_listed_is_unreachable(make_upstream):
+def test_an_unlisted_server_is_unreachable(make_upstream):
     upstream = make_upstream(ANSWER)
     upstream.update_endpoints(set(), {})
     assert send_attempt(upstream) == [Outcome.UNREACHABLE]
     assert not upstream.connections
 
 
-def test_a_connection_is_reused(make_upstream):
+def test_an_idle_connection_is_reused(make_upstream):
     upstream = make_upstream(ANSWER, silent=True)
     send_attempt(upstream)
     upstream.connections[0].sock.upon_send.append(ANSWER)
@@ -200,7 +200,7 @@
     assert upstream.events[0].outcome is Outcome.CANCELLED_UNSENT
 
 
-def test_an_idle_connection_is_closed_after_its_idle_time(make_upstream, until, capsys):
+def test_an_idle_connection_is_closed_after_the_idle_timeout(make_upstream, until, capsys):
     upstream = make_upstream(ANSWER, silent=True)
     upstream.timeouts.idle_ms = 1.0
     send_attempt(upstream)
@@ -245,7 +245,7 @@
 @pytest.mark.parametrize(
     ("status", "outcome"), [(200, Outcome.COMPLETED), (503, Outcome.AT_CAPACITY), (404, Outcome.ERROR)]
 )
-def test_a_health_check_has_its_outcome_and_load_report(make_upstream, status, outcome):
+def test_a_health_check_has_the_outcome_of_its_status_and_the_load_report(make_upstream, status, outcome):
     upstream = make_upstream(b"HTTP/1.1 %d -\r\nContent-Length: 13\r\n\r\nTEXT x0=3.500" % status)
     upstream.health_checks.start("e1")
     (event,) = upstream.events
@@ -268,7 +268,7 @@
     assert len(upstream.connections) == upstream.pool.max_per_server() + 1
 
 
-def test_a_failed_coroutine_still_closes_its_connection(make_upstream, loop, capsys, monkeypatch):
+def test_an_internal_error_in_an_attempt_closes_its_connection(make_upstream, loop, capsys, monkeypatch):
     loop.fault = lambda _: None
     upstream = make_upstream(ANSWER)
     monkeypatch.setattr(attempts.AttemptRun, "read_last_line", lambda *_: 1 / 0)
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Wall clocks that are stepped, by seconds or an hour, and the start times that servers report by them."""
+"""Wall clocks that are stepped by seconds or an hour, and the start times that servers report by them."""
 
 import time
 from math import inf
@@ -12,7 +12,7 @@
 
 
 def make_entry(name: str, process_started_ms: float) -> dict[str, object]:
-    """Return an entry of discovery's list, of a server whose process started at a Unix time."""
+    """Return an entry of discovery's list for a server whose process started at a Unix time in ms."""
     return {
         "host": name,
         "dial": "127.0.0.1:1",
@@ -25,17 +25,17 @@
 
 
 def take_list(node, *entries: dict[str, object], whole: bool = True) -> None:
-    """Have the node take a list of discovery, or changes of it."""
+    """Apply a list from discovery, or changes of it, to the node."""
     node.discovery.take({"seq": max(0, node.discovery.version) + 1, "whole": whole, "hosts": list(entries)})
 
 
 def step_own_clock(node, step_ms: float) -> None:
-    """Shift the wall clock of the node's machine as it was read at the start."""
+    """Shift the wall clock's value that the node read at its start."""
     node.loop.clock.unix_zero_ms += step_ms
 
 
 def slow_start_budget(node, name: str) -> float:
-    """Return what all nodes may send to a server, in mean requests a ms; inf outside slow start."""
+    """Return all nodes' budget of a server, in mean requests per ms; inf outside slow start."""
     return node.reducer.dispatcher.slow_start_budget(node.reducer.servers.by_name[name])
 
 
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS_MS)
-def test_a_server_that_has_just_started_is_in_slow_start_whatever_the_nodes_clock_says(
+def test_a_server_that_has_just_started_is_in_slow_start_whatever_the_nodes_wall_clock(
     node, unix_ms, step_ms
 ):
     step_own_clock(node, step_ms)
@@ -61,8 +61,8 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS_MS)
-def test_no_server_gets_more_than_its_true_age_allows(node, unix_ms, step_ms):
-    # A difference of less than MAX_CLOCK_ERROR_MS is not noticed.
+def test_the_age_of_a_server_is_overestimated_by_less_than_the_clock_error(node, unix_ms, step_ms):
+    # A difference of less than MAX_CLOCK_ERROR_MS is not detected.
     take_list(node, make_entry("e1", 0.0))
     step_own_clock(node, step_ms)
     take_list(node, make_entry("e2", unix_ms - 1500.0), whole=False)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize("step_ms", [-HOUR_MS, HOUR_MS])
-def test_requests_are_answered_where_the_nodes_clock_is_off(
+def test_requests_are_answered_where_the_nodes_wall_clock_is_wrong(
     node, client, reply, start_server, unix_ms, step_ms
 ):
     step_own_clock(node, step_ms)
@@ -97,13 +97,13 @@
     assert is_in_slow_start(node, "e3")
 
 
-def test_a_server_whose_clock_is_ahead_ends_no_others_slow_start(node, unix_ms):
+def test_a_server_whose_clock_is_ahead_does_not_end_the_slow_start_of_others(node, unix_ms):
     take_list(node, make_entry("e1", unix_ms + HOUR_MS), make_entry("e2", unix_ms - 500.0))
     assert is_in_slow_start(node, "e1")
     assert is_in_slow_start(node, "e2")
 
 
-def test_a_start_keeps_its_time_as_more_is_learned_of_clocks(node, unix_ms):
+def test_the_time_of_a_start_is_not_changed_by_later_lists(node, unix_ms):
     take_list(node, make_entry("e1", unix_ms - 9000.0))
     node.reducer.clock = node.loop.now()
     server = node.reducer.servers.by_name["e1"]
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("step_ms", STEPS_MS)
-def test_a_list_that_is_handed_over_has_the_starts_as_reported(node, unix_ms, step_ms):
+def test_a_list_for_a_handover_has_the_starts_as_reported(node, unix_ms, step_ms):
     step_own_clock(node, step_ms)
     reported_ms = round(unix_ms - 500.0)
     take_list(node, make_entry("e1", reported_ms), make_entry("e2", 0.0))
