--- a/marlseam/net/connection.py
+++ b/marlseam/net/connection.py
@@ -17,12 +17,12 @@
 from marlseam.net.loop import END, LATE, READ, WRITE, Cancelled, Loop, Wait, sleep
 
 PARSE_BYTES = 4096  # bytes passed to the parser at a time, and in one turn of the loop
-MAX_HEAD_BYTES = 16384  # bytes of a message's head
+MAX_HEAD_BYTES = 16384  # maximum size of a message's head
 MAX_AHEAD_BYTES = 2048  # bytes of pipelined data that are kept while a message is worked on
-AHEAD_CHECK_MS = 20.0  # how often a peer that sent as much is checked for more
+AHEAD_CHECK_MS = 20.0  # how often a peer that has sent MAX_AHEAD_BYTES is checked for more
 # Share of the socket's receive buffer, at most DISCARD_BUFFER's size; more unread bytes may hide an end.
 HIDDEN_END_SHARE = 0.5
-# Reads of DISCARD_BUFFER's size, in one check and before a connection is closed without a wait.
+# Maximum reads of DISCARD_BUFFER's size, in one check and before a connection is closed without a wait.
 MAX_DISCARD_READS = 16
 DISCARD_BUFFER = bytearray(65536)  # target of reads whose bytes are discarded
 Headers = list[tuple[str, str]]
@@ -93,8 +93,8 @@
             if event is not h11.NEED_DATA:
                 return event
             if self.http.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[])
-                yield from self.write(self.http.send(go_on), until_ms)
+                continue_response = h11.InformationalResponse(status_code=100, headers=[])
+                yield from self.write(self.http.send(continue_response), until_ms)
             if self.parsed_bytes >= PARSE_BYTES:
                 # Guards other connections against starvation by a peer that sends at full speed, also in many
                 # small parts.
--- a/marlseam/net/descriptors.py
+++ b/marlseam/net/descriptors.py
@@ -10,9 +10,10 @@
 from collections.abc import Callable
 from typing import TypeVar
 
-SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # in this process or the system
-SPARE_COUNT = 4  # for discovery, an operator, a file, and one in reserve
-MAX_TRIES = 8  # of one call, each after a release: starting a writer process needs five descriptors at once
+# Errors of a shortage in this process or in the system.
+SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+SPARE_COUNT = 4  # spare descriptors for discovery, an operator, a file, and one in reserve
+MAX_TRIES = 8  # tries of a call, with a release after each: a writer process needs five descriptors
 T = TypeVar("T")
 
 
@@ -55,7 +56,7 @@
         return False
 
     def opened(self, call: Callable[[], T], own: bool = False) -> T:
-        """Return what a call opens; without a descriptor, release one and retry, MAX_TRIES times at most."""
+        """Return what a call opens; in a shortage, release a descriptor and retry, up to MAX_TRIES times."""
         for _ in range(MAX_TRIES):
             try:
                 return call()
--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -21,22 +21,23 @@
 # Time-out of a call beyond its wait, after which the call counts as failed, as a share of the settings'
 # `list_max_age_ms`.
 CALL_TIMEOUT_SHARE = 0.2
-# Upper limits of that time-out: a missed change counts as known after 6 s, or 2 s after the wait of a
-# watch. The list is fetched in the remaining time.
+# Upper limits of the time-out of a call beyond its wait: a missed change counts as known after 6 s, or 2 s
+# after the wait of a watch. The list is fetched in the remaining time.
 MAX_CALL_MS, MAX_WATCH_LATE_MS = 2000.0, 1000.0
-# How long an overdue call for the list is still read, in call time-outs; at least MAX_CALL_MS, whatever the
-# settings.
-OVERDUE = 3.0
+# How long the answer to a call for the list is awaited in total, in time-outs of a call; at least MAX_CALL_MS
+# whatever the settings.
+OVERDUE_TIMEOUT_FACTOR = 3.0
 PUSHED_CALL_TIMEOUT_SHARE = 0.5  # time-out of a call if lists are pushed, as a share of the grace period
 # Minimum time between two calls of a watch; discovery keeps a watch open for 200 ms without a call.
 MAX_WATCH_GAP_MS = 100.0
-WATCH_GAP_SHARE = 0.1  # upper limit of that minimum time, as a share of the grace period
+# Upper limit of the minimum time between two calls of a watch, as a share of the grace period.
+WATCH_GAP_SHARE = 0.1
 # How long discovery may hold a watch: share of `list_max_age_ms` per node, its minimum and maximum, and the
 # maximum in ms.
 WATCH_SHARE_PER_NODE, MIN_WATCH_SHARE, MAX_WATCH_SHARE, MAX_WATCH_MS = 0.1, 0.3, 0.5, 60000.0
 RESUME_MS = 10.0  # how long discovery may hold the first call of a watch that resumes from a version
-# After these, another discovery process with its own version numbers may have taken over: the whole list is
-# needed.
+# After a connection ends for one of these reasons, another discovery process with its own version numbers may
+# have taken over, so the whole list is needed.
 RESTART_REASONS = (
     Reason.REFUSED,
     Reason.PEER_RESET,
@@ -87,9 +88,9 @@
         self.starts = StartTimes(loop.clock.from_unix)
         self.confirmed_ms = -inf
         self.incomplete = False
-        self.set(config)
+        self.set_config(config)
 
-    def set(self, config: Config) -> None:
+    def set_config(self, config: Config) -> None:
         """Set the configuration and the time limits that follow from it."""
         self.config = config
         settings = config.deployment.settings
@@ -99,7 +100,7 @@
             # Guards against a call that began while the discovery agent was down and may never be answered:
             # the changes that the agent has when it returns count as known at once.
             self.call_ms = min(self.call_ms, PUSHED_CALL_TIMEOUT_SHARE * grace_ms)
-        self.max_call_ms = max(OVERDUE * self.call_ms, MAX_CALL_MS)
+        self.max_call_ms = max(OVERDUE_TIMEOUT_FACTOR * self.call_ms, MAX_CALL_MS)
         self.min_watch_gap_ms = min(MAX_WATCH_GAP_MS, WATCH_GAP_SHARE * grace_ms)
         # Guards against late detection of a silent watch; nodes of large fleets call less often.
         share = min(max(MIN_WATCH_SHARE, WATCH_SHARE_PER_NODE * settings.node_count), MAX_WATCH_SHARE)
@@ -113,7 +114,7 @@
         calls from many nodes that are reconfigured together.
         """
         before = self.config
-        self.set(config)
+        self.set_config(config)
         if not self.is_confirmed:
             self.begin()
         old, new = before.deployment, config.deployment
@@ -187,9 +188,9 @@
             if self.loop.current in self.overdue:
                 self.overdue.remove(self.loop.current)
             else:
-                self.fail()
+                self.post_failure()
 
-    def fail(self) -> None:
+    def post_failure(self) -> None:
         """Post to the reducer that the list is not followed now."""
         self.task = None
         self.post(EndpointListUpdate(ListUpdateKind.FAILED, []))
@@ -208,13 +209,13 @@
         """
         task, overdue_calls = self.loop.running_task(), self.overdue
 
-        def give_up() -> None:
+        def mark_overdue() -> None:
             overdue_calls.add(task)
-            self.fail()
+            self.post_failure()
 
         resumed = self.is_version_live and bool(self.held) and not self.incomplete
         target = protocol.watch_target(self.version, RESUME_MS) if resumed else protocol.LIST_PATH
-        timer = self.loop.at(began_ms + self.call_ms, give_up)
+        timer = self.loop.at(began_ms + self.call_ms, mark_overdue)
         try:
             answer = yield from self.call(connection, target, began_ms + self.max_call_ms)
         finally:
@@ -253,7 +254,7 @@
             raise MalformedMessageError("the answer is not valid JSON") from None
 
     def heed(self, connection: Connection, answer: Any, resumed: bool = False) -> bool:  # noqa: ANN401
-        """Apply a complete answer, and return whether it was applied or is older than the held list (False).
+        """Apply an answer, also a connection's last one; return False if it is older than the held list.
 
         Raises ConnectionEndedError if the answer was the last one on its connection.
         """
@@ -274,13 +275,13 @@
     def rows(self) -> list[dict[str, Any]]:
         """Return the held list in discovery's format; servers without an address are left out."""
         servers, deployment = self.upstream.pool.servers, self.config.deployment
-        found = []
+        encoded = []
         for name, entry in self.held.items():
             address = servers[name].address if name in servers else None
             if address is not None:
                 as_listed = entry._replace(process_started_ms=self.starts.listed_unix_ms(name))
-                found.append(list_codec.row_of(as_listed, address, deployment))
-        return found
+                encoded.append(list_codec.row_of(as_listed, address, deployment))
+        return encoded
 
     def take(self, value: Any, cached: bool = False, doubt: float = 0.0, resumed: bool = False) -> bool:  # noqa: ANN401
         """Apply an answer; return False for a change or a cached list that is older than the held list.
--- a/marlseam/net/downstream.py
+++ b/marlseam/net/downstream.py
@@ -20,8 +20,8 @@
 
 IDLE_TIMEOUT_MS = 300000.0  # how long a client may keep an idle connection
 DRAIN_CHECK_MS = 20.0  # how often a drain checks for idle connections
-NEW_GRACE_MS = 250.0  # during which a new connection that has sent nothing is not closed to free capacity
-MAX_NEW_SHARE = 0.25  # of clients' connections; above this share, new ones lose NEW_GRACE_MS
+NEW_GRACE_MS = 250.0  # time in which a new connection that has sent nothing is not closed to free capacity
+MAX_NEW_SHARE = 0.25  # share of the clients' limit above which new connections lose NEW_GRACE_MS
 # Time limit for receiving a request: the first one from connecting, others from their first byte.
 READ_TIMEOUT_MS = 2500.0
 WRITE_TIMEOUT_MS = 2500.0  # time limit for a client to read its answer
@@ -124,7 +124,7 @@
         return descriptors.hold_all_spares() or (self.close_one() and descriptors.hold_all_spares())
 
     def accept(self, sock: socket.socket) -> None:
-        """Serve a new connection, or refuse it with 503 without capacity, as when the listener closes."""
+        """Serve a new connection; without capacity, as when the listener closes, answer 503 and close it."""
         connection = Connection(self.loop, self.log, sock, h11.SERVER, "client")
         # The connection and its first request may have waited in the accept queue since then.
         if self.listener is not None:
@@ -274,7 +274,7 @@
                 table.pop(connection, None)
             connection.close(reason)
 
-    def first_byte(self, connection: Connection) -> Steps:
+    def wait_for_first_byte(self, connection: Connection) -> Steps:
         """Wait for the first byte of a request; meanwhile the connection may be closed to free capacity."""
         until_ms = self.loop.now() + IDLE_TIMEOUT_MS
         if connection in self.unvalidated:
@@ -292,12 +292,12 @@
 
     def request(self, connection: Connection) -> Steps:
         """Serve one request; return whether another one may follow on the connection."""
-        yield from self.first_byte(connection)
+        yield from self.wait_for_first_byte(connection)
         began_ms = self.loop.now()
         until_ms = (connection.opened_ms if connection in self.unvalidated else began_ms) + READ_TIMEOUT_MS
         self.reading[connection] = self.loop.running_task()
         try:
-            call = yield from http.read(
+            received = yield from http.read(
                 connection,
                 until_ms,
                 lambda method, target: protocol.check_route(method, target, self.deployment.types),
@@ -305,12 +305,12 @@
                 lambda size: self.reserve_body(connection, size, until_ms),
             )
             del self.reading[connection]
-            if protocol.path_of(call.target) == protocol.READY_PATH:
+            if protocol.path_of(received.target) == protocol.READY_PATH:
                 status, headers, body = (200 if self.is_ready() else 503), [], b""
             else:
-                self.unanswered[connection] = call.head.get(protocol.ID, "")
+                self.unanswered[connection] = received.head.get(protocol.ID, "")
                 client_request = protocol.client_request_from(
-                    call.target, call.head, call.body, self.deployment
+                    received.target, received.head, received.body, self.deployment
                 )
                 status, headers, body = yield from self.serve_request(
                     connection,
--- a/marlseam/net/http.py
+++ b/marlseam/net/http.py
@@ -19,7 +19,7 @@
 from marlseam.net.loop import READ, Coroutine, Loop, sleep
 from marlseam.net.protocol import Head
 
-MAX_ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the loop
+MAX_ACCEPTS_PER_TURN = 16  # maximum number of connections accepted in one turn of the loop
 BACKLOG = 512
 LINGER_MS = 1000.0  # how long bytes are read and discarded after an error answer
 CAPACITY_RETRY_MS = 20.0  # wait before a retry if there was no capacity
@@ -38,15 +38,15 @@
     return sock
 
 
-def inherited(number: int) -> socket.socket:
+def inherited(descriptor: int) -> socket.socket:
     """Return the listening socket that the process inherited; raises OSError if the descriptor is none."""
     try:
-        sock = socket.socket(fileno=number)
+        sock = socket.socket(fileno=descriptor)
     except OSError as error:
         raise OSError(error.errno, "not a socket") from None
-    stream = sock.type == socket.SOCK_STREAM
-    if not stream or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        sock.detach()  # the descriptor belongs to another part of the process
+    is_stream = sock.type == socket.SOCK_STREAM
+    if not is_stream or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+        sock.detach()  # leaves the descriptor open, which this process did not open
         raise OSError(errno.EINVAL, "not a listening stream socket")
     sock.set_inheritable(False)
     sock.setblocking(False)
@@ -79,11 +79,11 @@
         first: bool = False,
     ) -> None:
         self.loop, self.sock, self.has_capacity, self.on_accept = loop, sock, has_capacity, on_accept
-        self.closed = False  # whether the socket is closed, so that no client is in its accept queue
+        self.closed = False  # whether the socket is closed too, so that no client is in its accept queue
         self.last_empty_ms = loop.now()  # when the accept queue was last empty
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            # Not listening before: a client's time would pass, unnoticed by the node, while the node recovers
-            # its state at the start; a client whose connection is refused tries another node at once.
+            # The socket does not listen earlier: a client's time would pass unnoticed while the node recovers
+            # its state at the start, but a client whose connection is refused tries another node at once.
             sock.listen(BACKLOG)
         self.task = loop.spawn(self.accept(), first)
 
@@ -110,8 +110,8 @@
                     break
                 if result is AcceptResult.NO_CAPACITY:
                     # Guards against a busy loop: the listener stays readable while nothing can be accepted.
-                    # Also guards open connections if the whole system has no descriptors, where closing them
-                    # does not help.
+                    # Also guards open connections if the whole system is short of descriptors: closing them
+                    # does not help then.
                     yield from sleep(self.loop.now() + CAPACITY_RETRY_MS)
                     break
                 if result is not AcceptResult.LOST:
--- a/marlseam/net/limits.py
+++ b/marlseam/net/limits.py
@@ -19,11 +19,11 @@
 OWN_SOCKETS = 32  # descriptors for listeners, epoll, signals, discovery, logs and the interpreter
 OWN_MEMORY_MB = 20.0  # memory for the node itself
 CONNECTION_KB = 20.0  # memory for a connection, without the body of its request
-BODY_MEMORY_SHARE = 0.5  # of the memory beyond OWN_MEMORY_MB, for bodies of clients' requests
-OPERATOR_CONNECTIONS = 16  # reserved for operators, in addition to all other connections
-MIN_CONNECTIONS = 16  # whatever the limits: a node cannot serve with fewer
-CLIENT_SHARE = 0.5  # of the connections, for clients
-MIN_CLIENTS = 2  # whatever the number of descriptors that the system has
+BODY_MEMORY_SHARE = 0.5  # share of the memory beyond OWN_MEMORY_MB for bodies of clients' requests
+OPERATOR_CONNECTIONS = 16  # connections reserved for operators, in addition to all others
+MIN_CONNECTIONS = 16  # minimum whatever the limits: a node cannot serve with fewer connections
+CLIENT_SHARE = 0.5  # share of the connections for clients
+MIN_CLIENTS = 2  # minimum in a shortage, whatever the number of descriptors that the system has
 SHORTAGE_MS = 10000.0  # time after a shortage until the settings' limit is tried again
 
 
@@ -43,12 +43,16 @@
 
 
 def max_connections(config: Config, processes: int = 1) -> int:
-    """Return how many connections the limits allow in one of `processes` processes, without bodies."""
-    allowed = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    sockets = config.sockets if allowed == resource.RLIM_INFINITY else min(config.sockets, allowed)
+    """Return how many connections the limits allow one of `processes` processes; bodies are separate."""
+    descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    sockets = (
+        config.sockets
+        if descriptor_limit == resource.RLIM_INFINITY
+        else min(config.sockets, descriptor_limit)
+    )
     free_kb = (1.0 - BODY_MEMORY_SHARE) * (config.memory_mb / processes - OWN_MEMORY_MB) * 1024.0
-    own = OWN_SOCKETS + (OPERATOR_CONNECTIONS if config.admin is not None else 0)
-    return max(MIN_CONNECTIONS, int(min(sockets / processes - own, free_kb / CONNECTION_KB)))
+    own_sockets = OWN_SOCKETS + (OPERATOR_CONNECTIONS if config.admin is not None else 0)
+    return max(MIN_CONNECTIONS, int(min(sockets / processes - own_sockets, free_kb / CONNECTION_KB)))
 
 
 def connection_limits(config: Config, processes: int = 1) -> ConnectionLimits:
@@ -70,7 +74,7 @@
         self, loop: Loop, downstream: DownstreamServer, upstream: Upstream, restore: Callable[[], None]
     ) -> None:
         self.loop, self.downstream, self.upstream, self.restore = loop, downstream, upstream, restore
-        self.restoring = loop.at(loop.now(), lambda: None)
+        self.restore_timer = loop.at(loop.now(), lambda: None)
         loop.descriptors.releasers = [downstream.close_one, upstream.pool.close_longest_idle]
         loop.descriptors.on_shortage = self.reduce_clients
 
@@ -81,8 +85,8 @@
         """
         connections = len(self.downstream.open) + self.upstream.pool.open_count()
         self.downstream.limit_clients(max(MIN_CLIENTS, int(CLIENT_SHARE * connections)))
-        self.loop.drop(self.restoring)
-        self.restoring = self.loop.at(self.loop.now() + SHORTAGE_MS, self.end)
+        self.loop.drop(self.restore_timer)
+        self.restore_timer = self.loop.at(self.loop.now() + SHORTAGE_MS, self.end)
 
     def end(self) -> None:
         """Try the settings' limit again: other processes may have released descriptors."""
--- a/marlseam/net/log.py
+++ b/marlseam/net/log.py
@@ -8,19 +8,19 @@
 from marlseam.net import syscalls
 
 MAX_BURST_LINES, LINES_PER_S = 200.0, 50.0  # lines at once, and lines per second after these
-MAX_LINE_BYTES = select.PIPE_BUF  # bytes, which a writable pipe accepts without blocking
-RESERVED_LINES = 100.0  # of MAX_BURST_LINES, not available to lines on ended connections
+MAX_LINE_BYTES = select.PIPE_BUF  # number of bytes that a writable pipe accepts without blocking
+RESERVED_LINES = 100.0  # part of MAX_BURST_LINES that lines on ended connections may not use
 
 
 class Reason(Enum):
     """Why a connection ended."""
 
-    DONE = "done"  # the last message on the connection was complete
+    DONE = "done"  # ended after a complete message
     IDLE = "idle"  # its idle time-out expired
     PEER_CLOSED = "peer-closed"
     PEER_RESET = "peer-reset"
     REFUSED = "refused"
-    NO_CONNECT = "no-connect"  # was not established in time
+    NO_CONNECT = "no-connect"  # not established in time
     NO_SOCKETS = "no-sockets"  # this process may open no more sockets
     CROWDED = "crowded"  # closed to free capacity
     DECLINED = "declined"  # the peer answered with an error
@@ -38,13 +38,15 @@
 
     def __init__(self, name: str, now: Callable[[], float]) -> None:
         self.name, self.now = name, now
-        self.budget, self.at_ms, self.dropped = MAX_BURST_LINES, now(), 0
+        self.budget, self.budget_updated_ms, self.dropped = MAX_BURST_LINES, now(), 0
 
     def line(self, text: str, reserved: float = 0.0) -> None:
         """Print a line, or count it as dropped if the budget would fall below `reserved` lines."""
         now = self.now()
-        self.budget = min(MAX_BURST_LINES, self.budget + (now - self.at_ms) * LINES_PER_S / 1000.0)
-        self.at_ms = now
+        self.budget = min(
+            MAX_BURST_LINES, self.budget + (now - self.budget_updated_ms) * LINES_PER_S / 1000.0
+        )
+        self.budget_updated_ms = now
         if self.budget < 1.0 + reserved:
             self.dropped += 1
             return
@@ -80,9 +82,9 @@
 def can_write_line() -> bool:
     """Return whether standard error accepts a line without blocking; True if it has no file descriptor."""
     try:
-        number = sys.stderr.fileno()
+        descriptor = sys.stderr.fileno()
     except (OSError, AttributeError):
         return True  # replaced by an object of a test
     poller = select.poll()
-    poller.register(number, select.POLLOUT)
+    poller.register(descriptor, select.POLLOUT)
     return syscalls.is_poll_ready(poller, if_unknown=False)
--- a/marlseam/net/loop.py
+++ b/marlseam/net/loop.py
@@ -168,7 +168,7 @@
 
     Attributes:
         clock: its monotonic clock; `now` returns the time in ms.
-        fault: called with the traceback of an unexpected error.
+        fault: called with the traceback of an unexpected exception.
         descriptors: opens file descriptors, and releases some in a shortage.
         poll, first: epoll objects of all tasks, and of the prioritized tasks.
         pollers: by descriptor, the epoll object in which it is registered.
@@ -186,7 +186,7 @@
         syscalls.retry_transient(lambda: self.poll.register(self.first.fileno(), READ))
         self.prioritized_run_ms = 0.0  # when the prioritized tasks were last polled
         self.pollers: dict[int, select.epoll] = {}
-        self.closed_fds: set[int] = set()  # in this turn
+        self.closed_fds: set[int] = set()  # descriptors closed in this turn
         self.waiting: dict[int, Task] = {}
         self.timers: list[tuple[float, int, Timer]] = []
         self.calls: deque[Callable[[], None]] = deque()
@@ -335,7 +335,7 @@
         return max(0.0, (self.timers[0][0] - self.now()) / 1000.0) if self.timers else -1.0
 
     def on_signals(self, calls: Mapping[int, Callable[[], None]]) -> None:
-        """Run a call within the loop when its signal arrives, or was blocked until now."""
+        """Run a call within the loop when its signal arrives, also one that was blocked until now."""
         wakeup_reader, self.wakeup_writer = socket.socketpair()
         wakeup_reader.setblocking(False)
         self.wakeup_writer.setblocking(False)
--- a/marlseam/net/protocol.py
+++ b/marlseam/net/protocol.py
@@ -1,4 +1,7 @@
-"""The protocol's names, and the codec of its messages; no I/O. No other package uses the protocol's names."""
+"""The protocol's names, and the codec of its messages; no I/O.
+
+The parts of the node outside this package do not use the protocol's names.
+"""
 
 import json
 import re
@@ -16,9 +19,9 @@
 ACTING = "X-Marlseam-Acting"  # with a fleet: the configuration version under which an attempt is sent
 FACTS, LOAD, NEVER_RAN, REPEAT = "X-Facts", "X-Backend-Load", "X-Unprocessed", "X-Repeat"
 KEY = "user"  # the query parameter that names the resource that a request needs
-MAX_BODY_BYTES = 65536  # bytes of a request's body, and of a server's answer
-MAX_LINE_BYTES = 2 * MAX_BODY_BYTES  # bytes of one line, which holds a body in JSON
-MAX_LIST_BYTES = 1 << 22  # bytes of a whole endpoint list
+MAX_BODY_BYTES = 65536  # maximum size of a request's body, and of a server's answer
+MAX_LINE_BYTES = 2 * MAX_BODY_BYTES  # maximum size of a line, which holds a body in JSON
+MAX_LIST_BYTES = 1 << 22  # maximum size of a whole endpoint list
 SINGLE_HEADERS = (ID, TYPE, TIME_LEFT, RECEIPT, FACTS, "Host", "Content-Length", "Transfer-Encoding")
 MAX_ID_LENGTH = 256
 MAX_TIME_LEFT_IN_DEADLINES = 100.0  # longest plausible time left, in deadlines of the request class
@@ -44,7 +47,7 @@
         time_left_ms: how long the client waits, at most the class's deadline.
         slots: number of server slots that it uses.
         is_unsafe: whether its class was unsafe when the request was received.
-        must_run_once: whether its class was not safe (keyed or unsafe) when the request was received.
+        must_run_once: whether it must not run twice: its class was keyed or unsafe when it was received.
         resource_key: the resource that it needs; None for none.
         may_be_retry: whether it may be a client's retry.
 
@@ -171,14 +174,14 @@
     if name not in deployment.types or class_name_of(target) != name:
         raise MalformedMessageError(f"{TYPE} is missing, unknown or differs from the path's request class")
     left_ms = 1000.0 * parse_number(head.get(TIME_LEFT, ""), TIME_LEFT)
-    type = deployment.types[name]
-    of_type = deployment.settings.request_classes[type]
-    deadline_ms = of_type.deadline_ms or inf
+    class_index = deployment.types[name]
+    request_class = deployment.settings.request_classes[class_index]
+    deadline_ms = request_class.deadline_ms or inf
     if left_ms > MAX_TIME_LEFT_IN_DEADLINES * deadline_ms:
         raise MalformedMessageError(f"{TIME_LEFT} is too long for the deadline of the request class")
     idempotency_key = head.get(RECEIPT)
     if not is_header_safe(idempotency_key or "") and (
-        idempotency_key is not None or of_type.idempotency is Idempotency.KEYED
+        idempotency_key is not None or request_class.idempotency is Idempotency.KEYED
     ):
         raise MalformedMessageError(f"{RECEIPT} is missing or invalid")
     facts = parse_pairs(head.get(FACTS, ""))
@@ -189,12 +192,12 @@
         target=target,
         idempotency_key=idempotency_key,
         body=body,
-        class_index=type,
+        class_index=class_index,
         type_name=name,
         time_left_ms=min(left_ms, deadline_ms),
         slots=parse_number(facts.get("slots", "1"), FACTS) or 1.0,
-        is_unsafe=of_type.idempotency is Idempotency.UNSAFE,
-        must_run_once=of_type.idempotency is not Idempotency.SAFE,
+        is_unsafe=request_class.idempotency is Idempotency.UNSAFE,
+        must_run_once=request_class.idempotency is not Idempotency.SAFE,
         may_be_retry=head.get(REPEAT) == "1" or not deployment.marks_retry,
         resource_key=dict(parse_qsl(target.partition("?")[2])).get(KEY),
     )
--- a/marlseam/net/server_start_times.py
+++ b/marlseam/net/server_start_times.py
@@ -21,7 +21,7 @@
 from marlseam.core import EndpointEntry
 
 MAX_CLOCK_ERROR_MS = 3000.0  # how long before a list's confirmation an unlisted server may have started
-MIN_DELISTED = 1000  # servers off the list whose starts are kept at least
+MIN_DELISTED = 1000  # minimum number of delisted servers whose starts are kept
 
 
 class StartTimes:
--- a/marlseam/net/syscalls.py
+++ b/marlseam/net/syscalls.py
@@ -12,9 +12,9 @@
 from typing import TypeVar
 
 TRANSIENT_ERRNOS = frozenset({errno.ENOMEM, errno.ENOBUFS, errno.ENOSPC})
-MAX_START_TRIES = 200  # of a call that a process needs to start, TRANSIENT_RETRY_MS apart
+MAX_START_TRIES = 200  # tries of a call that a process needs to start, TRANSIENT_RETRY_MS apart
 TRANSIENT_RETRY_MS = 5.0  # wait before a call with a transient error is retried
-MAX_POLL_TRIES = 8  # of a poll with time-out 0
+MAX_POLL_TRIES = 8  # tries of a poll with time-out 0
 T = TypeVar("T")
 
 
--- a/marlseam/net/upstream/attempts.py
+++ b/marlseam/net/upstream/attempts.py
@@ -21,7 +21,7 @@
 from marlseam.net.upstream.pool import CONNECTION_LOST, ConnectionPool
 from marlseam.net.upstream.timeouts import UpstreamTimeouts
 
-DUPLICATE_ANSWER_MS = 50.0  # within which a duplicate answer to an earlier request arrives on its connection
+DUPLICATE_ANSWER_MS = 50.0  # time within which a duplicate of an earlier answer arrives on its connection
 
 
 class AttemptStamp(Protocol):
--- a/marlseam/net/upstream/health_checks.py
+++ b/marlseam/net/upstream/health_checks.py
@@ -17,9 +17,9 @@
 from marlseam.net.upstream.pool import CONNECTION_LOST, ConnectionPool, ServerConnections
 from marlseam.net.upstream.timeouts import UpstreamTimeouts
 
-EXTRA_CONNECTIONS = 4  # to one server, which health checks may open beyond the limit of attempts
-FIRST_CALL_SHARE = 0.5  # of a health check's time limit, after which it calls again on a new connection
-OUTCOME_BY_END = {  # of a call without an answer; any other reason counts as BROKEN
+EXTRA_CONNECTIONS = 4  # connections per server that health checks may open beyond the limit of attempts
+FIRST_CALL_SHARE = 0.5  # share of a health check's time limit for its first call; a second one may follow
+OUTCOME_BY_END = {  # outcome of a call without an answer; any other reason counts as BROKEN
     Reason.TIMED_OUT: Outcome.TIMED_OUT,
     Reason.NO_CONNECT: Outcome.UNREACHABLE,
     Reason.NO_SOCKETS: Outcome.CANCELLED_UNSENT,  # no evidence about the server: this node lacks sockets
@@ -93,7 +93,8 @@
             outcome = OUTCOME_BY_STATUS.get(answer.status_code, Outcome.ERROR)
             reason = Reason.DONE
             if outcome is Outcome.COMPLETED:
-                # Not after a refusal, whose duplicate could be taken for the answer to the next request.
+                # Only a completed call releases its connection: a duplicate of a refusal could be taken for
+                # the answer to the next request.
                 self.pool.release(server, connection)
                 connection = None
             return HealthCheckResult(outcome, report)
--- a/marlseam/net/upstream/pool.py
+++ b/marlseam/net/upstream/pool.py
@@ -12,13 +12,13 @@
 from marlseam.net.loop import READ, READY, Coroutine, Loop, Task
 from marlseam.net.upstream.timeouts import UpstreamTimeouts
 
-PER_SERVER_SHARE = 0.25  # of `max_connections`, which attempts to one server may use
+PER_SERVER_SHARE = 0.25  # share of `max_connections` that attempts to one server may use
 CONNECTION_LOST = (
     Reason.PEER_CLOSED,
     Reason.PEER_RESET,
     Reason.REFUSED,
-)  # these end one connection, and may affect no other connection to the server
-MIN_PER_SERVER = 4  # connections that attempts to one server may use, whatever `max_connections`
+)  # reasons that end one connection, and may affect no other connection to the server
+MIN_PER_SERVER = 4  # connections that attempts to one server may use at least, whatever the share
 
 
 class IdleConnection(NamedTuple):
--- a/marlseam/net/upstream/timeouts.py
+++ b/marlseam/net/upstream/timeouts.py
@@ -6,12 +6,14 @@
 
 from marlseam.configuration import Deployment
 
-IDLE_TIMEOUT_SHARE = 0.7  # of servers' keep-alive time: the node closes first, so no request meets a close
+# Share of the servers' keep-alive time. Guards requests against being sent on a connection that its server
+# closes: the node closes idle connections first.
+IDLE_TIMEOUT_SHARE = 0.7
 # Times with the suffix _IN_OBJECTIVES: in latency objectives of the most urgent request class.
 PROBE_TIMEOUT_IN_OBJECTIVES = 2.0
 ACCEPT_TIMEOUT_IN_OBJECTIVES = 1.0
 ANSWER_END_TIMEOUT_IN_OBJECTIVES = 1.0
-PROGRESS_GAP_IN_PERIODS = 2.5  # in progress periods of the settings
+PROGRESS_GAP_IN_PERIODS = 2.5  # number of the settings' progress periods
 
 
 @dataclass(slots=True)
--- a/tests/limited_node.py
+++ b/tests/limited_node.py
@@ -20,10 +20,10 @@
 from conftest import OPTIONS
 
 DESCRIPTOR_LIMIT = 256
-MAX_CLIENTS = (DESCRIPTOR_LIMIT - 32 - 16) // 2  # of a node with a listener for operators (docs/node.md)
+MAX_CLIENTS = (DESCRIPTOR_LIMIT - 32 - 16) // 2  # of a node that also listens for operators (docs/node.md)
 REAL_TIME_LIMIT_S = 30.0  # limit of each wait, reached only if the awaited event never happens
 READINESS_REQUEST = b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n"
-SAMPLES = 5  # of the descriptor count: a refused call to discovery uses one for a moment
+SAMPLES = 5  # samples of the descriptor count, since a refused call to discovery uses one for a moment
 LIST_CALL = b"GET /api/targets HTTP/1.1"
 LIMITED_PROCESS = """
 import resource, runpy, sys
--- a/tests/test_attempt_retries.py
+++ b/tests/test_attempt_retries.py
@@ -202,9 +202,8 @@
     client(request_bytes)
     run_until(node, lambda: b"abc" in first.read())
     update_endpoint_list(node, {"e1": first.address, "e2": other.address})
-    node.post(
-        core.ProbeEnded("e1", Outcome.TIMED_OUT, 0.0, None)
-    )  # presumes the server lost, with its requests
+    # After a probe that timed out, the server and its requests are presumed lost.
+    node.post(core.ProbeEnded("e1", Outcome.TIMED_OUT, 0.0, None))
     for _ in range(8):  # past the next check of the pending queue
         advance_clock(100.0)
         run_loop(node, 5)
--- a/tests/test_crowded_discovery.py
+++ b/tests/test_crowded_discovery.py
@@ -21,11 +21,11 @@
 
 from marlseam.net.node import Node
 
-DEADLINE_TOLERANCE_MS = 6000.0  # after which a change counts as known
+DEADLINE_TOLERANCE_MS = 6000.0  # time after which a change counts as known
 NODE_COUNT = 32
 CALLS_PER_S = 3.7  # rate at which discovery serves calls, as in the incident
 MAX_QUEUE_MS = 2000.0  # longest wait in the queue; a call that would wait longer is declined
-WATCH_CONTINUES_MS = 200.0  # after a watch's answer, within which its next call is not queued
+WATCH_CONTINUES_MS = 200.0  # time after a watch's answer within which its next call is not queued
 DECLINED = b"HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n"
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -62,7 +62,9 @@
 @pytest.mark.parametrize(("node_count", "wait_ms"), [(1, 3000.0), (4, 4000.0), (300, 5000.0)])
 def test_the_duration_of_a_watch_follows_the_node_count(node, node_count, wait_ms):
     settings = replace(node.config.deployment.settings, node_count=node_count)
-    node.discovery.set(replace(node.config, deployment=replace(node.config.deployment, settings=settings)))
+    node.discovery.set_config(
+        replace(node.config, deployment=replace(node.config.deployment, settings=settings))
+    )
     assert node.discovery.wait_ms == wait_ms
 
 
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -11,9 +11,9 @@
 
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.types import ListUpdateKind
-from marlseam.net.discovery import OVERDUE
+from marlseam.net.discovery import OVERDUE_TIMEOUT_FACTOR
 
-NOTIFICATION_LIMIT_MS = 6000.0  # after which a change counts as known
+NOTIFICATION_LIMIT_MS = 6000.0  # time after which a change counts as known
 CALL_LIMIT_MS = 2000.0  # time-out of a node's call
 WATCHES_END_MS = 1000.0
 NODE_COUNT = 200
@@ -61,7 +61,7 @@
             self.at(fails_ms, lambda: self.fail(node_index))
             return
         self.busy_until_ms = max(self.busy_until_ms, self.clock) + self.cost_ms
-        if self.busy_until_ms - self.clock < OVERDUE * CALL_LIMIT_MS:
+        if self.busy_until_ms - self.clock < OVERDUE_TIMEOUT_FACTOR * CALL_LIMIT_MS:
             self.at(self.busy_until_ms, lambda: self.notified_ms.setdefault(node_index, self.clock))
         if self.busy_until_ms - self.clock > CALL_LIMIT_MS:
             self.at(self.clock + CALL_LIMIT_MS, lambda: self.fail(node_index))
--- a/tests/test_endpoint_watch.py
+++ b/tests/test_endpoint_watch.py
@@ -40,7 +40,7 @@
     request_classes = [row | {"aimUs": aim_us, "deadlineUs": 60000000} for row in OPTIONS["requestClasses"]]
     options = OPTIONS | {"requestClasses": request_classes, "fleetSize": node_count}
     deployment = deployment_from(options | {"guarantees": {"mustAskInUs": must_ask_us}})
-    node.discovery.set(replace(node.config, deployment=deployment))
+    node.discovery.set_config(replace(node.config, deployment=deployment))
     reducer = node.reducer
     reducer.reduce(0.0, core.NodeStarted(limits.settings_for_process(deployment.settings), 1))
     (timer,) = [
@@ -105,7 +105,7 @@
 def test_where_lists_are_pushed_a_lost_watch_is_reopened_within_the_grace_period(node, grace_us):
     options = OPTIONS | {"registryMode": "automatic", "guarantees": {"stopSendingWithinUs": grace_us}}
     deployment = deployment_from(options)
-    node.discovery.set(replace(node.config, deployment=deployment))
+    node.discovery.set_config(replace(node.config, deployment=deployment))
     reducer, timers = node.reducer, []
     reducer.reduce(0.0, core.NodeStarted(limits.settings_for_process(deployment.settings), 1))
     for _ in range(10):  # an outage with ten failed calls
--- a/tests/test_list_notification.py
+++ b/tests/test_list_notification.py
@@ -20,7 +20,7 @@
 from marlseam.net import limits
 from marlseam.net.node import Node
 
-NOTIFICATION_LIMIT_MS = 6000.0  # after which a change counts as known
+NOTIFICATION_LIMIT_MS = 6000.0  # time after which a change counts as known
 # Delay of discovery's answer after one failed call, and after two.
 ANSWER_AFTER_ONE_FAILURE_MS, ANSWER_AFTER_TWO_FAILURES_MS = 1900.0, 800.0
 FAILURES_TO_LONGEST_BACKOFF = 7
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -17,7 +17,7 @@
 from marlseam.net.log import Log
 from marlseam.net.loop import Loop
 
-FAILURES_IN_A_ROW = 3  # before a call succeeds
+FAILURES_IN_A_ROW = 3  # failures before a call succeeds
 
 
 class FailingCalls:
