--- a/marlseam/decisions/__init__.py
+++ b/marlseam/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What the node decides, a rule a module: pure of I/O and clocks."""
+"""The node's decision rules, one per module. None of them does I/O or reads a clock."""
--- a/marlseam/decisions/dispatcher.py
+++ b/marlseam/decisions/dispatcher.py
@@ -1,13 +1,13 @@
-"""The dispatcher: its state, its settings, and the entry points of the reducer.
+"""The dispatcher: its state, its settings, and the entry points that the reducer calls.
 
-The reducer makes `Dispatcher(settings, seed, port)`, then calls `update_endpoints`, `probe_ended`,
-`merge_gossip` and `accept`. `accept` gives a `RequestState`, and all that happens to that request later is a
-call on it. The dispatcher acts through the port alone. Times are float milliseconds.
+The reducer creates `Dispatcher(settings, seed, port)`, then calls `update_endpoints`, `probe_ended`,
+`merge_gossip` and `accept`. `accept` returns a `RequestState`, whose methods are called for everything that
+happens to that request later. The dispatcher acts through the port alone. Times are float milliseconds.
 
-The class is composed of a module a rule, each deriving from those whose figures it reads: `server_stats`,
-`load_estimates`, `gossip`, `slow_start`, `outlier_detection`, `server_selection`, `hedging`, `health_checks`,
-`admission`, `endpoints`. A request's side is composed likewise: `request_record`, `eligibility`, `retry`,
-`sending`, `placement`, `request_state`.
+`Dispatcher` is built by inheritance, one class per rule and module, each deriving from those whose state it
+reads: `server_stats`, `load_estimates`, `gossip`, `slow_start`, `outlier_detection`, `server_selection`,
+`hedging`, `health_checks`, `pending_queue`, `endpoints`. `RequestState` is built in the same way:
+`request_record`, `eligibility`, `retry`, `sending`, `placement`, `request_state`.
 """
 
 from math import inf
@@ -20,28 +20,28 @@
 from marlseam.decisions.types import Port, Request, Settings
 from marlseam.random_source import RandomSource
 
-# In latency objectives of the most urgent request class: how long a decision waits for a probe, which itself
-# goes on; how old home's report may be; the next two likewise.
-PROBE_WAIT_IN_OBJECTIVES = 0.25
-REPORT_MAX_AGE_IN_OBJECTIVES = 2.0
+# These four are multiples of the shortest latency objective of all request classes.
+PROBE_WAIT_IN_OBJECTIVES = 0.25  # how long a decision waits for a probe; the probe itself continues
+REPORT_MAX_AGE_IN_OBJECTIVES = 2.0  # age from which the home server's report is stale
 CHECK_INTERVAL_IN_OBJECTIVES = 0.5  # from one periodic check to the next
-MAX_QUEUE_WAIT_IN_OBJECTIVES = 1.0  # the longest wait at a server that a request is sent into
-INITIAL_RUN_IN_OBJECTIVES = 2.0  # the run of a request class not seen yet, in its own latency objectives
-MIN_PROBE_WAIT_IN_TICKS = 4.0  # the shortest wait for a probe
+MAX_QUEUE_WAIT_IN_OBJECTIVES = 1.0  # longest expected wait at a server to which a request is still sent
+
+INITIAL_RUN_IN_OBJECTIVES = 2.0  # assumed run of a request class without samples, in its own objectives
+MIN_PROBE_WAIT_IN_TICKS = 4.0  # lower bound of the wait for a probe
 DEADLINE_MARGIN_IN_TICKS = 2.0  # how long before its deadline a request is answered
-PEER_SILENCE_IN_DEADLINES = 2.0  # after which a node's gossip is void, in the longest deadline
-DEFAULT_DEADLINE_MS = 1000.0  # where no request class has one
+PEER_SILENCE_IN_DEADLINES = 2.0  # silence after which a node's gossip is dropped, in longest deadlines
+DEFAULT_DEADLINE_MS = 1000.0  # assumed where no request class has a deadline
 
 
 class Dispatcher(EndpointList):
     """One node's dispatcher.
 
     Attributes:
-        settings, request_classes: as configured last.
-        port: through which it acts.
-        random: the next number in [0, 1) of its sequence.
-        key_queues: by resource key, the requests of classes that ask for one at a time.
-        request_state_type: what requests become; baselines in experiments set another.
+        settings, request_classes: as last passed to `configure`.
+        port: the port through which the dispatcher acts.
+        random: returns the next number in [0, 1) of the dispatcher's random sequence.
+        key_queues: queues by resource key, of requests whose class is `ordered_by_key`.
+        request_state_type: the class of the state of each request; baselines in experiments set another one.
     """
 
     request_state_type: type[RequestState] = RequestState
@@ -58,7 +58,7 @@
         self.periodic_check()
 
     def configure(self, settings: Settings) -> None:
-        """Take in settings, also in service: what was learned under an index stays."""
+        """Apply settings, at the start or in service; what was measured under an index is kept."""
         self.settings, self.request_classes, self.poll_backoff_ms = settings, settings.request_classes, 0.0
         classes, objective_ms = settings.request_classes, settings.shortest_objective_ms
         shortest_deadline_ms = min((each.deadline_ms for each in classes), default=DEFAULT_DEADLINE_MS)
@@ -83,7 +83,7 @@
         self.list_ready(settings.zone)
 
     def accept(self, request: Request) -> RequestState:
-        """Take a request, to be answered before its deadline whatever is in flight by then."""
+        """Accept a request and schedule its answer before its deadline, whatever is in flight by then."""
         self.count_arrival(request)
         state = self.request_state_type(self, request)
         time_left_ms = request.deadline_at_ms - self.port.now()
@@ -93,21 +93,24 @@
         to_spare_ms = state.time_to_spare_ms(min(self.kind_pace), run_share)
         if state.has_turn:
             state.place()
-        elif self.can_be_in_time_behind_key(state, to_spare_ms):
+        elif self.has_time_in_key_queue(state, to_spare_ms):
             self.port.after(to_spare_ms, lambda: None if state.has_turn else state.answer())
         else:
             state.answer()
         return state
 
-    def can_be_in_time_behind_key(self, state: RequestState, to_spare_ms: float) -> bool:
-        """Return whether a request may be sent at all, and in time behind the others of its key."""
+    def has_time_in_key_queue(self, state: RequestState, to_spare_ms: float) -> bool:
+        """Return whether a request may be sent at all, and in time after those before it in its key queue.
+
+        `to_spare_ms` is how long the request may wait and still meet its latency objective.
+        """
         queue = state.key_queue
         if not state.max_attempts or queue is None:
             return False
         return queue.ahead_ms - state.key_run_ms < to_spare_ms
 
     def join_key_queue(self, state: RequestState) -> None:
-        """Put a request behind the others of its key, where its class asks for one at a time."""
+        """Append a request to the queue of its resource key, if its class is `ordered_by_key`."""
         request = state.request
         key = request.resource_key
         if key is None or state.key_queue is not None:
--- a/marlseam/decisions/endpoints.py
+++ b/marlseam/decisions/endpoints.py
@@ -1,16 +1,21 @@
-"""The endpoint list: how its updates are taken in, and when discovery is asked again after a failure."""
+"""The endpoint list: how updates are applied, and when discovery is polled again after a failure."""
 
 from marlseam.decisions.pending_queue import PendingQueue
 from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind
 from marlseam.recovery.saved_list import MAX_CERTAIN_DOUBT
 
-WEIGHT_AGE_IN_LIST_PERIODS = 0.35  # how old a weight of the list is when it comes, in times between lists
-REFRESH_PERIOD_MEMORY = 5.0  # updates that the mean time between them remembers
-FIRST_BACKOFF_SHARE = 0.1  # the first poll backoff, in longest poll intervals
+WEIGHT_AGE_IN_LIST_PERIODS = 0.35  # assumed age of a weight on arrival, in mean times between lists
+REFRESH_PERIOD_MEMORY = 5.0  # divisor of the exponential moving average of the time between updates
+FIRST_BACKOFF_SHARE = 0.1  # the first poll backoff, as a share of the longest poll interval
 
 
 class EndpointList(PendingQueue):
-    """Takes in updates of the endpoint list."""
+    """Applies updates of the endpoint list and polls discovery.
+
+    Attributes:
+        next_poll_ms: when discovery is polled next after a failure.
+        poll_backoff_ms: the current backoff before its random spread; 0 for none.
+    """
 
     next_poll_ms: float
     poll_backoff_ms: float
@@ -18,13 +23,14 @@
     def update_endpoints(
         self, update_kind: ListUpdateKind, endpoints: list[Endpoint], doubt: float = 0.0
     ) -> None:
-        """Take in an update; `doubt` is the chance that an entry of a cached list is no longer true."""
+        """Apply an update; `doubt` is the probability that an entry of a cached list is outdated."""
         if update_kind is ListUpdateKind.FAILED:
             self.back_off()
             return
         now = self.port.now()
         if update_kind is ListUpdateKind.DELTA:
-            # Only now is the backoff over. Guards against a poll storm where watches fail at once.
+            # Only a delta ends the backoff, not a whole list. Guards against a poll storm where watches fail
+            # at once.
             self.poll_backoff_ms = 0.0
         else:
             gone = set(range(len(self.endpoint_state))) - {endpoint.server for endpoint in endpoints}
@@ -44,13 +50,13 @@
         self.dispatch_queue()
 
     def learn_refresh_period(self, now: float) -> None:
-        """Learn how often the list's weights are updated."""
+        """Update the moving average of the time between updates of the list's weights."""
         since_ms = min(now - self.last_delta_ms, 2.0 * self.refresh_period_ms)
         self.refresh_period_ms += (since_ms - self.refresh_period_ms) / REFRESH_PERIOD_MEMORY
         self.last_delta_ms = now
 
     def merge_listed_weights(self, endpoints: list[Endpoint], now: float) -> None:
-        """Take the weights of ready servers as reports."""
+        """Use the listed weights of ready servers as load reports."""
         weights = [
             (endpoint.server, endpoint.weight)
             for endpoint in endpoints
@@ -59,11 +65,11 @@
         self.merge_weights(weights, now - WEIGHT_AGE_IN_LIST_PERIODS * self.refresh_period_ms)
 
     def update_endpoint(self, endpoint: Endpoint, update_kind: ListUpdateKind, doubt: float) -> None:
-        """Take in one entry of the list; a server whose process has started anew is reset."""
+        """Apply one entry of the list; the observations of a server whose process has restarted are reset."""
         server = endpoint.server
         self.in_use_though_removed.pop(server, None)
         self.set_endpoint(endpoint)
-        # Guards a server that may have started since a cached list was saved.
+        # Guards against overload of a server that may have started after the cached list was saved.
         started_ms = self.port.now() if doubt > MAX_CERTAIN_DOUBT else endpoint.process_started_ms
         if started_ms is not None and started_ms != self.process_started_ms[server]:
             self.server_restarted(server, started_ms)
@@ -72,7 +78,7 @@
         self.identity_doubt[server] = doubt
 
     def refresh_derived(self) -> None:
-        """Bring up to date what follows from the list, and retry what was sent to servers now gone."""
+        """Update what is derived from the list, and retry elsewhere what was sent to servers now gone."""
         before = self.same_zone, self.other_zones
         self.list_ready(self.settings.zone)
         if self.settings.fetch_cost and (self.same_zone, self.other_zones) != before:
@@ -84,25 +90,26 @@
                 self.retry_elsewhere(server)
 
     def back_off(self) -> None:
-        """Poll again after a failure, in a time that doubles with each failure in a row, spread by chance."""
+        """Schedule a poll after a failure, with exponential backoff and random spread."""
         now, longest_ms = self.port.now(), self.settings.max_poll_interval_ms
         first_ms, spread = FIRST_BACKOFF_SHARE * longest_ms, 0.5 + self.random()
         self.poll_backoff_ms = min(2.0 * self.poll_backoff_ms or first_ms, longest_ms)
         backoff_ms = min(spread * self.poll_backoff_ms, longest_ms)
-        # The time that the failed call took is part of the backoff.
+        # The time that the failed poll took counts as part of the backoff.
         due_ms = max(now + spread * first_ms, min(now, self.next_poll_ms) + backoff_ms)
         self.next_poll_ms = due_ms
         self.port.after(due_ms - now, lambda: self.poll_endpoints(due_ms))
 
     def poll_endpoints(self, due_ms: float) -> None:
-        """Ask discovery for its list and its changes, unless a later failure has set another time."""
+        """Request the endpoint list and its changes, unless a later failure has set another poll time."""
         if self.settings.subscribes_to_endpoints and due_ms == self.next_poll_ms:
             self.port.watch_endpoints()
 
     def keeps_in_use(self, server: int) -> bool:
-        """Return whether a server that the list calls gone, or leaves out, is still used, and mark it so.
+        """Return whether a server that is listed as gone, or not listed, stays in use, and mark it if so.
 
-        Where only draining excludes servers the list is no proof of what is up: it stays until it fails.
+        With `only_draining_excludes` the list is no proof that a server is down, so a ready server stays in
+        use until it fails.
         """
         is_in_use = (
             server < len(self.endpoint_state)
@@ -115,11 +122,11 @@
         return False
 
     def server_restarted(self, server: int, started_ms: float) -> None:
-        """Start afresh with a server whose process has: it is in slow start, and its old counts are void."""
+        """Put a server whose process has restarted into slow start, and drop its earlier observations."""
         self.subtract_from_sums(server)
         self.reset_observations(server)
         self.process_started_ms[server] = started_ms
         self.add_to_sums(server)
-        self.slow_start_tokens[server] = -self.random()  # so that the nodes do not all begin at once
+        self.slow_start_tokens[server] = -self.random()  # so that not all nodes begin to send at once
         self.slow_start_refilled_ms[server] = self.port.now()
         self.retry_elsewhere(server, started_ms)
--- a/marlseam/decisions/gossip.py
+++ b/marlseam/decisions/gossip.py
@@ -1,6 +1,7 @@
-"""What nodes publish to each other: the slots that their requests take at each server.
+"""Gossip between nodes: each publishes the slots that its requests take at each server.
 
-A message holds entries of four bytes: three of the server's gossip id, one of the slots.
+A message is a sequence of four-byte entries: three bytes of the server's gossip id (big-endian) and one byte
+of the slots, rounded up and at most 255.
 """
 
 from math import ceil
@@ -8,38 +9,38 @@
 from marlseam.decisions.load_estimates import LoadEstimates
 from marlseam.decisions.types import TrackedRequest
 
-GOSSIP_DELAY_IN_PROBE_TIMEOUTS = 0.3  # how long changes are gathered before they are published
+GOSSIP_DELAY_IN_PROBE_TIMEOUTS = 0.3  # how long changes are collected before they are published
 MAX_SERVERS_PER_MESSAGE = 64
 ENTRY_BYTES, ID_BYTES, MAX_SLOTS = 4, 3, 255
 
 
 class Gossip(LoadEstimates):
-    """Publishes our slots where they have changed, and merges what other nodes publish."""
+    """Publishes changes of this node's slots and merges the slots that other nodes publish."""
 
     def add_own_attempt(self, server: int, state: TrackedRequest, attempt_index: int) -> None:
-        """Note an attempt of ours at a server, to be published to the other nodes."""
+        """Record an attempt of this node at a server and schedule its publication to the other nodes."""
         super().add_own_attempt(server, state, attempt_index)
         self.schedule_gossip(server)
 
     def remove_own_attempt(self, server: int, state: TrackedRequest, attempt_index: int) -> None:
-        """Note the end of an attempt of ours at a server, to be published to the other nodes."""
+        """Record the end of an attempt of this node and schedule its publication to the other nodes."""
         super().remove_own_attempt(server, state, attempt_index)
         self.schedule_gossip(server)
 
     def schedule_gossip(self, server: int) -> None:
-        """Have our slots at a server published with the next messages."""
+        """Schedule the publication of this node's slots at a server with the next messages."""
         if self.settings.may_gossip:
             if not self.unpublished_servers:
                 self.port.after(GOSSIP_DELAY_IN_PROBE_TIMEOUTS * self.probe_wait_ms, self.publish_gossip)
             self.unpublished_servers[server] = None
 
     def publish_gossip(self) -> None:
-        """Send the other nodes our slots at each server where they have changed."""
+        """Publish this node's slots at each server where they have changed."""
         for message in self.gossip_messages():
             self.port.publish(message)
 
     def gossip_messages(self) -> list[bytes]:
-        """Return messages with our slots where they have changed since the last ones."""
+        """Return messages with this node's slots where they have changed since the last messages."""
         entries = [
             self.gossip_id[server].to_bytes(ID_BYTES, "big")
             + bytes([min(MAX_SLOTS, ceil(self.own_slots[server]))])
@@ -50,7 +51,7 @@
         return [b"".join(entries[start : start + MAX_SERVERS_PER_MESSAGE]) for start in starts]
 
     def merge_gossip(self, peer: int, now: float, message: bytes) -> None:
-        """Take in another node's message; an incomplete entry at its end is left out."""
+        """Merge another node's message; an incomplete entry at its end is ignored."""
         held = self.peer_slots.setdefault(peer, {})
         self.peer_updated_ms[peer] = now
         for start in range(0, len(message) - ID_BYTES, ENTRY_BYTES):
@@ -64,8 +65,8 @@
                 self.set_others_slots(server, others)
 
     def rebuild_others_slots(self, now: float, max_silence_ms: float) -> None:
-        """Sum up anew what the others have, without nodes that have been silent for longer."""
-        for peer in [peer for peer, at in self.peer_updated_ms.items() if now - at > max_silence_ms]:
+        """Recompute the others' slots from gossip, without peers silent for over `max_silence_ms`."""
+        for peer in [peer for peer, at_ms in self.peer_updated_ms.items() if now - at_ms > max_silence_ms]:
             del self.peer_slots[peer], self.peer_updated_ms[peer]
         for server, gossip_id in enumerate(self.gossip_id):
             total = sum(held.get(gossip_id, 0) for held in self.peer_slots.values())
--- a/marlseam/decisions/health_checks.py
+++ b/marlseam/decisions/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: probes, the outcomes of attempts, and attempts that show no sign of life."""
+"""Health checks: probes, outcomes of attempts, and detection of stalled attempts."""
 
 from collections.abc import Callable
 from math import inf, log
@@ -9,25 +9,25 @@
 from marlseam.decisions.types import Attempt, LoadReport, Outcome, TrackedRequest
 from marlseam.recovery.saved_list import DOUBT_SHARE_AFTER_ANSWER
 
-STALL_SILENCE_IN_PROGRESS_PERIODS = 2.2  # silence of a started attempt from which it counts as stalled
+STALL_SILENCE_IN_PROGRESS_PERIODS = 2.2  # silence after which a started attempt counts as stalled
 
 
 class ServerHealth(Hedging):
-    """Turns what is heard of servers, or not heard, into reports, ejections and readmissions."""
+    """Updates load, ejections and readmissions from probes, outcomes of attempts and their absence."""
 
     def probe(self, server: int, on_answered: Callable[[int | None], None]) -> None:
-        """Probe a server, or share the probe that is in flight."""
+        """Probe a server, or share the probe in flight; call `on_answered` with the server at its end."""
         self.probe_waiters[server].append(on_answered)
         if self.probe_sent_ms[server] is None:
             self.probe_sent_ms[server] = self.port.now()
             self.port.probe(server)
 
     def probe_ended(self, server: int, outcome: Outcome, lag_ms: float, report: LoadReport | None) -> None:
-        """Take in a probe's end; `lag_ms` is how old its report is."""
+        """Apply the outcome of a probe; `lag_ms` is the age of its report."""
         self.probe_sent_ms[server] = None
         if outcome is Outcome.COMPLETED:
             self.last_report_ms[server] = self.port.now()
-            self.identity_doubt[server] *= DOUBT_SHARE_AFTER_ANSWER  # some server is there
+            self.identity_doubt[server] *= DOUBT_SHARE_AFTER_ANSWER  # some server answers at the address
             if self.is_unresponsive[server]:
                 self.readmit(server)
             if report is not None:
@@ -36,14 +36,14 @@
             self.is_unresponsive[server] = True
             self.eject(server, "probe " + outcome.value)
             if outcome is not Outcome.BROKEN:
-                # Guards what runs against being cancelled for a single break: it reports its own end.
+                # Guards against cancelling running attempts for one broken probe: they report their own end.
                 self.retry_elsewhere(server)
         waiters, self.probe_waiters[server] = self.probe_waiters[server], []
         for on_answered in waiters:
             on_answered(server)
 
     def record_attempt_end(self, state: TrackedRequest, attempt: Attempt, report: LoadReport | None) -> None:
-        """Let an attempt's outcome count for or against its server."""
+        """Update the health and load of a server from the outcome of an attempt there."""
         server, now, outcome = attempt.server, self.port.now(), attempt.outcome
         class_index = state.request.class_index
         if report is not None:
@@ -67,10 +67,10 @@
             self.record_outcome(server, log(OUTLIER_FAILURE_SHARE / HEALTHY_FAILURE_SHARE))
 
     def detect_stall(self, server: int) -> bool:
-        """Return whether an attempt at a server shows no sign of life though one was due.
+        """Return whether an attempt at a server is stalled, i.e. silent for longer than allowed.
 
-        Only silence counts, not slowness: under overload requests wait long at servers in good health.
-        Learns on the way of attempts that have waited longer than expected.
+        Only silence counts, not slowness: under overload requests wait long at healthy servers. Also updates
+        the distrust in reports from attempts that have waited longer than expected.
         """
         for attempt in self.trial_attempts(server):
             self.learn_overdue_wait(attempt)
@@ -80,7 +80,7 @@
         return False
 
     def learn_overdue_wait(self, attempt: Attempt) -> None:
-        """Learn of an attempt that has not started by far longer than expected."""
+        """Update the distrust in reports if an attempt has waited far longer than expected to start."""
         limit_ms = 4.0 * self.max_queue_wait_ms
         expected_ms = attempt.expected_wait_ms
         late_ms = limit_ms if expected_ms is None else expected_ms + self.max_queue_wait_ms
@@ -88,9 +88,10 @@
             self.learn_wait(attempt, inf)
 
     def max_silence_ms(self, attempt: Attempt) -> float:
-        """Return how long a server may be silent about an attempt; 0 for any time.
+        """Return how long (ms) a server may be silent about an attempt; 0 for no limit.
 
-        One that has not started may be waiting, unless its server has since reported all slots free.
+        An attempt that has not started may be waiting at the server, unless the server has reported all slots
+        free since the attempt was sent.
         """
         if attempt.started_ms is not None:
             return STALL_SILENCE_IN_PROGRESS_PERIODS * self.settings.progress_period_ms
--- a/marlseam/decisions/hedging.py
+++ b/marlseam/decisions/hedging.py
@@ -1,20 +1,20 @@
-"""Hedging: what is done for requests whose server seems to have lost them."""
+"""Hedging: further attempts for requests that their server is presumed to have lost."""
 
 from marlseam.decisions.server_selection import ServerSelection
 from marlseam.decisions.types import Attempt, Idempotency, TrackedRequest
 
-ALIVE_IN_PROGRESS_PERIODS = 1.5  # since its last progress, an attempt counts as alive
+ALIVE_IN_PROGRESS_PERIODS = 1.5  # how long after its last progress an attempt counts as alive
 
 
 class Hedging(ServerSelection):
-    """Seeks another server for requests at a server that has failed or restarted."""
+    """Moves requests away from a server that has failed or restarted."""
 
     def retry_elsewhere(self, server: int, started_ms: float | None = None) -> None:
-        """Retry what a server seems to have lost, as the rules allow.
+        """Retry the requests that a server is presumed to have lost, as far as the rules allow.
 
-        `started_ms` is when its process has started anew, which lost all that was sent before. Where the
-        settings permit hedging a second attempt is made beside the first; else the first is cancelled, if
-        another server could take the request.
+        `started_ms` is when the server's process restarted, which lost all attempts sent earlier; None if
+        it has not. If the settings allow hedging, a second attempt is made beside the first; otherwise the
+        first is cancelled if the settings allow cancels and another server could take the request.
         """
         for state, index in list(self.own_attempts[server]):
             attempt = state.attempts[index]
@@ -27,7 +27,10 @@
                 self.port.cancel(state, index)
 
     def is_presumed_alive(self, attempt: Attempt, started_ms: float | None) -> bool:
-        """Return whether an attempt still runs, by its progress or by when its server's process started."""
+        """Return whether an attempt is presumed to be running.
+
+        After a restart at `started_ms`, if it was sent since; otherwise, if it has made progress recently.
+        """
         if started_ms is not None:
             return attempt.sent_ms >= started_ms
         silent_ms = self.port.now() - attempt.last_response_ms
@@ -35,7 +38,11 @@
         return attempt.progress > 0.0 and silent_ms < limit_ms
 
     def may_replace(self, state: TrackedRequest, attempt: Attempt) -> bool:
-        """Return whether the rules allow another attempt beside, or in place of, one in flight."""
+        """Return whether the rules allow another attempt beside, or in place of, one in flight.
+
+        Not for requests that are closed, queued or unsafe, that have two attempts in flight or no attempts
+        left, nor if `attempt` is being cancelled.
+        """
         if state.is_closed or state.is_queued or attempt.cancelled:
             return False
         if state.request_class.idempotency is Idempotency.UNSAFE:
--- a/marlseam/decisions/invariants.py
+++ b/marlseam/decisions/invariants.py
@@ -1,4 +1,4 @@
-"""What must hold of a dispatcher between any two calls, as checks that tests make after each step."""
+"""Invariants of a dispatcher that hold between any two calls; tests check them after each step."""
 
 from math import isclose
 from typing import Any
@@ -6,32 +6,32 @@
 from marlseam.decisions.server_stats import ServerStats
 from marlseam.decisions.types import EndpointState
 
-SUM_TOLERANCE = 1e-6  # running sums drift in the last digits
+SUM_TOLERANCE = 1e-6  # running sums accumulate rounding errors
 
 
 class InvariantError(Exception):
-    """An invariant does not hold.
+    """An invariant is violated.
 
     Attributes:
-        invariant: its name.
-        index: the server or kind concerned; -1 for all.
+        invariant: the name of the invariant.
+        index: the index of the server or kind concerned; -1 if none.
         expected, found: the two values that differ.
     """
 
     def __init__(self, invariant: str, index: int, expected: object, found: object) -> None:
-        super().__init__(f"{invariant} of {index}: expected {expected}, found {found}")
+        super().__init__(f"{invariant}, index {index}: expected {expected}, found {found}")
         self.invariant, self.index, self.expected, self.found = invariant, index, expected, found
 
 
 def check_dispatcher(stats: ServerStats) -> None:
-    """Raise InvariantError unless all invariants hold."""
+    """Raise InvariantError unless all invariants of a dispatcher hold."""
     check_own_slots(stats)
     check_sums(stats)
     check_gossip_ids(stats)
 
 
 def check_own_slots(stats: ServerStats) -> None:
-    """Check that a server's own slots are those of its attempts in flight, each of which is there once."""
+    """Check that a server's own slots are those of its attempts in flight, each of which is tracked once."""
     for server, own in enumerate(stats.own_attempts):
         slots = sum(state.request.slots for state, _ in own)
         _require_close("own slots", server, slots, stats.own_slots[server])
@@ -43,7 +43,7 @@
 
 
 def check_sums(stats: ServerStats) -> None:
-    """Check that the sums of a kind are those of its servers that are ready and not ejected."""
+    """Check that the sums of a kind equal those over its servers that are ready and not ejected."""
     kinds = len(stats.ready_count)
     ready, reported = [0] * kinds, [0] * kinds
     own, others = [0.0] * kinds, [0.0] * kinds
@@ -64,7 +64,7 @@
 
 
 def check_gossip_ids(stats: ServerStats) -> None:
-    """Check that each gossip id stands for a server that has it."""
+    """Check that each gossip id maps to a server that has this id."""
     for gossip_id, server in stats.server_by_gossip_id.items():
         _require("gossip id", server, gossip_id, stats.gossip_id[server])
 
--- a/marlseam/decisions/outlier_detection.py
+++ b/marlseam/decisions/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Outlier detection: servers that fail get nothing for a time, then one request at a time on trial.
+"""Outlier detection: failing servers are ejected for a time, then on trial with one request at a time.
 
-Outcomes feed a sequential likelihood-ratio test for each server: a failure share of `OUTLIER_FAILURE_SHARE`
-against the share that is usual for the request class.
+The outcomes of attempts feed a sequential likelihood-ratio test for each server: the hypothesis of a failure
+share of `OUTLIER_FAILURE_SHARE` against the share that is usual for the request class.
 """
 
 from math import inf
@@ -10,40 +10,44 @@
 from marlseam.decisions.types import Attempt, EndpointState
 
 OUTLIER_FAILURE_SHARE = 0.5  # share of requests that fails on an outlier
-LOG_LIKELIHOOD_THRESHOLD = 4.0  # log-likelihood ratio from which a server is taken for an outlier
-EJECTION_BASE_IN_DEADLINES = 0.05  # first ejection, in deadlines of the request class with the shortest one
-MAX_EJECTION_IN_BASES = 8.0  # longest ejection, in first ones
+LOG_LIKELIHOOD_THRESHOLD = 4.0  # log-likelihood ratio from which a server counts as an outlier
+EJECTION_BASE_IN_DEADLINES = 0.05  # duration of the first ejection, in shortest deadlines of a request class
+MAX_EJECTION_IN_BASES = 8.0  # longest ejection, in durations of the first one
 
 
 class OutlierDetection(SlowStart):
-    """Ejects servers and admits them again."""
+    """Ejects and readmits servers."""
 
     def is_avoided(self, server: int) -> bool:
-        """Return whether a server gets nothing now: not ready, ejected, or late with a probe's answer."""
+        """Return whether nothing is sent to a server now.
+
+        The server is not ready, or ejected, or on trial with an attempt in flight, or has not answered a
+        probe within the probe wait. An unresponsive server on trial is not avoided: it is probed when drawn.
+        """
         now, until_ms = self.port.now(), self.ejected_until_ms[server]
         if self.endpoint_state[server] is not EndpointState.READY:
             return True
         probe_sent_ms = self.probe_sent_ms[server]
         if probe_sent_ms is not None and now - probe_sent_ms > self.probe_wait_ms:
-            return True  # a cut link, a machine gone silent, a long pause
+            return True  # the link may be cut, the machine down or the process paused
         if until_ms is None:
             return False
         return now < until_ms or bool(self.trial_attempts(server) and not self.is_unresponsive[server])
 
     def is_usable(self, server: int) -> bool:
-        """Return whether a server is not avoided and its slow start budget is not used up."""
+        """Return whether a server is not avoided and has slow start budget left."""
         return not self.is_avoided(server) and self.has_budget(server)
 
     def record_outcome(self, server: int, log_likelihood_ratio: float) -> None:
-        """Add an outcome to the sequential test on a server."""
+        """Add the log-likelihood ratio of an outcome to a server's test; eject it above the threshold."""
         self.log_likelihood_ratio[server] = max(0.0, self.log_likelihood_ratio[server] + log_likelihood_ratio)
         if self.log_likelihood_ratio[server] >= LOG_LIKELIHOOD_THRESHOLD:
             self.eject(server, "failed outcomes")
 
     def trial_attempts(self, server: int) -> list[Attempt]:
-        """Return our attempts at a server without those sent before the end of its last ejection.
+        """Return this node's attempts in flight at a server that were sent after its last ejection ended.
 
-        Guards a server that is well again against older attempts that stay silent.
+        Guards a recovered server against being judged by older attempts that stay silent.
         """
         since_ms = self.ejected_until_ms[server] or -inf
         return [
@@ -53,16 +57,17 @@
         ]
 
     def eject(self, server: int, reason: str) -> None:
-        """Send nothing to a server for a time that doubles with each ejection in a row.
+        """Send nothing to a server for a time that doubles with each ejection in a row, up to a maximum.
 
-        After that time it is on trial, with one attempt of ours at a time, until it is readmitted.
+        After that time the server is on trial, with one attempt of this node at a time, until it is
+        readmitted. A server that is ejected already stays so.
         """
         now, until_ms = self.port.now(), self.ejected_until_ms[server]
         if until_ms is not None and now < until_ms:
             return
         count, for_ms = len(self.own_attempts[server]), self.ejection_ms[server]
-        self.port.log(f"server {server} ejected for {for_ms:.0f} ms: {reason}, {count} attempts of ours")
-        self.subtract_from_sums(server)  # an ejected server counts in no sum, until it is readmitted
+        self.port.log(f"server {server} ejected for {for_ms:.0f} ms: {reason}, {count} attempts in flight")
+        self.subtract_from_sums(server)  # an ejected server counts in no sum until it is readmitted
         if server in self.in_use_though_removed:
             del self.in_use_though_removed[server]
             self.endpoint_state[server] = EndpointState.GONE
@@ -73,12 +78,12 @@
         self.log_likelihood_ratio[server] = LOG_LIKELIHOOD_THRESHOLD / 2.0
 
     def readmit(self, server: int) -> None:
-        """End a server's ejection, and its trial."""
-        self.subtract_from_sums(server)  # it may not have been ejected: then it is counted anew
+        """End a server's ejection and its trial."""
+        self.subtract_from_sums(server)  # without effect if the server was ejected
         self.ejected_until_ms[server] = None
         self.ejection_ms[server], self.is_unresponsive[server] = self.ejection_base_ms, False
         self.add_to_sums(server)
 
     def schedule_check(self, server: int | None = None) -> None:
-        """Have a server, and the pending queue, looked at by the next periodic check."""
+        """Schedule a periodic check, of the pending queue and of a server if one is given."""
         raise NotImplementedError
--- a/marlseam/decisions/pending_queue.py
+++ b/marlseam/decisions/pending_queue.py
@@ -1,8 +1,9 @@
-"""The pending queue: requests that wait for a server, in which order they are served, and when they are shed.
+"""The pending queue: requests that wait for a server, the order in which they are served, and load shedding.
 
-Requests wait in heaps by class of placement (`QueueKey`), each by the latest time at which the request can
-start and meet its latency objective; what has waited longer is answered: rejected with advice for a retry
-(Retry-After) where that is harmless, else failed. The periodic check serves the queue and looks at servers.
+Requests wait in one heap for each `QueueKey`, ordered by the latest time at which the request can start and
+still meet its latency objective. A request that has waited longer is answered: rejected with advice for a
+retry (Retry-After) where a retry is harmless, else failed. The periodic check serves the queue and detects
+stalled attempts at servers.
 """
 
 from heapq import heappop, heappush
@@ -14,18 +15,18 @@
 from marlseam.decisions.request_record import RequestRecord
 from marlseam.decisions.types import EndpointState
 
-MAX_UNSUCCESSFUL_PLACEMENTS = 4  # in one serving of the queue; no more are tried once there are more
-MIN_SERVED_CHECK_SHARE = 0.1  # share of periodic checks that place first attempts whatever probes find
+MAX_UNSUCCESSFUL_PLACEMENTS = 4  # a serving of the queue stops placing requests after more than these
+MIN_SERVED_CHECK_SHARE = 0.1  # least share of periodic checks that place first attempts, whatever probes find
 
 
 class QueueKey(NamedTuple):
-    """What the waiting requests of one heap have in common.
+    """The properties that the waiting requests of one heap share.
 
     Attributes:
-        is_retry: whether something of them was sent before; first attempts are served first.
-        kind: the kind of server that they need, -1 for any.
-        slots: the slots that each takes.
-        rank: the priority weight, where requests are weighed by size; else 0.
+        is_retry: whether an attempt was made before; first attempts are served before retries.
+        kind: the kind of server that the requests need; -1 for any.
+        slots: how many slots each request takes.
+        rank: the priority weight of the request class with the setting `weight_by_size`, else 0.
     """
 
     is_retry: bool
@@ -35,7 +36,7 @@
 
 
 class QueueEntry(NamedTuple):
-    """A waiting request; entries are served by the latest time at which it can start, then by number."""
+    """A waiting request; a heap orders its entries by latest start (ms), then by number of enqueueing."""
 
     latest_start_ms: float
     number: int
@@ -43,18 +44,27 @@
 
 
 class PendingQueue(ServerHealth):
-    """The pending queue and the periodic check."""
+    """The pending queue and the periodic check.
+
+    Attributes:
+        pending_queues: the heaps of waiting requests.
+        unplaced_entries: the requests that the serving in progress could not place, which are enqueued again
+            after it; None while no serving is in progress.
+        enqueued_count: how many requests were ever enqueued.
+        is_check_scheduled: whether a timer for the periodic check is set.
+        probing_request: the waiting request whose home server is being probed; None for none.
+    """
 
     pending_queues: dict[QueueKey, list[QueueEntry]]
-    unplaced_entries: list[QueueEntry] | None  # put back after a serving: those it could not place
+    unplaced_entries: list[QueueEntry] | None
     enqueued_count: int
     is_check_scheduled: bool
-    probing_request: RequestRecord | None  # a waiting one whose home is being probed
+    probing_request: RequestRecord | None
 
     def schedule_check(self, server: int | None = None) -> None:
-        """Have a server, and the pending queue, looked at by the next periodic check.
+        """Schedule a periodic check, of the pending queue and of a server if one is given.
 
-        A node with nothing in flight, nothing waiting and no server ejected sets no timer.
+        No timer is set while nothing is in flight, no request waits and no server is ejected.
         """
         if server is not None:
             self.monitored[server] = None
@@ -63,7 +73,7 @@
             self.port.after(self.check_interval_ms, self.periodic_check)
 
     def periodic_check(self) -> None:
-        """Look for stalled attempts, and serve the pending queue."""
+        """Detect stalled attempts, serve the pending queue, and schedule the next check if there is need."""
         self.is_check_scheduled = False
         for server in list(self.monitored):
             self.check_server(server)
@@ -73,7 +83,7 @@
             self.schedule_check()
 
     def check_server(self, server: int) -> None:
-        """Eject a server where attempts have stalled; stop looking at one without attempts of ours."""
+        """Eject a server with a stalled attempt; stop monitoring one that is idle here and not ejected."""
         until_ms = self.ejected_until_ms[server]
         if until_ms is None and not self.own_attempts[server]:
             del self.monitored[server]
@@ -85,11 +95,11 @@
             self.retry_elsewhere(server)
 
     def retry_after_ms(self) -> float:
-        """Return when a rejected client may come back: once a server ejected now may be tried again."""
+        """Return the delay (ms) advised for a client's retry: after it, a server ejected now may be tried."""
         return min(self.ejection_base_ms, self.settings.max_retry_after_ms)
 
     def enqueue(self, state: RequestRecord) -> None:
-        """Let a request wait; one that is not placed in a serving is put back after it."""
+        """Put a request into the pending queue, or, during a serving, among those enqueued again after it."""
         self.enqueued_count += 1
         latest_start_ms = self.port.now() + state.time_to_spare_ms(min(self.kind_pace))
         entry = QueueEntry(latest_start_ms, self.enqueued_count, state)
@@ -103,11 +113,12 @@
     def dispatch_queue(self, max_slots: float = inf) -> None:
         """Serve the pending queue: place requests, and answer those that have waited too long.
 
-        First attempts of `max_slots` or more slots are not tried: 0 places further attempts alone, which a
-        periodic check does where probes seldom find free slots. One request at a time probes its home, and
-        after an unsuccessful one only narrower ones for its kind are tried until the next check. Guards
-        against a probe storm: on a node with few requests every home must be probed. Unsuccessful placements
-        are bounded. Guards against a burst that has thousands wait, all of them looked at for each outcome.
+        First attempts of `max_slots` or more slots are not placed; with 0 only retries are, as in most
+        periodic checks while probes seldom find free slots. Only one request at a time probes its home
+        server, and after an unsuccessful placement only requests of fewer slots are tried for its kind in the
+        rest of the serving. Guards against a probe storm: on a node with few requests every home server must
+        be probed. The number of unsuccessful placements is bounded. Guards against a burst after which
+        thousands of requests wait and each outcome of an attempt would cause a look at all of them.
         """
         if self.unplaced_entries is not None:
             return
@@ -123,7 +134,10 @@
         self.pending_queues = {key: queue for key, queue in self.pending_queues.items() if queue}
 
     def next_queue(self, slots_limit: dict[int, float], unsuccessful: int) -> QueueKey | None:
-        """Return whose head is served next: first attempts, by rank, then by latest start; None for none."""
+        """Return the key of the heap whose head is served next; None for none.
+
+        First attempts precede retries; then the higher rank, then the earlier latest start.
+        """
         now = self.port.now()
         heads = [
             (key.is_retry, -key.rank, queue[0].latest_start_ms, key)
@@ -136,9 +150,9 @@
         return min(heads)[3] if heads else None
 
     def serve_head(self, key: QueueKey, slots_limit: dict[int, float]) -> bool:
-        """Take the head of a queue out, and place or answer it; return False if it has to go on waiting.
+        """Remove the head of a heap and place or answer it; return False if the request must go on waiting.
 
-        One that is late while an attempt of it is in flight is left to that attempt's end.
+        A request that is past its latest start with an attempt in flight is left to the end of that attempt.
         """
         now, (latest_start_ms, _, state) = self.port.now(), heappop(self.pending_queues[key])
         state.is_queued = False
@@ -153,13 +167,13 @@
             if not (state.is_closed or state.in_flight_count()):
                 self.probing_request = state
             return True
-        needs_key_holder = state.request.resource_key is not None and self.settings.fetch_cost
-        if latest_start_ms - now >= self.max_queue_wait_ms and not needs_key_holder:
+        has_key_affinity = state.request.resource_key is not None and self.settings.fetch_cost
+        if latest_start_ms - now >= self.max_queue_wait_ms and not has_key_affinity:
             slots_limit[key.kind] = min(slots_limit[key.kind], key.slots)
         return False
 
     def may_serve(self, key: QueueKey, slots_limit: dict[int, float], unsuccessful: int) -> bool:
-        """Return whether a request of a queue may be placed now."""
+        """Return whether the head of a heap may be placed now, by the limits of `dispatch_queue`."""
         if unsuccessful > MAX_UNSUCCESSFUL_PLACEMENTS:
             return False
         if self.probing_request is not None and not self.probing_request.is_closed:
@@ -167,17 +181,17 @@
         return key.is_retry or key.slots < slots_limit[key.kind]
 
     def home_probe_ended(self, state: RequestRecord) -> None:
-        """Let the next waiting request probe its home once one has done so."""
+        """Serve the queue again once the probe of a waiting request's home server has ended."""
         if self.probing_request is state:
             self.probing_request = None
             self.dispatch_queue(state.request.slots if state.is_queued else inf)
 
     def queue_rank(self, class_index: int) -> float:
-        """Return the rank of a class: its priority weight, where requests are weighed by size; else 0."""
+        """Return the priority weight of a request class with the setting `weight_by_size`, else 0."""
         return self.request_classes[class_index].priority_weight if self.settings.weight_by_size else 0.0
 
     def is_outranked(self, state: RequestRecord) -> bool:
-        """Return whether a first attempt of a higher rank waits."""
+        """Return whether a request with a higher rank than that of `state` waits for its first attempt."""
         rank = self.queue_rank(state.request.class_index)
         return any(
             queue and key.rank > rank and not key.is_retry for key, queue in self.pending_queues.items()
--- a/marlseam/decisions/placement.py
+++ b/marlseam/decisions/placement.py
@@ -1,10 +1,10 @@
-"""Forward probing: which server gets a request.
+"""Forward probing: the choice of the server for a request.
 
 The algorithm *Forward* of Mirchandaney, Towsley and Stankovic, "Adaptive Load Sharing in Heterogeneous
 Systems" (YALEU/DCS/TR-586, 1987), section 2.1: a home server is drawn at random and keeps the request unless
-its count exceeds the threshold plus one; then a few others are probed at once, and a random one of those
-under the threshold plus one gets it; where there is none, home keeps it. docs/design.md has the table of
-terms, and what differs from the paper.
+its count exceeds the threshold plus one; then a few other servers are probed in parallel, and the request
+goes to a random one of those below the threshold plus one; if there is none, the home server keeps it.
+docs/design.md lists the terms and the differences from the paper.
 """
 
 from typing import NamedTuple
@@ -12,22 +12,22 @@
 from marlseam.decisions.sending import Sending
 from marlseam.decisions.types import Decision
 
-PROBE_LIMIT = 2  # the paper's L_p: other servers that are probed at most
+PROBE_LIMIT = 2  # the paper's L_p: most servers probed besides the home server
 FULL_PROBING_SUCCESS_SHARE = 0.25  # share of successful probes below which fewer servers are probed
 
 
 class PlacementChoice(NamedTuple):
-    """What is decided of a request; `server` is its home or its target, -1 for none."""
+    """The decision on a request and the server that it concerns: its home or its target, -1 for none."""
 
     decision: Decision
     server: int
 
 
 class ForwardProbing(Sending):
-    """The placement of one request."""
+    """Places one request by forward probing."""
 
     def place(self) -> None:
-        """Draw a home server and, where its report is old, probe it first."""
+        """Draw a home server and send the request, probing first if the home server's report is stale."""
         self.is_queued = False
         if not self.may_attempt():
             self.retry()
@@ -41,7 +41,7 @@
             self.place_at_home(decision)
 
     def choose_initial_placement(self) -> PlacementChoice:
-        """Draw a home server and return what follows for the request; nothing is sent yet."""
+        """Draw a home server and return the decision on the request; nothing is sent yet."""
         home = -1
         if self.has_waited or not self.dispatcher.is_outranked(self):
             home = self.draw_home_server()
@@ -54,13 +54,13 @@
     def draw_home_server(self) -> int:
         """Return a random eligible server that meets the latency objective, -1 for none.
 
-        Where load is not even by chance, since the counts are not reports of now or homes go by key, a
-        server with free slots is sought first.
+        A server with free slots is drawn first if load may be uneven: with gossip or late reports, where
+        counts are not current, or where home servers are drawn by resource key.
         """
         dispatcher, settings = self.dispatcher, self.dispatcher.settings
         uneven = dispatcher.peer_slots or settings.reports_in_responses or settings.fetch_cost
         if uneven:
-            # To wait for the servers of its key pays only where no free slots elsewhere are known of.
+            # Waiting for the servers of the resource key pays only if no other server has free slots.
             may_wait = settings.reports_in_responses
             home = dispatcher.draw_server(
                 lambda server: self.has_free_slots(server) and self.is_eligible(server), self, may_wait
@@ -72,24 +72,24 @@
         )
 
     def decide_at_home(self, home: int) -> Decision:
-        """Return whether home takes the request, or others are probed as it is over its threshold."""
+        """Return `HOME` if the home server can take the request, else `PROBE_OTHERS`."""
         dispatcher = self.dispatcher
-        takes = (
+        can_take = (
             dispatcher.is_usable(home)
             and self.meets_latency_objective(home)
             and not dispatcher.is_over_threshold(home)
         )
-        return Decision.HOME if takes else Decision.PROBE_OTHERS
+        return Decision.HOME if can_take else Decision.PROBE_OTHERS
 
     def home_probed(self) -> None:
-        """Go on once home has answered its probe; a queued request lets the next one be placed."""
+        """Continue the placement after the probe of the home server, then let the next request probe."""
         sent = len(self.attempts)
         self.place_at_home(self.decide_at_home(self.home_server))
         self.dispatcher.learn_probe_success(len(self.attempts) > sent)
         self.dispatcher.home_probe_ended(self)
 
     def place_at_home(self, decision: Decision) -> None:
-        """Send the request to its home, or probe others where home is over its threshold."""
+        """Send the request to its home server if so decided, else probe others and use their answers."""
         if decision is Decision.HOME:
             self.send(self.home_server)
             return
@@ -100,9 +100,10 @@
             self.carry_out(self.pick_probed_server([]))
 
     def draw_probe_targets(self) -> list[int]:
-        """Return random eligible servers besides home.
+        """Return random eligible servers other than the home server, to be probed.
 
-        Guards against a probe storm under overload: what has waited probes no others, and new requests fewer.
+        Guards against a probe storm under overload: requests that have waited probe no others, and new ones
+        probe fewer where probes seldom lead to a send.
         """
         dispatcher, chosen = self.dispatcher, list[int]()
         if not dispatcher.settings.may_probe or self.has_waited:
@@ -122,39 +123,44 @@
         return chosen
 
     def pick_probed_server(self, probed: list[int]) -> PlacementChoice:
-        """Return a random one of those under threshold; else home, where it meets the objective."""
+        """Return a random probed server below its threshold plus one, else home or the pending queue.
+
+        The home server is chosen only if it is usable and meets the latency objective. A probed server
+        qualifies only with a report from this round of probes and no request forwarded there since.
+        """
         dispatcher = self.dispatcher
-        good = [
+        reported = [
             server
             for server in probed
             if not dispatcher.forwarded_since_report[server]
             and dispatcher.last_report_ms[server] >= self.probe_round_ms
         ]
-        good = [
+        qualified = [
             server
-            for server in good
+            for server in reported
             if dispatcher.is_usable(server)
             and self.meets_latency_objective(server)
             and not dispatcher.is_over_threshold(server, 1.0)
         ]
-        if good:
-            return PlacementChoice(Decision.FORWARDED, good[int(dispatcher.random() * len(good))])
+        if qualified:
+            return PlacementChoice(Decision.FORWARDED, qualified[int(dispatcher.random() * len(qualified))])
         if dispatcher.is_usable(self.home_server) and self.meets_latency_objective(self.home_server):
             return PlacementChoice(Decision.PLACED_AT_HOME, self.home_server)
         return PlacementChoice(Decision.QUEUED, -1)
 
     def probes_ended(self) -> None:
-        """Go on once the probes of other servers have been answered."""
+        """Continue the placement once the probes of other servers have been answered or timed out."""
         choice = self.pick_probed_server(self.probed_servers)
         self.dispatcher.learn_probe_success(choice.decision is Decision.FORWARDED)
         self.carry_out(choice)
 
     def carry_out(self, choice: PlacementChoice) -> None:
-        """Send the request where it was decided, or let it wait."""
+        """Send the request to the chosen server, or enqueue it."""
         if choice.decision is Decision.QUEUED:
             self.enqueue()
             return
         if choice.decision is Decision.FORWARDED:
-            # As the paper's probed node waits for one remote job at a time, until its next report.
+            # As in the paper, where a probed node waits for one remote job at a time: no other request is
+            # forwarded to the server before its next report.
             self.dispatcher.forwarded_since_report[choice.server] = True
         self.send(choice.server)
--- a/marlseam/decisions/request_record.py
+++ b/marlseam/decisions/request_record.py
@@ -1,4 +1,4 @@
-"""What is on record of one request on this node, and the questions that this record alone answers."""
+"""The record of one request on this node, and the queries that need this record alone."""
 
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING
@@ -13,23 +13,25 @@
 
 
 class RequestRecord(ABC):
-    """The record of one request; what happens to it is up to the classes that `request_state` composes.
+    """The record of one request; the subclasses, up to `request_state.RequestState`, act on the request.
 
     Attributes:
         dispatcher: the node's dispatcher.
         request: the request as it arrived.
-        request_class: what the settings said of its class at that time.
-        arrived_ms: when it arrived.
-        max_attempts: attempts allowed by the settings at that time; 0 where nothing of it may be sent.
+        request_class: the settings of the request's class when the request arrived.
+        arrived_ms: when the request arrived.
+        max_attempts: the maximum by the settings at the arrival; 0 if no attempt may be sent.
         attempts: all attempts in the order sent, after those of `request.prior_attempts`.
-        is_closed: whether it has its final answer, or its client has left; nothing more is tried.
-        is_queued: whether it waits in the pending queue now; `has_waited`: whether it ever did.
-        is_invalid: whether a server has turned it away as a request that no server can use.
+        is_closed: whether the request has its final answer or its client has left; no attempt follows.
+        is_queued: whether the request waits in the pending queue now.
+        has_waited: whether the request has ever waited in the pending queue.
+        is_invalid: whether a server has rejected the request as one that no server can process.
         home_server: the home server drawn last; -1 for none.
+        probed_servers: the servers of the latest round of probes.
         probe_round_ms: when the probes of `probed_servers` were sent.
-        key_queue: the requests of its key, where its class asks for one at a time; else None.
-        has_turn: whether it may be sent as far as its key is concerned.
-        key_run_ms: how long it is expected to keep the others of its key waiting.
+        key_queue: the queue of the request's resource key if its class is `ordered_by_key`, else None.
+        has_turn: whether the request may be sent as far as its resource key is concerned.
+        key_run_ms: how long the request is expected to delay the later requests of its resource key.
     """
 
     def __init__(self, dispatcher: "Dispatcher", request: Request) -> None:
@@ -37,7 +39,7 @@
         self.request_class = dispatcher.request_classes[request.class_index]
         self.arrived_ms = dispatcher.port.now()
         self.max_attempts = dispatcher.settings.max_attempts if request.is_recordable else 0
-        # Guards keyed requests against a second effect where a client tries again under its key.
+        # Guards keyed requests against a second effect where a client retries with the same idempotency key.
         self.attempts = [
             Attempt(server, sent_ms, sent_ms, outcome=Outcome.BROKEN)
             for server, sent_ms in request.prior_attempts
@@ -57,43 +59,43 @@
         return sum(attempt.outcome is None for attempt in self.attempts)
 
     def is_over(self) -> bool:
-        """Return whether it has its final answer and no attempt in flight."""
+        """Return whether the request has its final answer and no attempt in flight."""
         return self.is_closed and not self.in_flight_count()
 
     @abstractmethod
     def place(self) -> None:
-        """Send it to a server, or let it wait for one."""
+        """Send the request to a server, or queue it until a server can take it."""
 
     @abstractmethod
     def retry(self) -> None:
-        """Wait for a further attempt, or answer."""
+        """Queue the request for another attempt, or answer it if none is allowed or in flight."""
 
     @abstractmethod
     def answer(self) -> None:
-        """Give the one final answer."""
+        """Give the request its one final answer; a second call has no effect."""
 
     @abstractmethod
     def time_to_spare_ms(self, pace: float) -> float:
-        """Return how long it may wait and meet its latency objective; below 0 if too late."""
+        """Return how long (ms) the request may wait and meet its latency objective; below 0 if too late."""
 
     @abstractmethod
     def close(self) -> None:
-        """Cancel what is in flight of a request that needs no answer any more."""
+        """Cancel the attempts in flight of a request that no longer needs an answer."""
 
     @abstractmethod
     def started(self, attempt_index: int) -> None:
-        """Note that an attempt began to run."""
+        """Record that an attempt has started to run on its server."""
 
     @abstractmethod
     def progress(self, attempt_index: int, share: float) -> None:
-        """Note that an attempt has done a share of its work."""
+        """Record the share, from 0 to 1, of its work that an attempt has done."""
 
     @abstractmethod
     def streaming(self, attempt_index: int) -> None:
-        """Note that the response is on its way to the client."""
+        """Record that the response is being sent to the client, which is the final answer."""
 
     @abstractmethod
     def attempt_ended(
         self, attempt_index: int, outcome: Outcome, final: bool, report: LoadReport | None
     ) -> None:
-        """Take in how an attempt ended."""
+        """Record the outcome of an attempt; `final` means that the request needs no further attempt."""
--- a/marlseam/decisions/sending.py
+++ b/marlseam/decisions/sending.py
@@ -1,4 +1,4 @@
-"""How the probes and the attempts of one request are sent."""
+"""Sending of the probes and attempts of one request."""
 
 from collections.abc import Callable
 
@@ -7,10 +7,13 @@
 
 
 class Sending(Retry):
-    """Sends probes, and attempts that the rules allow."""
+    """Sends probes and the attempts that the rules allow."""
 
     def probe(self, servers: list[int], on_answered: Callable[[], None]) -> None:
-        """Probe servers in parallel and go on when all have answered or the probe timeout is over."""
+        """Probe servers in parallel; call `on_answered` once all have answered or the probe wait is over.
+
+        `on_answered` is not called if the request is closed by then.
+        """
         dispatcher = self.dispatcher
         self.probed_servers, self.probe_round_ms = servers, dispatcher.port.now()
         unanswered = set(servers)
@@ -27,7 +30,7 @@
         dispatcher.port.after(dispatcher.probe_wait_ms, lambda: answered(None))
 
     def send(self, server: int) -> None:
-        """Send the request to a server, if the rules still allow it."""
+        """Send the request to a server if the rules still allow it, else retry."""
         dispatcher, now = self.dispatcher, self.dispatcher.port.now()
         if not self.may_attempt() or not self.is_eligible(server):
             self.retry()
--- a/marlseam/decisions/server_stats.py
+++ b/marlseam/decisions/server_stats.py
@@ -1,6 +1,7 @@
-"""What a node has on record of each server, and what it has learned of runs, failures and arrivals.
+"""A node's records of each server, and its statistics of runs, failures and arrivals.
 
-Parallel arrays under a dense index, and sums by kind that follow them. Nothing is decided here.
+The records are parallel arrays by the dense index of a server, with sums by kind that are updated with them.
+This module makes no decisions.
 """
 
 from collections.abc import Callable
@@ -17,55 +18,64 @@
     TrackedRequest,
 )
 
-PRIOR_RUN_SAMPLES = 5.0  # runs that an initial guess counts for against those seen
-MAX_RUN_SAMPLES = 50.0  # runs that a mean remembers, and outcomes that a failure share does
-ARRIVAL_WINDOW = 200.0  # requests that the shares of request classes are reckoned from
+PRIOR_RUN_SAMPLES = 5.0  # weight of an initial guess of the mean run, in measured runs
+MAX_RUN_SAMPLES = 50.0  # window of the moving means, in runs, and of the failure shares, in outcomes
+ARRIVAL_WINDOW = 200.0  # window of the shares of request classes and of the mean slots, in requests
 MAX_KEYED_ARRIVALS = 400.0  # requests with a resource key counted before all counts are halved
-PROBE_MEMORY = 20.0  # probes that their share of success remembers
+PROBE_MEMORY = 20.0  # window of the probes' share of success, in probes
 HEALTHY_FAILURE_SHARE = 0.02  # share of requests that fails on a healthy server
-MAX_HEALTHY_FAILURE_SHARE = 0.45  # of a class that fails everywhere: more would say as little of its server
+MAX_HEALTHY_FAILURE_SHARE = 0.45  # bound for classes that fail everywhere, which shows little of one server
 MAX_RUN_IN_MEANS = 5.0  # longer runs count as one of this length
 GOSSIP_ID_MASK = 0xFFFFFF
-NEVER_MS = -1e18  # before any time
+NEVER_MS = -1e18  # earlier than any time of the clock
 
 
 class ServerStats:
-    """The arrays, each under a server's dense index unless it is said otherwise.
+    """The records and statistics; arrays are by the dense index of a server unless stated otherwise.
 
     Attributes:
-        endpoint_state, kind, zone, cell: as the endpoint list has it.
-        process_started_ms: when the server's process started; None where the list does not say.
-        gossip_id: the server's identity among nodes; `server_by_gossip_id` is the inverse.
+        endpoint_state, kind, zone, cell: as in the endpoint list.
+        process_started_ms: when the server's process started; None where the list has no start time.
+        gossip_id: the id of the server in gossip messages; `server_by_gossip_id` is the inverse.
         others_slots: slots that other nodes' requests take, by the last report; None without one.
         free_slots: slots free at the last report.
-        last_report_ms, last_response_ms: when a probe was answered last; when anything was heard last.
-        probe_sent_ms, probe_waiters: of the probe in flight, and who waits for its end.
-        at_capacity: whether the server has turned a request away since its last report.
-        forwarded_since_report: whether a request was forwarded there since its last report.
-        own_attempts, own_slots: this node's attempts in flight, as request and attempt index; their slots.
-        log_likelihood_ratio: of being an outlier, by the outcomes.
+        last_report_ms: when the last probe was answered.
+        last_response_ms: when the server last started, progressed or answered an attempt.
+        probe_sent_ms: when the probe in flight was sent; None without one.
+        probe_waiters: the functions to call at the end of the probe in flight.
+        at_capacity: whether the server has rejected a request for lack of capacity since its last report.
+        forwarded_since_report: whether a request was forwarded to the server since its last report.
+        own_attempts: this node's attempts in flight, as pairs of request and attempt index.
+        own_slots: the slots of `own_attempts`.
+        log_likelihood_ratio: the outlier test's log-likelihood ratio by the outcomes so far.
         ejected_until_ms: None in normal service, in the future while ejected, in the past while on trial.
-        ejection_ms: how long the next ejection is.
+        ejection_ms: the duration of the next ejection.
         is_unresponsive: whether the last probe was not answered.
-        identity_doubt: the chance that the entry, of a cached list, is now of another server.
-        slow_start_tokens, slow_start_refilled_ms: the token bucket, in mean requests.
-        monitored: servers that the periodic check looks at, in order (the dict is an ordered set).
-        in_use_though_removed: servers still used though the list calls them gone.
-        same_zone, other_zones: servers listed as ready, by zone.
+        identity_doubt: the probability that the entry, from a cached list, now stands for another server.
+        slow_start_tokens: the tokens in the slow start bucket, in mean requests.
+        slow_start_refilled_ms: when the slow start bucket was last refilled.
+        monitored: servers that the periodic check inspects, in order (the dict is an ordered set).
+        in_use_though_removed: servers still in use although listed as gone or not listed (an ordered set).
+        same_zone, other_zones: servers listed as ready, in the node's own zone and in others.
         refresh_period_ms: time between updates of the list's weights, or between reports.
+        last_delta_ms: when the endpoint list's weights were last updated.
         report_distrust: share of reports found to be late.
         probe_success_share: share of the latest probes that led to a send.
         ready_count, reported_count, others_slots_sum, own_slots_sum: by kind, over servers that are ready
             and not ejected.
         max_free_slots, max_weight: by kind, the most ever seen of one server.
-        kind_pace, pace_samples: by kind, the run over the request class's mean run.
+        kind_pace: by kind, the mean ratio of a run to the request class's mean run.
+        pace_samples: by kind, the weight of `kind_pace` in samples.
         listed_others_slots: by kind, the mean of others' slots by the latest list.
         mean_run_ms, run_samples, failure_share, recent_arrivals: by request class.
-        mean_slot_ms: run times slots of a request, a mean over all classes; `mean_slots` its slots.
-        key_arrivals, keyed_arrivals: requests by resource key, and their sum; all fade.
-        peer_slots, peer_updated_ms: by node, its slots by gossip id, and when it was heard last.
-        unpublished_servers: servers where our slots have changed since the last gossip.
-        hash_ring: by kind (-1 for all), points and their servers in order.
+        mean_slot_ms: the mean product of run (ms) and slots of a request, over all classes.
+        mean_slots: the mean slots of a request, over all classes.
+        key_arrivals, keyed_arrivals: requests by resource key, and their sum; halved from time to time.
+        peer_slots: by peer node, its slots by gossip id.
+        peer_updated_ms: by peer node, when its last gossip was received.
+        unpublished_servers: servers where this node's slots have changed since its last gossip (an ordered
+            set).
+        hash_ring: by kind (-1 for all), pairs of a point and its server, sorted by point.
     """
 
     # Set by the dispatcher.
@@ -73,14 +83,14 @@
     random: Callable[[], float]
     settings: Settings
     request_classes: tuple[RequestClass, ...]
-    ejection_base_ms: float  # the first ejection of a server
-    probe_wait_ms: float  # how long a probe's answer is waited for
-    report_max_age_ms: float  # how old a report may be
+    ejection_base_ms: float  # duration of the first ejection of a server
+    probe_wait_ms: float  # how long a decision waits for a probe's answer
+    report_max_age_ms: float  # age from which a report is stale
     check_interval_ms: float  # from one periodic check to the next
-    max_queue_wait_ms: float  # the longest wait at a server that a request is sent into
+    max_queue_wait_ms: float  # longest expected wait at a server to which a request is still sent
     deadline_margin_ms: float  # how long before its deadline a request is answered
-    peer_silence_limit_ms: float  # after which a node's gossip is void
-    has_kind_bound_classes: bool  # whether some request class needs a certain kind
+    peer_silence_limit_ms: float  # silence after which a node's gossip is dropped
+    has_kind_bound_classes: bool  # whether some request class requires a certain kind
 
     def __init__(self) -> None:
         self.init_servers()
@@ -91,7 +101,7 @@
         self.unpublished_servers: dict[int, None] = {}
 
     def init_servers(self) -> None:
-        """Set up what is kept by server."""
+        """Create the empty arrays that are indexed by server."""
         self.endpoint_state: list[EndpointState] = []
         self.kind: list[int] = []
         self.zone: list[int] = []
@@ -123,7 +133,7 @@
         self.hash_ring: dict[int, list[tuple[int, int]]] = {}
 
     def init_kinds(self) -> None:
-        """Set up what is kept by kind, and of all reports and lists."""
+        """Create the empty arrays that are indexed by kind, and the statistics of reports and lists."""
         self.ready_count: list[int] = []
         self.reported_count: list[int] = []
         self.others_slots_sum: list[float] = []
@@ -139,7 +149,7 @@
         self.probe_success_share = 1.0
 
     def init_requests(self) -> None:
-        """Set up what is kept by request class and by resource key."""
+        """Create the empty statistics by request class and by resource key."""
         self.mean_run_ms: list[float] = []
         self.run_samples: list[float] = []
         self.failure_share: list[float] = []
@@ -150,8 +160,11 @@
         self.keyed_arrivals = 0.0
 
     def grow(self, kinds: int, run_guesses_ms: list[float]) -> None:
-        """Make room for kinds (the last place is that of unknown ones) and for request classes."""
-        blanks: tuple[tuple[list[Any], float], ...] = (
+        """Extend the arrays to a number of kinds (the last element is for unknown kinds) and request classes.
+
+        `run_guesses_ms` are the assumed mean runs of all request classes.
+        """
+        initial_values: tuple[tuple[list[Any], float], ...] = (
             (self.ready_count, 0),
             (self.reported_count, 0),
             (self.others_slots_sum, 0.0),
@@ -162,21 +175,22 @@
             (self.max_weight, 0.0),
             (self.listed_others_slots, 0.0),
         )
-        for array, blank in blanks:
-            array[-1:-1] = [blank] * (kinds + 1 - len(array))
+        for array, initial in initial_values:
+            array[-1:-1] = [initial] * (kinds + 1 - len(array))
         if not self.mean_run_ms:
             self.mean_slot_ms = sum(run_guesses_ms) / max(1, len(run_guesses_ms))
         self.mean_run_ms += run_guesses_ms[len(self.mean_run_ms) :]
         self.run_samples += [PRIOR_RUN_SAMPLES] * (len(self.mean_run_ms) - len(self.run_samples))
         for index, guess_ms in enumerate(run_guesses_ms):
-            # Guards classes whose deadline new settings shorten: no run guessed by the old would fit into it.
+            # Guards classes whose deadline is shortened by new settings: a run guessed from the old settings
+            # would not fit into the new deadline.
             if self.run_samples[index] <= PRIOR_RUN_SAMPLES and guess_ms < inf:
                 self.mean_run_ms[index] = guess_ms
         self.failure_share += [0.0] * (len(self.mean_run_ms) - len(self.failure_share))
         self.recent_arrivals += [1.0] * (len(self.mean_run_ms) - len(self.recent_arrivals))
 
     def add_server(self) -> None:
-        """Make room for one more server."""
+        """Extend the arrays by one server."""
         arrays: tuple[list[Any], ...] = (
             self.endpoint_state,
             self.kind,
@@ -207,11 +221,11 @@
         self.reset(len(self.endpoint_state) - 1)
 
     def reset(self, server: int) -> None:
-        """Put an index on record as that of a server of which nothing is known."""
+        """Reset an index to the state of an unknown server that is gone."""
         self.endpoint_state[server] = EndpointState.GONE
         self.kind[server] = self.zone[server] = self.cell[server] = -1
         self.process_started_ms[server] = None
-        # Guards the server that gets this index next against gossip about this one.
+        # Guards the next server with this index against gossip about the present one.
         self.server_by_gossip_id.pop(self.gossip_id[server], None)
         self.gossip_id[server] = 0
         self.free_slots[server], self.last_response_ms[server] = 0.0, NEVER_MS
@@ -221,7 +235,7 @@
         self.reset_observations(server)
 
     def reset_observations(self, server: int) -> None:
-        """Drop what was heard of a server's load and health."""
+        """Reset the observations of a server's load and health."""
         self.others_slots[server], self.last_report_ms[server] = None, NEVER_MS
         self.at_capacity[server] = self.forwarded_since_report[server] = False
         self.is_unresponsive[server] = False
@@ -229,7 +243,7 @@
         self.ejected_until_ms[server], self.ejection_ms[server] = None, self.ejection_base_ms
 
     def set_endpoint(self, endpoint: Endpoint) -> None:
-        """Put an entry of the endpoint list on record."""
+        """Record an entry of the endpoint list, extending the arrays if its index is new."""
         server = endpoint.server
         while server >= len(self.endpoint_state):
             self.add_server()
@@ -241,27 +255,27 @@
         self.add_to_sums(server)
 
     def remove(self, servers: set[int]) -> None:
-        """Put servers on record as gone; one that is gone counts in no sum."""
+        """Record servers as gone and take them out of the sums."""
         for server in servers:
             self.subtract_from_sums(server)
             self.endpoint_state[server] = EndpointState.GONE
 
     def list_ready(self, zone: int) -> None:
-        """List anew the servers that are ready, those of a zone apart from the others."""
+        """Recompute the lists of ready servers in the zone `zone` and in other zones."""
         ready = [server for server, state in enumerate(self.endpoint_state) if state is EndpointState.READY]
         self.same_zone = [server for server in ready if self.zone[server] == zone]
         self.other_zones = [server for server in ready if self.zone[server] != zone]
 
     def subtract_from_sums(self, server: int) -> None:
-        """Take a server out of its kind's sums, before its figures change."""
+        """Subtract a server from its kind's sums; call this before its figures change."""
         self._adjust_sums(server, -1)
 
     def add_to_sums(self, server: int) -> None:
-        """Put a server into its kind's sums, after its figures have changed."""
+        """Add a server to its kind's sums; call this after its figures have changed."""
         self._adjust_sums(server, 1)
 
     def _adjust_sums(self, server: int, sign: int) -> None:
-        """Count a server once more or less in its kind's sums, which hold those ready and not ejected."""
+        """Add (`sign` 1) or subtract (-1) a server in its kind's sums, if it is ready and not ejected."""
         if self.endpoint_state[server] is EndpointState.READY and self.ejected_until_ms[server] is None:
             kind, others = self.kind[server], self.others_slots[server]
             self.ready_count[kind] += sign
@@ -278,21 +292,21 @@
         self.add_to_sums(server)
 
     def add_own_attempt(self, server: int, state: TrackedRequest, attempt_index: int) -> None:
-        """Note an attempt of ours that is in flight at a server."""
+        """Record an attempt of this node as in flight at a server."""
         self.subtract_from_sums(server)
         self.own_attempts[server].append((state, attempt_index))
         self.own_slots[server] += state.request.slots
         self.add_to_sums(server)
 
     def remove_own_attempt(self, server: int, state: TrackedRequest, attempt_index: int) -> None:
-        """Note that an attempt of ours at a server is in flight no more."""
+        """Record that an attempt of this node at a server is no longer in flight."""
         self.subtract_from_sums(server)
         self.own_attempts[server].remove((state, attempt_index))
         self.own_slots[server] -= state.request.slots
         self.add_to_sums(server)
 
     def learn_run(self, request: Request, server: int, run_ms: float) -> None:
-        """Learn the mean run of a request class, and the pace of a kind, from a run."""
+        """Update the mean run of the request's class and the pace of the server's kind from a run (ms)."""
         class_index, kind = request.class_index, self.kind[server]
         run_ms = min(run_ms, MAX_RUN_IN_MEANS * self.mean_run_ms[class_index])
         self.run_samples[class_index] = min(self.run_samples[class_index] + 1.0, MAX_RUN_SAMPLES)
@@ -306,9 +320,9 @@
         self.kind_pace[kind] += (pace - self.kind_pace[kind]) / self.pace_samples[kind]
 
     def learn_failure_share(self, class_index: int, failed: bool) -> float:
-        """Learn from an outcome how often a request class fails on any server, and return that, bounded.
+        """Update a request class's failure share over all servers from an outcome, and return it, bounded.
 
-        Guards servers against blame for requests that fail wherever they go.
+        Guards against ejecting servers for requests that fail on every server.
         """
         share = self.failure_share[class_index]
         share += (float(failed) - share) / MAX_RUN_SAMPLES
@@ -316,11 +330,14 @@
         return min(max(HEALTHY_FAILURE_SHARE, share), MAX_HEALTHY_FAILURE_SHARE)
 
     def learn_probe_success(self, led_to_send: bool) -> None:
-        """Learn how often probes lead to a send: under overload they seldom do, and each has its cost."""
+        """Update the share of probes that lead to a send, by which the number of probes is limited.
+
+        Under overload probes seldom lead to a send, and each has its cost.
+        """
         self.probe_success_share += (float(led_to_send) - self.probe_success_share) / PROBE_MEMORY
 
     def count_arrival(self, request: Request) -> None:
-        """Count a request that has arrived, by its class, its slots and its resource key."""
+        """Count an arrived request by its class and resource key, and update the mean slots of a request."""
         self.recent_arrivals = [count * (1.0 - 1.0 / ARRIVAL_WINDOW) for count in self.recent_arrivals]
         self.recent_arrivals[request.class_index] += 1.0
         self.mean_slots += (request.slots - self.mean_slots) / ARRIVAL_WINDOW
--- a/marlseam/decisions/types.py
+++ b/marlseam/decisions/types.py
@@ -1,8 +1,8 @@
-"""What passes between the decision module and the node around it: settings, requests, reports, and the port.
+"""Types of the interface between the decision modules and the node: settings, requests, reports, the port.
 
-Nothing is decided here. All times are milliseconds as floats on the node's clock; servers, request classes,
-kinds and zones are small dense indices given out by the node. Values of enums appear in stored records and
-in operators' tools, so they stay.
+This module makes no decisions. All times are float milliseconds on the node's clock. Servers, request
+classes, kinds and zones are small dense indices assigned by the node. Enum values appear in stored records
+and in operators' tools and must not change.
 """
 
 from collections.abc import Callable
@@ -11,11 +11,17 @@
 from math import inf
 from typing import Protocol
 
-DEFAULT_OBJECTIVE_MS = 100.0  # the shortest latency objective where no request class has one
+DEFAULT_OBJECTIVE_MS = 100.0  # assumed shortest latency objective where no request class has one
 
 
 class Idempotency(Enum):
-    """What a repeat of a request would do."""
+    """Whether repeating a request has a second effect.
+
+    Attributes:
+        SAFE: a repeat does no harm.
+        KEYED: servers drop repeats under the same idempotency key.
+        UNSAFE: a repeat may have a second effect, so the request must not be repeated once it may have run.
+    """
 
     SAFE = "rerunnable"
     KEYED = "receipted"
@@ -23,7 +29,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which servers drop the repeats of a keyed request."""
+    """Which servers drop repeats of a keyed request: all, or those in the first attempt's zone or cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -42,11 +48,11 @@
     CANCELLED = "withdrawn"
     CANCELLED_UNSENT = "void"
     STALE_CONNECTION = "dropped"  # a reused connection ended before a byte of the response
-    INVALID_REQUEST = "unfit"  # the server turned it away as a request that no server can use
+    INVALID_REQUEST = "unfit"  # the server rejected the request as one that no server can process
 
 
 class Decision(Enum):
-    """What is decided of a request; `FORWARDED` and `PLACED_AT_HOME` after others were probed."""
+    """The decision on a request; `FORWARDED` and `PLACED_AT_HOME` follow probes of other servers."""
 
     HOME = "home"
     PROBE_HOME = "home asked"
@@ -59,7 +65,14 @@
 
 
 class ListUpdateKind(Enum):
-    """Whether an update has changes, all of the list, a list cached before the node started, or none."""
+    """The content of an update of the endpoint list.
+
+    Attributes:
+        DELTA: changed entries.
+        FULL: all entries.
+        CACHED: all entries of a list that was cached before the node started.
+        FAILED: no entries, as the list could not be obtained.
+    """
 
     DELTA = "delta"
     FULL = "full"
@@ -68,7 +81,7 @@
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of a server."""
+    """The state of a server by the endpoint list."""
 
     GONE = "gone"
     READY = "ready"
@@ -77,17 +90,18 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """What the settings say of one request class.
+    """The settings of one request class.
 
     Attributes:
-        latency_objective_ms: from arrival to the start of a run, beside what `objective_run_factor` adds.
-        objective_run_factor: how many mean runs the objective allows the run itself.
-        deadline_ms: from arrival to the final answer; inf for none.
-        idempotency: what a repeat of a request does.
-        deduplication_scope: which servers drop the repeats of a keyed request.
-        deduplication_window_ms: how long they do so, from the first attempt.
-        kind: the kind of server that it needs; -1 for any.
-        priority_weight: what a request is worth beside those of other classes.
+        latency_objective_ms: longest time from arrival to the start of a run, without the part that
+            `objective_run_factor` adds.
+        objective_run_factor: how many mean runs the latency objective allows for the run itself.
+        deadline_ms: time from arrival to the final answer; inf for none.
+        idempotency: the effect of repeating a request.
+        deduplication_scope: which servers drop repeats of a keyed request.
+        deduplication_window_ms: how long servers drop repeats, from the first attempt.
+        kind: the kind of server that requests need; -1 for any.
+        priority_weight: the weight of a request relative to those of other classes.
         ordered_by_key: whether requests of one resource key run one at a time, in the order of arrival.
     """
 
@@ -104,34 +118,37 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """The settings of a node, as far as decisions read them.
+    """The settings of a node that the decision modules read.
 
     Attributes:
-        request_classes: by index.
+        request_classes: the request classes by index.
         kind_count: how many kinds of servers there are.
         zone: the node's own zone.
         node_count: how many nodes share the servers.
         tick_ms: the resolution of the node's timers.
         max_attempts: the most attempts of one request.
-        may_probe, may_cancel, may_hedge: whether probes, cancels of what was sent, and hedged requests are
-            allowed.
-        max_retry_after_ms: the longest advice for a client's retry.
-        subscribes_to_endpoints: whether discovery must be asked for the endpoint list.
+        may_probe: whether servers may be probed.
+        may_cancel: whether attempts that were sent may be cancelled.
+        may_hedge: whether a second attempt may be made beside one in flight.
+        max_retry_after_ms: the longest delay advised for a client's retry.
+        subscribes_to_endpoints: whether the endpoint list must be requested from discovery.
         list_max_age_ms: the age from which an endpoint list counts as old.
         reports_start: whether servers report when an attempt starts.
-        progress_period_ms: how often servers report progress; 0 for never.
-        slow_start_initial_share, slow_start_ms: the share of its capacity that a server may get when its
-            process has just started, and how long it takes to grow to all of it.
-        overload_multiple, overload_window_ms: how many times its capacity in a window overloads a server.
+        progress_period_ms: time between a server's reports of progress; 0 if servers report none.
+        slow_start_initial_share: the share of its capacity that a server may be sent when its process has
+            just started.
+        slow_start_ms: how long that share takes to grow to 1.
+        overload_multiple: how many times a server's capacity, sent within `overload_window_ms`, overloads it.
+        overload_window_ms: the length of the window of `overload_multiple`.
         cross_zone_cost: the cost of sending a request to another zone.
-        reports_in_responses: whether servers report load with responses; a probe then brings the last one.
-        live_weights: whether the weights of the endpoint list move with load.
+        reports_in_responses: whether servers report load in responses; a probe then gets the last report.
+        live_weights: whether the weights of the endpoint list vary with load.
         may_gossip: whether nodes may send each other messages.
-        fetch_cost: what it costs to fetch the resource of a resource key.
-        weight_by_size: whether a request's priority weight is for each part of its size.
-        process_share: this process's share of what the node may do, where several serve as one node.
+        fetch_cost: the cost of fetching the resource of a resource key.
+        weight_by_size: whether a request's priority weight counts for each unit of its size.
+        process_share: this process's share of the node's limits, where several processes serve as one node.
         key_gap_ms: how long a key pauses after an attempt that may still be running.
-        only_draining_excludes: whether a server that the list calls gone, or leaves out, may still be used.
+        only_draining_excludes: whether a server that is listed as gone, or not listed, may still be used.
         max_poll_interval_ms: the longest time from one poll of discovery to the next.
     """
 
@@ -166,22 +183,22 @@
 
     @property
     def shortest_objective_ms(self) -> float:
-        """Return the latency objective of the most urgent request class that has one."""
+        """Return the shortest positive, finite latency objective (ms) of any request class, or a default."""
         objectives_ms = [each.latency_objective_ms for each in self.request_classes]
         return min((each for each in objectives_ms if 0.0 < each < inf), default=DEFAULT_OBJECTIVE_MS)
 
 
 @dataclass(frozen=True)
 class Endpoint:
-    """One server as the endpoint list has it, under its dense index.
+    """One entry of the endpoint list, with the dense index of its server.
 
     Attributes:
-        server: its index.
-        state: whether it is ready, draining or gone.
-        kind, zone, cell: indices; -1 where the list does not say.
-        process_started_ms: when its process started; None where the list does not say.
-        weight: its weight; None where the list has none.
-        name_hash: a hash of its name, the same at every node.
+        server: the index of the server.
+        state: whether the server is ready, draining or gone.
+        kind, zone, cell: indices; -1 where the list has none.
+        process_started_ms: when the server's process started; None where the list has no start time.
+        weight: the server's weight; None where the list has none.
+        name_hash: a hash of the server's name, the same at every node.
     """
 
     server: int
@@ -196,11 +213,11 @@
 
 @dataclass(frozen=True)
 class LoadReport:
-    """A server's own figures; None where the deployment's servers do not report one.
+    """A server's report of its load; None for figures that the deployment's servers do not report.
 
     Attributes:
-        held: requests that run there or wait.
-        queued: requests that wait.
+        held: requests that run or wait at the server.
+        queued: requests that wait at the server.
         free_slots: slots without a request.
     """
 
@@ -211,21 +228,22 @@
 
 @dataclass(frozen=True)
 class Request:
-    """What is known of a request when it arrives.
+    """A request as it arrives.
 
     Attributes:
-        request_id: its id on this node.
-        class_index: its request class.
-        deadline_at_ms: by when it must have its final answer.
-        slots: how many slots it takes on a server.
-        run_hint_ms: how long the client says that it runs; None where it does not say.
-        idempotency_key: the key under which a repeat is known; None for none.
-        resource_key: what it needs or changes; None for none.
-        may_be_retry: whether it may be a client's retry.
-        is_recordable: whether it can be put on record that it may run; False also where it may not be
-            sent. Where a record is needed and cannot be made, nothing of the request is sent.
-        is_sendable: whether anything of it may be sent: the node may act.
-        prior_attempts: servers, and times of sending, of what may have run under its key before.
+        request_id: the id of the request on this node.
+        class_index: the index of the request class.
+        deadline_at_ms: the time by which the request must have its final answer.
+        slots: how many slots the request takes on a server.
+        run_hint_ms: the run time that the client states; None for none.
+        idempotency_key: the key by which servers recognise a repeat; None for none.
+        resource_key: the key of the resource that the request needs or changes; None for none.
+        may_be_retry: whether the request may be a client's retry.
+        is_recordable: whether the record that the request may run can be made durable; False also where the
+            request may not be sent. If a record is needed and cannot be made, no attempt is sent.
+        is_sendable: whether attempts may be sent, as the node may act.
+        prior_attempts: pairs of server and sending time of earlier attempts under the same idempotency key
+            that may have run.
     """
 
     request_id: str
@@ -246,13 +264,15 @@
     """One attempt of a request, from its sending until its outcome.
 
     Attributes:
-        server: where it was sent.
-        sent_ms, last_response_ms, started_ms: when it was sent; heard of last; when it started to run, None
-            before that.
+        server: the index of the server.
+        sent_ms: when the attempt was sent.
+        last_response_ms: when the server last reported a start or progress; before that, `sent_ms`.
+        started_ms: when the attempt started to run; None before that.
         progress: the share of its work that is done, from 0 to 1.
-        outcome: how it ended; None while it is in flight.
-        cancelled: whether it is being cancelled.
-        expected_wait_ms: how long it was expected to wait at the server; None once that was compared.
+        outcome: how the attempt ended; None while it is in flight.
+        cancelled: whether the attempt is being cancelled.
+        expected_wait_ms: how long it was expected to wait at the server; None if unknown, or once compared
+            with the actual wait.
     """
 
     server: int
@@ -266,7 +286,7 @@
 
 
 class TrackedRequest(Protocol):
-    """What accepting a request gives: all that happens to it later is a call on this."""
+    """The state of an accepted request, whose methods are called for everything that happens to it later."""
 
     request: Request
     request_class: RequestClass
@@ -284,45 +304,45 @@
         ...
 
     def is_eligible(self, server: int) -> bool:
-        """Return whether a server may get this request at all."""
+        """Return whether this request may be sent to a server at all."""
         ...
 
     def retry(self) -> None:
-        """Wait for a further attempt, or answer."""
+        """Queue the request for another attempt, or answer it if none is allowed or in flight."""
         ...
 
     def attempt_ended(
         self, attempt_index: int, outcome: Outcome, final: bool, report: LoadReport | None
     ) -> None:
-        """Take in how an attempt ended; `final` where the request needs no other one."""
+        """Apply the outcome of an attempt; `final` means that the request needs no further attempt."""
         ...
 
     def started(self, attempt_index: int) -> None:
-        """Note that an attempt began to run."""
+        """Record that an attempt has started to run."""
         ...
 
     def progress(self, attempt_index: int, share: float) -> None:
-        """Note that an attempt has done a share of its work."""
+        """Record the share, from 0 to 1, of its work that an attempt has done."""
         ...
 
     def streaming(self, attempt_index: int) -> None:
-        """Note that the response is on its way to the client."""
+        """Record that the response is being sent to the client, which is the final answer."""
         ...
 
     def close(self) -> None:
-        """Cancel what is in flight of a request that needs no answer any more."""
+        """Cancel the attempts in flight of a request that no longer needs an answer."""
         ...
 
 
 class Port(Protocol):
-    """What the decision module may ask of the node that it lives in. Times are milliseconds."""
+    """The node's operations that the decision modules may call. Times are milliseconds."""
 
     def now(self) -> float:
         """Return the time on the node's clock."""
         ...
 
     def send(self, state: TrackedRequest, server: int, time_left_ms: float) -> None:
-        """Send a request's last attempt, which has so much time left."""
+        """Send the last attempt of a request to a server; `time_left_ms` is the time to the deadline."""
         ...
 
     def cancel(self, state: TrackedRequest, attempt_index: int) -> None:
@@ -330,27 +350,27 @@
         ...
 
     def reject(self, state: TrackedRequest, retry_after_ms: float) -> None:
-        """Reject a request, with advice on when to come back; 0 for none."""
+        """Reject a request; `retry_after_ms` is the delay advised for a retry, 0 for none."""
         ...
 
     def fail(self, state: TrackedRequest) -> None:
-        """Fail a request."""
+        """Answer a request with a failure, where a rejection would not be safe."""
         ...
 
     def probe(self, server: int) -> None:
-        """Ask a server for its load report."""
+        """Request a load report from a server."""
         ...
 
     def after(self, delay_ms: float, call: Callable[[], None]) -> None:
-        """Call back once a delay has passed."""
+        """Call a function once, after a delay."""
         ...
 
     def never_ran(self, state: TrackedRequest, server: int, sent_ms: float) -> None:
-        """Note that an attempt provably never ran."""
+        """Record that the attempt sent to a server at `sent_ms` provably never ran."""
         ...
 
     def watch_endpoints(self) -> None:
-        """Ask discovery for its list and its changes."""
+        """Request the endpoint list and its changes from discovery."""
         ...
 
     def publish(self, message: bytes) -> None:
@@ -358,5 +378,5 @@
         ...
 
     def log(self, text: str) -> None:
-        """Write a line for operators."""
+        """Write a log line for operators."""
         ...
