--- a/marlseam/core/__init__.py
+++ b/marlseam/core/__init__.py
@@ -1,4 +1,4 @@
-"""The pure core of a node: events in, effects out, and the record of which requests may have run."""
+"""The pure core of a node: a reducer of events to effects, and the record of requests that may have run."""
 
 from marlseam.core.effects import (
     CancelAttempt,
--- a/marlseam/core/effects.py
+++ b/marlseam/core/effects.py
@@ -1,6 +1,6 @@
-"""Effects: what the reducer asks of an adapter, each as one typed value, carried out in order.
+"""Effects: the typed actions that the reducer requests and an adapter carries out in order.
 
-Times are milliseconds on the node's clock unless a field says otherwise. Requests are known by their id,
+Times are milliseconds on the node's clock unless stated otherwise. Requests are identified by their id,
 attempts by their index among their request's attempts, servers by name.
 """
 
@@ -14,9 +14,10 @@
     """Send a request's next attempt to a server.
 
     Attributes:
-        request_id, attempt_index, server: which attempt, and where it goes.
-        time_left_ms: until the request's deadline.
-        send_within_ms: how long its last byte may take to be sent; after that it must not be sent at all.
+        request_id, attempt_index: the attempt.
+        server: the server to which it is sent.
+        time_left_ms: the time until the request's deadline.
+        send_within_ms: the time within which the last byte must be sent; later the attempt must not be sent.
     """
 
     request_id: str
@@ -30,8 +31,8 @@
     """Stop waiting for an attempt.
 
     Attributes:
-        request_id, attempt_index: which attempt.
-        even_if_sent: whether to cancel it too if its last byte has been sent.
+        request_id, attempt_index: the attempt.
+        even_if_sent: whether to cancel the attempt also after its last byte has been sent.
     """
 
     request_id: str
@@ -47,7 +48,7 @@
 
 
 class Reject(NamedTuple):
-    """Reject a request where a retry does no harm, with advice on when to retry; 0 for none."""
+    """Reject a request for which a retry does no harm; `retry_after_ms` is the advised delay, 0 for none."""
 
     request_id: str
     retry_after_ms: float
@@ -57,11 +58,11 @@
     """Fail a request, or reject it if it turns out that no attempt of it was sent.
 
     Attributes:
-        request_id: which request.
-        is_invalid: whether a server has turned it away as a request that no server can use.
-        in_flight: the attempts that alone bar a rejection: if none of them has been sent, the request
-            is rejected; empty where it is failed in any case.
-        retry_after_ms: the advice of that rejection; 0 for none.
+        request_id: the request.
+        is_invalid: whether a server has rejected the request as one that no server can process.
+        in_flight: the indices of the attempts that alone prevent a rejection: if none of them has been sent,
+            the request is rejected. Empty if the request is failed in any case.
+        retry_after_ms: the delay advised by that rejection; 0 for none.
     """
 
     request_id: str
@@ -71,25 +72,25 @@
 
 
 class Probe(NamedTuple):
-    """Ask a server for its load report."""
+    """Request a load report from a server."""
 
     server: str
 
 
 class SetTimer(NamedTuple):
-    """Hand in a `TimerFired` of this id once a delay has passed."""
+    """Pass a `TimerFired` with this id to the reducer after a delay."""
 
     timer_id: int
     delay_ms: float
 
 
 class PersistAttempt(NamedTuple):
-    """Put on record that a request is about to be sent: it may have run from then on.
+    """Record that a request is about to be sent, since it may have run from then on.
 
     Attributes:
-        request_id: which request.
-        key: its idempotency key.
-        record: where and when it is sent, and until when the server remembers it.
+        request_id: the request.
+        key: the request's idempotency key.
+        record: where and when the request is sent, and until when the server remembers it.
     """
 
     request_id: str
@@ -98,7 +99,7 @@
 
 
 class ErasePersisted(NamedTuple):
-    """Take an attempt under an idempotency key off the record: it provably never ran."""
+    """Erase the record of an attempt under an idempotency key, as the attempt provably never ran."""
 
     key: str
     server: str
@@ -106,17 +107,17 @@
 
 
 class WatchEndpoints(NamedTuple):
-    """Ask discovery for its list and its changes."""
+    """Request the endpoint list and its changes from discovery."""
 
 
 class Gossip(NamedTuple):
-    """Publish a message to all other nodes."""
+    """Publish a gossip message to all other nodes."""
 
     message: bytes
 
 
 class Log(NamedTuple):
-    """Write a line for operators."""
+    """Write a log line for operators."""
 
     text: str
 
--- a/marlseam/core/events.py
+++ b/marlseam/core/events.py
@@ -1,6 +1,6 @@
-"""Events: what an adapter tells the reducer, each thing that happens as one typed value.
+"""Events: the typed values by which an adapter reports to the reducer what has happened.
 
-Times are milliseconds on the node's clock unless a field says otherwise. Requests are known by their id,
+Times are milliseconds on the node's clock unless stated otherwise. Requests are identified by their id,
 attempts by their index among their request's attempts, servers by name.
 """
 
@@ -11,14 +11,14 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One server as the endpoint list has it.
+    """One entry of the endpoint list.
 
     Attributes:
-        server: its name.
-        state: whether it is ready, draining or gone.
-        kind, zone, cell: indices of the settings; -1 where the list does not say.
-        process_started_ms: when its process started; None where the list does not say.
-        weight: its weight; None where the list has none.
+        server: the name of the server.
+        state: whether the server is ready, draining or gone.
+        kind, zone, cell: indices by the settings; -1 where the list has none.
+        process_started_ms: when the server's process started; None where the list has no start time.
+        weight: the server's weight; None where the list has none.
     """
 
     server: str
@@ -38,7 +38,7 @@
 
 
 class SettingsChanged(NamedTuple):
-    """The node's settings have changed; what had an index before keeps it."""
+    """The node's settings have changed; every index assigned before keeps its meaning."""
 
     settings: Settings
 
@@ -47,9 +47,9 @@
     """An update of the endpoint list, or a failure to get one.
 
     Attributes:
-        update_kind: a whole list, changes, a cached list, or a failure.
-        entries: the servers that it names.
-        doubt: the chance that an entry of a cached list is no longer true.
+        update_kind: whether the update is a whole list, changes, a cached list, or a failure.
+        entries: the entries of the update.
+        doubt: the probability that an entry of a cached list is outdated.
     """
 
     update_kind: ListUpdateKind
@@ -58,17 +58,17 @@
 
 
 class HistoryRecovered(NamedTuple):
-    """What may have run before the node started, or a part of it.
+    """Requests, all or a part, that may have run before the node started.
 
     Attributes:
-        records: all attempts of each idempotency key named, in the order sent.
+        records: by idempotency key, all attempts under the key in the order sent.
     """
 
     records: dict[str, list[AttemptRecord]]
 
 
 class PeerAttempt(NamedTuple):
-    """Another process of this node sends a request under a key, which may have run from now on."""
+    """Another process of this node sends a request under an idempotency key; it may have run from now on."""
 
     key: str
     record: AttemptRecord
@@ -83,11 +83,11 @@
 
 
 class HistoryUnavailable(NamedTuple):
-    """It is not known which keyed requests some source (another process, the store) has on record.
+    """The records of a source (another process, the store) of which keyed requests may have run are missing.
 
     Attributes:
-        source: its name.
-        since_ms: when the last of them was sent at the latest; None while more may be sent.
+        source: the name of the source.
+        since_ms: the latest time at which the source may have sent a request; None while it may send more.
     """
 
     source: str
@@ -95,13 +95,13 @@
 
 
 class HistoryAvailable(NamedTuple):
-    """What a source has on record is known now."""
+    """The records of a source have become available."""
 
     source: str
 
 
 class NotDurable(NamedTuple):
-    """An attempt was not sent: the record that it may run is not durable, or the node may not serve."""
+    """An attempt was not sent, as the record that it may run is not durable or the node may not serve."""
 
     request_id: str
     attempt_index: int
@@ -117,10 +117,10 @@
     """An attempt has ended.
 
     Attributes:
-        request_id, attempt_index: which attempt.
-        outcome: how it ended.
-        final: whether the request needs no other attempt: this result answers it, or it had an answer.
-        report: the server's load report that came with it; None for none.
+        request_id, attempt_index: the attempt.
+        outcome: how the attempt ended.
+        final: whether the request needs no other attempt, as this result or an earlier one answers it.
+        report: the server's load report that came with the response; None for none.
         result: the result for the client.
     """
 
@@ -148,7 +148,7 @@
 
 
 class ResponseStreaming(NamedTuple):
-    """An attempt's response is on its way to the client."""
+    """The response of an attempt is being sent to the client."""
 
     request_id: str
     attempt_index: int
@@ -164,9 +164,9 @@
     """A probe has ended.
 
     Attributes:
-        server: the server probed.
-        outcome: how it ended.
-        lag_ms: how old the report is.
+        server: the server that was probed.
+        outcome: how the probe ended.
+        lag_ms: the age of the report.
         report: the server's load report; None for none.
     """
 
@@ -177,20 +177,20 @@
 
 
 class GossipReceived(NamedTuple):
-    """Another node's message."""
+    """A gossip message from another node; `peer` is the number of that node."""
 
     peer: int
     message: bytes
 
 
 class TimerFired(NamedTuple):
-    """A timer has come due."""
+    """The timer of a `SetTimer` effect has expired."""
 
     timer_id: int
 
 
 class ShutdownBegun(NamedTuple):
-    """The node shuts down: it must have answered all requests once so much time has passed."""
+    """The node shuts down and must have answered all requests within `left_ms`."""
 
     left_ms: float
 
--- a/marlseam/core/idempotency.py
+++ b/marlseam/core/idempotency.py
@@ -1,9 +1,9 @@
-"""Which keyed and unsafe requests may have run, and where: across retries of clients and restarts of nodes.
+"""Records of which keyed and unsafe requests may have run where, across clients' retries and node restarts.
 
-A request that was sent may have run. Until the servers' memory of it ends, another request under the same
-idempotency key is the same request, and may go only where the repeat is dropped. The number of keys is
-bounded: at the bound new keys are rejected at once, which is harmless, as nothing of them ran; no key is
-dropped before its time.
+A request that was sent may have run. Until the servers no longer remember it, a request under the same
+idempotency key is a repeat and may be sent only to servers that drop repeats. The number of keys is bounded:
+at the bound, requests under new keys are rejected at once, which is harmless as no attempt of them ran; no
+key is dropped before it expires.
 """
 
 import heapq
@@ -11,17 +11,17 @@
 from math import inf
 from typing import NamedTuple
 
-MIN_WAIT_FOR_KEY_MS = 1.0  # the shortest advice for a retry where the number of keys is at its bound
+MIN_WAIT_FOR_KEY_MS = 1.0  # the shortest delay advised for a retry while the number of keys is at its bound
 
 
 class AttemptRecord(NamedTuple):
     """One attempt that may have run.
 
     Attributes:
-        server: the server's name; "" where it is not known.
-        zone, cell: those of the server, as indices of the settings.
-        sent_ms: when it was sent, on the node's clock.
-        until_ms: when the server forgets it.
+        server: the server's name; "" if unknown.
+        zone, cell: the server's zone and cell as indices by the settings.
+        sent_ms: when the attempt was sent, on the node's clock.
+        until_ms: when the server's record of the attempt expires, on the node's clock.
     """
 
     server: str
@@ -32,7 +32,7 @@
 
 
 class PortableRecord(NamedTuple):
-    """An attempt as files and other processes hold it: its zone by name, times in Unix milliseconds."""
+    """An attempt in the form for files and other processes: the zone by name, times in Unix milliseconds."""
 
     key: str
     server: str
@@ -42,15 +42,19 @@
     until_unix_ms: float
 
 
-# Stands for an attempt that is not known: at a group that no server is of (-1 is that of one listed without
-# any), so long ago that no server is relied on to know it still.
+# Stands for an unknown attempt. No server has its zone and cell (-1 is for servers listed without one); it
+# was sent so long ago that no server is assumed to remember it.
 UNKNOWN_ATTEMPT = AttemptRecord("", -2, -2, -inf, inf)
 
 
 def portable_record(
     key: str, record: AttemptRecord, zones: Iterable[str], to_unix: Callable[[float], float]
 ) -> PortableRecord:
-    """Return an attempt as files and other processes hold it; `zones` are the names of zones by index."""
+    """Return an attempt in the form for files and other processes.
+
+    `zones` are the names of zones by index, `to_unix` converts the node's clock to Unix milliseconds. The
+    zone is "" for an index without a name.
+    """
     names = list(zones)
     zone = names[record.zone] if 0 <= record.zone < len(names) else ""
     sent_unix_ms, until_unix_ms = to_unix(record.sent_ms), to_unix(record.until_ms)
@@ -58,12 +62,12 @@
 
 
 class IdempotencyRecords:
-    """Keys of requests that may have run, each with its attempts in the order sent.
+    """Idempotency keys of requests that may have run, each with its attempts in the order sent.
 
     Attributes:
-        max_keys: how many keys are held at most, but for those of an earlier process.
+        max_keys: the maximum number of keys, not counting those restored from an earlier process.
         records: the attempts by key.
-        expiries: a heap of when keys are forgotten; one entry a key at least.
+        expiries: a heap of expiry times with their keys; at least one entry per key.
     """
 
     def __init__(self, max_keys: int) -> None:
@@ -80,14 +84,14 @@
                 yield key, record
 
     def add(self, key: str, record: AttemptRecord) -> None:
-        """Add an attempt; its key is held as long as the first attempt, from which servers' memory counts."""
+        """Add an attempt; its key expires with the first attempt, from which the servers' window counts."""
         records = self.records.setdefault(key, [])
         if not records:
             heapq.heappush(self.expiries, (record.until_ms, key))
         records.append(record)
 
     def restore(self, recovered: dict[str, list[AttemptRecord]]) -> None:
-        """Put what may have run before the node started before what has been sent since."""
+        """Insert attempts from before the node's start ahead of those sent since."""
         is_first, count_before = not self.expiries, len(self.expiries)
         for key, records in recovered.items():
             since = self.records.get(key)
@@ -104,7 +108,7 @@
             heapq.heappush(self.expiries, expiry)
 
     def never_ran(self, key: str, server: str, sent_ms: float) -> bool:
-        """Drop an attempt that provably never ran; return whether it was on record."""
+        """Delete the record of an attempt that provably never ran; return whether there was one."""
         records = self.records.get(key, [])
         for index, record in enumerate(records):
             if record.server == server and record.sent_ms == sent_ms:
@@ -117,7 +121,7 @@
         return False
 
     def expire(self, now: float) -> list[str]:
-        """Drop the keys that servers have forgotten, and return them."""
+        """Delete the keys whose first attempt has expired, and return them."""
         expired = []
         while self.expiries and self.expiries[0][0] <= now:
             _, key = heapq.heappop(self.expiries)
@@ -128,12 +132,12 @@
         return expired
 
     def attempts(self, key: str, now: float) -> list[AttemptRecord]:
-        """Return a key's attempts that may have run and that servers remember."""
+        """Return the unexpired attempts under a key, which may have run, in the order sent."""
         self.expire(now)
         return list(self.records.get(key, ()))
 
     def wait_for_key_ms(self, now: float) -> float:
-        """Return how long until another key can be held; 0 where one can be now."""
+        """Return the time (ms) until another key can be added; 0 if one can be added now."""
         self.expire(now)
         if len(self.records) < self.max_keys:
             return 0.0
@@ -142,26 +146,26 @@
 
 
 class UnavailableHistory:
-    """Sources (another process, the store) whose keyed requests may have run and are not known here.
+    """Sources (another process, the store) whose records of requests that may have run are missing here.
 
     Attributes:
-        last_sent_ms: by source, when the last of its requests was sent at the latest; inf while it may
-            still send.
+        last_sent_ms: by source, the latest time at which it may have sent a request; inf while it may still
+            send.
     """
 
     def __init__(self) -> None:
         self.last_sent_ms: dict[str, float] = {}
 
     def add(self, source: str, since_ms: float | None) -> None:
-        """Note a source as unavailable; `since_ms` None while it may still send."""
+        """Record a source as unavailable; `since_ms` is its latest possible send, None while it may send."""
         self.last_sent_ms[source] = inf if since_ms is None else since_ms
 
     def discard(self, source: str) -> None:
-        """Note that what a source has sent is known."""
+        """Record that the records of a source are available."""
         self.last_sent_ms.pop(source, None)
 
     def expire(self, now: float, longest_memory_ms: float) -> bool:
-        """Drop the sources all of whose requests servers have forgotten; return whether any is left."""
+        """Drop sources whose last request is older than `longest_memory_ms`; return whether any is left."""
         self.last_sent_ms = {
             source: sent_ms
             for source, sent_ms in self.last_sent_ms.items()
--- a/marlseam/core/port.py
+++ b/marlseam/core/port.py
@@ -1,4 +1,4 @@
-"""The decision module's port to the node: what it asks for becomes effects, in order."""
+"""The port of the decision modules in a node: collects the requested operations as effects, in order."""
 
 from collections.abc import Callable
 from math import inf
@@ -22,18 +22,20 @@
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.types import Idempotency, TrackedRequest
 
-MAX_KEYS = 20000  # idempotency keys of requests that may have run; a new one past that is rejected
+MAX_KEYS = 20000  # idempotency keys of requests that may have run; requests under further keys are rejected
 
 
 class EffectsPort:
     """Collects effects, timers and idempotency records.
 
     Attributes:
-        clock: the time of the event in hand, in milliseconds.
-        effects: what this event has asked for so far.
-        timers, timer_count: what waits for timers, by timer id; how many were ever set.
+        dispatcher: the dispatcher that uses the port.
+        clock: the time of the current event, in milliseconds.
+        effects: the effects of the current event so far.
+        timers: by timer id, the function to call when the timer fires.
+        timer_count: how many timers were ever set.
         servers: the dense indices of servers.
-        idempotency_records: which requests may have run.
+        idempotency_records: records of the requests that may have run.
     """
 
     dispatcher: Dispatcher
@@ -46,18 +48,18 @@
         self.idempotency_records = IdempotencyRecords(MAX_KEYS)
 
     def now(self) -> float:
-        """Return the time of the event in hand."""
+        """Return the time of the current event."""
         return self.clock
 
     def send(self, state: TrackedRequest, server: int, time_left_ms: float) -> None:
-        """Send a request to a server; under a key it is first put on record that it may run there."""
+        """Send the last attempt of a request; with an idempotency key, unless safe, it is recorded first."""
         request, request_class = state.request, state.request_class
         send_within_ms = inf
         earlier = [
             attempt for attempt in state.attempts_that_may_have_run() if attempt is not state.attempts[-1]
         ]
         if earlier and request_class.idempotency is Idempotency.KEYED:
-            # After that the servers of the first attempt need not know it any more.
+            # After this time the servers that drop repeats need not remember the first attempt any more.
             send_within_ms = earlier[0].sent_ms + request_class.deduplication_window_ms - self.clock
         if request.idempotency_key is not None and request_class.idempotency is not Idempotency.SAFE:
             self.persist(state, request.idempotency_key, server)
@@ -65,7 +67,7 @@
         self.effects.append(SendAttempt(request.request_id, index, name, time_left_ms, send_within_ms))
 
     def persist(self, state: TrackedRequest, key: str, server: int) -> None:
-        """Put on record that a request may run on a server."""
+        """Record that a request may run on a server."""
         request_class, dispatcher = state.request_class, self.dispatcher
         is_keyed = request_class.idempotency is Idempotency.KEYED
         memory_ms = request_class.deduplication_window_ms if is_keyed else request_class.deadline_ms
@@ -80,16 +82,16 @@
         self.effects.append(PersistAttempt(state.request.request_id, key, record))
 
     def cancel(self, state: TrackedRequest, attempt_index: int) -> None:
-        """Stop waiting for an attempt; one that is not sent yet is cancelled whatever the settings."""
+        """Stop waiting for an attempt; one that is not sent yet is cancelled regardless of `may_cancel`."""
         even_if_sent = self.dispatcher.settings.may_cancel
         self.effects.append(CancelAttempt(state.request.request_id, attempt_index, even_if_sent))
 
     def reject(self, state: TrackedRequest, retry_after_ms: float) -> None:
-        """Reject a request, with advice on when to come back."""
+        """Reject a request; `retry_after_ms` is the delay advised for a retry, 0 for none."""
         self.effects.append(Reject(state.request.request_id, retry_after_ms))
 
     def fail(self, state: TrackedRequest) -> None:
-        """Fail a request, or reject it where all attempts that may have run turn out not to be sent."""
+        """Fail a request, or reject it if all attempts that may have run turn out never to have been sent."""
         request_id, dispatcher = state.request.request_id, self.dispatcher
         in_flight = tuple(index for index, attempt in enumerate(state.attempts) if attempt.outcome is None)
         if len(in_flight) != len(state.attempts_that_may_have_run()):
@@ -101,23 +103,23 @@
         self.effects.append(Fail(request_id, state.is_invalid, in_flight, retry_after_ms))
 
     def probe(self, server: int) -> None:
-        """Ask a server for its load report."""
+        """Request a load report from a server."""
         self.effects.append(Probe(self.servers.names[server]))
 
     def after(self, delay_ms: float, call: Callable[[], None]) -> None:
-        """Call back once the delay has passed."""
+        """Call a function once, after a delay."""
         self.timer_count += 1
         self.timers[self.timer_count] = call
         self.effects.append(SetTimer(self.timer_count, delay_ms))
 
     def never_ran(self, state: TrackedRequest, server: int, sent_ms: float) -> None:
-        """Take an attempt off the record."""
+        """Erase the record of an attempt that provably never ran, if there is one."""
         key, name = state.request.idempotency_key, self.servers.names[server]
         if key is not None and self.idempotency_records.never_ran(key, name, sent_ms):
             self.effects.append(ErasePersisted(key, name, sent_ms))
 
     def watch_endpoints(self) -> None:
-        """Ask discovery for its list and its changes."""
+        """Request the endpoint list and its changes from discovery."""
         self.effects.append(WatchEndpoints())
 
     def publish(self, message: bytes) -> None:
@@ -125,5 +127,5 @@
         self.effects.append(Gossip(message))
 
     def log(self, text: str) -> None:
-        """Write a line for operators."""
+        """Write a log line for operators."""
         self.effects.append(Log(text))
--- a/marlseam/core/reducer.py
+++ b/marlseam/core/reducer.py
@@ -1,7 +1,7 @@
-"""The reducer of a node: each event changes the node's state and gives the effects that are asked for.
+"""The reducer of a node: each event changes the node's state and returns effects.
 
-Pure of I/O and clocks: an adapter hands in events with the time at which they happen, and carries out the
-effects. `EVENT_HANDLERS` names the method that takes each event.
+The reducer does no I/O and reads no clock: an adapter passes in events with the time at which they happen and
+carries out the effects. `EVENT_HANDLERS` maps each type of event to the method that handles it.
 """
 
 from collections.abc import Callable
@@ -48,21 +48,23 @@
     TrackedRequest,
 )
 
-FORGET_AFTER_LIST_MAX_AGES = 60.0  # how long a server must be gone to be forgotten
+FORGET_AFTER_LIST_MAX_AGES = 60.0  # how long a server must be gone to be forgotten, in `list_max_age_ms`
 
 
 class Follower(Protocol):
-    """What follows the reducer's course and changes nothing of it."""
+    """An observer of the reducer's events and effects, which changes nothing in the reducer."""
 
     def observe(self, reducer: "Reducer", event: Event, effects: list[Effect]) -> None:
-        """Take in an event and the effects that the reducer gave for it."""
+        """Process an event and the effects that the reducer returned for it."""
         ...
 
 
 class SlowStartFigures(NamedTuple):
-    """A server's whole slow start budget in a window, inf outside slow start; a request's cost.
+    """The slow start budget of a server and the cost of a request, both in mean requests.
 
-    Both in mean requests.
+    Attributes:
+        budget: what all nodes may send to the server in one overload window; inf outside slow start.
+        cost: the cost of the request.
     """
 
     budget: float
@@ -70,17 +72,17 @@
 
 
 class Reducer(EffectsPort):
-    """What one node knows.
+    """The state of one node and the handlers of its events.
 
     Attributes:
-        dispatcher: the decision module's state.
-        follower: what follows this reducer's course; None for nothing.
-        open_requests: requests without their final answer, or with attempts in flight, by id.
-        unavailable_history: whose requests that may have run are not known here.
-        answer_by_ms: by when all requests must be answered; inf unless the node shuts down.
+        dispatcher: the node's dispatcher.
+        follower: the observer of this reducer; None for none.
+        open_requests: requests without a final answer or with attempts in flight, by id.
+        unavailable_history: sources whose records of requests that may have run are missing here.
+        answer_by_ms: the time by which all requests must be answered; inf unless the node shuts down.
     """
 
-    dispatcher_type: type[Dispatcher] = Dispatcher  # experiments set baselines here
+    dispatcher_type: type[Dispatcher] = Dispatcher  # overridden by baselines in experiments
 
     def __init__(self, follower: Follower | None = None) -> None:
         super().__init__()
@@ -90,7 +92,7 @@
         self.answer_by_ms = inf
 
     def reduce(self, clock: float, event: Event) -> list[Effect]:
-        """Take in one event and return the effects that it asks for, in order."""
+        """Apply one event at the time `clock` (ms) and return its effects in order."""
         self.clock = clock
         effects: list[Effect] = []
         self.effects = effects
@@ -99,20 +101,20 @@
             self.follower.observe(self, event, effects)
         return effects
 
-    # The node, its settings and its end.
+    # The node: start, settings, shutdown and timers.
 
     def node_started(self, event: NodeStarted) -> None:
-        """Make the dispatcher."""
+        """Create the dispatcher."""
         self.dispatcher = self.dispatcher_type(event.settings, event.seed, self)
 
     def settings_changed(self, event: SettingsChanged) -> None:
-        """Configure the dispatcher; open requests keep to an order by key that is newly asked for."""
+        """Configure the dispatcher; open requests join key queues that the new settings require."""
         self.dispatcher.configure(event.settings)
         for state in self.open_requests.values():
             self.dispatcher.join_key_queue(state)
 
     def shutdown_begun(self, event: ShutdownBegun) -> None:
-        """Answer by the rules, once the time is up, all requests that are still open."""
+        """Set a timer that answers all requests that are open by then, rejecting or failing each."""
         self.answer_by_ms = self.clock + event.left_ms
 
         def answer_all() -> None:
@@ -122,15 +124,18 @@
         self.after(event.left_ms, answer_all)
 
     def timer_fired(self, event: TimerFired) -> None:
-        """Call back what waits for a timer."""
+        """Call the function that waits for a timer."""
         call = self.timers.pop(event.timer_id, None)
         if call is not None:
             call()
 
-    # Servers.
+    # Servers: endpoint list, probes and gossip.
 
     def endpoint_list_updated(self, event: EndpointListUpdate) -> None:
-        """Hand an update of the endpoint list on under dense indices."""
+        """Pass an update of the endpoint list to the dispatcher, with dense indices in place of names.
+
+        Cancels unsent attempts at servers that are no longer ready or whose process has restarted.
+        """
         endpoints = [indexed_endpoint(entry, self.servers.index_of(entry.server)) for entry in event.entries]
         dispatcher = self.dispatcher
         started_ms = {server: dispatcher.process_started_ms[server] for server in dispatcher.monitored}
@@ -143,22 +148,22 @@
                 self.cancel_unsent(server)
         if event.update_kind is ListUpdateKind.FAILED:
             return
-        self.note_listed(event)
+        self.record_unlisted(event)
         self.forget_long_gone()
 
     def cancel_unsent(self, server: int) -> None:
         """Cancel attempts at a server that are not sent yet.
 
-        Guards a server that drains, or is in slow start, against attempts on their way: one counts from its
-        first byte, which may come the time of a connect after the decision.
+        Guards a server that drains or is in slow start against attempts that were decided earlier: an attempt
+        counts from its first byte, which may be sent only after the time of a connect.
         """
         self.effects += [
             CancelAttempt(state.request.request_id, index, even_if_sent=False)
             for state, index in self.dispatcher.own_attempts[server]
         ]
 
-    def note_listed(self, event: EndpointListUpdate) -> None:
-        """Note which servers are off the endpoint list."""
+    def record_unlisted(self, event: EndpointListUpdate) -> None:
+        """Record which servers are not on the endpoint list, by an update of the list."""
         listed = {entry.server for entry in event.entries if entry.state is not EndpointState.GONE}
         if event.update_kind is ListUpdateKind.DELTA:
             names = [entry.server for entry in event.entries]
@@ -169,32 +174,33 @@
     def forget_long_gone(self) -> None:
         """Forget servers that have long been gone, once no attempt or probe is in flight there.
 
-        Guards a node that runs for weeks against figures of every server there ever was.
+        Guards a node that runs for weeks against accumulating records of all servers that ever existed.
         """
         dispatcher = self.dispatcher
         memory_ms = FORGET_AFTER_LIST_MAX_AGES * dispatcher.settings.list_max_age_ms
         for name in self.servers.gone_before(self.clock - memory_ms):
             server = self.servers.by_name[name]
             if not dispatcher.own_attempts[server] and dispatcher.probe_sent_ms[server] is None:
-                # Guards the sums by kind where only draining excludes: one off the list may still be in use.
+                # With `only_draining_excludes` an unlisted server may still be in use. Guards against leaving
+                # a forgotten server in the sums by kind.
                 dispatcher.remove({server})
                 dispatcher.in_use_though_removed.pop(server, None)
                 dispatcher.reset(server)
                 self.servers.forget(name)
 
     def probe_ended(self, event: ProbeEnded) -> None:
-        """Hand a probe's end on."""
+        """Pass the outcome of a probe to the dispatcher."""
         server = self.servers.by_name[event.server]
         self.dispatcher.probe_ended(server, event.outcome, event.lag_ms, event.report)
 
     def gossip_received(self, event: GossipReceived) -> None:
-        """Hand another node's message on."""
+        """Pass a gossip message from another node to the dispatcher."""
         self.dispatcher.merge_gossip(event.peer, self.clock, event.message)
 
     # Requests and their attempts.
 
     def request_arrived(self, event: RequestArrived) -> None:
-        """Accept a request, to be answered before this node ends; reject it where no key can be held."""
+        """Accept a request, to be answered before a shutdown ends, or reject it if no key can be added."""
         request = event.request
         if request.deadline_at_ms > self.answer_by_ms:
             request = replace(request, deadline_at_ms=self.answer_by_ms)
@@ -202,33 +208,38 @@
             prior = self.prior_attempts(request)
             wait_ms = self.idempotency_records.wait_for_key_ms(self.clock)
             if not prior and wait_ms and request.is_recordable:
-                # Nothing of it ran: it may come back once a key is free. None that may have run is dropped.
+                # No attempt of it ran, so the client may retry once a key is free. Keys of requests that may
+                # have run are never dropped instead.
                 retry_after_ms = min(wait_ms, self.dispatcher.settings.max_retry_after_ms)
                 self.effects.append(Reject(request.request_id, retry_after_ms))
                 return
-            # The first one is enough: its group has them all, and servers remember them from its time on.
+            # The first attempt is enough: all others went to its zone or cell, and the servers' deduplication
+            # window counts from its sending.
             attempts = tuple((self.recorded_server(record), record.sent_ms) for record in prior[:1])
             request = replace(request, prior_attempts=attempts)
         elif not request.is_recordable and request.is_sendable:
-            request = replace(request, is_recordable=True)  # it needs no record
+            request = replace(request, is_recordable=True)  # the request needs no record
         state = self.dispatcher.accept(request)
         if not state.is_closed:
             self.open_requests[event.request.request_id] = state
 
     def needs_record(self, request: Request) -> bool:
-        """Return whether it must be on record that a request may have run."""
+        """Return whether a request must be recorded before it is sent."""
         request_class = self.dispatcher.request_classes[request.class_index]
         return request.idempotency_key is not None and request_class.idempotency is not Idempotency.SAFE
 
     def prior_attempts(self, request: Request) -> list[AttemptRecord]:
-        """Return what may have run under a request's key, or that this is not known."""
+        """Return the attempts that may have run under a request's key, or `UNKNOWN_ATTEMPT`.
+
+        The latter stands for a retry of a request whose attempts may be among missing records.
+        """
         prior = self.idempotency_records.attempts(request.idempotency_key or "", self.clock)
         if not prior and request.may_be_retry and self.is_history_incomplete():
             return [UNKNOWN_ATTEMPT]
         return prior
 
     def recorded_server(self, record: AttemptRecord) -> int:
-        """Return the index of an attempt's server, which may be gone, with its group on record."""
+        """Return the index of an attempt's server; for a server that is gone, record its zone and cell."""
         server, dispatcher = self.servers.index_of(record.server), self.dispatcher
         if server >= len(dispatcher.endpoint_state) or (
             dispatcher.endpoint_state[server] is EndpointState.GONE and dispatcher.cell[server] != record.cell
@@ -238,25 +249,25 @@
         return server
 
     def attempt_started(self, event: AttemptStarted) -> None:
-        """Hand on that an attempt runs."""
+        """Pass the start of an attempt to its request."""
         state = self.open_requests.get(event.request_id)
         if state is not None:
             state.started(event.attempt_index)
 
     def attempt_progressed(self, event: AttemptProgressed) -> None:
-        """Hand on how far an attempt has come."""
+        """Pass the progress of an attempt to its request."""
         state = self.open_requests.get(event.request_id)
         if state is not None:
             state.progress(event.attempt_index, event.share)
 
     def response_streaming(self, event: ResponseStreaming) -> None:
-        """Hand on that an attempt's response is on its way to the client."""
+        """Pass to its request that the response of an attempt is being sent to the client."""
         state = self.open_requests.get(event.request_id)
         if state is not None:
             state.streaming(event.attempt_index)
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        """Hand an attempt's end on, and its result to the client that still waits for it."""
+        """Pass the end of an attempt to its request, and its result to the client if that still waits."""
         state = self.open_requests.get(event.request_id)
         if state is None:
             return
@@ -266,14 +277,14 @@
         self.forget_if_over(event.request_id, state)
 
     def client_left(self, event: ClientLeft) -> None:
-        """Cancel what is in flight for a request whose client has gone."""
+        """Cancel the attempts in flight of a request whose client has left."""
         state = self.open_requests.get(event.request_id)
         if state is not None:
             state.close()
             self.forget_if_over(event.request_id, state)
 
     def not_durable(self, event: NotDurable) -> None:
-        """Answer a request whose attempt could not be put on record; nothing more of it may be sent."""
+        """Answer a request whose attempt could not be recorded; no further attempt may be sent."""
         state = self.open_requests.get(event.request_id)
         if state is not None:
             state.max_attempts = 0
@@ -281,45 +292,49 @@
             self.attempt_ended(ended)
 
     def reject(self, state: TrackedRequest, retry_after_ms: float) -> None:
-        """Reject a request, and forget it where nothing of it is in flight: no event would do so later."""
+        """Reject a request and forget it if no attempt is in flight, as no later event would remove it."""
         super().reject(state, retry_after_ms)
         self.forget_if_over(state.request.request_id, state)
 
     def fail(self, state: TrackedRequest) -> None:
-        """Fail a request, and forget it where nothing of it is in flight: no event would do so later."""
+        """Fail a request and forget it if no attempt is in flight, as no later event would remove it."""
         super().fail(state)
         self.forget_if_over(state.request.request_id, state)
 
     def forget_if_over(self, request_id: str, state: TrackedRequest) -> None:
-        """Forget a request that has its answer and no attempt in flight."""
+        """Remove a request from the open ones if it has its answer and no attempt in flight."""
         if state.is_closed and not state.in_flight_count():
             self.open_requests.pop(request_id, None)
 
-    # What may have run before this node started, or in other processes of it.
+    # Requests that may have run before this node started, or in other processes of the node.
 
     def history_recovered(self, event: HistoryRecovered) -> None:
-        """Take in what may have run before the node started."""
+        """Restore the records of requests that may have run before the node started."""
         self.idempotency_records.restore(event.records)
 
     def peer_attempt(self, event: PeerAttempt) -> None:
-        """Take in what another process of this node sends, once: a snapshot may have had it too."""
+        """Record an attempt of another process of this node, unless a snapshot has brought the record."""
         if event.record not in self.idempotency_records.attempts(event.key, self.clock):
             self.idempotency_records.add(event.key, event.record)
 
     def peer_attempt_never_ran(self, event: PeerAttemptNeverRan) -> None:
-        """Take an attempt of another process off the record."""
+        """Erase the record of an attempt of another process, which provably never ran."""
         self.idempotency_records.never_ran(event.key, event.server, event.sent_ms)
 
     def history_unavailable(self, event: HistoryUnavailable) -> None:
-        """Take retries as perhaps sent by a source, until it is known or servers have forgotten it."""
+        """Record that a source's records are missing.
+
+        Until they are available, or servers have forgotten the source's requests, a retry may be of one of
+        these.
+        """
         self.unavailable_history.add(event.source, event.since_ms)
 
     def history_available(self, event: HistoryAvailable) -> None:
-        """Note that what a source has sent is known."""
+        """Record that the records of a source are available."""
         self.unavailable_history.discard(event.source)
 
     def is_history_incomplete(self) -> bool:
-        """Return whether a retry may be of a request that was sent and is not known here."""
+        """Return whether a retry may be of a request that was sent but whose record is missing here."""
         if not self.unavailable_history.last_sent_ms:
             return False
         longest_ms = max(
@@ -335,7 +350,7 @@
     # Figures for operators.
 
     def avoided_count(self) -> int:
-        """Return how many listed servers get nothing now."""
+        """Return how many listed servers are avoided, i.e. are sent nothing now."""
         dispatcher = self.dispatcher
         return sum(
             state is not EndpointState.GONE and dispatcher.is_avoided(server)
@@ -343,7 +358,7 @@
         )
 
     def slow_start_figures(self, name: str, class_index: int, slots: float) -> SlowStartFigures:
-        """Return a server's slow start budget, and what a request of a class and width costs."""
+        """Return a server's slow start budget and the cost of a request of a class with some slots."""
         server, dispatcher = self.servers.by_name.get(name), self.dispatcher
         planned = dispatcher.slow_start_budget(server) if server is not None else inf
         if planned == inf:
--- a/marlseam/core/servers.py
+++ b/marlseam/core/servers.py
@@ -1,4 +1,4 @@
-"""Dense indices of servers by name, and which servers are long gone."""
+"""Dense indices of servers by name, and the times since which servers are off the endpoint list."""
 
 from zlib import crc32
 
@@ -7,7 +7,7 @@
 
 
 def indexed_endpoint(entry: EndpointEntry, index: int) -> Endpoint:
-    """Return an entry of the endpoint list under its server's dense index."""
+    """Return an entry of the endpoint list with the dense index of its server in place of the name."""
     return Endpoint(
         index,
         entry.state,
@@ -21,13 +21,13 @@
 
 
 class ServerIndices:
-    """The names behind the dense indices of the decision module.
+    """The mapping between names of servers and the dense indices that the decision modules use.
 
     Attributes:
         by_name: the index of each server that is not forgotten.
-        names: the names by index; "" for an index that is free.
+        names: the names by index; outdated for a free index.
         free: indices of forgotten servers, for reuse.
-        gone_since_ms: since when servers are off the endpoint list.
+        gone_since_ms: by name, since when a server has been off the endpoint list.
     """
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         self.gone_since_ms: dict[str, float] = {}
 
     def index_of(self, name: str) -> int:
-        """Return a server's index, a free or new one for a name not seen before."""
+        """Return the index of a server, assigning a free or new one to an unknown name."""
         index = self.by_name.get(name)
         if index is None:
             if not self.free:
@@ -48,7 +48,7 @@
         return index
 
     def update(self, names: list[str], listed: set[str], now: float) -> None:
-        """Note of each name whether the endpoint list has it now."""
+        """Record for each name whether the server is listed now; `now` is in ms."""
         for name in names:
             if name in listed:
                 self.gone_since_ms.pop(name, None)
@@ -56,7 +56,7 @@
                 self.gone_since_ms.setdefault(name, now)
 
     def gone_before(self, long_ago_ms: float) -> list[str]:
-        """Return the servers that have been gone since before some time."""
+        """Return the names of servers that have been off the endpoint list since before `long_ago_ms`."""
         return [name for name, since_ms in self.gone_since_ms.items() if since_ms < long_ago_ms]
 
     def forget(self, name: str) -> None:
--- a/marlseam/counters.py
+++ b/marlseam/counters.py
@@ -1,37 +1,37 @@
-"""What a node counts for its operators from its process's start; pure, and told where a thing happens."""
+"""Counters of a node for its operators, from the start of its process. No I/O; callers report each event."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-ENDS = ("completed", "rejected", "failed")  # final answers by the names that operators see, in their order
+ENDS = ("completed", "rejected", "failed")  # kinds of final answers, as named and ordered for operators
 
 
 @dataclass
 class Counters:
-    """Counts that only grow: final answers by request class, attempts, and files taken or turned down."""
+    """Monotonic counters of final answers by request class, attempts, reloads and internal errors."""
 
     answers: dict[str, dict[str, int]] = field(default_factory=dict)
-    attempts: int = 0  # whose last byte was handed to the system, however they ended
+    attempts: int = 0  # attempts whose last byte was passed to the operating system, however they ended
     reloads: int = 0
     reload_errors: int = 0
-    faults: int = 0  # requests that met an error of this program, and were answered for it
+    faults: int = 0  # requests that were answered because of an error of this program
 
     def declare_classes(self, names: Iterable[str]) -> None:
-        """Show these request classes from now on, 0 at first; one that has gone keeps its counts."""
+        """Add counters at 0 for request classes that have none; removed classes keep their counters."""
         for name in names:
             self.answers.setdefault(name, dict.fromkeys(ENDS, 0))
 
     def count_answer(self, class_name: str, status: int) -> None:
-        """Count a request's final answer by the status that its client is told."""
-        how = "completed" if status == 200 else "rejected" if status in (429, 503) else "failed"
-        self.answers[class_name][how] += 1
+        """Count a request's final answer by the HTTP status that is sent to its client."""
+        end = "completed" if status == 200 else "rejected" if status in (429, 503) else "failed"
+        self.answers[class_name][end] += 1
 
     def text(self, **now: int) -> str:
-        """Return all figures, one `name=value` a line; `now` holds those that are read at this moment."""
+        """Return all figures, one `name=value` per line; `now` holds those that are read at this moment."""
         rows = {
-            f"downstream_requests.{class_name}.{how}": count
+            f"downstream_requests.{class_name}.{end}": count
             for class_name, counts in self.answers.items()
-            for how, count in counts.items()
+            for end, count in counts.items()
         }
         rows |= {"upstream_requests": self.attempts, **now}
         rows |= {"config_reloads": self.reloads, "config_reload_errors": self.reload_errors}
--- a/marlseam/random_source.py
+++ b/marlseam/random_source.py
@@ -1,9 +1,9 @@
-"""Reproducible random numbers: CRC-32 over a seed and a counter, then a step that is not linear.
+"""Reproducible random numbers: CRC-32 over a seed and a counter, followed by a non-linear finaliser.
 
-CRC-32 alone is linear: what two texts of one length differ in gives the same pattern of bits in all their
-numbers, so neighbouring seeds would draw alike, and a draw would predict the next. Source of the step:
-fmix32, the finaliser of MurmurHash3 (Austin Appleby, 2011, public domain). It is one to one and flips each
-bit of what comes out with a probability near one half for each bit that goes in.
+CRC-32 alone is linear: a given difference between two texts of equal length always gives the same difference
+between their checksums, so adjacent seeds would give correlated sequences, and a number would predict the
+next one. The finaliser is fmix32 of MurmurHash3 (Austin Appleby, 2011, public domain). It is a bijection, and
+flipping one input bit flips each output bit with a probability near one half.
 """
 
 from zlib import crc32
@@ -12,7 +12,7 @@
 
 
 def number(text: bytes, crc: int = 0) -> int:
-    """Return the whole number in [0, 2**32) that belongs to a text, or to one that goes on after a CRC."""
+    """Return a hash in [0, 2**32) of a text, or, given the CRC-32 of a prefix, of prefix and text."""
     mixed = crc32(text, crc)
     mixed = ((mixed ^ mixed >> 16) * 0x85EBCA6B) & MASK_32_BITS
     mixed = ((mixed ^ mixed >> 13) * 0xC2B2AE35) & MASK_32_BITS
@@ -20,11 +20,11 @@
 
 
 class RandomSource:
-    """A sequence of random numbers of its own for each seed.
+    """A sequence of random numbers determined by a seed.
 
     Attributes:
-        crc: the CRC-32 of the seed's text.
-        draws: how many numbers were drawn.
+        crc: the CRC-32 of the text of the seed.
+        draws: how many numbers have been drawn.
     """
 
     __slots__ = ("crc", "draws")
