--- a/marlseam/shadow_policy.py
+++ b/marlseam/shadow_policy.py
@@ -1,8 +1,9 @@
-"""A shadow policy: what other settings would have decided where the node has just decided. Pure of I/O.
+"""A shadow policy: compares each decision of the node with that under other settings. It does no I/O.
 
-The shadow dispatcher has figures and a random sequence of its own. It takes in all that the node's dispatcher
-takes in, and what that has sent; it neither sends nor probes nor sets a timer, and the node never asks it. It
-sees no consequences of decisions that were not carried out: its figures follow the node's own course.
+The shadow dispatcher has statistics and a random sequence of its own. It processes the same events as the
+node's dispatcher, and the attempts that the latter has sent; it neither sends nor probes nor sets timers, and
+has no influence on the node. As its own decisions are not carried out, their consequences are not observed:
+its statistics are those of the node's decisions.
 """
 
 from collections import Counter
@@ -24,13 +25,13 @@
     TrackedRequest,
 )
 
-SEED_MASK = 0x5EED  # sets the shadow's random sequence apart from the node's
+SEED_MASK = 0x5EED  # makes the shadow's random sequence differ from the node's
 
 DecidedEffect = core.SendAttempt | core.Reject | core.Fail
 
 
 def decision_of(effect: DecidedEffect) -> Decision:
-    """Return the decision that an effect shows, a sending as one to the home server."""
+    """Return the decision that led to an effect; any `SendAttempt` counts as sent to the home server."""
     match effect:
         case core.SendAttempt():
             return Decision.HOME
@@ -40,14 +41,18 @@
             return Decision.FAILED
 
 
-class SilentPort:
-    """A port through which nothing happens."""
+class NullPort:
+    """A port whose operations have no effect.
+
+    Attributes:
+        clock: the time of the current event, in milliseconds.
+    """
 
     def __init__(self) -> None:
         self.clock = 0.0
 
     def now(self) -> float:
-        """Return the time of the event in hand."""
+        """Return the time of the current event."""
         return self.clock
 
     def send(self, state: TrackedRequest, server: int, deadline_ms: float) -> None:
@@ -69,10 +74,10 @@
         """Set no timer."""
 
     def never_ran(self, state: TrackedRequest, server: int, sent_ms: float) -> None:
-        """Change no record."""
+        """Erase no record."""
 
     def watch_endpoints(self) -> None:
-        """Ask for no list."""
+        """Request no list."""
 
     def publish(self, message: bytes) -> None:
         """Publish nothing."""
@@ -82,63 +87,64 @@
 
 
 class ShadowRequest(RequestState):
-    """A request as the shadow dispatcher knows it: it takes note, and seeks nothing of its own accord."""
+    """The shadow dispatcher's state of a request, which records events but starts no attempt of its own."""
 
     def retry(self) -> None:
-        """Leave it to the node what follows."""
+        """Do nothing, as the node decides on retries."""
 
 
 class ShadowPolicy:
-    """Follows a reducer and counts, by kind, where other settings would have decided otherwise.
+    """Observes a reducer and counts, by pairs of decisions, where other settings lead to another decision.
 
     Attributes:
-        change: gives the other settings for the node's.
+        change_settings: returns the shadow's settings for those of the node.
+        port: the shadow dispatcher's port, which has no effect.
         dispatcher: the shadow dispatcher, from the node's start on.
-        open_requests: requests without their final answer, or with attempts in flight, by id.
-        decided: how many decisions of the node were compared.
-        otherwise: how many were otherwise, by the node's decision and the shadow's.
-        checked_ms: when the shadow's last periodic check was.
+        open_requests: requests without a final answer or with attempts in flight, by id.
+        decision_count: how many decisions of the node were compared.
+        differences: how many decisions differed, by the node's decision and the shadow's.
+        last_check_ms: when the shadow's last periodic check was.
     """
 
     dispatcher: Dispatcher
 
-    def __init__(self, change: Callable[[Settings], Settings]) -> None:
-        self.change, self.port = change, SilentPort()
+    def __init__(self, change_settings: Callable[[Settings], Settings]) -> None:
+        self.change_settings, self.port = change_settings, NullPort()
         self.open_requests: dict[str, ShadowRequest] = {}
-        self.decided, self.checked_ms = 0, 0.0
-        self.otherwise: Counter[tuple[Decision, Decision]] = Counter()
+        self.decision_count, self.last_check_ms = 0, 0.0
+        self.differences: Counter[tuple[Decision, Decision]] = Counter()
 
     def observe(self, reducer: core.Reducer, event: core.Event, effects: Iterable[core.Effect]) -> None:
-        """Take in an event and what the node did upon it."""
+        """Process an event and the node's effects for it, and compare the decisions among them."""
         self.port.clock = reducer.clock
-        self.take_event(reducer, event, effects)
+        self.process_event(reducer, event, effects)
         for effect in effects:
-            self.take_effect(reducer, effect, compare=type(event) is not core.RequestArrived)
+            self.process_effect(reducer, effect, compare=type(event) is not core.RequestArrived)
 
     def lines(self) -> list[str]:
-        """Return the counts, the most frequent first, in a line each."""
-        head = f"watch: {self.decided} decisions, {self.otherwise.total()} otherwise by the settings watched"
-        rows = sorted(self.otherwise.items(), key=lambda row: (-row[1], row[0][0].value, row[0][1].value))
+        """Return log lines: one with the totals, then one for each pair of decisions, most frequent first."""
+        head = f"watch: {self.decision_count} decisions, {self.differences.total()} differ by shadow settings"
+        rows = sorted(self.differences.items(), key=lambda row: (-row[1], row[0][0].value, row[0][1].value))
         return [
             head,
             *(
-                f"watch: {count} times {decided.value} where it would be {other.value}"
+                f"watch: {count} times decided {decided.value}, by shadow settings {other.value}"
                 for (decided, other), count in rows
             ),
         ]
 
-    # Decisions beside the shadow's.
+    # Comparison of decisions.
 
     def count(self, decided: Decision, other: Decision) -> None:
-        """Count a decision of the node beside the shadow's."""
-        self.decided += 1
+        """Count a decision `decided` of the node, for which the shadow's is `other`."""
+        self.decision_count += 1
         if decided is not other:
-            self.otherwise[decided, other] += 1
+            self.differences[decided, other] += 1
 
     def request_arrived(
         self, reducer: core.Reducer, request: Request, effects: Iterable[core.Effect]
     ) -> None:
-        """Compare what is first decided of a request."""
+        """Track a request that has arrived, and compare the first decision on it."""
         state = reducer.open_requests.get(request.request_id)
         self.dispatcher.count_arrival(request)
         shadow = ShadowRequest(self.dispatcher, state.request if state is not None else request)
@@ -150,13 +156,13 @@
             self.count(decided, final_decision(shadow))
 
     def compare(self, state: RequestState | None, shadow: ShadowRequest, effect: DecidedEffect) -> None:
-        """Compare what is decided of a request after its arrival."""
-        self.count(later_decision(state, effect), self.other_decision(state, shadow, effect))
+        """Compare a decision on a request after its arrival."""
+        self.count(later_decision(state, effect), self.shadow_decision(state, shadow, effect))
 
-    def other_decision(
+    def shadow_decision(
         self, state: RequestState | None, shadow: ShadowRequest, effect: DecidedEffect
     ) -> Decision:
-        """Return what the shadow would do with a request of which the node has decided just now."""
+        """Return the shadow's decision on a request where the node's has led to `effect`."""
         if type(effect) is not core.SendAttempt or state is None:
             has_time = shadow.may_attempt() and shadow.time_to_spare_ms(min(self.dispatcher.kind_pace)) >= 0.0
             return Decision.QUEUED if has_time else final_decision(shadow)
@@ -169,16 +175,16 @@
             return Decision.QUEUED
         return at_home
 
-    # What the shadow takes in.
+    # Processing of the node's events and effects.
 
-    def take_event(self, reducer: core.Reducer, event: core.Event, effects: Iterable[core.Effect]) -> None:
-        """Take in an event."""
+    def process_event(self, reducer: core.Reducer, event: core.Event, effects: Iterable[core.Effect]) -> None:
+        """Update the shadow's state by an event."""
         match event:
             case core.NodeStarted():
                 seed = crc32(b"%d" % (event.seed ^ SEED_MASK))
-                self.dispatcher = Dispatcher(self.change(event.settings), seed, self.port)
+                self.dispatcher = Dispatcher(self.change_settings(event.settings), seed, self.port)
             case core.SettingsChanged():
-                self.dispatcher.configure(self.change(event.settings))
+                self.dispatcher.configure(self.change_settings(event.settings))
             case core.RequestArrived():
                 self.request_arrived(reducer, event.request, effects)
             case core.EndpointListUpdate():
@@ -191,10 +197,10 @@
             case core.TimerFired():
                 self.check_periodically(reducer.clock)
             case _:
-                self.take_request_event(event)
+                self.process_request_event(event)
 
-    def take_request_event(self, event: core.Event) -> None:
-        """Take in what happens to a request that is open."""
+    def process_request_event(self, event: core.Event) -> None:
+        """Update an open request of the shadow by an event of that request."""
         shadow = self.open_requests.get(getattr(event, "request_id", ""))
         if shadow is None:
             return
@@ -212,12 +218,12 @@
     def attempt_ended(
         self, shadow: ShadowRequest, index: int, outcome: Outcome, final: bool, report: LoadReport | None
     ) -> None:
-        """Take in an attempt's end."""
+        """Apply the outcome of an attempt, and forget the request if it is over."""
         shadow.attempt_ended(index, outcome, final, report)
         self.forget_if_over(shadow)
 
-    def take_effect(self, reducer: core.Reducer, effect: core.Effect, compare: bool) -> None:
-        """Take in what the node has sent or answered, and compare it where it is a decision."""
+    def process_effect(self, reducer: core.Reducer, effect: core.Effect, compare: bool) -> None:
+        """Track an attempt or answer of the node; with `compare`, compare it first if it is a decision."""
         shadow = self.open_requests.get(getattr(effect, "request_id", ""))
         if shadow is None:
             return
@@ -234,10 +240,10 @@
             self.forget_if_over(shadow)
 
     def endpoint_list_updated(self, reducer: core.Reducer, event: core.EndpointListUpdate) -> None:
-        """Take in an update of the endpoint list, under the same indices."""
+        """Apply an update of the endpoint list with the node's indices of servers."""
         if event.update_kind is ListUpdateKind.FAILED:
             return
-        for server in reducer.servers.free:  # a free index may be another server's later
+        for server in reducer.servers.free:  # a free index may later be assigned to another server
             if server < len(self.dispatcher.endpoint_state):
                 self.dispatcher.reset(server)
         endpoints = [
@@ -248,19 +254,19 @@
         self.dispatcher.update_endpoints(event.update_kind, endpoints, event.doubt)
 
     def check_periodically(self, now: float) -> None:
-        """Make the shadow's periodic check as often as the node makes its own."""
-        if now - self.checked_ms >= self.dispatcher.check_interval_ms:
-            self.checked_ms = now
+        """Run the shadow's periodic check if its interval has passed since the last one."""
+        if now - self.last_check_ms >= self.dispatcher.check_interval_ms:
+            self.last_check_ms = now
             self.dispatcher.periodic_check()
 
     def forget_if_over(self, shadow: ShadowRequest) -> None:
-        """Forget a request that has its answer and no attempt in flight."""
+        """Remove a request from the open ones if it has its answer and no attempt in flight."""
         if shadow.is_over():
             del self.open_requests[shadow.request.request_id]
 
 
 def first_decision(request: Request, state: RequestState | None, effects: Iterable[core.Effect]) -> Decision:
-    """Return what the node has first decided of a request, by the effects of its arrival."""
+    """Return the node's first decision on a request, by the effects of its arrival."""
     for effect in effects:
         if isinstance(effect, DecidedEffect) and effect.request_id == request.request_id:
             return decision_of(effect)
@@ -270,7 +276,7 @@
 
 
 def later_decision(state: RequestState | None, effect: DecidedEffect) -> Decision:
-    """Return what the node has decided of a request after its arrival."""
+    """Return the node's decision on a request after its arrival, by the effect that it led to."""
     if not isinstance(effect, core.SendAttempt) or state is None or not has_probed_others(state):
         return decision_of(effect)
     is_home = state.attempts[effect.attempt_index].server == state.home_server
@@ -283,5 +289,5 @@
 
 
 def has_probed_others(state: RequestState) -> bool:
-    """Return whether servers besides home were probed for a request."""
+    """Return whether servers other than the home server were probed for a request."""
     return state.probed_servers not in ([], [state.home_server])
--- a/tests/test_shadow_policy.py
+++ b/tests/test_shadow_policy.py
@@ -1,4 +1,4 @@
-"""The shadow policy changes nothing of what a node does, and counts where it would decide otherwise."""
+"""The shadow policy has no effect on the node and counts where its decisions would differ."""
 
 import json
 import signal
@@ -24,9 +24,9 @@
 
 
 def day_events(rounds=60, has_weights_and_keys=True):
-    """Yield times and events of a day: arrivals, ends of attempts, changes of the list, timers.
+    """Yield pairs of time (ms) and event of a day: arrivals, ends of attempts, list updates, timers.
 
-    None in place of an event means that servers answer the probes and attempts so far.
+    None in place of an event means that the servers answer the probes and start the attempts so far.
     """
     yield 0.0, core.NodeStarted(SETTINGS, 7)
     yield 1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [make_entry(f"e{i}", 3.0) for i in range(4)])
@@ -49,7 +49,7 @@
 
 
 def answers_to(probes, attempts):
-    """Return the events by which servers answer probes and start attempts."""
+    """Return the events of servers that answer probes and start attempts."""
     report = LoadReport(queued=0.0, free_slots=2.0)
     ended = [core.ProbeEnded(probe.server, Outcome.COMPLETED, 1.0, report) for probe in probes]
     started = [core.AttemptStarted(attempt.request_id, attempt.attempt_index) for attempt in attempts]
@@ -73,7 +73,7 @@
 
 
 def policy_with(**changes):
-    """Return a shadow policy whose settings differ in these."""
+    """Return a shadow policy whose settings differ from the node's in `changes`."""
     return ShadowPolicy(lambda settings: replace(settings, **changes))
 
 
@@ -84,19 +84,19 @@
 def test_a_shadow_policy_changes_no_effect(changes):
     shadow_policy = policy_with(**changes)
     assert effects_of_day(shadow_policy) == effects_of_day()
-    assert shadow_policy.decided > 60
+    assert shadow_policy.decision_count > 60
 
 
 def test_weights_and_keys_change_no_effect_without_their_settings():
     assert effects_of_day() == effects_of_day(has_weights_and_keys=False)
 
 
-def test_the_same_settings_agree_and_answered_requests_are_forgotten():
+def test_the_same_settings_lead_to_the_same_decisions_and_answered_requests_are_forgotten():
     shadow_policy = policy_with()
     effects_of_day(shadow_policy)
-    # The home server is drawn at random, so that the two may draw different ones.
-    by_chance = {(Decision.PROBE_HOME, Decision.HOME), (Decision.HOME, Decision.PROBE_HOME)}
-    assert set(shadow_policy.otherwise) <= by_chance
+    # The home server is drawn at random, so node and shadow may draw different ones.
+    random_differences = {(Decision.PROBE_HOME, Decision.HOME), (Decision.HOME, Decision.PROBE_HOME)}
+    assert set(shadow_policy.differences) <= random_differences
     open_requests = shadow_policy.open_requests.values()
     assert all(not state.is_closed or state.in_flight_count() for state in open_requests)
 
@@ -106,14 +106,14 @@
     reducer.reduce(0.0, core.NodeStarted(SETTINGS, 7))
     reducer.reduce(1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [make_entry("e0")]))
     reducer.reduce(2.0, core.RequestArrived(Request("w", 0, 5000.0)))
-    assert reducer.follower.otherwise == {(Decision.PROBE_HOME, Decision.HOME): 1}
-    assert reducer.follower.decided == 1
-    assert reducer.follower.lines()[1] == "watch: 1 times home asked where it would be home"
+    assert reducer.follower.differences == {(Decision.PROBE_HOME, Decision.HOME): 1}
+    assert reducer.follower.decision_count == 1
+    assert reducer.follower.lines()[1] == "watch: 1 times decided home asked, by shadow settings home"
 
 
 @pytest.fixture
 def load_with(tmp_path):
-    """Return a function that loads a node's configuration with operators' settings of this text."""
+    """Return a function that loads a node's configuration with operators' settings from a TOML text."""
 
     def read(text):
         values = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": OPTIONS}
@@ -151,7 +151,7 @@
 
 
 def test_a_node_process_logs_its_counts_at_the_end_and_answers_requests(tmp_path):
-    # Its one server has an address that refuses connections.
+    # The address of the only server refuses connections.
     (tmp_path / "node.json").write_text(json.dumps(NODE_CONFIG))
     (tmp_path / "operators.toml").write_text('[watch]\nweights = "live"\nreports = "answers"\n')
     files = ["--config", str(tmp_path / "node.json"), "--settings", str(tmp_path / "operators.toml")]
