--- a/tests/dispatchers.py
+++ b/tests/dispatchers.py
@@ -1,4 +1,4 @@
-"""What tests of decisions ask of a dispatcher, and endpoint lists that they give it."""
+"""Helpers of the tests of decisions: queries of a dispatcher, and updates of its endpoint list."""
 
 from marlseam.decisions.types import Endpoint, EndpointState, ListUpdateKind
 
@@ -11,12 +11,12 @@
 
 
 def pending_count(dispatcher, is_retry=False):
-    """Return how many requests wait for a first attempt, or for a further one."""
+    """Return how many requests wait in the pending queue for a first attempt, or for a retry."""
     return sum(len(queue) for key, queue in dispatcher.pending_queues.items() if key.is_retry is is_retry)
 
 
 def update_weights(dispatcher, *weights):
-    """Update the list with servers of these weights, whose name hashes are 100 and up."""
+    """Update the endpoint list with ready servers of these weights and of name hashes from 100 on."""
     entries = [
         Endpoint(server, EndpointState.READY, 0, 0, 0, None, weight, 100 + server)
         for server, weight in enumerate(weights)
--- a/tests/effects_digest.py
+++ b/tests/effects_digest.py
@@ -1,8 +1,8 @@
-"""A digest of all effects of the reducer, field by field and without names of types or fields.
+"""A digest of all effects of the reducer, by the values of their fields without names of types or fields.
 
-Two kinds of plays: whole days of the virtual driver, and walks in which a seeded world answers one reducer at
-random, so that each event and each setting is met. Whatever is drawn, asked or answered otherwise than
-before, or in another order, changes the digest. Lines for staff count by the numbers in them alone.
+The effects come from two kinds of plays: whole days of the virtual driver, and random walks in which a seeded
+environment responds to one reducer, so that each event and each setting occurs. Any change of the effects or
+of their order changes the digest. Of log lines only the numbers in them are part of the digest.
 """
 
 import hashlib
@@ -47,7 +47,7 @@
 
 
 def plain(value):
-    """Return a value as text that holds no name."""
+    """Return a value as text without names of types, fields or enum members."""
     if isinstance(value, Enum):
         return f"#{list(type(value)).index(value)}"
     if is_dataclass(value):
@@ -58,23 +58,29 @@
 
 
 class Digest:
-    """Takes in effects one by one."""
+    """A running digest and the number of effects by code.
+
+    Attributes:
+        hash: the SHA-256 of the effects so far.
+        effect_counts: the number of effects by their codes in `CODES`.
+    """
 
     def __init__(self):
-        self.hash, self.kinds = hashlib.sha256(), Counter()
+        self.hash, self.effect_counts = hashlib.sha256(), Counter()
 
-    def take(self, clock, effects):
+    def add(self, clock, effects):
+        """Add the effects of one event at the time `clock` (ms)."""
         for effect in effects:
             code = CODES[type(effect)]
-            shown = re.findall(r"\d+(?:\.\d+)?", effect.text) if code == 12 else list(effect)
-            self.hash.update(f"{clock!r} {code} {plain(shown)}\n".encode())
-            self.kinds[code] += 1
+            values = re.findall(r"\d+(?:\.\d+)?", effect.text) if code == 12 else list(effect)
+            self.hash.update(f"{clock!r} {code} {plain(values)}\n".encode())
+            self.effect_counts[code] += 1
 
     def result(self):
-        """Return the digest with how many effects of each kind it is of."""
+        """Return the digest with the number of effects by code."""
         return {
             "digest": self.hash.hexdigest(),
-            "effects": {str(code): count for code, count in sorted(self.kinds.items())},
+            "effects": {str(code): count for code, count in sorted(self.effect_counts.items())},
         }
 
 
@@ -82,10 +88,12 @@
 
 
 def fault_tables(*rows):
-    return [{"what": what, "at_s": at, "for_s": 4.0, "share": 0.4, **more} for what, at, more in rows]
+    """Return tables of faults of 4 s and a share of 0.4, given as fault, start (s) and further fields."""
+    return [{"what": what, "at_s": at_s, "for_s": 4.0, "share": 0.4, **more} for what, at_s, more in rows]
 
 
-def of_types(**changes):
+def request_types_with(**changes):
+    """Return the tables of `worlds.TYPES` with some fields changed."""
     return [type | changes for type in worlds.TYPES]
 
 
@@ -122,7 +130,7 @@
     "answers": {"reports": {"answers": True}, "troubles": SERVER_FAULTS, "rate": 25.0},
     "no probes": {"rules": {"probes": False, "cancel": False}, "troubles": SERVER_FAULTS},
     "keyed": {
-        "types": of_types(effect="receipted", group="zone", keys=9),
+        "types": request_types_with(effect="receipted", group="zone", keys=9),
         "clients": {"resend": True, "leave": 0.2},
         "troubles": SERVER_FAULTS,
     },
@@ -135,14 +143,14 @@
 }
 
 
-def played_day(name):
+def day_digest(name):
     """Play a day and return the digest of its nodes' effects."""
     digest = Digest()
 
     class DigestedReducer(Reducer):
         def reduce(self, clock, event):
             effects = super().reduce(clock, event)
-            digest.take(clock, effects)
+            digest.add(clock, effects)
             return effects
 
     tables = dict(DAYS[name])
@@ -151,9 +159,9 @@
     return digest.result()
 
 
-# Walks.
+# Random walks.
 
-TYPES = (
+REQUEST_CLASSES = (
     RequestClass(
         200.0, 2.0, 5000.0, Idempotency.SAFE, DeduplicationScope.ALL, 5000.0, -1, priority_weight=2.0
     ),
@@ -166,7 +174,7 @@
         250.0, 2.0, 5000.0, Idempotency.KEYED, DeduplicationScope.ZONE, 9000.0, -1, ordered_by_key=True
     ),
 )
-BASE = replace(SETTINGS, request_classes=TYPES, kind_count=2, node_count=3, key_gap_ms=40.0)
+BASE = replace(SETTINGS, request_classes=REQUEST_CLASSES, kind_count=2, node_count=3, key_gap_ms=40.0)
 WALKS = {
     "base": {},
     "hedged": {"may_hedge": True, "max_attempts": 3},
@@ -176,125 +184,146 @@
     "not cancelled": {"may_cancel": False, "only_draining_excludes": True, "process_share": 0.5},
     "not probed": {"may_probe": False},
 }
-SERVERS = 14
+SERVER_COUNT = 14
 
 
 class Walk:
-    """One reducer in a world that answers at random; quotas change with `Renewed`."""
+    """One reducer in an environment that responds at random.
+
+    Attributes:
+        settings: the settings at the start; later changes of settings derive from them.
+        core: the reducer.
+        digest: the digest of its effects.
+        random: the source of all random choices, seeded by the name of the walk.
+        heap: the scheduled events by time (ms) and number.
+        count: the number of events scheduled and requests made.
+        clock: the virtual time in ms.
+        ended_attempts: the attempts that have ended, as pairs of request id and index.
+    """
 
     def __init__(self, name):
         self.settings, self.core, self.digest = replace(BASE, **WALKS[name]), Reducer(), Digest()
         self.random, self.heap, self.count = random.Random(name), [], 0
-        self.clock, self.settled = 0.0, set[tuple[str, int]]()
+        self.clock, self.ended_attempts = 0.0, set[tuple[str, int]]()
         self.step(core.NodeStarted(self.settings, 11))
 
-    def at(self, delay, event):
-        """Play an event later; `event` may be a function that makes it then."""
+    def schedule(self, delay_ms, event):
+        """Schedule an event after a delay; `event` may be a function that returns it at that time."""
         self.count += 1
-        heapq.heappush(self.heap, (self.clock + delay, self.count, event))
+        heapq.heappush(self.heap, (self.clock + delay_ms, self.count, event))
 
     def step(self, event):
+        """Pass an event to the reducer, unless its attempt has ended, and respond to the effects."""
         attempt = getattr(event, "request_id", ""), getattr(event, "attempt_index", -1)
-        if attempt in self.settled:
-            return  # an attempt's end is told once, and nothing of it after that
+        if attempt in self.ended_attempts:
+            return  # the end of an attempt is reported once, and no event of the attempt after that
         if type(event) in (core.AttemptEnded, core.NotDurable):
-            self.settled.add(attempt)
+            self.ended_attempts.add(attempt)
         effects = self.core.reduce(self.clock, event)
-        self.digest.take(self.clock, effects)
+        self.digest.add(self.clock, effects)
         for effect in effects:
-            self.answer(effect)
+            self.respond(effect)
 
-    def answer(self, effect):
-        """Draw what becomes of an effect."""
+    def respond(self, effect):
+        """Schedule a random result of an effect."""
         draw = self.random
         if type(effect) is core.SetTimer:
-            self.at(effect.delay_ms, core.TimerFired(effect.timer_id))
+            self.schedule(effect.delay_ms, core.TimerFired(effect.timer_id))
         elif type(effect) is core.Probe:
-            late = draw.choice([0.5, 1.0, 3.0, 300.0])
+            delay_ms = draw.choice([0.5, 1.0, 3.0, 300.0])
             outcome = draw.choice(
                 [Outcome.COMPLETED] * 7 + [Outcome.TIMED_OUT, Outcome.UNREACHABLE, Outcome.BROKEN]
             )
-            self.at(late, core.ProbeEnded(effect.server, outcome, late, self.report()))
+            self.schedule(delay_ms, core.ProbeEnded(effect.server, outcome, delay_ms, self.report()))
         elif type(effect) is core.WatchEndpoints:
-            self.at(
+            self.schedule(
                 2.0,
-                self.whole_list
-                if draw.random() < 0.7
-                else core.EndpointListUpdate(ListUpdateKind.FAILED, []),
+                self.full_list if draw.random() < 0.7 else core.EndpointListUpdate(ListUpdateKind.FAILED, []),
             )
         elif type(effect) is core.Gossip:
-            other = bytearray(effect.message)
-            other[3::4] = bytes(draw.randrange(4) for _ in other[3::4])
-            self.at(1.0, core.GossipReceived(draw.randrange(3), bytes(other)))
+            message = bytearray(effect.message)
+            message[3::4] = bytes(draw.randrange(4) for _ in message[3::4])
+            self.schedule(1.0, core.GossipReceived(draw.randrange(3), bytes(message)))
         elif type(effect) is core.SendAttempt:
             self.attempt(effect)
         elif type(effect) is core.CancelAttempt and draw.random() < 0.8:
-            self.at(
+            self.schedule(
                 0.0,
                 core.AttemptEnded(effect.request_id, effect.attempt_index, Outcome.CANCELLED, False, None),
             )
 
     def attempt(self, effect):
+        """Schedule the random events of an attempt; 5 % of the attempts never end."""
         draw = self.random
         if draw.random() < 0.02:
-            self.at(0.1, core.NotDurable(effect.request_id, effect.attempt_index))
+            self.schedule(0.1, core.NotDurable(effect.request_id, effect.attempt_index))
             return
-        wait, run = draw.expovariate(1 / 30.0), draw.expovariate(1 / 250.0)
+        wait_ms, run_ms = draw.expovariate(1 / 30.0), draw.expovariate(1 / 250.0)
         outcome = draw.choice([Outcome.COMPLETED] * 12 + list(Outcome))
         if draw.random() < 0.9:
-            self.at(wait, core.AttemptStarted(effect.request_id, effect.attempt_index))
-            self.at(wait + run / 2, core.AttemptProgressed(effect.request_id, effect.attempt_index, 0.5))
+            self.schedule(wait_ms, core.AttemptStarted(effect.request_id, effect.attempt_index))
+            self.schedule(
+                wait_ms + run_ms / 2, core.AttemptProgressed(effect.request_id, effect.attempt_index, 0.5)
+            )
         if draw.random() < 0.1:
-            self.at(wait + run * 0.9, core.ResponseStreaming(effect.request_id, effect.attempt_index))
+            self.schedule(
+                wait_ms + run_ms * 0.9, core.ResponseStreaming(effect.request_id, effect.attempt_index)
+            )
         if draw.random() < 0.95:
             final = outcome is Outcome.COMPLETED
-            self.at(
-                wait + run,
+            self.schedule(
+                wait_ms + run_ms,
                 core.AttemptEnded(
                     effect.request_id, effect.attempt_index, outcome, final, self.report(), b"r"
                 ),
             )
 
     def report(self):
-        """Draw a load report, of which parts may be missing."""
+        """Draw a load report or none; each figure may be missing."""
         draw = self.random
-        rows = [draw.choice([None, float(draw.randrange(9))]) for _ in range(3)]
-        return draw.choice([None, LoadReport(*rows)])
+        figures = [draw.choice([None, float(draw.randrange(9))]) for _ in range(3)]
+        return draw.choice([None, LoadReport(*figures)])
 
     def entry(self, number):
+        """Draw the endpoint list's entry of a server."""
         draw = self.random
         state = draw.choice([EndpointState.READY] * 8 + [EndpointState.DRAINING, EndpointState.GONE])
-        born = draw.choice([None, None, self.clock - draw.uniform(0.0, 6000.0)])
+        started_ms = draw.choice([None, None, self.clock - draw.uniform(0.0, 6000.0)])
         cell = number // 3
         return EndpointEntry(
-            f"e{number}", state, number % 2, number % 3, cell, born, draw.choice([None, 0.5, 1.0, 2.0])
+            f"e{number}", state, number % 2, number % 3, cell, started_ms, draw.choice([None, 0.5, 1.0, 2.0])
         )
 
-    def whole_list(self):
-        numbers = self.random.sample(range(SERVERS), self.random.randrange(8, SERVERS))
-        listing = self.random.choice([ListUpdateKind.FULL, ListUpdateKind.FULL, ListUpdateKind.CACHED])
-        doubt = self.random.choice([0.0, 0.4]) if listing is ListUpdateKind.CACHED else 0.0
-        return core.EndpointListUpdate(listing, [self.entry(n) for n in numbers], doubt)
+    def full_list(self):
+        """Draw an update with a whole list, which may be a cached one."""
+        numbers = self.random.sample(range(SERVER_COUNT), self.random.randrange(8, SERVER_COUNT))
+        update_kind = self.random.choice([ListUpdateKind.FULL, ListUpdateKind.FULL, ListUpdateKind.CACHED])
+        doubt = self.random.choice([0.0, 0.4]) if update_kind is ListUpdateKind.CACHED else 0.0
+        return core.EndpointListUpdate(update_kind, [self.entry(n) for n in numbers], doubt)
 
-    def changes(self):
+    def list_changes(self):
+        """Draw an update with changes of two servers."""
         return core.EndpointListUpdate(
-            ListUpdateKind.DELTA, [self.entry(n) for n in self.random.sample(range(SERVERS), 2)]
+            ListUpdateKind.DELTA, [self.entry(n) for n in self.random.sample(range(SERVER_COUNT), 2)]
         )
 
     def arrival(self):
-        draw, type = self.random, self.random.randrange(len(TYPES))
+        """Draw an arrival, and, for 10 % of the requests, schedule that the client leaves."""
+        draw, class_index = self.random, self.random.randrange(len(REQUEST_CLASSES))
         idempotency_key = (
-            f"k{draw.randrange(60)}" if TYPES[type].idempotency is not Idempotency.SAFE else None
+            f"k{draw.randrange(60)}"
+            if REQUEST_CLASSES[class_index].idempotency is not Idempotency.SAFE
+            else None
         )
         self.count += 1
         request_id = f"r{self.count}"
         if draw.random() < 0.1:
-            self.at(draw.uniform(5.0, 900.0), core.ClientLeft(request_id))
+            self.schedule(draw.uniform(5.0, 900.0), core.ClientLeft(request_id))
         return core.RequestArrived(
             Request(
                 request_id,
-                type,
-                self.clock + draw.uniform(50.0, TYPES[type].deadline_ms),
+                class_index,
+                self.clock + draw.uniform(50.0, REQUEST_CLASSES[class_index].deadline_ms),
                 draw.choice([1.0, 1.0, 2.0]),
                 draw.choice([None, 120.0]),
                 idempotency_key,
@@ -307,11 +336,11 @@
 
     def attempt_record(self):
         """Draw the record of an earlier attempt."""
-        name = f"e{self.random.randrange(SERVERS + 3)}"
+        name = f"e{self.random.randrange(SERVER_COUNT + 3)}"
         return AttemptRecord(name, 0, 1, self.clock - 50.0, self.clock + self.random.uniform(100.0, 3000.0))
 
     def rare_event(self):
-        """Draw one of the events that are rare."""
+        """Draw an event of history, of other processes of the node, or of changed settings."""
         draw, key = self.random, f"k{self.random.randrange(60)}"
         return draw.choice(
             [
@@ -330,27 +359,27 @@
 
     def play(self, until_ms=30000.0):
         """Play the walk to its end and return the digest."""
-        draw, t = self.random, 5.0
-        self.at(0.5, self.whole_list)
-        while t < until_ms:
-            t += draw.expovariate(1 / 14.0) * (0.2 if 8000.0 < t < 10000.0 else 1.0)
-            self.at(t, self.arrival)
-        for at in range(500, int(until_ms), 500):
-            self.at(float(at) + 0.25, self.changes)
-            self.at(float(at) + 100.0, self.rare_event)
-        self.at(until_ms, core.ShutdownBegun(1500.0))
+        draw, arrival_ms = self.random, 5.0
+        self.schedule(0.5, self.full_list)
+        while arrival_ms < until_ms:
+            arrival_ms += draw.expovariate(1 / 14.0) * (0.2 if 8000.0 < arrival_ms < 10000.0 else 1.0)
+            self.schedule(arrival_ms, self.arrival)
+        for change_ms in range(500, int(until_ms), 500):
+            self.schedule(float(change_ms) + 0.25, self.list_changes)
+            self.schedule(float(change_ms) + 100.0, self.rare_event)
+        self.schedule(until_ms, core.ShutdownBegun(1500.0))
         while self.heap and self.heap[0][0] < until_ms + 4000.0:
             self.clock, _, event = heapq.heappop(self.heap)
             self.step(event() if callable(event) else event)
         return self.digest.result()
 
 
-def played_walk(name):
+def walk_digest(name):
     """Play a walk and return the digest of its effects."""
     return Walk(name).play()
 
 
-def play_all():
-    """Return each play's digest by its name."""
-    found = {f"day: {name}": played_day(name) for name in DAYS}
-    return found | {f"walk: {name}": played_walk(name) for name in WALKS}
+def all_digests():
+    """Play all days and walks and return their digests by the names used in tests/data/effects.json."""
+    digests = {f"day: {name}": day_digest(name) for name in DAYS}
+    return digests | {f"walk: {name}": walk_digest(name) for name in WALKS}
--- a/tests/recording_port.py
+++ b/tests/recording_port.py
@@ -1,4 +1,4 @@
-"""A port that records what decisions ask of it."""
+"""A port that records the operations that a dispatcher calls."""
 
 from collections.abc import Callable
 
@@ -6,12 +6,12 @@
 
 
 class RecordingPort:
-    """Records each action; its clock stays where a test sets it.
+    """Records each operation; its clock changes only when a test sets it.
 
     Attributes:
         clock: the time in ms.
-        acts: the actions, each a tuple of its name and arguments.
-        timers: when each timer fires, in ms, with its call.
+        acts: the operations, each a tuple of its name and its main arguments.
+        timers: pairs of the time in ms when a timer fires and the function to call then.
 
     """
 
@@ -50,6 +50,6 @@
     def log(self, text: str) -> None:
         self.acts.append(("log", text))
 
-    def did(self, name: str) -> list[tuple]:
-        """Return the actions of one name."""
+    def acts_named(self, name: str) -> list[tuple]:
+        """Return the recorded operations of one name."""
         return [act for act in self.acts if act[0] == name]
--- a/tests/settings_samples.py
+++ b/tests/settings_samples.py
@@ -1,4 +1,4 @@
-"""Settings of dispatchers, and the deployments and configurations that files hold."""
+"""Samples of dispatcher settings, and of deployments and node configurations as in files."""
 
 from dataclasses import replace
 
--- a/tests/test_chance.py
+++ b/tests/test_chance.py
@@ -1,4 +1,4 @@
-"""Random sources: neighbouring seeds and successive draws are independent, and all are repeatable."""
+"""Random sources: sequences of adjacent seeds and successive draws are independent and reproducible."""
 
 import subprocess
 import sys
@@ -22,7 +22,7 @@
 from tests.conftest import SETTINGS, RecordingPort
 
 NAMES = frozenset("abc")
-SEEDS = range(1, 65)  # next to each other, as an operator numbers nodes
+SEEDS = range(1, 65)  # adjacent, as operators number nodes
 MAX_DEVIATIONS = 5.0  # standard deviations of a chi-square sum that chance alone exceeds once in a million
 
 
@@ -53,7 +53,7 @@
 
 
 def draw_from_walk(seed, count):
-    """Return the choices of a random walk, of 128 steps each time."""
+    """Return the choices of a random walk among 128 steps at each state, scaled to [0, 1)."""
 
     def steps_from(at):
         return ((f"{choice:03}", at + 1) for choice in range(128))
@@ -63,11 +63,11 @@
 
 
 def draws_of(make):
-    """Return a function that draws from the random source of what is made."""
+    """Return a function that draws numbers from the random source of the object that `make` returns."""
 
     def draw(seed, count):
-        made = make(seed)
-        return [made.random() for _ in range(count)]
+        owner = make(seed)
+        return [owner.random() for _ in range(count)]
 
     return draw
 
@@ -81,11 +81,14 @@
     "schedule": draw_from_schedule,
     "walk": draw_from_walk,
 }
-CELLS = dict.fromkeys(SOURCES, 10) | {"schedule": 8, "walk": 8}  # a side, in which numbers are counted
+CELLS = dict.fromkeys(SOURCES, 10) | {"schedule": 8, "walk": 8}  # chi-square cells per dimension
 
 
 def chi_square_deviations(rows, cells=10):
-    """Return by how many standard deviations the chi-square of rows of numbers, counted in cells, is off."""
+    """Return the deviation of the chi-square of rows of numbers from its mean, in standard deviations.
+
+    The numbers are counted in `cells` cells per dimension.
+    """
     counts = dict.fromkeys(product(range(cells), repeat=len(rows[0])), 0)
     for row in rows:
         counts[tuple(int(value * cells) for value in row)] += 1
@@ -96,7 +99,8 @@
 
 @pytest.mark.parametrize("source", SOURCES)
 def test_successive_draws_of_a_seed_are_independent(source):
-    # Chi-square of pairs of tenths, 99 degrees of freedom; with CRC-32 alone 295 a degree and more.
+    # Chi-square of pairs in cells of a tenth, 99 degrees of freedom; CRC-32 alone gives 295 and more per
+    # degree.
     for seed in (1, 2, 64, 2**31):
         drawn = SOURCES[source](seed, 20_001)
         pairs = list(zip(drawn, drawn[1:], strict=False))
@@ -105,7 +109,7 @@
 
 
 @pytest.mark.parametrize("source", SOURCES)
-def test_seeds_next_to_each_other_draw_independently(source):
+def test_adjacent_seeds_draw_independently(source):
     drawn = {seed: SOURCES[source](seed, 2000) for seed in range(1, 10)}
     for seed in range(1, 9):
         pairs = list(zip(drawn[seed], drawn[seed + 1], strict=True))
@@ -113,40 +117,41 @@
 
 
 @pytest.mark.parametrize("source", SOURCES)
-def test_the_first_draws_of_seeds_next_to_each_other_are_spread_as_by_chance(source):
-    # By eighths over 64 seeds, seven degrees of freedom each time; of the sum over the first 40 draws.
+def test_the_first_draws_of_adjacent_seeds_are_uniformly_distributed(source):
+    # For each of the first 40 draws, the chi-square of 64 seeds in cells of an eighth, seven degrees of
+    # freedom; the bound is for the sum over the 40 draws.
     drawn = [SOURCES[source](seed, 40) for seed in SEEDS]
     deviations = [chi_square_deviations([(row[at],) for row in drawn], 8) for at in range(40)]
     assert abs(sum(deviations)) / 40.0**0.5 < MAX_DEVIATIONS
 
 
-def test_nodes_with_seeds_next_to_each_other_do_not_poll_discovery_in_step():
-    # Seeds 1 to 64, calls that fail at once: each back-off is drawn in a half to one and a half of the
-    # longest, and at most that. One draw's variance is then 5 / 192 of its square.
+def test_nodes_with_adjacent_seeds_do_not_poll_discovery_at_the_same_times():
+    # Seeds 1 to 64, polls that fail at once: each backoff is drawn from a half to one and a half of the
+    # longest poll interval and cut to it. The variance of one draw is then 5 / 192 of the interval squared.
     ends_ms, polls = [], 12
     for seed in SEEDS:
         dispatcher = make_dispatcher(seed)
         dispatcher.backoff = dispatcher.settings.max_poll_interval_ms
-        began_ms = dispatcher.port.clock
+        start_ms = dispatcher.port.clock
         for _ in range(polls):
             dispatcher.update_endpoints(ListUpdateKind.FAILED, [])
             dispatcher.port.clock = dispatcher.next_poll_ms
-        ends_ms.append(dispatcher.port.clock - began_ms)
+        ends_ms.append(dispatcher.port.clock - start_ms)
     mean_ms = sum(ends_ms) / len(ends_ms)
     deviation_ms = (sum((end_ms - mean_ms) ** 2 for end_ms in ends_ms) / len(ends_ms)) ** 0.5
-    by_chance_ms = (polls * 5.0 / 192.0) ** 0.5 * dispatcher.settings.max_poll_interval_ms
-    assert 0.7 * by_chance_ms < deviation_ms < 1.3 * by_chance_ms
+    expected_ms = (polls * 5.0 / 192.0) ** 0.5 * dispatcher.settings.max_poll_interval_ms
+    assert 0.7 * expected_ms < deviation_ms < 1.3 * expected_ms
 
 
-def test_a_datagram_relay_draws_by_its_own_seed():
+def test_datagram_relays_with_adjacent_seeds_draw_independently():
     relays = [DatagramRelay({"a": "127.0.0.1:1"}, ClusterTable(), seed) for seed in (1, 2)]
     one, two = ([relay.random() for _ in range(2000)] for relay in relays)
     assert abs(chi_square_deviations(list(zip(one, two, strict=True)))) < MAX_DEVIATIONS
     assert abs(chi_square_deviations(list(zip(one, one[1:], strict=False)))) < MAX_DEVIATIONS
 
 
-def test_the_finaliser_is_the_published_one():
-    # MurmurHash3 of nothing under seeds 1 and 2**32 - 1, as published with its tests.
+def test_the_finaliser_gives_the_published_values_of_murmurhash3():
+    # MurmurHash3 of an empty input under the seeds 1 and 2**32 - 1, as published with its tests.
     assert (number(b"", 1), number(b"", 0xFFFFFFFF)) == (0x514E28B7, 0x81F16F39)
     assert number(b"", 0) == 0
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The reducer: events in, effects out, and what it holds in between."""
+"""The reducer: the effects of events, and the state that the reducer keeps."""
 
 from dataclasses import replace
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def reducer(deployment):
-    """Return a reducer that has started, with two servers that have just reported."""
+    """Return a started reducer with two servers that have just reported four free slots."""
     reducer = Reducer()
     reducer.reduce(0.0, core.NodeStarted(deployment.settings, 7))
     reducer.reduce(1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [make_entry("e1"), make_entry("e2")]))
@@ -31,7 +31,7 @@
 
 
 def take_request(reducer, request_id="1", class_index=0, deadline_at_ms=5000.0):
-    """Have a request arrive at 2 ms, and return the effects."""
+    """Pass the arrival of a request at 2 ms to the reducer, and return the effects."""
     return reducer.reduce(2.0, core.RequestArrived(Request(request_id, class_index, deadline_at_ms)))
 
 
@@ -51,7 +51,7 @@
     assert sent.server in ("e1", "e2")
 
 
-def test_a_result_completes_the_request(reducer):
+def test_the_result_of_a_completed_attempt_is_the_response(reducer):
     take_request(reducer)
     assert reducer.reduce(9.0, attempt_ended("1", Outcome.COMPLETED, b"x"))[0] == core.Respond("1", b"x")
 
@@ -62,7 +62,7 @@
     assert not reducer.open_requests
 
 
-def test_a_result_after_the_answer_completes_nothing(reducer):
+def test_a_result_after_the_client_left_causes_no_response(reducer):
     take_request(reducer)
     reducer.reduce(9.0, core.ClientLeft("1"))
     assert not of_type(reducer.reduce(10.0, attempt_ended("1", Outcome.COMPLETED)), core.Respond)
@@ -104,7 +104,7 @@
     assert reducer.reduce(4991.0, core.TimerFired(timer.timer_id)) == []
 
 
-def test_a_shutdown_answers_open_requests_by_the_rules(reducer):
+def test_a_shutdown_rejects_safe_and_fails_unsafe_open_requests(reducer):
     take_request(reducer, "1", 0)
     take_request(reducer, "2", 1)
     timer = of_type(reducer.reduce(3.0, core.ShutdownBegun(100.0)), core.SetTimer)[-1]
@@ -113,7 +113,7 @@
     assert of_type(effects, core.Fail) == [core.Fail("2", in_flight=(0,))]
 
 
-def test_a_request_during_a_shutdown_is_to_end_before_the_node(reducer):
+def test_a_request_during_a_shutdown_has_the_time_left_of_the_shutdown(reducer):
     reducer.reduce(2.0, core.ShutdownBegun(3000.0))
     assert [sent.time_left_ms for sent in of_type(take_request(reducer), core.SendAttempt)] == [3000.0]
 
@@ -127,7 +127,7 @@
 
 
 def fire_timers_until_answered(reducer, effects, request_ids):
-    """Let timers fire in the order of their times until these requests have final answers; return those."""
+    """Fire timers in the order of their times until these requests have final answers; return the answers."""
     timers, now_ms, answers = [], 2.0, []
     while {answer.request_id for answer in answers} != request_ids:
         timers += [(now_ms + timer.delay_ms, timer.timer_id) for timer in of_type(effects, core.SetTimer)]
@@ -182,7 +182,7 @@
 
 
 def test_equal_events_give_equal_effects(deployment):
-    def play():
+    def effects_of_run():
         reducer, effects = Reducer(), []
         effects += reducer.reduce(0.0, core.NodeStarted(deployment.settings, 7))
         entries = [make_entry(f"e{i}") for i in range(9)]
@@ -191,13 +191,13 @@
             effects += reducer.reduce(2.0 + i, core.RequestArrived(Request(str(i), 0, 5000.0)))
         return effects
 
-    assert play() == play()
+    assert effects_of_run() == effects_of_run()
 
 
 def test_new_settings_keep_open_requests_and_add_request_classes(reducer, deployment):
     take_request(reducer)
     reducer.dispatcher.mean_run_ms[0] = 77.0
-    reducer.dispatcher.run_samples[0] += 1.0  # so that this mean is a measured one
+    reducer.dispatcher.run_samples[0] += 1.0  # marks this mean as measured
     first, second = deployment.settings.request_classes
     settings = replace(
         deployment.settings,
@@ -206,7 +206,7 @@
         max_retry_after_ms=9.0,
     )
     reducer.reduce(3.0, core.SettingsChanged(settings))
-    # A measured mean stays, a guessed one follows the settings.
+    # A measured mean is kept, a guessed one is derived from the new settings.
     assert reducer.dispatcher.mean_run_ms[:2] == [77.0, 60.0]
     assert of_type(take_request(reducer, "2", class_index=2), core.SendAttempt)
     assert reducer.reduce(9.0, attempt_ended("1", Outcome.COMPLETED, b"x"))[0] == core.Respond("1", b"x")
@@ -216,7 +216,7 @@
 
 @pytest.mark.parametrize("only_draining_excludes", [False, True])
 def test_a_server_long_off_the_list_leaves_the_sums(reducer, deployment, only_draining_excludes):
-    # Guards against forgetting a server that is still in use, and so in the sums: it would stay there.
+    # Guards against forgetting a server that is still in use without taking it out of the sums.
     settings = replace(deployment.settings, only_draining_excludes=only_draining_excludes)
     reducer.reduce(2.0, core.SettingsChanged(settings))
     for now_ms in (3.0, 4.0 + core.FORGET_AFTER_LIST_MAX_AGES * deployment.settings.list_max_age_ms):
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -1,4 +1,4 @@
-"""The rules of attempts and answers: one final answer in time, no unsafe repeat, a limit of attempts."""
+"""Rules for attempts and answers: one final answer in time, no unsafe repeat, a maximum of attempts."""
 
 from dataclasses import replace
 
@@ -16,7 +16,9 @@
 OUTCOMES_THAT_NEVER_RAN = (Outcome.AT_CAPACITY, Outcome.UNREACHABLE, Outcome.CANCELLED_UNSENT)
 
 
-def test_open_requests_get_no_more_attempts_than_were_allowed_then_or_are_now(make_dispatcher, make_request):
+def test_attempts_are_limited_by_the_maximum_at_the_arrival_and_by_the_present_one(
+    make_dispatcher, make_request
+):
     dispatcher = make_dispatcher(1.0, 1.0, 1.0, max_attempts=2)
     state = make_request(dispatcher, attempts=((0, Outcome.ERROR), (1, Outcome.ERROR)))
     dispatcher.configure(replace(dispatcher.settings, max_attempts=4))
@@ -34,7 +36,7 @@
     assert due_ms < dispatcher.port.clock + 5000.0
     answer_in_time()
     answer_in_time()
-    assert dispatcher.port.did("fail") == [("fail", "w")]
+    assert dispatcher.port.acts_named("fail") == [("fail", "w")]
 
 
 def test_nothing_is_sent_after_the_answer(make_dispatcher, make_request):
@@ -42,7 +44,7 @@
     state = make_request(dispatcher)
     state.answer()
     state.place()
-    assert not dispatcher.port.did("send")
+    assert not dispatcher.port.acts_named("send")
 
 
 def test_a_request_without_any_server_is_queued_then_rejected(make_dispatcher):
@@ -51,15 +53,15 @@
     assert not state.is_closed
     dispatcher.port.clock += 2000.0
     dispatcher.dispatch_queue()
-    assert dispatcher.port.did("reject") == [("reject", "w")]
+    assert dispatcher.port.acts_named("reject") == [("reject", "w")]
 
 
 @pytest.mark.parametrize("outcome", OUTCOMES_THAT_MAY_HAVE_RUN)
 def test_an_unsafe_request_that_may_have_run_is_failed(make_dispatcher, make_request, outcome):
     dispatcher = make_dispatcher(0.0, 0.0)
     make_request(dispatcher, 2, ((0, None),)).attempt_ended(0, outcome, False, None)
-    assert dispatcher.port.did("fail")
-    assert not dispatcher.port.did("reject")
+    assert dispatcher.port.acts_named("fail")
+    assert not dispatcher.port.acts_named("reject")
 
 
 @pytest.mark.parametrize("outcome", OUTCOMES_THAT_NEVER_RAN)
@@ -86,17 +88,17 @@
     assert not state.may_attempt()
 
 
-def test_no_hedged_request_where_the_settings_forbid_it(make_dispatcher, make_request):
+def test_a_second_attempt_in_flight_is_allowed_only_with_hedging(make_dispatcher, make_request):
     assert not make_request(make_dispatcher(0.0, 0.0), 0, ((0, None),)).may_attempt()
     assert make_request(make_dispatcher(0.0, 0.0, may_hedge=True), 0, ((0, None),)).may_attempt()
 
 
-def test_attempts_are_limited(make_dispatcher, make_request):
+def test_no_attempt_is_allowed_once_the_maximum_is_reached(make_dispatcher, make_request):
     assert not make_request(make_dispatcher(0.0), 0, ((0, Outcome.ERROR),) * 4).may_attempt()
 
 
 @pytest.mark.parametrize("class_index", range(3))
-def test_an_invalid_request_is_failed_at_once_and_blames_no_server(
+def test_an_invalid_request_is_failed_at_once_and_does_not_count_against_its_server(
     make_dispatcher, make_request, class_index
 ):
     dispatcher = make_dispatcher(0.0, 0.0)
@@ -107,21 +109,21 @@
     assert dispatcher.last_response_ms[0] == dispatcher.port.now()
 
 
-def test_a_lost_attempt_is_cancelled_to_go_elsewhere_where_hedging_is_forbidden(
+def test_an_attempt_at_an_ejected_server_is_cancelled_where_hedging_is_forbidden(
     make_dispatcher, make_request
 ):
     dispatcher = make_dispatcher(0.0, 0.0)
     make_request(dispatcher, attempts=((0, None),))
     dispatcher.eject(0, "test")
     dispatcher.retry_elsewhere(0)
-    assert dispatcher.port.did("cancel") == [("cancel", "w0", 0)]
+    assert dispatcher.port.acts_named("cancel") == [("cancel", "w0", 0)]
 
 
 def test_an_attempt_cancelled_beside_another_in_flight_is_not_retried(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0, 0.0, 0.0, may_hedge=True)
     state = make_request(dispatcher, attempts=((0, None), (1, None)))
     state.attempt_ended(0, Outcome.CANCELLED_UNSENT, False, None)
-    assert not dispatcher.port.did("send")
+    assert not dispatcher.port.acts_named("send")
     assert state.in_flight_count() == 1
     state.attempt_ended(1, Outcome.CANCELLED_UNSENT, False, None)
-    assert len(dispatcher.port.did("send")) == 1
+    assert len(dispatcher.port.acts_named("send")) == 1
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_a_draining_or_gone_server_gets_nothing(make_dispatcher, state):
+def test_a_draining_or_gone_server_is_not_usable(make_dispatcher, state):
     dispatcher = make_dispatcher(0.0, 0.0)
     dispatcher.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, state, 0, 0, 0, None)])
     assert usable_servers(dispatcher) == [1]
@@ -44,7 +44,7 @@
             dispatcher.update_endpoints(ListUpdateKind.DELTA, [gone, ready])
     dispatcher.port.clock += dispatcher.ejection_base_ms
     assert (0 in usable_servers(dispatcher)) is is_used
-    if is_used:  # once its attempts fail too, the list is believed until it has the server again
+    if is_used:  # after the ejection the list applies, until the server is listed again
         dispatcher.eject(0, "test")
         dispatcher.retry_elsewhere(0)
         dispatcher.port.clock = dispatcher.ejected_until_ms[0]
@@ -64,12 +64,12 @@
     assert dispatcher.port.clock < due_ms == dispatcher.next_poll_ms < dispatcher.port.clock + 10000.0
     for _, earlier_poll in dispatcher.port.timers[:-1]:
         earlier_poll()
-    assert not dispatcher.port.did("watch_endpoints")  # one poll, however many failures came
+    assert not dispatcher.port.acts_named("watch_endpoints")  # one poll regardless of the number of failures
     poll()
-    assert dispatcher.port.did("watch_endpoints") == [("watch_endpoints",)]
+    assert dispatcher.port.acts_named("watch_endpoints") == [("watch_endpoints",)]
 
 
-def test_a_new_start_time_resets_the_counts(make_dispatcher):
+def test_a_new_start_time_of_a_process_resets_the_others_slots(make_dispatcher):
     dispatcher = make_dispatcher(3.0, 1.0)
     dispatcher.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, 900.0)])
     assert dispatcher.others_slots[0] is None
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,9 +1,9 @@
-"""What nodes publish to each other of their slots."""
+"""Gossip between nodes about the slots that their requests take."""
 
 import pytest
 from dispatchers import update_weights
 
-FIRST_SERVER = (100).to_bytes(3, "big")  # its name hash, as on the wire
+FIRST_SERVER = (100).to_bytes(3, "big")  # the gossip id of the first server, as on the wire
 
 
 def test_a_node_publishes_its_slots(make_dispatcher, make_request):
@@ -12,18 +12,18 @@
     dispatcher.port.publish = lambda message: dispatcher.port.acts.append(("publish", message))
     make_request(dispatcher).send(1)
     dispatcher.publish_gossip()
-    assert dispatcher.port.did("publish") == [("publish", (101).to_bytes(3, "big") + b"\x01")]
+    assert dispatcher.port.acts_named("publish") == [("publish", (101).to_bytes(3, "big") + b"\x01")]
 
 
 @pytest.mark.parametrize(
     ("messages", "count"),
     [
-        ([FIRST_SERVER + b"\x03", FIRST_SERVER + b"\x02"], 2.0),  # the last count holds
-        ([FIRST_SERVER + b"\x03", FIRST_SERVER], 3.0),  # truncated
-        ([b"\xff\xff\xff\x05\x01"], 0.0),  # of a server that is not update_weights
+        ([FIRST_SERVER + b"\x03", FIRST_SERVER + b"\x02"], 2.0),  # the last count replaces the first
+        ([FIRST_SERVER + b"\x03", FIRST_SERVER], 3.0),  # a truncated entry
+        ([b"\xff\xff\xff\x05\x01"], 0.0),  # an entry of a server that is not listed
     ],
 )
-def test_slots_that_peers_published_count_until_they_fall_silent(make_dispatcher, messages, count):
+def test_slots_published_by_a_peer_count_until_the_peer_is_silent_too_long(make_dispatcher, messages, count):
     dispatcher = make_dispatcher(0.0, may_gossip=True)
     update_weights(dispatcher, None)
     for message in messages:
@@ -35,7 +35,7 @@
     assert not dispatcher.peer_slots
 
 
-def test_gossip_of_a_forgotten_server_counts_for_none(make_dispatcher):
+def test_gossip_about_a_forgotten_server_is_ignored(make_dispatcher):
     dispatcher = make_dispatcher(0.0, may_gossip=True)
     update_weights(dispatcher, None)
     dispatcher.reset(0)
--- a/tests/test_idempotency_records.py
+++ b/tests/test_idempotency_records.py
@@ -1,4 +1,4 @@
-"""Idempotency records, against a plain table."""
+"""Idempotency records, also compared with a simple model."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -17,7 +17,7 @@
         max_size=40,
     )
 )
-def test_idempotency_records_agree_with_a_plain_table(steps):
+def test_idempotency_records_agree_with_a_simple_model(steps):
     records, model, now_ms = IdempotencyRecords(10), {}, 0.0
     for step, key, server, gap_ms in steps:
         now_ms += gap_ms
--- a/tests/test_key_ordering.py
+++ b/tests/test_key_ordering.py
@@ -1,4 +1,4 @@
-"""Requests of one key run one at a time: hard cases, any history, and that idle keys are dropped."""
+"""Requests of one resource key run one at a time: special cases, random histories, removal of idle keys."""
 
 from dataclasses import replace
 from heapq import heappop, heappush
@@ -25,19 +25,19 @@
 
 
 class OrderingSimulation:
-    """A reducer in virtual time, with a check of the order that the rule asks for.
+    """A reducer in virtual time, with a check of the order of the requests of each resource key.
 
     Attributes:
         reducer: the reducer.
         now_ms: the virtual time.
-        timers: when each timer fires, with its id; a heap.
-        sent: the requests of all attempts, in their order.
-        violations: requests that were sent while earlier ones of their key had to end first, with these.
+        timers: a heap of pairs of the time when a timer fires and its id.
+        sent: the request ids of all attempts in the order sent.
+        violations: pairs of a request that was sent too early and the earlier requests that it had to follow.
         ordered_after: by request, its key and the earlier requests of that key.
-        is_over: by request, whether it has its final answer, or its client has left.
-        in_flight: by request, its attempts in flight.
-        paused_until_ms: by request, until when its key pauses, as an attempt of it may still run.
-        answers: the final answers, each the name of its effect and its request.
+        is_over: by request, whether it has its final answer or its client has left.
+        in_flight: by request, the indices of its attempts in flight.
+        paused_until_ms: by request, until when its key pauses since an attempt of the request may still run.
+        answers: the final answers, as pairs of the name of the effect and the request.
 
     """
 
@@ -47,24 +47,24 @@
         self.ordered_after, self.is_over, self.in_flight, self.paused_until_ms = {}, {}, {}, {}
         self.post(core.NodeStarted(settings, 7))
         self.reducer.dispatcher.mean_run_ms = [50.0] * 3
-        # One more sample than the guess has makes the means measured ones.
+        # One more sample than the initial guess counts for marks the means as measured.
         self.reducer.dispatcher.run_samples = [count + 1.0 for count in self.reducer.dispatcher.run_samples]
         entries = [core.EndpointEntry(f"e{i}", EndpointState.READY, 0, 0, 0, None) for i in range(4)]
         self.post(core.EndpointListUpdate(ListUpdateKind.FULL, entries))
 
     def post(self, event):
-        """Have the reducer take an event, and note its effects."""
+        """Pass an event to the reducer and record its effects."""
         for effect in self.reducer.reduce(self.now_ms, event):
             if type(effect) is core.SetTimer:
                 heappush(self.timers, (self.now_ms + effect.delay_ms, effect.timer_id))
             elif type(effect) is core.SendAttempt:
-                self.note_attempt(effect)
+                self.record_attempt(effect)
             elif type(effect) in (core.Reject, core.Fail, core.Respond):
                 self.is_over[effect.request_id] = True
                 self.answers.append((type(effect).__name__, effect.request_id))
 
     def take(self, request_id, key="k", class_index=0, deadline_ms=5000.0):
-        """Have a request arrive."""
+        """Pass the arrival of a request to the reducer."""
         if key is not None and class_index < 2:
             earlier = [other for other, (other_key, _) in self.ordered_after.items() if other_key == key]
             self.ordered_after[request_id] = key, earlier
@@ -72,8 +72,8 @@
         deadline_at_ms = self.now_ms + deadline_ms
         self.post(core.RequestArrived(Request(request_id, class_index, deadline_at_ms, resource_key=key)))
 
-    def note_attempt(self, attempt):
-        """Note an attempt, and a violation where an earlier request of its key had to end first."""
+    def record_attempt(self, attempt):
+        """Record an attempt, and a violation if an earlier request of its key is not over or pauses it."""
         self.sent.append(attempt.request_id)
         _, earlier = self.ordered_after.get(attempt.request_id, (None, []))
         unfinished = [
@@ -94,7 +94,7 @@
         self.post(core.AttemptEnded(request_id, attempt_index, outcome, self.is_over[request_id], None))
 
     def wait(self, duration_ms):
-        """Let time pass, and fire the timers that are due."""
+        """Advance the time and fire the timers that are due."""
         end_ms = self.now_ms + duration_ms
         while self.timers and self.timers[0][0] <= end_ms:
             due_ms, timer_id = heappop(self.timers)
@@ -107,7 +107,7 @@
         return [request_id for request_id, attempts in self.in_flight.items() if attempts]
 
     def queue_count(self):
-        """Return for how many keys there is a queue."""
+        """Return the number of key queues."""
         return len(self.reducer.dispatcher.key_queues)
 
 
@@ -167,8 +167,8 @@
 @pytest.mark.parametrize(
     ("arriving", "disconnecting", "sent"),
     [
-        ("abc", "b", "ac"),  # one disconnects from the middle of the queue
-        (["a", "b", "c", "b again"], "", ["a", "b", "c", "b again"]),  # a retry goes to the back
+        ("abc", "b", "ac"),  # a client disconnects whose request is in the middle of the queue
+        (["a", "b", "c", "b again"], "", ["a", "b", "c", "b again"]),  # a retry is appended to the queue
     ],
 )
 def test_clients_that_disconnect_or_retry_keep_the_order(simulation, arriving, disconnecting, sent):
@@ -183,7 +183,7 @@
     assert not simulation.violations
 
 
-def test_a_long_queue_ends_with_its_node_and_requests_without_time_to_spare_are_answered_at_once(simulation):
+def test_a_long_queue_ends_at_shutdown_and_requests_without_time_to_spare_are_answered_at_once(simulation):
     for i in range(600):
         simulation.take(f"w{i}")
     assert 0 < len(simulation.answers) < 600
@@ -197,7 +197,7 @@
     assert not simulation.violations
 
 
-def test_a_reload_without_the_order_keeps_queues_and_one_with_it_orders_open_requests(simulation):
+def test_a_reload_that_unsets_the_order_keeps_queues_and_one_that_sets_it_orders_open_requests(simulation):
     simulation.take("a")
     simulation.take("b")
     simulation.post(core.SettingsChanged(replace(ORDERED_SETTINGS, request_classes=(UNSAFE, SAFE, SAFE))))
@@ -206,7 +206,7 @@
     simulation.take("c")
     simulation.take("d")
     assert simulation.sent == ["a", "c", "d"]
-    simulation.violations.clear()  # of attempts sent while the settings asked for no order
+    simulation.violations.clear()  # those of attempts sent while the settings required no order
     simulation.post(core.SettingsChanged(ORDERED_SETTINGS))
     simulation.ordered_after |= {"e": ("k", ["c", "d"])}
     simulation.is_over["e"], simulation.in_flight["e"] = False, set()
@@ -242,7 +242,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(STEPS)
-def test_in_any_history_the_order_holds_and_each_queue_ends(steps):
+def test_in_random_histories_the_order_holds_and_each_queue_ends(steps):
     simulation = OrderingSimulation()
     for i, (step, number, outcome) in enumerate(steps):
         in_flight = simulation.requests_in_flight()
--- a/tests/test_load_estimates.py
+++ b/tests/test_load_estimates.py
@@ -1,4 +1,4 @@
-"""Counts, thresholds and expected waits, and what reports change of them."""
+"""Counts, thresholds and expected waits, and their update by reports."""
 
 import pytest
 from dispatchers import LIVE, update_weights
@@ -11,12 +11,12 @@
     assert make_dispatcher(1.0, 1.0, 2.0).threshold(0) == 2
 
 
-def test_a_server_without_a_report_is_taken_for_the_mean(make_dispatcher):
+def test_a_server_without_a_report_has_the_mean_count(make_dispatcher):
     dispatcher = make_dispatcher(2.0, 4.0, None)
     assert dispatcher.count(2) == 3.0
 
 
-def test_a_report_of_free_slots_and_queue_makes_a_count(make_dispatcher, make_request):
+def test_a_report_of_free_slots_and_queue_gives_a_count(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
     make_request(dispatcher, attempts=((0, None),)).attempts[0].started_ms = 0.0
     dispatcher.merge_report(0, LoadReport(queued=2.0, free_slots=1.0), dispatcher.port.now())
@@ -24,8 +24,8 @@
     assert dispatcher.count(0) == 5.0
 
 
-def test_wide_requests_count_by_the_slots_that_are_not_free(make_dispatcher):
-    # Guards against reading a count of requests as one of slots, and sending to servers without a free slot.
+def test_requests_of_several_slots_count_by_the_slots_that_are_not_free(make_dispatcher):
+    # Guards against taking a count of requests for one of slots, and sending to servers without free slots.
     dispatcher = make_dispatcher(0.0)
     dispatcher.merge_report(0, LoadReport(held=2.0, free_slots=0.0), dispatcher.port.now())
     assert dispatcher.count(0) == 4.0
@@ -34,7 +34,7 @@
     assert dispatcher.count(0) == 9.0
 
 
-def test_at_capacity_marks_a_server_until_its_next_report(make_dispatcher, make_request):
+def test_a_server_at_capacity_is_over_its_threshold_until_its_next_report(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
     state = make_request(dispatcher, attempts=((0, None),))
     state.attempt_ended(0, Outcome.AT_CAPACITY, False, None)
@@ -43,13 +43,13 @@
     assert not dispatcher.is_over_threshold(0)
 
 
-def test_the_expected_wait_is_for_all_slots_of_a_request(make_dispatcher, make_request):
+def test_the_expected_wait_covers_all_slots_of_a_request(make_dispatcher, make_request):
     dispatcher = make_dispatcher(2.0)
     assert dispatcher.expected_wait_ms(0, make_request(dispatcher).request) == 0.0
     assert dispatcher.expected_wait_ms(0, make_request(dispatcher, slots=4.0).request) > 0.0
 
 
-def test_a_report_that_misses_our_running_requests_is_distrusted(make_dispatcher, make_request):
+def test_a_report_without_this_nodes_running_requests_is_distrusted(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
     state = make_request(dispatcher, attempts=((0, None), (0, None)))
     state.attempts[0].started_ms = state.attempts[1].started_ms = dispatcher.port.clock - 1000.0
@@ -58,7 +58,7 @@
     assert dispatcher.others_slots[0] > -2.0
 
 
-def test_distrusted_reports_are_renewed_less_often(make_dispatcher):
+def test_distrusted_reports_become_stale_later(make_dispatcher):
     dispatcher = make_dispatcher(0.0)
     dispatcher.port.clock += 1.5 * dispatcher.report_max_age_ms
     assert dispatcher.is_report_stale(0)
@@ -80,31 +80,31 @@
     check_dispatcher(dispatcher)
 
 
-def test_no_free_slot_is_busy_though_none_was_ever_seen_free(make_dispatcher):
+def test_a_server_without_free_slots_is_busy_where_none_was_ever_seen_free(make_dispatcher):
     dispatcher = make_dispatcher(None)
     dispatcher.max_free_slots[0] = 0.0
     dispatcher.merge_report(0, LoadReport(free_slots=0.0), dispatcher.port.now())
     assert dispatcher.count(0) == 1.0
 
 
-def test_a_wide_request_may_go_where_the_slots_are_not_known_yet(make_dispatcher, make_request):
+def test_a_request_of_several_slots_may_go_where_the_slots_are_not_known_yet(make_dispatcher, make_request):
     dispatcher = make_dispatcher(None)
     dispatcher.max_free_slots[0] = 1.0
     dispatcher.port.clock += 2.0 * dispatcher.report_max_age_ms
-    wide = make_request(dispatcher, slots=4.0)
-    assert wide.is_eligible(0)
-    assert wide.meets_latency_objective(0)
+    state = make_request(dispatcher, slots=4.0)
+    assert state.is_eligible(0)
+    assert state.meets_latency_objective(0)
 
 
 def test_measured_runs_soon_outweigh_the_guess(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
-    guess = dispatcher.mean_slot_ms
+    guess_ms = dispatcher.mean_slot_ms
     for _ in range(20):
-        dispatcher.learn_run(make_request(dispatcher).request, 0, 3.0 * guess)
-    assert dispatcher.mean_slot_ms > 2.0 * guess
+        dispatcher.learn_run(make_request(dispatcher).request, 0, 3.0 * guess_ms)
+    assert dispatcher.mean_slot_ms > 2.0 * guess_ms
 
 
-def test_a_wait_behind_a_reported_free_slot_casts_doubt_on_reports(make_dispatcher, make_request):
+def test_a_wait_where_a_free_slot_was_reported_raises_the_distrust_in_reports(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
     state = make_request(dispatcher)
     state.send(0)
@@ -113,20 +113,20 @@
     assert dispatcher.report_distrust > 0.0
 
 
-def test_a_weight_that_moves_counts_as_a_departure_from_the_level(make_dispatcher):
+def test_a_changed_weight_counts_as_a_deviation_from_the_level(make_dispatcher):
     dispatcher = make_dispatcher(0.0, 0.0, **LIVE)
     update_weights(dispatcher, 3.0, 3.0)
     dispatcher.at_capacity[0] = dispatcher.forwarded_since_report[0] = True
     update_weights(
         dispatcher, 3.0, 1.5
-    )  # a weight is size over one plus held a slot: the second server now holds one a slot
+    )  # a weight is size / (1 + held per slot): the second server now holds one request per slot
     assert dispatcher.count(0) < dispatcher.count(1) < 4.0
     assert not dispatcher.at_capacity[0]
     assert not dispatcher.forwarded_since_report[0]
 
 
-def test_the_others_slots_follow_our_own_requests_at_once(make_dispatcher, make_request):
-    # Guards against knowing of no load at a start or in a burst, before a list shows it (incident ie3063f).
+def test_the_others_slots_follow_this_nodes_requests_at_once(make_dispatcher, make_request):
+    # Guards against assuming no load at a start or in a burst until a list shows it (incident ie3063f).
     dispatcher = make_dispatcher(None, None, **LIVE)
     before = dispatcher.threshold(0), dispatcher.count(1)
     for server in (0, 0, 1, 1):
@@ -146,14 +146,14 @@
     for _ in range(8):
         update_weights(
             dispatcher, 0.5, 0.5
-        )  # by the list each holds twenty, though nothing of this node is in flight
+        )  # by the list each server holds twenty, while no attempt of this node is in flight
     assert dispatcher.count(0) < 11.0
 
 
-def test_a_server_that_holds_our_requests_long_counts_as_full_whatever_it_reports(
+def test_a_server_that_accumulates_this_nodes_requests_counts_as_full_whatever_it_reports(
     make_dispatcher, make_request
 ):
-    # Guards against slow servers that report a tenth of their load, to which all nodes would go on sending.
+    # Guards against slow servers that report a tenth of their load, to which all nodes would keep sending.
     dispatcher = make_dispatcher(3.0, 3.0, 3.0, 3.0, **LIVE)
     dispatcher.listed_others_slots[0] = 3.0
     for _ in range(3):
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -14,19 +14,19 @@
     assert 0 not in usable_servers(dispatcher)
 
 
-def test_requests_that_fail_wherever_they_go_blame_no_server(make_dispatcher, make_request):
-    # Guards against ejecting all servers where two request classes fail on each (incident i89b8ef).
+def test_requests_that_fail_on_every_server_do_not_count_against_the_servers(make_dispatcher, make_request):
+    # Guards against ejecting all servers when two request classes fail on every server (incident i89b8ef).
     dispatcher = make_dispatcher(*(0.0,) * 6)
     for i in range(120):
         outcome = Outcome.COMPLETED if i % 5 in (1, 3) else Outcome.ERROR
         make_request(dispatcher, attempts=((i % 6, None),)).attempt_ended(0, outcome, False, None)
         dispatcher.port.clock += 500.0
-    logged_before = len(dispatcher.port.did("log"))
+    logged_before = len(dispatcher.port.acts_named("log"))
     for i in range(120):
         outcome = Outcome.COMPLETED if i % 5 in (1, 3) else Outcome.ERROR
         make_request(dispatcher, attempts=((i % 6, None),)).attempt_ended(0, outcome, False, None)
         dispatcher.port.clock += 20.0
-    assert len(dispatcher.port.did("log")) - logged_before <= 2
+    assert len(dispatcher.port.acts_named("log")) - logged_before <= 2
     assert len(usable_servers(dispatcher)) >= 5
     for _ in range(3):  # failures of a class that succeeds elsewhere still count against the server
         make_request(dispatcher, 1, ((3, None),)).attempt_ended(0, Outcome.ERROR, False, None)
@@ -49,11 +49,11 @@
     assert usable_servers(dispatcher) == []
     dispatcher.port.clock = dispatcher.ejected_until_ms[0]
     make_request(dispatcher).place()
-    assert dispatcher.port.did("probe")
-    assert not dispatcher.port.did("send")
+    assert dispatcher.port.acts_named("probe")
+    assert not dispatcher.port.acts_named("send")
     dispatcher.probe_ended(0, Outcome.COMPLETED, 1.0, LoadReport(held=0.0))
     assert dispatcher.ejected_until_ms[0] is None
-    assert dispatcher.port.did("send")
+    assert dispatcher.port.acts_named("send")
 
 
 def test_a_server_with_an_overdue_probe_is_avoided(make_dispatcher):
@@ -71,7 +71,7 @@
     assert dispatcher.detect_stall(0)
 
 
-def test_a_long_wait_in_a_queue_is_no_stall(make_dispatcher, make_request):
+def test_a_long_wait_in_a_servers_queue_is_no_stall(make_dispatcher, make_request):
     dispatcher = make_dispatcher(6.0)
     make_request(dispatcher, attempts=((0, None),))
     dispatcher.port.clock += 3000.0
@@ -92,12 +92,12 @@
     dispatcher.record_outcome(0, 99.0)
     dispatcher.probe_ended(0, Outcome.BROKEN, 1.0, None)
     assert 0 not in usable_servers(dispatcher)
-    assert not dispatcher.port.did("cancel")
+    assert not dispatcher.port.acts_named("cancel")
     dispatcher.probe_ended(0, Outcome.TIMED_OUT, 1.0, None)
-    assert dispatcher.port.did("cancel") == [("cancel", "w0", 0)]
+    assert dispatcher.port.acts_named("cancel") == [("cancel", "w0", 0)]
 
 
-def test_an_old_silent_attempt_bars_no_trial(make_dispatcher, make_request):
+def test_a_silent_attempt_from_before_the_ejection_does_not_prevent_the_trial(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
     make_request(dispatcher, attempts=((0, None),))
     dispatcher.port.clock += 3.0 * dispatcher.report_max_age_ms
@@ -112,8 +112,8 @@
     assert usable_servers(dispatcher) == []
 
 
-def test_a_report_from_before_an_attempt_shows_no_stall(make_dispatcher, make_request):
-    # Guards against ejecting servers by reports of a second before, which had them free (incident ie3063f).
+def test_a_report_sampled_before_an_attempt_shows_no_stall(make_dispatcher, make_request):
+    # Guards against ejecting servers by reports of a second earlier, when they were idle (incident ie3063f).
     dispatcher = make_dispatcher(0.0, **LIVE)
     make_request(dispatcher, attempts=((0, None),))
     dispatcher.refresh_period_ms, dispatcher.free_slots[0] = 1000.0, 4.0
--- a/tests/test_pending_queue.py
+++ b/tests/test_pending_queue.py
@@ -1,4 +1,4 @@
-"""The pending queue: who waits, in which order requests are served, how many probe."""
+"""The pending queue: which requests wait, the order in which they are served, and how many probe."""
 
 from dataclasses import replace
 
@@ -10,11 +10,11 @@
 def test_a_request_that_would_miss_its_objective_is_queued(make_dispatcher, make_request):
     dispatcher = make_dispatcher(40.0)
     make_request(dispatcher).place()
-    assert not dispatcher.port.did("send")
+    assert not dispatcher.port.acts_named("send")
     assert pending_count(dispatcher) == 1
 
 
-def test_further_attempts_wait_in_a_queue_of_their_own(make_dispatcher, make_request):
+def test_retries_wait_in_a_queue_of_their_own(make_dispatcher, make_request):
     dispatcher = make_dispatcher(40.0)
     make_request(dispatcher, 0, ((0, Outcome.AT_CAPACITY),)).enqueue()
     assert not pending_count(dispatcher)
@@ -35,7 +35,7 @@
         make_request(dispatcher).enqueue()
     dispatcher.last_report_ms[:] = [-1e18] * 3
     dispatcher.dispatch_queue()
-    assert len(dispatcher.port.did("probe")) == 1
+    assert len(dispatcher.port.acts_named("probe")) == 1
 
 
 def test_unsuccessful_placements_are_bounded_however_many_wait(make_dispatcher, make_request):
@@ -49,14 +49,14 @@
     assert pending_count(dispatcher) == 200
 
 
-def test_an_unsuccessful_placement_for_one_kind_holds_up_no_other_kind(make_dispatcher, make_request):
+def test_an_unsuccessful_placement_for_one_kind_does_not_delay_another_kind(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
     bound = make_request(dispatcher)
     bound.request_class = replace(bound.request_class, kind=1, latency_objective_ms=100.0)
     bound.enqueue()
     make_request(dispatcher).enqueue()
     dispatcher.dispatch_queue()
-    assert len(dispatcher.port.did("send")) == 1
+    assert len(dispatcher.port.acts_named("send")) == 1
     assert pending_count(dispatcher) == 1
 
 
@@ -67,19 +67,19 @@
     dispatcher.last_report_ms[:] = [-1e18] * 3
     dispatcher.dispatch_queue()
     dispatcher.probe_ended(0, Outcome.COMPLETED, 1.0, LoadReport(held=0.0))
-    assert len(dispatcher.port.did("send")) == 2
+    assert len(dispatcher.port.acts_named("send")) == 2
 
 
 def test_priority_weight_goes_before_time_to_spare_where_requests_are_weighed_by_size(
     make_dispatcher, make_request
 ):
     dispatcher = make_dispatcher(40.0, weight_by_size=True)
-    weighty_class = replace(dispatcher.request_classes[2], priority_weight=5.0)
+    heavy_class = replace(dispatcher.request_classes[2], priority_weight=5.0)
     dispatcher.configure(
-        replace(dispatcher.settings, request_classes=(*dispatcher.request_classes[:2], weighty_class))
+        replace(dispatcher.settings, request_classes=(*dispatcher.request_classes[:2], heavy_class))
     )
     make_request(dispatcher, 0).enqueue()
     make_request(dispatcher, 2).enqueue()
     dispatcher.set_others_slots(0, 3.0)
     dispatcher.dispatch_queue()
-    assert dispatcher.port.did("send")[0] == ("send", "w2", 0)
+    assert dispatcher.port.acts_named("send")[0] == ("send", "w2", 0)
--- a/tests/test_server_selection.py
+++ b/tests/test_server_selection.py
@@ -1,4 +1,4 @@
-"""Which servers are drawn for a request, by chance, zone, kind and resource key."""
+"""Drawing of servers for a request: at random, by zone, kind and resource key."""
 
 from dataclasses import replace
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(("counts", "home"), [((4.0, 4.0, 0.0, 4.0), 2), ((4.0, 4.0, 4.0, 4.0), -1)])
-def test_free_slots_elsewhere_go_before_a_wait_for_the_key_holder(
+def test_a_server_with_free_slots_is_preferred_to_a_wait_for_the_key_holder(
     make_dispatcher, make_request, counts, home
 ):
     dispatcher = make_dispatcher(*counts, fetch_cost=0.03)
@@ -18,12 +18,12 @@
     state.request = replace(state.request, resource_key="k")
     dispatcher.hash_ring = {-1: [(0, 1), (1 << 32, 1)]}
     dispatcher.others_slots[1] = 90.0
-    state.arrived_ms += 9999.0  # so that there is time to wait
+    state.arrived_ms += 9999.0  # leaves time to wait
     assert state.can_wait_for_affinity()
     assert state.choose_initial_placement().server == home
 
 
-def test_the_same_seed_draws_the_same(make_dispatcher):
+def test_the_same_seed_draws_the_same_numbers(make_dispatcher):
     assert [make_dispatcher(0.0).random() for _ in range(3)] == [
         make_dispatcher(0.0).random() for _ in range(3)
     ]
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(("fetch_cost", "min_homes", "max_homes"), [(0.03, 1, 2), (0.0, 11, 20)])
-def test_where_fetching_costs_a_key_draws_few_servers_and_the_same_at_every_node(
+def test_with_a_fetch_cost_a_key_draws_few_servers_and_the_same_at_every_node(
     make_dispatcher, fetch_cost, min_homes, max_homes
 ):
     def homes(seed):
@@ -60,7 +60,7 @@
     assert not fetch_cost or homes(1) == homes(2)
 
 
-def test_requests_for_any_kind_leave_a_kind_to_requests_bound_to_it(make_dispatcher, make_request):
+def test_requests_for_any_kind_avoid_a_kind_that_a_class_requires(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0, kind_count=2)
     entries = [Endpoint(server, EndpointState.READY, server % 2, 0, 0, None) for server in range(4)]
     bound = replace(dispatcher.request_classes[1], kind=1)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What all nodes together send to a server in slow start, one by one and in the experiment `size-cold`."""
+"""What all nodes together send to a server in slow start: single cases and the experiment `size-cold`."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -19,15 +19,18 @@
 WINDOW_MS = SETTINGS.overload_window_ms
 
 
-def dispatchers(
-    nodes: int, node_count: int | None = None, slow_start_ms: float = 16.0 * WINDOW_MS
+def make_dispatchers(
+    count: int, node_count: int | None = None, slow_start_ms: float = 16.0 * WINDOW_MS
 ) -> list[Dispatcher]:
-    """Return those of so many nodes, which have just learned of a server in slow start with eight slots."""
-    made = []
-    for seed in range(1, nodes + 1):
+    """Return the dispatchers of `count` nodes whose lists have just added a server in slow start.
+
+    The server has eight slots. `node_count` is the number of nodes by the settings, by default `count`.
+    """
+    dispatchers = []
+    for seed in range(1, count + 1):
         settings = replace(
             SETTINGS,
-            node_count=node_count or nodes,
+            node_count=node_count or count,
             slow_start_ms=slow_start_ms,
             slow_start_initial_share=0.2,
         )
@@ -37,24 +40,24 @@
             ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, STARTED_MS)]
         )
         dispatcher.last_report_ms[0] = 1e9
-        made.append(dispatcher)
-    return made
+        dispatchers.append(dispatcher)
+    return dispatchers
 
 
 def budget(dispatcher: Dispatcher) -> float:
-    """Return how many requests of mean size the settings allow in their window now."""
+    """Return how many mean requests the settings allow all nodes to send in one overload window now."""
     return dispatcher.slow_start_budget(0) * WINDOW_MS / SLOW_START_PLANNED_SHARE
 
 
-def set_clocks(nodes: list[Dispatcher], now_ms: float) -> None:
-    for dispatcher in nodes:
+def set_clocks(dispatchers: list[Dispatcher], now_ms: float) -> None:
+    for dispatcher in dispatchers:
         dispatcher.port.clock = now_ms
 
 
-def burst(nodes: list[Dispatcher], size: float = 1.0) -> float:
-    """Let each node send of work of some size what it may, at one instant; return the sum of sizes."""
+def burst(dispatchers: list[Dispatcher], size: float = 1.0) -> float:
+    """Send from each node as many requests of `size` mean requests as it may now; return the sum of sizes."""
     sent = 0.0
-    for dispatcher in nodes:
+    for dispatcher in dispatchers:
         dispatcher.mean_run_ms[0] = size * dispatcher.mean_slot_ms
         for i in range(1000):
             state = dispatcher.request_state_type(
@@ -70,45 +73,48 @@
 
 @pytest.mark.parametrize("nodes", [20, 30, 200])
 def test_a_burst_after_a_quiet_slow_start_is_bounded_by_the_tokens_saved(nodes):
-    made = dispatchers(nodes)
-    for step in range(1, 150):  # nobody sends, and all look
-        set_clocks(made, STARTED_MS + 100.0 * step)
-        for dispatcher in made:
+    dispatchers = make_dispatchers(nodes)
+    for step in range(1, 150):  # no node sends, all refill their buckets
+        set_clocks(dispatchers, STARTED_MS + 100.0 * step)
+        for dispatcher in dispatchers:
             dispatcher.has_budget(0)
-    n = budget(made[0])
-    room = (1.0 - SLOW_START_PLANNED_SHARE) * n + 2.0 * sqrt(n)
-    # As many have a token ready as chance gives to this mean: more than the margin itself.
-    most = MAX_SAVED_BUDGETS * room
-    assert 0.0 < burst(made) < most + 3.0 * sqrt(most) + 1.0
+    allowed = budget(dispatchers[0])
+    margin = (1.0 - SLOW_START_PLANNED_SHARE) * allowed + 2.0 * sqrt(allowed)
+    # The number of nodes with a token is random around this mean, which exceeds the margin itself.
+    mean_sent = MAX_SAVED_BUDGETS * margin
+    assert 0.0 < burst(dispatchers) < mean_sent + 3.0 * sqrt(mean_sent) + 1.0
 
 
 @pytest.mark.parametrize("nodes", [20, 30, 200])
 def test_a_cluster_that_sends_all_that_it_may_uses_its_budget_and_never_exceeds_the_bound(nodes):
-    made, sent, got = dispatchers(nodes), [], 0.0
+    dispatchers, sent, sent_in_window = make_dispatchers(nodes), [], 0.0
     for step in range(1, 160):
-        set_clocks(made, STARTED_MS + 100.0 * step)
-        sent.append((STARTED_MS + 100.0 * step, burst(made)))
-        got = sum(size for t, size in sent if t > STARTED_MS + 100.0 * step - WINDOW_MS)
-        n = budget(made[0])
-        assert got < n + 2.0 * sqrt(n) + 2.0
-    assert got > 0.8 * SLOW_START_PLANNED_SHARE * n
+        set_clocks(dispatchers, STARTED_MS + 100.0 * step)
+        sent.append((STARTED_MS + 100.0 * step, burst(dispatchers)))
+        sent_in_window = sum(
+            size for sent_ms, size in sent if sent_ms > STARTED_MS + 100.0 * step - WINDOW_MS
+        )
+        allowed = budget(dispatchers[0])
+        assert sent_in_window < allowed + 2.0 * sqrt(allowed) + 2.0
+    assert sent_in_window > 0.8 * SLOW_START_PLANNED_SHARE * allowed
 
 
 @pytest.mark.parametrize("nodes", [20, 30, 200])
-def test_large_requests_do_not_all_go_at_once(nodes):
-    # Parts just earned: each node would send one of a part of its own, and owe the rest.
-    made = dispatchers(nodes)
-    set_clocks(made, STARTED_MS + 4000.0)
-    for dispatcher in made:
+def test_large_requests_are_not_all_sent_at_once(nodes):
+    # Guards against nodes that each send a large request as soon as they have any tokens at all, and overdraw
+    # their buckets.
+    dispatchers = make_dispatchers(nodes)
+    set_clocks(dispatchers, STARTED_MS + 4000.0)
+    for dispatcher in dispatchers:
         dispatcher.has_budget(0)
         dispatcher.slow_start_tokens[0] = 1e-6
-    n = budget(made[0])
-    assert burst(made, SLOW_START_PLANNED_SHARE * n * 0.9) == 0.0
-    assert burst(made, 1.0) == pytest.approx(nodes)
+    allowed = budget(dispatchers[0])
+    assert burst(dispatchers, SLOW_START_PLANNED_SHARE * allowed * 0.9) == 0.0
+    assert burst(dispatchers, 1.0) == pytest.approx(nodes)
 
 
 def test_a_large_request_is_sent_once_a_part_of_its_cost_is_saved():
-    (dispatcher,) = dispatchers(1)
+    (dispatcher,) = make_dispatchers(1)
     set_clocks([dispatcher], STARTED_MS + 4000.0)
     dispatcher.has_budget(0)
     size = 3.0
@@ -119,8 +125,8 @@
     assert dispatcher.has_budget(0, size)
 
 
-def test_a_small_request_is_sent_where_a_window_allows_less_than_one_of_mean_size():
-    (dispatcher,) = dispatchers(1)
+def test_a_small_request_is_sent_where_a_window_allows_less_than_one_mean_request():
+    (dispatcher,) = make_dispatchers(1)
     set_clocks([dispatcher], STARTED_MS + 4000.0)
     dispatcher.has_budget(0)
     dispatcher.mean_slot_ms *= dispatcher.slow_start_budget(0) * WINDOW_MS / 0.8
@@ -134,19 +140,19 @@
 
 
 def test_a_restarted_node_has_no_tokens_saved():
-    (dispatcher,) = dispatchers(1, node_count=200)
+    (dispatcher,) = make_dispatchers(1, node_count=200)
     set_clocks([dispatcher], STARTED_MS + 12000.0)
-    again = Dispatcher(dispatcher.settings, 99, RecordingPort())
-    again.port.clock = dispatcher.port.clock
-    again.max_free_slots[0] = SLOTS
-    again.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, STARTED_MS)])
-    assert again.slow_start_tokens[0] <= 0.0
-    assert not again.has_budget(0)
+    restarted = Dispatcher(dispatcher.settings, 99, RecordingPort())
+    restarted.port.clock = dispatcher.port.clock
+    restarted.max_free_slots[0] = SLOTS
+    restarted.update_endpoints(ListUpdateKind.FULL, [Endpoint(0, EndpointState.READY, 0, 0, 0, STARTED_MS)])
+    assert restarted.slow_start_tokens[0] <= 0.0
+    assert not restarted.has_budget(0)
 
 
 @pytest.fixture
 def play() -> Callable[..., RunResult]:
-    """Return a function that plays `size-cold` with some fields of its table changed."""
+    """Return a function that runs the experiment `size-cold` with some fields of its table changed."""
     registered_plays.register()
     path = Path(__file__).parent.parent / "experiments" / "size-cold.toml"
 
@@ -159,7 +165,7 @@
     return run
 
 
-def test_the_short_form_holds_its_bound_and_counts_alike_twice(play, tmp_path):
+def test_a_short_experiment_stays_within_its_bound_and_is_reproducible(play, tmp_path):
     first, second = (play(tmp_path, nodes=[20], seeds=1) for _ in range(2))
     counts = {k: v for k, v in first.figures.items() if not k.endswith("cpu_s")}
     assert counts == {k: v for k, v in second.figures.items() if not k.endswith("cpu_s")}
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -1,4 +1,4 @@
-"""A node's own part of the budget of a server in slow start."""
+"""A node's own part of the slow start budget of a server."""
 
 from dataclasses import replace
 
@@ -21,7 +21,7 @@
     assert 0.0 < dispatcher.slow_start_tokens[0] == pytest.approx(whole_budget / 2)
 
 
-def test_a_server_in_slow_start_gets_only_this_nodes_part(make_dispatcher, make_request):
+def test_a_server_in_slow_start_is_usable_only_within_this_nodes_part(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0, 0.0)
     dispatcher.update_endpoints(ListUpdateKind.DELTA, [Endpoint(0, EndpointState.READY, 0, 0, 0, 900.0)])
     assert 0 not in usable_servers(dispatcher)
@@ -32,7 +32,7 @@
     assert 0 not in usable_servers(dispatcher)
 
 
-def test_a_node_begins_on_a_server_in_slow_start_with_no_more_than_an_empty_bucket(make_dispatcher):
+def test_the_token_bucket_of_a_server_in_slow_start_begins_at_zero_or_less(make_dispatcher):
     dispatcher = make_dispatcher(0.0)
     for started_ms in (910.0, 920.0, 930.0):
         dispatcher.update_endpoints(
@@ -41,7 +41,7 @@
         assert -1.0 < dispatcher.slow_start_tokens[0] <= 0.0
 
 
-def test_a_request_that_would_run_past_the_slow_start_is_not_eligible(make_dispatcher, make_request):
+def test_a_request_over_the_slow_start_budget_of_a_window_is_not_eligible(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
     dispatcher.mean_run_ms[0] = 100.0 * dispatcher.mean_slot_ms
     state = make_request(dispatcher)
