--- a/marlseam/core/events.py
+++ b/marlseam/core/events.py
@@ -83,7 +83,7 @@
 
 
 class HistoryUnavailable(NamedTuple):
-    """The records of a source (another process, the store) of which keyed requests may have run are missing.
+    """The records of a source (another process, the store) of requests that may have run are missing here.
 
     Attributes:
         source: the name of the source.
--- a/marlseam/core/reducer.py
+++ b/marlseam/core/reducer.py
@@ -208,8 +208,8 @@
             prior = self.prior_attempts(request)
             wait_ms = self.idempotency_records.wait_for_key_ms(self.clock)
             if not prior and wait_ms and request.is_recordable:
-                # No attempt of it ran, so the client may retry once a key is free. Keys of requests that may
-                # have run are never dropped instead.
+                # No attempt of the request ran, so the client may retry once a key is free. Keys of requests
+                # that may have run are never dropped to make room.
                 retry_after_ms = min(wait_ms, self.dispatcher.settings.max_retry_after_ms)
                 self.effects.append(Reject(request.request_id, retry_after_ms))
                 return
--- a/marlseam/decisions/dispatcher.py
+++ b/marlseam/decisions/dispatcher.py
@@ -100,7 +100,7 @@
         return state
 
     def has_time_in_key_queue(self, state: RequestState, to_spare_ms: float) -> bool:
-        """Return whether a request may be sent at all, and in time after those before it in its key queue.
+        """Return whether a request may be sent at all, and can be in time behind the others in its key queue.
 
         `to_spare_ms` is how long the request may wait and still meet its latency objective.
         """
--- a/marlseam/decisions/hedging.py
+++ b/marlseam/decisions/hedging.py
@@ -29,7 +29,8 @@
     def is_presumed_alive(self, attempt: Attempt, started_ms: float | None) -> bool:
         """Return whether an attempt is presumed to be running.
 
-        After a restart at `started_ms`, if it was sent since; otherwise, if it has made progress recently.
+        With `started_ms`, when the server's process restarted: whether the attempt was sent since. Without:
+        whether the attempt has made progress recently.
         """
         if started_ms is not None:
             return attempt.sent_ms >= started_ms
--- a/marlseam/decisions/key_ordering.py
+++ b/marlseam/decisions/key_ordering.py
@@ -67,7 +67,7 @@
         call_after(gap_ms, self.pause_ended)
 
     def pause_ended(self) -> None:
-        """End a pause, and give the first request its turn if nothing else holds it back."""
+        """End a pause, and advance the queue."""
         self.pause_count -= 1
         self.advance()
 
--- a/marlseam/decisions/outlier_detection.py
+++ b/marlseam/decisions/outlier_detection.py
@@ -39,7 +39,7 @@
         return not self.is_avoided(server) and self.has_budget(server)
 
     def record_outcome(self, server: int, log_likelihood_ratio: float) -> None:
-        """Add the log-likelihood ratio of an outcome to a server's test; eject it above the threshold."""
+        """Add the log-likelihood ratio of an outcome to a server's test; eject it at the threshold."""
         self.log_likelihood_ratio[server] = max(0.0, self.log_likelihood_ratio[server] + log_likelihood_ratio)
         if self.log_likelihood_ratio[server] >= LOG_LIKELIHOOD_THRESHOLD:
             self.eject(server, "failed outcomes")
@@ -60,7 +60,7 @@
         """Send nothing to a server for a time that doubles with each ejection in a row, up to a maximum.
 
         After that time the server is on trial, with one attempt of this node at a time, until it is
-        readmitted. A server that is ejected already stays so.
+        readmitted. A call for a server that is ejected at the time has no effect.
         """
         now, until_ms = self.port.now(), self.ejected_until_ms[server]
         if until_ms is not None and now < until_ms:
--- a/marlseam/decisions/request_record.py
+++ b/marlseam/decisions/request_record.py
@@ -68,7 +68,7 @@
 
     @abstractmethod
     def retry(self) -> None:
-        """Queue the request for another attempt, or answer it if none is allowed or in flight."""
+        """Queue the request for another attempt; answer at once if none is allowed and none is in flight."""
 
     @abstractmethod
     def answer(self) -> None:
--- a/marlseam/decisions/request_state.py
+++ b/marlseam/decisions/request_state.py
@@ -15,7 +15,7 @@
     """
 
     def started(self, attempt_index: int) -> None:
-        """Record that an attempt has started to run, and learn from how long it waited."""
+        """Record that an attempt has started to run, and update the distrust in reports from its wait."""
         dispatcher, attempt = self.dispatcher, self.attempts[attempt_index]
         attempt.started_ms = attempt.last_response_ms = dispatcher.port.now()
         dispatcher.last_response_ms[attempt.server] = attempt.started_ms
