--- a/marlseam/net/__init__.py
+++ b/marlseam/net/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the decision module and real sockets."""
+"""The network side of a node: sockets, event loop and timers around the pure reducer (`marlseam.core`)."""
--- a/marlseam/net/action_ledger.py
+++ b/marlseam/net/action_ledger.py
@@ -1,9 +1,10 @@
-"""Counts a node's actions by what they stand on, and has the counts written to its ledger.
+"""Counts a node's actions by their basis, and writes the counts to the node's ledger.
 
-An action is a request accepted, an attempt sent, a response or a rejection. Each lies in one interval of this
-process: the time during which version, settings, endpoint list and serving status stay the same. The counts
-of an interval are written as a whole, some actions or a second after they changed, behind the record of the
-interval itself; what the disk refused is written once it works again.
+An action is an accepted request, a sent attempt, a response or a rejection. Each belongs to one interval of
+this process: the time during which version, settings, endpoint list and serving status, together the basis of
+the actions, stay the same. The counts of an interval are totals, written MAX_UNWRITTEN_ACTIONS actions or a
+second after they changed, and after the record of the interval itself. Records that could not be written are
+written again once the disk works.
 """
 
 import enum
@@ -24,12 +25,12 @@
 from marlseam.net.ledger_client import LedgerClient
 from marlseam.net.node_ledger import NodeLedger
 
-MAX_UNWRITTEN_ACTIONS = 200  # after which the counts do not wait for the next period
-MAX_OPEN_INTERVALS = 64  # whose counts may still grow
+MAX_UNWRITTEN_ACTIONS = 200  # after so many actions counts are written before the period ends
+MAX_OPEN_INTERVALS = 64  # the latest intervals, whose counts may still grow
 
 
 class Action(enum.IntEnum):
-    """What is counted, in the order of `ActionCounts`."""
+    """A kind of action; its value is the place of its count in `ActionCounts`."""
 
     TAKEN = 0
     SENT = 1
@@ -38,12 +39,12 @@
 
 
 class ActionBasis(NamedTuple):
-    """What actions stand on.
+    """The configuration and status under which a node acts.
 
     number: the version acted on.
-    content_id: its content's id; "" where a later version is held.
-    settings_digest: of the settings in force, which may be a file's of the node's own.
-    endpoint_list_version: of the endpoint list in force.
+    content_id: the id of that version's content; "" where a later version is held.
+    settings_digest: the digest of the settings in force, which may come from the node's own file.
+    endpoint_list_version: the version of the endpoint list in force.
     status: whether the node serves, and whether the version is proven.
     """
 
@@ -54,21 +55,21 @@
     status: ServingStatus
 
     def is_of(self, interval: IntervalBegun) -> bool:
-        """Return whether an interval goes on with this basis."""
+        """Return whether an interval has this basis, the content id aside."""
         status = ServingStatus(interval.serving, interval.proved, interval.code)
         basis = interval.number, interval.settings_digest, interval.endpoint_list_version, status
         return basis == (self.number, self.settings_digest, self.endpoint_list_version, self.status)
 
 
 class PendingRecord(NamedTuple):
-    """A record that is not known to be durable; `number` is the ledger's, 0 where it is not handed over."""
+    """A record that may not be durable; `number` is its number in the ledger, 0 before it is appended."""
 
     number: int
     record: LogRecord
 
 
 class PendingCounts(NamedTuple):
-    """Counts that are handed over and not known to be durable, and of which intervals."""
+    """A record of counts that was appended and may not be durable: its number, and the intervals in it."""
 
     number: int
     intervals: tuple[int, ...]
@@ -78,20 +79,23 @@
     """The intervals and counts of one process.
 
     Attributes:
-        node_ledger: the ledgers of this node; records go to its present one.
-        interval: the present one; None before the first.
-        stamp: the present interval as attempts carry it.
-        intervals: those whose counts may still grow, by number.
-        counts: their counts, by `Action`.
-        changed_intervals: those whose counts are to be written.
-        unwritten_actions: since counts were last handed over.
-        pending_records: intervals and the process's start, as far as they may not be durable, in order.
-        pending_counts: counts likewise.
+        node_ledger: the ledgers of this node; records are appended to its current one.
+        started_ms: when this process started, by the loop's clock.
+        is_beside: whether the process started while another of the node had the ledger.
+        interval: the present interval; None before the first.
+        stamp: the present interval's stamp, which attempts carry.
+        intervals: the intervals whose counts may still grow, by number.
+        counts: the counts of these intervals by number, each a list indexed by `Action`.
+        changed_intervals: the numbers of intervals whose counts are to be written.
+        unwritten_actions: actions counted since counts were last appended.
+        pending_records: the records of the process's start and of intervals that may not be durable, in
+            order.
+        pending_counts: the records of counts that may not be durable, in order.
 
     """
 
     def __init__(self, node_ledger: NodeLedger, name: str, generation: int, lease_ms: float) -> None:
-        """Begin without an interval, for one process of a member."""
+        """Create it without an interval, for one process (`generation`) of member `name`."""
         self.node_ledger, self.name = node_ledger, name
         self.generation, self.lease_ms = generation, lease_ms
         self.started_ms, self.is_beside = node_ledger.loop.now(), False
@@ -106,13 +110,13 @@
 
     @property
     def ledger(self) -> LedgerClient:
-        """Where the records are written at present."""
+        """The ledger to which records are appended at present."""
         return self.node_ledger.current
 
     # Process and intervals.
 
     def process_started(self, now: float) -> ProcessStarted:
-        """Return the record of this process."""
+        """Return the record of this process's start."""
         ran_ms = now - self.started_ms
         return ProcessStarted(
             self.generation,
@@ -126,21 +130,21 @@
         )
 
     def begin_process(self, now: float, is_beside: bool) -> None:
-        """Have the start of this process written; `is_beside` another process of the node."""
+        """Queue the record of this process's start; `is_beside`: another process has the ledger."""
         self.is_beside = is_beside
         self.pending_records.append(PendingRecord(0, self.process_started(now)))
 
     def write_all_again(self, now: float) -> None:
-        """Have all of this process's actions written again, as the ledger is another one from now on.
+        """Queue all records of this process again, as the node's ledger is another one from now on.
 
-        Counts are written as a whole, and the process and its intervals go before them.
+        The process and its intervals are written before the counts, which are totals.
         """
         records: list[LogRecord] = [self.process_started(now), *self.intervals.values()]
         self.pending_records = deque(PendingRecord(0, record) for record in records)
         self.changed_intervals, self.pending_counts = dict.fromkeys(self.counts), deque()
 
     def begin_interval(self, now: float, basis: ActionBasis) -> None:
-        """Begin an interval."""
+        """Begin an interval at `now` ms of the loop's clock, and write its record."""
         number = self.interval.interval + 1 if self.interval is not None else 1
         status = basis.status
         self.interval = IntervalBegun(
@@ -169,7 +173,7 @@
     # Counts.
 
     def count(self, action: Action, interval: int = 0) -> None:
-        """Count an action, of the present interval unless another is given."""
+        """Count an action in an interval, by default the present one; ignored if that is no longer open."""
         if self.interval is None:
             return
         number = interval or self.interval.interval
@@ -183,14 +187,14 @@
             self.write_counts()
 
     def totals(self) -> dict[str, int]:
-        """Return the counts of all open intervals together, by the action's name."""
+        """Return the sums of the counts of all open intervals, by the action's name."""
         sums = map(sum, zip(*self.counts.values(), strict=True))
         return dict(zip(ACTS, sums, strict=True))
 
     # Writing.
 
     def write_records(self) -> None:
-        """Hand over the records that are not; what the disk refused goes again, in order."""
+        """Append the pending records to the ledger in order, and again those lost by a disk fault."""
         ledger, pending = self.ledger, self.pending_records
         while pending and 0 < pending[0].number <= ledger.answered_count and ledger.accepts_records:
             pending.popleft()
@@ -202,7 +206,7 @@
             )
 
     def write_counts(self) -> None:
-        """Hand over the counts so far, and again those whose writing failed; their intervals first."""
+        """Append the changed counts and those lost by a disk fault, after the records of their intervals."""
         self.write_records()
         self.settle_counts()
         rows = [self.row_of(number) for number in self.changed_intervals if number in self.counts]
@@ -215,12 +219,12 @@
             self.changed_intervals, self.unwritten_actions = {}, 0
 
     def row_of(self, interval: int) -> tuple[int, int, int, int, int]:
-        """Return an interval's number and counts, as `ActionCounts` has them."""
+        """Return an interval's number and counts as a row of `ActionCounts`."""
         taken, sent, answered, refused = self.counts[interval]
         return interval, taken, sent, answered, refused
 
     def settle_counts(self) -> None:
-        """Forget counts that are durable; those that the disk refused are to be written again."""
+        """Drop pending counts that are durable; after a disk fault, mark their intervals as changed again."""
         ledger = self.ledger
         counts = self.pending_counts
         while counts and counts[0].number <= ledger.answered_count and ledger.accepts_records:
@@ -231,7 +235,7 @@
             self.pending_counts.clear()
 
     def end_process(self) -> None:
-        """Hand over the last counts, as the node ends."""
+        """Append the last counts and the record of the process's end, as the node ends."""
         self.write_counts()
         if self.interval is not None:
             ended = ProcessEnded(self.generation, self.ledger.wall_ms(), self.ledger.loop.now())
--- a/marlseam/net/admin.py
+++ b/marlseam/net/admin.py
@@ -1,4 +1,7 @@
-"""Operators' calls: one to a connection, answered before clients' requests, with connections of its own."""
+"""The HTTP server for operators' calls: one call a connection, handled before clients' requests.
+
+Its limit of connections is separate from that of clients.
+"""
 
 import socket
 from collections.abc import Callable, Mapping
@@ -12,23 +15,26 @@
 from marlseam.net.log import Log, Reason
 from marlseam.net.loop import Cancelled, Coroutine, Loop, Task
 
-CALL_MS = 2500.0  # how long a call may take to come, and as long its answer to go
-MAX_BODY_BYTES = 1024  # of a call's body, where nothing more is said
+CALL_MS = 2500.0  # how long reading a call may take, and again how long writing its answer may take
+MAX_BODY_BYTES = 1024  # of a call's body, unless the caller of `Admin` sets another limit
 
 
 class AdminCall(NamedTuple):
-    """One call: its method, and what answers its body by a status and a text."""
+    """A call: its HTTP method, and the function that maps its body to an HTTP status and a text."""
 
     method: str
     answer: Callable[[bytes], tuple[int, str]]
 
 
 class Admin:
-    """Answers operators' calls, by path, on a bounded number of connections.
+    """Answers operators' calls by path, on a bounded number of connections.
 
     Attributes:
-        calls: what may be called, by path.
-        open: the connections, the one that has waited longest first.
+        calls: the calls by path.
+        max_connections: open connections at most.
+        max_body_bytes: of a call's body at most.
+        open: the open connections with their tasks, the oldest first.
+        listener: accepts the connections.
 
     """
 
@@ -47,21 +53,22 @@
         self.listener = http.Listener(loop, http.bound(address), self.has_capacity, self.accept, first=True)
 
     def has_capacity(self, is_short: bool) -> bool:
-        """Close the connection of the caller who has waited longest where there are too many.
+        """Make room for a connection; return whether one may be accepted.
 
-        Guards usual callers against those that connect and finish no call. Where the system is short of
-        descriptors, clients that are owed nothing give up theirs first.
+        Closes the oldest connection where there are too many: guards usual callers against those that connect
+        and finish no call. Where the system is short of descriptors (`is_short`), connections of clients
+        without an open request are closed first.
         """
         if is_short and self.loop.descriptors.release_one(own=not self.open):
             return True
         while len(self.open) >= self.max_connections or (is_short and self.open):
-            self.close_longest_waiting()
+            self.close_oldest()
             if is_short:
                 return True
         return not is_short
 
-    def close_longest_waiting(self) -> None:
-        """Close the connection of the caller who has waited longest."""
+    def close_oldest(self) -> None:
+        """Close the connection that has been open longest."""
         connection, task = next(iter(self.open.items()))
         del self.open[connection]
         connection.close(Reason.CROWDED)
@@ -69,7 +76,7 @@
             task.cancel()
 
     def accept(self, sock: socket.socket) -> None:
-        """Serve a connection."""
+        """Start a task that serves a new connection."""
         connection = Connection(self.loop, self.log, sock, h11.SERVER, "operator")
         self.open[connection] = None
         task = self.loop.spawn(self.serve(connection), first=True)
@@ -77,7 +84,7 @@
             self.open[connection] = task
 
     def serve(self, connection: Connection) -> Coroutine:
-        """Answer one call."""
+        """Answer one call on a connection, or its error, and close the connection."""
         reason, until_ms = Reason.FAULT, connection.opened_ms + CALL_MS
         try:
             yield from self.answer(connection, until_ms)
@@ -95,7 +102,7 @@
             connection.close(reason)
 
     def answer(self, connection: Connection, until_ms: float) -> Steps:
-        """Read a call, do what it says, and write the answer."""
+        """Read a call until `until_ms`, carry it out, and write the answer; raises ConnectionEndedError."""
         try:
             call = yield from http.read(connection, until_ms, self.check_path, self.max_body_bytes)
         except MalformedMessageError as error:
@@ -105,7 +112,7 @@
         yield from http.answer(connection, status, headers, text.encode(), self.loop.now() + CALL_MS)
 
     def check_path(self, method: str, target: str) -> None:
-        """Raise where there is no such call."""
+        """Raise MalformedMessageError where the path or the method of a call is unknown."""
         call = self.calls.get(protocol.path_of(target))
         if call is None:
             raise MalformedMessageError("no such path", 404)
--- a/marlseam/net/admin_calls.py
+++ b/marlseam/net/admin_calls.py
@@ -1,4 +1,4 @@
-"""The calls that operators may make, and what each does to a node."""
+"""The calls that operators may make to a node, by path."""
 
 from marlseam.net.admin import MAX_BODY_BYTES, Admin, AdminCall
 from marlseam.net.configured_socket import config_error_on_failure
@@ -6,12 +6,12 @@
 from marlseam.net.node_interface import NodeInterface
 from marlseam.net.operator_answer import OperatorAnswer
 
-MAX_CONTENT_BYTES = 512 << 10  # of a cluster's settings as an operator sends them
-OPERATOR = "operator"  # as operators see who has a node out of service
+MAX_CONTENT_BYTES = 512 << 10  # of the body of a call that publishes a cluster's settings
+OPERATOR = "operator"  # the operators' name in `ServiceState.out_of_service_by`
 
 
 def open_admin(node: NodeInterface, address: tuple[str, int]) -> Admin:
-    """Begin to answer operators' calls; raises ConfigError where the address is not free."""
+    """Start to answer operators' calls; raises ConfigError where the address cannot be bound."""
     calls = service_calls(node) | cluster_calls(node)
     max_body_bytes = MAX_BODY_BYTES if node.config_service is None else MAX_CONTENT_BYTES
     with config_error_on_failure("admin", "{}:{}".format(*address), "a free address"):
@@ -29,7 +29,7 @@
 
 
 def cluster_calls(node: NodeInterface) -> dict[str, AdminCall]:
-    """Return the calls that a node of a cluster answers as well."""
+    """Return the further calls of a node with a cluster, and of one with a ledger."""
     calls: dict[str, AdminCall] = {}
     membership, service = node.membership, node.config_service
     if membership is not None:
--- a/marlseam/net/cluster_link.py
+++ b/marlseam/net/cluster_link.py
@@ -1,4 +1,4 @@
-"""Joins a node to its cluster: the members, and the versions of settings that these agree on."""
+"""Connects a node to its cluster: membership, and the configuration versions that the members agree on."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -11,18 +11,19 @@
 
 
 class ClusterLink:
-    """Makes the membership service, and offers the node to the service of configuration versions.
+    """Creates a node's membership service, and the port through which configuration versions reach the node.
 
     Attributes:
-        membership: the cluster's members as this node knows them.
-        config_service: the service of configuration versions; None where the settings name no ledger.
+        node: the node.
+        membership: the membership service.
+        config_service: the service of configuration versions; None where the settings name no ledger folder.
 
     """
 
     def __init__(self, node: NodeInterface, cluster: ClusterSettings) -> None:
         self.node, config, port = node, node.config, None
         if cluster.folder is not None:
-            # Imported here: a node without a ledger needs nothing of it.
+            # Imported here, so that a node without a ledger does not load the module.
             from marlseam.net.config_service import ConfigServicePort
 
             port = ConfigServicePort(
@@ -31,7 +32,7 @@
                 node.service.follow_cluster,
                 lambda: max(0, node.discovery.version),
                 lambda: node.config.settings,
-                self.pass_proof_on,
+                self.forward_proof,
                 config.socket_fd is not None,
             )
         address = cluster.members[config.name]
@@ -40,14 +41,14 @@
         self.config_service = self.membership.config_service
 
     def load_config(self) -> Config:
-        """Return the configuration under the version that the ledger holds, or as it is without one."""
+        """Return the node's configuration, with the settings of the ledger's version if that is usable."""
         content = self.config_service.load() if self.config_service is not None else None
         if content is None:
             return self.node.config
         return configuration.with_settings(self.node.config, content.settings)
 
     def settings_error(self, settings: Mapping[str, Any]) -> str:
-        """Return what is wrong with a cluster's settings here, or ""."""
+        """Return why a cluster's settings are invalid on this node; "" where they are valid."""
         try:
             configuration.with_settings(self.node.config, settings)
         except ConfigError as error:
@@ -55,10 +56,10 @@
         return ""
 
     def apply_settings(self, settings: Mapping[str, Any]) -> None:
-        """Go on under a cluster's settings, between two events; open requests keep their class."""
+        """Apply a cluster's settings to the node, between two events; open requests keep their class."""
         self.node.adopt(configuration.with_settings(self.node.config, settings))
 
-    def pass_proof_on(self, number: int, content_id: str, mono_ms: float) -> None:
-        """Tell other processes of this node when the cluster's version was in force."""
+    def forward_proof(self, number: int, content_id: str, mono_ms: float) -> None:
+        """Send other processes of this node the proof of when the cluster's version was in force."""
         if self.node.handover is not None:
-            self.node.handover.prove(number, content_id, mono_ms)
+            self.node.handover.send_proof(number, content_id, mono_ms)
--- a/marlseam/net/config_port.py
+++ b/marlseam/net/config_port.py
@@ -1,4 +1,4 @@
-"""The narrow port by which the service of configuration versions sees its node."""
+"""The port through which the service of configuration versions uses its node."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -7,17 +7,18 @@
 
 @dataclass
 class ConfigServicePort:
-    """What the node offers to the service.
+    """Functions of the node that the service calls.
 
     Attributes:
-        wrong: says what is wrong with settings on this node, or nothing.
-        apply: acts on settings from now on.
-        serve: puts the node in service or takes it out.
-        listed: returns the number of the endpoint list in force.
+        settings_fault: returns why settings are invalid on this node; "" where they are valid.
+        apply: applies settings to the node.
+        serve: puts the node in service (True) or out of service (False).
+        endpoint_list_number: returns the version of the endpoint list in force.
         settings: returns the settings in force; the same object while they stay the same.
-        prove: tells other processes of this node a version, its id, and as of when it was in force (ms of
-            the machine's monotonic clock).
-        beside: whether another process of this node may be there, as in an upgrade.
+        share_proof: sends other processes of this node a version's number, its id, and the time at which it
+            was in force, in ms of the machine's monotonic clock.
+        may_write_beside: whether another process of this node may hold the ledger, as in an upgrade; then
+            this one writes to a ledger beside it.
 
     """
 
--- a/marlseam/net/config_requests.py
+++ b/marlseam/net/config_requests.py
@@ -1,6 +1,6 @@
-"""What operators ask of a node's configuration versions: publish one, shut the node out, tell its status.
+"""Operators' requests on configuration versions: publish one, take the node out of service, get its status.
 
-The keys of the JSON objects are part of the operators' interface, and named here alone.
+The keys of the JSON objects are part of the operators' interface, and defined only here.
 """
 
 import json
@@ -25,33 +25,33 @@
     from marlseam.net.config_service import ConfigVersionService
 
 ACCEPTED, BAD_REQUEST, CONFLICT, UNAVAILABLE = 202, 400, 409, 503  # HTTP statuses
-MAX_VOTER_CHANGES, MAX_MEMBER_CHANGES = 2, 1  # that come or go with one version
-MAX_PROOF_AGE_MS = 1e12  # above which there never was a proof
+MAX_VOTER_CHANGES, MAX_MEMBER_CHANGES = 2, 1  # added or removed by one version
+MAX_PROOF_AGE_MS = 1e12  # a greater age of the proof means that there never was one
 
 
 class Response(NamedTuple):
-    """An HTTP status and a line of text."""
+    """A response to an operator: its HTTP status and one line of text."""
 
     status: int
     text: str
 
 
 class RejectedRequestError(Exception):
-    """An operator's request that is not carried out; `status` is HTTP's, `reason` for the operator."""
+    """An operator's request that is not carried out: the response's HTTP status, and why as text."""
 
     def __init__(self, status: int, reason: str) -> None:
-        """Make one."""
+        """Create the error of an HTTP status, for a reason that the operator reads."""
         super().__init__(reason)
         self.status, self.reason = status, reason
 
     def response(self) -> Response:
-        """Return it as a response."""
+        """Return the response to the operator."""
         return Response(self.status, f"{self.reason}\n")
 
 
 @dataclass
 class PublishRequest:
-    """A version that an operator wants; voters and members None where they are to stay as they are."""
+    """The settings that an operator publishes as a version; voters or members are None where unchanged."""
 
     settings: dict[str, Any]
     why: str
@@ -60,55 +60,55 @@
 
 
 def is_reason(why: object) -> bool:
-    """Return whether a value is a reason: a text that is neither empty nor too long."""
+    """Return whether a value is a valid reason: a text of 1 to MAX_REASON_CHARACTERS characters."""
     return isinstance(why, str) and 0 < len(why) <= messages.MAX_REASON_CHARACTERS
 
 
 def parse_publish_request(body: bytes) -> PublishRequest:
-    """Return what the body of a request says; raises RejectedRequestError."""
+    """Parse the JSON body of a request to publish; raises RejectedRequestError."""
     try:
         given = json.loads(body)
         settings, why = given["settings"], given["why"]
         voters, members = given.get("voters"), given.get("members")
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-        raise RejectedRequestError(BAD_REQUEST, f"settings and why were expected ({error!r})") from None
+        raise RejectedRequestError(BAD_REQUEST, f"expected JSON with settings and why ({error!r})") from None
     if not isinstance(settings, dict) or not is_reason(why):
         limit = messages.MAX_REASON_CHARACTERS
         raise RejectedRequestError(
-            BAD_REQUEST, f"settings, and why in up to {limit} characters, were expected"
+            BAD_REQUEST, f"expected settings as an object, and why as a text of 1 to {limit} characters"
         )
     are_names = isinstance(voters, list) and all(isinstance(name, str) for name in voters)
     if voters is not None and not are_names:
-        raise RejectedRequestError(BAD_REQUEST, "voters: a list of members' names was expected")
+        raise RejectedRequestError(BAD_REQUEST, "voters: expected a list of members' names")
     if members is not None and not (isinstance(members, dict) and members):
-        raise RejectedRequestError(BAD_REQUEST, "members: an object of names and addresses was expected")
+        raise RejectedRequestError(BAD_REQUEST, "members: expected an object of names and addresses")
     return PublishRequest(settings, why, voters, members)
 
 
 class ConfigRequests:
-    """Carries out operators' requests of one service."""
+    """Carries out operators' requests to one service of configuration versions."""
 
     def __init__(self, service: "ConfigVersionService") -> None:
-        """Make one."""
+        """Serve requests to a service, which may have no replica yet."""
         self.service = service
 
     def replica(self) -> ConfigReplica:
         """Return the service's replica; raises RejectedRequestError while there is none."""
         if self.service.replica is None:
-            raise RejectedRequestError(UNAVAILABLE, "another process has the ledger")
+            raise RejectedRequestError(UNAVAILABLE, "the ledger is not read yet: another process has it")
         return self.service.replica
 
     # Publishing.
 
     def publish(self, body: bytes) -> Response:
-        """Have settings agreed on as the next version; the response says what is wrong, or that it began."""
+        """Start the publication of settings as the next version; respond 202 or why it is rejected."""
         try:
             return self.begin_publication(body)
         except RejectedRequestError as error:
             return error.response()
 
     def begin_publication(self, body: bytes) -> Response:
-        """Do so; raises RejectedRequestError."""
+        """Start the publication in a request's body; raises RejectedRequestError."""
         replica = self.replica()
         content = self.content_of(replica, parse_publish_request(body))
         data = self.checked_data(replica, content)
@@ -120,7 +120,7 @@
         return Response(ACCEPTED, f"version {content.number}: {replica.publisher.result}\n")
 
     def content_of(self, replica: ConfigReplica, request: PublishRequest) -> Content:
-        """Return the content that a request asks for; raises RejectedRequestError."""
+        """Return the content of the next version by a request; raises RejectedRequestError."""
         voters = frozenset(request.voters or replica.voters)
         fault = self.step_fault(replica, voters, frozenset(request.members or replica.members))
         if fault:
@@ -136,11 +136,11 @@
             request.members or self.members(),
         )
         if replica.number and self.is_in_force(content):
-            raise RejectedRequestError(CONFLICT, f"version {replica.number} says the same")
+            raise RejectedRequestError(CONFLICT, f"version {replica.number} has the same content already")
         return content
 
     def checked_data(self, replica: ConfigReplica, content: Content) -> bytes:
-        """Return a content's bytes; raises RejectedRequestError where it cannot be used here."""
+        """Return a content encoded; raises RejectedRequestError where it is invalid on this node."""
         try:
             data = write(content)
             fault = self.service.content_fault(read(data, replica.members))
@@ -151,7 +151,7 @@
         return data
 
     def members(self) -> dict[str, str]:
-        """Return the members that the version held names, if it names any."""
+        """Return the members that the held version names, by name and address; {} if it names none."""
         service = self.service
         try:
             return dict(service.held_content().members) if service.replica and service.replica.number else {}
@@ -159,15 +159,15 @@
             return {}
 
     def step_fault(self, replica: ConfigReplica, voters: frozenset[str], members: frozenset[str]) -> str:
-        """Return what is wrong with voters and members after the present ones, or nothing."""
+        """Return why voters and members cannot follow the present ones in one version; "" if they can."""
         if not is_single_step(replica.voters, voters, MAX_VOTER_CHANGES):
-            return f"voters {sorted(voters)}: two more or less, or one in another's place, were expected"
+            return f"voters {sorted(voters)}: expected two to be added or removed at most, or one replaced"
         if not is_single_step(replica.members, members, MAX_MEMBER_CHANGES):
-            return f"members {sorted(members)}: one more, less, or in another's place was expected"
+            return f"members {sorted(members)}: expected one at most to be added, removed or replaced"
         return voters_fault(sorted(voters), members)
 
     def is_in_force(self, content: Content) -> bool:
-        """Return whether the version held says the same already."""
+        """Return whether the held version has the same settings, members and voters as a content."""
         try:
             held = self.service.held_content()
         except InvalidContentError:
@@ -177,30 +177,30 @@
             has_same_settings and held.members == content.members and set(held.voters) == set(content.voters)
         )
 
-    # Shutting a node out.
+    # Override of a node's service.
 
     def override(self, why: str | None) -> Response:
-        """Shut this node out for a reason, or with None bring it back; that holds across restarts."""
+        """Take this node out of service for a reason, or with None end that; it holds across restarts."""
         try:
             return self.begin_override(why)
         except RejectedRequestError as error:
             return error.response()
 
     def begin_override(self, why: str | None) -> Response:
-        """Do so; raises RejectedRequestError."""
+        """Start to persist an override, or with None its end; raises RejectedRequestError."""
         service, replica = self.service, self.replica()
         if why is not None and not is_reason(why):
             limit = messages.MAX_REASON_CHARACTERS
-            raise RejectedRequestError(BAD_REQUEST, f"why in up to {limit} characters was expected")
+            raise RejectedRequestError(BAD_REQUEST, f"expected why as a text of 1 to {limit} characters")
         if not service.ledger.is_available():
-            raise RejectedRequestError(UNAVAILABLE, f"the ledger cannot be written: {service.ledger.code}")
+            raise RejectedRequestError(UNAVAILABLE, f"the ledger is not writable: {service.ledger.code}")
         service.carry_out([replica.override_by_operator(why, service.ledger.wall_ms())])
-        return Response(ACCEPTED, f"{service.name} is to be {'out' if why is not None else 'in'}\n")
+        return Response(ACCEPTED, f"{service.name} goes {'out of' if why is not None else 'in'} service\n")
 
     # Status.
 
     def status(self) -> dict[str, Any]:
-        """Return what this node acts on, and what others last said that they do; ages in ms."""
+        """Return this node's status and the last reported status of each other member; ages in ms."""
         service = self.service
         now, replica, interval = service.loop.now(), service.replica, service.actions.interval
         if replica is None or interval is None:
@@ -213,7 +213,7 @@
         )
 
     def version_status(self, now: float, replica: ConfigReplica, interval: IntervalBegun) -> dict[str, Any]:
-        """Return which version is held and acted on, and how far that is proven."""
+        """Return the held and the applied version, the serving status, and the age of the proof."""
         status = self.service.refresh()
         age_ms = now - replica.lease.proven_at_ms
         return {
@@ -232,7 +232,7 @@
         }
 
     def replica_status(self, replica: ConfigReplica) -> dict[str, Any]:
-        """Return who belongs and votes, and what is wrong."""
+        """Return members and voters, whether this node votes, and the faults that keep it out of service."""
         return {
             "members": self.members(),
             "voters": sorted(replica.voters),
@@ -243,7 +243,7 @@
         }
 
     def node_status(self, replica: ConfigReplica, interval: IntervalBegun) -> dict[str, Any]:
-        """Return what this node does: transfers, ledger, publication, counts of actions."""
+        """Return this node's transfers of contents, ledger, publication and counts of actions."""
         service = self.service
         publication = replica.publisher.publication
         return {
@@ -258,7 +258,7 @@
 
 
 def peer_row(now: float, peer: PeerStatus) -> dict[str, Any]:
-    """Return what another member last said of itself, as operators read it."""
+    """Return another member's last reported status; `told_ms` is the age of the report in ms."""
     return {
         "version": peer.number,
         "acting": peer.acting,
--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -1,8 +1,8 @@
-"""Which version of the configuration this node acts on: joins the pure replica and the ledger to the node.
+"""The service of configuration versions: connects the pure replica and the ledger to a node.
 
-Before anything is accepted or sent, `refresh` says whether the node may serve; after a stop of the process,
-too, as it looks at the clock. Each action is counted under the interval that it lies in (`action_ledger`).
-What operators ask is in `config_requests`.
+Before a request is accepted or an attempt sent, `refresh` evaluates whether the node may serve. It reads the
+clock, so that this also holds after the process was stopped for a while. Each action is counted under the
+interval in which it occurs (`action_ledger`). Operators' requests are handled in `config_requests`.
 """
 
 import os
@@ -35,26 +35,33 @@
 
 __all__ = ["ConfigServicePort", "ConfigVersionService"]
 
-CHECK_PERIOD_MS = 1000.0  # between writings of counts, and looks at what changes by itself
-PROPOSER_RANDOM_BYTES = 8  # in a proposer's id, so that no two processes of one incarnation share it
+CHECK_PERIOD_MS = 1000.0  # between writes of counts, and between evaluations of the serving status at most
+PROPOSER_RANDOM_BYTES = 8  # in a proposer's id, so that no two processes of one generation share it
 STATUS_OK = 200
 
 
 def ignore_members(_members: Mapping[str, str]) -> None:
-    """Do nothing with the members of a version."""
+    """Ignore the members that a version names: the default for `on_members`."""
 
 
 class ConfigVersionService:
     """One node's replica, ledger and serving status.
 
     Attributes:
-        replica: None until the ledger could be read.
-        node_ledger: the ledgers of this node, and which of them this process writes to.
-        is_beside: whether this process has begun while another of the node had the ledger.
-        actions: the counts of this process.
-        requests: what operators ask.
-        serving_status, valid_until_ms: as last evaluated, and until when that holds.
-        is_started: whether the node is built, so that service and settings can change.
+        replica: the replica of the replicated configuration; None until the ledger was read.
+        serving_status: the status as last evaluated.
+        valid_until_ms: until when that status holds, by the loop's clock.
+        last_list_version: the version of the endpoint list at the last refresh.
+        last_settings: the settings in force at the last refresh.
+        last_settings_digest: the digest of these settings.
+        held_digest: the content held, and the digest of its settings.
+        notified_members: the members that `on_members` was last called with.
+        node_ledger: the ledgers of this node; its `current` one is written by this process.
+        actions: counts the actions of this process.
+        requests: carries out operators' requests.
+        timer: the next call of `tick`.
+        is_beside: whether this process started while another of the node had the ledger.
+        is_started: whether the node is constructed, so that its service and settings can be changed.
 
     """
 
@@ -72,16 +79,19 @@
         send: Callable[[str, bytes], None],
         on_members: Callable[[Mapping[str, str]], None] = ignore_members,
     ) -> None:
-        """Make one for a member; `on_members` is called with the members that a version names."""
+        """Create the service of member `name`; raises ConfigError where the settings name no ledger folder.
+
+        `send` sends a datagram to a member; `on_members` is called with the members that a version names.
+        """
         self.loop, self.log, self.settings, self.name = loop, log, settings, name
         self.generation, self.seed, self.port = generation, seed, port
         self.send, self.on_members = send, on_members
         self.replica: ConfigReplica | None = None
         self.serving_status, self.valid_until_ms = ServingStatus(False, False, "locked"), 0.0
-        self.last_list_version = -1  # as of the last refresh
-        self.last_settings: object = None  # likewise; and their digest
+        self.last_list_version = -1
+        self.last_settings: object = None
         self.last_settings_digest, self.digester = "", SettingsDigester()
-        self.held_digest: tuple[Content | None, str] = (None, "")  # of the settings of the version held
+        self.held_digest: tuple[Content | None, str] = (None, "")
         self.notified_members: Mapping[str, str] = {}
         if settings.folder is None:
             raise ConfigError("fleet.folder", None, "a folder for the ledger")
@@ -92,35 +102,35 @@
         self.timer = loop.at(loop.now(), lambda: None)
         self.is_beside = self.is_started = False
 
-    # The start and the end.
+    # Start and end.
 
     def load(self) -> Content | None:
-        """Read the ledger if it can be had at once; return the content held last, if it can be used here."""
+        """Read the ledger if its lock is free; return the content held, None if there is none to apply."""
         is_loaded = self.node_ledger.load(self.port.may_write_beside)
         if not is_loaded or self.replica is None or not self.replica.applied_number:
             return None
         return self.held_content()
 
     def held_content(self) -> Content:
-        """Return the content of the version held; raises InvalidContentError."""
+        """Return the content of the held version; raises InvalidContentError."""
         replica = self.replica
         if replica is None:
-            raise InvalidContentError("no version is held")
+            raise InvalidContentError("no version is held: the ledger is not read")
         return replica.content or replica.read_content(replica.content_id)
 
     @property
     def ledger(self) -> LedgerClient:
-        """Where this process writes."""
+        """The ledger that this process writes to at present."""
         return self.node_ledger.current
 
     def take_over_ledger(self, recovered: RecoveredLog) -> None:
-        """Go on in the node's main ledger; from here on this process may vote."""
+        """Continue in the node's main ledger, with its memory of votes; from now on this process may vote."""
         if self.replica is not None:
             self.replica.take_over_memory(recovered)
         self.actions.write_all_again(self.loop.now())
 
     def recover(self, recovered: RecoveredLog) -> None:
-        """Begin with what the ledger holds."""
+        """Create the replica from what the ledger holds; called once, when the ledger was read."""
         recovered = self.node_ledger.merge_other(recovered)
         self.is_beside = self.node_ledger.main is not None
         now = self.loop.now()
@@ -129,7 +139,7 @@
             self.log.line(f"fleet code=unfit: version {replica.number}: {replica.unusable_reason}")
         replica.voter.memory_is_elsewhere = self.is_beside
         if recovered.votes_excluded_up_to is None and not self.is_beside:
-            self.log.line("fleet code=lost: votes on nothing until it is known what it may have promised")
+            self.log.line("fleet code=lost: does not vote until the promises that it may have made are known")
         self.actions.begin_process(now, self.is_beside)
         if replica.applied_number:
             content = self.held_content()
@@ -138,7 +148,7 @@
                 self.port.apply(content.settings)
 
     def make_replica(self, now: float, recovered: RecoveredLog) -> ConfigReplica:
-        """Return a replica that begins with what was recovered."""
+        """Return a replica that starts from what was recovered from the ledger."""
         cluster = self.settings
         settings = ReplicationSettings(
             frozenset(cluster.voters), cluster.period_ms, cluster.lease_ms, cluster.strict, cluster.serve_ms
@@ -150,7 +160,7 @@
         )
 
     def start(self) -> None:
-        """Begin to write, to send and to receive; the node is built."""
+        """Start to write, to send and to receive; called once the node is constructed."""
         self.is_started = True
         self.node_ledger.start()
         self.refresh()
@@ -158,31 +168,35 @@
         self.tick()
 
     def close(self) -> None:
-        """Have the last counts written, as the node ends."""
+        """Write the last counts and close the ledger, as the node ends."""
         self.actions.end_process()
         self.ledger.close()
 
     # Other processes of this node.
 
     def on_address_acquired(self) -> None:
-        """Send status requests at once, as this process has the node's address now."""
+        """Send status requests at once, as this process has bound the member's address now."""
         if self.replica is not None and self.is_started:
             self.replica.next_ms = self.loop.now()
             self.tick()
 
     def machine_offset_ms(self) -> float:
-        """Return this clock's zero on the machine's monotonic clock, which all its processes share."""
+        """Return the loop clock's zero in ms of the machine's monotonic clock, which all processes share."""
         return 1000.0 * self.loop.clock.zero
 
     def share_proof(self) -> None:
-        """Tell other processes of this node as of when the version held was in force."""
+        """Send other processes of this node the time as of which the held version is proven in force."""
         replica = self.replica
         if replica is not None and replica.lease.proven_at_ms > -inf:
             proven_at_ms = replica.lease.proven_at_ms + self.machine_offset_ms()
             self.port.share_proof(replica.number, replica.content_id, proven_at_ms)
 
     def receive_proof(self, number: int, content_id: str, monotonic_ms: float) -> None:
-        """Take over a proof from another process of this node, and what it holds if that is later."""
+        """Take over a proof from another process of this node, and its version if that is later.
+
+        `monotonic_ms` is in ms of the machine's monotonic clock. The content of a later version is read from
+        the other process's ledger.
+        """
         replica, now = self.replica, self.loop.now()
         if replica is None:
             return
@@ -199,7 +213,7 @@
     # The replica.
 
     def content_fault(self, content: Content) -> str:
-        """Return what is wrong with a content on this node, or nothing."""
+        """Return why a content cannot be used on this node; "" if it can."""
         try:
             for name, value in content.members.items():
                 if name not in self.settings.members:
@@ -209,7 +223,7 @@
         return self.port.settings_fault(content.settings)
 
     def receive_datagram(self, data: bytes, names: frozenset[str]) -> None:
-        """Take in a datagram from one of some members; raises InvalidMessageError."""
+        """Handle a datagram from one of the named members; raises InvalidMessageError."""
         datagram = messages.read(data, self.settings.name, names)
         if self.replica is not None and datagram.sender != self.name:
             self.carry_out(self.replica.receive(self.loop.now(), datagram.sender, datagram.message))
@@ -217,7 +231,7 @@
                 self.invalidate()
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Run the replica's due actions, refresh the status, write counts, and set the next timer."""
         self.loop.drop(self.timer)
         now = self.loop.now()
         due_ms = now + CHECK_PERIOD_MS
@@ -232,7 +246,7 @@
         self.timer = self.loop.at(due_ms, self.tick)
 
     def carry_out(self, effects: Iterable[Effect]) -> None:
-        """Carry out what the replica asks for, in order."""
+        """Carry out the replica's effects, in order."""
         for effect in effects:
             match effect:
                 case SendMessage():
@@ -245,13 +259,13 @@
                     self.log.line(effect.text)
 
     def datagram_of(self, message: messages.ReplicationMessage) -> bytes:
-        """Return a message as it is sent."""
+        """Return the datagram of a message."""
         return messages.write(
             messages.ReplicationDatagram(messages.VERSION, self.settings.name, self.name, message)
         )
 
     def apply(self, effect: ApplyContent) -> None:
-        """Act on a content from now on."""
+        """Apply a version's settings and members to the node, and log it."""
         content = effect.content
         self.port.apply(content.settings)
         self.notify_members(content.members)
@@ -259,13 +273,13 @@
         self.invalidate()
 
     def notify_members(self, members: Mapping[str, str]) -> None:
-        """Tell the node who belongs by a version, where that names members, and others than before."""
+        """Call `on_members` with the members that a version names, if it names any and they have changed."""
         if members and members != self.notified_members:
             self.notified_members = members
             self.on_members(members)
 
     def persist(self, effect: Persist) -> Coroutine:
-        """Have records durable, and tell the replica."""
+        """Append records to the ledger, wait until they are durable, and report the result to the replica."""
         replica, number = self.replica, 0
         if replica is None:
             return
@@ -275,26 +289,26 @@
             replica.persist_failed(effect.token)
             return
         self.carry_out(replica.persisted(self.loop.now(), effect.token))
-        # An operator's override, or a version that cannot be used, holds from here on.
+        # From here on an operator's override, or a held version that cannot be used, affects the service.
         self.invalidate()
         self.refresh()
 
     def with_time(self, record: LogRecord) -> LogRecord:
-        """Return a record with the time of its writing, where it has one that the replica does not know."""
+        """Return a record with the Unix time of its writing, which the pure replica cannot set."""
         if isinstance(record, VersionHeld):
             return VersionHeld(record.number, record.id, self.ledger.wall_ms())
         return record
 
-    # What actions stand on.
+    # Serving status and intervals.
 
     def invalidate(self) -> None:
-        """Have the serving status evaluated anew by the next refresh."""
+        """Have the next refresh evaluate the serving status anew."""
         self.valid_until_ms = 0.0
 
     def refresh(self) -> ServingStatus:
-        """Return whether this node may serve; begin an interval where what actions stand on has changed."""
+        """Return whether this node may serve; begin a new interval if the basis of actions has changed."""
         now, replica = self.loop.now(), self.replica
-        # The usual case, several times a request: nothing has changed.
+        # Called several times a request, and usually nothing has changed.
         is_same = (
             self.port.settings() is self.last_settings
             and self.port.endpoint_list_number() == self.last_list_version
@@ -310,7 +324,7 @@
         return self.serving_status
 
     def evaluate_service(self, now: float, replica: ConfigReplica) -> None:
-        """Evaluate the serving status, and have the node follow it."""
+        """Evaluate the serving status, and put the node in or out of service when it changes."""
         replica.disk_fault = self.ledger.fault()
         before, status = self.serving_status, replica.serving.evaluate(now)
         self.serving_status = status
@@ -321,7 +335,7 @@
             self.port.serve(status.is_serving)
 
     def action_basis(self, replica: ConfigReplica) -> ActionBasis:
-        """Return what actions stand on at this moment."""
+        """Return the present basis of actions: version, settings, endpoint list and serving status."""
         status, list_version = self.serving_status, self.port.endpoint_list_number()
         settings, self.last_list_version = self.port.settings(), list_version
         if self.last_settings is not settings:
@@ -332,7 +346,7 @@
         )
 
     def held_settings_digest(self) -> str:
-        """Return the digest of the settings of the version held; "" where it cannot be read."""
+        """Return the digest of the held version's settings; "" where its content cannot be read."""
         try:
             held = self.held_content()
         except InvalidContentError:
@@ -342,18 +356,18 @@
         return self.held_digest[1]
 
     def has_version(self) -> bool:
-        """Return whether this node acts on a version of the cluster's."""
+        """Return whether this node acts on one of the cluster's versions."""
         return self.replica is not None and self.replica.applied_number > 0
 
     def report_local_settings(self, settings: Mapping[str, Any]) -> None:
-        """Log where a file of the node's own means something else than the cluster's version."""
+        """Log that the settings of the node's own file are ignored, if they differ from those in force."""
         if settings_digest(settings) != self.last_settings_digest:
-            self.log.line("fleet code=local-refused: the file's settings are not the version's, these stay")
+            self.log.line("fleet code=local-refused: the file's settings are ignored, the version's stay")
 
     # Actions.
 
     def stamp_attempt(self) -> StampedAttempt:
-        """Return the stamp of an attempt that is to be sent."""
+        """Return an object that stamps an attempt once it is sent, and counts it."""
         return StampedAttempt(self.actions, self.may_accept)
 
     def may_accept(self) -> bool:
@@ -361,23 +375,23 @@
         return self.refresh().is_serving
 
     def record_accepted(self) -> None:
-        """Count that a request was accepted."""
+        """Count an accepted request."""
         self.actions.count(Action.TAKEN)
 
     def record_response(self, status: int) -> None:
-        """Count a response, or a rejection, by the HTTP status that the client is told."""
+        """Count a response with HTTP status 200 as answered, any other one as refused."""
         self.actions.count(Action.ANSWERED if status == STATUS_OK else Action.REFUSED)
 
     # Operators.
 
     def publish(self, body: bytes) -> Response:
-        """Have settings agreed on as the next version."""
+        """Start the publication of settings as the next version; `body` is the JSON of the request."""
         return self.requests.publish(body)
 
     def override_by_operator(self, why: str | None) -> Response:
-        """Shut this node out for a reason, or with None bring it back."""
+        """Take this node out of service for a reason, or with None end that; it holds across restarts."""
         return self.requests.override(why)
 
     def status(self) -> dict[str, Any]:
-        """Return what this node acts on, and what others last said that they do."""
+        """Return this node's status and the last reported status of each other member; ages in ms."""
         return self.requests.status()
--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -1,6 +1,6 @@
-"""What of a node outlasts its process: attempts that may have run, and the endpoint list.
+"""The state of a node that is kept across restarts: keyed attempts that may have run, and the endpoint list.
 
-The store's records are made of the reducer's effects and of what discovery tells; a start recovers from them.
+Records are made from the reducer's effects and from discovery's answers; the next start recovers from them.
 """
 
 from __future__ import annotations
@@ -22,22 +22,25 @@
 from marlseam.store.node_state import NodeState
 from marlseam.store.state_store import StateStore
 
-KEYS_PER_STEP = 500  # handed to the reducer at a time
-SOURCE = "store"  # as the reducer names it
-CONFIRMATION_INTERVAL_MS = 5000.0  # how often a list that did not change is noted as confirmed
-MIN_LIST_INTERVAL_MS = 1000.0  # between two lists in the journal
+KEYS_PER_STEP = 500  # recovered keys that are posted to the reducer in one event
+SOURCE = "store"  # the name of this source of history in the reducer
+CONFIRMATION_INTERVAL_MS = 5000.0  # between two journal records that an unchanged list was confirmed
+MIN_LIST_INTERVAL_MS = 1000.0  # between two endpoint lists in the journal
 
 
 class DurableState:
-    """Joins a node, its store and what it recovers.
+    """Stores a node's state, and recovers it at the start.
 
     Attributes:
         store: the journal and the files of the state directory.
-        departure_rate: how many servers left the list in how much time, over all processes.
-        barriers: by request, the number of the record that must be durable before it is sent.
-        confirmed_unix_ms: when the list that is held was last confirmed.
-        counted: servers on the list as `departure_rate` counts them since `counted_ms`.
-        recovered_keys: how many keys were read.
+        departure_rate: how many servers have left the list in how much time, over all processes so far.
+        barriers: by request id, the number of the record that must be durable before its attempt is sent.
+        confirmed_written_ms: when the list or its confirmation was last written, by the loop's clock.
+        list_written_ms: when the list was last written, by the loop's clock.
+        confirmed_unix_ms: when discovery last confirmed the list that is held, in Unix ms.
+        counted: the servers on the list whose time `departure_rate` counts since `counted_ms`.
+        has_unwritten_change: whether the list has changed since it was last written.
+        recovered_keys: how many idempotency keys were recovered.
 
     """
 
@@ -53,21 +56,22 @@
         self.has_unwritten_change = False
         self.recovered_keys = 0
 
-    # The start.
+    # Recovery.
 
     def recover(self) -> None:
-        """Take up what the last process left, and begin to record what this one does.
+        """Recover the state that the last process stored, and begin to record the state of this one.
 
-        What cannot be read yet is not known: the node serves what needs no record, and reads on.
+        While the store cannot be read, the history counts as unavailable: the node serves requests that need
+        no record, and `recover_late` is called once the store was read.
         """
         began_s = time.monotonic()
         node = self.node
-        gc.disable()  # guards the start: each collection looks at all the keys read so far
+        gc.disable()  # guards against a slow start: each collection would traverse all keys read so far
         state = self.store.load()
         node.reducer.idempotency_records.max_keys = self.settings.keys
         if state is None:
             node.post(core.HistoryUnavailable(SOURCE))
-            node.log.line("what may have run under a key is not known yet: marked retries go nowhere for now")
+            node.log.line("history of keyed requests is not read yet, marked retries are not sent until then")
         else:
             for _ in self.restore_history(state):
                 pass
@@ -79,15 +83,15 @@
         self.store.begin()
 
     def recover_late(self, state: NodeState) -> Steps:
-        """Take in what was read while the node serves."""
+        """Restore state that was read after the start, in steps, while the node serves."""
         for _ in self.restore_history(state):
             yield from sleep(self.node.loop.now())
         if not self.node.discovery.held:
             self.restore_list(state, time.monotonic())
-        self.node.log.line(f"what may have run is known now: {self.recovered_keys} keys on record")
+        self.node.log.line(f"history of keyed requests is recovered: {self.recovered_keys} keys on record")
 
     def restore_list(self, state: NodeState | None, began_s: float) -> bool:
-        """Start from the newer of the lists that can be had, if it is the file's; return whether it was."""
+        """Start discovery from the stored list unless the configuration's is newer; return whether it did."""
         now_unix_ms = self.clock.to_unix(self.node.loop.now())
         saved = self.list_to_restore(state)
         if saved is None:
@@ -96,16 +100,16 @@
         doubt = saved_list.entry_doubt(age_ms, self.departure_rate)
         self.confirmed_unix_ms = saved.confirmed_ms or 0.0
         self.node.discovery.begin(ListSnapshot(saved.version, saved.rows), doubt)
-        shown = "of unknown age" if age_ms is None else f"{age_ms / 1000.0:.0f} s old"
+        age_text = "of unknown age" if age_ms is None else f"{age_ms / 1000.0:.0f} s old"
         took_ms = 1000.0 * (time.monotonic() - began_s)
         self.node.log.line(
-            f"starts from its own list, {shown}: {len(saved.rows)} servers, doubt {doubt:.3f}, "
+            f"starts from stored endpoint list, {age_text}: {len(saved.rows)} servers, doubt {doubt:.3f}, "
             f"{self.recovered_keys} keys on record, read in {took_ms:.0f} ms"
         )
         return True
 
     def list_to_restore(self, state: NodeState | None) -> SavedList | None:
-        """Return the file's list; None where there is none, or the configuration holds a newer one."""
+        """Return the stored list; None where there is none or the configuration has a newer version."""
         if state is None or state.listed is None:
             return None
         stored, known = state.listed, self.node.config.known
@@ -114,12 +118,15 @@
         return in_file if saved_list.choose_list(in_file, configured) is in_file else None
 
     def restore_history(self, state: NodeState) -> Iterator[None]:
-        """Hand what may have run to the reducer, in parts; then it is known, or known to be lost."""
+        """Post recovered attempts to the reducer, KEYS_PER_STEP keys a step; empties `state.sent`.
+
+        At the end the history is posted as available, or as unavailable where a part of it is lost.
+        """
         node, shift_ms = self.node, -self.clock.unix_zero_ms
         self.departure_rate.departures += state.departure_rate.departures
         self.departure_rate.lived_ms += state.departure_rate.lived_ms
         zones = node.config.deployment.zones
-        names: dict[str, str] = {}  # each held once
+        names: dict[str, str] = {}  # so that equal server names share one string
 
         def attempt_of(row: file_format.AttemptSent) -> AttemptRecord:
             name = names.setdefault(row.server, row.server)
@@ -128,7 +135,7 @@
 
         sent, self.recovered_keys = state.sent, len(state.sent)
         while sent:
-            # Taken out as it is handed on: to let go of 100,000 keys at once takes a turn of its own.
+            # Guards against a long turn of the loop: to free 100,000 keys at once would take one.
             rows = [sent.popitem() for _ in range(min(len(sent), KEYS_PER_STEP))]
             node.post(core.HistoryRecovered({key: [attempt_of(row) for row in found] for key, found in rows}))
             yield
@@ -136,12 +143,12 @@
             node.post(core.HistoryAvailable(SOURCE))
         else:
             node.post(core.HistoryUnavailable(SOURCE, min(node.loop.now(), state.lost_ms + shift_ms)))
-            node.log.line("what may have run under a key is lost: marked retries go nowhere for now")
+            node.log.line("history of keyed requests is lost: marked retries are not sent for now")
 
     # Attempts.
 
     def record(self, effect: core.PersistAttempt | core.ErasePersisted) -> None:
-        """Journal what may have run, or that it never did."""
+        """Append to the journal that an attempt may run from now on, or that it provably never ran."""
         if isinstance(effect, core.PersistAttempt):
             zones = self.node.config.deployment.zones
             row = file_format.AttemptSent(
@@ -153,14 +160,20 @@
             self.store.append(file_format.AttemptNeverRan(effect.key, effect.server, sent_unix_ms))
 
     def barrier(self, request_id: str) -> Callable[[], Steps] | None:
-        """Return what waits until a request's record is durable, and returns whether it is; None for none."""
+        """Return a function that waits until a request's record is durable and returns whether it is.
+
+        None where the request has no record; a second call for the same record also returns None.
+        """
         number = self.barriers.pop(request_id, None)
         return None if number is None else lambda: self.store.wait_durable(number)
 
     # The endpoint list.
 
     def record_list(self, is_changed: bool) -> None:
-        """Note an answer of discovery's: a list that changed, or that the one held still holds."""
+        """Record an answer from discovery: a changed list, or a confirmation of the list held.
+
+        Both are written at most once in MIN_LIST_INTERVAL_MS and CONFIRMATION_INTERVAL_MS.
+        """
         now_ms = self.node.loop.now()
         self.count_departures(now_ms)
         self.has_unwritten_change = self.has_unwritten_change or is_changed
@@ -177,13 +190,13 @@
             self.store.append(file_format.ListConfirmed(self.confirmed_unix_ms))
 
     def count_departures(self, now_ms: float) -> None:
-        """Count the time that servers have been on the list, and those that have left it."""
+        """Add the servers' time on the list, and the servers that have left it, to `departure_rate`."""
         held = set(self.node.discovery.held)
         self.departure_rate.lived_ms += len(self.counted) * (now_ms - self.counted_ms)
         self.departure_rate.departures += len(self.counted - held)
         self.counted, self.counted_ms = held, now_ms
 
     def list_record(self) -> file_format.ListStored:
-        """Return the list as it is held, with the time at which discovery last confirmed it."""
+        """Return the record of the endpoint list held, with when discovery last confirmed it in Unix ms."""
         discovery = self.node.discovery
         return file_format.ListStored(max(0, discovery.version), discovery.rows(), self.confirmed_unix_ms)
--- a/marlseam/net/effects.py
+++ b/marlseam/net/effects.py
@@ -1,4 +1,4 @@
-"""Carries out the effects that the reducer asks for, one function each."""
+"""Carries out the effects that the reducer returns, one method for each type of effect."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,7 +14,7 @@
 
 
 class EffectHandlers:
-    """Carries out effects on a node's parts."""
+    """Carries out effects on the parts of one node."""
 
     def __init__(self, node: NodeInterface) -> None:
         self.node = node
@@ -26,7 +26,7 @@
     # Attempts and health checks.
 
     def send_attempt(self, effect: core.SendAttempt) -> None:
-        """Send an attempt; of a request that has its answer nothing is sent."""
+        """Send an attempt; it ends as cancelled unsent where its request is already answered."""
         node, request_id = self.node, effect.request_id
         pending, now = node.requests.pending.get(request_id), node.loop.now()
         if pending is None:
@@ -55,22 +55,25 @@
         self.node.upstream.attempts.cancel(*effect)
 
     def probe(self, effect: core.Probe) -> None:
-        """Ask a server for its load report."""
+        """Request a server's load report."""
         self.node.upstream.health_checks.start(effect.server)
 
     # Answers.
 
     def respond(self, effect: core.Respond) -> None:
-        """Give a client what an attempt brought."""
+        """Answer a client 200 with the result of an attempt."""
         self.node.requests.answer(effect.request_id, 200, [], effect.result)
 
     def reject(self, effect: core.Reject) -> None:
-        """Tell a client that nothing of its request was done, and when to come back."""
+        """Answer a client 503: none of its request has run; Retry-After is the advised delay."""
         headers = protocol.retry_after_headers(effect.retry_after_ms)
         self.node.requests.answer(effect.request_id, 503, headers, b"")
 
     def fail(self, effect: core.Fail) -> None:
-        """Tell a client that its request may have run, unless none of it has begun: that is rejected."""
+        """Answer a client 500 as its request may have run, or 400 where a server found it invalid.
+
+        Where attempts are in flight and none has sent its last byte, none has run: the answer is 503.
+        """
         attempts = self.node.upstream.attempts
         if effect.in_flight and not any(
             attempts.has_begun(effect.request_id, index) for index in effect.in_flight
@@ -81,29 +84,29 @@
             self.node.requests.answer(effect.request_id, 400 if effect.is_invalid else 500, [], b"")
 
     def give_up(self, effect: GiveUp) -> None:
-        """Answer a request that met an error of this program."""
+        """Answer a request whose processing raised an exception in this program."""
         self.node.requests.give_up(effect)
 
-    # The rest.
+    # Records, timers, discovery and log.
 
     def record(self, effect: core.PersistAttempt | core.ErasePersisted) -> None:
-        """Record what may have run, or that it never did, where there is a store; tell other processes."""
+        """Send other processes of the node an attempt that may run or never ran, then store the record."""
         if self.node.handover is not None:
-            self.node.handover.tell(effect)
+            self.node.handover.send_attempt_record(effect)
         if self.node.durable_state is not None:
             self.node.durable_state.record(effect)
 
     def set_timer(self, effect: core.SetTimer) -> None:
-        """Post a timer's event later."""
+        """Post TimerFired with the timer's id after its delay."""
         loop, timer_id = self.node.loop, effect.timer_id
         loop.at(loop.now() + effect.delay_ms, lambda: self.node.post(core.TimerFired(timer_id)))
 
     def watch_endpoints(self, _effect: core.WatchEndpoints) -> None:
-        """Follow the endpoint list."""
+        """Start to watch discovery for the endpoint list."""
         self.node.discovery.watch()
 
     def write_log(self, effect: core.Log) -> None:
-        """Write a line."""
+        """Write a line to the node's log."""
         self.node.log.line(effect.text)
 
 
--- a/marlseam/net/invariants.py
+++ b/marlseam/net/invariants.py
@@ -1,7 +1,7 @@
-"""What must never happen, checked at run time in one place each, refused where it still can be, and counted.
+"""Invariants checked at run time, each in one place; a violating send is refused, each violation counted.
 
-Decisions and adapters keep these invariants by themselves; a count here says that one of them did not.
-A violation costs one log line and one count, never the process.
+Decisions and adapters are meant to keep these invariants by themselves: a count above 0 shows a defect in one
+of them. A violation costs one log line and one count, and never ends the process.
 """
 
 from collections import deque
@@ -17,15 +17,15 @@
 from marlseam.net.log import Log
 from marlseam.net.protocol import ClientRequest
 
-LEAVING_GRACE_MS = 100.0  # after its client left, in which an attempt may still begin
-DEADLINE_TOLERANCE_MS = 150.0  # by which the deadline told may be past what the client has left
-MAX_DRAINING_SERVERS = 2000  # off the list, whose drains are remembered
-MAX_ENDED_REQUESTS = 2000  # requests that have ended, which are still known
-SMALL_SLOW_START_BUDGET = 30.0  # requests, under which a slow start's bound has another form
+LEAVING_GRACE_MS = 100.0  # after a client has left, how long an attempt at its request may still begin
+DEADLINE_TOLERANCE_MS = 150.0  # by which the time left sent to a server may exceed what the client has left
+MAX_DRAINING_SERVERS = 2000  # servers off the endpoint list whose drain start is remembered
+MAX_ENDED_REQUESTS = 2000  # ended requests that are remembered
+SMALL_SLOW_START_BUDGET = 30.0  # mean requests; a budget below it gets a larger relative margin
 
 
 class Invariant(Enum):
-    """An invariant; its value names it for operators."""
+    """An invariant; its value is its name in logs and counters."""
 
     AFTER_ANSWER = "no_attempt_after_final_answer"
     AFTER_LEAVING = "no_attempt_after_client_left"
@@ -45,19 +45,19 @@
         self.counts = dict.fromkeys(Invariant, 0)
 
     def note(self, invariant: Invariant, **ids: object) -> None:
-        """Count a violation and write its line."""
+        """Count a violation and log one line with its ids."""
         self.counts[invariant] += 1
         fields = " ".join(f"{name}={value}" for name, value in ids.items())
         self.log.line(f"invariant violated: {invariant.value} {fields}")
 
     def total(self) -> int:
-        """Return how many there were."""
+        """Return the number of violations of all invariants."""
         return sum(self.counts.values())
 
 
 @dataclass(slots=True)
 class GuardedAttempt:
-    """One attempt whose last byte was about to go out."""
+    """An attempt that was admitted right before its last byte was sent; `outcome` is None while in flight."""
 
     server: str
     begun_ms: float
@@ -66,17 +66,17 @@
 
 @dataclass(slots=True)
 class GuardedRequest:
-    """What the guard knows of an open request."""
+    """What the guard records of a request until it has ended and has no attempt in flight."""
 
     client_request: ClientRequest
     deadline_at_ms: float
     attempts: dict[int, GuardedAttempt] = field(default_factory=dict)
-    ended: Invariant | None = None  # what an attempt would violate from now on
+    ended: Invariant | None = None  # the invariant that a further attempt would violate; None while open
     ended_ms: float = inf
 
 
 class SlowStartSend(NamedTuple):
-    """A send to a server in slow start: when it began, and its size in mean requests."""
+    """A send to a server in slow start: its start in ms of the loop's clock, its size in mean requests."""
 
     begun_ms: float
     size: float
@@ -86,10 +86,10 @@
 
 
 class SendGuard:
-    """Checks each attempt right before it begins.
+    """Checks each attempt right before its last byte is sent, at which a server begins the request.
 
-    `slow_start` returns a server's whole slow start budget in mean requests, inf where it is not in slow
-    start, and the size of a request of some class and width.
+    `slow_start` takes a server, a request class and a number of slots. It returns the server's whole slow
+    start budget in mean requests, inf where it is not in slow start, and the size of such a request.
     """
 
     def __init__(
@@ -101,18 +101,18 @@
         self.violations, self.deployment, self.slow_start = violations, deployment, slow_start
         self.members: set[str] = set()
         self.requests: dict[str, GuardedRequest] = {}
-        self.recently_ended: dict[str, Invariant] = {}  # requests that were forgotten last
-        self.draining_ms: dict[str, float] = {}  # since when a server is told to drain or be gone
-        self.slow_start_sends: dict[str, deque[SlowStartSend]] = {}  # sends in slow start: when, of what size
+        self.recently_ended: dict[str, Invariant] = {}  # of the last ended requests, what sends would violate
+        self.draining_ms: dict[str, float] = {}  # when each server began to drain or left the list
+        self.slow_start_sends: dict[str, deque[SlowStartSend]] = {}  # by server, within the overload window
 
-    # What happens.
+    # Recording.
 
     def note_request(self, request_id: str, client_request: ClientRequest, deadline_at_ms: float) -> None:
-        """Note a request that is to be sent, and until when its client waits."""
+        """Record a request before its first attempt; `deadline_at_ms` is by the loop's clock."""
         self.requests.setdefault(request_id, GuardedRequest(client_request, deadline_at_ms))
 
     def note_end(self, request_id: str, invariant: Invariant, now: float) -> None:
-        """Note that a request has its answer, or that its client has left."""
+        """Record that a request was answered (AFTER_ANSWER) or that its client has left (AFTER_LEAVING)."""
         request = self.requests.get(request_id)
         if request is None:
             return
@@ -123,7 +123,7 @@
         self.forget(request_id, request)
 
     def note_outcome(self, request_id: str, attempt: int, outcome: Outcome) -> None:
-        """Note how an attempt ended."""
+        """Record the outcome of an attempt."""
         request = self.requests.get(request_id)
         if request is not None:
             if attempt in request.attempts:
@@ -131,7 +131,7 @@
             self.forget(request_id, request)
 
     def forget(self, request_id: str, request: GuardedRequest) -> None:
-        """Forget a request that has its end and nothing out."""
+        """Drop the record of a request that has ended and has no attempt in flight, but for its invariant."""
         if request.ended is not None and all(a.outcome is not None for a in request.attempts.values()):
             del self.requests[request_id]
             self.recently_ended[request_id] = request.ended
@@ -139,7 +139,10 @@
                 del self.recently_ended[next(iter(self.recently_ended))]
 
     def note_endpoints(self, held: Mapping[str, EndpointEntry], now: float) -> None:
-        """Take in the list as it is held now; one off it may be used where draining alone binds."""
+        """Update the drain starts from the endpoint list held now.
+
+        A server that has left the list counts as draining, unless by the settings only draining excludes one.
+        """
         gone = set() if self.deployment.settings.only_draining_excludes else self.members - held.keys()
         self.members = set(held)
         draining = {name for name, entry in held.items() if entry.state is not EndpointState.READY}
@@ -150,10 +153,10 @@
         if len(self.draining_ms) > MAX_DRAINING_SERVERS + len(held):
             self.draining_ms = {name: at for name, at in self.draining_ms.items() if name in held}
 
-    # The check.
+    # Checks.
 
     def admit(self, request_id: str, attempt: int, server: str, time_left_ms: float, now: float) -> bool:
-        """Return whether an attempt may begin now, and note it; a violation is counted and refused."""
+        """Return whether an attempt may begin now, and record it; a violation is counted and refused."""
         request = self.requests.get(request_id)
         invariant = (
             self.recently_ended.get(request_id)
@@ -170,7 +173,7 @@
     def broken_invariant(
         self, request: GuardedRequest, server: str, time_left_ms: float, now: float
     ) -> Invariant | None:
-        """Return the invariant that an attempt would violate; None where there is none."""
+        """Return the invariant that an attempt would violate, or None."""
         if request.ended is Invariant.AFTER_ANSWER:
             return request.ended
         if request.ended is not None and now - request.ended_ms > LEAVING_GRACE_MS:
@@ -185,7 +188,11 @@
         return Invariant.SLOW_START if self.is_over_budget(server, request.client_request, now) else None
 
     def is_repeat(self, request: GuardedRequest, now: float) -> bool:
-        """Return whether something of a request may have run, after which it may not go out again."""
+        """Return whether an attempt may have run that forbids another one by the class's idempotency.
+
+        An UNSAFE request is never repeated, a KEYED one only within the deduplication window of the first
+        attempt that may have run.
+        """
         ran = [a for a in request.attempts.values() if a.outcome not in NEVER_RAN]
         if not ran:
             return False
@@ -198,7 +205,11 @@
         )
 
     def is_over_budget(self, server: str, client_request: ClientRequest, now: float) -> bool:
-        """Return whether this node alone would send a server in slow start more than all nodes may."""
+        """Return whether this node alone would exceed a server's slow start budget for all nodes.
+
+        The sends within the overload window may exceed the budget b by 2 sqrt(b) + 2 mean requests, or by
+        3 sqrt(b) + 3 where b is below SMALL_SLOW_START_BUDGET. An admitted send is recorded.
+        """
         budget, size = self.slow_start(server, client_request.class_index, client_request.slots)
         if budget == inf:
             self.slow_start_sends.pop(server, None)
@@ -206,8 +217,8 @@
         sends = self.slow_start_sends.setdefault(server, deque())
         while sends and sends[0].begun_ms < now - self.deployment.settings.overload_window_ms:
             sends.popleft()
-        factor = more = 3.0 if budget < SMALL_SLOW_START_BUDGET else 2.0
-        if sends and sum(send.size for send in sends) + size > budget + factor * sqrt(budget) + more:
+        factor = constant = 3.0 if budget < SMALL_SLOW_START_BUDGET else 2.0
+        if sends and sum(send.size for send in sends) + size > budget + factor * sqrt(budget) + constant:
             return True
         sends.append(SlowStartSend(now, size))
         return False
--- a/marlseam/net/ledger_client.py
+++ b/marlseam/net/ledger_client.py
@@ -1,4 +1,4 @@
-"""The node's side of its ledger: reads it once its lock can be had, and has a process append to it."""
+"""A node's client of its ledger: reads it once its lock is free, and appends through a writer process."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -12,13 +12,13 @@
 from marlseam.store.log_writer_client import LogWriterClient
 from marlseam.store.writer_channel import APPEND
 
-MAX_FILE_MB = 1.0  # at which a file of the ledger is begun anew
-DISK_TIMEOUT_MS = 2000.0  # after which the disk counts as too slow
-MAX_BACKOFF_MS = 2000.0  # between tries of a disk that failed: the node is out of service until it works
+MAX_FILE_MB = 1.0  # at this size a new file of the ledger is begun
+DISK_TIMEOUT_MS = 2000.0  # a record that takes longer to become durable means that the disk is too slow
+MAX_BACKOFF_MS = 2000.0  # between retries of a failed disk: the node is out of service until it works
 
 
 class LedgerClient(LogWriterClient):
-    """Keeps a process that writes the ledger; `on_recovered` is called with what the ledger holds, once."""
+    """Runs the process that writes the ledger; calls `on_recovered` once, with what the ledger holds."""
 
     writer_module, what = "marlseam.store.ledger_writer", "the ledger"
     max_retry_delay_ms = MAX_BACKOFF_MS
@@ -26,12 +26,12 @@
     def __init__(
         self, loop: Loop, log: Log, path: Path, name: str, on_recovered: Callable[[RecoveredLog], None]
     ) -> None:
-        """Make one for a member's ledger in a folder; nothing is read yet."""
+        """Create the client of member `name` for the ledger in directory `path`; nothing is read yet."""
         super().__init__(loop, log, path, name, "durable", MAX_FILE_MB, DISK_TIMEOUT_MS)
         self.on_recovered = on_recovered
 
     def load(self, report_findings: bool = True) -> None:
-        """Read the ledger, and log what is wrong in it; raises OSError."""
+        """Read the ledger, and with `report_findings` log the faults found in it; raises OSError."""
         ledger = LedgerWriter(Disk(self.path), self.node)
         recovered = ledger.load()
         self.is_loaded = True
@@ -41,7 +41,7 @@
         self.on_recovered(recovered)
 
     def try_load(self, lock_timeout_s: float) -> OSError | None:
-        """Take the lock and read the ledger; return the error if that cannot be."""
+        """Take the lock within a time and read the ledger; return the OSError if either fails, else None."""
         try:
             self.take_lock(lock_timeout_s)
             self.load()
@@ -50,19 +50,19 @@
         return None
 
     def read(self) -> Coroutine:
-        """Read the ledger once its lock could be had: it is small."""
+        """Read the ledger in one step, as it is small; called once the lock is taken."""
         self.load()
         return
-        yield  # makes this a coroutine, as `read` is, which ends at once
+        yield  # makes this a coroutine, as the base class requires, which ends at once
 
     def append(self, record: LogRecord) -> int:
-        """Have a record written; return its number, 0 where the disk does not serve."""
+        """Send a record to the writer process; return its number, 0 where the disk is not available."""
         return self.send_message(APPEND, encode(record)) if self.is_available() else 0
 
     def fault(self) -> str:
-        """Return why nothing becomes durable at this moment, as a code, or nothing."""
+        """Return a code for why nothing becomes durable at this moment; "" where records do."""
         return "" if self.is_available() else self.code or "slow"
 
     def wall_ms(self) -> float:
-        """Return Unix ms, by a clock that does not jump."""
+        """Return the present time in Unix ms, by a clock that does not jump when the system's is set."""
         return unix_ms(self.era)
--- a/marlseam/net/membership_service.py
+++ b/marlseam/net/membership_service.py
@@ -1,8 +1,8 @@
-"""Membership of a node in its cluster: the datagram socket, timers, and what operators see.
+"""Membership of a node in its cluster: the datagram socket, timers, and the status for operators.
 
-The decisions are those of `marlseam.cluster.membership`; this module carries out its effects on the event
-loop. Configuration versions and the audit log, where the settings have them, are the business of
-`config_service`, which shares the socket.
+`marlseam.cluster.membership` takes the decisions; this module carries out its effects on the event loop.
+Configuration versions and the audit log, if configured, are handled by `config_service`, which shares the
+socket.
 """
 
 from __future__ import annotations
@@ -42,11 +42,11 @@
     from marlseam.net.config_service import ConfigServicePort, ConfigVersionService
 
 MAX_READS_PER_TURN = 32  # datagrams read in one turn of the loop
-MAX_BIND_RETRY_MS = 50.0  # between tries of an address that another process has; at most a period
-ADDRESS_IN_USE = "in-use"  # among the codes of what was dropped: the address is another process's
-NOT_SENT = "unsent"  # the same: the system did not take a datagram
+MAX_BIND_RETRY_MS = 50.0  # between tries to bind an address that another process has; at most a period
+ADDRESS_IN_USE = "in-use"  # code in `dropped`: another process has bound the member's address
+NOT_SENT = "unsent"  # code in `dropped`: the system did not accept a datagram for sending
 
-# Statuses as operators, logs and `/control/fleet` call them.
+# Names of the statuses in logs and in `/control/fleet`.
 STATUS_WORDS = {
     MemberStatus.ALIVE: "here",
     MemberStatus.SUSPECT: "suspect",
@@ -58,13 +58,13 @@
 
 
 def status_word(state: MemberState) -> str:
-    """Return a state's status as operators call it."""
+    """Return the name of a state's status for operators."""
     return STATUS_WORDS[MemberStatus(state.status)]
 
 
 @dataclass
 class Traffic:
-    """Datagrams and bytes that were sent and received, valid or not."""
+    """Counts of datagrams and bytes sent and received, valid or not."""
 
     sent: int = 0
     received: int = 0
@@ -75,21 +75,24 @@
 class MembershipService:
     """Runs one member's `Membership` on the event loop.
 
-    Where another process has the address (the old one in an upgrade, or a second one by mistake) this one is
-    no member until it is free.
+    While another process has the address (the old one in an upgrade, or a second one by mistake) this process
+    is not a member.
 
     Attributes:
         settings: the cluster's part of the node's settings.
-        name: this member's.
-        names: whose datagrams are read; a member that was removed is still told why it is.
-        addresses: of each name, host and port.
-        published_members: who belongs by the configuration version in force, None where it is by settings.
-        dropped: datagrams that were not taken or not sent, by code.
+        name: this member's name.
+        names: the members whose datagrams are read; removed ones stay, to be sent the version that removed
+            them.
+        addresses: host and port of each name.
+        published_members: the members by the configuration version in force; None where the settings apply.
+        dropped: counts of datagrams that were discarded or not sent, and of failed binds, by code.
         traffic: datagrams and bytes so far.
-        generation: of this process, in ms since 1970: it need only differ from those of earlier processes.
-        config_service: versions and audit log of the same cluster, None where it has none.
+        generation: of this process, in ms since 1970; must only differ from those of earlier processes.
+        config_service: versions and audit log of the same cluster; None where it has none.
         machine: the membership state machine.
-        sock: the datagram socket, None while this process is no member.
+        sock: the datagram socket; None while this process is not a member.
+        closed: whether this process has left, so that it binds the address no more.
+        timer: the next call of `tick`.
     """
 
     def __init__(
@@ -101,10 +104,10 @@
         seed: int,
         port: ConfigServicePort | None = None,
     ) -> None:
-        """Bind the member's address and begin, or wait for it.
+        """Bind the member's address and join, or retry while another process has the address.
 
-        Raises OSError where the address can never be had. `port` is what the node offers to configuration
-        versions, None for a cluster without them.
+        Raises OSError where the address cannot be bound for another reason. `port` is the port through which
+        configuration versions use the node, None for a cluster without them.
         """
         self.loop, self.log, self.settings, self.name, self.seed = loop, log, settings, name, seed
         self.names = frozenset(settings.members)
@@ -122,12 +125,12 @@
 
     @property
     def acting(self) -> ConfigVersionService | None:
-        """Return the configuration versions' service, by its former name."""
+        """The service of configuration versions, by its former name."""
         return self.config_service
 
     def new_config_service(self, port: ConfigServicePort) -> ConfigVersionService:
-        """Return the configuration versions' service, which sends through this one."""
-        # Imported here: a node of a cluster without versions needs nothing of it.
+        """Return a service of configuration versions that sends through this service's socket."""
+        # Imported here, so that a node of a cluster without versions does not load the module.
         from marlseam.net.config_service import ConfigVersionService
 
         return ConfigVersionService(
@@ -143,7 +146,7 @@
         )
 
     def new_machine(self) -> Membership:
-        """Return a state machine that begins now."""
+        """Return a membership state machine that starts now."""
         return Membership(
             self.settings.name,
             self.name,
@@ -157,9 +160,9 @@
     # Joining and leaving.
 
     def join(self) -> None:
-        """Bind the address and begin; while another process has it, try again later.
+        """Bind the address and start as a member; while another process has the address, retry later.
 
-        Raises OSError where the address can never be had.
+        Raises OSError where the address cannot be bound for another reason.
         """
         if self.closed:
             return
@@ -176,7 +179,7 @@
             self.config_service.on_address_acquired()
 
     def bound_socket(self) -> socket.socket | None:
-        """Return a socket at the member's address, None while another process has it; raises OSError."""
+        """Return a socket bound to the member's address, None if another process has it; raises OSError."""
         address = self.settings.members[self.name]
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         sock = self.loop.descriptors.opened(lambda: socket.socket(family, socket.SOCK_DGRAM), own=True)
@@ -191,33 +194,33 @@
         return sock
 
     def retry_join(self) -> None:
-        """Log once that the address is another process's, and plan the next try."""
+        """Count a failed bind, log the first one, and schedule the next try."""
         if not self.dropped[ADDRESS_IN_USE]:
             self.log.line(
                 f"fleet code={ADDRESS_IN_USE}: another process has this member's address; "
-                "no member until then"
+                "not a member until it is free"
             )
         self.dropped[ADDRESS_IN_USE] += 1
         self.loop.at(self.loop.now() + min(MAX_BIND_RETRY_MS, self.settings.period_ms), self.join)
 
     def set_members(self, members: Mapping[str, str]) -> None:
-        """Take over who belongs by a configuration version; the node's own settings' addresses go first."""
+        """Take over a configuration version's members; addresses in the node's settings have precedence."""
         for name, value in members.items():
             if name not in self.settings.members:
                 self.addresses[name] = member_address(f"members.{name}", value, self.settings.trusted)
         self.names |= members.keys()
         self.published_members = frozenset(members)
         self.machine.set_members(self.published_members)
-        self.log.line(f"the fleet is of {len(members)} members")
+        self.log.line(f"the configuration version names {len(members)} members")
 
     def close(self) -> None:
-        """End the configuration versions' service, and leave."""
+        """Close the service of configuration versions, and leave the cluster."""
         if self.config_service is not None:
             self.config_service.close()
         self.leave()
 
     def leave(self) -> None:
-        """Announce that this member leaves, and free its address for a later process of the node."""
+        """Announce that this member leaves, and close the socket: a later process of the node can bind it."""
         self.closed = True
         if self.sock is not None:
             self.apply_effects(self.machine.leave(self.loop.now()))
@@ -228,14 +231,14 @@
     # Events.
 
     def listen(self, sock: socket.socket) -> Coroutine:
-        """Handle datagrams as they come, a bounded number in each turn of the loop."""
+        """Read and handle datagrams, at most MAX_READS_PER_TURN in each turn of the loop."""
         while True:
             yield (sock.fileno(), READ, inf)
             for _ in range(MAX_READS_PER_TURN):
                 try:
                     data = sock.recv(MAX_DATAGRAM_BYTES + 1)
                 except OSError:
-                    break  # nothing more, or a port on this machine where nobody listens
+                    break  # nothing left to read, or a send was refused by a local port without a listener
                 self.traffic.received += 1
                 self.traffic.received_bytes += len(data)
                 try:
@@ -253,18 +256,18 @@
             self.apply_effects(self.machine.receive(self.loop.now(), datagram))
 
     def count_dropped(self, code: str) -> None:
-        """Count an invalid datagram, and log the first of its code."""
+        """Count an invalid datagram, and log the first of each code."""
         self.dropped[code] += 1
         if self.dropped[code] == 1:
-            self.log.line(f"fleet code={code}: a datagram was dropped, others like it are counted")
+            self.log.line(f"fleet code={code}: dropped a datagram, further ones are only counted")
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Run the state machine's due actions and set the next timer."""
         self.apply_effects(self.machine.tick(self.loop.now()))
         self.schedule_tick()
 
     def schedule_tick(self) -> None:
-        """Set the timer to when something is due next."""
+        """Set the timer to the state machine's next due time."""
         self.loop.drop(self.timer)
         self.timer = self.loop.at(self.machine.next_ms, self.tick)
 
@@ -284,11 +287,14 @@
             else:
                 self.log.line(
                     f"fleet code=twin: {effect.name} life={effect.generation} "
-                    "was heard after another process took over its name"
+                    "sent a datagram after another process took over its name"
                 )
 
     def send(self, receiver: str, data: bytes) -> None:
-        """Send a datagram; one that the system does not take is lost like any other, but counted."""
+        """Send a datagram, without an error where the system does not accept it: it is only counted.
+
+        Nothing is sent while this process is not a member.
+        """
         if self.sock is None:
             return
         try:
@@ -299,10 +305,10 @@
         self.traffic.sent += 1
         self.traffic.sent_bytes += len(data)
 
-    # What operators see.
+    # Status for operators.
 
     def status(self) -> str:
-        """Return what is held of each member, as a line of JSON; ages in ms."""
+        """Return the status of the cluster and of each member as a line of JSON; ages in ms."""
         now_ms = self.loop.now()
         rows = [self.own_row(now_ms)]
         rows += [self.member_row(name, member, now_ms) for name, member in self.machine.members.items()]
@@ -328,7 +334,7 @@
         return json.dumps(document) + "\n"
 
     def own_row(self, now_ms: float) -> dict[str, Any]:
-        """Return this member's row of the status."""
+        """Return this member's row in the status."""
         own_state = self.machine.own_state
         return {
             "name": self.name,
@@ -342,7 +348,7 @@
         }
 
     def member_row(self, name: str, member: Member, now_ms: float) -> dict[str, Any]:
-        """Return another member's row of the status."""
+        """Return another member's row in the status."""
         state, former = member.state, member.former_generation
         return {
             "name": name,
--- a/marlseam/net/node.py
+++ b/marlseam/net/node.py
@@ -1,14 +1,15 @@
-"""One real node: hands what happens on its sockets to the reducer and carries out the effects it asks for.
-
-A node is wired here and nowhere else. Its life, and who has a part in each step:
-
-- made: cluster, shadow policy, reducer, upstream, discovery, downstream, operators' calls;
-- recovered: durable state, else the list in the configuration;
-- begun: handover or listener, then the service of configuration versions;
-- configured: invariants, counters, the process's share, discovery (`adopt`);
-- shared: reducer, downstream, upstream, as processes of the node come and go (`apply_process_count`);
-- shut down: marlseam/net/graceful_shutdown.py;
-- ended: upstream, handover, membership, loop, descriptors, durable state (`end`).
+"""One real node: passes network events to the reducer and carries out the effects that it returns.
+
+This is the only module that connects the parts of a node. The steps of its life cycle, with the parts
+involved in each, in this order:
+
+- construction: cluster, shadow policy, reducer, upstream, discovery, downstream, operators' calls;
+- recovery (`recover`): durable state, or else the endpoint list in the configuration;
+- start (`begin`): handover or listener, then the service of configuration versions;
+- reconfiguration (`adopt`): invariants, counters, this process's share of the limits, discovery;
+- change of the number of processes (`apply_process_count`): reducer, downstream, upstream;
+- shutdown: marlseam/net/graceful_shutdown.py;
+- end (`end`): upstream, handover, membership, loop, descriptors, durable state.
 """
 
 import signal
@@ -41,7 +42,7 @@
 from marlseam.net.upstream import Upstream
 
 if TYPE_CHECKING:
-    # A node that has no such part needs nothing of it: they are loaded where they are made.
+    # Optional parts: each is imported at run time only where it is constructed.
     from marlseam.net.admin import Admin
     from marlseam.net.config_service import ConfigVersionService
     from marlseam.net.durable_state import DurableState
@@ -50,38 +51,41 @@
     from marlseam.shadow_policy import ShadowPolicy
 
 
-def request_id_of(what: Event | NodeEffect) -> str:
-    """Return the request that an event or an effect is of; "" where it is of none."""
-    if type(what) is core.RequestArrived:
-        return what.request.request_id
-    return str(getattr(what, "request_id", ""))
+def request_id_of(event_or_effect: Event | NodeEffect) -> str:
+    """Return the id of the request that an event or an effect refers to; "" where it refers to none."""
+    if type(event_or_effect) is core.RequestArrived:
+        return event_or_effect.request.request_id
+    return str(getattr(event_or_effect, "request_id", ""))
 
 
 class Node:
-    """Joins the loop, the two sides of the network, discovery and the reducer.
+    """Connects the loop, the two sides of the network, discovery and the reducer.
 
     Attributes:
         config: the configuration in force.
-        loop: the event loop; its clock is the node's.
-        log: lines on standard error.
-        counters: figures that only grow.
-        reducer: the reducer, which takes every decision.
-        requests: the requests without an answer.
-        effects: carries out what the reducer asks for.
-        guard: checks each attempt against the invariants; `violations` counts those broken.
+        loop: the event loop; its clock is the node's clock.
+        log: writes lines to standard error.
+        counters: monotonically increasing counts.
+        reducer: takes every decision.
+        requests: the requests that have no answer yet.
+        effects: carries out the reducer's effects.
+        guard: checks each attempt against the invariants before it is sent.
+        violations: counts the violated invariants.
         upstream: connections to servers, attempts and health checks.
         downstream: connections to clients.
-        discovery: the endpoint list.
+        discovery: keeps the endpoint list.
         service: whether clients are served.
-        shutdown: the end of the process.
-        shadow_policy: settings that are watched without effect; None where there are none.
-        membership: the cluster's members; None in a node of no cluster.
-        config_service: the cluster's versions of settings; None without a ledger.
-        admin: operators' calls; None without an address for them.
-        durable_state: what outlasts the process; None without a store.
-        handover: other processes of this node; None where the socket is not shared.
-        events: those that wait for the reducer.
-        is_reducing: whether one is with the reducer, so that others wait; also once the node has ended.
+        settings_reload: reads the configuration file again on a signal.
+        shutdown: ends the process gracefully.
+        shadow_policy: evaluates changed settings without applying them; None where none are configured.
+        membership: the cluster's members; None in a node without a cluster.
+        config_service: the cluster's configuration versions; None without a ledger.
+        admin: answers operators' calls; None where no address is configured for them.
+        durable_state: the state kept across restarts; None without a state directory.
+        handover: connections to other processes of this node; None where the socket is not shared.
+        events: the events that wait for the reducer.
+        is_reducing: whether an event is being reduced, so that further ones wait; stays true once the node
+            has ended.
 
     """
 
@@ -104,10 +108,10 @@
         self.recover()
         self.begin()
 
-    # The start.
+    # Start.
 
     def join_cluster(self) -> None:
-        """Join the cluster, and act from the start on the version that the ledger holds."""
+        """Join the cluster, and apply the ledger's configuration version before anything else starts."""
         self.membership: MembershipService | None = None
         self.config_service: ConfigVersionService | None = None
         if self.config.cluster is None:
@@ -119,12 +123,12 @@
         self.config = link.load_config()
 
     def make_reducer(self) -> None:
-        """Make the reducer, and the shadow policy that follows it."""
+        """Create the reducer, and the shadow policy that observes its decisions."""
         self.shadow_policy = self.make_shadow_policy()
         self.reducer = Reducer(self.shadow_policy)
 
     def make_shadow_policy(self) -> "ShadowPolicy | None":
-        """Return the shadow policy that the settings ask for."""
+        """Return the configured shadow policy, or None; schedules its log lines."""
         if self.config.shadow is None:
             return None
         from marlseam.shadow_policy import ShadowPolicy
@@ -134,7 +138,7 @@
         return shadow_policy
 
     def make_network(self) -> None:
-        """Make both sides of the network and discovery; the clients' socket is bound, not listened on."""
+        """Create both sides of the network and discovery; bind the clients' socket but don't listen on it."""
         config, loop, log = self.config, self.loop, self.log
         limits = connection_limits(config)
         self.counters = Counters()
@@ -159,7 +163,7 @@
         self.shortage = DescriptorShortage(loop, self.downstream, self.upstream, self.apply_client_limits)
 
     def make_admin(self) -> None:
-        """Begin to answer operators' calls, where there is an address for them."""
+        """Start to answer operators' calls, if an address is configured for them."""
         self.admin: Admin | None = None
         if self.config.admin is not None:
             from marlseam.net.admin_calls import open_admin
@@ -167,7 +171,7 @@
             self.admin = open_admin(self, self.config.admin)
 
     def recover(self) -> None:
-        """Take up what the last process left, or the list that the configuration holds."""
+        """Recover the last process's stored state; without a store, use the list in the configuration."""
         if self.config.store is None:
             self.discovery.begin()
             return
@@ -177,7 +181,7 @@
         self.durable_state.recover()
 
     def begin(self) -> None:
-        """Listen for clients, after other processes of this node have handed over."""
+        """Start the handover from other processes of this node, or without a shared socket listen at once."""
         if self.config.socket_fd is not None and self.config.folder is not None:
             from marlseam.net.process_handover import ProcessHandover
 
@@ -190,23 +194,26 @@
             self.config_service.start()
 
     def listen_error(self) -> AbstractContextManager[None]:
-        """Return a context in which an error of the clients' socket names the key at fault."""
+        """Return a context that turns an OSError of the clients' socket into a ConfigError with the key."""
         if self.config.socket_fd is not None:
             expected = "the number of a stream socket that listens"
             return config_error_on_failure(configuration.SOCKET, self.config.socket_fd, expected)
         return config_error_on_failure("listen", "{}:{}".format(*self.config.listen), "a free address")
 
     def take_over(self, snapshot: ListSnapshot) -> None:
-        """Begin to serve, from the list that another process of this node has handed over."""
+        """Start to serve clients, with the handed-over endpoint list unless the node's own is newer.
+
+        The handover calls this once, at its end.
+        """
         if snapshot.rows and snapshot.version >= self.discovery.version and not self.discovery.is_confirmed:
             self.discovery.begin(snapshot)
         if not self.shutdown.is_ending:
             self.service.listen()
 
-    # The life.
+    # Operation and end.
 
     def run(self) -> None:
-        """Serve until told to end."""
+        """Serve until SIGTERM or SIGINT has ended the node; SIGHUP reloads the configuration."""
         begin_shutdown = self.shutdown.begin
         calls: dict[int, Callable[[], None]] = {
             signal.SIGTERM: begin_shutdown,
@@ -215,14 +222,14 @@
         }
         self.loop.on_signals(calls)
         self.loop.descriptors.hold_spares()
-        # As bound: a configured port 0 leaves the choice to the system.
+        # The port that was bound: with a configured port of 0 the system chooses one.
         self.log.line("listens on {}:{}".format(*self.downstream.sock.getsockname()[:2]))
         self.loop.run()
         self.end()
 
     def end(self) -> None:
-        """Give up what the node holds, after its loop has stopped."""
-        self.is_reducing = True  # nothing is decided any more
+        """Close connections, sockets and files, after the loop has stopped."""
+        self.is_reducing = True  # no event is reduced any more
         self.upstream.pool.close()
         if self.handover is not None:
             self.handover.close()
@@ -234,11 +241,11 @@
             self.durable_state.store.close()
 
     def reload(self) -> None:
-        """Read the configuration anew."""
+        """Read the configuration file again and apply it if it is valid."""
         self.settings_reload.reload()
 
     def adopt(self, config: Config) -> None:
-        """Go on under a new configuration."""
+        """Apply a new configuration to all parts of the node."""
         self.config = config
         self.guard.deployment = config.deployment
         self.counters.declare_classes(config.deployment.types)
@@ -246,11 +253,11 @@
         self.discovery.configure(config)
 
     def processes(self) -> int:
-        """Return how many processes serve as this node."""
+        """Return how many processes serve as this node, this one included."""
         return self.handover.processes() if self.handover is not None else 1
 
     def apply_process_count(self) -> None:
-        """Keep to this process's part of the node's limits and budgets, as others come and go."""
+        """Set this process's share of the node's limits and budgets by the present number of processes."""
         deployment, processes = self.config.deployment, self.processes()
         limits = connection_limits(self.config, processes)
         self.post(core.SettingsChanged(settings_for_process(deployment.settings, processes)))
@@ -258,34 +265,34 @@
         self.upstream.configure(deployment, limits.servers)
 
     def apply_client_limits(self) -> None:
-        """Take as many clients as the settings say."""
+        """Set the limit of client connections anew, after the descriptor limit has changed."""
         limits = connection_limits(self.config, self.processes())
         self.downstream.configure(self.config.deployment, limits.clients)
 
     # For operators.
 
     def is_ready(self) -> bool:
-        """Return whether clients should come."""
+        """Return whether the node accepts clients: it listens, has servers and does not drain."""
         return bool(self.discovery.held and self.downstream.listener) and self.downstream.drain_timer is None
 
     def figures(self) -> str:
-        """Return the figures, those of this moment included."""
+        """Return the counters, present gauges and counts of violated invariants as text, one a line."""
         held = self.discovery.held
-        now = {
+        gauges = {
             "pending": len(self.requests.pending),
             "members": len(held),
             "members_unavailable": self.reducer.avoided_count(),
         }
         violations = {f"invariant_violations_total.{p.value}": n for p, n in self.violations.counts.items()}
-        return self.counters.text(**now, **violations)
+        return self.counters.text(**gauges, **violations)
 
     def schedule_shadow_log(self) -> None:
-        """Have what the shadow policy would have decided otherwise logged after a while, again and again."""
+        """Schedule the next log lines of the shadow policy, every `every_s` seconds of its settings."""
         if self.config.shadow is not None:
             self.loop.at(self.loop.now() + 1000.0 * self.config.shadow.every_s, self.log_shadow_policy)
 
     def log_shadow_policy(self) -> None:
-        """Log what the shadow policy would have decided otherwise so far."""
+        """Log how the shadow policy's decisions have differed so far, and schedule the next time."""
         for line in self.shadow_policy.lines() if self.shadow_policy is not None else ():
             self.log.line(line)
         self.schedule_shadow_log()
@@ -293,23 +300,26 @@
     # Events.
 
     def post(self, event: Event) -> None:
-        """Hand an event to the reducer, after those before it, and carry out what it asks for."""
+        """Queue an event; unless one is being reduced already, reduce all queued events in order.
+
+        Reentrant: an effect may post further events, which are reduced after the present one.
+        """
         self.events.append(event)
         if self.is_reducing:
             return
         self.is_reducing = True
         try:
             while self.events:
-                self.step(self.events.popleft())
+                self.process_event(self.events.popleft())
         finally:
             self.is_reducing = False
 
-    def step(self, event: Event) -> None:
-        """Reduce one event and carry out its effects; an error in either costs no other request anything."""
+    def process_event(self, event: Event) -> None:
+        """Reduce one event and carry out its effects; an exception in either ends only that one request."""
         try:
             effects: Sequence[NodeEffect] = self.reducer.reduce(self.loop.now(), event)
         except Exception:
-            # Guards the clients against an error in a decision; what was decided before it holds.
+            # Guards other clients against an exception in a decision; effects emitted before it still hold.
             self.loop.fault(traceback.format_exc())
             effects = [*self.reducer.effects, GiveUp(request_id_of(event))]
         for effect in effects:
--- a/marlseam/net/node_interface.py
+++ b/marlseam/net/node_interface.py
@@ -1,4 +1,4 @@
-"""What the parts of a node may use of it, so that none of them imports marlseam/net/node.py."""
+"""Protocols for what the parts of a node may use of it, so that none of them imports marlseam/net/node.py."""
 
 from typing import TYPE_CHECKING, Protocol
 
@@ -13,7 +13,7 @@
 from marlseam.net.upstream import Upstream
 
 if TYPE_CHECKING:
-    # Not loaded by a node that has no such part, and these modules import this one.
+    # Optional parts, not loaded by a node without them; these modules also import this one.
     from marlseam.net.config_service import ConfigVersionService
     from marlseam.net.durable_state import DurableState
     from marlseam.net.graceful_shutdown import GracefulShutdown
@@ -25,7 +25,7 @@
 
 
 class StateHost(Protocol):
-    """What a part that keeps or passes on state uses: the reducer, discovery, and the ways to tell both."""
+    """What parts that store or hand over state use: the reducer, discovery and the posting of events."""
 
     @property
     def config(self) -> Config:
@@ -41,24 +41,24 @@
 
     @property
     def reducer(self) -> Reducer:
-        """The reducer, which holds what is known of requests."""
+        """The reducer, which holds the state of requests and idempotency keys."""
 
     @property
     def discovery(self) -> Discovery:
-        """The endpoint list."""
+        """Keeps the endpoint list."""
 
     def post(self, event: Event) -> None:
-        """Hand an event to the reducer, after those before it."""
+        """Queue an event for the reducer, after those posted before."""
 
 
 class VersionProofs(Protocol):
     """What the handover uses of the service of configuration versions."""
 
     def share_proof(self) -> None:
-        """Tell other processes of this node when the version held was in force."""
+        """Send other processes of this node the proof of when the held version was last in force."""
 
     def receive_proof(self, number: int, content_id: str, mono_ms: float) -> None:
-        """Take over such a proof; `mono_ms` is by the machine's monotonic clock."""
+        """Take over a proof from another process; `mono_ms` is in ms of the machine's monotonic clock."""
 
 
 class HandoverHost(StateHost, Protocol):
@@ -66,30 +66,30 @@
 
     @property
     def config_service(self) -> VersionProofs | None:
-        """The service of configuration versions; None in a node of no cluster, or without a ledger."""
+        """The service of configuration versions; None in a node without a cluster or without a ledger."""
 
     def apply_process_count(self) -> None:
-        """Keep to this process's part of the node's limits, as processes come and go."""
+        """Set this process's share of the node's limits by the present number of processes."""
 
 
 class NodeInterface(StateHost, Protocol):
-    """What the modules that carry out a node's duties use; parts that are None are not configured."""
+    """What the parts of a node use of it and of each other; a part that is None is not configured."""
 
     @property
     def counters(self) -> Counters:
-        """The figures that grow."""
+        """The monotonically increasing counts."""
 
     @property
     def guard(self) -> SendGuard:
-        """Checks each attempt against the invariants."""
+        """Checks each attempt against the invariants before it is sent."""
 
     @property
     def upstream(self) -> Upstream:
-        """The side towards servers."""
+        """The connections to servers."""
 
     @property
     def downstream(self) -> DownstreamServer:
-        """The side towards clients."""
+        """The connections to clients."""
 
     @property
     def requests(self) -> "OpenRequests":
@@ -101,11 +101,11 @@
 
     @property
     def shutdown(self) -> "GracefulShutdown":
-        """The end of the process."""
+        """Ends the process gracefully."""
 
     @property
     def shadow_policy(self) -> "ShadowPolicy | None":
-        """The settings that are watched without effect."""
+        """Evaluates changed settings without applying them."""
 
     @property
     def membership(self) -> "MembershipService | None":
@@ -117,17 +117,17 @@
 
     @property
     def durable_state(self) -> "DurableState | None":
-        """What outlasts the process."""
+        """The state that is kept across restarts."""
 
     @property
     def handover(self) -> "ProcessHandover | None":
-        """The other processes of this node."""
+        """The connections to other processes of this node."""
 
     def is_ready(self) -> bool:
-        """Return whether clients should come."""
+        """Return whether the node accepts clients."""
 
     def figures(self) -> str:
         """Return the figures for operators, one a line."""
 
     def adopt(self, config: Config) -> None:
-        """Go on under a new configuration."""
+        """Apply a new configuration to all parts of the node."""
--- a/marlseam/net/node_ledger.py
+++ b/marlseam/net/node_ledger.py
@@ -1,7 +1,7 @@
-"""The ledger of a node, which two processes of it may want at once, as in an upgrade.
+"""The ledgers of a node: the main one, and one beside it for a second process of the node, as in an upgrade.
 
-The later process writes to a ledger beside the main one until the earlier has left that; only then may it
-vote, as only the main ledger has the node's memory of votes.
+The later process writes to the ledger beside the main one until the earlier process has released that. Only
+then may the later process vote, as only the main ledger holds the node's memory of votes.
 """
 
 import contextlib
@@ -21,13 +21,13 @@
 
 
 class NodeLedger:
-    """Where a process writes.
+    """Chooses the ledger that a process writes to, and moves to the main one when that is free.
 
     Attributes:
-        current: the ledger that it writes to.
-        main: the node's ledger, while another process of the node has it; else None.
+        current: the ledger that this process writes to.
+        main: the main ledger while another process of the node has it; else None.
         on_recovered: called with what was read, before anything is written.
-        on_moved: called with what the main ledger holds, once this process writes there.
+        on_moved: called with what the main ledger holds, once this process writes to it.
 
     """
 
@@ -40,16 +40,16 @@
         on_recovered: OnRecovered,
         on_moved: OnRecovered,
     ) -> None:
-        """Make one for a member's ledger in a folder; nothing is read yet."""
+        """Create the clients of member `name` for the ledger in `folder`; nothing is read yet."""
         self.loop, self.log, self.folder, self.name = loop, log, folder, name
         self.on_recovered, self.on_moved = on_recovered, on_moved
         self.current = LedgerClient(loop, log, folder, name, on_recovered)
         self.main: LedgerClient | None = None
 
     def load(self, may_write_beside: bool) -> bool:
-        """Read the ledger; return whether it could be had at once.
+        """Read the ledger; return whether a ledger was read.
 
-        Where another process has it, read and write beside it if that is allowed.
+        Where another process has the main ledger, use the one beside it if that is allowed.
         """
         error = self.current.try_load(0.0 if may_write_beside else MAX_LOCK_WAIT_S)
         if error is None:
@@ -60,35 +60,35 @@
         return False
 
     def write_beside_main(self) -> bool:
-        """Write beside the main ledger, which an old process of this node has; return whether that can be."""
+        """Use the ledger beside the main one, which an old process has; return whether it could be read."""
         self.main = LedgerClient(self.loop, self.log, self.folder, self.name, self.move_to_main)
         self.current = LedgerClient(self.loop, self.log, self.folder / BESIDE, self.name, self.on_recovered)
         try:
             self.current.take_lock()
             self.current.load(report_findings=False)
-            self.current.is_loss_logged = True  # it never had a memory of votes
+            self.current.is_loss_logged = True  # no loss to log: this ledger never had a memory of votes
         except OSError:
             return False
-        self.log.line("fleet: another process has the ledger, writes beside it until that has ended")
+        self.log.line("fleet: another process has the ledger, this one writes beside it until that ends")
         return True
 
     def start(self) -> None:
-        """Begin to write, and to wait for the main ledger where another process has it."""
+        """Start to write, and to wait for the main ledger's lock where another process has it."""
         self.current.begin()
         if self.main is not None:
             self.main.begin()
 
     def move_to_main(self, recovered: RecoveredLog) -> None:
-        """Go on in the main ledger, which the old process has left."""
+        """Continue in the main ledger, which the old process has released; stop writing beside it."""
         if self.main is None:
             return
         beside, self.current, self.main = self.current, self.main, None
         self.on_moved(recovered)
         beside.leave()
-        self.log.line("fleet: has the ledger now")
+        self.log.line("fleet: this process has the main ledger now")
 
     def merge_other(self, recovered: RecoveredLog) -> RecoveredLog:
-        """Add what this node's other ledger holds: the later version, the later override by an operator."""
+        """Merge the node's other ledger into `recovered`: its version and override where they are later."""
         other = self.main.path if self.main is not None else self.current.path / BESIDE
         if not other.exists():
             return recovered
--- a/marlseam/net/open_requests.py
+++ b/marlseam/net/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that a node has taken and not answered, and what becomes of each."""
+"""The requests that a node has accepted and not yet answered."""
 
 from typing import NamedTuple
 
@@ -11,17 +11,17 @@
 
 
 class GiveUp(NamedTuple):
-    """Answer a request that met an error of this program."""
+    """Effect: answer a request whose processing raised an exception in this program."""
 
     request_id: str
 
 
 class OpenRequests:
-    """Takes requests, gives their one answer, and notes clients that leave.
+    """Accepts requests, answers each exactly once, and ends those whose clients leave.
 
     Attributes:
-        pending: by the node's own name of a request, those without an answer.
-        last_request_id: the number that the last one taken is named by.
+        pending: the requests without an answer, by request id.
+        last_request_id: the id of the last accepted request, as a number.
 
     """
 
@@ -31,7 +31,10 @@
         self.last_request_id = 0
 
     def take(self, pending: PendingRequest) -> str:
-        """Take a client's request under a name of our own, as clients may send one name twice."""
+        """Accept a client's request and return its id.
+
+        The node assigns the id itself, as two clients may send the same correlation id.
+        """
         node, client_request = self.node, pending.client_request
         if node.handover is not None and client_request.idempotency_key is not None:
             node.handover.catch_up()
@@ -57,14 +60,14 @@
         return request_id
 
     def client_left(self, request_id: str) -> None:
-        """Give up a request whose client has gone."""
+        """End a request whose client has closed its connection."""
         self.end_without_answer(request_id)
         self.pending.pop(request_id, None)
 
     def has_client_left(self, request_id: str, pending: PendingRequest) -> bool:
-        """Return whether a request's client has gone or has its answer; if so nothing more of it is tried.
+        """Return whether a request's client has left or is answered; if so, end all attempts at the request.
 
-        Its own coroutine closes the connection once the loop comes to that.
+        The client's own coroutine closes the connection when the loop next runs it.
         """
         if pending.answer is None and not pending.is_client_gone():
             return False
@@ -72,12 +75,12 @@
         return True
 
     def end_without_answer(self, request_id: str) -> None:
-        """Have the reducer try nothing more of a request."""
+        """Post ClientLeft, so that the reducer makes no further attempts at a request."""
         self.node.guard.note_end(request_id, Invariant.AFTER_LEAVING, self.node.loop.now())
         self.node.post(core.ClientLeft(request_id))
 
     def answer(self, request_id: str, status: int, headers: Headers, body: bytes) -> None:
-        """Give a client its one answer, if it is still there."""
+        """Answer a request, if it has not been answered and its client has not left."""
         pending = self.pending.pop(request_id, None)
         self.node.guard.note_end(request_id, Invariant.AFTER_ANSWER, self.node.loop.now())
         if pending is not None:
@@ -87,9 +90,10 @@
             pending.respond(status, headers, body)
 
     def give_up(self, fault: GiveUp) -> None:
-        """Answer a request that met an error of this program; nothing more of it is tried.
+        """Answer a request whose processing raised an exception, and end all attempts at it.
 
-        It is refused where a retry does no harm: nothing of it was sent, or its class is safe to repeat.
+        The status is 503 where a retry is harmless (nothing was sent, or the class is safe to repeat), or
+        else 500.
         """
         pending = self.pending.get(fault.request_id)
         if pending is None:
--- a/marlseam/net/peer_process.py
+++ b/marlseam/net/peer_process.py
@@ -1,4 +1,4 @@
-"""Another process of this node, as the handover talks with it."""
+"""The connection to another process of this node, with what was received on it."""
 
 import socket
 from contextlib import suppress
@@ -13,46 +13,47 @@
     """Another process of this node.
 
     Attributes:
-        sock: the connection to it.
-        is_called: whether this process connected, and so wants its snapshot.
-        source: its name where the reducer knows or lacks its history.
-        has_said_goodbye: whether it has said that it sends nothing any more.
-        unsent: bytes that it has not taken yet.
-        lines: cuts what comes into lines.
-        received_bytes: how much has come.
-        hello: what it says of itself; None until that has come.
-        list_version: of the endpoint list in its snapshot; -1 for none.
-        list_rows: the entries of that.
-        attempt_count: attempts that it has told of.
-        is_snapshot_complete: whether all that it holds has come; true where none is wanted.
-        task: the coroutine that reads and writes.
+        sock: the Unix socket connected to the process.
+        is_outgoing: whether this process opened the connection, and so receives the other one's snapshot.
+        source: the name of the process as a source of history in the reducer.
+        has_sent_goodbye: whether the process has announced that it sends nothing any more.
+        unsent: bytes that wait to be written to the socket.
+        lines: splits received bytes into lines.
+        received_bytes: the number of bytes received.
+        hello: the first message of the process; None until it was received.
+        list_version: the version of the endpoint list in the snapshot; -1 for none.
+        list_rows: the entries of that list.
+        attempt_count: the number of attempts received.
+        is_snapshot_complete: whether the whole snapshot was received; true where none is expected.
+        task: the task that reads from and writes to the socket.
 
     """
 
-    def __init__(self, sock: socket.socket, is_called: bool, source: str) -> None:
-        self.sock, self.is_called, self.source = sock, is_called, source
-        self.has_said_goodbye = False
+    def __init__(self, sock: socket.socket, is_outgoing: bool, source: str) -> None:
+        self.sock, self.is_outgoing, self.source = sock, is_outgoing, source
+        self.has_sent_goodbye = False
         self.unsent, self.lines = bytearray(), protocol.Lines()
         self.received_bytes = 0
         self.hello: Hello | None = None
         self.list_version, self.list_rows = -1, list[dict[str, Any]]()
-        self.attempt_count, self.is_snapshot_complete = 0, not is_called
+        self.attempt_count, self.is_snapshot_complete = 0, not is_outgoing
         self.task: Task | None = None
 
     def name(self) -> str:
-        """Return what it is called in the log."""
+        """Return the process number for the log, "unknown" before its hello."""
         return str(self.hello.process) if self.hello else "unknown"
 
     def flush(self) -> None:
-        """Write what can be written without waiting."""
+        """Write what the socket takes without blocking; raises OSError where the connection has failed."""
         with suppress(BlockingIOError, InterruptedError):
             while self.unsent:
                 del self.unsent[: self.sock.send(self.unsent)]
 
     def clock_shift_ms(self, epoch_ms: float) -> int:
-        """Return what to add to its Unix times to have them by a process whose clocks differ by `epoch_ms`.
+        """Return the ms to add to the process's Unix times to get those of a process of epoch `epoch_ms`.
 
-        By the monotonic clock that both share, where it tells how its Unix times stand to that.
+        An epoch is the Unix time that a process assumes for the zero of the machine's monotonic clock, which
+        all processes share. The shift is 0 where the hello has no epoch.
         """
-        its_epoch_ms = self.hello.epoch_ms if self.hello is not None else None
-        return round(epoch_ms - its_epoch_ms) if its_epoch_ms is not None else 0
+        peer_epoch_ms = self.hello.epoch_ms if self.hello is not None else None
+        return round(epoch_ms - peer_epoch_ms) if peer_epoch_ms is not None else 0
--- a/marlseam/net/pending_request.py
+++ b/marlseam/net/pending_request.py
@@ -9,7 +9,7 @@
 
 
 class ClientAnswer(NamedTuple):
-    """What a client is answered."""
+    """The status, headers and body of an answer to a client."""
 
     status: int
     headers: Headers
@@ -20,12 +20,12 @@
     """A client's request, and the answer once there is one.
 
     Attributes:
-        client_request: the request as its client wrote it.
-        is_client_gone: looks whether its client has ended its connection.
-        task: that waits for the answer; None before and after that.
-        was_sent: whether an attempt was handed on to be sent.
-        deadline_at_ms: until when the client waits, by the loop's clock.
-        answer: None until there is one.
+        client_request: the parsed request.
+        is_client_gone: checks whether the client has closed its connection.
+        task: the task that waits for the answer; None while none waits.
+        was_sent: whether an attempt was given to the upstream for sending.
+        deadline_at_ms: when the client's wait ends, in ms of the loop's clock.
+        answer: None until the request is answered.
 
     """
 
@@ -39,7 +39,7 @@
         self.answer: ClientAnswer | None = None
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Give the answer to the client's coroutine."""
+        """Set the answer and wake the task that waits for it."""
         self.answer = ClientAnswer(status, headers, body)
         if self.task is not None:
             self.task.wake()
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -1,8 +1,7 @@
-"""What an old process of a node hands over to the new one, and both tell each other while both serve.
+"""Handover of state from an old process of a node to a new one, and updates between them while both serve.
 
-Each has a Unix socket in the directory that they share, under its own process number, and connects to all
-others at its start. The form of the messages, and their checks, are those of
-marlseam/recovery/handover_codec.py.
+Each process has a Unix socket in a directory that all share, named by its process number, and connects to
+all others at its start. The messages and their checks are in marlseam/recovery/handover_codec.py.
 """
 
 import os
@@ -34,23 +33,29 @@
     VersionProof,
 )
 
-SNAPSHOT_TIMEOUT_MS = 1000.0  # how long a new process waits for snapshots, and before it connects again
-MAX_PEERS = 4  # other processes that are listened to at a time
+SNAPSHOT_TIMEOUT_MS = 1000.0  # how long a new process waits for snapshots, and between tries to connect
+MAX_PEERS = 4  # other processes connected at a time
 READ_BYTES = 1 << 16  # read at a time
-MAX_UNSENT_BYTES = 1 << 22  # that another process may be behind with reading
-MAX_SNAPSHOT_BYTES = 1 << 24  # of all that one tells at first
+MAX_UNSENT_BYTES = 1 << 22  # unsent bytes to one process above which its connection is closed
+MAX_SNAPSHOT_BYTES = 1 << 24  # received from one process until its snapshot is complete
 PREFIX, SUFFIX = "marlseam-", ".sock"
-HISTORY_UNKNOWN = "what may have run under a key is not known: marked retries go nowhere for now"
+HISTORY_UNKNOWN = "history of keyed requests is incomplete: marked retries are not sent for now"
 
 
 class ProcessHandover:
-    """Joins a node to the other processes that serve under its name.
+    """Connects a node's process to the other processes that serve under the node's name.
 
-    `done` is called once, with the latest endpoint list of all snapshots, when the node may begin to serve.
+    `done` is called once, when the node may begin to serve, with the endpoint list of the highest version in
+    all snapshots.
 
     Attributes:
-        peers: the other processes, in the order in which they were joined.
-        is_done: whether the snapshots are taken in, or given up.
+        peers: the other processes, in the order in which they were connected.
+        began_ms: when this handover was created, by the loop's clock.
+        is_done: whether all snapshots are complete, or were given up after SNAPSHOT_TIMEOUT_MS.
+        caller_count: how many connections from later processes were accepted.
+        latest_list: the endpoint list of the highest version received; version -1 for none.
+        sock: the listening Unix socket; None while there is none.
+        path: the name of that socket.
 
     """
 
@@ -62,10 +67,10 @@
         self.sock: socket.socket | None = None
         self.path = Path(directory) / f"{PREFIX}{os.getpid()}{SUFFIX}"
 
-    # The start.
+    # Start.
 
     def begin(self) -> None:
-        """Listen for later processes, and connect to those that are there."""
+        """Listen for later processes, and connect to all that run already."""
         self.listen()
         for path in sorted(self.path.parent.glob(f"{PREFIX}*{SUFFIX}")):
             if path != self.path:
@@ -76,30 +81,31 @@
         self.finish_if_complete()
 
     def listen(self) -> None:
-        """Listen for later processes, where that can be had."""
+        """Listen for later processes; where that fails, log it and go on without."""
         try:
             temporary = self.path.with_suffix(".new")
-            temporary.unlink(missing_ok=True)  # of an earlier process under this number
+            temporary.unlink(missing_ok=True)  # may be left by an earlier process with the same number
             self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
             self.sock.setblocking(False)
             self.sock.bind(str(temporary))
             self.sock.listen(MAX_PEERS)
-            # Guards against one that starts at the same time, and takes a name that refuses for a dead one's.
+            # Guards against a process that starts at the same time: it would take a socket that is bound and
+            # does not listen yet, and so refuses, for one of a process that was killed.
             temporary.rename(self.path)
         except OSError as error:
-            self.log_fault("unheard", f"no later process can connect: {error}")
+            self.log_fault("unheard", f"cannot listen for later processes: {error}")
             self.close()
         else:
             self.loop.spawn(self.accept(self.sock), first=True)
 
     def connect(self, path: Path) -> None:
-        """Connect to another process; a name that refuses is that of one that was killed."""
+        """Connect to another process; a socket that refuses is of one that was killed, and is removed."""
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         except OSError as error:
-            # Guards a start where such sockets are refused: what the other knows stays unknown.
+            # Guards the start where the system refuses Unix sockets: the other's history stays unavailable.
             self.mark_unknown(path.name, None)
-            self.log_fault("unheard", f"{path.name}: {error}")
+            self.log_fault("unheard", f"{path.name}: no socket to connect from: {error}")
             return
         sock.setblocking(False)
         try:
@@ -109,35 +115,38 @@
             if path.name in self.node.reducer.unavailable_history.last_sent_ms:
                 self.mark_unknown(path.name, self.loop.now())
         except BlockingIOError:
-            # It is there and does not even listen; it may go on at any time, and then tells.
+            # The process runs but does not accept, as it hangs: it may go on at any time and then answer.
             if path.name not in self.node.reducer.unavailable_history.last_sent_ms:
                 self.mark_unknown(path.name, None)
-                self.log_fault("silent", f"{path.name} does not listen")
+                self.log_fault("silent", f"{path.name} does not accept connections")
             self.loop.at(self.loop.now() + SNAPSHOT_TIMEOUT_MS, lambda: self.connect(path))
         except OSError as error:
-            # Guards against one that ended just now, its history untold.
+            # Guards against a process that ended just now and did not send its history.
             self.mark_unknown(path.name, self.loop.now())
-            self.log_fault("unheard", f"{path.name}: {error}")
+            self.log_fault("unheard", f"{path.name}: cannot connect: {error}")
         else:
-            self.join(PeerProcess(sock, True, path.name))
+            self.add_peer(PeerProcess(sock, True, path.name))
             return
         sock.close()
 
     def mark_unknown(self, source: str, since_ms: float | None) -> None:
-        """Note that what another process has sent is not known, the last of it at some time or to come."""
+        """Post that another process's history is unavailable.
+
+        `since_ms` is when its last attempt was sent at the latest, None while it may send more.
+        """
         if source not in self.node.reducer.unavailable_history.last_sent_ms:
             self.log.line(HISTORY_UNKNOWN)
         self.node.post(core.HistoryUnavailable(source, since_ms))
 
     def accept(self, listener: socket.socket) -> Coroutine:
-        """Take in later processes."""
+        """Accept connections from later processes, at most MAX_PEERS at a time."""
         descriptors = self.loop.descriptors
         while True:
             yield (listener.fileno(), READ, inf)
             try:
                 sock, _ = descriptors.opened(listener.accept, own=True)
             except OSError:
-                # Guards against a busy loop: who connects still stands there where nothing can be taken.
+                # Guards against a busy loop: a connection that cannot be accepted keeps the socket readable.
                 yield from sleep(self.loop.now() + CAPACITY_RETRY_MS)
                 continue
             sock.setblocking(False)
@@ -145,22 +154,22 @@
                 sock.close()
                 continue
             self.caller_count += 1
-            self.join(PeerProcess(sock, False, f"caller {self.caller_count}"))
+            self.add_peer(PeerProcess(sock, False, f"caller {self.caller_count}"))
             self.node.apply_process_count()
 
-    def join(self, peer: PeerProcess) -> None:
-        """Begin to talk with another process."""
+    def add_peer(self, peer: PeerProcess) -> None:
+        """Start to exchange messages with another process: a hello, and a snapshot if the other connected."""
         self.peers[peer] = None
         is_in_cluster, epoch_ms = self.node.config_service is not None, self.loop.clock.epoch_ms()
         peer.unsent += handover_codec.encode_hello(
             self.node.config.name, os.getpid(), is_in_cluster, epoch_ms
         )
-        if not peer.is_called:
+        if not peer.is_outgoing:
             peer.unsent += b"".join(self.snapshot())
         peer.task = self.loop.spawn(self.exchange(peer), first=True)
 
     def snapshot(self) -> Iterable[bytes]:
-        """Return the lines that tell what this process holds."""
+        """Return the lines of this process's snapshot: its endpoint list and its keyed attempts."""
         node = self.node
         records = node.reducer.idempotency_records
         records.expire(self.loop.now())
@@ -168,12 +177,12 @@
         return handover_codec.encode_snapshot(max(0, node.discovery.version), node.discovery.rows(), attempts)
 
     def finish_if_complete(self) -> None:
-        """Finish once every process connected to has told all."""
+        """Finish the start if every process that this one connected to has sent its whole snapshot."""
         if all(peer.is_snapshot_complete for peer in self.peers):
             self.finish()
 
     def finish(self) -> None:
-        """Let the node begin, with what was told by now."""
+        """Call `done` with the snapshots received by now; the history of incomplete ones is unavailable."""
         if self.is_done:
             return
         self.is_done = True
@@ -185,14 +194,14 @@
         latest = self.latest_list
         if latest.rows:
             self.log.line(
-                f"takes over {len(latest.rows)} servers, list {latest.version}, in {took_ms:.0f} ms"
+                f"takes over {len(latest.rows)} servers, list version {latest.version}, in {took_ms:.0f} ms"
             )
         self.done(latest)
 
-    # The conversation.
+    # Exchange of messages.
 
     def exchange(self, peer: PeerProcess) -> Coroutine:
-        """Read and write until the other process ends."""
+        """Read and write until the connection to another process ends."""
         try:
             while True:
                 peer.flush()
@@ -200,14 +209,14 @@
                 if not self.read(peer):
                     break
         except OSError:
-            self.end(peer)
+            self.remove_peer(peer)
         except Cancelled:
             raise
         else:
-            self.end(peer)
+            self.remove_peer(peer)
 
     def read(self, peer: PeerProcess) -> bool:
-        """Take in all that has come; return whether more may."""
+        """Read and handle all bytes that have come; return whether the connection goes on."""
         while True:
             try:
                 data = peer.sock.recv(READ_BYTES)
@@ -224,45 +233,48 @@
                 return False
 
     def receive_bytes(self, peer: PeerProcess, data: bytes) -> None:
-        """Take in some bytes; raises where they are no valid messages, or too many."""
+        """Handle received bytes; raises InvalidLineError or MalformedMessageError for an invalid message."""
         peer.received_bytes += len(data)
         if not peer.is_snapshot_complete and peer.received_bytes > MAX_SNAPSHOT_BYTES:
-            raise InvalidLineError("too-large", "its snapshot is too large")
+            raise InvalidLineError("too-large", "its snapshot exceeds the limit of bytes")
         for raw in peer.lines.feed(data):
             for item in handover_codec.parse_line(raw):
                 self.receive(peer, item)
 
     def receive(self, peer: PeerProcess, item: HandoverItem) -> None:
-        """Take in one message; the first must be Hello."""
+        """Handle one message; raises InvalidLineError where the first one is not Hello."""
         if peer.hello is None and type(item) is not Hello:
-            raise InvalidLineError("odd", "its first message is no hello")
+            raise InvalidLineError("odd", "its first message is not a hello")
         HANDLERS[type(item)](self, peer, item)
 
     def receive_hello(self, peer: PeerProcess, item: Hello) -> None:
-        """Note what the other process says of itself."""
+        """Store the hello, and share a proof if both processes are in a cluster.
+
+        Raises InvalidLineError where it is from a process of another node.
+        """
         if item.node != self.node.config.name:
-            raise InvalidLineError("foreign", f"it is {item.node:.80}")
+            raise InvalidLineError("foreign", f"it is a process of another node, {item.node:.80}")
         peer.hello = item
         if item.is_in_cluster and self.node.config_service is not None:
             self.node.config_service.share_proof()
 
     def receive_list_part(self, peer: PeerProcess, item: ListPart) -> None:
-        """Take in some entries of the endpoint list."""
+        """Add entries of the endpoint list in the snapshot."""
         peer.list_rows += item.hosts
         peer.list_version = item.seq
 
     def receive_attempt(self, peer: PeerProcess, item: AttemptSent) -> None:
-        """Take in an attempt that may have run."""
+        """Post an attempt of the other process that may run from now on."""
         self.node.post(core.PeerAttempt(item.key, self.record_of(peer, item)))
         peer.attempt_count += 1
 
     def receive_never_ran(self, peer: PeerProcess, item: AttemptNeverRan) -> None:
-        """Take in that an attempt provably never ran."""
+        """Post that an attempt of the other process provably never ran."""
         sent_ms = self.local_ms(peer, item.sent_ms)
         self.node.post(core.PeerAttemptNeverRan(item.key, item.server, sent_ms))
 
     def receive_snapshot_end(self, peer: PeerProcess, _item: SnapshotEnd) -> None:
-        """Note that all that the other process holds has come."""
+        """Mark the snapshot complete: the other process's history is available now."""
         if peer.is_snapshot_complete:
             return
         peer.is_snapshot_complete = True
@@ -271,22 +283,22 @@
             self.latest_list = ListSnapshot(peer.list_version, peer.list_rows)
         took_ms = self.loop.now() - self.began_ms
         self.log.line(
-            f"process {peer.name()} told of {len(peer.list_rows)} servers and "
+            f"process {peer.name()} sent its snapshot of {len(peer.list_rows)} servers and "
             f"{peer.attempt_count} attempts after {took_ms:.0f} ms"
         )
         self.finish_if_complete()
 
     def receive_goodbye(self, peer: PeerProcess, _item: Goodbye) -> None:
-        """Note that the other process sends nothing any more."""
-        peer.has_said_goodbye = True
+        """Note that the other process sends no attempt any more, and has reported all of them."""
+        peer.has_sent_goodbye = True
 
     def receive_proof(self, _peer: PeerProcess, item: VersionProof) -> None:
-        """Take over a proof of when the cluster's version was in force."""
+        """Pass on a proof of when the cluster's configuration version was in force."""
         if self.node.config_service is not None:
             self.node.config_service.receive_proof(item.number, item.id, item.mono_ms)
 
-    def tell(self, effect: core.PersistAttempt | core.ErasePersisted) -> None:
-        """Tell all others of an attempt that may run from now on, or that provably never did."""
+    def send_attempt_record(self, effect: core.PersistAttempt | core.ErasePersisted) -> None:
+        """Send all other processes an attempt that may run from now on, or that provably never ran."""
         if not self.peers:
             return
         if isinstance(effect, core.PersistAttempt):
@@ -296,51 +308,55 @@
             text = handover_codec.encode_never(AttemptNeverRan(effect.key, effect.server, sent_unix_ms))
         self.write(text, list(self.peers))
 
-    def prove(self, number: int, content_id: str, mono_ms: float) -> None:
-        """Tell those in a cluster when its version was in force, by the machine's monotonic clock."""
+    def send_proof(self, number: int, content_id: str, mono_ms: float) -> None:
+        """Send the processes in a cluster the proof that its version was in force at `mono_ms`.
+
+        `mono_ms` is in ms of the machine's monotonic clock.
+        """
         in_cluster = [peer for peer in self.peers if peer.hello is not None and peer.hello.is_in_cluster]
         self.write(handover_codec.encode_proof(VersionProof(number, content_id, mono_ms)), in_cluster)
 
     def write(self, text: bytes, peers: list[PeerProcess]) -> None:
-        """Write a line to some."""
+        """Write a line to some processes, without blocking; a connection that fails or lags is closed."""
         for peer in peers:
             peer.unsent += text
             try:
                 peer.flush()
             except OSError:
-                self.end(peer)
+                self.remove_peer(peer)
                 continue
             if len(peer.unsent) > MAX_UNSENT_BYTES:
-                # Guards the memory against a process that hangs.
-                self.log_fault("behind", f"process {peer.name()} does not read")
-                self.end(peer)
+                # Guards this process's memory against a peer that hangs and reads nothing.
+                self.log_fault("behind", f"process {peer.name()} does not read, too many bytes are unsent")
+                self.remove_peer(peer)
             elif peer.unsent and peer.task is not None:
                 peer.task.wake()
 
     def catch_up(self) -> None:
-        """Take in what others have told by now.
+        """Read what the other processes have sent by now, before a keyed request is handled.
 
-        What another process told before it answered its client stands here before that client's retry can.
+        A process sends its attempt records before it answers its client, so that they have arrived here
+        before that client's retry can.
         """
         for peer in list(self.peers):
             if not self.read(peer):
-                self.end(peer)
+                self.remove_peer(peer)
 
-    def end(self, peer: PeerProcess) -> None:
-        """Go on without another process."""
+    def remove_peer(self, peer: PeerProcess) -> None:
+        """Close the connection to another process; without its goodbye, its history becomes unavailable."""
         if peer not in self.peers:
             return
         del self.peers[peer]
         self.loop.close(peer.sock)
         if peer.task is not None:
             peer.task.cancel()
-        if peer.is_snapshot_complete and peer.has_said_goodbye:
+        if peer.is_snapshot_complete and peer.has_sent_goodbye:
             self.log.line(f"process {peer.name()} of this node has ended")
         else:
-            # Guards also against one that was killed, or hangs and was left behind: its last attempts may be
-            # on no line that came.
+            # Guards against a process that was killed, or hangs and was disconnected: its last attempts may
+            # not have been received.
             self.mark_unknown(peer.source, self.loop.now())
-            self.log_fault("cut", f"process {peer.name()} ended without telling its last attempts")
+            self.log_fault("cut", f"process {peer.name()} disconnected without a goodbye or whole snapshot")
         self.node.apply_process_count()
         if not self.is_done:
             self.finish_if_complete()
@@ -350,7 +366,7 @@
         return 1 + len({peer.hello.process if peer.hello else id(peer) for peer in self.peers})
 
     def close(self) -> None:
-        """Tell others that nothing more is sent, and leave nothing behind in the directory."""
+        """Send all other processes a goodbye, and remove the socket from the directory."""
         for peer in self.peers:
             peer.unsent += handover_codec.GOODBYE_LINE
             with suppress(OSError):
@@ -361,26 +377,26 @@
                 self.path.unlink(missing_ok=True)
             self.sock = None
 
-    # Messages.
+    # Conversions.
 
     def message_of(self, key: str, record: AttemptRecord) -> AttemptSent:
-        """Return an attempt as it is told."""
+        """Return the message for an attempt, with times in Unix ms and its zone by name."""
         zones = self.node.config.deployment.zones
         return AttemptSent(*portable_record(key, record, zones, self.loop.clock.to_unix))
 
     def record_of(self, peer: PeerProcess, row: AttemptSent) -> AttemptRecord:
-        """Return an attempt by this process's clock."""
+        """Return the record of a received attempt, with times of this process's loop clock, in ms."""
         zone = self.node.config.deployment.zones.get(row.zone, -1)
         sent_ms, until_ms = self.local_ms(peer, row.sent_ms), self.local_ms(peer, row.until_ms)
         return AttemptRecord(row.server, zone, row.cell, sent_ms, until_ms)
 
     def local_ms(self, peer: PeerProcess, unix_ms: float) -> float:
-        """Return a Unix time as another process tells it by this process's clock."""
+        """Return another process's Unix time in ms as a time of this process's loop clock, in ms."""
         clock = self.loop.clock
         return clock.from_unix(unix_ms + peer.clock_shift_ms(clock.epoch_ms()))
 
     def log_fault(self, code: str, text: str) -> None:
-        """Log what went wrong."""
+        """Log a fault of the handover with its code."""
         self.log.line(f"handover code={code} {text}")
 
 
--- a/marlseam/net/service_state.py
+++ b/marlseam/net/service_state.py
@@ -1,18 +1,18 @@
-"""Whether a node serves clients: in service, or out of it by an operator or its cluster."""
+"""Whether a node serves clients: it is in service unless an operator or its cluster takes it out of it."""
 
 from marlseam.net import graceful_shutdown
 from marlseam.net.node_interface import NodeInterface
 from marlseam.net.operator_answer import OperatorAnswer
 
-CLUSTER = "fleet"  # as operators see who has a node out of service
+CLUSTER = "fleet"  # the cluster's name in `out_of_service_by`, as operators see it
 
 
 class ServiceState:
-    """Sends clients away and takes them again.
+    """Takes a node out of service and puts it in service again.
 
     Attributes:
-        out_of_service_by: whoever has the node out of service; it serves while there is nobody.
-        is_waiting_for_version: whether it listens only once the cluster lets it act on a version.
+        out_of_service_by: who has taken the node out of service; it serves while the set is empty.
+        is_waiting_for_version: whether the node does not listen until the cluster's version may be served.
 
     """
 
@@ -22,14 +22,17 @@
         self.is_waiting_for_version = False
 
     def listen(self) -> None:
-        """Take clients from the socket that is shared, once this process may: another may still do so."""
+        """Listen for clients, once the cluster lets this process serve.
+
+        Until then another process of the node may accept connections from the shared socket.
+        """
         service = self.node.config_service
         self.is_waiting_for_version = service is not None and not service.serving_status.is_serving
         if not self.is_waiting_for_version:
             self.node.downstream.listen()
 
     def follow_cluster(self, is_serving: bool) -> None:
-        """Be in service, as far as the cluster has to say, or out of it."""
+        """Enter or leave service on behalf of the cluster."""
         if not is_serving:
             self.leave(CLUSTER)
             return
@@ -38,7 +41,7 @@
             self.listen()
 
     def leave(self, who: str) -> OperatorAnswer:
-        """Send clients away; what is taken is finished, and all else goes on."""
+        """Take the node out of service for `who` and drain clients; accepted requests are finished."""
         self.out_of_service_by.add(who)
         if self.node.downstream.drain_timer is None:
             self.node.log.line(f"out of service with {len(self.node.requests.pending)} requests open")
@@ -46,9 +49,12 @@
         return OperatorAnswer(200, "")
 
     def enter(self, who: str) -> OperatorAnswer:
-        """Serve again as before, unless the process ends or another has it out."""
+        """Withdraw `who`'s reason to be out of service; serve clients again if no other one is left.
+
+        The answer's status is 409 once the process is shutting down.
+        """
         if self.node.shutdown.is_ending:
-            return OperatorAnswer(409, "the process ends\n")
+            return OperatorAnswer(409, "the node is shutting down\n")
         self.out_of_service_by.discard(who)
         if self.out_of_service_by:
             names = ", ".join(sorted(self.out_of_service_by))
--- a/marlseam/net/settings_reload.py
+++ b/marlseam/net/settings_reload.py
@@ -1,4 +1,4 @@
-"""Reload of the configuration file: a good one is applied whole, of a bad one nothing."""
+"""Reload of the configuration file: a valid file is applied as a whole, an invalid one not at all."""
 
 from dataclasses import replace
 
@@ -6,7 +6,7 @@
 from marlseam.configuration import Config, ConfigError
 from marlseam.net.node_interface import NodeInterface
 
-# Fields of Config that are kept while the process runs, with the keys that operators know them by.
+# Fields of Config that cannot change while the process runs, with their keys in the configuration file.
 FIXED_FIELDS = {
     "name": "name",
     "listen": "listen",
@@ -19,13 +19,13 @@
 
 
 class SettingsReload:
-    """Reads the configuration file anew, as a signal asks for it."""
+    """Reloads the configuration file of a node, on SIGHUP."""
 
     def __init__(self, node: NodeInterface) -> None:
         self.node = node
 
     def reload(self) -> None:
-        """Read the file, and go on under it if it is good."""
+        """Read the file and apply it if it is valid; otherwise log the error and keep the configuration."""
         node = self.node
         node.loop.descriptors.ensure()
         try:
@@ -37,13 +37,16 @@
         before = node.config
         for field, key in FIXED_FIELDS.items():
             if getattr(config, field) != getattr(before, field):
-                node.log.line(f"{key}: cannot change in a running node, left as it was")
+                node.log.line(f"{key}: cannot change in a running node, the old value is kept")
         node.adopt(replace(config, **{field: getattr(before, field) for field in FIXED_FIELDS}))
         node.counters.reloads += 1
         node.log.line(f"new configuration, discovery at {config.discovery[0]}:{config.discovery[1]}")
 
     def load(self) -> Config:
-        """Return what the file says; settings that the cluster agreed on stay in force."""
+        """Return the configuration in the file; raises ConfigError.
+
+        Settings from a version of the cluster stay in force, unless the cluster's settings are `local`.
+        """
         node, before = self.node, self.node.config
         config = configuration.load(before.path, before=before)
         service, cluster = node.config_service, before.cluster
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -116,11 +116,11 @@
 def test_an_old_process_serves_on_after_the_new_one_is_killed(listening_socket, start_process):
     old = start_process()
     new = start_process()
-    wait_for_line(new, "told of")
+    wait_for_line(new, "sent its snapshot of")
     new.kill()
     wait_for_line(old, "code=cut")
     answer, sock = ask_readiness(listening_socket)
     assert answer.startswith(b"HTTP/1.1 200 ")
     sock.close()
     third = start_process()
-    wait_for_line(third, "told of")
+    wait_for_line(third, "sent its snapshot of")
