--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Fixtures: dispatchers and nodes in a given state, connections that play a script, sockets.
+"""Fixtures: dispatchers and nodes in a given state, connections over scripted sockets, real sockets.
 
-Samples and stand-ins are in modules of their own; those that many tests import from here are re-exported.
+Samples and stubs are in modules of their own; those that many tests import from here are re-exported.
 """
 
 import json
@@ -43,14 +43,15 @@
 if TYPE_CHECKING:
     from loopback_servers import ListeningServer, ServerLister
 
-# The same examples each time: whether a change lands does not hang on chance, or on how busy the machine is.
+# The same examples in each run and no time limit: a result must depend neither on chance nor on the load of
+# the machine.
 hypothesis_settings.register_profile("fixed", derandomize=True, deadline=None)
 hypothesis_settings.load_profile("fixed")
 
 
 @pytest.fixture
 def make_dispatcher() -> Callable[..., Dispatcher]:
-    """Return a maker of dispatchers whose servers 0..n-1 are ready and have just reported these counts."""
+    """Return a maker of dispatchers whose servers 0..n-1 are ready and have just reported given counts."""
 
     def build(*counts: float | None, cells: tuple[int, ...] = (), **changes: object) -> Dispatcher:
         dispatcher = Dispatcher(replace(SETTINGS, **changes), 7, RecordingPort())
@@ -71,7 +72,7 @@
 
 @pytest.fixture
 def make_request() -> Callable[..., RequestState]:
-    """Return a maker of requests with attempts at given servers, of given outcomes."""
+    """Return a maker of request states with attempts, given as pairs of server and outcome."""
 
     def build(
         dispatcher: Dispatcher, class_index: int = 0, attempts: tuple = (), slots: float = 1.0
@@ -93,7 +94,7 @@
 
 @pytest.fixture
 def refuse_sockets(monkeypatch: pytest.MonkeyPatch) -> Callable[[int, int], None]:
-    """Return a function that has one family of sockets refused with an error number."""
+    """Return a function that makes opening a socket of one family fail with an error number."""
     open_socket = socket.socket
 
     def refuse(refused_family: int, error_number: int) -> None:
@@ -116,7 +117,7 @@
 
 @pytest.fixture
 def at_fault(tmp_path: Path) -> Callable[[str], str]:
-    """Return a function that reads an operator's own settings and returns the key that is at fault."""
+    """Return a function that reads operators' settings from TOML and returns the key of their ConfigError."""
 
     def read(text: str) -> str:
         path = tmp_path / "own.toml"
@@ -139,7 +140,7 @@
 
 
 def turn_until(loop: Loop, holds: Callable[[], object]) -> None:
-    """Turn a loop until something holds, or fail after a generous time."""
+    """Run turns of a loop until a condition holds; fail after 10 s by the loop's clock."""
     end_ms = loop.now() + 10000.0
     loop.at(end_ms, lambda: None)
     while not holds():
@@ -149,7 +150,7 @@
 
 @pytest.fixture
 def until(loop: Loop) -> Callable[[Callable[[], object]], None]:
-    """Return a function that turns the loop until something holds, or fails after a generous time."""
+    """Return a function that runs turns of the loop until a condition holds; it fails after 10 s."""
     return partial(turn_until, loop)
 
 
@@ -170,7 +171,7 @@
     make_connection: Callable[..., Connection],
     monkeypatch: pytest.MonkeyPatch,
 ) -> Callable[..., Upstream]:
-    """Return a maker of clients of server e1, each of whose connections plays the same script.
+    """Return a maker of upstreams with server e1, all connections of which use the same script.
 
     Their events are kept in `events`, the connections that they open in `connections`.
     """
@@ -195,12 +196,12 @@
 
 @pytest.fixture
 def node(tmp_path: Path) -> Node:
-    """Return a node on a free port, with one server listed that refuses connections."""
+    """Return a node on a free port, with one listed server, which refuses connections."""
     path = tmp_path / "node.json"
     path.write_text(json.dumps(NODE_CONFIG | {"admin": "127.0.0.1:0"}))
     node = Node(load(str(path), {}))
     yield node
-    node.is_reducing = True  # nothing is decided while the loop closes connections
+    node.is_reducing = True  # no event is reduced while the loop closes connections
     node.loop.finish()
 
 
@@ -240,7 +241,7 @@
 
 
 def reconfigured(node: Node, path: Path, **values: object) -> Config:
-    """Return a node's configuration with other values and no operators' door, as written to a file."""
+    """Write a node's configuration with changed values to a file; return it without operators' address."""
     path.write_text(json.dumps(json.loads(Path(node.config.path).read_text()) | values))
     return replace(load(str(path), {}), admin=None)
 
@@ -249,7 +250,7 @@
 def follow_discovery(
     node: Node, monkeypatch: pytest.MonkeyPatch, make_connection: Callable[..., Connection]
 ) -> Callable[..., list[Event]]:
-    """Return a function that has the node watch a scripted discovery, and returns the events posted."""
+    """Return a function that lets the node watch a scripted discovery, and returns the posted events."""
 
     def follow(*answers: bytes, status: int = 200, silent: bool = False) -> list[Event]:
         events: list[Event] = []
@@ -272,11 +273,14 @@
 
 @pytest.fixture
 def client(node: Node) -> Callable[[bytes], socket.socket]:
-    """Return a function that connects to the node and writes some bytes."""
+    """Return a function that connects to the node and writes some bytes; it returns the socket.
+
+    Its second argument is a part of the node with a listener, by default the one for clients.
+    """
     opened = []
 
-    def call(data: bytes, door: object = None) -> socket.socket:
-        sock = socket.create_connection((door or node.downstream).listener.sock.getsockname())
+    def call(data: bytes, listening_part: object = None) -> socket.socket:
+        sock = socket.create_connection((listening_part or node.downstream).listener.sock.getsockname())
         opened.append(sock)
         sock.setblocking(False)
         sock.sendall(data)
@@ -289,7 +293,10 @@
 
 @pytest.fixture
 def reply(node: Node) -> Callable[[socket.socket], bytes]:
-    """Return a function that turns the node's loop until a client has its answer, or the end."""
+    """Return a function that runs the node's loop until a client has received an answer's head or the end.
+
+    It returns the bytes received, and fails after 10 s by the loop's clock.
+    """
 
     def wait(sock: socket.socket) -> bytes:
         data, end = b"", node.loop.now() + 10000.0
@@ -303,7 +310,7 @@
             data += more
             if not more or b"\r\n\r\n" in data:
                 return data
-        raise AssertionError("no answer")
+        raise AssertionError("no answer within 10 s")
 
     return wait
 
@@ -314,7 +321,7 @@
     client: Callable[..., socket.socket],
     reply: Callable[[socket.socket], bytes],
 ) -> Callable[..., OperatorReply]:
-    """Return a function that makes one call at the operators' address."""
+    """Return a function that makes one call to the operators' address and returns the whole answer."""
 
     def call(method: str, path: str, headers: str = "") -> OperatorReply:
         sock = client(f"{method} {path} HTTP/1.1\r\nHost: h\r\n{headers}\r\n".encode(), node.admin)
@@ -329,7 +336,7 @@
 
 @pytest.fixture
 def start_server(node: Node) -> Callable[[], list[bytes]]:
-    """Return a function that starts server e1 for the node, and returns the methods of its requests."""
+    """Return a function that starts server e1 for the node, and returns the list of its requests' methods."""
     servers = []
 
     def start() -> list[bytes]:
@@ -364,12 +371,12 @@
         server.close()
 
 
-# Servers that a test plays itself (loopback_servers.py).
+# Servers whose side of each connection a test handles itself (loopback_servers.py).
 
 
 @pytest.fixture
 def listening_servers() -> Iterator[dict[str, "ListeningServer"]]:
-    """Return a table of servers by name, each of which is closed after the test."""
+    """Return an empty table of servers by name, all of which are closed after the test."""
     servers: dict[str, ListeningServer] = {}
     yield servers
     for server in servers.values():
@@ -378,7 +385,7 @@
 
 @pytest.fixture
 def list_test_servers(node: Node, listening_servers: dict[str, "ListeningServer"]) -> "ServerLister":
-    """Return a function that lists servers of the test's for the node, under settings of the test's."""
+    """Return a function that lists servers of the test for the node, under settings of the test."""
     from loopback_servers import ServerLister  # it imports this module's settings
 
     return ServerLister(node, listening_servers)
@@ -386,7 +393,7 @@
 
 @pytest.fixture
 def advance_clock(node: Node) -> Callable[[float], None]:
-    """Have the node's clock move at each look alone, and return a function that advances it by so many ms."""
+    """Let only reads advance the node's clock; return a function that advances it by a span in ms."""
     from loopback_servers import control_clock  # it imports this module's settings
 
     return control_clock(node.loop)
@@ -394,7 +401,7 @@
 
 @pytest.fixture
 def shrink_sockets(monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
-    """Return a function from which on new sockets hold so little that a long request waits for its reader."""
+    """Return a function after whose call new sockets have such small buffers that long requests block."""
     from loopback_servers import small_socket  # it imports this module's settings
 
     return lambda: monkeypatch.setattr(socket, "socket", small_socket)
--- a/tests/controlled_node.py
+++ b/tests/controlled_node.py
@@ -1,4 +1,4 @@
-"""A node under a clock that the test controls, and discovery that the test stops and starts."""
+"""A node under a clock that the test controls, and a discovery server that the test stops and starts."""
 
 import select
 import socket
@@ -10,24 +10,26 @@
 
 from marlseam.net.node import Node
 
-STEP_MS = 50.0  # by which the clock moves: how late a loop may be at each wait
-MAX_ADVANCE_MS = 60000.0
-REAL_TIME_LIMIT_S = 20.0
+STEP_MS = 50.0  # one advance of the clock, and so the most that the loop is late at a wait
+MAX_ADVANCE_MS = 60000.0  # of the controlled clock, after which a wait for a condition fails
+REAL_TIME_LIMIT_S = 20.0  # after which a wait for sockets fails
 BACKLOG = 64
 
 
 class ClosableDiscovery(Protocol):
-    """What plays discovery for a node, and is closed with it."""
+    """A test's discovery server, which is closed together with the node."""
 
     def close(self) -> None: ...
 
 
 class RestartableDiscovery:
-    """Discovery, which the test stops and starts at one address.
+    """A discovery server that the test stops and starts at one address.
 
     Attributes:
-        held: the connections on which calls have come
-        unanswered: connections whose calls are never answered
+        sock: the listening socket, or one that is bound only while the server is stopped
+        address: where it listens
+        held: the accepted connections
+        unanswered: the connections whose calls are never answered
     """
 
     def __init__(self, listens: bool = True) -> None:
@@ -44,7 +46,7 @@
         self.sock.setblocking(False)
 
     def stop(self) -> None:
-        """Stop, and reset all connections; the address stays taken, and refuses."""
+        """Stop, and reset all connections; the address stays bound, so that connecting to it is refused."""
         self.end_connections(reset_connection)
         self.sock.close()
         self.sock = socket.socket()
@@ -57,7 +59,7 @@
         self.held.clear()
 
     def next_call(self) -> socket.socket | None:
-        """Return the connection on which a call has come that was not returned yet."""
+        """Return a connection on which a new call has come, or None."""
         while select.select([self.sock], [], [], 0)[0]:
             sock, _ = self.sock.accept()
             sock.setblocking(False)
@@ -68,7 +70,7 @@
         return None
 
     def leave_calls_unanswered(self) -> None:
-        """Answer no call that has come, also of those that are still in the accept queue."""
+        """Leave all present calls unanswered for good, also those still in the accept queue."""
         self.next_call()
         self.unanswered += self.held
         self.held = []
@@ -79,11 +81,13 @@
 
 
 class ControlledNode:
-    """A node whose clock moves only when the test says so.
+    """A node whose clock advances only when the test moves it.
 
     Attributes:
+        node: the node
+        discovery: its discovery server
         clock: the node's time, in ms
-        calls: how often the node has begun to call discovery
+        calls: how often the node has begun a call to discovery
     """
 
     def __init__(self, node: Node, discovery: ClosableDiscovery) -> None:
@@ -105,33 +109,33 @@
         self.node.loop.turn()
 
     def run_until(self, condition: Callable[[], object]) -> object:
-        """Run the loop, with the clock standing, until the sockets bring a condition about; return it."""
+        """Run the loop at a standing clock until a condition holds; return the condition's value."""
         end_s = time.monotonic() + REAL_TIME_LIMIT_S
         while not (result := condition()):
-            assert time.monotonic() < end_s, "it did not come"
+            assert time.monotonic() < end_s, "the condition did not hold within the limit of real time"
             self.run_turn()
         return result
 
     def advance_until(self, condition: Callable[[], object], limit_ms: float = MAX_ADVANCE_MS) -> None:
-        """Advance the clock until a condition holds."""
+        """Advance the clock in steps of STEP_MS until a condition holds; fail after `limit_ms`."""
         end_ms = self.clock + limit_ms
         while not condition():
-            assert self.clock < end_ms, "it did not come"
+            assert self.clock < end_ms, "the condition did not hold within the limit of the node's time"
             self.clock += STEP_MS
             self.run_turn()
 
     def advance_to_next_call(self) -> None:
-        """Advance the clock up to the next call."""
+        """Advance the clock until the node begins its next call to discovery."""
         calls = self.calls
         self.advance_until(lambda: self.calls > calls)
 
     def has_failed(self) -> bool:
-        """Return whether no call is under way."""
+        """Return whether the node has no call to discovery in progress."""
         task = self.node.discovery.task
         return task is None or task.done
 
     def version(self) -> int:
-        """Return the version of the list that the node holds."""
+        """Return the version of the node's endpoint list."""
         return self.node.discovery.version
 
     def close(self) -> None:
--- a/tests/departure_scenario.py
+++ b/tests/departure_scenario.py
@@ -1,4 +1,4 @@
-"""A client that leaves while its request waits for something, and what it can wait for."""
+"""Scenarios of a client that disconnects while its request waits, one for each kind of wait (`WAITS`)."""
 
 import select
 import socket
@@ -25,32 +25,33 @@
 from marlseam.net.upstream import AttemptOrder
 from marlseam.net.upstream.attempts import DUPLICATE_ANSWER_MS
 
-LATE_MS = 150.0  # how long a late turn takes after the client's end; 100 ms are allowed
-# So that no attempt times out in a late turn.
+LATE_MS = 150.0  # how long a late turn takes after the client's end; attempts may begin for 100 ms after it
+# Their latency objective of 1 s prevents a time-out of an attempt in a late turn.
 PATIENT_CLASSES = [row | {"aimUs": 1000000} for row in OPTIONS["requestClasses"]]
 ERROR_RESPONSE = b"HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n"
 LOAD_REPORT_RESPONSE = b"HTTP/1.1 200 -\r\nContent-Length: 12\r\n\r\nTEXT queue=0"
 
 
 def wait_for_events(fd, mask=select.POLLIN):
-    """Wait until the system has something for a descriptor; an epoll's own counts as well."""
+    """Wait until the system has events for a descriptor, which may be one of an epoll; fail after 2 s."""
     poll = select.poll()
     poll.register(fd, mask)
-    assert poll.poll(2000), "it did not come"
+    assert poll.poll(2000), "no event within 2 s"
 
 
 class DepartureScenario:
-    """A node with its servers and the client that leaves, and the ways to have events happen to them.
+    """A node with its servers and a client that leaves, and the functions that cause events on their sockets.
 
     Attributes:
+        may_cancel: whether settings allow the node to cancel attempts that run
         sent_ahead: what the client sends behind its request
         upstream: the servers by name
-        begun_attempts: attempts of which the node has sent the head and the body
+        begun_attempts: the number of attempts whose head and body the node has sent
         sock, client_connection: the leaving client's socket, and the node's side of it
-        step_within_turn: what a late turn handles by itself, if anything
+        step_within_turn: what a late turn has to call itself, as the wait ends within it; None for nothing
         late_ms: how long a late turn takes
         clock_ms: the node's clock
-        event_sockets: what `on_event` made
+        event_sockets: the sockets that `on_event` made
     """
 
     def __init__(self, node, client, list_test_servers, may_cancel):
@@ -60,8 +61,8 @@
         self.begun_attempts = 0
         self.sock = self.step_within_turn = None
         self.late_ms = LATE_MS
-        # The clock moves by a millisecond a turn, which waits as long for events: a machine that halts for
-        # seconds ends no wait of the node's.
+        # Each turn waits up to 1 ms for events and moves the clock by 1 ms: guards against a machine that
+        # halts for seconds, which would time out the node's waits.
         self.clock_ms, run_turn = node.loop.now(), node.loop.turn
         node.loop.now = lambda: self.clock_ms
 
@@ -74,7 +75,7 @@
         node.loop.turn = step
 
     def list_servers(self, *names, probes=False, **options):
-        """List servers with two idle connections each: an attempt is sent in the turn that chooses it."""
+        """List servers with two idle connections each: an attempt is then sent in the turn it starts in."""
         ceilings = {"mayProbe": probes, "cancel": self.may_cancel} | options.pop("ceilings", {})
         options = {"requestClasses": PATIENT_CLASSES} | options
         self.upstream = dict(
@@ -91,10 +92,10 @@
                 sock.sendall(ANSWER.replace(b'"e1"', b'"%b"' % name.encode()))
             run_until(self.node, lambda name=name: len(self.node.upstream.pool.servers[name].idle) == 2)
         assert self.read().count(b"abc") == 2 * len(names)
-        self.clock_ms += DUPLICATE_ANSWER_MS  # an attempt that must run once uses no connection before
+        self.clock_ms += DUPLICATE_ANSWER_MS  # before, no attempt that must run once uses these connections
 
     def send_request(self, request=SAFE_REQUEST, read=True):
-        """Have the client send its request; with `read`, wait until the node has read ahead."""
+        """Send the client's request; with `read`, wait until the node has read what the client sent ahead."""
         before, requests_before = set(self.node.downstream.open), self.node.requests.last_request_id
         self.sock = self.client(request + self.sent_ahead)
         run_until(self.node, lambda: set(self.node.downstream.open) - before)
@@ -108,10 +109,10 @@
                 and (not is_much or len(self.client_connection.buffer) >= MAX_AHEAD_BYTES),
             )
             self.node.loop.at(self.node.loop.now(), lambda: None)
-            self.node.loop.turn()  # else its bytes are still an event, and its end comes in their place
+            self.node.loop.turn()  # else the bytes are still a pending event, which the client's end replaces
 
     def read(self):
-        """Return what came to the servers since the last call."""
+        """Return the bytes that the servers have received since the last call."""
         data = b""
         for name, server in self.upstream.items():
             while server.accept():
@@ -127,12 +128,12 @@
         return data
 
     def wait_at_server(self, word=b"abc"):
-        """Wait until a request is at a server; return that one's name and its side of the connection."""
+        """Wait until a server has received a request; return its name and its side of the connection."""
         run_until(self.node, lambda: word in self.read())
         return self.read_from
 
     def on_event(self, call):
-        """Have the node make a call as an event of its sockets; return what causes the event."""
+        """Let the node make a call on a socket event; return the function that causes the event."""
         ours, theirs = socket.socketpair()
         self.event_sockets += [ours, theirs]
 
@@ -144,7 +145,7 @@
         return lambda: ours.send(b"!")
 
     def end_client(self, end_client):
-        """Have the client leave; return once its end has reached the node's socket."""
+        """End the client's connection; return once the end has reached the node's socket."""
         end_client(self.sock)
         wait_for_events(self.client_connection.sock.fileno(), select.POLLRDHUP)
 
@@ -153,7 +154,8 @@
             sock.close()
 
 
-# What an attempt waits for. Each function brings a request there, and returns what has it sent next turn.
+# What a request can wait for. Each function brings a request to the wait, and returns the function that ends
+# the wait, so that the next turn would send an attempt.
 
 
 def wait_for_connecting(scenario):
@@ -162,7 +164,7 @@
         connection.eof = True  # closed by its server: a new one is opened
     scenario.send_request(read=False)
     (attempt,) = scenario.node.upstream.attempts.in_flight.values()
-    wait_for_events(attempt.task.fd, select.POLLOUT)  # it is connected, and the node has not seen it
+    wait_for_events(attempt.task.fd, select.POLLOUT)  # connected, and the node has not handled the event
     scenario.step_within_turn = lambda: attempt.task.step(READY)
     return lambda: None
 
--- a/tests/operator_calls.py
+++ b/tests/operator_calls.py
@@ -1,4 +1,4 @@
-"""Operators' calls, and requests that a node accepts, over one connection each."""
+"""Helpers for operators' calls to a node, and for requests that a node accepts, over one connection each."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class OperatorReply(NamedTuple):
-    """An answer to an operator's call."""
+    """An answer to an operator's call: HTTP status, body, and head as text."""
 
     status: int
     body: str
@@ -14,7 +14,7 @@
 
 
 def read_more(node, sock):
-    """Return what comes next on a connection, or nothing at its end; turn the loop until then."""
+    """Run the node's loop until bytes or the end have come on a connection; return them, b"" at the end."""
     while True:
         try:
             return sock.recv(65536)
@@ -23,7 +23,7 @@
 
 
 def send_request(node, client, request=REQUEST):
-    """Send a request; return its connection and, once the node has accepted it, its id."""
+    """Send a request and run the loop until the node has accepted it; return its connection and its id."""
     before = set(node.requests.pending)
     sock = client(request)
     while set(node.requests.pending) <= before:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""Operators' calls: their answers, their limits and their precedence."""
+"""Operators' calls: answers, limits of connections and bytes, and precedence over clients' requests."""
 
 from dataclasses import replace
 
@@ -11,7 +11,7 @@
 from marlseam.net.loop import FIRST_CHECK_MS
 
 
-def test_operators_see_whether_the_node_is_ready(node, call_operator):
+def test_the_readiness_call_answers_200_while_the_node_has_servers_and_503_without(node, call_operator):
     assert call_operator("GET", "/control/ready").status == 200
     node.discovery.held.clear()
     assert call_operator("GET", "/control/ready").status == 503
@@ -45,7 +45,7 @@
     assert data.count(b"HTTP/1.1 200") == 1
 
 
-def test_a_call_that_does_not_come_in_time_is_answered_408(node, client, reply, monkeypatch):
+def test_a_call_that_is_incomplete_at_its_time_limit_is_answered_408(node, client, reply, monkeypatch):
     monkeypatch.setattr(admin, "CALL_MS", 20.0)
     assert reply(client(b"GET /control/re", node.admin)).startswith(b"HTTP/1.1 408 ")
 
@@ -62,7 +62,7 @@
 
 
 def test_a_call_that_comes_in_a_long_turn_is_answered_within_it(node, client):
-    # Guards operators against a node that is busy with clients: here each client's step takes a while.
+    # Guards against operators' calls that wait behind busy clients: each client's step takes long here.
     requests_before_call, taken = [], []
 
     def answer_call(_):
@@ -90,7 +90,7 @@
     assert requests_before_call[:1] in ([1], [2])
 
 
-def test_a_node_without_an_operators_address_takes_no_calls(node):
+def test_a_node_without_an_operators_address_has_no_server_for_calls(node):
     other = type(node)(replace(node.config, admin=None, listen=("127.0.0.1", 0)))
     assert other.admin is None
     other.busy = True
--- a/tests/test_answers_in_time.py
+++ b/tests/test_answers_in_time.py
@@ -1,4 +1,7 @@
-"""Requests are answered in time: in a shutdown, if never sent, if servers hang (docs/design/endings.md)."""
+"""Requests are answered in time: in a shutdown, where none was sent, where servers hang.
+
+See docs/design/endings.md.
+"""
 
 import re
 from contextlib import suppress
@@ -25,13 +28,13 @@
 from marlseam.decisions.types import EndpointState, ListUpdateKind
 from marlseam.net.downstream import NEW_GRACE_MS
 
-TIME_LEFT_MS = 900.0  # until the deadlines of the requests
-ANSWER_GRACE_MS = 500.0  # by which an answer may come after its deadline
-LONGEST_SHUTDOWN_MS = 3700.0
+TIME_LEFT_MS = 900.0  # of each request at its start, until its deadline
+ANSWER_GRACE_MS = 500.0  # by which an answer may come after the deadline
+LONGEST_SHUTDOWN_MS = 3700.0  # from the signal to the end of the loop
 
 
 def answer_all(server, name):
-    """Have a server complete all requests that it has been sent."""
+    """Complete all requests that a server has received."""
     while server.accept():
         pass
     for sock in server.held:
@@ -41,7 +44,7 @@
                 sock.sendall(response_of(last_line))
 
 
-# From SIGTERM to the end, on every connection that stays open.
+# From SIGTERM to the end of the node, on every connection that stays open.
 
 
 def test_a_request_at_any_instant_between_sigterm_and_the_end_is_answered_or_never_read(
@@ -57,7 +60,7 @@
         number = len(sent)
         short_request = SAFE_REQUEST.replace(b"Left: 5", b"Left: 0.3")
         data = (UNSAFE_REQUEST, short_request)[number % 2].replace(b"9b", b"w%d" % number)
-        with suppress(OSError):  # it was closed before, and nothing listens: its client goes elsewhere
+        with suppress(OSError):  # the connection was closed, or nothing listens: a client would go elsewhere
             if on_new_connection:
                 sent.append(client(data))
             elif idle_clients:
@@ -65,13 +68,13 @@
                 sent[-1].sendall(data)
 
     close_idle, finish = node.downstream.close_idle, node.shutdown.finish
-    # Requests come at the instants at which the drain and the end look at the connections.
+    # Requests arrive just before the drain and the shutdown check the connections.
     node.downstream.close_idle = lambda: (send_request(False), close_idle())
     node.shutdown.finish = lambda at_ms: (send_request(False), finish(at_ms))
     update_endpoint_list(node, {"e2": hanging_server.address})
     for _ in range(8):
         send_request(False)
-    # Unsafe requests that were sent before hang up to the end.
+    # The unsafe ones of these requests, sent to the hanging server, hang until the end.
     run_until(node, lambda: node.requests.last_request_id - requests_before == len(sent))
     update_endpoint_list(node, {"e1": good_server.address, "e2": hanging_server.address})
     began_ms = node.loop.now()
@@ -88,7 +91,7 @@
     node.loop.finish()
     answers = []
     for sock in sent:
-        sock.settimeout(10.0)  # all are closed: none waits
+        sock.settimeout(10.0)  # not reached: the node has closed all connections
         with suppress(ConnectionResetError):
             answers.append(sock.recv(1 << 16))
     received = [answer for answer in answers if answer]
@@ -98,7 +101,7 @@
     assert len(received) > 100
 
 
-# A request that was never sent is rejected, within half a second after its deadline.
+# A request that was never sent to a server is rejected by half a second after its deadline.
 
 
 def empty_list(node, _server):
@@ -156,26 +159,27 @@
     assert not node.counters.attempts
 
 
-# Connections that come up late.
+# Servers whose connections are established late, or which hang.
 
 
 @pytest.mark.parametrize(
     "request_bytes", [SAFE_REQUEST, UNSAFE_REQUEST, KEYED_REQUEST], ids=["safe", "unsafe", "keyed"]
 )
-def test_an_attempt_whose_connection_does_not_come_up_delays_no_other_and_never_ran(
+def test_an_attempt_whose_connection_is_not_established_delays_no_other_and_never_ran(
     node, client, list_test_servers, advance_clock, reply, request_bytes
 ):
     slow_server, good_server = list_test_servers(
         "e1", "e2", backlog=0, ceilings=NO_PROBES, requestClasses=CLASS_OF_EACH_IDEMPOTENCY
     )
     release = fill_accept_queue(slow_server)
-    update_endpoint_list(node, {"e1": slow_server.address})  # all attempts go there first
+    update_endpoint_list(node, {"e1": slow_server.address})  # so that the first attempt goes to this server
     sock = client(request_bytes)
     run_until(node, lambda: node.upstream.attempts.in_flight)
     update_endpoint_list(node, {"e1": slow_server.address, "e2": good_server.address})
-    node.reducer.dispatcher.at_capacity[node.reducer.servers.by_name["e1"]] = True  # the next goes elsewhere
+    # So that the next request goes to the other server.
+    node.reducer.dispatcher.at_capacity[node.reducer.servers.by_name["e1"]] = True
     second_client = client(request_bytes.replace(b"9b", b"9c").replace(b"-Key: k", b"-Key: l"))
-    run_until(node, lambda: b"abc" in good_server.read())  # and is served while the first waits
+    run_until(node, lambda: b"abc" in good_server.read())  # while the first request still waits
     good_server.held[0].sendall(ANSWER.replace(b'"e1"', b'"e2"').replace(b"9b", b"9c"))
     assert reply(second_client).startswith(b"HTTP/1.1 200 ")
     assert node.upstream.attempts.in_flight
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -1,8 +1,8 @@
-"""No attempt begins for a client that has gone, neither the first nor a retry (docs/design/endings.md).
+"""No attempt begins for a client that has disconnected, neither the first nor a retry.
 
-Each entry of WAITS brings a request to the instant at which the next event has it sent. That event and the
-client's end then reach the node in the unfavourable order, on real loopback sockets: both ready in one turn
-of the loop, the send in front, or the end in the middle of a turn that is late.
+See docs/design/endings.md. Each entry of WAITS brings a request to a state in which the next event sends it.
+That event and the client's end then reach the node in the unfavourable order, on real loopback sockets: both
+ready in one turn of the loop with the send first, or the client's end in the middle of a late turn.
 """
 
 import select
@@ -47,7 +47,7 @@
 
 @pytest.fixture
 def make_scenario(node, client, list_test_servers, monkeypatch):
-    """Return a maker of scenarios, which count the attempts that begin."""
+    """Return a maker of scenarios that count the attempts whose head and body the node has sent."""
     scenarios, write = [], Connection.message
 
     def message(connection, head, body, until_ms, *left):
@@ -69,7 +69,7 @@
 
 
 def assert_nothing_left(node):
-    """Assert that no request is left, and that the servers' counts are right."""
+    """Assert that no request or attempt is left, nor a server's slot in use."""
     assert not node.requests.pending
     assert not node.reducer.open_requests
     assert not node.upstream.attempts.in_flight
@@ -90,13 +90,13 @@
 
 
 def assert_not_sent(scenario, begun_attempts):
-    """Assert that no attempt has begun since, nor begins later, and that the request ends."""
+    """Assert that no attempt beyond `begun_attempts` has begun or begins later, and that the request ends."""
     node = scenario.node
     assert scenario.begun_attempts == begun_attempts
     assert b"abc" not in scenario.read()
     run_loop(scenario.node)
     run_until(scenario.node, lambda: scenario.client_connection not in node.downstream.open)
-    if node.upstream.attempts.in_flight:  # what had begun runs on where cancelling is forbidden
+    if node.upstream.attempts.in_flight:  # an attempt that had begun continues where cancelling is forbidden
         scenario.clock_ms += 1000.0
     run_until(scenario.node, lambda: not node.upstream.attempts.in_flight)
     assert scenario.begun_attempts == begun_attempts
@@ -131,7 +131,7 @@
     scenario = make_scenario(may_cancel, sent_ahead)
 
     def leave_in_late_turn():
-        """Have the client leave in a long turn, whose events were fetched before."""
+        """End the client's connection within a long turn, whose events were fetched before."""
         scenario.end_client(end_client)
         scenario.clock_ms += scenario.late_ms
         if scenario.step_within_turn is not None:
@@ -141,7 +141,7 @@
     trigger_send = WAITS[wait](scenario)
     begun_attempts = scenario.begun_attempts
     if scenario.step_within_turn is not None:
-        # It is ready before the event could be: handled as from within a turn.
+        # The wait ends before the event could be handled: step as if from within a turn.
         leave_in_late_turn()
     else:
         trigger_late_turn()
@@ -151,13 +151,13 @@
     assert_not_sent(scenario, begun_attempts)
 
 
-# A client that sends far ahead hides its end: with full buffers the system takes neither bytes nor the end.
+# A client that sends far ahead hides its end: with full buffers the system accepts neither bytes nor the end.
 
 MORE_THAN_THE_SYSTEM_HOLDS = b"x" * (1 << 20)
 
 
 def send_as_much_as_taken(sock, data=MORE_THAN_THE_SYSTEM_HOLDS):
-    """Send as much as the system takes."""
+    """Send as much as the system accepts without blocking."""
     try:
         while data:
             data = data[sock.send(data) :]
@@ -166,7 +166,7 @@
 
 
 def is_end_hidden(scenario):
-    """Return whether the system does not show the client's end."""
+    """Return whether the system does not report the client's end (POLLRDHUP)."""
     poll = select.poll()
     poll.register(scenario.client_connection.sock.fileno(), select.POLLRDHUP)
     return not poll.poll(0)
@@ -175,7 +175,7 @@
 @MAY_CANCEL_OR_NOT
 @pytest.mark.parametrize("end_client", [socket.socket.close, close_sending_side], ids=["closes", "half"])
 @pytest.mark.parametrize("wait", ["queue", "durability", "probe", "an error"])
-def test_a_clients_end_is_seen_behind_more_than_the_system_holds(
+def test_a_clients_end_is_detected_behind_more_than_the_system_holds(
     wait, end_client, may_cancel, make_scenario, node
 ):
     scenario = make_scenario(may_cancel)
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("end_client", [socket.socket.close, close_sending_side], ids=["closes", "half"])
-def test_a_clients_end_behind_more_than_the_system_holds_is_seen_before_its_request_is_taken(
+def test_a_clients_end_behind_more_than_the_system_holds_is_detected_before_its_request_is_accepted(
     end_client, make_scenario, node, client
 ):
     scenario = make_scenario(True)
@@ -207,7 +207,7 @@
     assert b"abc" not in scenario.read()
 
 
-def test_a_client_that_floods_and_stays_has_its_answer_whole(make_scenario, node, reply):
+def test_a_client_that_floods_and_stays_receives_its_whole_answer(make_scenario, node, reply):
     scenario = make_scenario(True)
     scenario.list_servers("e1")
     scenario.send_request()
@@ -218,7 +218,7 @@
     data = reply(scenario.sock)
     assert data.startswith(b"HTTP/1.1 200 ")
     assert b"\r\nConnection: close\r\n" in data
-    send_as_much_as_taken(scenario.sock)  # what still comes resets nothing
+    send_as_much_as_taken(scenario.sock)  # further bytes must not cause a reset
     run_loop(scenario.node)
     assert not scenario.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     close_sending_side(scenario.sock)
@@ -242,7 +242,7 @@
     assert scenario.wait_at_server(b"bbb")
 
 
-# Many clients at once, the key's next request, a first byte that waits, and a stopped process.
+# Many clients at once, the next request of a key, a first byte that waits, and faults.
 
 
 def test_queued_requests_of_a_burst_of_clients_that_leave_are_not_sent(make_scenario, node):
@@ -267,9 +267,7 @@
     assert not node.downstream.open
 
 
-def test_an_attempt_whose_client_is_gone_leaves_no_record_and_lets_the_keys_next_request_go(
-    make_scenario, node
-):
+def test_an_attempt_whose_client_left_leaves_no_record_and_the_keys_next_request_is_sent(make_scenario, node):
     keyed_class = PATIENT_CLASSES[0] | {
         "semantics": "keyed",
         "dedupScope": "cell",
@@ -288,7 +286,7 @@
     (attempt,) = node.upstream.attempts.in_flight.values()
     first = scenario.sock, scenario.client_connection
     scenario.client((ordered_request % 2).replace(b"9b", b"9c"))
-    attempt.task.clear_wait()  # its connection is not seen until the next request has come
+    attempt.task.clear_wait()  # so that its connection is not handled until the next request has come
     run_until(node, lambda: node.requests.last_request_id == 2)
     assert node.reducer.idempotency_records.attempts("k1", node.loop.now())
     begun_attempts = scenario.begun_attempts
@@ -308,11 +306,13 @@
 @pytest.mark.parametrize(
     "end_attempt", [socket.socket.close, close_sending_side, "drains"], ids=["closes", "half", "drains"]
 )
-def test_an_attempt_whose_first_byte_the_system_does_not_take_has_not_begun(end_attempt, make_scenario, node):
+def test_an_attempt_whose_first_byte_the_system_does_not_accept_has_not_begun(
+    end_attempt, make_scenario, node
+):
     scenario = make_scenario(False)
     scenario.list_servers("e1")
     (connection, _), (other_connection, _) = node.upstream.pool.servers["e1"].idle
-    for each in (connection, other_connection):  # as if a server had answered without reading
+    for each in (connection, other_connection):  # fills the buffers, as if the server had not read
         send_as_much_as_taken(each.sock, b"x" * (1 << 24))
     scenario.send_request(read=False)
     (attempt,) = node.upstream.attempts.in_flight.values()
@@ -333,7 +333,8 @@
 
 
 def test_a_fault_at_each_attempt_ends_with_the_limit_of_attempts(make_scenario, node, monkeypatch):
-    # Each ends as cancelled unsent. If the limit left these out, the next would be sent at once, without end.
+    # Each attempt ends as cancelled unsent. Guards against a limit that does not count such attempts: the
+    # next one would start at once, in an endless loop.
     scenario = make_scenario(True)
     scenario.list_servers("e1", "e2")
     attempts = []
@@ -353,14 +354,14 @@
 @pytest.mark.parametrize("order_of_events", ["end alone", "bytes read before the end", "answered"])
 @pytest.mark.parametrize("request_bytes", [SAFE_REQUEST, UNSAFE_REQUEST], ids=["safe", "unsafe"])
 @EACH_CLIENT_END
-def test_an_attempt_in_the_middle_of_its_bytes_is_cut(
+def test_an_attempt_whose_bytes_are_partly_sent_is_cut(
     end_client, request_bytes, order_of_events, make_scenario, node, client, monkeypatch
 ):
-    # A server begins a request when its last byte has come.
-    sends = []  # whether the request was still to be answered at each
+    # A server begins a request when its last byte has come: before, the attempt may still be cancelled.
+    sends = []  # for each send of the body, whether the request was still unanswered
 
     class SmallSocket(socket.socket):
-        """A socket that holds so little that a request's last byte waits for its reader."""
+        """A socket with such small buffers that a request's last byte waits for its reader."""
 
         def __init__(self, *given, **named):
             super().__init__(*given, **named)
@@ -395,21 +396,22 @@
         scenario.end_client(end_client)
         node.loop.turn()
     run_until(node, lambda: attempt.task.done)
-    while not is_closed_by_peer(server.held[0]):  # what the system held of it, and the end
+    while not is_closed_by_peer(server.held[0]):  # reads what the system has buffered, up to the end
         read += server.read().count(b"b")
         run_loop(scenario.node, 1)
     assert read < LONG_BODY_BYTES
     assert not node.counters.attempts
     assert sends_before > 0
     assert all(sends)
-    if order_of_events != "answered":  # the system may take more before an answer, which comes by a timer
+    if order_of_events != "answered":  # the answer comes by a timer: the system may accept more bytes before
         assert len(sends) == sends_before
         run_until(node, lambda: not node.downstream.open)
     assert_nothing_left(node)
 
 
-def test_a_client_whose_connection_ended_by_a_fault_counts_as_gone(make_scenario, node, monkeypatch):
-    # Looking at a closed socket would be a fault of its own, and cancel each attempt up to the limit.
+def test_a_client_whose_connection_ended_by_an_exception_counts_as_gone(make_scenario, node, monkeypatch):
+    # Guards against a check of the closed socket for the client's end: it would raise an exception itself,
+    # and cancel each attempt up to the limit.
     scenario = make_scenario(False)
     trigger_send = WAITS["an error"](scenario)
     begun_attempts, faults = scenario.begun_attempts, []
--- a/tests/test_cluster_settings.py
+++ b/tests/test_cluster_settings.py
@@ -1,4 +1,4 @@
-"""A node with configuration versions: its settings, its start, reloads and the command `check`."""
+"""A node with a cluster and configuration versions: settings, start, reloads and the command `check`."""
 
 import json
 import os
@@ -16,7 +16,7 @@
 from marlseam.net.node import Node
 from marlseam.store.ledger_writer import create_ledger
 
-OBJECTIVE_US, OBJECTIVE_MS = 777000.0, 777.0  # of a class, which a test publishes
+OBJECTIVE_US, OBJECTIVE_MS = 777000.0, 777.0  # the latency objective of a class that a test publishes
 
 
 @pytest.mark.parametrize(
@@ -29,7 +29,7 @@
         ('folder = "x"\nvoters = ["n"]\npast_lease = "no"', "past_lease"),
     ],
 )
-def test_bad_settings_of_versions_are_named(tmp_path, lines, key):
+def test_an_invalid_setting_of_versions_is_named_in_the_error(tmp_path, lines, key):
     config, own = tmp_path / "n.json", tmp_path / "own.toml"
     values = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "name": "n", "settings": OPTIONS}
     config.write_text(json.dumps(values))
@@ -39,13 +39,13 @@
 
 
 class SingleNode(NamedTuple):
-    """A node that is the only one of its cluster.
+    """A node that is the only member of its cluster.
 
     Attributes:
-        config: its configuration file.
-        own: its file of operators' settings.
-        start: starts it, and returns it.
-        stop: ends it without a shutdown.
+        config: the node's configuration file.
+        own: the node's file of operators' settings.
+        start: starts the node and returns it.
+        stop: ends the node without a graceful shutdown.
     """
 
     config: Path
@@ -91,7 +91,7 @@
 
 
 def turn_until(node, holds):
-    """Turn a node's loop until something holds, or fail after 5 s."""
+    """Run turns of a node's loop until a condition holds; fail after 5 s."""
     end_ms = node.loop.now() + 5000.0
     node.loop.at(end_ms, lambda: None)
     while not holds() and node.loop.now() < end_ms:
@@ -106,7 +106,7 @@
 
 
 def publish_objective(node):
-    """Publish another latency objective of the first class."""
+    """Publish settings with OBJECTIVE_US as the first class's latency objective."""
     settings = json.loads(json.dumps(OPTIONS))
     settings["requestClasses"][0]["aimUs"] = OBJECTIVE_US
     node.config_service.publish(json.dumps({"settings": settings, "why": "slower"}).encode())
@@ -129,7 +129,7 @@
     assert node.config_service.replica.applied_number == 1
 
 
-def test_a_node_shut_out_by_an_override_cannot_be_put_in_service_otherwise(single):
+def test_a_node_out_of_service_by_an_override_stays_so_when_put_in_service_by_another_call(single):
     node = start_in_service(single)
     node.config_service.override_by_operator("sick")
     turn_until(node, lambda: not node.config_service.serving_status.is_serving)
@@ -138,7 +138,7 @@
     assert node.service.enter("operator")[1].startswith("still out of service by fleet")
 
 
-def test_check_tries_the_ledgers_folder(single):
+def test_check_reads_the_ledgers_folder_and_names_one_that_cannot_be_used(single):
     files = ["--config", str(single.config), "--settings", str(single.own)]
     command = [sys.executable, "-m", "marlseam", "check", *files]
     good = subprocess.run(command, capture_output=True, text=True, timeout=60)
@@ -150,7 +150,7 @@
     assert "fleet.folder" in bad.stderr
 
 
-def test_a_local_file_is_applied_where_settings_allow_it_and_shows_in_the_status(single):
+def test_a_local_file_is_applied_where_settings_allow_it_and_is_reported_in_the_status(single):
     own = single.own.read_text()
     single.own.write_text(own.replace('voters = ["n"]', 'voters = ["n"]\nlocal = "allow"'))
     node = start_in_service(single)
@@ -178,11 +178,11 @@
         ("[fleet]\n[fleet.members]\na = '127.0.0.1:5'\n", "fleet.name"),
     ],
 )
-def test_a_wrong_setting_is_named(at_fault, text, key):
+def test_an_invalid_cluster_setting_is_named_in_the_error(at_fault, text, key):
     assert at_fault(text) == key
 
 
-def test_a_trusted_network_may_be_another_and_a_node_must_be_among_the_names(tmp_path):
+def test_a_trusted_address_may_be_off_loopback_and_a_node_must_be_among_the_members(tmp_path):
     own, config = tmp_path / "own.toml", tmp_path / "node.json"
     own.write_text("[fleet]\nname = 'f'\ntrusted = true\n[fleet.members]\na = '10.0.0.1:5'\n")
     config.write_text(
@@ -194,7 +194,7 @@
     assert error.value.key == "fleet.members"
 
 
-def test_a_node_of_no_cluster_imports_nothing_of_it():
+def test_a_node_without_a_cluster_imports_no_modules_of_clusters():
     words = "fleet", "peers", "acting", "ledger", "cluster", "membership", "config_"
     code = "import sys, marlseam.__main__; "
     code += f"print([name for name in sys.modules if any(word in name for word in {words})])"
--- a/tests/test_config_service.py
+++ b/tests/test_config_service.py
@@ -1,4 +1,4 @@
-"""Services of configuration versions of three nodes, on sockets and one event loop."""
+"""The services of configuration versions of three nodes, on loopback sockets and one event loop."""
 
 import json
 import os
@@ -28,12 +28,12 @@
 
 
 class NodeStub:
-    """The node that a service belongs to.
+    """A stub of the node that a service belongs to.
 
     Attributes:
-        settings: in force.
-        is_serving: as the service last said; None before it has.
-        settings_fault: what is wrong with any settings that the service has checked; empty for nothing.
+        settings: the settings in force.
+        is_serving: what the service last called `serve` with; None before.
+        settings_fault: the fault to report for any settings that the service checks; empty for none.
     """
 
     def __init__(self):
@@ -52,7 +52,7 @@
 
 
 class Member(NamedTuple):
-    """A member of the cluster: its service of membership, and its node."""
+    """A member of the cluster: its membership service, and the stub of its node."""
 
     membership: MembershipService
     node: NodeStub
@@ -67,7 +67,7 @@
 
 
 def publication(settings, why, **fields):
-    """Return the body of a request to publish settings."""
+    """Return the body of a request to publish settings for a reason, with further keys if given."""
     return json.dumps({"settings": settings, "why": why} | fields).encode()
 
 
@@ -85,7 +85,7 @@
 
 @pytest.fixture
 def cluster(loop, tmp_path):
-    """Return the members of a cluster on loopback by name, all on one loop."""
+    """Return the members of a cluster by name, each on a loopback socket, all on one event loop."""
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in VOTERS]
     for sock in socks:
         sock.bind(("127.0.0.1", 0))
@@ -104,7 +104,7 @@
 
 @pytest.fixture
 def until_all_serve(cluster, until):
-    """Wait until each member is in service."""
+    """Wait until all members are in service."""
     until(lambda: all(member.node.is_serving for member in cluster.values()))
 
 
@@ -139,7 +139,7 @@
 
 
 def keys_of(value):
-    """Return the keys of an object and of those in it; of a list, those of its first row."""
+    """Return the nested keys of a JSON value: of an object all, of a list those of its first row."""
     if isinstance(value, list):
         return keys_of(value[0]) if value else None
     if not isinstance(value, dict):
@@ -150,12 +150,12 @@
 @pytest.mark.usefixtures("until_all_serve")
 def test_the_status_for_operators_has_the_keys_of_earlier_programs(cluster):
     shown = json.loads(cluster["a"].membership.status())
-    shown["letters"]["left_out"], shown["acting"]["contents"] = {}, {}  # counted by what happened
+    shown["letters"]["left_out"], shown["acting"]["contents"] = {}, {}  # their keys depend on what happened
     assert keys_of(shown) == json.loads(KEYS_OF_STATUS.read_text())
 
 
 @pytest.mark.usefixtures("until_all_serve")
-def test_nodes_on_sockets_receive_a_version_as_deltas_and_store_the_whole(cluster, until, tmp_path):
+def test_nodes_receive_a_version_as_deltas_and_store_the_whole_content(cluster, until, tmp_path):
     first = cluster["a"].service
 
     def publish(number, teams):
@@ -175,7 +175,7 @@
         assert digest(member.replica.store.contents[member.replica.content_id]) == member.replica.content_id
         assert member.node.settings["teams"]["team-7"]["quota"] == 1003
         assert shown["meaning"] == settings_digest(member.node.settings)
-    # What is on the disk is the whole, and a restart begins with it.
+    # The ledger holds the whole content, from which a restart begins.
     recovered = LedgerWriter(Disk(tmp_path / "b"), "b").load()
     content = read(recovered.contents[recovered.held.id], frozenset(VOTERS))
     assert content.settings["teams"]["team-7"]["quota"] == 1003
@@ -204,7 +204,7 @@
         (b'{"settings": {}, "why": "w", "voters": ["a", "z", "b"]}', "members"),
     ],
 )
-def test_a_request_that_cannot_be_published_is_rejected_at_once(cluster, body, what):
+def test_an_invalid_request_to_publish_is_rejected_at_once_with_its_fault(cluster, body, what):
     first = cluster["a"]
     status, text = first.service.publish(body)
     assert status == 400
@@ -216,7 +216,7 @@
     assert "settings.dcs" in text
 
 
-def test_an_operators_override_shuts_a_node_out_and_brings_it_back(cluster, until):
+def test_an_operators_override_takes_a_node_out_of_service_and_its_end_puts_it_back(cluster, until):
     service, node = cluster["a"].service, cluster["a"].node
     until(lambda: node.is_serving)
     assert service.override_by_operator("sick")[0] == 202
@@ -231,7 +231,7 @@
 def test_a_later_process_of_a_node_serves_at_once_and_takes_over_ledger_and_votes(
     cluster, loop, until, tmp_path
 ):
-    # Both act, and the audit shows the actions of each, none twice or missing.
+    # Both processes act: the audit must show the actions of each, none twice and none missing.
     settings, old = cluster["a"].membership.settings, cluster["a"].service
     port = NodeStub().port()
     port.may_write_beside = True
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.usefixtures("until_all_serve")
-def test_members_come_and_go_by_publishing_one_at_a_time(cluster, loop, until, tmp_path):
+def test_members_are_added_and_removed_by_publishing_one_change_at_a_time(cluster, loop, until, tmp_path):
     first = cluster["a"]
 
     def publish(why, members):
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,4 +1,4 @@
-"""A node's counters, as operators read them."""
+"""A node's counters, as operators read them by a call."""
 
 import json
 from functools import partial
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def read_counters(call_operator):
-    """Return a function that reads the counters, by name."""
+    """Return a function that reads the counters by an operator's call, as numbers by name."""
 
     def fetch():
         answer = call_operator("GET", "/control/counters")
@@ -45,7 +45,7 @@
 
 
 def take_without_answer(node, pending):
-    """Accept a request and leave its answer to the test; return its id."""
+    """Accept a request without an attempt, so that the test answers it; return its id."""
     node.requests.last_request_id += 1
     request_id = str(node.requests.last_request_id)
     node.requests.pending[request_id] = pending
@@ -53,14 +53,14 @@
 
 
 def write_class(node, name):
-    """Rewrite the node's file so that it has one request class of that name."""
+    """Rewrite the node's configuration file with one request class, of the given name."""
     path = Path(node.config.path)
     values = json.loads(path.read_text())
     request_class = values["settings"]["requestClasses"][0] | {"name": name}
     path.write_text(json.dumps(values | {"settings": OPTIONS | {"requestClasses": [request_class]}}))
 
 
-def test_counters_agree_with_what_clients_and_servers_saw(
+def test_counters_equal_the_answers_of_clients_and_the_requests_of_servers(
     node, start_server, client, reply, read_counters, call_operator
 ):
     methods, seen = start_server(), {"completed": 0, "rejected": 0, "failed": 0}
@@ -131,7 +131,7 @@
     assert read_counters()["members_unavailable"] == 0
 
 
-def test_reading_the_counters_leaves_the_budget_of_a_server_in_slow_start(node, read_counters):
+def test_reading_the_counters_does_not_change_the_budget_of_a_server_in_slow_start(node, read_counters):
     dispatcher = node.reducer.dispatcher
     dispatcher.process_started_ms[0], dispatcher.slow_start_tokens[0] = node.loop.now(), -1.0
     before = dispatcher.slow_start_tokens[0], dispatcher.slow_start_refilled_ms[0]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,7 +1,7 @@
-"""What is still owed as a client or an attempt ends (docs/design/endings.md).
+"""Handling of requests and attempts when a client, an attempt or a server ends (docs/design/endings.md).
 
-Each unfavourable order of events is forced on real sockets: the test plays the servers and the clients, and
-runs the node's loop in between, so that the order is the same in every run.
+Each unfavourable order of events is forced on real sockets: the test itself acts as the servers and clients,
+and runs the node's loop in between, so that the order is the same in every run.
 """
 
 import socket
@@ -29,7 +29,7 @@
 from marlseam.decisions.types import EndpointState, ListUpdateKind
 from marlseam.net.connection import MAX_AHEAD_BYTES
 
-# The end of a client is seen, whatever of its bytes lies unread.
+# The end of a client's connection is detected, however many of its bytes are unread.
 
 
 @pytest.mark.parametrize(
@@ -38,7 +38,7 @@
     ids=["closes", "resets", "half"],
 )
 @pytest.mark.parametrize("sent_ahead", [b"", b"GET", MUCH_AHEAD], ids=["nothing", "some", "much"])
-def test_a_clients_end_is_seen_behind_what_it_sent_ahead(
+def test_a_clients_end_is_detected_behind_what_it_sent_ahead(
     node, client, list_test_servers, end_client, sent_ahead
 ):
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
@@ -50,7 +50,7 @@
     server.held[0].sendall(
         ANSWER[: ANSWER.index(b"\r\n\r\n") + 4] + b"%x\r\n%b\r\n" % (len(started), started)
     )
-    run_loop(node)  # it runs, and only its client's end would end it soon
+    run_loop(node)  # the request runs, and only its client's end would end it soon
     (connection,) = node.downstream.open
     run_until(
         node,
@@ -76,7 +76,7 @@
 ):
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
     client_socket = client(SAFE_REQUEST)
-    end_client(client_socket)  # while it waits in the queue of the listening socket
+    end_client(client_socket)  # while the connection waits in the accept queue
     run_loop(node)
     run_until(node, lambda: not node.downstream.open)
     assert node.requests.last_request_id == 0
@@ -96,7 +96,7 @@
     assert node.requests.last_request_id == 1
 
 
-# An attempt that has not begun is cancelled, also where settings forbid to cancel one that runs.
+# An attempt that has not begun is cancelled, also where settings forbid cancelling one that runs.
 
 
 def close_client(_node, client_socket):
@@ -137,7 +137,8 @@
     assert not attempt.has_begun
     end_request(node, client_socket)
     run_until(node, lambda: attempt.task.done)
-    # The server's count is right again: a request whose server moved has been sent again, to the new address.
+    # The server's count of slots is that of the attempts in flight: a request whose server moved has a new
+    # attempt, to the new address.
     assert node.reducer.dispatcher.own_slots[node.reducer.servers.by_name["e1"]] == len(
         node.upstream.attempts.in_flight
     )
@@ -149,7 +150,7 @@
 
 
 @pytest.mark.parametrize("end_request", [close_client, begin_shutdown])
-def test_an_attempt_that_has_begun_goes_on_where_cancelling_is_forbidden(
+def test_an_attempt_that_has_begun_continues_where_cancelling_is_forbidden(
     node, client, list_test_servers, end_request
 ):
     (server,) = list_test_servers("e1", ceilings=NO_PROBES_NO_CANCEL)
@@ -165,7 +166,7 @@
     assert not node.reducer.open_requests
 
 
-def test_a_restarted_server_gets_no_attempt_chosen_before_its_restart(node, client, list_test_servers):
+def test_a_restarted_server_receives_no_attempt_started_before_its_restart(node, client, list_test_servers):
     (server,) = list_test_servers("e1", backlog=0, ceilings=NO_PROBES_NO_CANCEL)
     release = fill_accept_queue(server)
     client(SAFE_REQUEST)
@@ -177,14 +178,14 @@
     release()
 
 
-def test_a_connection_that_comes_up_after_the_deadline_carries_no_request(node, client, list_test_servers):
+def test_an_attempt_that_could_be_sent_only_after_the_deadline_is_not_sent(node, client, list_test_servers):
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
     release = hold_at_durability_barrier(node)
     client(SAFE_REQUEST)
     run_until(node, lambda: node.upstream.attempts.in_flight)
     attempt = next(iter(node.upstream.attempts.in_flight.values()))
     late_ms = node.loop.now() + 10000.0
-    # The loop runs late: the record is durable in the turn in which the deadline is over.
+    # The loop runs late: the record becomes durable in a turn after the deadline.
     node.loop.now = lambda: late_ms
     release()
     attempt.task.step("ready")
@@ -194,7 +195,7 @@
     assert b"POST" not in server.read()
 
 
-def test_a_cancelled_attempt_leaves_no_record_and_lets_the_keys_next_request_go(
+def test_a_cancelled_attempt_leaves_no_record_and_the_keys_next_request_is_sent(
     node, client, list_test_servers
 ):
     keyed_class = OPTIONS["requestClasses"][0] | {
@@ -224,7 +225,7 @@
     release()
 
 
-def test_a_retry_whose_connection_comes_up_after_the_deduplication_window_is_not_sent(
+def test_a_retry_that_could_be_sent_only_after_the_deduplication_window_is_not_sent(
     node, client, list_test_servers
 ):
     keyed_class = OPTIONS["requestClasses"][0] | {
@@ -237,7 +238,7 @@
     client(SAFE_REQUEST.replace(b"Host: h", b"Host: h\r\nIdempotency-Key: k"))
     run_until(node, lambda: b"abc" in one.read() + two.read())
     (attempt,) = node.upstream.attempts.in_flight.values()
-    release = hold_at_durability_barrier(node)  # the next attempt, as on a connection that does not come up
+    release = hold_at_durability_barrier(node)  # holds the next attempt, as a slow connection would
     (one if attempt.server == "e1" else two).held[0].sendall(b"nonsense\r\n\r\n")
     run_until(node, lambda: attempt.task.done and node.upstream.attempts.in_flight)
     (second,) = node.upstream.attempts.in_flight.values()
@@ -269,7 +270,7 @@
     (server,) = list_test_servers("e1", ceilings=NO_PROBES)
     client_socket = client(SAFE_REQUEST)
     run_until(node, lambda: b"abc" in server.read())
-    server.held[0].sendall(NEVER_RAN_RESPONSE)  # between two attempts: the only server is at capacity
+    server.held[0].sendall(NEVER_RAN_RESPONSE)  # the request is queued: its only server is at capacity
     run_until(node, lambda: not node.upstream.attempts.in_flight and node.reducer.dispatcher.pending_queues)
     client_socket.close()
     run_until(node, lambda: not node.requests.pending)
--- a/tests/test_handover_to_later_process.py
+++ b/tests/test_handover_to_later_process.py
@@ -1,4 +1,4 @@
-"""What a process of a node tells a later one, and shares with it."""
+"""Handover from a node's process to a later one: snapshot, updates, and shared limits and budgets."""
 
 import os
 import re
@@ -21,7 +21,7 @@
 
 
 def connect_later_process(tmp_path):
-    """Return a connection to this process, as a later one opens it."""
+    """Return a connection to this process's handover socket, as a later process opens it."""
     sock = socket.socket(socket.AF_UNIX)
     sock.connect(str(tmp_path / f"marlseam-{os.getpid()}.sock"))
     sock.setblocking(False)
@@ -29,7 +29,7 @@
 
 
 def read_lines_until(node, sock, text):
-    """Return the lines that a node has sent, once some text is among them."""
+    """Run the node's loop until it has sent some text; return all lines received."""
     data = b""
 
     def has_come():
@@ -44,7 +44,7 @@
     return data.splitlines()
 
 
-def test_a_later_process_gets_a_snapshot_and_then_each_change(make_inheriting_node, tmp_path):
+def test_a_later_process_receives_a_snapshot_and_then_each_change(make_inheriting_node, tmp_path):
     node = make_inheriting_node(settings=PAYMENTS)
     node.reducer.idempotency_records.add(
         "k8", AttemptRecord("e1", 0, 4, node.loop.now(), node.loop.now() + 9999.0)
@@ -67,11 +67,11 @@
 
 
 def masked(line):
-    """Return a line without the times and the process's number in it."""
+    """Return a line with its times and its process number replaced by #."""
     return re.sub(rb'(?<="process":)\d+|\d{10,}(\.\d+)?', b"#", line)
 
 
-def test_lines_to_a_later_process_have_the_form_of_53bfa1a(make_inheriting_node, tmp_path):
+def test_lines_to_a_later_process_have_the_form_of_revision_53bfa1a(make_inheriting_node, tmp_path):
     node = make_inheriting_node(settings=PAYMENTS)
     record = AttemptRecord("e1", 0, 4, node.loop.now(), node.loop.now() + 9999.0)
     node.reducer.idempotency_records.add("k8", record)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Run-time invariants of attempts: each violation is refused and counted, and nothing else is."""
+"""Run-time invariants of attempts: each violation is refused and counted, and permitted attempts are not."""
 
 from dataclasses import replace
 from functools import partial
@@ -27,8 +27,8 @@
 
     Attributes:
         violations: counts the violations of each invariant.
-        guard: the guard of attempts.
-        attempts: how many attempts were tried.
+        guard: the guard under test.
+        attempts: how many attempts were offered to the guard.
 
     """
 
@@ -50,19 +50,19 @@
         self.guard.note_request("r", make_client_request(), TIME_LEFT_MS)
 
     def admits(self, now_ms: float, server: str = "e1", time_left_ms: float | None = None) -> bool:
-        """Return whether an attempt may begin; its header has the true time left where none is given."""
+        """Return whether an attempt may begin; it is sent with the true time left unless one is given."""
         self.attempts += 1
         time_left_ms = TIME_LEFT_MS - now_ms if time_left_ms is None else time_left_ms
         return self.guard.admit("r", self.attempts, server, time_left_ms, now_ms)
 
     def has_violated_only(self, invariant: Invariant) -> bool:
-        """Return whether this invariant was violated once, and no other."""
+        """Return whether an invariant was violated exactly once, and no other one was."""
         return self.violations.counts[invariant] == 1 == self.violations.total()
 
 
 @pytest.fixture
 def make_guarded(deployment):
-    """Return a maker of guarded requests."""
+    """Return a maker of guards with one open request, of the test's deployment."""
     return partial(GuardedRequest, deployment)
 
 
@@ -150,7 +150,9 @@
 
 
 @pytest.mark.parametrize(("budget", "max_attempts"), [(4.0, 13), (36.0, 50)], ids=["small", "large"])
-def test_one_node_alone_sends_no_more_than_a_whole_slow_start_budget(make_guarded, budget, max_attempts):
+def test_a_node_sends_no_more_than_a_whole_slow_start_budget_and_its_margin(
+    make_guarded, budget, max_attempts
+):
     request = make_guarded(budget=budget)
     assert all(request.admits(10.0) for _ in range(max_attempts))
     assert not request.admits(10.0)
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -1,4 +1,4 @@
-"""Members on sockets and one event loop, and the commands that show them."""
+"""Membership services on loopback sockets and one event loop, and the commands that print their status."""
 
 import json
 import socket
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def peers(loop):
-    """Return members on loopback, all on one loop."""
+    """Return membership services by name, each on a loopback socket, all on one event loop."""
     socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in NAMES]
     for sock in socks:
         sock.bind(("127.0.0.1", 0))
@@ -32,7 +32,7 @@
     }
 
 
-def test_members_find_each_other_and_notice_one_that_leaves(peers, until, capsys):
+def test_members_discover_each_other_and_detect_one_that_leaves(peers, until, capsys):
     until(lambda: all(len(peer.machine.alive_members()) == 2 for peer in peers.values()))
     peers["c"].close()
     others = [peers[name].machine.members["c"] for name in "ab"]
@@ -60,7 +60,7 @@
     )
 
 
-def test_invalid_datagrams_are_counted_and_nothing_of_them_is_kept(peers, until, capsys):
+def test_invalid_datagrams_are_counted_by_code_and_add_no_member(peers, until, capsys):
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         address = peers["a"].settings.members["a"]
         for i in range(50):
@@ -85,13 +85,13 @@
     assert json.loads(raw.output)["fleet"] == "f"
 
 
-def test_an_address_that_does_not_answer_is_named():
+def test_status_names_an_address_that_does_not_answer():
     result = CliRunner().invoke(fleet_command.group, ["status", "--at", "127.0.0.1:1"])
     assert result.exit_code == 1
     assert "127.0.0.1:1" in result.output
 
 
-def test_hunt_prints_the_schedule_that_came_nearest_to_each_bound():
+def test_hunt_prints_the_schedule_nearest_to_each_bound():
     result = CliRunner().invoke(fleet_command.group, ["hunt", "--seeds", "2", "--nodes", "4"])
     assert result.exit_code == 0
     assert "heal: nearest" in result.output
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""A whole node: its end upon SIGTERM, and requests that pass through it."""
+"""A whole node: its shutdown on SIGTERM, reload on SIGHUP, and a request through it."""
 
 import json
 import signal
@@ -11,7 +11,7 @@
 from marlseam.net import graceful_shutdown
 
 
-def test_sigterm_ends_an_idle_node_after_new_connections_have_ceased(node, monkeypatch):
+def test_sigterm_ends_an_idle_node_after_it_has_stopped_listening(node, monkeypatch):
     monkeypatch.setattr(graceful_shutdown, "LISTEN_MS", 1.0)
     node.shutdown.begin()
     node.loop.run()
@@ -19,7 +19,7 @@
     assert node.downstream.sock.fileno() < 0
 
 
-def test_sigterm_answers_open_requests_before_the_end(node, client, reply, monkeypatch):
+def test_a_request_open_at_sigterm_is_answered_before_the_node_ends(node, client, reply, monkeypatch):
     monkeypatch.setattr(graceful_shutdown, "LISTEN_MS", 1.0)
     monkeypatch.setattr(graceful_shutdown, "MAX_DRAIN_MS", 1.0)
     monkeypatch.setattr(graceful_shutdown, "ANSWER_MS", 1.0)
@@ -30,13 +30,13 @@
     assert reply(sock).startswith(b"HTTP/1.1 503 ")
 
 
-def test_a_request_goes_to_a_server_and_its_result_back(start_server, client, reply):
+def test_a_request_is_sent_to_a_server_once_and_its_result_returned(start_server, client, reply):
     methods = start_server()
     assert reply(client(REQUEST)).endswith(b"\r\n\r\nr")
     assert methods.count(b"POST") == 1
 
 
-def test_a_process_reads_its_file_at_sighup_and_exits_with_0_at_sigterm(tmp_path):
+def test_a_process_reloads_its_file_on_sighup_and_exits_with_0_on_sigterm(tmp_path):
     values = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": OPTIONS}
     path = tmp_path / "node.json"
     path.write_text(json.dumps(values))
--- a/tests/test_own_faults.py
+++ b/tests/test_own_faults.py
@@ -1,4 +1,4 @@
-"""A fault of the program itself costs no request its final answer, and suspends no rule (docs/node.md)."""
+"""Exceptions in the node's own code: each request is still answered, and rules hold (docs/node.md)."""
 
 import time
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class InjectedFaultError(Exception):
-    """The fault that the test injects."""
+    """The exception that a test injects."""
 
 
 def raise_fault(*_arguments: object) -> None:
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def inject_fault(monkeypatch: pytest.MonkeyPatch) -> Callable[[type], None]:
-    """Return a function that has the reducer or an adapter fail at one kind of event or effect."""
+    """Return a function that makes the handler of one type of event or effect raise InjectedFaultError."""
 
     def inject(kind: type) -> None:
         table = core.EVENT_HANDLERS if kind in core.EVENT_HANDLERS else effects.HANDLERS
@@ -32,7 +32,7 @@
     return inject
 
 
-def test_a_request_is_rejected_where_taking_it_fails(client, reply, start_server, inject_fault):
+def test_a_request_is_rejected_where_accepting_it_raises(client, reply, start_server, inject_fault):
     start_server()
     inject_fault(core.RequestArrived)
     assert reply(client(SAFE_REQUEST)).startswith(b"HTTP/1.1 503")
@@ -43,7 +43,7 @@
     [(SAFE_REQUEST, b"HTTP/1.1 503"), (UNSAFE_REQUEST, b"HTTP/1.1 500")],
     ids=["safe", "unsafe"],
 )
-def test_a_request_is_answered_at_once_where_taking_in_its_attempts_end_fails(
+def test_a_request_is_answered_at_once_where_handling_its_attempts_end_raises(
     node, client, reply, start_server, inject_fault, request_bytes, status_line
 ):
     methods_received = start_server()
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("kind", [core.AttemptEnded, core.ClientLeft, core.TimerFired, core.ProbeEnded])
-def test_repeated_faults_cost_no_answer_and_no_second_attempt(
+def test_after_repeated_exceptions_each_request_is_answered_and_sent_at_most_once(
     node, client, reply, start_server, inject_fault, kind
 ):
     methods_received = start_server()
@@ -67,20 +67,20 @@
     assert not node.requests.pending
 
 
-def test_a_fault_while_a_request_is_read_is_reported_to_its_client(client, reply, start_server, monkeypatch):
+def test_a_request_whose_reading_raises_is_answered_500(client, reply, start_server, monkeypatch):
     start_server()
     monkeypatch.setattr(protocol, "client_request_from", raise_fault)
     assert reply(client(SAFE_REQUEST)).startswith(b"HTTP/1.1 500")
 
 
-def test_a_request_that_was_given_up_on_a_fault_is_counted(node, client, reply, start_server, inject_fault):
+def test_a_request_given_up_after_an_exception_is_counted(node, client, reply, start_server, inject_fault):
     start_server()
     inject_fault(core.RequestArrived)
     reply(client(SAFE_REQUEST))
     assert "requests_given_up_on_faults=1\n" in node.figures()
 
 
-def test_a_request_is_rejected_where_sending_it_fails(node, client, reply, start_server, inject_fault):
+def test_a_request_is_rejected_where_sending_it_raises(node, client, reply, start_server, inject_fault):
     methods_received = start_server()
     inject_fault(core.SendAttempt)
     began_s = time.monotonic()
@@ -91,7 +91,7 @@
 
 
 def test_closing_a_connection_with_an_unanswered_request_is_counted(node, client, start_server, monkeypatch):
-    # The injected fault drops the request: the connection ends without an answer to its client.
+    # The injected error drops the request: the connection ends without an answer to its client.
     start_server()
 
     def drop_request(*_arguments: object) -> object:
@@ -105,7 +105,7 @@
     assert f"invariant_violations_total.{Invariant.CLOSE.value}=1\n" in node.figures()
 
 
-def test_requests_that_are_answered_or_whose_client_leaves_break_no_invariant(
+def test_requests_that_are_answered_or_whose_client_leaves_violate_no_invariant(
     node, client, reply, start_server
 ):
     start_server()
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -1,4 +1,4 @@
-"""What a new process of a node takes over from the old one."""
+"""Handover to a new process of a node: what it takes over from the old one, and faults of the old one."""
 
 import errno
 import json
@@ -27,9 +27,10 @@
 
 @pytest.fixture
 def make_old_process(tmp_path):
-    """Return a maker of old processes that send some lines and, where `ends`, close.
+    """Return a maker of old processes, each of which listens on a handover socket.
 
-    It returns a function that accepts the node's call, sends the lines and returns the connection.
+    It returns a function that accepts the node's connection, sends the given lines, with `ends` closes the
+    connection, and returns it.
     """
     socks = []
 
@@ -40,7 +41,7 @@
         listener.listen()
         socks.append(listener)
 
-        def accept_caller():
+        def accept_connection():
             sock, _ = listener.accept()
             socks.append(sock)
             sock.sendall(b"".join(lines))
@@ -48,7 +49,7 @@
                 sock.close()
             return sock
 
-        return accept_caller
+        return accept_connection
 
     yield build
     for sock in socks:
@@ -56,7 +57,7 @@
 
 
 def send_payment(node, listening_socket, retry_header=b""):
-    """Send a payment; return the state of its request once the node has it, and the connection."""
+    """Send a payment and wait until the node has accepted it; return the request's state and the socket."""
     sock = socket.create_connection(listening_socket.getsockname())
     sock.sendall(PAYMENT % retry_header)
     turn_until(node.loop, lambda: node.requests.pending)
@@ -64,16 +65,16 @@
 
 
 @pytest.mark.parametrize(("version", "held_servers"), [(41, {"e1", "e2"}), (0, {"e1"})])
-def test_a_new_process_takes_over_the_newer_list_and_the_attempts(
+def test_a_new_process_takes_over_the_newer_endpoint_list_and_the_attempts(
     make_inheriting_node, make_old_process, version, held_servers
 ):
-    accept_caller = make_old_process(
+    accept_connection = make_old_process(
         encode_hello(),
         *handover_codec.encode_snapshot(version, [ENDPOINT, DRAINING_ENDPOINT], [attempt_sent()]),
     )
     node = make_inheriting_node()
     assert not node.is_ready()
-    accept_caller()
+    accept_connection()
     turn_until(node.loop, node.is_ready)
     assert set(node.discovery.held) == held_servers
     assert node.discovery.version == max(1, version)
@@ -81,32 +82,33 @@
     assert [record.server for _, record in node.reducer.idempotency_records] == ["e1"]
 
 
-def test_a_retry_goes_where_the_old_process_sent_the_first_attempt(
+def test_a_retry_is_sent_to_the_cell_of_the_old_processs_first_attempt(
     make_inheriting_node, make_old_process, listening_socket
 ):
     hosts = [ENDPOINT, ENDPOINT | {"host": "e5", "block": 5}]
-    accept_caller = make_old_process(
+    accept_connection = make_old_process(
         encode_hello(), *handover_codec.encode_snapshot(2, hosts, [attempt_sent(server="gone", cell=5)])
     )
     node = make_inheriting_node(settings=PAYMENTS)
-    accept_caller()
+    accept_connection()
     turn_until(node.loop, node.is_ready)
     state, sock = send_payment(node, listening_socket)
     assert [state.is_eligible(node.reducer.servers.by_name[name]) for name in ("e1", "e5")] == [False, True]
     sock.close()
 
 
-def test_attempts_sent_over_before_a_client_connects_are_known_for_its_request(
+def test_attempts_handed_over_before_a_client_connects_count_for_its_request(
     make_inheriting_node, make_old_process, listening_socket
 ):
-    # The old process hands over the attempt before it answers; the retry may be read in the same turn.
-    accept_caller = make_old_process(encode_hello(), SNAPSHOT_END_LINE)
+    # The old process hands over an attempt before it answers the client, whose retry the node may read in the
+    # same turn as the handover.
+    accept_connection = make_old_process(encode_hello(), SNAPSHOT_END_LINE)
     node = make_inheriting_node(settings=PAYMENTS)
-    peer = accept_caller()
+    peer = accept_connection()
     turn_until(node.loop, node.is_ready)
     peer.sendall(handover_codec.encode_sent([attempt_sent(server="e9", cell=5)]))
     for old_process in node.handover.peers:
-        old_process.task.cancel()  # from here on only taking a request reads the handover
+        old_process.task.cancel()  # from here on the handover is read only when a request is accepted
     state, sock = send_payment(node, listening_socket)
     assert len(state.attempts) == 1
     assert not state.is_eligible(node.reducer.servers.by_name["e1"])
@@ -117,17 +119,17 @@
 def test_a_clock_stepped_between_two_starts_shifts_no_attempt(
     make_inheriting_node, make_old_process, listening_socket, step_ms
 ):
-    # Each process converts Unix time to its own clock by the wall clock at its own start.
+    # Each process converts Unix time to its own clock by the wall clock as read at its own start.
     epoch_ms = node_epoch_ms() + step_ms
     greeting = {"marlseam": 1, "node": "node", "process": 1, "epoch": epoch_ms}
     sent_ms = now_ms() + step_ms
     attempt = AttemptSent("k", "gone", "here", 5, sent_ms, sent_ms + 4000.0)
     hosts = [ENDPOINT, ENDPOINT | {"host": "e5", "block": 5}]
-    accept_caller = make_old_process(
+    accept_connection = make_old_process(
         handover_codec.encode_line(greeting), *handover_codec.encode_snapshot(2, hosts, [attempt])
     )
     node = make_inheriting_node(settings=PAYMENTS)
-    accept_caller()
+    accept_connection()
     turn_until(node.loop, node.is_ready)
     state, sock = send_payment(node, listening_socket)
     assert [state.is_eligible(node.reducer.servers.by_name[name]) for name in ("e1", "e5")] == [False, True]
@@ -138,13 +140,13 @@
 
 def test_an_attempt_that_never_ran_is_erased_from_the_records(make_inheriting_node, make_old_process):
     attempt = attempt_sent()
-    accept_caller = make_old_process(
+    accept_connection = make_old_process(
         encode_hello(),
         *handover_codec.encode_snapshot(2, [ENDPOINT], [attempt]),
         handover_codec.encode_never(AttemptNeverRan(attempt.key, attempt.server, attempt.sent_ms)),
     )
     node = make_inheriting_node()
-    accept_caller()
+    accept_connection()
     turn_until(node.loop, lambda: node.is_ready() and not len(node.reducer.idempotency_records))
 
 
@@ -180,9 +182,9 @@
     make_inheriting_node, make_old_process, monkeypatch, capsys, lines, ends, code
 ):
     monkeypatch.setattr(process_handover, "SNAPSHOT_TIMEOUT_MS", 100.0)
-    accept_caller = make_old_process(*lines, ends=ends)
+    accept_connection = make_old_process(*lines, ends=ends)
     node = make_inheriting_node()
-    accept_caller()
+    accept_connection()
     turn_until(node.loop, node.is_ready)
     assert f"code={code}" in capsys.readouterr().err
     assert node.reducer.unavailable_history.last_sent_ms
@@ -192,14 +194,15 @@
 def test_a_marked_retry_fails_at_once_where_the_history_is_unavailable(
     make_inheriting_node, make_old_process, listening_socket
 ):
-    accept_caller = make_old_process(encode_hello(), ends=True)
+    accept_connection = make_old_process(encode_hello(), ends=True)
     node = make_inheriting_node(settings=PAYMENTS)
-    accept_caller()
+    accept_connection()
     turn_until(node.loop, node.is_ready)
     sock = socket.create_connection(listening_socket.getsockname())
     sock.sendall(PAYMENT % b"X-Repeat: 1\r\n")
     sock.setblocking(False)
-    # Guards against holding it until its deadline, and sending it late where any server drops repeats.
+    # Guards against holding the retry until its deadline, and against sending it late where any server
+    # discards repeats.
     turn_until(node.loop, lambda: node.counters.answers["payment"]["failed"])
     assert sock.recv(4096).startswith(b"HTTP/1.1 500 ")
     sock.close()
@@ -211,12 +214,12 @@
 @pytest.mark.parametrize(
     ("last_lines", "is_history_complete"), [([handover_codec.GOODBYE_LINE], True), ([], False)]
 )
-def test_an_old_process_that_ends_without_a_goodbye_may_have_sent_further_attempts(
+def test_the_history_is_incomplete_after_an_old_process_ends_without_a_goodbye(
     make_inheriting_node, make_old_process, capsys, last_lines, is_history_complete
 ):
-    accept_caller = make_old_process(encode_hello(), SNAPSHOT_END_LINE, *last_lines)
+    accept_connection = make_old_process(encode_hello(), SNAPSHOT_END_LINE, *last_lines)
     node = make_inheriting_node(settings=PAYMENTS)
-    peer = accept_caller()
+    peer = accept_connection()
     turn_until(node.loop, node.is_ready)
     assert not node.reducer.unavailable_history.last_sent_ms
     peer.close()
@@ -229,16 +232,16 @@
     make_inheriting_node, make_old_process, monkeypatch
 ):
     monkeypatch.setattr(process_handover, "SNAPSHOT_TIMEOUT_MS", 20.0)
-    accept_caller = make_old_process(encode_hello())
+    accept_connection = make_old_process(encode_hello())
     node = make_inheriting_node(settings=PAYMENTS)
-    peer = accept_caller()
+    peer = accept_connection()
     turn_until(node.loop, node.is_ready)
     assert node.reducer.is_history_incomplete()
     peer.sendall(SNAPSHOT_END_LINE)
     turn_until(node.loop, lambda: not node.reducer.unavailable_history.last_sent_ms)
 
 
-def test_an_old_process_that_does_not_accept_calls_is_logged(make_inheriting_node, tmp_path, capsys):
+def test_an_old_process_that_accepts_no_connection_is_logged(make_inheriting_node, tmp_path, capsys):
     full = socket.socket(socket.AF_UNIX)
     full.bind(str(tmp_path / "marlseam-1.sock"))
     full.listen(0)
@@ -259,20 +262,20 @@
 
 
 def test_a_node_that_shuts_down_before_its_start_accepts_no_client(make_inheriting_node, make_old_process):
-    accept_caller = make_old_process(encode_hello(), ends=True)
+    accept_connection = make_old_process(encode_hello(), ends=True)
     node = make_inheriting_node()
     node.shutdown.begin()
-    accept_caller()
+    accept_connection()
     node.loop.run()
     assert node.downstream.listener is None
     assert not node.is_ready()
 
 
 def test_a_reload_before_the_start_is_applied(make_inheriting_node, make_old_process):
-    accept_caller = make_old_process(encode_hello(), SNAPSHOT_END_LINE)
+    accept_connection = make_old_process(encode_hello(), SNAPSHOT_END_LINE)
     node = make_inheriting_node()
     node.reload()
-    accept_caller()
+    accept_connection()
     turn_until(node.loop, node.is_ready)
     assert node.counters.reloads == 1
     assert node.reducer.dispatcher.settings.process_share == 0.5
@@ -307,7 +310,7 @@
 def test_a_node_starts_where_unix_sockets_are_refused_and_logs_it(
     make_inheriting_node, refuse_sockets, tmp_path, capsys
 ):
-    # Guards against an error in the call to a process that is found there, which prevented the start.
+    # Guards against an exception while connecting to another process's socket, which prevented the start.
     (tmp_path / "marlseam-9.sock").touch()
     refuse_sockets(socket.AF_UNIX, errno.ENOSYS)
     node = make_inheriting_node()
@@ -316,11 +319,11 @@
     assert node.reducer.unavailable_history.last_sent_ms
 
 
-def test_lines_of_a_process_of_53bfa1a_are_taken_over_whole(make_inheriting_node, make_old_process):
-    # Recorded from that program: a list, two attempts, then that one of them never ran, and the end.
+def test_lines_of_a_process_of_revision_53bfa1a_are_taken_over(make_inheriting_node, make_old_process):
+    # Recorded from that revision: a list, two attempts, then that one of them never ran, and the goodbye.
     sent_ms, until_ms = now_ms(), now_ms() + 9000.0
     hosts = json.dumps([ENDPOINT]).encode()
-    accept_caller = make_old_process(
+    accept_connection = make_old_process(
         b'{"marlseam":1,"node":"node","process":17,"epoch":%f}\n' % node_epoch_ms(),
         b'{"seq":41,"hosts":%b}\n' % hosts,
         b'{"sent":[["k1","e1","here",4,%f,%f],["k2","e1","here",4,%f,%f]]}\n'
@@ -329,7 +332,7 @@
         ends=True,
     )
     node = make_inheriting_node(settings=PAYMENTS)
-    accept_caller()
+    accept_connection()
     turn_until(node.loop, lambda: node.is_ready() and not node.handover.peers)
     assert node.discovery.version == 41
     assert not node.reducer.unavailable_history.last_sent_ms
--- a/tests/test_service_state.py
+++ b/tests/test_service_state.py
@@ -1,4 +1,4 @@
-"""Taking a node out of service, and back, by operators' calls."""
+"""Operators' calls that take a node out of service and put it back in service."""
 
 from http_samples import REQUEST
 from operator_calls import read_more, send_request
@@ -9,7 +9,7 @@
 
 
 def connect_idle_client(node, client, reply):
-    """Return a client's connection that had a request and is idle."""
+    """Return a client's connection that is idle after one request."""
     sock = client(READINESS_REQUEST)
     reply(sock)
     while not node.downstream.idle:
@@ -17,7 +17,7 @@
     return sock
 
 
-def test_out_of_service_the_node_is_not_ready_and_each_answer_ends_its_connection(
+def test_a_node_out_of_service_is_not_ready_and_closes_each_connection_after_its_answer(
     node, client, reply, call_operator
 ):
     assert call_operator("POST", "/control/out-of-service").status == 200
@@ -27,7 +27,7 @@
         assert b"Connection: close" in data
         assert call_operator("GET", "/control/ready").status == 503
         node.reload()
-    send_request(node, client)  # the load balancer still sends some
+    send_request(node, client)  # a load balancer may still send requests, which are accepted
 
 
 def test_open_requests_are_completed_out_of_service(node, client, reply, call_operator):
@@ -60,7 +60,7 @@
     assert node.loop.now() - opened_ms >= 0.9 * downstream.NEW_GRACE_MS
 
 
-def test_a_request_that_comes_in_pieces_during_a_drain_is_served(
+def test_a_request_that_arrives_in_pieces_during_a_drain_is_accepted(
     node, client, reply, call_operator, monkeypatch
 ):
     monkeypatch.setattr(graceful_shutdown, "IDLE_GRACE_MS", 0.0)
@@ -86,7 +86,7 @@
     assert data.count(b"Connection: close") == 1
 
 
-def test_back_in_service_the_node_is_ready_and_keeps_connections(node, client, reply, call_operator):
+def test_a_node_back_in_service_is_ready_and_keeps_connections_open(node, client, reply, call_operator):
     call_operator("POST", "/control/out-of-service")
     call_operator("POST", "/control/out-of-service")
     assert (
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""Reading a node's configuration file anew."""
+"""Reload of a node's configuration file."""
 
 import copy
 import json
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def rewrite(node):
-    """Return a function that changes entries of the node's file and has the node read it anew."""
+    """Return a function that changes entries of the node's configuration file and lets the node reload it."""
 
     def change(**entries):
         path = Path(node.config.path)
@@ -45,7 +45,7 @@
     assert list(node.discovery.held) == ["e2", "e3"]
 
 
-def test_an_unchanged_configuration_leaves_the_watch(node, rewrite):
+def test_the_watch_of_discovery_goes_on_after_a_reload_without_changes(node, rewrite):
     watch = node.discovery.task
     rewrite()
     assert node.discovery.task is watch
@@ -62,14 +62,14 @@
 
 
 def settings_with_classes(*names, **changes):
-    """Return settings with these request classes, the last of them changed."""
+    """Return settings with request classes of these names; the changes apply to the last one."""
     rows = [OPTIONS["requestClasses"][0] | {"name": name} for name in names]
     rows[-1] |= changes
     return OPTIONS | {"requestClasses": rows}
 
 
 def without(values, *path):
-    """Return a file's entries without one of them."""
+    """Return a copy of nested entries without the one at a path of keys."""
     values = copy.deepcopy(values)
     *tables, last = path
     table = values
@@ -157,7 +157,7 @@
     assert node.counters.answers["statement"]["completed"] == 1
 
 
-def test_a_new_configuration_is_applied_whole(node, rewrite, client, reply):
+def test_all_changes_in_a_new_configuration_are_applied(node, rewrite, client, reply):
     ceilings = OPTIONS["ceilings"] | {"keepaliveUs": 2000000}
     settings = OPTIONS | {"ceilings": ceilings, "requestClasses": OPTIONS["requestClasses"][1:]}
     rewrite(settings=settings, seed="9")
@@ -171,7 +171,7 @@
     assert (node.downstream.limits.clients, node.upstream.pool.max_connections) == (24, 24)
 
 
-def test_keys_that_cannot_change_are_logged_and_left(node, rewrite, capsys):
+def test_keys_that_cannot_change_are_logged_and_keep_their_values(node, rewrite, capsys):
     rewrite(listen="127.0.0.1:7", name="other", seed="9")
     logged = capsys.readouterr().err
     assert node.config.listen == ("127.0.0.1", 0)
--- a/tests/test_shutdown_sockets.py
+++ b/tests/test_shutdown_sockets.py
@@ -1,4 +1,7 @@
-"""The connections and requests of a node that shuts down or runs out of capacity (docs/design/endings.md)."""
+"""Connections and requests of a node that shuts down or closes connections for want of capacity.
+
+See docs/design/endings.md.
+"""
 
 import socket
 from dataclasses import replace
@@ -19,10 +22,10 @@
 
 SHUTDOWN_PERIODS = ("LISTEN_MS", "MAX_DRAIN_MS", "ANSWER_MS", "EXIT_MS")
 
-# The shutdown of the node.
+# Shutdown.
 
 
-def test_requests_in_the_accept_queue_are_taken_as_the_listener_closes(node, client, list_test_servers):
+def test_requests_in_the_accept_queue_are_accepted_as_the_listener_closes(node, client, list_test_servers):
     list_test_servers("e1", ceilings=NO_PROBES)
     client_sockets = [client(SAFE_REQUEST.replace(b"9b", b"w%d" % number)) for number in range(20)]
     node.downstream.stop_listening()
@@ -39,7 +42,7 @@
         client_sockets.append(client(SAFE_REQUEST.replace(b"9b", b"w%d" % number)))
         run_loop(node, 5)
     node.downstream.stop_listening()
-    assert node.requests.last_request_id == len(node.downstream.open) == 1  # no limit is passed
+    assert node.requests.last_request_id == len(node.downstream.open) == 1  # the limit is kept
     for client_socket in client_sockets[1:]:
         assert reply(client_socket).startswith(b"HTTP/1.1 503 ")
         assert client_socket.recv(1) == b""
@@ -57,9 +60,9 @@
     assert is_closed_by_peer(client_socket)
 
 
-def test_a_request_class_that_is_offered_no_more_does_not_lengthen_the_shutdown(node):
-    # Guards against a shutdown that takes the longest time that any deployment may have, past the SIGKILL of
-    # this one: a class that only an earlier configuration offered has no deadline.
+def test_a_removed_request_class_does_not_lengthen_the_shutdown(node):
+    # Guards against a shutdown of the greatest length, past the time at which this deployment sends SIGKILL:
+    # a class that only an earlier configuration had is kept with an infinite deadline.
     remaining_classes = [OPTIONS["requestClasses"][0] | {"deadlineUs": 1000000}]
     node.adopt(
         replace(
@@ -81,7 +84,7 @@
     client_socket = client(SAFE_REQUEST)
     run_until(node, lambda: node.requests.last_request_id == 1)
     node.downstream.drain(0.0, 10000.0)
-    client_socket.sendall(SAFE_REQUEST.replace(b"9b", b"9c"))  # unread as the first is answered
+    client_socket.sendall(SAFE_REQUEST.replace(b"9b", b"9c"))  # still unread when the first is answered
     node.requests.answer("1", 200, [], b"")
     run_until(node, lambda: node.requests.last_request_id == 2)
     node.requests.answer("2", 200, [], b"")
@@ -93,7 +96,7 @@
 
 
 @pytest.mark.parametrize("longest_ms", [100.0, 500.0, 1000.0, 3000.0, 20000.0])
-def test_all_is_answered_and_the_node_ends_before_the_earliest_sigkill(
+def test_all_requests_are_answered_and_the_node_ends_before_the_earliest_sigkill(
     node, client, reply, list_test_servers, longest_ms
 ):
     request_classes = [
@@ -101,16 +104,16 @@
     ]
     (server,) = list_test_servers("e1", ceilings=NO_PROBES, requestClasses=request_classes)
     client_socket = client(UNSAFE_REQUEST)
-    run_until(node, lambda: b"abc" in server.read())  # its server hangs from here on
-    unfinished = client(SAFE_REQUEST[:-1])  # and this request never comes whole
+    run_until(node, lambda: b"abc" in server.read())  # the server hangs from here on
+    unfinished = client(SAFE_REQUEST[:-1])  # and this request stays incomplete
     run_until(node, lambda: node.downstream.reading)
     began_ms = node.loop.now()
     node.shutdown.begin()
     clock = node.loop.now
-    lead_ms = [0.0]  # by how much the node's clock is ahead
+    lead_ms = [0.0]  # by how much the node's clock is ahead of real time
     node.loop.now = lambda: clock() + lead_ms[0]
     while not node.loop.stopped:
-        lead_ms[0] += 5.0  # time itself is the subject
+        lead_ms[0] += 5.0  # shortens the test, which is about the time that a shutdown takes
         node.loop.at(node.loop.now(), lambda: None)
         node.loop.turn()
     kill_ms = min(longest_ms, 3000.0) + 700.0
@@ -132,24 +135,24 @@
     )
     assert node.shutdown.is_ending
     client(SAFE_REQUEST)
-    run_until(node, lambda: node.requests.last_request_id == 1)  # new connections still come
+    run_until(node, lambda: node.requests.last_request_id == 1)  # new connections are still accepted
     (state,) = node.reducer.open_requests.values()
     assert state.request.deadline_at_ms <= answer_by_ms
 
 
-def test_a_request_that_comes_as_its_connections_idle_time_ends_is_served(node, client):
+def test_a_request_that_arrives_as_its_connections_idle_time_ends_is_accepted(node, client):
     client_socket = client(b"")
     run_until(node, lambda: node.downstream.idle)
     (task,) = node.downstream.idle.values()
     client_socket.sendall(SAFE_REQUEST)
-    task.step("late")  # its time is over in the turn in which the request comes
+    task.step("late")  # the idle time ends in the turn in which the request comes
     run_until(node, lambda: node.requests.last_request_id == 1)
 
 
-# Capacity for connections.
+# Connections closed to make room.
 
 
-def test_a_request_that_is_still_arriving_is_refused_where_its_connection_is_closed_for_another(
+def test_a_request_that_is_still_arriving_is_refused_where_its_connection_is_closed_to_make_room(
     node, client, reply
 ):
     client_socket = client(SAFE_REQUEST[:-2])
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -1,4 +1,7 @@
-"""A node's process that was stopped retries nothing for clients that left (docs/design/endings.md)."""
+"""A node's process that was stopped (SIGSTOP) retries nothing for clients that left meanwhile.
+
+See docs/design/endings.md.
+"""
 
 import json
 import os
@@ -21,14 +24,14 @@
 
 
 class NodeProcess:
-    """A node in a process of its own, with clients and servers that the test plays.
+    """A node in a process of its own, with clients and servers within the test.
 
     Attributes:
         process: the node's process
-        address: where it listens
+        address: where the node listens; None until `wait_until_listening`
         servers: the listed servers by name
         clients: the clients' sockets, in the order of their requests
-        server_names: the servers' sides of connections, with the servers' names
+        server_names: the servers' names by their sides of connections
     """
 
     def __init__(self, config_path, servers):
@@ -38,7 +41,7 @@
         self.address = None
 
     def wait_for_log(self, text):
-        """Return the first line of the node's log that holds a text."""
+        """Read the node's log up to the first line with a text, and return it; fail if the log ends first."""
         while text not in (line := self.process.stderr.readline()):
             assert line
         return line
@@ -47,7 +50,7 @@
         self.address = "127.0.0.1", int(self.wait_for_log("listens on").rpartition(":")[2])
 
     def send_next_request(self):
-        """Have a new client send a request; return the server's side where it came."""
+        """Send a request from a new client; return the server's side of the connection that it arrives on."""
         self.clients.append(socket.create_connection(self.address))
         self.clients[-1].sendall(SAFE_REQUEST.replace(b"9b", b"w%d" % len(self.clients)))
         listeners = [server.sock for server in self.servers.values()]
@@ -61,7 +64,7 @@
                 return sock
 
     def open_connection_to_each_server(self):
-        """Have requests in flight at both servers, and complete all: both then have an idle connection."""
+        """Send requests until both servers have one, then complete all: each then has an idle connection."""
         in_flight = [self.send_next_request()]
         while len(set(self.server_names.values())) < 2:
             in_flight.append(self.send_next_request())
@@ -72,7 +75,7 @@
             assert sock.recv(1 << 16).startswith(b"HTTP/1.1 200 ")
 
     def stop(self):
-        """Stop the process, as a machine that halts would."""
+        """Stop the process by SIGSTOP, as on a machine that halts, and wait until it is stopped."""
         self.process.send_signal(signal.SIGSTOP)
         os.waitid(os.P_PID, self.process.pid, os.WSTOPPED | os.WNOWAIT)
 
@@ -85,7 +88,7 @@
 
 @pytest.fixture
 def node_process(listening_servers, tmp_path):
-    """Return a node's process that may not cancel, with two servers listed."""
+    """Return a node's process with two listed servers, whose settings forbid cancelling attempts."""
     listening_servers |= {"e1": ListeningServer(), "e2": ListeningServer()}
     endpoints = [
         {
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -1,4 +1,4 @@
-"""The X-Time-Left that a node sends exceeds what its client has left by 0.15 s at most (docs/node.md)."""
+"""The X-Time-Left that a node sends to a server exceeds its client's by 0.15 s at most (docs/node.md)."""
 
 import re
 import socket
@@ -11,27 +11,28 @@
 
 from marlseam.net.node import Node
 
-MAX_EXCESS_S = 0.15
-RUN_S = 0.15
-TIME_LEFT_S = 2.0
+MAX_EXCESS_S = 0.15  # by which the time left sent to a server may exceed what the client has left
+RUN_S = 0.15  # how long a server runs each request
+TIME_LEFT_S = 2.0  # of each request as its client sends it
 
 
 class ReceivedRequest(NamedTuple):
-    """When a server got a request, and the time left that it was sent with it."""
+    """When a server received a request (monotonic clock), and the X-Time-Left sent with it."""
 
     at_s: float
     time_left_s: float
 
     def excess_s(self, began_s: float) -> float:
-        """Return by how much the time left exceeds what its client had left, which it sent at `began_s`."""
+        """Return by how much the time left exceeds that of a client whose request was sent at `began_s`."""
         return self.time_left_s - (TIME_LEFT_S - (self.at_s - began_s))
 
 
 class SlowServer:
-    """A server that completes each request after a while.
+    """A server that completes each request RUN_S after its arrival.
 
     Attributes:
-        received: the requests that have come
+        held: the accepted connections
+        received: the requests received
         due: the responses still to be sent: when, on which socket, and for which request id
     """
 
@@ -45,7 +46,7 @@
         node.upstream.update_endpoints({"e1"}, {"e1": self.sock.getsockname()})
 
     def run_turn(self) -> None:
-        """Accept, read, answer what is due, and run one turn of the node's loop."""
+        """Accept a connection, read requests, send the due responses, and run one turn of the node's loop."""
         self.accept()
         for sock in self.held:
             self.read(sock)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Upgrades of real processes on the socket that they inherit."""
+"""Upgrades between real processes of a node on an inherited listening socket."""
 
 import os
 import signal
@@ -15,7 +15,7 @@
 
 
 def wait_for_line(process, text):
-    """Read a process's log until a line holds some text; fail where the log ends first."""
+    """Read a process's log up to a line with some text; fail where the log ends first."""
     while text not in (line := process.stderr.readline()):
         assert line
 
@@ -45,28 +45,30 @@
         process.communicate()
 
 
-def ask_readiness(listening_socket):
-    """Ask whether the node is ready; return the answer and the connection."""
+def request_readiness(listening_socket):
+    """Send a readiness request on a new connection; return the answer and the connection."""
     sock = socket.create_connection(listening_socket.getsockname(), timeout=20.0)
     sock.sendall(READY)
     return sock.recv(65536), sock
 
 
-def test_an_upgrade_refuses_no_client(listening_socket, start_process):
+def test_an_upgrade_refuses_no_new_client_and_closes_idle_connections(listening_socket, start_process):
     old = start_process()
-    _, idle_connection = ask_readiness(listening_socket)
+    _, idle_connection = request_readiness(listening_socket)
     new = start_process()
     old.send_signal(signal.SIGTERM)
     assert old.wait(timeout=20.0) == 0
     assert idle_connection.recv(1) == b""
     for _ in range(5):
-        answer, sock = ask_readiness(listening_socket)
+        answer, sock = request_readiness(listening_socket)
         assert answer.startswith(b"HTTP/1.1 200 ")
         sock.close()
     assert new.poll() is None
 
 
-def test_the_socket_outlives_a_process(listening_socket, start_process):
+def test_a_client_that_connects_between_two_processes_is_served_by_the_later_one(
+    listening_socket, start_process
+):
     old = start_process()
     old.send_signal(signal.SIGTERM)
     assert old.wait(timeout=20.0) == 0
@@ -81,7 +83,7 @@
 
 
 @pytest.mark.parametrize("kind", DESCRIPTOR_KINDS)
-def test_another_descriptor_is_refused_and_left_open(kind, config_path):
+def test_a_descriptor_that_is_not_a_listening_socket_is_refused_and_left_open(kind, config_path):
     socks = [
         open(config_path),  # noqa: SIM115
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM),
@@ -96,7 +98,7 @@
 
 
 @pytest.mark.parametrize("value", ["x", "-1", "3.0"])
-def test_a_descriptor_that_is_no_number_is_refused(config_path, value):
+def test_a_descriptor_that_is_not_a_natural_number_is_refused(config_path, value):
     with pytest.raises(ConfigError, match="EDGE_SOCKET_FD"):
         load(str(config_path), {"EDGE_SOCKET_FD": value})
 
@@ -105,7 +107,7 @@
     old = start_process()
     old.send_signal(signal.SIGSTOP)
     new = start_process()
-    answer, sock = ask_readiness(listening_socket)
+    answer, sock = request_readiness(listening_socket)
     assert answer.startswith(b"HTTP/1.1 200 ")
     sock.close()
     wait_for_line(new, "code=silent")
@@ -113,13 +115,13 @@
     wait_for_line(new, "code=cut")
 
 
-def test_an_old_process_serves_on_after_the_new_one_is_killed(listening_socket, start_process):
+def test_an_old_process_continues_to_serve_after_the_new_one_is_killed(listening_socket, start_process):
     old = start_process()
     new = start_process()
     wait_for_line(new, "sent its snapshot of")
     new.kill()
     wait_for_line(old, "code=cut")
-    answer, sock = ask_readiness(listening_socket)
+    answer, sock = request_readiness(listening_socket)
     assert answer.startswith(b"HTTP/1.1 200 ")
     sock.close()
     third = start_process()
