--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -38,7 +38,7 @@
         confirmed_written_ms: when the list or its confirmation was last written, by the loop's clock.
         list_written_ms: when the list was last written, by the loop's clock.
         confirmed_unix_ms: when discovery last confirmed the list that is held, in Unix ms.
-        counted: the servers on the list whose time `departure_rate` counts since `counted_ms`.
+        counted_servers: the servers on the list whose time `departure_rate` counts since `counted_since_ms`.
         has_unwritten_change: whether the list has changed since it was last written.
         recovered_keys: how many idempotency keys were recovered.
 
@@ -51,8 +51,8 @@
         self.barriers: dict[str, int] = {}
         self.confirmed_written_ms = self.list_written_ms = -1e18
         self.confirmed_unix_ms = 0.0
-        self.counted: set[str] = set()
-        self.counted_ms = 0.0
+        self.counted_servers: set[str] = set()
+        self.counted_since_ms = 0.0
         self.has_unwritten_change = False
         self.recovered_keys = 0
 
@@ -78,7 +78,7 @@
         gc.enable()
         if not self.restore_list(state, began_s):
             node.discovery.begin()
-        self.counted, self.counted_ms = set(node.discovery.held), node.loop.now()
+        self.counted_servers, self.counted_since_ms = set(node.discovery.held), node.loop.now()
         node.discovery.on_answer = self.record_list
         self.store.begin()
 
@@ -172,7 +172,7 @@
     def record_list(self, is_changed: bool) -> None:
         """Record an answer from discovery: a changed list, or a confirmation of the list held.
 
-        Both are written at most once in MIN_LIST_INTERVAL_MS and CONFIRMATION_INTERVAL_MS.
+        A list is written at most once in MIN_LIST_INTERVAL_MS, a confirmation in CONFIRMATION_INTERVAL_MS.
         """
         now_ms = self.node.loop.now()
         self.count_departures(now_ms)
@@ -192,9 +192,9 @@
     def count_departures(self, now_ms: float) -> None:
         """Add the servers' time on the list, and the servers that have left it, to `departure_rate`."""
         held = set(self.node.discovery.held)
-        self.departure_rate.lived_ms += len(self.counted) * (now_ms - self.counted_ms)
-        self.departure_rate.departures += len(self.counted - held)
-        self.counted, self.counted_ms = held, now_ms
+        self.departure_rate.lived_ms += len(self.counted_servers) * (now_ms - self.counted_since_ms)
+        self.departure_rate.departures += len(self.counted_servers - held)
+        self.counted_servers, self.counted_since_ms = held, now_ms
 
     def list_record(self) -> file_format.ListStored:
         """Return the record of the endpoint list held, with when discovery last confirmed it in Unix ms."""
--- a/marlseam/net/effects.py
+++ b/marlseam/net/effects.py
@@ -72,7 +72,8 @@
     def fail(self, effect: core.Fail) -> None:
         """Answer a client 500 as its request may have run, or 400 where a server found it invalid.
 
-        Where attempts are in flight and none has sent its last byte, none has run: the answer is 503.
+        Where the effect names attempts in flight and none of them has begun, the request has not run: the
+        answer is 503.
         """
         attempts = self.node.upstream.attempts
         if effect.in_flight and not any(
--- a/marlseam/net/graceful_shutdown.py
+++ b/marlseam/net/graceful_shutdown.py
@@ -54,7 +54,9 @@
     def drain_ms(self) -> float:
         """Return how long open requests may run, in ms: the longest deadline, at most MAX_DRAIN_MS."""
         classes = self.node.config.deployment.settings.request_classes
-        deadlines = [of_class.deadline_ms for of_class in classes if of_class.deadline_ms < inf]
+        deadlines = [
+            request_class.deadline_ms for request_class in classes if request_class.deadline_ms < inf
+        ]
         return min(MAX_DRAIN_MS, max(deadlines, default=0.0))
 
     def finish(self, last_ms: float) -> None:
--- a/marlseam/net/invariants.py
+++ b/marlseam/net/invariants.py
@@ -180,8 +180,8 @@
             return request.ended
         if time_left_ms > request.deadline_at_ms - now + DEADLINE_TOLERANCE_MS:
             return Invariant.DEADLINE
-        since = self.draining_ms.get(server)
-        if since is not None and now - since > self.deployment.grace_ms:
+        drain_began_ms = self.draining_ms.get(server)
+        if drain_began_ms is not None and now - drain_began_ms > self.deployment.grace_ms:
             return Invariant.DRAIN
         if self.is_repeat(request, now):
             return Invariant.REPEAT
@@ -196,12 +196,12 @@
         ran = [a for a in request.attempts.values() if a.outcome not in NEVER_RAN]
         if not ran:
             return False
-        of_class = self.deployment.settings.request_classes[request.client_request.class_index]
-        if of_class.idempotency is Idempotency.UNSAFE:
+        request_class = self.deployment.settings.request_classes[request.client_request.class_index]
+        if request_class.idempotency is Idempotency.UNSAFE:
             return True
         return (
-            of_class.idempotency is Idempotency.KEYED
-            and now > ran[0].begun_ms + of_class.deduplication_window_ms
+            request_class.idempotency is Idempotency.KEYED
+            and now > ran[0].begun_ms + request_class.deduplication_window_ms
         )
 
     def is_over_budget(self, server: str, client_request: ClientRequest, now: float) -> bool:
--- a/marlseam/net/node.py
+++ b/marlseam/net/node.py
@@ -252,21 +252,21 @@
         self.apply_process_count()
         self.discovery.configure(config)
 
-    def processes(self) -> int:
+    def process_count(self) -> int:
         """Return how many processes serve as this node, this one included."""
-        return self.handover.processes() if self.handover is not None else 1
+        return self.handover.process_count() if self.handover is not None else 1
 
     def apply_process_count(self) -> None:
         """Set this process's share of the node's limits and budgets by the present number of processes."""
-        deployment, processes = self.config.deployment, self.processes()
+        deployment, processes = self.config.deployment, self.process_count()
         limits = connection_limits(self.config, processes)
         self.post(core.SettingsChanged(settings_for_process(deployment.settings, processes)))
         self.downstream.configure(deployment, limits.clients)
         self.upstream.configure(deployment, limits.servers)
 
     def apply_client_limits(self) -> None:
-        """Set the limit of client connections anew, after the descriptor limit has changed."""
-        limits = connection_limits(self.config, self.processes())
+        """Restore the configured limit of client connections, after a shortage of descriptors."""
+        limits = connection_limits(self.config, self.process_count())
         self.downstream.configure(self.config.deployment, limits.clients)
 
     # For operators.
--- a/marlseam/net/pending_request.py
+++ b/marlseam/net/pending_request.py
@@ -30,12 +30,15 @@
     """
 
     def __init__(
-        self, client_request: ClientRequest, taken_ms: float, gone: Callable[[], bool] = lambda: False
+        self,
+        client_request: ClientRequest,
+        earliest_sent_ms: float,
+        is_client_gone: Callable[[], bool] = lambda: False,
     ) -> None:
-        self.client_request, self.is_client_gone = client_request, gone
+        self.client_request, self.is_client_gone = client_request, is_client_gone
         self.task: Task | None = None
         self.was_sent = False
-        self.deadline_at_ms = taken_ms + client_request.time_left_ms
+        self.deadline_at_ms = earliest_sent_ms + client_request.time_left_ms
         self.answer: ClientAnswer | None = None
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -39,14 +39,14 @@
 MAX_UNSENT_BYTES = 1 << 22  # unsent bytes to one process above which its connection is closed
 MAX_SNAPSHOT_BYTES = 1 << 24  # received from one process until its snapshot is complete
 PREFIX, SUFFIX = "marlseam-", ".sock"
-HISTORY_UNKNOWN = "history of keyed requests is incomplete: marked retries are not sent for now"
+HISTORY_INCOMPLETE = "history of keyed requests is incomplete: marked retries are not sent for now"
 
 
 class ProcessHandover:
     """Connects a node's process to the other processes that serve under the node's name.
 
-    `done` is called once, when the node may begin to serve, with the endpoint list of the highest version in
-    all snapshots.
+    `on_complete` is called once, when the node may begin to serve, with the endpoint list of the highest
+    version in all snapshots.
 
     Attributes:
         peers: the other processes, in the order in which they were connected.
@@ -59,8 +59,10 @@
 
     """
 
-    def __init__(self, node: HandoverHost, directory: str, done: Callable[[ListSnapshot], None]) -> None:
-        self.node, self.loop, self.log, self.done = node, node.loop, node.log, done
+    def __init__(
+        self, node: HandoverHost, directory: str, on_complete: Callable[[ListSnapshot], None]
+    ) -> None:
+        self.node, self.loop, self.log, self.on_complete = node, node.loop, node.log, on_complete
         self.peers: dict[PeerProcess, None] = {}
         self.began_ms, self.is_done, self.caller_count = self.loop.now(), False, 0
         self.latest_list = ListSnapshot(-1, [])
@@ -104,7 +106,7 @@
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         except OSError as error:
             # Guards the start where the system refuses Unix sockets: the other's history stays unavailable.
-            self.mark_unknown(path.name, None)
+            self.mark_history_unavailable(path.name, None)
             self.log_fault("unheard", f"{path.name}: no socket to connect from: {error}")
             return
         sock.setblocking(False)
@@ -113,29 +115,29 @@
         except ConnectionRefusedError:
             path.unlink(missing_ok=True)
             if path.name in self.node.reducer.unavailable_history.last_sent_ms:
-                self.mark_unknown(path.name, self.loop.now())
+                self.mark_history_unavailable(path.name, self.loop.now())
         except BlockingIOError:
             # The process runs but does not accept, as it hangs: it may go on at any time and then answer.
             if path.name not in self.node.reducer.unavailable_history.last_sent_ms:
-                self.mark_unknown(path.name, None)
+                self.mark_history_unavailable(path.name, None)
                 self.log_fault("silent", f"{path.name} does not accept connections")
             self.loop.at(self.loop.now() + SNAPSHOT_TIMEOUT_MS, lambda: self.connect(path))
         except OSError as error:
             # Guards against a process that ended just now and did not send its history.
-            self.mark_unknown(path.name, self.loop.now())
+            self.mark_history_unavailable(path.name, self.loop.now())
             self.log_fault("unheard", f"{path.name}: cannot connect: {error}")
         else:
             self.add_peer(PeerProcess(sock, True, path.name))
             return
         sock.close()
 
-    def mark_unknown(self, source: str, since_ms: float | None) -> None:
+    def mark_history_unavailable(self, source: str, since_ms: float | None) -> None:
         """Post that another process's history is unavailable.
 
         `since_ms` is when its last attempt was sent at the latest, None while it may send more.
         """
         if source not in self.node.reducer.unavailable_history.last_sent_ms:
-            self.log.line(HISTORY_UNKNOWN)
+            self.log.line(HISTORY_INCOMPLETE)
         self.node.post(core.HistoryUnavailable(source, since_ms))
 
     def accept(self, listener: socket.socket) -> Coroutine:
@@ -182,13 +184,13 @@
             self.finish()
 
     def finish(self) -> None:
-        """Call `done` with the snapshots received by now; the history of incomplete ones is unavailable."""
+        """Call `on_complete`; the history of processes without a whole snapshot by now is unavailable."""
         if self.is_done:
             return
         self.is_done = True
         for peer in list(self.peers):
             if not peer.is_snapshot_complete:
-                self.mark_unknown(peer.source, None)
+                self.mark_history_unavailable(peer.source, None)
                 self.log_fault("silent", f"process {peer.name()} did not complete its snapshot in time")
         took_ms = self.loop.now() - self.began_ms
         latest = self.latest_list
@@ -196,7 +198,7 @@
             self.log.line(
                 f"takes over {len(latest.rows)} servers, list version {latest.version}, in {took_ms:.0f} ms"
             )
-        self.done(latest)
+        self.on_complete(latest)
 
     # Exchange of messages.
 
@@ -355,13 +357,13 @@
         else:
             # Guards against a process that was killed, or hangs and was disconnected: its last attempts may
             # not have been received.
-            self.mark_unknown(peer.source, self.loop.now())
+            self.mark_history_unavailable(peer.source, self.loop.now())
             self.log_fault("cut", f"process {peer.name()} disconnected without a goodbye or whole snapshot")
         self.node.apply_process_count()
         if not self.is_done:
             self.finish_if_complete()
 
-    def processes(self) -> int:
+    def process_count(self) -> int:
         """Return how many processes serve as this node, this one included."""
         return 1 + len({peer.hello.process if peer.hello else id(peer) for peer in self.peers})
 
