--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -67,7 +67,7 @@
 
     DATAGRAM_PREFIX = messages.DATAGRAM_PREFIX
 
-    def __init__(  # noqa: PLR0913 - what a service joins
+    def __init__(  # noqa: PLR0913 - the parts that a service connects
         self,
         loop: Loop,
         log: Log,
@@ -105,7 +105,7 @@
     # Start and end.
 
     def load(self) -> Content | None:
-        """Read the ledger if its lock is free; return the content held, None if there is none to apply."""
+        """Read the ledger if it can be locked now; return the held content, None if none is to be applied."""
         is_loaded = self.node_ledger.load(self.port.may_write_beside)
         if not is_loaded or self.replica is None or not self.replica.applied_number:
             return None
--- a/marlseam/net/node_ledger.py
+++ b/marlseam/net/node_ledger.py
@@ -49,7 +49,8 @@
     def load(self, may_write_beside: bool) -> bool:
         """Read the ledger; return whether a ledger was read.
 
-        Where another process has the main ledger, use the one beside it if that is allowed.
+        Where another process has the main ledger, use the one beside it at once if that is allowed; otherwise
+        wait up to MAX_LOCK_WAIT_S for the main one's lock.
         """
         error = self.current.try_load(0.0 if may_write_beside else MAX_LOCK_WAIT_S)
         if error is None:
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -266,7 +266,7 @@
         peer.list_version = item.seq
 
     def receive_attempt(self, peer: PeerProcess, item: AttemptSent) -> None:
-        """Post an attempt of the other process that may run from now on."""
+        """Post an attempt of the other process, which may have run or may run from now on."""
         self.node.post(core.PeerAttempt(item.key, self.record_of(peer, item)))
         peer.attempt_count += 1
 
