--- a/marlseam/cluster/replication/__init__.py
+++ b/marlseam/cluster/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement on configuration versions, and how they spread."""
+"""Replication of the configuration: agreement on versions by Paxos, transfer of contents, quorum leases."""
--- a/marlseam/cluster/replication/content.py
+++ b/marlseam/cluster/replication/content.py
@@ -1,7 +1,7 @@
-"""A version's content: the configuration that a cluster's nodes share, as one document; pure.
+"""The content of a version: the configuration that the nodes of a cluster share, as one JSON document; pure.
 
-Its id is a digest of all of it; the digest of its settings leaves out what changes nothing: comments, the
-order of keys, how a number is written.
+The id of a content is the SHA-256 digest of all its bytes. The digest of its settings ignores what has no
+effect: comments, the order of keys, the notation of numbers.
 """
 
 import hashlib
@@ -15,32 +15,32 @@
 from marlseam.cluster.replication.messages import MAX_CONTENT_BYTES, MAX_REASON_CHARACTERS
 from marlseam.shared_limits import MAX_MEMBERS
 
-FORMAT = 1  # which this program writes, and the only one that it reads
-ALLOWED_VOTER_COUNTS = (3, 5, 7)  # of a version; in a smaller cluster all members may vote
-COMMENT_PREFIXES = ("_", "//", "#")  # of keys that say nothing to a node
-NODE_SETTINGS = ("zone",)  # keys of the settings that are each node's own
+FORMAT = 1  # the format that this program writes, and the only one that it reads
+ALLOWED_VOTER_COUNTS = (3, 5, 7)  # voters of a version; any other count must be all members of the cluster
+COMMENT_PREFIXES = ("_", "//", "#")  # prefixes of keys that are comments
+NODE_SETTINGS = ("zone",)  # keys of settings that each node sets for itself, not shared in the cluster
 
 
 class ContentError(Exception):
-    """The base of errors of contents and their deltas; the text says what is wrong."""
+    """Base class of errors in contents and in their deltas; the text is the reason."""
 
 
 class InvalidContentError(ContentError):
-    """A content that cannot be used on this node."""
+    """Raised for a content that cannot be used on this node."""
 
 
 class Content(msgspec.Struct):
-    """A version.
+    """The content of one version.
 
     Attributes:
-        format: of this document.
-        number: of the version.
-        before: the id of the version before; "" for the first.
+        format: format number of the document, `FORMAT`.
+        number: number of the version.
+        before: id of the content of the previous version; "" for the first version.
         voters: members that vote on the next version.
-        why: an operator's reason for it.
-        by: the member that proposed it.
-        settings: what nodes share of their settings.
-        members: addresses of all members by name; none: those of each node's own settings.
+        why: the operator's reason for the version.
+        by: the member that proposed the version.
+        settings: the settings that all nodes share.
+        members: addresses of all members, by name; empty if each node takes them from its own settings.
 
     """
 
@@ -55,7 +55,7 @@
 
 
 DECODER: msgspec.json.Decoder[Content] = msgspec.json.Decoder(Content)
-canonical_json = json.JSONEncoder(separators=(",", ":"), ensure_ascii=True).encode  # a value, for its digest
+canonical_json = json.JSONEncoder(separators=(",", ":"), ensure_ascii=True).encode  # for settings digests
 
 
 def normalized(value: object) -> object:
@@ -71,33 +71,33 @@
 
 
 def cluster_settings(settings: Mapping[str, Any]) -> dict[str, Any]:
-    """Return of a node's settings those that the cluster shares."""
+    """Return the settings of a node without those that it sets for itself (`NODE_SETTINGS`)."""
     return {key: value for key, value in settings.items() if key not in NODE_SETTINGS}
 
 
 def digest(data: bytes) -> str:
-    """Return a content's id: SHA-256 of its bytes, in hexadecimal."""
+    """Return the id of a content: the SHA-256 digest of its bytes, in hexadecimal."""
     return hashlib.sha256(data).hexdigest()
 
 
 def settings_digest(settings: Mapping[str, Any]) -> str:
-    """Return the digest of what settings mean to the cluster."""
+    """Return the digest of the shared settings in canonical form, without comments."""
     return digest(canonical_json(normalized(cluster_settings(settings))).encode())
 
 
 class DigestedObject:
-    """An object of settings in canonical JSON, and the objects in it.
+    """A settings object in canonical JSON, with its nested objects.
 
     Attributes:
-        value: the object itself.
-        parts: the objects in it, by key.
+        value: the object.
+        parts: its nested objects, by key.
         text: its canonical JSON.
-        row: the same behind its key, as its holder writes it.
+        row: its key and `text`, as they appear in the enclosing object.
 
     """
 
     def __init__(self, key: str, value: Mapping[str, Any], before: "DigestedObject | None") -> None:
-        """Write an object; parts that are the same objects as before are not written again."""
+        """Encode an object; nested objects that are identical to those in `before` are not encoded again."""
         self.value, self.parts = value, dict[str, DigestedObject]()
         rows = []
         for inner_key in sorted(key for key in value if not key.startswith(COMMENT_PREFIXES)):
@@ -112,83 +112,90 @@
 
     @staticmethod
     def part_of(key: str, value: Mapping[str, Any], before: "DigestedObject | None") -> "DigestedObject":
-        """Return a part as it was before, if it is the same object, else anew."""
+        """Return a nested object, reused from `before` if it is the identical object, else encoded."""
         part = before.parts.get(key) if before is not None else None
-        # The same object as before means the same: changed settings share what was not changed.
+        # Identity implies an equal encoding: settings are replaced, not changed in place, and changed
+        # settings share their unchanged objects with the earlier ones.
         if part is not None and part.value is value:
             return part
         return DigestedObject(key, value, part)
 
 
 class SettingsDigester:
-    """Digests of settings that follow each other: only objects that were replaced are read."""
+    """Computes digests of successive settings incrementally: only objects that were replaced are encoded."""
 
     def __init__(self) -> None:
-        """Begin without settings."""
+        """Start without earlier settings."""
         self.last: DigestedObject | None = None
 
     def digest(self, settings: Mapping[str, Any]) -> str:
-        """Return the digest of what settings mean to the cluster, as `settings_digest` does."""
+        """Return the same digest as `settings_digest`."""
         self.last = DigestedObject("", cluster_settings(settings), self.last)
         return digest(self.last.text.encode())
 
 
 def write(content: Content) -> bytes:
-    """Return a content's bytes, settings normalized, keys in order; raises InvalidContentError."""
+    """Encode a content, with normalized settings and members in key order.
+
+    Raises InvalidContentError if it is larger than `MAX_CONTENT_BYTES`.
+    """
     members = dict(sorted(content.members.items()))
     settings = normalized(cluster_settings(content.settings))
     data = msgspec.json.encode(msgspec.structs.replace(content, settings=settings, members=members))
     if len(data) > MAX_CONTENT_BYTES:
-        raise InvalidContentError(f"{len(data)} bytes, {MAX_CONTENT_BYTES} at most were expected")
+        raise InvalidContentError(f"content has {len(data)} bytes, expected at most {MAX_CONTENT_BYTES}")
     return data
 
 
 def voters_fault(voters: list[str], members: frozenset[str]) -> str:
-    """Return what is wrong with some voters, or nothing."""
+    """Return why some voters are invalid in a cluster of these members, or "" if they are valid."""
     if len(set(voters)) != len(voters) or not members.issuperset(voters):
-        return f"voters {sorted(voters)}: different names of members were expected"
+        return f"voters {sorted(voters)}: expected distinct names of members"
     if len(voters) not in ALLOWED_VOTER_COUNTS and set(voters) != members:
-        return f"{len(voters)} voters: 3, 5 or 7 were expected"
+        return f"{len(voters)} voters: expected 3, 5 or 7, or all members"
     return ""
 
 
 def is_single_step(before: frozenset[str], after: frozenset[str], max_changes: int) -> bool:
-    """Return whether names change by one step: so many come or go, or one takes another's place."""
+    """Return whether at most `max_changes` names were added or removed, or one name replaced another."""
     added, removed = len(after - before), len(before - after)
     return added + removed <= max_changes or added == removed == 1
 
 
 def read(data: bytes, members: frozenset[str]) -> Content:
-    """Return a content; raises InvalidContentError."""
+    """Decode a content, which may name these members; raises InvalidContentError."""
     try:
         found = DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise InvalidContentError(f"no content: {error}"[:MAX_REASON_CHARACTERS]) from None
+        raise InvalidContentError(f"not a content: {error}"[:MAX_REASON_CHARACTERS]) from None
     check_usable(found, members)
     return found
 
 
 def of_document(document: Mapping[str, Any], members: frozenset[str]) -> Content:
-    """Return a parsed document as a content; its settings are not copied. Raises InvalidContentError."""
+    """Convert a parsed document to a content, without a copy of its settings; raises InvalidContentError."""
     try:
         found = msgspec.convert(document, Content)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise InvalidContentError(f"no content: {error}"[:MAX_REASON_CHARACTERS]) from None
+        raise InvalidContentError(f"not a content: {error}"[:MAX_REASON_CHARACTERS]) from None
     check_usable(found, members)
     return found
 
 
 def check_usable(content: Content, members: frozenset[str]) -> None:
-    """Raise InvalidContentError where a content is out of bounds for this program."""
+    """Raise InvalidContentError if the format or a field of a content is out of bounds.
+
+    `members` are those of the cluster, for contents that name no members themselves.
+    """
     if content.format != FORMAT:
-        raise InvalidContentError(f"format {content.format}, this program reads {FORMAT}")
+        raise InvalidContentError(f"content has format {content.format}, this program reads format {FORMAT}")
     is_why_in_bounds = 0 < len(content.why) <= MAX_REASON_CHARACTERS
     if content.number < 1 or not is_why_in_bounds or len(content.by) > MAX_NAME_CHARACTERS:
-        raise InvalidContentError("number, why or by is out of bounds")
+        raise InvalidContentError("content: number, why or by is out of bounds")
     are_names_in_bounds = all(0 < len(name) <= MAX_NAME_CHARACTERS for name in content.members)
     if len(content.members) > MAX_MEMBERS or not are_names_in_bounds:
         raise InvalidContentError(
-            f"members: up to {MAX_MEMBERS} names of 1 to {MAX_NAME_CHARACTERS} characters were expected"
+            f"members: expected at most {MAX_MEMBERS} names of 1 to {MAX_NAME_CHARACTERS} characters each"
         )
     fault = voters_fault(content.voters, frozenset(content.members) or members)
     if fault:
--- a/marlseam/cluster/replication/content_store.py
+++ b/marlseam/cluster/replication/content_store.py
@@ -1,4 +1,4 @@
-"""Contents that a replica holds as bytes, and the deltas between them that it can pass on."""
+"""The contents that a replica stores as bytes, and the deltas between them that it can send to others."""
 
 from collections import Counter
 from collections.abc import Collection, Mapping
@@ -13,16 +13,18 @@
 
     Attributes:
         contents: the bytes of each content.
-        documents: parsed contents, as far as they were read.
-        delta_links: the delta that leads to a content, by that content's id; the earliest first.
-        delta_links_bytes: the size of all deltas together, in bytes.
-        held_id: the content of the version held; the deltas kept are never larger than it.
-        transfer_counts: transfers by kind ("whole", "chains"), edits, and discarded chunks by code.
+        documents: the parsed documents of contents that were read, by content id.
+        delta_links: the delta from its predecessor to a content, by that content's id; the oldest first.
+        delta_links_bytes: total size of the deltas, in bytes.
+        held_id: id of the content of the version held; the deltas kept are never larger in total than that
+            content.
+        transfer_counts: completed transfers by kind ("whole", "chains"), applied edits ("edits"), and
+            discarded chunks and failed transfers by code.
 
     """
 
     def __init__(self, contents: Mapping[str, bytes]) -> None:
-        """Begin with contents that were recovered from disk."""
+        """Start with the contents recovered from disk."""
         self.contents: dict[str, bytes] = dict(contents)
         self.documents: dict[str, Document] = {}
         self.delta_links: dict[str, DeltaLink] = {}
@@ -31,43 +33,43 @@
         self.transfer_counts: Counter[str] = Counter()
 
     def document(self, content_id: str) -> Document:
-        """Return a stored content as a document; raises DeltaError."""
+        """Return a stored content as a parsed document; raises DeltaError if it is not a JSON object."""
         found = self.documents.get(content_id)
         if found is None:
             found = self.documents[content_id] = delta.decode_document(self.contents[content_id])
         return found
 
     def read(self, content_id: str, members: frozenset[str]) -> Content:
-        """Return a stored content that may name some members; raises InvalidContentError."""
+        """Decode a stored content, which may name these members; raises InvalidContentError."""
         try:
             return of_document(self.document(content_id), members)
         except DeltaError as error:
             raise InvalidContentError(str(error)[: messages.MAX_REASON_CHARACTERS]) from None
 
     def retain(self, wanted: Collection[str]) -> None:
-        """Drop all contents but the wanted, and the deltas that are not worth their memory any more."""
+        """Drop all contents except those with the ids `wanted`, and trim the deltas."""
         self.contents = {key: data for key, data in self.contents.items() if key in wanted}
         self.documents = {key: found for key, found in self.documents.items() if key in wanted}
         self.trim_delta_links()
 
     def add_delta_link(self, content_id: str, link: DeltaLink) -> None:
-        """Keep the delta that leads to a content, to pass it on."""
+        """Store the delta that leads to a content, so that it can be sent to others."""
         if content_id not in self.delta_links:
             self.delta_links[content_id] = link
             self.delta_links_bytes += len(link.data)
             self.trim_delta_links()
 
     def trim_delta_links(self) -> None:
-        """Drop the earliest deltas while all together are larger than the content held.
+        """Drop the oldest deltas while their total size exceeds that of the content held.
 
-        A chain that is larger than the content is never sent.
+        A chain that is larger than the content is never sent, so it need not be stored.
         """
         while self.delta_links_bytes > len(self.contents.get(self.held_id, b"")):
             oldest = next(iter(self.delta_links))
             self.delta_links_bytes -= len(self.delta_links.pop(oldest).data)
 
     def add_delta_from_predecessor(self, content_id: str) -> None:
-        """Compute the delta to a content that is here as a whole, if the content before it is here too."""
+        """Compute and store the delta to a stored content, if the content before it is stored too."""
         try:
             after = self.document(content_id)
             before_id = after.get("before")
@@ -75,15 +77,15 @@
                 return
             found = delta.compute_change(self.document(before_id), self.contents[content_id], after)
         except (DeltaError, TypeError, RecursionError):
-            return  # of a document that no operator writes: the whole is sent
+            return  # only for documents that no operator writes: the whole content is sent instead
         if found is not None:
             self.documents[content_id] = found.document
             self.add_delta_link(content_id, DeltaLink(before_id, found.data))
 
     def delta_chain(self, base_id: str, content_id: str) -> bytes | None:
-        """Return the deltas from one content to another.
+        """Return the encoded delta chain from one content to another.
 
-        None where one of them is not here, or where they are no smaller than the content.
+        Returns None if a delta of the chain is not stored, or if the chain is no smaller than the content.
         """
         links: list[DeltaLink] = []
         current_id = content_id
@@ -100,7 +102,7 @@
         return delta.encode_chain(links[::-1]) if links else None
 
     def apply_delta_chain(self, base_id: str, chain: bytes, content_id: str) -> bytes:
-        """Return the content that a chain of deltas leads to, and keep its deltas; raises DeltaError."""
+        """Apply a delta chain, store its deltas and return the resulting content; raises DeltaError."""
         applied = delta.apply_chain(self.document(base_id), base_id, chain, content_id)
         self.documents[content_id] = applied.document
         for link_id, link in applied.links.items():
--- a/marlseam/cluster/replication/delta.py
+++ b/marlseam/cluster/replication/delta.py
@@ -1,12 +1,14 @@
-"""A version as the difference to the one before it: computed, sent in a chain, applied, checked; pure.
+"""Deltas between the contents of successive versions: computing, chaining, applying and verifying them; pure.
 
-A content is a document of objects (by key, in order) and lists (by index). A difference is a list of edits at
-paths into it; number and id of the version before are not in it, as they follow from what it is applied to.
-What comes out of a chain of differences must have the id that was asked for (SHA-256 of the whole content):
-a chain that is wrong, of another document or in another order is found out.
+A content is a document of objects (accessed by key, with ordered keys) and lists (accessed by index). A delta
+is a list of edits at paths into the document; it omits the version number and the id of the previous content,
+as both follow from the document to which it is applied. The result of a delta chain must have the requested
+id (SHA-256 of the whole content), so a chain that is wrong, belongs to another document or has another order
+is detected.
 
-Applying costs by the edits and by the width of the objects on their paths; what is not edited is the same
-object as before. Encoding the result and its digest cost by the whole content.
+The cost of applying a delta grows with the number of edits and the width of the objects on their paths;
+values that are not edited stay the identical objects. The cost of encoding the result and of its digest grows
+with the size of the whole content.
 """
 
 from typing import Any
@@ -16,27 +18,27 @@
 from marlseam.cluster.replication.content import ContentError, digest
 from marlseam.cluster.replication.messages import DIGEST_CHARACTERS, MAX_CONTENT_BYTES
 
-MAX_PATH_STEPS = 16  # of an edit; what lies deeper is replaced as a whole
-DERIVED_KEYS = ("number", "before")  # of a content: what a difference leaves out
+MAX_PATH_STEPS = 16  # longest path of an edit; a value below that depth is replaced as a whole
+DERIVED_KEYS = ("number", "before")  # keys of a content that a delta omits
 Document = dict[str, Any]
 Step = str | int
 
 
 class Put(msgspec.Struct, array_like=True, frozen=True, tag="put"):
-    """Set the value at a path; a new key is inserted in key order."""
+    """Edit that sets the value at a path; a new key is inserted in key order."""
 
     path: list[Step]
     value: Any
 
 
 class Drop(msgspec.Struct, array_like=True, frozen=True, tag="drop"):
-    """Remove a key from an object."""
+    """Edit that removes the key at the end of a path from its object."""
 
     path: list[Step]
 
 
 class Splice(msgspec.Struct, array_like=True, frozen=True, tag="splice"):
-    """Replace `count` items of a list, from index `at` on, by values."""
+    """Edit that replaces `count` items of the list at a path, from index `at` on, by `values`."""
 
     path: list[Step]
     at: int
@@ -48,14 +50,14 @@
 
 
 class Change(msgspec.Struct, array_like=True, frozen=True):
-    """What makes one version out of the one before it: its id, and the edits."""
+    """The delta from one version to the next: the content id of the result, and the edits."""
 
     id: str
     edits: list[Edit]
 
 
 class DeltaError(ContentError):
-    """A chain or a document that does not lead to the content asked for; its text says why."""
+    """Raised for a chain or a document that does not give the requested content; the text is the reason."""
 
 
 ENCODER = msgspec.json.Encoder()
@@ -64,33 +66,33 @@
 
 
 def decode_document(data: bytes) -> Document:
-    """Return a content as a document; raises DeltaError."""
+    """Parse a content into a document; raises DeltaError if it is not a JSON object."""
     try:
         found = msgspec.json.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise DeltaError(f"no document: {error}") from None
+        raise DeltaError(f"not a JSON document: {error}") from None
     if not isinstance(found, dict):
-        raise DeltaError("no document: an object was expected")
+        raise DeltaError("document is not a JSON object")
     return found
 
 
 def encode_document(document: Document) -> bytes:
-    """Return a document's bytes; raises DeltaError."""
+    """Encode a document; raises DeltaError if it cannot be encoded or exceeds `MAX_CONTENT_BYTES`."""
     try:
         data = ENCODER.encode(document)
     except (msgspec.MsgspecError, TypeError, ValueError, OverflowError, RecursionError) as error:
-        raise DeltaError(f"cannot be written: {error}") from None
+        raise DeltaError(f"document cannot be encoded: {error}") from None
     if len(data) > MAX_CONTENT_BYTES:
-        raise DeltaError("too large")
+        raise DeltaError("encoded document is too large")
     return data
 
 
-# Computing a difference.
+# Computing deltas.
 
 
 def diff_values(before: object, after: object, path: tuple[Step, ...] = ()) -> list[Edit]:
-    """Return the edits that make one value out of another."""
-    if is_written_alike(before, after):
+    """Return the edits that turn one value, at a path, into another."""
+    if has_same_encoding(before, after):
         return []
     if isinstance(before, dict) and isinstance(after, dict) and len(path) < MAX_PATH_STEPS:
         edits: list[Edit] = [Drop([*path, key]) for key in before if key not in after]
@@ -105,29 +107,33 @@
     return [Put(list(path), after)]
 
 
-def is_written_alike(before: object, after: object) -> bool:
-    """Return whether two values have the same bytes: 1, 1.0 and true are equal, and are written apart."""
+def has_same_encoding(before: object, after: object) -> bool:
+    """Return whether two values encode to the same bytes, which equal values like 1, 1.0 and true do not."""
     if before is after:
         return True
     if type(before) is not type(after) or before != after:
         return False
     if isinstance(before, dict) and isinstance(after, dict):
         return list(before) == list(after) and all(
-            is_written_alike(before[key], after[key]) for key in before
+            has_same_encoding(before[key], after[key]) for key in before
         )
     if isinstance(before, list) and isinstance(after, list):
-        return all(map(is_written_alike, before, after))
-    # Zeros of either sign are equal, and are written in two ways.
+        return all(map(has_same_encoding, before, after))
+    # 0.0 and -0.0 are equal but encode differently.
     return not isinstance(before, float) or repr(before) == repr(after)
 
 
 def diff_lists(before: list[Any], after: list[Any], path: tuple[Step, ...]) -> list[Edit]:
-    """Return what makes one list out of another: edits where as many rows changed, else one splice."""
+    """Return the edits that turn one list into another, between their common first and last items.
+
+    If both have the same number of items there, they are compared one by one; otherwise one splice replaces
+    all.
+    """
     shorter = min(len(before), len(after))
-    head = next((i for i in range(shorter) if not is_written_alike(before[i], after[i])), shorter)
+    head = next((i for i in range(shorter) if not has_same_encoding(before[i], after[i])), shorter)
     remaining = shorter - head
     tail = next(
-        (i for i in range(remaining) if not is_written_alike(before[-1 - i], after[-1 - i])), remaining
+        (i for i in range(remaining) if not has_same_encoding(before[-1 - i], after[-1 - i])), remaining
     )
     old_rows, new_rows = before[head : len(before) - tail], after[head : len(after) - tail]
     if len(old_rows) != len(new_rows):
@@ -139,20 +145,20 @@
 
 
 class ComputedChange(msgspec.Struct, frozen=True):
-    """A change's bytes, and the document after it, which shares with the one before what is not edited."""
+    """An encoded change, and the resulting document, which shares unedited values with the previous one."""
 
     data: bytes
     document: Document
 
 
 def compute_change(before: Document, data: bytes, after: Document) -> ComputedChange | None:
-    """Return the change that makes a content, given as bytes and as a document, out of a document.
+    """Return the change that turns the document `before` into the content `data`, whose document is `after`.
 
-    None where there is none: the result would be written otherwise than the content is.
+    Returns None if no change does that exactly: the result would be encoded differently from `data`.
     """
-    own_before = {key: value for key, value in before.items() if key not in DERIVED_KEYS}
-    own_after = {key: value for key, value in after.items() if key not in DERIVED_KEYS}
-    encoded = ENCODER.encode(Change(digest(data), diff_values(own_before, own_after)))
+    edited_before = {key: value for key, value in before.items() if key not in DERIVED_KEYS}
+    edited_after = {key: value for key, value in after.items() if key not in DERIVED_KEYS}
+    encoded = ENCODER.encode(Change(digest(data), diff_values(edited_before, edited_after)))
     try:
         result = apply_change(before, after.get("before", ""), CHANGE.decode(encoded))
         is_exact = encode_document(result) == data
@@ -161,19 +167,19 @@
     return ComputedChange(encoded, result) if is_exact else None
 
 
-# Applying one.
+# Applying deltas.
 
 
-def set_key(holder: dict[str, Any], key: str, value: object) -> dict[str, Any]:
-    """Return an object with a key set; a new one is inserted in key order."""
-    found = holder | {key: value}
-    return found if key in holder else dict(sorted(found.items()))
+def set_key(parent: dict[str, Any], key: str, value: object) -> dict[str, Any]:
+    """Return a copy of an object with a key set; a new key is inserted in key order."""
+    result = parent | {key: value}
+    return result if key in parent else dict(sorted(result.items()))
 
 
 def apply_edit(value: object, path: list[Step], depth: int, edit: Edit) -> object:
-    """Return a value with an edit below it made; `depth` steps of the path are taken already.
+    """Return a value with an edit applied; the value lies at the first `depth` steps of the edit's path.
 
-    Raises DeltaError where the path leads nowhere.
+    Raises DeltaError if the path does not exist in the value.
     """
     if depth == len(path):
         return replace_value(value, edit)
@@ -182,61 +188,61 @@
         return edit_object(value, step, path, depth, edit)
     if isinstance(value, list) and type(step) is int and 0 <= step < len(value):
         return [*value[:step], apply_edit(value[step], path, depth + 1, edit), *value[step + 1 :]]
-    raise DeltaError("a path that leads nowhere")
+    raise DeltaError("the path of an edit does not exist in the document")
 
 
 def replace_value(value: object, edit: Edit) -> object:
-    """Return the value at the end of an edit's path as the edit makes it; raises DeltaError."""
+    """Return the new value for the value at the end of an edit's path; raises DeltaError."""
     if isinstance(edit, Put):
         return edit.value
     if isinstance(edit, Splice) and isinstance(value, list):
         if not (0 <= edit.at <= len(value) and 0 <= edit.count <= len(value) - edit.at):
-            raise DeltaError("a splice out of its list")
+            raise DeltaError("the range of a splice lies outside of its list")
         return [*value[: edit.at], *edit.values, *value[edit.at + edit.count :]]
-    raise DeltaError("an edit of another kind of value")
+    raise DeltaError("an edit does not apply to the type of the value at its path")
 
 
 def edit_object(value: dict[str, Any], key: str, path: list[Step], depth: int, edit: Edit) -> dict[str, Any]:
-    """Return an object with an edit at or below a key made; raises DeltaError."""
+    """Return an object with an edit applied at or below a key; raises DeltaError."""
     is_last = depth == len(path) - 1
     if is_last and isinstance(edit, Drop):
         if key not in value:
-            raise DeltaError("a key that is not there")
+            raise DeltaError("the key that an edit removes does not exist")
         return {other: inner for other, inner in value.items() if other != key}
     if not is_last and key not in value:
-        raise DeltaError("a path that leads nowhere")
+        raise DeltaError("the path of an edit does not exist in the document")
     return set_key(value, key, apply_edit(value.get(key), path, depth + 1, edit))
 
 
 def apply_change(before: Document, before_id: str, change: Change) -> Document:
-    """Return the document after a change to the one with an id; raises DeltaError."""
+    """Apply a change to the document `before`, whose content id is `before_id`; raises DeltaError."""
     result: Any = before
     for edit in change.edits:
         if not 0 < len(edit.path) <= MAX_PATH_STEPS or edit.path[0] in DERIVED_KEYS:
-            raise DeltaError("an edit at a path that is none")
+            raise DeltaError("the path of an edit is empty, too long or leads to a derived key")
         result = apply_edit(result, edit.path, 0, edit)
     number = before.get("number")
     if type(number) is not int:
-        raise DeltaError("a document without a number")
-    # Both are there: the keys stay in their order.
+        raise DeltaError("the document has no integer `number`")
+    # Both keys exist already, so the order of the keys does not change.
     document: Document = result | {"number": number + 1, "before": before_id}
     return document
 
 
 class DeltaLink(msgspec.Struct, frozen=True):
-    """A change as it is sent: the id of the version before, and the change's bytes."""
+    """One change of a chain: the content id of the version to which it applies, and the encoded change."""
 
     before: str
     data: bytes
 
 
 def encode_chain(links: list[DeltaLink]) -> bytes:
-    """Return some changes, the earliest first, as they are sent."""
+    """Encode a chain of changes, the earliest first."""
     return b"[" + b",".join(link.data for link in links) + b"]"
 
 
 class AppliedChain(msgspec.Struct, frozen=True):
-    """What a chain led to: the content, its document, each link by the id it leads to, the count of edits."""
+    """The result of a chain: content, document, links by the content id of their result, number of edits."""
 
     data: bytes
     document: Document
@@ -245,24 +251,27 @@
 
 
 def apply_chain(base: Document, base_id: str, data: bytes, content_id: str) -> AppliedChain:
-    """Return what a chain from one content leads to; raises DeltaError where that has another id."""
+    """Apply an encoded chain to a base content.
+
+    Raises DeltaError if the chain is invalid or its result does not have the id `content_id`.
+    """
     try:
         changes = CHAIN.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise DeltaError(f"no chain: {error}") from None
+        raise DeltaError(f"not a chain of changes: {error}") from None
     document, current_id = base, base_id
     links: dict[str, DeltaLink] = {}
     edit_count = 0
     for change in changes:
         if len(change.id) != DIGEST_CHARACTERS:
-            raise DeltaError("a change without an id")
+            raise DeltaError("the id of a change has a wrong length")
         document = apply_change(document, current_id, change)
         links[change.id] = DeltaLink(current_id, ENCODER.encode(change))
         current_id = change.id
         edit_count += len(change.edits)
     if current_id != content_id:
-        raise DeltaError("it leads to another content")
+        raise DeltaError("the chain ends at another content id than the requested one")
     result = encode_document(document)
     if digest(result) != content_id:
-        raise DeltaError("it leads to something else than its id says")
+        raise DeltaError("the digest of the resulting content differs from its id")
     return AppliedChain(result, document, links, edit_count)
--- a/marlseam/cluster/replication/effects.py
+++ b/marlseam/cluster/replication/effects.py
@@ -1,4 +1,4 @@
-"""What a replica asks its adapter to do, in the order in which it is to be done."""
+"""Effects that a replica returns to its adapter, which carries them out in the order given."""
 
 from typing import NamedTuple
 
@@ -8,21 +8,21 @@
 
 
 class SendMessage(NamedTuple):
-    """Send a message to a member; it may be lost, repeated or late."""
+    """Send a message to a member; the network may lose, duplicate or delay the message."""
 
     recipient: str
     message: ReplicationMessage
 
 
 class Persist(NamedTuple):
-    """Make records durable, then call `ConfigReplica.persisted` with the token, or `persist_failed`."""
+    """Make records durable, then call `ConfigReplica.persisted` or `persist_failed` with the token."""
 
     token: int
     records: tuple[LogRecord, ...]
 
 
 class ApplyContent(NamedTuple):
-    """Act on the settings and members of a content from now on."""
+    """Apply the settings and members of a content to this node."""
 
     number: int
     content_id: str
--- a/marlseam/cluster/replication/fetch.py
+++ b/marlseam/cluster/replication/fetch.py
@@ -1,4 +1,4 @@
-"""Fetching a content from other members: in chunks, as a whole or as deltas to a content that is here."""
+"""Fetches contents from other members in chunks, as a whole or as deltas to a content that is stored here."""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, NamedTuple
@@ -12,21 +12,21 @@
 if TYPE_CHECKING:
     from marlseam.cluster.replication.replica import ConfigReplica
 
-MAX_CONTENTS = 8  # held at a time; above it those that nothing needs are dropped
-WINDOW_CHUNKS = 8  # sent for one request
-MAX_FETCHES = 3  # at a time
-MAX_STALLED_PERIODS = 3  # in a row without a new chunk, after which a fetch begins anew
+MAX_CONTENTS = 8  # stored contents from which on those that are not needed are dropped
+WINDOW_CHUNKS = 8  # chunks sent for one request
+MAX_FETCHES = 3  # concurrent fetches
+MAX_STALLED_PERIODS = 3  # consecutive periods without a new chunk after which a fetch restarts
 
 
 class TransferForm(NamedTuple):
-    """What the chunks of a transfer add up to: its size, and the content that it is a delta to, if any."""
+    """The size of a transfer in bytes, and the id of the content to which its deltas apply; "" if whole."""
 
     size_bytes: int
     base_id: str
 
 
 class FetchProgress(NamedTuple):
-    """What came of a chunk: effects, and the fetch that is complete with it, if it is."""
+    """The result of a chunk: effects, and the fetch that the chunk completed, if any."""
 
     effects: list[Effect]
     completed: "Fetch | None" = None
@@ -34,19 +34,19 @@
 
 @dataclass
 class Fetch:
-    """A content that is on its way.
+    """A running fetch of one content.
 
     Attributes:
-        content_id: of what is fetched.
-        number: the version that it is to be held as; 0 where it is needed for a vote alone.
-        source: the member that is asked.
-        base_id: the content from which deltas will do; "" for the whole alone.
+        content_id: id of the content.
+        number: the version as which it will be held; 0 if it is needed only for a vote.
+        source: the member from which it is requested.
+        base_id: the content from which deltas are accepted; "" to accept only the whole.
         received: the bytes up to the first gap.
-        form: of what is coming, once the first chunk has told it.
-        ahead: chunks of the window that came before their turn, by offset.
-        requested_up_to: the offset up to which chunks were asked for.
-        has_progress: whether a chunk has come since the last period began.
-        stalled_periods: periods in a row without one.
+        form: form of the transfer; None before its first chunk.
+        out_of_order: chunks of the window received before an earlier one, by byte offset.
+        requested_up_to: the byte offset up to which chunks were requested.
+        has_progress: whether a new chunk was received in the current period.
+        stalled_periods: consecutive periods without a new chunk.
 
     """
 
@@ -56,57 +56,60 @@
     base_id: str
     received: bytearray = field(default_factory=bytearray)
     form: TransferForm | None = None
-    ahead: dict[int, bytes] = field(default_factory=dict)
+    out_of_order: dict[int, bytes] = field(default_factory=dict)
     requested_up_to: int = 0
     has_progress: bool = False
     stalled_periods: int = 0
 
     def window_end(self) -> int:
-        """Return the offset at which the window behind what has come ends."""
+        """Return the byte offset at which the window of chunks that may be received now ends."""
         return len(self.received) + WINDOW_CHUNKS * messages.CHUNK_BYTES
 
     def next_request(self) -> FetchRequest:
-        """Return the request for the chunks that are next."""
+        """Return the request for the next window of chunks, and note that it is requested."""
         self.requested_up_to = self.window_end()
         base_id = self.base_id if self.form is None else self.form.base_id
         return FetchRequest(self.content_id, len(self.received), base_id)
 
     def restart(self, base_id: str) -> None:
-        """Drop what has come."""
+        """Drop the received bytes; from now on accept deltas from `base_id`, or with "" only the whole."""
         self.base_id, self.form, self.stalled_periods = base_id, None, 0
         self.received.clear()
-        self.ahead.clear()
+        self.out_of_order.clear()
 
     def add(self, chunk: Chunk) -> str:
-        """Take in a chunk; return a code for why it was discarded, or nothing."""
+        """Add a chunk; return "", or a code if it was discarded: other-form, repeated or out-of-turn."""
         form = TransferForm(chunk.size, chunk.have)
         if chunk.have not in ("", self.base_id) or self.form not in (None, form):
             return "other-form"
-        if chunk.at < len(self.received) or chunk.at in self.ahead:
+        if chunk.at < len(self.received) or chunk.at in self.out_of_order:
             return "repeated"
         is_aligned = chunk.at < self.window_end() and not chunk.at % messages.CHUNK_BYTES
         if not is_aligned or len(chunk.data) < min(messages.CHUNK_BYTES, chunk.size - chunk.at):
             return "out-of-turn"
-        self.form, self.has_progress, self.ahead[chunk.at] = form, True, chunk.data
-        while len(self.received) in self.ahead:
-            self.received += self.ahead.pop(len(self.received))
+        self.form, self.has_progress, self.out_of_order[chunk.at] = form, True, chunk.data
+        while len(self.received) in self.out_of_order:
+            self.received += self.out_of_order.pop(len(self.received))
         return ""
 
 
 class ContentFetcher:
-    """The fetches of a replica, and its answers to those of others; `fetches` are by content id."""
+    """Runs the fetches of a replica and answers those of other members; `fetches` is keyed by content id."""
 
     def __init__(self, replica: "ConfigReplica") -> None:
-        """Begin without any fetch."""
+        """Start without any fetch."""
         self.replica, self.store = replica, replica.store
         self.fetches: dict[str, Fetch] = {}
 
     def available_base_id(self) -> str:
-        """Return the content from which deltas can be applied here: the one held, if it is stored."""
+        """Return the id of the content to which deltas can be applied: the one held, or "" if not stored."""
         return self.replica.content_id if self.replica.content_id in self.store.contents else ""
 
     def begin(self, content_id: str, number: int, source: str) -> list[Effect]:
-        """Begin to fetch a content, for a version or (number 0) for a vote."""
+        """Begin to fetch a content from a member, for the version `number` or, with 0, for a vote.
+
+        If `MAX_FETCHES` run already, the one for the lowest number is dropped, unless `number` is no higher.
+        """
         running = self.fetches.get(content_id)
         if running is not None:
             running.number = max(running.number, number)
@@ -122,14 +125,15 @@
         return [SendMessage(source, fetch.next_request())]
 
     def retry_stalled(self) -> list[Effect]:
-        """Ask again for what has not come; of another member where nothing came in the last period."""
+        """Request missing chunks again, once per period; from another member if there was no progress."""
         effects: list[Effect] = []
         for fetch in list(self.fetches.values()):
             if not fetch.has_progress:
                 fetch.source = self.replica.random_member(fetch.source)
                 fetch.stalled_periods += 1
                 if fetch.stalled_periods >= MAX_STALLED_PERIODS:
-                    # Whoever began is gone and others know fewer deltas, or it told a size that is wrong.
+                    # The first source may be gone while others store fewer deltas, or the announced size may
+                    # be wrong.
                     fetch.restart(self.available_base_id() if fetch.base_id else "")
             elif fetch.stalled_periods:
                 fetch.stalled_periods = 0
@@ -138,11 +142,11 @@
         return effects
 
     def drop_up_to(self, number: int) -> None:
-        """Drop the fetches of versions up to a number."""
+        """Drop the fetches for versions up to `number`, and those for votes."""
         self.fetches = {key: fetch for key, fetch in self.fetches.items() if fetch.number > number}
 
     def send_chunks(self, recipient: str, request: FetchRequest) -> list[Effect]:
-        """Send one window of a content, or of the deltas to it."""
+        """Answer a fetch request with a window of chunks of the content or, if smaller, the deltas to it."""
         data = self.store.contents.get(request.id)
         if data is None:
             return []
@@ -161,7 +165,7 @@
         ]
 
     def receive_chunk(self, sender: str, chunk: Chunk) -> FetchProgress:
-        """Take in a chunk; the fetch is complete once the content is whole and has the id asked for."""
+        """Handle a chunk; a fetch is complete once the whole content is present and has the requested id."""
         fetch = self.fetches.get(chunk.id)
         discarded = "unasked" if fetch is None else fetch.add(chunk)
         if fetch is None or fetch.form is None or discarded:
@@ -176,9 +180,9 @@
         return self.complete_whole(sender, fetch)
 
     def complete_deltas(self, sender: str, fetch: Fetch, base_id: str) -> FetchProgress:
-        """Apply deltas that have come; ask for the whole where they do not lead to the content."""
+        """Apply received deltas; if they do not give the content, request the whole from a random member."""
         if base_id not in self.store.contents:
-            # Dropped meanwhile, as a later number is held.
+            # The base was dropped in the meantime, as a later version is held.
             self.store.transfer_counts["gone"] += 1
             fetch.restart(self.available_base_id())
             return FetchProgress([SendMessage(sender, fetch.next_request())])
@@ -188,7 +192,7 @@
             self.store.transfer_counts["changes"] += 1
             fetch.restart("")
             fetch.source = self.replica.random_member(sender)
-            text = f"what {sender} sent to lead to {fetch.content_id[:12]} does not: {error}"
+            text = f"deltas from {sender} do not give content {fetch.content_id[:12]}: {error}"
             return FetchProgress(
                 [LogLine(f"fleet code=changes: {text}"), SendMessage(fetch.source, fetch.next_request())]
             )
@@ -196,12 +200,12 @@
         return FetchProgress([], fetch)
 
     def complete_whole(self, sender: str, fetch: Fetch) -> FetchProgress:
-        """Check a content that has come as a whole; begin anew where it is another."""
+        """Verify the digest of a content received as a whole; on a mismatch drop it and fetch again."""
         data = bytes(fetch.received)
         if digest(data) != fetch.content_id:
             self.store.transfer_counts["digest"] += 1
             fetch.restart("")
-            text = f"what {sender} sent is not the content {fetch.content_id[:12]}"
+            text = f"content from {sender} does not have the requested digest {fetch.content_id[:12]}"
             return FetchProgress([LogLine(f"fleet code=digest: {text}")])
         self.complete(fetch, data)
         self.store.transfer_counts["whole"] += 1
@@ -209,7 +213,7 @@
         return FetchProgress([], fetch)
 
     def complete(self, fetch: Fetch, data: bytes) -> None:
-        """Store a content that has come and end its fetch."""
+        """Store a fetched content and end its fetch."""
         del self.fetches[fetch.content_id]
         if len(self.store.contents) >= MAX_CONTENTS:
             self.replica.discard_unneeded(self.replica.number)
--- a/marlseam/cluster/replication/messages.py
+++ b/marlseam/cluster/replication/messages.py
@@ -1,7 +1,7 @@
-"""Messages of replication: one a datagram, MessagePack behind a prefix byte, bounded in size.
+"""Replication messages: one per datagram, encoded as MessagePack after a prefix byte, bounded in size.
 
-A message of another cluster or protocol version, from an unknown member or out of bounds is rejected as a
-whole: `read` raises InvalidMessageError with a code.
+A message of another cluster or protocol version, from an unknown member or with a field out of bounds is
+rejected as a whole: `read` raises InvalidMessageError with a code.
 """
 
 import enum
@@ -15,34 +15,43 @@
     InvalidMessageError,
 )
 
-DATAGRAM_PREFIX = b"V"  # with which no datagram of membership begins
+DATAGRAM_PREFIX = b"V"  # no membership datagram begins with this byte
 VERSION = 1
-DIGEST_CHARACTERS = 64  # of a content's id, in hexadecimal
-MAX_PROPOSER_CHARACTERS = 2 * MAX_NAME_CHARACTERS + 48  # of a ballot's place
-CHUNK_BYTES = 1024  # of a content in one message
+DIGEST_CHARACTERS = 64  # length of a content's id: SHA-256 in hexadecimal
+MAX_PROPOSER_CHARACTERS = 2 * MAX_NAME_CHARACTERS + 48  # length of the `place` of a ballot
+CHUNK_BYTES = 1024  # payload of one `Chunk`
 MAX_CONTENT_BYTES = 256 << 10
 MAX_REASON_CHARACTERS = 160
 
 
 class StatusRequest(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
-    """Asks what the recipient holds; `number` is what the sender holds, `seq` its quorum read, 0 for none."""
+    """Requests the recipient's status.
+
+    Attributes:
+        seq: sequence number of the sender's quorum read; 0 if the request belongs to none.
+        number: the version that the sender holds.
+
+    """
 
     seq: int
     number: int
 
 
 class StatusResponse(msgspec.Struct, array_like=True, frozen=True, tag="tell"):
-    """What the sender holds and acts on, and how fresh that is.
+    """The status of the sender: the version held, the version applied, and the age of its proof.
 
     Attributes:
-        seq: of the request answered; 0 where the status is pushed.
-        number, id: the version held, and its content's id.
-        acting: the version acted on.
-        serving, code: whether the sender serves, and what is wrong.
-        accepted: the highest number for which it has accepted any content; 0 for none.
-        top: the highest number of which it has promised anything; 0 for none.
-        votes: whether it votes on the next version, its memory of votes being whole.
-        age_ms: so long ago no number above `number` was chosen; -1 where that is not known.
+        seq: sequence number of the request answered; 0 for a status sent without a request.
+        number, id: the version held, and the id of its content; 0 and "" before the first version.
+        acting: the version applied.
+        serving, code: whether the sender serves, and a code for its fault; "" without a fault.
+        accepted: the highest number for which the sender has accepted a content, or which it holds; 0 for
+            none.
+        top: the highest number for which the sender has promised or accepted anything, or which it holds; 0
+            for none.
+        votes: whether the sender is a voter on the next version and its memory of votes is complete.
+        age_ms: age of the sender's proof: no number above `number` was chosen this long ago; -1 without a
+            proof.
 
     """
 
@@ -59,12 +68,15 @@
 
 
 class VoteMessage(msgspec.Struct, array_like=True, frozen=True, tag="vote"):
-    """A message of agreement: `kind`, and the fields of the message of that name in `paxos`.
+    """A Paxos message: `kind` names the message in `paxos`, the other fields are those of that message.
 
     Attributes:
+        kind: one of `VOTES`.
+        number: the version voted on.
         round, place: the ballot.
-        other_round, other_place: the ballot accepted (of a promise) or promised (of a refusal).
-        why: of a refusal: what is wrong with the content.
+        other_round, other_place: in a promise the ballot accepted earlier, in a refusal the ballot promised.
+        value: id of the content; "" in a prepare and a refusal, and in a promise without an accepted content.
+        why: in a refusal, what is wrong with the content; "" if a later ballot was promised.
 
     """
 
@@ -79,9 +91,9 @@
 
 
 class FetchRequest(msgspec.Struct, array_like=True, frozen=True, tag="want"):
-    """Asks for a content from byte `at` on; or for deltas to it from content `have`, where they are smaller.
+    """Requests a content from byte offset `at` on, or the deltas to it from content `have` if smaller.
 
-    A program that knows no `have` leaves it out or reads past it, and sends the whole.
+    A program version without the field `have` omits or ignores it, and sends the whole content.
     """
 
     id: str
@@ -90,7 +102,10 @@
 
 
 class Chunk(msgspec.Struct, array_like=True, frozen=True, tag="piece"):
-    """Bytes from `at` on of a content of `size` bytes, or of deltas that lead to it from content `have`."""
+    """Bytes from offset `at` on of a content of `size` bytes, or of the deltas to it from content `have`.
+
+    With deltas `size` is the size of the encoded delta chain, in bytes.
+    """
 
     id: str
     size: int
@@ -104,7 +119,7 @@
 
 
 class MessageKind(enum.IntEnum):
-    """Kinds of messages by which counts and fault schedules tell them apart; membership has other numbers."""
+    """Kinds of messages for counts and fault schedules; their numbers differ from those of membership."""
 
     ASK = 11
     TELL = 12
@@ -118,7 +133,7 @@
 
 
 class ReplicationDatagram(msgspec.Struct, array_like=True, frozen=True):
-    """One datagram: the protocol's version, the cluster's name, the sending member, and its message."""
+    """One datagram: the protocol version, the cluster's name (`fleet`), the sending member, its message."""
 
     version: int
     fleet: str
@@ -145,19 +160,19 @@
 
 
 def kind_of(message: ReplicationMessage) -> MessageKind:
-    """Return a message's kind."""
+    """Return the kind of a message; for a `VoteMessage` it depends on the field `kind`."""
     if isinstance(message, VoteMessage):
         return KINDS_BY_VOTE[message.kind]
     return KINDS_BY_TYPE[type(message)]
 
 
 def write(datagram: ReplicationDatagram) -> bytes:
-    """Return a datagram's bytes."""
+    """Return a datagram encoded, with its prefix byte."""
     return DATAGRAM_PREFIX + ENCODER.encode(datagram)
 
 
 def are_numbers(*numbers: int) -> bool:
-    """Return whether all are in the bounds of a version's or a round's number."""
+    """Return whether all numbers are within 0 and `MAX_NUMBER`, the bounds of version and round numbers."""
     return all(0 <= number <= MAX_NUMBER for number in numbers)
 
 
@@ -193,7 +208,7 @@
 
 
 def is_vote_in_bounds(vote: VoteMessage) -> bool:
-    """Return whether all fields of a vote are in bounds, and its kind is known."""
+    """Return whether all fields of a vote are in bounds and its kind is one of `VOTES`."""
     return (
         vote.kind in KINDS_BY_VOTE
         and are_numbers(vote.number, vote.round, vote.other_round)
@@ -204,15 +219,16 @@
 
 
 def is_chunk_in_bounds(chunk: Chunk) -> bool:
-    """Return whether a chunk has data, and lies in its content."""
+    """Return whether a chunk has 1 to `CHUNK_BYTES` bytes of data that lie within the announced size."""
     is_inside = 0 <= chunk.at <= chunk.size <= MAX_CONTENT_BYTES and chunk.at + len(chunk.data) <= chunk.size
     return is_inside and 0 < len(chunk.data) <= CHUNK_BYTES
 
 
 def read(data: bytes, fleet: str, names: frozenset[str]) -> ReplicationDatagram:
-    """Return a datagram of a cluster whose members have some names.
+    """Decode a datagram of the cluster named `fleet`, whose members are `names`.
 
-    Raises InvalidMessageError with a code: too-large, bad-message, version, foreign, unknown, bounds.
+    Raises InvalidMessageError with a code: too-large, bad-message, version (another protocol version),
+    foreign (another cluster), unknown (the sender is no member), bounds (a field is out of bounds).
     """
     if len(data) > MAX_DATAGRAM_BYTES:
         raise InvalidMessageError("too-large")
--- a/marlseam/cluster/replication/paxos.py
+++ b/marlseam/cluster/replication/paxos.py
@@ -1,11 +1,11 @@
-"""How the voters of a version agree on the content of the next: one single-decree Paxos a number; pure.
-
-Lamport 2001. A ballot is (round, place): the place belongs to one process of one proposer, so no two
-proposers share one, and one that restarts begins no earlier ballot anew with another content. What an
-acceptor promises or accepts is durable before it is sent: `Acceptor.handle` returns the state to be made
-durable beside the response, and the caller sends it only once that is on the disk. The voters of number n are
-those that version n - 1 names: whoever asks for n must know n - 1, and an acceptor votes for n only while it
-holds n - 1 itself.
+"""Agreement of the voters on the content of each version: one single-decree Paxos per number; pure.
+
+Source: Lamport, "Paxos Made Simple", 2001. A ballot is (round, place): the place belongs to one process of
+one proposer, so no two proposers share a ballot, and a restarted proposer does not reuse an earlier ballot
+with another content. Promises and acceptances are durable before they are sent: `Acceptor.handle` returns the
+state to be made durable together with the response, and the caller sends the response only once the state is
+on disk. The voters of number n are those that version n - 1 names: a proposer for n must hold n - 1, and an
+acceptor votes for n only while it holds n - 1 itself.
 """
 
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
 
 
 class AcceptorState(NamedTuple):
-    """What an acceptor keeps for one number: the ballot promised, and what it accepted under which ballot."""
+    """The state of an acceptor for one number: the ballot promised, the ballot and the value accepted."""
 
     ballot: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
@@ -24,14 +24,21 @@
 
 
 class Prepare(NamedTuple):
-    """Phase 1a: a proposer asks for the promise to accept nothing under an earlier ballot."""
+    """Phase 1a: a proposer requests the promise to accept nothing under an earlier ballot."""
 
     number: int
     ballot: Ballot
 
 
 class Promise(NamedTuple):
-    """Phase 1b: a voter promises that, and tells what it has accepted, under which ballot."""
+    """Phase 1b: a voter promises to accept nothing under an earlier ballot.
+
+    Attributes:
+        number, ballot: as in the `Prepare` answered.
+        voter: name of the voter.
+        accepted, value: the ballot and the value that the voter accepted last; `NO_BALLOT` and "" for none.
+
+    """
 
     number: int
     ballot: Ballot
@@ -41,7 +48,7 @@
 
 
 class Accept(NamedTuple):
-    """Phase 2a: a proposer asks for a value to be accepted."""
+    """Phase 2a: a proposer requests that a value be accepted."""
 
     number: int
     ballot: Ballot
@@ -58,7 +65,7 @@
 
 
 class Refused(NamedTuple):
-    """A voter has promised a later ballot than the one of the request."""
+    """A voter refuses a request, as it has promised the later ballot `promised`."""
 
     number: int
     ballot: Ballot
@@ -69,26 +76,26 @@
 
 
 def majority(voters: frozenset[str]) -> int:
-    """Return the size of a quorum: any two groups of so many voters share one."""
+    """Return the size of a quorum, the smallest for which any two quorums have a voter in common."""
     return len(voters) // 2 + 1
 
 
 class AcceptorDecision(NamedTuple):
-    """The state to be made durable, None where nothing changes, and the response to be sent then."""
+    """The state to make durable, None if it does not change, and the response to send after that."""
 
     state: AcceptorState | None
     response: Promise | Accepted | Refused
 
 
 class Acceptor:
-    """One voter; `promises` is its state by number, which a restart begins with."""
+    """The acceptor of one voter; `promises` is its state by number, recovered after a restart."""
 
     def __init__(self, name: str, promises: dict[int, AcceptorState]) -> None:
-        """Begin with what is durable."""
+        """Start with the durable state."""
         self.name, self.promises = name, promises
 
     def handle(self, request: Prepare | Accept) -> AcceptorDecision:
-        """Decide on a request; the state changes only once it is recorded."""
+        """Decide on a request, without changing the state: the caller passes the new one to `record`."""
         number, ballot = request.number, request.ballot
         current = self.promises.get(number, AcceptorState())
         if ballot < current.ballot:
@@ -109,19 +116,19 @@
 
 @dataclass
 class Proposer:
-    """Has one number agreed on.
+    """The proposer of one number.
 
     Attributes:
-        place: this proposer's own in ballots.
-        number: what is agreed on.
-        value: what it would like; what is chosen may be another's.
+        place: the part of its ballots that is unique to this process.
+        number: the version number to agree on.
+        value: the value it proposes; another proposer's value may be chosen instead.
         voters: the acceptors of the number.
-        round: the last that this process has begun for the number.
-        is_open: whether responses to that round still count.
-        promises: the promises of that round, by voter.
+        round: the last round that this process has begun for the number.
+        is_open: whether responses to that round are still counted.
+        promises: the promises received in that round, by voter.
         accepted_by: voters that have accepted in that round.
-        requested_value: what it has asked to accept in that round, if it has come so far.
-        chosen: the value chosen, once a quorum has accepted it.
+        requested_value: the value of the accept request of that round; None in phase 1.
+        chosen: the value chosen; None until a quorum has accepted one.
 
     """
 
@@ -138,21 +145,24 @@
 
     @property
     def ballot(self) -> Ballot:
-        """The present round's ballot."""
+        """The ballot of the current round."""
         return self.round, self.place
 
     def quorum_size(self) -> int:
-        """Return how many voters choose a value."""
+        """Return how many voters must accept a value for it to be chosen."""
         return majority(self.voters)
 
     def begin_round(self, highest_known_round: int = 0) -> Prepare:
-        """Begin a round, later than any heard of and than any that this process has begun."""
+        """Begin a round later than `highest_known_round` and than any round that this process has begun."""
         self.round = max(self.round, highest_known_round) + 1
         self.is_open, self.promises, self.accepted_by, self.requested_value = True, {}, set(), None
         return Prepare(self.number, self.ballot)
 
     def handle(self, response: Message) -> Prepare | Accept | None:
-        """Take in a response; return the request to send to all voters next, if any."""
+        """Handle a response; return the request to send to all voters next, if any.
+
+        Responses to another number or ballot, and those after the choice, are ignored.
+        """
         if response.number != self.number or not self.is_open or self.chosen is not None:
             return None
         if response.ballot != self.ballot:
@@ -167,14 +177,14 @@
         return None
 
     def handle_promise(self, promise: Promise) -> Accept | None:
-        """Count a promise; return the request to accept once a quorum has promised."""
+        """Count a promise; return the accept request once a quorum has promised."""
         if self.requested_value is not None:
             return None
         self.promises[promise.voter] = promise
         if len(self.promises) < self.quorum_size():
             return None
         latest = max(self.promises.values(), key=lambda found: found.accepted)
-        # What may have been chosen before goes before what is wanted now.
+        # A value accepted under an earlier ballot may already be chosen, so it replaces this proposer's own.
         self.requested_value = latest.value if latest.accepted > NO_BALLOT else self.value
         return Accept(self.number, self.ballot, self.requested_value)
 
--- a/marlseam/cluster/replication/publication.py
+++ b/marlseam/cluster/replication/publication.py
@@ -1,4 +1,4 @@
-"""Having the next version agreed on: for an operator, or to finish what another member left half done."""
+"""The proposer of a replica: publishes versions for operators, and completes abandoned proposals."""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
@@ -13,22 +13,22 @@
 if TYPE_CHECKING:
     from marlseam.cluster.replication.replica import ConfigReplica
 
-ROUND_PERIODS = 4.0  # after which a round without a majority is followed by another; up to twice, at random
-PUBLICATION_TIMEOUT_PERIODS = 40.0  # after which a publication is given up
+ROUND_PERIODS = 4.0  # time until a round without a majority is followed by the next; at random up to double
+PUBLICATION_TIMEOUT_PERIODS = 40.0  # time after which a publication is abandoned
 
 
 @dataclass
 class Publication:
-    """One number that this node is having agreed on.
+    """A running proposal of a content for one number.
 
     Attributes:
-        proposer: the proposer's side of the agreement.
-        content_id: the content that is wanted.
-        by_operator: whether an operator asked for it here.
-        started_ms: when it began.
-        round_ends_ms: when another round begins, if no majority was heard.
-        highest_refused_round: the latest round of other proposers heard of.
-        refusals: why voters cannot use the content, by voter.
+        proposer: the Paxos proposer.
+        content_id: id of the proposed content.
+        by_operator: whether an operator requested the publication on this node.
+        started_ms: when the publication started.
+        round_ends_ms: when the next round begins if no majority has answered.
+        highest_refused_round: the latest round of another proposer reported in a refusal.
+        refusals: the reasons of voters that cannot use the content, by voter.
 
     """
 
@@ -41,31 +41,33 @@
     refusals: dict[str, str] = field(default_factory=dict)
 
     def result_text(self, number: int, content_id: str) -> str:
-        """Return what came of it, as its number has a content now."""
+        """Return the result of the publication, given the content chosen for its number."""
         if content_id == self.content_id:
             return f"version {number} is {content_id[:12]}"
-        return f"beaten: another content was chosen as version {number}, {content_id[:12]}"
+        return f"superseded: version {number} was chosen with another content, {content_id[:12]}"
 
-    def is_refused_by_most(self) -> bool:
-        """Return whether too few voters are left that can use the content."""
+    def cannot_reach_quorum(self) -> bool:
+        """Return whether fewer voters than a quorum have not refused the content as unusable."""
         left = len(self.proposer.voters) - len(self.refusals)
         return left < self.proposer.quorum_size()
 
 
 class Publisher:
-    """The proposer's side of a replica.
+    """The proposer of a replica, with at most one publication at a time.
 
     Attributes:
-        proposer_id: this process's own in ballots; no other process of any member has it.
-        publication: what is being agreed on, if anything.
-        result: of the last publication that an operator asked for here, in words.
-        last_rounds: the last round begun in this process's life, by number; of one number.
-        repropose_at_ms: when to finish what another member left accepted and not chosen.
+        proposer_id: the part of ballots that is unique to this process among all processes of all members.
+        publication: the running publication, if any.
+        result: text of the result of the last publication requested by an operator on this node; "open" while
+            it runs.
+        last_rounds: the last round that this process has begun, by number; holds one number at most.
+        repropose_at_ms: when to propose a content that is accepted here but not known to be chosen; None if
+            not planned.
 
     """
 
     def __init__(self, replica: "ConfigReplica", proposer_id: str) -> None:
-        """Begin without a publication."""
+        """Start without a publication."""
         self.replica, self.proposer_id = replica, proposer_id
         self.publication: Publication | None = None
         self.result = ""
@@ -73,19 +75,20 @@
         self.repropose_at_ms: float | None = None
 
     def busy_reason(self) -> str:
-        """Return why nothing can be published here at this moment, or nothing."""
+        """Return why nothing can be published on this node now, or "" if that is possible."""
         if self.publication is not None and self.publication.by_operator:
-            return "busy: a publication is under way here"
+            return "busy: a publication is in progress on this node"
         pending = self.replica.pending_version
         if pending is not None:
-            # It was agreed on and is held in a moment: what follows goes behind it, not for the same number.
-            return f"busy: version {pending.number} is being written here"
+            # The version is chosen and will be held once durable: the next publication must follow it, not
+            # compete for the same number.
+            return f"busy: version {pending.number} is being written on this node"
         return ""
 
     def publish(self, now: float, data: bytes) -> list[Effect]:
-        """Have a content agreed on under the next number; `result` tells what came of it.
+        """Propose a content, given as bytes, for the next number on behalf of an operator; sets `result`.
 
-        Nothing happens while this node is busy.
+        Does nothing while this node is busy (`busy_reason`).
         """
         if self.busy_reason():
             return []
@@ -96,16 +99,16 @@
         return self.propose(now, content_id, by_operator=True)
 
     def propose(self, now: float, content_id: str, by_operator: bool) -> list[Effect]:
-        """Begin to have a content agreed on."""
+        """Start a publication of a stored content for the next number."""
         replica = self.replica
         proposer = Proposer(self.proposer_id, replica.number + 1, content_id, replica.voters)
-        # A round is begun once in a process's life: a ballot with two contents would break the agreement.
+        # A process never begins the same round twice: two contents under one ballot would break agreement.
         proposer.round = self.last_rounds.get(proposer.number, 0)
         self.publication = Publication(proposer, content_id, by_operator, now, now)
         return self.begin_round(now, self.publication)
 
     def begin_round(self, now: float, publication: Publication) -> list[Effect]:
-        """Begin a round, later than any that this node has heard of."""
+        """Begin a round later than any round known to this node."""
         proposer = publication.proposer
         promised = self.replica.voter.acceptor.promises.get(proposer.number)
         promised_round = promised.ballot[0] if promised is not None else 0
@@ -116,26 +119,30 @@
         return self.send_to_voters(now, publication, message)
 
     def random_round_ms(self) -> float:
-        """Draw the length of a round: proposers that meet are set apart by chance."""
+        """Draw the length of a round in ms; random, so that competing proposers do not collide repeatedly."""
         replica = self.replica
         return replica.settings.period_ms * ROUND_PERIODS * (1.0 + replica.random())
 
     def progress(self, now: float) -> list[Effect]:
-        """Begin another round where one has got stuck, finish what another member left half done."""
+        """Repeat requests, begin the next round of a stalled publication, or complete an abandoned proposal.
+
+        Called once per period. Ends a publication after `PUBLICATION_TIMEOUT_PERIODS`.
+        """
         publication = self.publication
         if publication is None:
             return self.finish_abandoned(now)
         timeout_ms = PUBLICATION_TIMEOUT_PERIODS * self.replica.settings.period_ms
         if now > publication.started_ms + timeout_ms:
-            return self.end("no majority of the voters was heard", publication)
+            return self.end("timed out: no majority of the voters answered", publication)
         if now < publication.round_ends_ms:
             return self.repeat_request(publication)
         return self.begin_round(now, publication)
 
     def finish_abandoned(self, now: float) -> list[Effect]:
-        """Propose what was accepted here for the next number, if nobody has it chosen for a while.
+        """Propose the content accepted here for the next number, if none is chosen for a random time.
 
-        Guards the lease of all: while one content is accepted and none chosen, fewer can prove anything.
+        Guards against lost leases: while a content is accepted by some voters and none is chosen, fewer
+        voters can contribute to a proof.
         """
         replica = self.replica
         next_number = replica.number + 1
@@ -151,7 +158,7 @@
         return self.propose(now, accepted.value, by_operator=False)
 
     def repeat_request(self, publication: Publication) -> list[Effect]:
-        """Send the present round's request again, to the voters that have not answered."""
+        """Send the request of the current round again to the voters that have not answered."""
         proposer = publication.proposer
         if not proposer.is_open:
             return []
@@ -164,7 +171,7 @@
         return [SendMessage(name, vote_of(message)) for name in sorted(unanswered - {self.replica.name})]
 
     def send_to_voters(self, now: float, publication: Publication, message: paxos.Message) -> list[Effect]:
-        """Send a request to all voters, this node maybe among them."""
+        """Send a request to all voters; if this node is one, its own voter handles the request directly."""
         vote, own_name = vote_of(message), self.replica.name
         voters = publication.proposer.voters
         effects: list[Effect] = [SendMessage(name, vote) for name in sorted(voters - {own_name})]
@@ -173,7 +180,7 @@
         return effects
 
     def receive_vote(self, now: float, sender: str, vote: VoteMessage) -> list[Effect]:
-        """Take in a voter's answer."""
+        """Handle a voter's answer: a promise, an acceptance or a refusal."""
         publication = self.publication
         if publication is None or vote.number != publication.proposer.number:
             return []
@@ -191,25 +198,25 @@
         return effects
 
     def receive_refusal(self, sender: str, vote: VoteMessage, publication: Publication) -> list[Effect]:
-        """Take in that a voter cannot use the content, or has promised a later ballot."""
+        """Handle a refusal: the voter cannot use the content, or has promised a later ballot."""
         proposer = publication.proposer
         if (vote.round, vote.place) != proposer.ballot:
             return []
         if not vote.why:
-            # Not at once: two that answer each other's rounds with later ones would never end. And the ballot
-            # stays as it is until then: an earlier round's content sent under a later ballot could be chosen
-            # beside another.
+            # The next round is not begun at once: two proposers that answer each other's rounds with later
+            # ones would never finish. Until then the ballot does not change: the content of an earlier round
+            # sent under a later ballot could be chosen in addition to another content.
             publication.highest_refused_round = max(publication.highest_refused_round, vote.other_round)
             proposer.is_open = False
             return []
         publication.refusals[sender] = vote.why
-        if not publication.is_refused_by_most():
+        if not publication.cannot_reach_quorum():
             return []
         reasons = "; ".join(f"{name}: {text}" for name, text in sorted(publication.refusals.items()))
         return self.end(f"refused by most voters: {reasons}", publication)
 
     def hold_chosen(self, publication: Publication, content_id: str) -> list[Effect]:
-        """End a publication, and hold what was chosen."""
+        """End a publication, and hold the chosen content, which is fetched first if it is not stored."""
         replica, number = self.replica, publication.proposer.number
         effects = self.end(publication.result_text(number, content_id), publication)
         if content_id in replica.store.contents:
@@ -218,20 +225,21 @@
         return effects + replica.fetcher.begin(content_id, number, source)
 
     def end_overtaken(self, number: int, content_id: str) -> list[Effect]:
-        """End a publication whose number was agreed on by another proposer's doing.
+        """End a publication for a number up to `number`, the version that is held now.
 
-        Its voters vote on that number no more, so it would block the next until it is given up.
+        Guards against a publication that blocks the next one until its timeout: voters that hold a version no
+        longer vote on its number.
         """
         publication = self.publication
         if publication is None or publication.proposer.number > number:
             return []
-        wanted = publication.proposer.number
-        if wanted == number:
+        proposed = publication.proposer.number
+        if proposed == number:
             return self.end(publication.result_text(number, content_id), publication)
-        return self.end(f"not known whether it became version {wanted}: {number} is held", publication)
+        return self.end(f"not known whether it became version {proposed}: {number} is held now", publication)
 
     def end(self, result: str, publication: Publication) -> list[Effect]:
-        """Note that a publication is over."""
+        """End a publication, log its result, and keep the result if an operator requested it."""
         self.publication = None
         if publication.by_operator:
             self.result = result
--- a/marlseam/cluster/replication/quorum_lease.py
+++ b/marlseam/cluster/replication/quorum_lease.py
@@ -1,9 +1,9 @@
 """Proof that the version held is in force: quorum reads, and the lease that each of them gives.
 
-A voter asks all voters for their status. Once most of them, each with its memory of votes whole, have
-answered that they accepted nothing above a number, no higher number was chosen when it asked: any choice
-needs one of them. Other members take over such a proof with its age. A proof is good for a lease, counted on
-one's own clock from when it was asked for.
+A voter requests the status of all voters. Once a majority of them, each with a complete memory of its votes,
+have answered that they accepted nothing above a number, no higher number was chosen at the time of the
+request: any choice needs the vote of one of them. Other members adopt such a proof together with its age. A
+proof is valid for one lease, counted on the member's own clock from the time of the request.
 """
 
 from dataclasses import dataclass, field
@@ -19,9 +19,9 @@
 if TYPE_CHECKING:
     from marlseam.cluster.replication.replica import ConfigReplica
 
-CLOCK_DRIFT_SHARE = 0.001  # by which a clock may run fast or slow
-MIN_LEASE_SHARE = 0.5  # of the lease, after which the first member without a proof leaves service
-MAX_READS = 64  # quorum reads whose responses still count
+CLOCK_DRIFT_SHARE = 0.001  # highest deviation of a clock's rate, in either direction
+MIN_LEASE_SHARE = 0.5  # share of the lease after which the first member without a proof leaves service
+MAX_READS = 64  # number of latest quorum reads whose responses are still counted
 
 
 @dataclass
@@ -29,11 +29,11 @@
     """One round of status requests.
 
     Attributes:
-        at_ms: when it was asked, by the replica's clock.
-        number: the version held then.
-        voters: who votes on the next version.
-        voters_without_later: voters that have accepted nothing above `number`.
-        highest_promised: the highest number of which each voter has promised anything.
+        at_ms: when the requests were sent, by the replica's clock.
+        number: the version held at that time.
+        voters: the voters on the next version at that time.
+        voters_without_later: voters that answered that they have accepted nothing above `number`.
+        highest_promised: by voter, the highest number for which it has promised anything.
 
     """
 
@@ -45,26 +45,28 @@
 
     @property
     def has_quorum(self) -> bool:
-        """Whether most voters have accepted nothing above the number."""
+        """Whether a majority of the voters have accepted nothing above `number`."""
         return len(self.voters_without_later) >= paxos.majority(self.voters)
 
 
 class QuorumLease:
     """The proof that a replica has, and the quorum reads that renew it.
 
-    Each member proves its version for itself: there is no one holder of a lease. A process of the same node
-    may hand its proof on. What follows without a proof is said in `serving`.
+    Each member proves its version for itself: the lease has no single holder. A process may hand its proof
+    over to another process of the same node. The consequences of a missing proof are decided in `serving`.
 
     Attributes:
-        proven_at_ms: as of when the version held was in force; -inf without any proof.
-        stagger_share: this member's place, 0 to 1, between the first and the last that leave service.
+        proven_at_ms: the latest time at which the version held is proven to have been in force, by the
+            replica's clock; -inf without any proof.
+        stagger_share: the position of this member, 0 to 1, between the first and the last member to leave
+            service.
         last_sequence: the sequence number of the last quorum read.
-        reads: quorum reads whose responses still count, by sequence number.
+        reads: quorum reads whose responses are still counted, by sequence number.
 
     """
 
     def __init__(self, replica: "ConfigReplica") -> None:
-        """Begin without a proof."""
+        """Start without a proof."""
         self.replica = replica
         self.proven_at_ms = -inf
         self.stagger_share = crc32(replica.name.encode()) / 2.0**32
@@ -72,22 +74,23 @@
         self.reads: dict[int, QuorumRead] = {}
 
     def staggered_share(self) -> float:
-        """Return the share of a lease or of a time to serve that is this member's.
+        """Return the share of a lease, or of the time to serve without a proof, that this member uses.
 
-        Guards a cluster that has lost its voters against leaving in one stroke: members do so one by one.
+        Guards against all members leaving service at once when the cluster has lost its voters: members leave
+        one after another.
         """
         return MIN_LEASE_SHARE + (1.0 - MIN_LEASE_SHARE) * self.stagger_share
 
     def staggered_lease_ms(self) -> float:
-        """Return for how long a proof is good here, in ms of this clock."""
+        """Return how long a proof is valid on this member, in ms of its own clock."""
         return self.replica.settings.lease_ms * self.staggered_share() * (1.0 - 2.0 * CLOCK_DRIFT_SHARE)
 
     def expires_ms(self) -> float:
-        """Return when the lease ends; -inf without any proof."""
+        """Return when the lease ends, in ms of this member's clock; -inf without any proof."""
         return self.proven_at_ms + self.staggered_lease_ms()
 
     def is_proven(self, now: float) -> bool:
-        """Return whether the version acted on is known to be in force, or was within the lease."""
+        """Return whether the version applied is the one held and was proven in force within the lease."""
         return self.replica.applied_number == self.replica.number and now < self.expires_ms()
 
     def proof_age_ms(self, now: float) -> float:
@@ -97,14 +100,14 @@
         return max(0.0, now - self.proven_at_ms) * (1.0 + 2.0 * CLOCK_DRIFT_SHARE)
 
     def extend(self, proven_at_ms: float) -> None:
-        """Take over a proof as of some time, if it is newer than the present one."""
+        """Adopt a proof as of `proven_at_ms` if it is newer than the current one."""
         self.proven_at_ms = max(self.proven_at_ms, proven_at_ms)
 
     def request_statuses(self, now: float) -> list[Effect]:
-        """Ask some members, and as a voter all voters, what they hold."""
+        """Begin a quorum read: request the status of some members, and on a voter of all other voters."""
         replica = self.replica
-        # A proof spreads in about as many periods as the number of members has decimal digits: more are
-        # asked in a larger cluster.
+        # The number of members asked grows with the logarithm of the cluster size; a proof spreads in about
+        # as many periods as the number of members has decimal digits.
         recipients = set(replica.sample_members(ceil(log10(1.0 + len(replica.other_members)))))
         if replica.name in replica.voters:
             recipients |= replica.voters - {replica.name}
@@ -120,17 +123,18 @@
         return [SendMessage(name, request) for name in sorted(recipients)]
 
     def renew(self, read: QuorumRead) -> None:
-        """Take the responses of most voters, that nothing above the number was accepted, as a proof."""
+        """Extend the lease if a majority of the voters have accepted nothing above the number of the read."""
         if read.has_quorum and read.number <= self.replica.number:
             self.extend(read.at_ms)
 
     def receive_response(self, sender: str, status: StatusResponse) -> list[Effect]:
-        """Count a response to a quorum read, from a member that holds no later version than this one."""
+        """Count a response to a quorum read; the caller checks that the sender holds no later version."""
         read = self.reads.get(status.seq)
         if read is None:
             return []
         if status.age_ms >= 0.0:
-            # As of then nothing above the other's number was chosen, so nothing above this one's either.
+            # The sender's proof: at that time nothing above the sender's number was chosen, so nothing above
+            # this replica's number, which is no lower.
             self.extend(read.at_ms - status.age_ms)
         if sender not in read.voters or not status.votes:
             return []
@@ -138,12 +142,13 @@
         if status.accepted <= read.number:
             read.voters_without_later.add(sender)
             self.renew(read)
-        return self.bar_forgotten_votes(read)
+        return self.exclude_forgotten_votes(read)
 
-    def bar_forgotten_votes(self, read: QuorumRead) -> list[Effect]:
-        """Set up to which number not to vote, where this node's memory of its votes is lost.
+    def exclude_forgotten_votes(self, read: QuorumRead) -> list[Effect]:
+        """Set the number up to which this node does not vote, if its memory of its votes is lost.
 
-        It may have promised for the number after the newest chosen, which most of the others know of.
+        This node may have promised for the number after the newest one chosen, which a majority of the voters
+        have a promise for or hold.
         """
         replica, voter = self.replica, self.replica.voter
         if voter.votes_excluded_up_to is not None or voter.memory_is_elsewhere:
@@ -152,11 +157,11 @@
             return []
         excluded_up_to = max(*read.highest_promised.values(), replica.number) + 1
 
-        def record_bar(_now: float) -> list[Effect]:
+        def apply_exclusion(_now: float) -> list[Effect]:
             voter.votes_excluded_up_to = excluded_up_to
             first = excluded_up_to + 1
             return [
-                LogLine(f"fleet: votes again from version {first} on, its memory of earlier ones is lost")
+                LogLine(f"fleet: node votes again from version {first} on, memory of earlier votes is lost")
             ]
 
-        return [replica.persist((VotesExcluded(excluded_up_to),), record_bar)]
+        return [replica.persist((VotesExcluded(excluded_up_to),), apply_exclusion)]
--- a/marlseam/cluster/replication/replica.py
+++ b/marlseam/cluster/replication/replica.py
@@ -1,12 +1,12 @@
-"""Which version of the configuration a node holds and acts on; pure.
+"""The replica of the configuration on one node: which version the node holds and applies; pure.
 
-Versions 1, 2, 3... each have one content: the voters that the version before names agree on it (`paxos`,
-`voting`, `publication`). Whoever holds a version sends its status to members that lag, and these fetch the
-content (`fetch`): the deltas to it from the one that they hold, where these are fewer bytes, else the whole
-(`delta`, `content_store`). Either way it is held as a whole, and has the id that was asked for.
+Versions 1, 2, 3... have one content each, on which the voters named by the previous version agree (`paxos`,
+`voting`, `publication`). Members that hold a version send their status to members that lag, and these fetch
+the content (`fetch`): as deltas from the content that they hold if these are fewer bytes, else as a whole
+(`delta`, `content_store`). In both cases the content is stored as a whole, after its id was verified.
 
-A node relies on a version as long as a quorum read proves it to be in force (`quorum_lease`); whether it
-serves without such a proof is up to its settings (`serving`).
+A node relies on a version for one lease after a quorum read that proves the version to be in force
+(`quorum_lease`); whether the node serves without such a proof depends on its settings (`serving`).
 """
 
 from collections.abc import Callable
@@ -33,14 +33,14 @@
 
 __all__ = ["ConfigReplica", "PeerStatus", "ReplicationSettings"]
 
-PUSHED_MEMBERS = 4  # members told at once of a new version
-REQUEST_KINDS = ("prepare", "accept")  # of votes: a proposer's requests; the others are voters' answers
+PUSHED_MEMBERS = 4  # members to which a node sends its status as soon as it holds a new version
+REQUEST_KINDS = ("prepare", "accept")  # kinds of votes that proposers send; voters send the others as answers
 
 Continuation = Callable[[float], list[Effect]]
 
 
 class PeerStatus(NamedTuple):
-    """What a member last said of itself, and when that came; `votes`: whether it may vote on the next."""
+    """The last status received from a member, and when; `votes`: whether it may vote on the next version."""
 
     at_ms: float
     number: int
@@ -51,40 +51,41 @@
 
 
 class PendingVersion(NamedTuple):
-    """A version that is held as soon as it is durable."""
+    """A version that is being made durable and will be held after that."""
 
     number: int
     content_id: str
 
 
 def accept_any(_content: Content) -> str:
-    """Find nothing wrong with a content."""
+    """Return "", as for a content that passes the check; the default check of a replica."""
     return ""
 
 
 class ConfigReplica:
-    """One node's replica of the configuration. All times in ms, by the node's own clock.
+    """One node's replica of the configuration. All times are in ms, by the node's own clock.
 
-    Call `tick` when `next_ms` has come, `receive` for each message, `persisted` or `persist_failed` for each
-    `Persist`; each returns effects, to be carried out in order.
+    The adapter calls `tick` at `next_ms`, `receive` for each message, and `persisted` or `persist_failed` for
+    each `Persist`. All but `persist_failed` return effects, which must be carried out in order.
 
     Attributes:
-        name: this member's; `other_members` are the rest, sorted.
-        members, voters: who belongs, and who votes on the next version, as the version held names them.
+        name, other_members: the name of this member, and the sorted names of all others.
+        members, voters: the members of the cluster and the voters on the next version, as the version held
+            names them.
         number, content_id: the version held; 0 and "" before the first.
-        content: its content, where that can be read here.
-        applied_number: the version acted on: the one held, or an earlier one while that is unusable.
-        unusable_reason: why the version held cannot be used here, or nothing.
-        pending_version: what is being made durable, to be held then.
-        operator_override: why an operator shut this node out; None where none did.
-        disk_fault: why nothing can be made durable, or nothing; set by the adapter.
-        peers: what other members last said of themselves, by name.
+        content: content of the version held; None if it cannot be read on this node.
+        applied_number: the version applied: the one held, or an earlier one while that is unusable.
+        unusable_reason: why the version held cannot be used on this node, or "".
+        pending_version: the version that is being made durable and will be held after that.
+        operator_override: why an operator took this node out of service; None without an override.
+        disk_fault: why nothing can be made durable, or ""; set by the adapter.
+        peers: the last status of each other member, by name.
         next_ms: when `tick` is due.
-        check: says what is wrong with a content on this node, or nothing.
+        check: returns why a content cannot be used on this node, or "".
 
     """
 
-    # The parts, which tests replace by ones with a planted defect.
+    # Classes of the components; tests replace them by subclasses with a planted defect.
     store_type: ClassVar[type[ContentStore]] = ContentStore
     lease_type: ClassVar[type[QuorumLease]] = QuorumLease
     fetcher_type: ClassVar[type[ContentFetcher]] = ContentFetcher
@@ -102,7 +103,7 @@
         recovered: RecoveredLog,
         check: Callable[[Content], str] = accept_any,
     ) -> None:
-        """Begin with what was recovered; `proposer_id` must be this process's alone in the whole cluster."""
+        """Start from the recovered log; `proposer_id` must be unique to this process in the whole cluster."""
         self.name, self.members, self.settings = name, members, settings
         self.other_members = sorted(members - {name})
         self.random, self.check = RandomSource(seed), check
@@ -128,7 +129,7 @@
     # Entry points.
 
     def tick(self, now: float) -> list[Effect]:
-        """Send status requests and go on with what is under way, once a period."""
+        """Request statuses, retry stalled fetches and advance the publication, once per period."""
         if now < self.next_ms:
             return []
         self.next_ms = now + self.settings.period_ms * (0.75 + 0.5 * self.random())
@@ -137,7 +138,7 @@
         return effects + self.publisher.progress(now)
 
     def receive(self, now: float, sender: str, message: ReplicationMessage) -> list[Effect]:
-        """Take in a message."""
+        """Handle a message received from a member."""
         match message:
             case StatusRequest():
                 return self.receive_status_request(now, sender, message)
@@ -152,37 +153,49 @@
         return self.publisher.receive_vote(now, sender, message)
 
     def publish(self, now: float, data: bytes) -> list[Effect]:
-        """Have a content agreed on as the next version; nothing happens while `publisher` is busy."""
+        """Propose a content, given as bytes, as the next version; does nothing while `publisher` is busy."""
         return self.publisher.publish(now, data)
 
     def persisted(self, now: float, token: int) -> list[Effect]:
-        """Go on with what has become durable."""
+        """Run the continuation of the records with this token, which are durable now."""
         continuation = self.continuations.pop(token, None)
         return continuation(now) if continuation is not None else []
 
     def persist_failed(self, token: int) -> None:
-        """Drop what could not be made durable: it is as if it had not been asked for."""
+        """Drop the continuation of records that could not be made durable, as if never requested."""
         self.continuations.pop(token, None)
         self.pending_version = None
 
     def override_by_operator(self, why: str | None, wall_ms: float) -> Persist:
-        """Shut this node out on an operator's request, or with None bring it back, once that is durable."""
+        """Take this node out of service for the reason `why`, or with None return it to service.
+
+        For operators; takes effect once the override is durable. `wall_ms` is the current Unix time in ms.
+        """
 
         def apply_override(_now: float) -> list[Effect]:
             self.operator_override = why
-            return [LogLine("fleet code=hand: " + (f"out: {why}" if why is not None else "back"))]
+            return [
+                LogLine(
+                    "fleet code=hand: "
+                    + (
+                        f"taken out by an operator: {why}"
+                        if why is not None
+                        else "returned to service by an operator"
+                    )
+                )
+            ]
 
         return self.persist((OperatorOverride(why is not None, why or "", wall_ms),), apply_override)
 
     def take_over_memory(self, recovered: RecoveredLog) -> None:
-        """Take up this node's log, which another process of it had until now."""
+        """Adopt this node's log from another of its processes, which held it until now."""
         self.store.contents |= recovered.contents
         self.voter.take_over_memory(recovered)
 
-    # What the parts share.
+    # Functions shared by the components.
 
     def sample_members(self, count: int) -> list[str]:
-        """Return so many other members at random, or all; the cost does not grow with the cluster."""
+        """Return `count` other members at random, or all; the cost does not grow with the cluster."""
         if len(self.other_members) <= count:
             return list(self.other_members)
         found: dict[str, None] = {}
@@ -191,23 +204,23 @@
         return list(found)
 
     def random_member(self, default: str) -> str:
-        """Return another member at random; a default where there is none."""
+        """Return another member at random, or `default` if there is none."""
         return (self.sample_members(1) or [default])[0]
 
     def persist(self, records: tuple[LogRecord, ...], continuation: Continuation) -> Persist:
-        """Return the effect that makes records durable, and note what follows then."""
+        """Return the effect that makes records durable; `continuation` is called once they are."""
         self.last_token += 1
         self.continuations[self.last_token] = continuation
         return Persist(self.last_token, records)
 
     def read_content(self, content_id: str) -> Content:
-        """Return a stored content; raises InvalidContentError."""
+        """Decode a stored content; raises InvalidContentError."""
         return self.store.read(content_id, self.members)
 
     # Status of this node and of others.
 
     def send_status(self, now: float, recipient: str, sequence: int) -> list[Effect]:
-        """Tell a member what is held here; `sequence` is that of its request, 0 without one."""
+        """Send this node's status to a member; `sequence` is that of its request, 0 without a request."""
         if recipient == self.name:
             return []
         age_ms = self.lease.proof_age_ms(now)
@@ -227,14 +240,14 @@
         return [SendMessage(recipient, response)]
 
     def receive_status_request(self, now: float, sender: str, request: StatusRequest) -> list[Effect]:
-        """Answer with this node's status; ask back where the other holds a later version."""
+        """Answer with this node's status; request the sender's status if it holds a later version."""
         effects = self.send_status(now, sender, request.seq)
         if request.number > self.number:
             effects.append(SendMessage(sender, StatusRequest(0, self.number)))
         return effects
 
     def receive_status(self, now: float, sender: str, status: StatusResponse) -> list[Effect]:
-        """Take in what another member holds."""
+        """Handle another member's status: count it for the lease, or fetch the later version it holds."""
         if sender in self.members:
             self.peers[sender] = PeerStatus(
                 now, status.number, status.acting, status.serving, status.code, status.votes
@@ -247,7 +260,7 @@
         return self.fetcher.begin(status.id, status.number, sender) if status.id else []
 
     def receive_chunk(self, now: float, sender: str, chunk: Chunk) -> list[Effect]:
-        """Take in a part of a content; once it is whole, hold it and vote on it."""
+        """Handle a chunk; once the content is complete, hold it and handle its waiting accept request."""
         effects, completed = self.fetcher.receive_chunk(sender, chunk)
         if completed is None:
             return effects
@@ -258,19 +271,22 @@
     # Holding a version.
 
     def persist_and_hold(self, number: int, content_id: str) -> list[Effect]:
-        """Hold a version whose content is here, once that is durable."""
+        """Make a version durable whose content is stored, and hold it after that.
+
+        Ignored if that version or a later one is held or pending.
+        """
         pending = self.pending_version
         if number <= self.number or (pending is not None and pending.number >= number):
             return []
         if not self.may_be_version(content_id, number):
-            return [LogLine(f"fleet code=number: the content {content_id[:12]} is not of version {number}")]
+            return [LogLine(f"fleet code=number: content {content_id[:12]} is not that of version {number}")]
         data = self.store.contents[content_id]
         self.pending_version = PendingVersion(number, content_id)
 
         def on_durable(now: float) -> list[Effect]:
             if number <= self.number:
                 return []
-            self.store.contents[content_id] = data  # dropped meanwhile, where another version was held
+            self.store.contents[content_id] = data  # it may have been dropped when another version was held
             effects = self.hold(number, content_id)
             for name in self.sample_members(PUSHED_MEMBERS):
                 effects += self.send_status(now, name, 0)
@@ -279,14 +295,17 @@
         return [self.persist((ContentStored(content_id, data), VersionHeld(number, content_id)), on_durable)]
 
     def may_be_version(self, content_id: str, number: int) -> bool:
-        """Return whether a content is of a version; also where it cannot be read, which is told once held."""
+        """Return whether a content carries a version's number, or cannot be read.
+
+        An unreadable content is reported by `hold`.
+        """
         try:
             return self.read_content(content_id).number == number
         except InvalidContentError:
             return True
 
     def hold(self, number: int, content_id: str) -> list[Effect]:
-        """Hold a version, and act on it if it can be used here."""
+        """Hold a durable version, and apply it if it can be used on this node."""
         self.number, self.content_id, self.pending_version = number, content_id, None
         self.store.held_id = content_id
         if not self.unusable_reason:
@@ -297,19 +316,22 @@
         self.discard_unneeded(number)
         self.publisher.repropose_at_ms = None
         if content is None or self.unusable_reason:
-            text = f"version {number} cannot be used here: {self.unusable_reason}"
+            text = f"version {number} cannot be used on this node: {self.unusable_reason}"
             return [*effects, LogLine(f"fleet code=unfit: {text}")]
         self.applied_number = number
         return [*effects, ApplyContent(number, content_id, content)]
 
     def adopt_content(self, content_id: str) -> Content | None:
-        """Take voters and members from the content of the version held, and check it; None if unreadable."""
+        """Adopt voters and members from the content of the version held, and check it.
+
+        Returns the content, or None if it is unreadable; sets `unusable_reason`.
+        """
         self.content = None
         try:
             content = self.content = self.read_content(content_id)
         except InvalidContentError as error:
-            # Who votes on the next number is not known: the voters of an earlier one would prove what is not
-            # so, and others would take that over.
+            # The voters on the next number are unknown: quorum reads of the voters of an earlier version
+            # could give a false proof, which other members would adopt.
             self.unusable_reason, self.voters = str(error), frozenset()
             return None
         self.voters = frozenset(content.voters)
@@ -321,10 +343,10 @@
         return content
 
     def discard_unneeded(self, number: int) -> None:
-        """Drop contents, fetches and requests that nothing above a number needs."""
-        wanted = {state.value for state in self.voter.acceptor.promises.values()} | {self.content_id}
+        """Drop the contents, fetches and waiting accept requests that no number above `number` needs."""
+        needed = {state.value for state in self.voter.acceptor.promises.values()} | {self.content_id}
         if self.publisher.publication is not None:
-            wanted.add(self.publisher.publication.content_id)
-        self.store.retain(wanted)
+            needed.add(self.publisher.publication.content_id)
+        self.store.retain(needed)
         self.fetcher.drop_up_to(number)
         self.voter.forget_requests(number)
--- a/marlseam/cluster/replication/serving.py
+++ b/marlseam/cluster/replication/serving.py
@@ -1,4 +1,4 @@
-"""Whether a node may serve, given which version it holds, how that is proven, and its faults."""
+"""Decides whether a node may serve, given the version it holds, the proof of that version, and its faults."""
 
 from math import inf
 from typing import TYPE_CHECKING, NamedTuple
@@ -6,11 +6,11 @@
 if TYPE_CHECKING:
     from marlseam.cluster.replication.replica import ConfigReplica
 
-RECOVERY_PERIODS = 2.0  # for which a node must be without fault before it serves again
+RECOVERY_PERIODS = 2.0  # time without a fault before a node that left service serves again
 
 
 class ServingStatus(NamedTuple):
-    """Whether this node may serve, whether its version is proven to be in force, and a code for any fault."""
+    """Whether this node may serve, whether its version is proven to be in force, and a code for its fault."""
 
     is_serving: bool
     is_proven: bool
@@ -18,20 +18,21 @@
 
 
 class ServingRule:
-    """Decides on service; a policy apart from the agreement.
+    """Decides whether a node may serve; a policy apart from agreement. Times in ms by the replica's clock.
 
     Attributes:
-        status: as it was last evaluated.
-        started_ms: when the replica began.
+        status: the result of the last evaluation.
+        started_ms: when the replica started.
         recovered_ms: since when the node has been without fault; inf while it has one.
-        applied_proof_ms: as of when the version acted on was in force, where the one held is unusable.
-        highest_known_number: the highest version number heard of.
-        behind_since_ms: since when that is above the version held; inf if it never was.
+        applied_proof_ms: as of when the version applied was proven to be in force, if the version held is
+            unusable.
+        highest_known_number: the highest version number known from other members.
+        behind_since_ms: since when that number is above the version held; inf if it never was.
 
     """
 
     def __init__(self, replica: "ConfigReplica", now: float) -> None:
-        """Begin out of service, as one that joins."""
+        """Start out of service, with the code `joining`."""
         self.replica = replica
         self.status = ServingStatus(False, False, "joining")
         self.started_ms, self.recovered_ms = now, now
@@ -39,14 +40,14 @@
         self.highest_known_number, self.behind_since_ms = 0, inf
 
     def note_known_number(self, now: float, number: int) -> None:
-        """Take in that a version above the one held exists."""
+        """Record that another member holds a version above the one held here."""
         if number > self.highest_known_number:
             is_behind = self.highest_known_number > self.replica.number
             self.behind_since_ms = min(self.behind_since_ms, now) if is_behind else now
             self.highest_known_number = number
 
     def fault_code(self, now: float) -> str:
-        """Return why this node should not serve, as a code, or nothing."""
+        """Return the code of the fault for which this node must not serve, or "" if it has none."""
         replica = self.replica
         if replica.operator_override is not None:
             return "hand"
@@ -61,18 +62,18 @@
         return self.unproven_code(now)
 
     def lease_ms(self) -> float:
-        """Return for how long a proof is good here."""
+        """Return how long a proof is valid on this member, in ms of its own clock."""
         return self.replica.lease.staggered_lease_ms()
 
     def unusable_code(self, now: float) -> str:
-        """Return the code of a node that cannot use the version it holds, or nothing while it serves on."""
+        """Return the code of a node that cannot use the version held, or "" while it may serve without it."""
         if self.replica.settings.strict:
-            # Not at once: by their own leases, one after another, where all are strict.
+            # Not at once: strict nodes leave service one after another, each at the end of its own lease.
             return "unfit" if now >= self.applied_proof_ms + self.lease_ms() else ""
-        return "" if self.is_among_most_unable(now) else "unfit"
+        return "" if self.is_majority_unable(now) else "unfit"
 
     def unproven_code(self, now: float) -> str:
-        """Return the code of a node without a proof, or nothing while it has one or may serve without."""
+        """Return the code of a node without a proof, or "" while it has a proof or may serve without one."""
         settings, lease = self.replica.settings, self.replica.lease
         if lease.is_proven(now):
             return ""
@@ -83,13 +84,13 @@
         return "unproved" if settings.strict or now >= since + self.max_unproven_ms() else ""
 
     def max_unproven_ms(self) -> float:
-        """Return for how long a node that is not strict serves on without a proof."""
+        """Return how long this node, if not strict, continues to serve without a proof, in ms."""
         return self.replica.settings.serve_ms * self.replica.lease.staggered_share()
 
-    def is_among_most_unable(self, now: float) -> bool:
-        """Return whether too few others act on the version held for this one to leave service.
+    def is_majority_unable(self, now: float) -> bool:
+        """Return whether fewer than half of the recently seen members, with this one, can use the version.
 
-        Guards a cluster of which most cannot use a version against shutting itself out in one stroke.
+        Guards against all nodes leaving service at once when most of them cannot use a version.
         """
         since = now - self.replica.settings.lease_ms
         recent = [peer for peer in self.replica.peers.values() if peer.at_ms >= since]
@@ -97,7 +98,10 @@
         return 2 * able < len(recent) + 1
 
     def evaluate(self, now: float) -> ServingStatus:
-        """Return whether it may serve now; once out it must be without fault for a while to come back."""
+        """Evaluate and return the serving status.
+
+        A node that left service returns only after `RECOVERY_PERIODS` without a fault.
+        """
         code = self.fault_code(now)
         if code:
             self.recovered_ms = inf
@@ -113,13 +117,13 @@
         return self.status
 
     def may_resume(self, now: float) -> bool:
-        """Return whether a node without fault serves on, serves for the first time, or comes back."""
+        """Return whether a node without a fault may serve: it serves already, never did, or has recovered."""
         if self.status.is_serving or self.status.code == "joining":
             return True
         return now >= self.recovered_ms + RECOVERY_PERIODS * self.replica.settings.period_ms
 
     def next_change_ms(self, now: float) -> float:
-        """Return until when the status as evaluated holds, if nothing is heard; inf for always."""
+        """Return when the status may change next if no message is received, in ms; inf if it does not."""
         settings, lease = self.replica.settings, self.replica.lease
         times = [
             lease.expires_ms(),
--- a/marlseam/cluster/replication/settings.py
+++ b/marlseam/cluster/replication/settings.py
@@ -4,13 +4,15 @@
 
 
 class ReplicationSettings(NamedTuple):
-    """What the node's settings say of replication.
+    """The replication parameters of a node.
 
-    voters: who votes on version 1; later voters are named by each version for the next.
-    period_ms: between two rounds of status requests, plus or minus a quarter.
-    lease_ms: how long after a quorum read its result may be relied on; the longest over all members.
-    strict: whether a node without a proof leaves service. Otherwise it serves on, marked as unproven.
-    serve_ms: how long a node that is not strict serves on without a proof; the longest over all members.
+    voters: members that vote on version 1; each version names the voters on the next one.
+    period_ms: time between two rounds of status requests, with a jitter of plus or minus a quarter.
+    lease_ms: how long a proof is valid after the quorum read that gave it; an upper bound for all members,
+        of which each uses its own share.
+    strict: whether a node without a proof leaves service; if not, it continues to serve, marked as unproven.
+    serve_ms: how long a node that is not strict continues to serve without a proof; an upper bound for all
+        members, of which each uses its own share.
     """
 
     voters: frozenset[str]
--- a/marlseam/cluster/replication/voting.py
+++ b/marlseam/cluster/replication/voting.py
@@ -1,4 +1,7 @@
-"""A replica as a voter: it accepts only contents that it holds durably and that pass its own check."""
+"""A replica as a Paxos acceptor: it accepts only contents that are stored here and pass the node's check.
+
+The content and the promise are made durable together before the answer is sent.
+"""
 
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -24,7 +27,7 @@
 
 
 def vote_of(message: paxos.Message, why: str = "") -> VoteMessage:
-    """Return a message of agreement as it is sent; `why` says what is wrong with a refused content."""
+    """Return a Paxos message in its wire form; `why` is the reason for which a content is refused."""
     number, (round_number, place) = message.number, message.ballot
     match message:
         case Prepare():
@@ -40,7 +43,7 @@
 
 
 def message_of(vote: VoteMessage, sender: str) -> paxos.Message:
-    """Return what was sent as a message of agreement."""
+    """Return the Paxos message of a vote received from `sender`; the inverse of `vote_of`."""
     ballot, other = (vote.round, vote.place), (vote.other_round, vote.other_place)
     match vote.kind:
         case "prepare":
@@ -55,7 +58,7 @@
 
 
 def request_of(vote: VoteMessage) -> Prepare | Accept:
-    """Return a proposer's request as a message of agreement."""
+    """Return the Paxos request, prepare or accept, of a vote received from a proposer."""
     ballot = (vote.round, vote.place)
     if vote.kind == "accept":
         return Accept(vote.number, ballot, vote.value)
@@ -63,26 +66,27 @@
 
 
 class AwaitingRequest(NamedTuple):
-    """A request to accept a content that has not come, and its proposer."""
+    """An accept request whose content has not been received yet, and the proposer that sent it."""
 
     proposer: str
     vote: VoteMessage
 
 
 class Voter:
-    """The acceptor of a replica, and what it may vote on.
+    """The acceptor of a replica, and the numbers on which it may vote.
 
     Attributes:
-        acceptor: promises in memory, which may be ahead of the disk.
-        durable_promises: promises that are on the disk, by version number.
-        votes_excluded_up_to: votes on no number up to it; None: on none until it is known.
-        memory_is_elsewhere: whether another process of this node has its memory of votes.
-        awaiting_content: requests by the id of a content that has not come.
+        acceptor: the acceptor; its promises in memory may be newer than those on disk.
+        durable_promises: promises that are on disk, by version number.
+        votes_excluded_up_to: the highest number on which this node does not vote, as it may have lost its
+            memory of votes up to there; None: it votes on no number until that bound is determined.
+        memory_is_elsewhere: whether the node's memory of votes is in another of its processes.
+        awaiting_content: accept requests whose content is being fetched, by content id.
 
     """
 
     def __init__(self, replica: "ConfigReplica", recovered: RecoveredLog) -> None:
-        """Begin with the promises that were recovered from disk."""
+        """Start with the promises recovered from disk."""
         self.replica = replica
         self.acceptor = Acceptor(replica.name, dict(recovered.promises))
         self.durable_promises = dict(recovered.promises)
@@ -91,14 +95,14 @@
         self.awaiting_content: dict[str, AwaitingRequest] = {}
 
     def take_over_memory(self, recovered: RecoveredLog) -> None:
-        """Take up this node's memory of votes, which another process of it had until now."""
+        """Adopt this node's memory of votes from another of its processes, which held it until now."""
         for number, promise in recovered.promises.items():
             if number > self.replica.number:
                 self.acceptor.promises[number] = self.durable_promises[number] = promise
         self.votes_excluded_up_to, self.memory_is_elsewhere = recovered.votes_excluded_up_to, False
 
     def may_vote(self, number: int) -> bool:
-        """Return whether this node is a voter on a number and its memory of votes on it is whole."""
+        """Return whether this node is a voter on a number and has a complete memory of its votes on it."""
         excluded_up_to = self.votes_excluded_up_to
         return (
             self.replica.name in self.replica.voters
@@ -107,28 +111,32 @@
         )
 
     def highest_promised(self) -> int:
-        """Return the highest number of which anything was promised, accepted or held."""
+        """Return the highest number for which anything was promised or accepted, or which is held."""
         return max([self.replica.number, *self.acceptor.promises])
 
     def highest_accepted(self) -> int:
-        """Return the highest number for which any content was accepted, or is held."""
+        """Return the highest number for which a content was accepted, or which is held."""
         accepted = [n for n, state in self.acceptor.promises.items() if state.accepted > NO_BALLOT]
         return max([self.replica.number, *accepted])
 
     def forget_promises(self, number: int) -> None:
-        """Drop the promises for numbers up to one that is held."""
+        """Drop the promises for numbers up to `number`, the version held."""
         for old in [n for n in self.acceptor.promises if n <= number]:
             del self.acceptor.promises[old]
             self.durable_promises.pop(old, None)
 
     def forget_requests(self, number: int) -> None:
-        """Drop the requests for numbers up to one whose contents nothing needs."""
+        """Drop the waiting accept requests for numbers up to `number`."""
         self.awaiting_content = {
             key: request for key, request in self.awaiting_content.items() if request.vote.number > number
         }
 
     def receive_request(self, now: float, sender: str, vote: VoteMessage) -> list[Effect]:
-        """Answer a proposer, once what is promised is durable."""
+        """Handle a proposer's request; the answer is sent once the promise is durable.
+
+        A proposer for a version already held receives this node's status. If the proposer is ahead by more
+        than one version, its status is requested, so that this node can catch up.
+        """
         replica = self.replica
         if vote.number <= replica.number:
             return replica.send_status(now, sender, 0)
@@ -146,22 +154,22 @@
         return self.vote(now, sender, vote)
 
     def await_content(self, sender: str, vote: VoteMessage) -> list[Effect]:
-        """Fetch a content that is to be accepted, and answer once it has come."""
+        """Fetch the content of an accept request, which is answered once the content is received."""
         self.awaiting_content.pop(vote.value, None)
         self.awaiting_content[vote.value] = AwaitingRequest(sender, vote)
         if len(self.awaiting_content) > MAX_FETCHES:
-            # Guards the memory: the oldest is requested again, if it is still wanted.
+            # Bounds the memory used: the proposer repeats the dropped oldest request if it is still open.
             del self.awaiting_content[next(iter(self.awaiting_content))]
         return self.replica.fetcher.begin(vote.value, 0, sender)
 
     def content_received(self, now: float, content_id: str) -> list[Effect]:
-        """Answer the request that waits for a content, if there is one."""
+        """Handle the accept request that waits for a content, if there is one."""
         if content_id not in self.awaiting_content:
             return []
         return self.receive_request(now, *self.awaiting_content.pop(content_id))
 
     def content_fault(self, vote: VoteMessage) -> str:
-        """Return what is wrong with a content that is to be accepted, or nothing."""
+        """Return why the content of an accept request cannot be accepted here, or "" if it can."""
         replica = self.replica
         try:
             content = replica.read_content(vote.value)
@@ -169,25 +177,26 @@
             return str(error)
         if content.number != vote.number or content.before != replica.content_id:
             found = f"number {content.number} after {content.before[:12]}"
-            return f"{found}, {vote.number} after {replica.content_id[:12]}"
+            return f"{found}, expected {vote.number} after {replica.content_id[:12]}"
         return replica.check(content)
 
     def refuse_content(self, now: float, sender: str, vote: VoteMessage, fault: str) -> list[Effect]:
-        """Tell a proposer that its content cannot be used here."""
-        held = self.acceptor.promises.get(vote.number, AcceptorState())
-        refused = Refused(vote.number, (vote.round, vote.place), held.ballot)
+        """Answer a proposer with a refusal, as its content cannot be used on this node; the state stays."""
+        state = self.acceptor.promises.get(vote.number, AcceptorState())
+        refused = Refused(vote.number, (vote.round, vote.place), state.ballot)
         return self.answer(now, sender, vote_of(refused, fault[: messages.MAX_REASON_CHARACTERS]))
 
     def vote(self, now: float, sender: str, vote: VoteMessage) -> list[Effect]:
-        """Have the acceptor decide on a request; make its promise durable before it is sent."""
+        """Let the acceptor decide on a request; its new state is made durable before the answer is sent."""
         number = vote.number
         state, response = self.acceptor.handle(request_of(vote))
         if state is None:
-            # A repeat: sent again only where the first is on the disk.
+            # A repeated request: answered again only if the state of the first answer is on disk.
             is_durable = self.durable_promises.get(number) == self.acceptor.promises.get(number)
             may_send = is_durable or isinstance(response, Refused)
             return self.answer(now, sender, vote_of(response)) if may_send else []
-        # In memory at once, so that what comes while the disk works meets it; sent once it is written.
+        # Recorded in memory at once, so that requests that arrive during the write are decided on the new
+        # state; the answer is sent once the state is written.
         self.acceptor.record(number, state)
         records: tuple[LogRecord, ...] = (
             AcceptorPromise(number, *state.ballot, *state.accepted, state.value),
@@ -204,7 +213,7 @@
         return [self.replica.persist(records, send_durable)]
 
     def answer(self, now: float, proposer: str, vote: VoteMessage) -> list[Effect]:
-        """Answer a proposer, maybe this node."""
+        """Send a vote to a proposer; if the proposer is this node, hand the vote to its publisher."""
         if proposer == self.replica.name:
             return self.replica.publisher.receive_vote(now, proposer, vote)
         return [SendMessage(proposer, vote)]
--- a/tests/test_content_fetch.py
+++ b/tests/test_content_fetch.py
@@ -242,7 +242,7 @@
         exchange(source, reader, effects, deliver)
         assert reader.number in (place, 6)
         for fetch in reader.fetcher.fetches.values():
-            assert len(fetch.ahead) <= WINDOW_CHUNKS
+            assert len(fetch.out_of_order) <= WINDOW_CHUNKS
             assert len(fetch.received) <= max(map(len, datas))
         if reader.number == 6:
             break
@@ -306,7 +306,7 @@
     after = dict(reader.store.contents), {id: fetch.next_request() for id, fetch in fetches.items()}
     assert after == before
     assert reader.store.transfer_counts[code] == 1
-    assert not any(f.ahead for f in reader.fetcher.fetches.values())
+    assert not any(f.out_of_order for f in reader.fetcher.fetches.values())
 
 
 def test_a_wrong_size_delays_a_fetch_by_at_most_the_stalled_periods():
--- a/tests/test_publication.py
+++ b/tests/test_publication.py
@@ -75,7 +75,7 @@
     assert operator.publisher.result.startswith("version 1 is")
     following = make_content(settings={"x": 2})
     assert operator.publish(1.0, write(following)) == []
-    assert operator.publisher.busy_reason() == "busy: version 1 is being written here"
+    assert operator.publisher.busy_reason() == "busy: version 1 is being written on this node"
     assert operator.publisher.publication is None
     # Whoever published it still waits to read this.
     assert operator.publisher.result.startswith("version 1 is")
@@ -84,11 +84,12 @@
     operator.publish(3.0, write(following))
     assert operator.publisher.result == "open"
     assert operator.publisher.publication.proposer.number == 2
-    assert operator.publisher.busy_reason() == "busy: a publication is under way here"
+    assert operator.publisher.busy_reason() == "busy: a publication is in progress on this node"
 
 
 @pytest.mark.parametrize(
-    ("is_own", "number", "result"), [(True, 1, "version 1 is"), (False, 1, "beaten"), (False, 2, "not known")]
+    ("is_own", "number", "result"),
+    [(True, 1, "version 1 is"), (False, 1, "superseded"), (False, 2, "not known")],
 )
 def test_a_publication_ends_as_soon_as_its_number_is_held(is_own, number, result):
     # Guards against a publication that blocks the next one: voters no longer vote on its number.
