--- a/marlseam/cluster/audit.py
+++ b/marlseam/cluster/audit.py
@@ -1,7 +1,6 @@
-"""Which node acted on which version: what ledgers say together, and what is wrong in them; pure.
+"""The audit of ledgers: which node acted on which version, and what violates the rules or is missing; pure.
 
-Times are Unix ms by the clock of each node's machine; between machines they are as far apart as `error_ms`
-says.
+Times are Unix ms by the clock of each node's machine; the clocks of two machines differ by up to `error_ms`.
 """
 
 from collections.abc import Iterable, Mapping
@@ -34,21 +33,21 @@
     "proved": "proved",
     "serving": "serving",
     "code": "code",
-}  # of a row: the keys that operators' programs read, and fields of IntervalBegun
+}  # fields of IntervalBegun, by the key of a row that operators' programs read
 SENT = ACTS.index("sent")
 
 Counts = tuple[int, ...]
 
 
 class CountMark(NamedTuple):
-    """The counts of an interval as they were written at some time."""
+    """The cumulative counts of an interval, as recorded at a time."""
 
     at_ms: float
     counts: Counts
 
 
 class UnknownPeriod(NamedTuple):
-    """From when to when actions of a process that was killed may be missing; inf where it has no end."""
+    """The period in which actions of a killed process may be missing; `to_ms` is inf if it is open."""
 
     from_ms: float
     to_ms: float
@@ -59,10 +58,10 @@
     """One interval of a process.
 
     Attributes:
-        begun: what its actions stood on, and since when.
-        ended_ms: when the next began; None where it lasted to the process's end.
-        counts: its actions, by ACTS.
-        marks: the counts as they grew.
+        begun: the record of its start, with the version that its actions are based on.
+        ended_ms: when the next interval began; None if the interval lasted to the end of the process.
+        counts: total counts of its actions, in the order of ACTS.
+        marks: the counts recorded over time.
 
     """
 
@@ -72,7 +71,11 @@
     marks: list[CountMark] = field(default_factory=list)
 
     def sent_after(self, at_ms: float) -> int:
-        """Return how many attempts provably were sent after a time."""
+        """Return how many attempts were certainly sent after a time.
+
+        An attempt counts if it was sent between two recorded counts of which the earlier is not before
+        `at_ms`.
+        """
         sent, last_sent, last_ms = 0, 0, self.begun.wall_ms
         for mark in sorted(self.marks):
             if last_ms >= at_ms:
@@ -86,14 +89,15 @@
     """One process of a node.
 
     Attributes:
-        started: its incarnation, program and machine.
-        shift_ms: from its wall clock onto its machine's scale of time, whatever that clock was set to.
-        last_ms: when it was last heard of.
-        counted_ms: as of when its actions are known.
-        intervals: by number.
-        ended: whether it ended by itself.
-        is_complete: whether its first interval is in what is kept.
-        unknown: when its actions may be missing.
+        started: the record of its start, with its generation, program and machine.
+        shift_ms: added to its wall clock times so that all processes since one start of the machine use one
+            time scale, even if the wall clock was changed in between.
+        last_ms: time of its last record.
+        counted_ms: time of its last counts, up to which its actions are known.
+        intervals: its intervals, by number.
+        ended: whether it ended in an orderly way.
+        is_complete: whether its first interval must be in the files that are kept.
+        unknown: the period in which its actions may be missing; None if there is none.
 
     """
 
@@ -107,19 +111,19 @@
     unknown: UnknownPeriod | None = None
 
     def sorted_intervals(self) -> list[Interval]:
-        """Return the intervals in their order."""
+        """Return the intervals in the order of their numbers."""
         return [self.intervals[number] for number in sorted(self.intervals)]
 
 
 @dataclass
 class Audit:
-    """What ledgers say together.
+    """The combined result of several ledgers.
 
     Attributes:
         processes: by node, in the order of their start.
-        first_held_ms: when each content of a version was first held anywhere, by number and id.
-        findings: what is wrong.
-        boot_zero_ms: the Unix time that times of a machine count from, by the machine's start.
+        first_held_ms: when each content of a version was first held by any node, by number and content id.
+        findings: violations and gaps that were found, as texts.
+        boot_zero_ms: the Unix time of a machine's start to which its times are aligned, by `boot`.
 
     """
 
@@ -132,9 +136,9 @@
 def read(
     ledgers: Mapping[str, list[list[LogRecord]]], running: Iterable[str] = (), error_ms: float = 100.0
 ) -> Audit:
-    """Return the audit of nodes' ledgers, each a list of chains of records.
+    """Audit ledgers, given by node name as lists of chains of records.
 
-    The last process of a `running` node has not ended; clocks of machines differ by up to `error_ms`.
+    The last process of a node in `running` has not ended; clocks of machines differ by up to `error_ms`.
     """
     audit = Audit()
     for node, chains in sorted(ledgers.items()):
@@ -152,17 +156,17 @@
 
 
 class NodeReader:
-    """Reads the chains of one node; `processes` are by incarnation."""
+    """Reads the chains of one node; `processes` is keyed by generation."""
 
     def __init__(self, audit: Audit, node: str) -> None:
-        """Begin without any record."""
+        """Start without any record."""
         self.audit, self.node = audit, node
         self.processes: dict[int, Process] = {}
-        self.held: set[tuple[int, str]] = set()  # versions whose first time was taken
-        self.chain_counts: dict[tuple[int, int], Counts] = {}  # so far in this chain, by process and interval
+        self.held: set[tuple[int, str]] = set()  # (number, id) of versions whose first time was read
+        self.chain_counts: dict[tuple[int, int], Counts] = {}  # of this chain, by (generation, interval)
 
     def read_chain(self, records: list[LogRecord]) -> None:
-        """Take in one chain."""
+        """Read the records of one chain."""
         process: Process | None = None
         is_past_first_batch = False
         self.chain_counts = {}
@@ -176,8 +180,9 @@
             is_past_first_batch = is_past_first_batch or isinstance(record, BatchWritten)
 
     def read_start(self, record: ProcessStarted, is_past_first_batch: bool) -> Process:
-        """Take in that a process started."""
-        # Also from another chain: it moved on when the node's ledger was its own.
+        """Read the start of a process, and return the process."""
+        # The process may be known from another chain: it moves on to the node's main ledger once that is
+        # free.
         is_known = record.generation in self.processes
         shift_ms = self.audit.boot_zero_ms.setdefault(record.boot, record.zero_ms) - record.zero_ms
         started = replace(record, wall_ms=record.wall_ms + shift_ms)
@@ -185,23 +190,24 @@
             record.generation,
             Process(started, shift_ms, last_ms=started.wall_ms, counted_ms=started.wall_ms),
         )
-        # What stands in a file's first batch is told again: a process may have begun in a file that is gone.
+        # The first batch of a file repeats earlier records: the process may have started in a file that is no
+        # longer kept.
         process.is_complete = process.is_complete if is_known else is_past_first_batch
         return process
 
     def read_held(self, record: VersionHeld, process: Process | None) -> None:
-        """Take in when a version was first held here."""
+        """Read when a version was first held on this node."""
         version = record.number, record.id
         if not record.wall_ms or version in self.held:
             return
-        # Told once: later files begin with it again, and not on their own process's scale.
+        # Only the first record counts: later files repeat it, on the time scale of another process.
         self.held.add(version)
         at_ms = record.wall_ms + (process.shift_ms if process is not None else 0.0)
         first_ms = self.audit.first_held_ms.setdefault(record.number, {})
         first_ms[record.id] = min(first_ms.get(record.id, inf), at_ms)
 
     def read_action_record(self, record: IntervalBegun | ActionCounts | ProcessEnded) -> None:
-        """Take in what a process wrote of its actions."""
+        """Read a record about the actions of a process; ignored if the process is unknown."""
         process = self.processes.get(record.generation)
         if process is None:
             return
@@ -216,34 +222,38 @@
                 process.ended = True
 
     def read_interval(self, record: IntervalBegun, process: Process) -> None:
-        """Take in that an interval began."""
+        """Read the start of an interval."""
         interval = process.intervals.setdefault(record.interval, Interval(record))
         if interval.begun != record:
-            self.report(f"two intervals {record.interval} of life {record.generation}")
+            self.report(f"two different intervals {record.interval} of generation {record.generation}")
 
     def read_counts(self, record: ActionCounts, process: Process) -> None:
-        """Take in the counts of some intervals."""
+        """Read the counts of some intervals."""
         process.counted_ms = max(process.counted_ms, record.wall_ms)
         for number, *row in record.rows:
             interval, counts = process.intervals.get(number), tuple(row)
             if interval is None:
-                self.report(f"acts in interval {number} of life {record.generation}, which is missing")
+                self.report(
+                    f"actions in interval {number} of generation {record.generation}, which is missing"
+                )
                 continue
-            # In one chain they only grow; another chain's may come later here and be earlier.
+            # Counts only grow within one chain; a chain that is read later may hold older counts.
             earlier = self.chain_counts.get((record.generation, number), ())
             if any(count < before for count, before in zip(counts, earlier, strict=False)):
-                self.report(f"fewer acts in interval {number} of life {record.generation} than before")
+                self.report(
+                    f"fewer actions in interval {number} of generation {record.generation} than before"
+                )
             self.chain_counts[record.generation, number] = counts
             interval.counts = tuple(map(max, counts, interval.counts))
             interval.marks.append(CountMark(record.wall_ms, counts))
 
     def report(self, text: str) -> None:
-        """Note something that is wrong."""
+        """Add a finding about this node."""
         self.audit.findings.append(f"{self.node}: {text}")
 
 
 def close_intervals(audit: Audit, node: str, is_running: bool) -> None:
-    """End intervals where the next begins, and tell what is missing or unknown."""
+    """Set the ends of intervals and the unknown periods of killed processes, and report missing intervals."""
     processes = audit.processes[node]
     for i, process in enumerate(processes):
         for interval, following in pairwise(process.sorted_intervals()):
@@ -252,37 +262,39 @@
         is_last = i == len(processes) - 1
         if not process.ended and not (is_running and is_last):
             next_start_ms = inf if is_last else processes[i + 1].started.wall_ms
-            # Since the last counts, not the last record: an interval may have begun after actions that were
-            # not counted.
+            # Unknown since the last counts, not since the last record: actions may have gone uncounted before
+            # a later interval began.
             process.unknown = UnknownPeriod(process.counted_ms, next_start_ms)
 
 
 def find_missing_intervals(audit: Audit, node: str, process: Process) -> None:
-    """Report intervals that a process must have had and that are not in its ledger."""
+    """Report the gaps in the interval numbers of a process."""
     numbers = process.intervals.keys()
     first = min(numbers) if numbers and not process.is_complete else 1
     missing = sorted(set(range(first, max(numbers, default=0) + 1)) - numbers)
     if missing:
-        audit.findings.append(f"{node}: intervals {missing} of life {process.started.generation} are missing")
+        audit.findings.append(
+            f"{node}: intervals {missing} of generation {process.started.generation} are missing"
+        )
 
 
 def find_two_contents(audit: Audit) -> None:
-    """Report versions that were held with more than one content."""
+    """Report versions that nodes held with different contents."""
     for number, ids in sorted(audit.first_held_ms.items()):
         if len(ids) > 1:
             audit.findings.append(f"version {number} has {len(ids)} contents: {', '.join(sorted(ids))}")
 
 
 def find_overlapping_processes(audit: Audit, node: str, error_ms: float) -> None:
-    """Report processes of one name of which the later was not to run beside the earlier."""
+    """Report processes of one node that overlapped although the later one was not permitted to (`beside`)."""
     for earlier, later in pairwise(audit.processes[node]):
         if earlier.last_ms > later.started.wall_ms + error_ms and not later.started.beside:
-            overlap = f"life {later.started.generation} began before {earlier.started.generation} was over"
+            overlap = f"generation {later.started.generation} began before {earlier.started.generation} ended"
             audit.findings.append(f"{node}: {overlap}")
 
 
 def find_stale_actions(audit: Audit, node: str, held_since_ms: Mapping[int, float], error_ms: float) -> None:
-    """Report attempts sent on a version, as proven, later than a lease after the next one was held."""
+    """Report attempts sent on a version as proven, later than one lease after a newer one was first held."""
     for process in audit.processes[node]:
         lease_ms = process.started.lease_ms
         for interval in process.intervals.values():
@@ -291,13 +303,13 @@
             count = interval.sent_after(newer_ms + lease_ms + error_ms)
             if count and begun.proved:
                 audit.findings.append(
-                    f"{node}: {count} acts on version {begun.number}, as proved, in interval "
-                    f"{begun.interval} of life {process.started.generation}, past {lease_ms:.0f} ms"
+                    f"{node}: {count} attempts sent on version {begun.number}, as proven, in interval "
+                    f"{begun.interval} of generation {process.started.generation}, past {lease_ms:.0f} ms"
                 )
 
 
 def interval_at(audit: Audit, node: str, at_ms: float) -> Interval | None:
-    """Return the interval of a node that some time lies in."""
+    """Return the interval of a node that contains a time, or None."""
     for process in audit.processes.get(node, ()):
         open_end_ms = process.last_ms if process.ended else inf
         for interval in process.intervals.values():
@@ -308,7 +320,10 @@
 
 
 def rows(audit: Audit, since_ms: float = 0.0, node: str | None = None) -> list[dict[str, Any]]:
-    """Return each interval as a row, by node and time; the keys are those that operators' programs read."""
+    """Return the intervals that ended at `since_ms` or later as rows, sorted by node and time.
+
+    The keys of a row are those that operators' programs read. `node` limits the rows to one node.
+    """
     found = []
     for name, processes in audit.processes.items():
         for process in processes if node in (None, name) else ():
@@ -317,7 +332,7 @@
 
 
 def process_rows(node: str, process: Process, since_ms: float) -> list[dict[str, Any]]:
-    """Return the intervals of a process that lasted beyond a time, as rows."""
+    """Return the intervals of a process that ended at a time or later, as rows."""
     found = []
     intervals = process.sorted_intervals()
     for interval in intervals:
--- a/marlseam/cluster/audit_log.py
+++ b/marlseam/cluster/audit_log.py
@@ -1,10 +1,10 @@
-"""What a node writes down of itself in its ledger, append-only and chained by digest; pure.
+"""The records of a node's ledger, which is append-only and chained by digest; pure.
 
-Each record stands behind the digest of the record before it, over all files, so that none can be left out,
-changed or put in another's place unseen. An action (a request accepted, an attempt sent, a response, a
-rejection) lies in one interval of one process: from one `IntervalBegun` to the next. `ActionCounts` counts
-actions by interval, as a whole: later counts of an interval replace earlier ones. What came after the last
-counts of a process that was killed is not known.
+Each record is preceded by the digest of the previous record, across all files, so that a record that is left
+out, changed or moved is detected. An action (a request accepted, an attempt sent, a response, a rejection)
+belongs to one interval of one process: from one `IntervalBegun` to the next. `ActionCounts` holds cumulative
+counts of actions per interval: later counts of an interval replace earlier ones. Actions of a killed process
+after its last counts are unknown.
 
 Times in `wall_ms` are Unix ms, those in `mono_ms` are ms of the process's own clock.
 """
@@ -18,39 +18,40 @@
 
 from marlseam.cluster.replication.paxos import NO_BALLOT, AcceptorState
 
-DIGEST_BYTES = 16  # of a digest in the chain
-START = b"\0" * DIGEST_BYTES  # what the first record stands behind
-ACTS = ("taken", "sent", "answered", "refused")  # what is counted, as operators read it
+DIGEST_BYTES = 16  # length of a digest in the chain, a truncated SHA-256
+START = b"\0" * DIGEST_BYTES  # takes the place of the previous digest before the first record
+ACTS = ("taken", "sent", "answered", "refused")  # counted kinds of actions, as shown to operators
 
 
 class LedgerBegun(msgspec.Struct, tag="begun", array_like=True, frozen=True):
-    """A node's first ledger: whatever is not in it has not happened."""
+    """The first record of a node's first ledger: anything that is not in the ledger has not happened."""
 
     wall_ms: float
 
 
 class FileOpened(msgspec.Struct, tag="opened", array_like=True, frozen=True):
-    """A file begins, with this number in its file system: a copy of it has another."""
+    """A file begins; `inode` is its inode number, by which a copy of the file is detected."""
 
     inode: int
 
 
 class BatchWritten(msgspec.Struct, tag="written", array_like=True, frozen=True):
-    """The records up to here were written together."""
+    """The records since the previous `BatchWritten` were written together."""
 
     wall_ms: float
 
 
 class ProcessStarted(msgspec.Struct, tag="life", array_like=True, frozen=True):
-    """A process begins.
+    """A process starts.
 
     Attributes:
-        generation: its own among the node's processes, as in membership.
-        program: the program's version.
-        boot: the start of the machine that it runs on.
-        lease_ms: for how long after a newer version was chosen it may act on an older one as proven.
-        beside: whether another process of the node may go on, as in an upgrade.
-        zero_ms: the Unix time of the machine's start: it makes times of one machine comparable.
+        generation: unique number of the process among those of the node, as in membership.
+        program: version of the program.
+        boot: the kernel's id of the start of the machine on which the process runs; "" if not known.
+        lease_ms: how long after a newer version was chosen the process may act on an older one as proven.
+        beside: whether an earlier process of the node may continue to run, as during an upgrade.
+        zero_ms: Unix time of the machine's start, by which times of one machine are comparable even if its
+            wall clock was changed.
 
     """
 
@@ -65,17 +66,18 @@
 
 
 class IntervalBegun(msgspec.Struct, tag="acting", array_like=True, frozen=True):
-    """An interval begins: from here on actions stand on this.
+    """An interval begins; actions after this record are based on the state that it describes.
 
     Attributes:
-        process_number, program: as of `ProcessStarted`.
-        interval: its number in the process, from 1 on.
-        number, id: the version acted on, and its content's id ("" where a later one is held).
-        settings_digest: of the settings in force, another than the version's where a file of the node's own
-            was let in.
+        generation, program: as in `ProcessStarted`.
+        interval: number of the interval in the process, from 1 on.
+        number, id: the version applied, and the id of its content; the id is "" while a later version is
+            held.
+        settings_digest: digest of the settings in force; differs from that of the version if the node was
+            permitted to use a settings file of its own.
         endpoint_list_version: the version of the endpoint list.
         proved: whether the version is proven to be in force.
-        serving, code: whether the node serves, and what is wrong.
+        serving, code: whether the node serves, and the code of its fault.
 
     """
 
@@ -94,7 +96,7 @@
 
 
 class ActionCounts(msgspec.Struct, tag="mark", array_like=True, frozen=True):
-    """Counts of some intervals so far: (interval, taken, sent, answered, refused)."""
+    """Cumulative counts of some intervals, as rows (interval, taken, sent, answered, refused)."""
 
     generation: int
     rows: list[tuple[int, int, int, int, int]]
@@ -103,7 +105,7 @@
 
 
 class ProcessEnded(msgspec.Struct, tag="ended", array_like=True, frozen=True):
-    """A process ended by itself: its counts are complete."""
+    """A process ended in an orderly way; its counts are complete."""
 
     generation: int
     wall_ms: float
@@ -111,7 +113,7 @@
 
 
 class AcceptorPromise(msgspec.Struct, tag="promised", array_like=True, frozen=True):
-    """The acceptor's state for a number; `value` is "" where nothing was accepted."""
+    """The acceptor's state for a number; `value` is "" if nothing was accepted."""
 
     number: int
     round: int
@@ -122,14 +124,14 @@
 
 
 class ContentStored(msgspec.Struct, tag="stored", array_like=True, frozen=True):
-    """A content's bytes, by its id."""
+    """The bytes of the content with an id."""
 
     id: str
     data: bytes
 
 
 class VersionHeld(msgspec.Struct, tag="held", array_like=True, frozen=True):
-    """A version and its content are held; `wall_ms` is 0 where not told."""
+    """A version and its content are held; `wall_ms` is 0 if the time was not recorded."""
 
     number: int
     id: str
@@ -137,13 +139,13 @@
 
 
 class VotesExcluded(msgspec.Struct, tag="barred", array_like=True, frozen=True):
-    """No vote on numbers up to this, as memory of them was lost; -1 where it is not known up to which."""
+    """The node does not vote on numbers up to this one, as it lost its memory of votes; -1: bound unknown."""
 
     number: int
 
 
 class OperatorOverride(msgspec.Struct, tag="handed", array_like=True, frozen=True):
-    """An operator shut the node out of service, or brought it back."""
+    """An operator took the node out of service (`out`) for the reason `why`, or returned it to service."""
 
     out: bool
     why: str
@@ -170,33 +172,33 @@
 
 
 class InvalidRecordError(ValueError):
-    """Bytes that are no record; the text says why."""
+    """Raised for bytes that are not a valid record; the text is the reason."""
 
 
 class ChainedRecord(NamedTuple):
-    """A record's bytes behind the digest of the one before, and its own digest."""
+    """The bytes of the previous record's digest and of a record, and the digest of both."""
 
     data: bytes
     digest: bytes
 
 
 class ParsedRecord(NamedTuple):
-    """The digest that a record stands behind, and the record."""
+    """The digest of the previous record, and the record."""
 
     before: bytes
     record: LogRecord
 
 
 def chain_record(before: bytes, encoded: bytes) -> ChainedRecord:
-    """Return an encoded record behind the digest of the one before."""
+    """Append an encoded record to the chain that ends with the digest `before`."""
     data = before + encoded
     return ChainedRecord(data, hashlib.sha256(data).digest()[:DIGEST_BYTES])
 
 
 def parse_record(data: bytes) -> ParsedRecord:
-    """Return a chained record; raises InvalidRecordError."""
+    """Parse a chained record; raises InvalidRecordError."""
     if len(data) <= DIGEST_BYTES:
-        raise InvalidRecordError("too short")
+        raise InvalidRecordError("record is too short to hold a digest and data")
     try:
         return ParsedRecord(data[:DIGEST_BYTES], DECODER.decode(data[DIGEST_BYTES:]))
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -205,20 +207,21 @@
 
 @dataclass
 class RecoveredLog:
-    """What a ledger's records add up to: what a node begins with.
+    """The state that results from the records of a ledger, with which a node starts.
 
     Attributes:
-        held: the version held.
+        held: the version held; None before the first.
         contents: the bytes of contents, by id.
         promises: the acceptor's state, by version number.
-        votes_excluded_up_to: votes on no number up to it; None: on none until it is known.
-        operator_override: why an operator shut the node out; None where none did.
-        override_ms: when an operator last shut it out or brought it back, 0 for never.
+        votes_excluded_up_to: the highest number on which the node does not vote; None: it votes on no number
+            until that bound is determined.
+        operator_override: why an operator took the node out of service; None without an override.
+        override_ms: when an operator last took the node out of service or returned it; 0 for never.
         process: the last process.
-        interval: its last interval.
-        ended: whether the last process ended by itself, or there was none.
-        begun: whether the ledger goes back to the node's first.
-        wall_ms: when the last record that tells it was written.
+        interval: the last interval of that process.
+        ended: whether the last process ended in an orderly way, or there was none.
+        begun: whether the ledger is complete from the node's first record on (`LedgerBegun`).
+        wall_ms: Unix time of the last record that has a time.
 
     """
 
@@ -235,7 +238,7 @@
     wall_ms: float = 0.0
 
     def apply(self, record: LogRecord) -> None:
-        """Take in the next record."""
+        """Apply the next record."""
         match record:
             case LedgerBegun():
                 self.begun = True
@@ -251,7 +254,7 @@
         self.prune()
 
     def apply_vote_record(self, record: LogRecord) -> None:
-        """Take in a record of what the node holds and voted, or of an operator's override."""
+        """Apply a record of a vote, a content, a version held or an operator's override."""
         match record:
             case AcceptorPromise():
                 accepted = (record.accepted_round, record.accepted_place) if record.value else NO_BALLOT
@@ -269,17 +272,17 @@
                 self.override_ms = record.wall_ms
 
     def prune(self) -> None:
-        """Drop what nothing needs any more."""
+        """Drop the promises for numbers up to the version held, and contents that are no longer needed."""
         held_number = self.held.number if self.held is not None else 0
         for number in [number for number in self.promises if number <= held_number]:
             del self.promises[number]
         if len(self.contents) > len(self.promises) + 2:
-            wanted = {state.value for state in self.promises.values()}
-            wanted |= {self.held.id if self.held else "", next(reversed(self.contents))}
-            self.contents = {key: data for key, data in self.contents.items() if key in wanted}
+            needed = {state.value for state in self.promises.values()}
+            needed |= {self.held.id if self.held else "", next(reversed(self.contents))}
+            self.contents = {key: data for key, data in self.contents.items() if key in needed}
 
     def records(self) -> Iterator[LogRecord]:
-        """Yield records that add up to this: what a new file begins with."""
+        """Yield records that give this state when they are applied; a new file begins with them."""
         if self.begun:
             yield LedgerBegun(self.wall_ms)
         for content_id, data in self.contents.items():
@@ -290,7 +293,8 @@
             yield AcceptorPromise(number, *state.ballot, *state.accepted, state.value)
         yield VotesExcluded(-1 if self.votes_excluded_up_to is None else self.votes_excluded_up_to)
         if self.override_ms:
-            # Also that it was brought back: an older override in the ledger beside this one is not the last.
+            # Also written after a return to service: otherwise an older override in the node's other ledger
+            # (main or beside it) would count as the last one.
             why = self.operator_override
             yield OperatorOverride(why is not None, why or "", self.override_ms)
         if self.process is not None and not self.ended:
@@ -300,7 +304,7 @@
 
 
 def recover_log(records: Iterable[LogRecord]) -> RecoveredLog:
-    """Return what records add up to."""
+    """Return the state that results from records, in their order."""
     recovered = RecoveredLog()
     for record in records:
         recovered.apply(record)
--- a/marlseam/cluster/membership.py
+++ b/marlseam/cluster/membership.py
@@ -1,14 +1,17 @@
 """Failure detection and membership of a cluster, as one member sees it; pure: no clock, no socket.
 
-SWIM (Das, Gupta, Motivala 2002): in each protocol period one member, in a shuffled order, is pinged. One that
-does not answer is probed through others (ping-req); then it is suspected, and held as dead if it does not
-refute that before the suspicion times out. What is known is piggybacked on these datagrams.
+SWIM (Das, Gupta, Motivala 2002): in each protocol period one member, in a shuffled order, is pinged. A member
+that does not answer is probed indirectly through others (ping-req); if that fails too, it is suspected, and
+declared dead unless it refutes the suspicion before the timeout. Member states are piggybacked on these
+datagrams as gossip.
 
-From Lifeguard (Dadgar, Phillips, Currey 2017): a member that misses answers doubts its own health first and
+From Lifeguard (Dadgar, Phillips, Currey 2017): a member that misses answers first suspects its own health and
 waits longer (local health multiplier), a suspicion times out sooner the more members confirm it, and a
-suspected member is told so first. docs/design/fleet.md has what was kept and changed, and the bounds.
+datagram to a suspected member carries its suspicion first. docs/design/fleet.md describes what was kept and
+changed, and the bounds.
 
-Times are in ms on the member's own clock. Who may belong is configured; who is alive is found out.
+Times are in ms on the member's own clock. The possible members are configured; which of them are alive is
+detected.
 """
 
 from math import inf, log, log10
@@ -34,30 +37,31 @@
 )
 from marlseam.random_source import RandomSource
 
-INDIRECT_PROBES = 3  # members that are asked to probe one that does not answer
-INDIRECT_PROBE_AFTER_PERIODS = 0.3
-PROBE_TIMEOUT_PERIODS = 0.9
-NACK_AFTER_PERIODS = 0.25  # without an answer, after which an indirect probe is answered with a nack
-MIN_SUSPICION_PERIODS = 2.0  # and that for each power of ten of members
-MAX_SUSPICION_IN_MINIMA = 3.0
-SUSPICION_CONFIRMATIONS = 3  # by other members, from which on a suspicion is as short as it may be
-MAX_LOCAL_HEALTH = 3  # of the local health multiplier less one; 0 is healthy
+INDIRECT_PROBES = 3  # helpers that probe a member indirectly
+INDIRECT_PROBE_AFTER_PERIODS = 0.3  # time without an ack after which indirect probes are requested
+PROBE_TIMEOUT_PERIODS = 0.9  # time after which a probe counts as missed
+NACK_AFTER_PERIODS = 0.25  # time without an ack after which a helper answers with a nack
+MIN_SUSPICION_PERIODS = 2.0  # shortest suspicion timeout, per power of ten of the number of members
+MAX_SUSPICION_IN_MINIMA = 3.0  # longest suspicion timeout, as a multiple of the shortest
+SUSPICION_CONFIRMATIONS = 3  # confirmations by other members with which the suspicion timeout is shortest
+MAX_LOCAL_HEALTH = 3  # bound of the local health multiplier minus 1; 0 is healthy
 REFRESH_ENTRIES = 2  # members per datagram that are sent in turn, changed or not
-MAX_GAP_PERIODS = 2.0  # between two events; after a longer one the process itself was stopped
+MAX_GAP_PERIODS = 2.0  # longest gap between two events; after a longer one the process itself was stopped
 
 
 class Membership:
-    """One member's state machine.
+    """The membership state machine of one member.
 
-    Call `tick` when `next_ms` has come and `receive` for each datagram; both return effects to carry out.
+    Call `tick` at `next_ms` and `receive` for each datagram; both return effects to carry out.
 
     Attributes:
-        cluster, name: of the cluster, and of this member in it.
-        own_state: what this member says of itself.
-        members: what it holds of each other member that may belong, by name.
-        pending_probes: pings without an answer yet, by sequence number.
-        local_health: Lifeguard's doubt of itself, 0 to `MAX_LOCAL_HEALTH`; each step adds a period to waits.
-        gossip: the changes that are to be passed on.
+        cluster, name: name of the cluster, and name of this member.
+        own_state: the state of this member, as it announces it.
+        members: the view of each other possible member, by name.
+        pending_probes: unanswered pings, by sequence number.
+        local_health: Lifeguard's local health score, 0 (healthy) to `MAX_LOCAL_HEALTH`; each step adds one
+            `period_ms` to the protocol period, and probe timeouts grow in proportion.
+        gossip: the queue of changes to send to others.
         suspected: names of the members whose suspicion has not timed out.
         next_probe_ms: when the next protocol period begins.
     """
@@ -72,7 +76,7 @@
         period_ms: float,
         now_ms: float,
     ) -> None:
-        """Begin as a process of member `name`, whose generation differs from that of each earlier one."""
+        """Start as a process of member `name`; `generation` must differ from that of each earlier process."""
         self.cluster, self.name = cluster, name
         self.random = RandomSource(f"{seed}:{name}")
         self.period_ms, self.now_ms, self.last_event_ms = period_ms, now_ms, now_ms
@@ -87,7 +91,7 @@
         self.set_members(names)
 
     def set_members(self, names: frozenset[str]) -> None:
-        """Take over who may belong from now on; nothing is kept of others."""
+        """Replace the names of the possible members; all state of removed members is dropped."""
         for name in self.members.keys() - names:
             del self.members[name]
             self.suspected.discard(name)
@@ -101,7 +105,7 @@
             self.members[name] = Member(since_ms=self.now_ms)
         self.names = sorted(self.members)
         self.gossip.resize(len(self.members))
-        # Shuffled orders, made anew when used up: the cost of a datagram does not grow with the cluster.
+        # Shuffled orders, refilled when empty, so that the cost of a datagram does not grow with the cluster.
         self.alive_probe_order: list[str] = []
         self.dead_probe_order: list[str] = []
         self.refresh_order: list[str] = []
@@ -110,21 +114,24 @@
 
     @property
     def next_ms(self) -> float:
-        """When `tick` is due."""
+        """When `tick` is due, in ms."""
         suspicions = [self.members[name].suspicion_ends_ms for name in self.suspected]
         probes = [min(probe.times_out_ms, probe.indirect_ms) for probe in self.pending_probes.values()]
         return min([self.next_probe_ms, *suspicions, *probes])
 
     def is_alive(self, name: str) -> bool:
-        """Return whether a member counts as alive."""
+        """Return whether another member counts as alive; a suspected member does."""
         return self.members[name].is_alive
 
     def alive_members(self) -> list[str]:
-        """Return the other members that count as alive, by name."""
+        """Return the names of the other members that count as alive, sorted."""
         return [name for name in self.names if self.is_alive(name)]
 
     def random_alive(self, count: int, excluded: str = "") -> list[str]:
-        """Return up to `count` random members that are alive; few draws, however many members there are."""
+        """Return up to `count` random members that are alive; the cost does not grow with the cluster.
+
+        Returns fewer if `4 * count` random draws do not give enough.
+        """
         found: dict[str, None] = {}
         for _ in range(4 * count if self.names else 0):
             name = self.names[int(self.random() * len(self.names))]
@@ -133,14 +140,14 @@
         return list(found)
 
     def suspicion_ms(self, confirmations: int) -> float:
-        """Return the suspicion timeout with so many confirmations by other members."""
+        """Return the suspicion timeout in ms, given the number of confirmations by other members."""
         shortest = MIN_SUSPICION_PERIODS * max(1.0, log10(1.0 + len(self.members))) * self.period_ms
         share = min(1.0, log(1.0 + confirmations) / log(1.0 + SUSPICION_CONFIRMATIONS))
         longest = MAX_SUSPICION_IN_MINIMA * shortest
         return max(shortest, longest - (MAX_SUSPICION_IN_MINIMA - 1.0) * shortest * share)
 
     def scaled_period_ms(self) -> float:
-        """Return the protocol period times the local health multiplier."""
+        """Return the protocol period times the local health multiplier, in ms."""
         return self.period_ms * (1.0 + self.local_health)
 
     def shuffled(self, names: list[str]) -> list[str]:
@@ -150,7 +157,7 @@
     # Events.
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """Do what is due."""
+        """Advance probes, end suspicions that have timed out, and begin the next protocol period if due."""
         self.begin_event(now_ms)
         self.advance_probes()
         for name in sorted(self.suspected):
@@ -166,12 +173,13 @@
         """Handle a datagram."""
         self.begin_event(now_ms)
         if datagram.sender == self.name:
-            # Another process under our name, or a datagram of our own that came back.
+            # Another process under this member's name, or a datagram of its own that came back.
             self.refute(datagram.sender_state)
             return self.effects
         member = self.members.get(datagram.sender)
         if member is None:
-            return self.effects  # it belonged, or is to: others know it already, or still
+            # While members change, others may still have a removed member, or already have a new one.
+            return self.effects
         member.last_datagram_ms = now_ms
         self.merge(GossipEntry(datagram.sender, datagram.sender_state))
         for entry in datagram.entries:
@@ -187,7 +195,7 @@
         return self.effects
 
     def leave(self, now_ms: float) -> list[Effect]:
-        """Announce to some members that this one leaves."""
+        """Announce to some random members that this one leaves the cluster."""
         self.begin_event(now_ms)
         self.own_state = MemberState(self.own_state.incarnation, self.own_state.generation, MemberStatus.LEFT)
         for name in self.random_alive(INDIRECT_PROBES + 1):
@@ -195,10 +203,10 @@
         return self.effects
 
     def begin_event(self, now_ms: float) -> None:
-        """Note the time, and whether this process was stopped since the last event.
+        """Record the time of an event, and detect whether this process was stopped since the last one.
 
-        Guards others against a process that was stopped: its missed answers are no evidence against them, so
-        its probes are dropped and suspicions last as much longer.
+        Guards other members against a process that was stopped: the answers that it missed are no evidence
+        against them, so its pending probes are dropped and its suspicions are extended by the gap.
         """
         gap_ms, self.effects = now_ms - self.last_event_ms, []
         if gap_ms > MAX_GAP_PERIODS * self.scaled_period_ms():
@@ -211,7 +219,7 @@
     # Probes.
 
     def start_probes(self) -> None:
-        """Ping the next member in turn, and one of those that are dead or unheard: it may be back."""
+        """Ping the next alive member in order, and one that is not alive, as it may have come back."""
         name = self.next_in_order(self.alive_probe_order, alive=True)
         if name:
             self.ping(name)
@@ -220,9 +228,9 @@
             self.send(name, DatagramKind.PING, 0)
 
     def next_in_order(self, order: list[str], *, alive: bool) -> str:
-        """Take the next member out of an order that is alive, or is not, and return it; "" if there is none.
+        """Remove and return the next member of an order that is, or is not, alive; "" if there is none.
 
-        An order that is used up is refilled.
+        An empty order is refilled with all such members, shuffled.
         """
         for _ in range(2):
             while order:
@@ -233,7 +241,7 @@
         return ""
 
     def ping(self, name: str, requester: str = "", requester_sequence: int = 0) -> None:
-        """Ping a member, for this one or for a requester."""
+        """Ping a member, on this member's own behalf or for a requester."""
         self.sequence += 1
         if requester:
             times_out_ms = self.now_ms + NACK_AFTER_PERIODS * self.period_ms
@@ -249,7 +257,7 @@
         self.send(name, DatagramKind.PING, self.sequence)
 
     def advance_probes(self) -> None:
-        """Probe indirectly where a direct answer is late, and end the probes that have timed out."""
+        """Request indirect probes where a direct answer is late, and end the probes that have timed out."""
         for sequence, probe in list(self.pending_probes.items()):
             if probe.indirect_ms <= self.now_ms:
                 probe.indirect_ms = inf
@@ -262,12 +270,13 @@
                 self.handle_missed(probe)
 
     def handle_missed(self, probe: PendingProbe) -> None:
-        """Suspect a member that has not answered, or tell the requester that it has not."""
+        """Handle a probe without an answer: suspect the member, or send a nack to the requester."""
         if probe.requester:
             if probe.requester in self.members:
                 self.send(probe.requester, DatagramKind.NACK, probe.requester_sequence, probe.name)
             return
-        # Helpers that send no nack either speak against this member's own network, not against the other.
+        # Helpers that did not send a nack either are evidence against this member's own network, not against
+        # the probed member.
         if probe.awaited_nacks:
             self.worsen_health()
         member = self.members[probe.name]
@@ -275,7 +284,7 @@
             self.merge(GossipEntry(probe.name, member.state_as(MemberStatus.SUSPECT), self.name))
 
     def handle_ack(self, datagram: Datagram) -> None:
-        """End the probe that an ack answers, and pass the ack on to its requester."""
+        """End the probe that an ack answers, and forward the ack to the requester of the probe, if any."""
         probe = self.pending_probes.get(datagram.sequence)
         if probe is None or probe.name != datagram.subject:
             return
@@ -286,30 +295,30 @@
             self.local_health = max(0, self.local_health - 1)
 
     def handle_nack(self, datagram: Datagram) -> None:
-        """Note that a helper was heard, though the probed member was not."""
+        """Count a helper that answered although the probed member did not answer it."""
         probe = self.pending_probes.get(datagram.sequence)
         if probe is not None:
             probe.awaited_nacks = max(0, probe.awaited_nacks - 1)
 
     def worsen_health(self) -> None:
-        """Doubt this member's own health one step more."""
+        """Raise the local health score by one step, up to `MAX_LOCAL_HEALTH`."""
         self.local_health = min(MAX_LOCAL_HEALTH, self.local_health + 1)
 
     # Merging of states.
 
     def refute(self, state: MemberState) -> None:
-        """Refute what others hold of this member, by a greater incarnation, where it is not so."""
+        """Refute a wrong state that others hold of this member, by a higher incarnation."""
         if state < self.own_state or self.own_state.status == MemberStatus.LEFT:
             return
         if state.generation == self.own_state.generation:
             if state.status == MemberStatus.ALIVE:
                 return
-            self.worsen_health()  # others did not hear us: our own network may be bad
+            self.worsen_health()  # others missed this member's answers: its own network may be faulty
         if state.incarnation < MAX_NUMBER:
             self.own_state = MemberState(state.incarnation + 1, self.own_state.generation, MemberStatus.ALIVE)
 
     def merge(self, entry: GossipEntry) -> None:
-        """Take over a member's state where it overrides the one that is held."""
+        """Adopt a member's state if it overrides the current one, or count it as confirming a suspicion."""
         if entry.name == self.name:
             self.refute(entry.state)
             return
@@ -324,7 +333,7 @@
             self.confirm_suspicion(entry.name, member, entry.suspected_by)
 
     def replace_state(self, member: Member, entry: GossipEntry) -> None:
-        """Hold a greater state of a member, pass it on, and begin or end its suspicion."""
+        """Adopt a greater state of a member, queue it as gossip, and begin or end its suspicion."""
         before, state = member.state, entry.state
         member.state, member.since_ms = state, self.now_ms
         if before is not None and before.generation != state.generation:
@@ -345,7 +354,7 @@
             self.effects.append(MemberChanged(entry.name, state))
 
     def confirm_suspicion(self, name: str, member: Member, reporter: str) -> None:
-        """Note who suspects a member: the more do, the sooner the suspicion times out."""
+        """Add a member that reports a suspicion: the more report it, the sooner it times out."""
         if reporter in member.suspected_by or len(member.suspected_by) > SUSPICION_CONFIRMATIONS:
             return
         member.suspected_by[reporter] = None
@@ -356,7 +365,7 @@
     # Sending.
 
     def send(self, receiver: str, kind: DatagramKind, sequence: int, subject: str = "") -> None:
-        """Send a datagram, with gossip piggybacked."""
+        """Send a datagram with piggybacked gossip."""
         entries = self.piggyback(receiver)
         datagram = Datagram(
             VERSION, self.cluster, self.name, self.own_state, kind, sequence, subject, entries
@@ -364,7 +373,7 @@
         self.effects.append(SendDatagram(receiver, datagram))
 
     def piggyback(self, receiver: str) -> list[GossipEntry]:
-        """Return a datagram's gossip: what its receiver would refute, changes, some members in turn."""
+        """Return gossip: first what the receiver would refute, then changes, then some members in turn."""
         first = [receiver] if receiver in self.members and self.would_refute(receiver) else []
         changed = self.gossip.next_batch(MAX_GOSSIP_ENTRIES - REFRESH_ENTRIES - 1)
         if not self.refresh_order:
@@ -374,12 +383,12 @@
         return [self.entry_of(name) for name in dict.fromkeys([*first, *changed, *refreshed])]
 
     def would_refute(self, name: str) -> bool:
-        """Return whether a member is held as anything but alive."""
+        """Return whether a member has a known state that is not alive, which it would refute."""
         state = self.members[name].state
         return state is not None and state.status != MemberStatus.ALIVE
 
     def entry_of(self, name: str) -> GossipEntry:
-        """Return what is held of a member, as gossip; some state has to be held."""
+        """Return the state of a member as a gossip entry; requires that the member has a state."""
         member = self.members[name]
         assert member.state is not None
         if member.state.status != MemberStatus.SUSPECT:
--- a/marlseam/cluster/membership_codec.py
+++ b/marlseam/cluster/membership_codec.py
@@ -2,8 +2,8 @@
 
 All structs are arrays on the wire: the order of their fields is the format, the names are not sent.
 
-A datagram of another cluster or version, with names that the settings do not hold, or with values out of
-bounds is invalid: `read` raises `InvalidMessageError`, and nothing of the datagram is used.
+A datagram of another cluster or protocol version, with names of unknown members, or with values out of bounds
+is invalid: `read` raises `InvalidMessageError`, and nothing of the datagram is used.
 """
 
 import enum
@@ -13,21 +13,21 @@
 VERSION = 1
 MAX_DATAGRAM_BYTES = 1400  # fits into one packet on common links
 MAX_GOSSIP_ENTRIES = 16  # per datagram
-MAX_NUMBER = (1 << 53) - 1  # of incarnations, generations and sequence numbers
+MAX_NUMBER = (1 << 53) - 1  # bound of incarnations, generations, sequence, version and round numbers
 MAX_NAME_CHARACTERS = 64
 
 
 class DatagramKind(enum.IntEnum):
-    """What a datagram is for; the names are also the step names of fault schedules and experiment files."""
+    """The purpose of a datagram; the names are also step names in fault schedules and experiment files."""
 
     PING = 1
     ACK = 2  # answers a ping, directly or on behalf of the member that was probed indirectly
-    ASK = 3  # SWIM's ping-req: probe another member for the sender
+    ASK = 3  # SWIM's ping-req: requests an indirect probe of another member
     NACK = 4  # Lifeguard's nack: the member that was probed indirectly has not answered yet
 
 
 class MemberStatus(enum.IntEnum):
-    """What is held of a member; of one incarnation and generation the greater status overrides."""
+    """The status of a member; within one incarnation and generation the greater status overrides."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -36,16 +36,16 @@
 
 
 class MemberState(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """The state of a member as one member holds it; of two states the greater one overrides the other.
+    """The state of a member as held by one member; of two states the greater one overrides the other.
 
     The order is total, so merging is commutative, associative and idempotent. A higher incarnation, which
     only the member itself begins, overrides all else; of two processes that begin the same incarnation the
     greater generation overrides; of one process the greater status.
 
     Attributes:
-        incarnation: raised by the member itself to refute what others hold of it.
+        incarnation: raised by the member itself to refute a state that others hold of it.
         generation: number of the process that uses the member's name, different after each restart.
-        status: a `MemberStatus`; a plain number, as unknown values have to be readable.
+        status: a `MemberStatus`; a plain number, so that unknown values can be decoded.
     """
 
     incarnation: int
@@ -59,7 +59,7 @@
     Attributes:
         name: the member.
         state: its state.
-        suspected_by: a member that suspects it, empty if the state is not `SUSPECT`.
+        suspected_by: a member that suspects it; empty if the state is not `SUSPECT`.
     """
 
     name: str
@@ -71,14 +71,14 @@
     """One datagram between members.
 
     Attributes:
-        version: of this format.
+        version: version of this protocol.
         cluster: name of the cluster.
         sender: name of the sending member.
-        sender_state: what the sender holds of itself.
-        kind: a `DatagramKind`; a plain number, as unknown values have to be readable.
-        sequence: matches answers to pings; 0 where no answer is awaited.
+        sender_state: the sender's own state.
+        kind: a `DatagramKind`; a plain number, so that unknown values can be decoded.
+        sequence: matches answers to pings; 0 if no answer is expected.
         subject: the member that an indirect probe, an ack or a nack is about; empty for pings.
-        entries: gossip, piggybacked.
+        entries: piggybacked gossip.
     """
 
     version: int
@@ -103,10 +103,10 @@
 
 
 class InvalidMessageError(Exception):
-    """Raised for data that is no valid datagram of the cluster.
+    """Raised for data that is not a valid datagram of the cluster.
 
     Attributes:
-        code: why, as logged and counted (`InvalidMessageCode`).
+        code: the reason, as logged and counted (`InvalidMessageCode`).
     """
 
     def __init__(self, code: str) -> None:
@@ -119,7 +119,7 @@
 
 
 def write(datagram: Datagram) -> bytes:
-    """Encode a datagram, dropping its last gossip entries until it fits into `MAX_DATAGRAM_BYTES`."""
+    """Encode a datagram; its last gossip entries are dropped until it fits into `MAX_DATAGRAM_BYTES`."""
     data = ENCODER.encode(datagram)
     while len(data) > MAX_DATAGRAM_BYTES and datagram.entries:
         datagram = msgspec.structs.replace(datagram, entries=datagram.entries[:-1])
@@ -128,9 +128,9 @@
 
 
 def read(data: bytes, cluster: str, names: frozenset[str]) -> Datagram:
-    """Decode a datagram of the cluster whose members have these names.
+    """Decode a datagram of a cluster whose members have these names.
 
-    Raises InvalidMessageError.
+    Raises InvalidMessageError with an `InvalidMessageCode`.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
         raise InvalidMessageError(InvalidMessageCode.TOO_LARGE)
@@ -150,7 +150,7 @@
 
 
 def names_in(datagram: Datagram) -> list[str]:
-    """Return all members' names that a datagram mentions."""
+    """Return the names of all members that a datagram contains."""
     names = [datagram.sender, *(entry.name for entry in datagram.entries)]
     names += [entry.suspected_by for entry in datagram.entries if entry.suspected_by]
     if datagram.subject:
--- a/marlseam/cluster/membership_invariants.py
+++ b/marlseam/cluster/membership_invariants.py
@@ -1,4 +1,4 @@
-"""What always holds of a membership state machine between two events; for tests, as it visits all members."""
+"""Invariants of a membership state machine between two events; for tests, as a check visits all members."""
 
 from math import inf
 
@@ -7,7 +7,7 @@
 
 
 def violated_invariants(membership: Membership) -> list[str]:
-    """Return the invariants that do not hold, described; none of a machine that works."""
+    """Return descriptions of the violated invariants; empty if all hold."""
     return [
         *violated_by_suspicions(membership),
         *violated_by_gossip(membership),
@@ -16,37 +16,37 @@
 
 
 def violated_by_suspicions(membership: Membership) -> list[str]:
-    """Check that exactly the suspected members have a suspicion, with an end and somebody that suspects."""
+    """Check that exactly the suspected members have a suspicion, with a timeout and a suspecting member."""
     found = []
     for name, member in membership.members.items():
         is_suspect = member.state is not None and member.state.status == MemberStatus.SUSPECT
         if is_suspect != (name in membership.suspected):
-            found.append(f"{name} is {member.state}, and suspected: {name in membership.suspected}")
+            found.append(f"{name} has state {member.state}, but in suspected: {name in membership.suspected}")
         if is_suspect != (member.suspicion_ends_ms < inf) or is_suspect != bool(member.suspected_by):
-            found.append(f"{name} is {member.state}, and its suspicion is not that of a member in this state")
+            found.append(f"{name} has state {member.state}, and its suspicion does not match this state")
     if not membership.suspected <= membership.members.keys():
-        found.append("a member is suspected that does not belong to the cluster")
+        found.append("a suspected name is not a member of the cluster")
     return found
 
 
 def violated_by_gossip(membership: Membership) -> list[str]:
-    """Check that a member is queued at most once, with a count, and that some state of it is held."""
+    """Check that each queued member is queued once, has a send count and a known state."""
     queue = membership.gossip
     found = []
     if len(queue.order) != len(queue.send_counts) or set(queue.order) != queue.send_counts.keys():
-        found.append("the queue of changes and their counts have different members")
+        found.append("the gossip queue and its send counts have different members")
     for name in queue.order:
         if name not in membership.members or membership.members[name].state is None:
-            found.append(f"{name} is queued, and nothing is held of it")
+            found.append(f"{name} is in the gossip queue, but has no known state")
     return found
 
 
 def violated_by_probes(membership: Membership) -> list[str]:
-    """Check that probes are of members, under numbers that were given out, and local health in its bounds."""
+    """Check that probes are of members, with sequence numbers already used, and local health is in bounds."""
     found = []
     for sequence, probe in membership.pending_probes.items():
         if probe.name not in membership.members or sequence > membership.sequence:
-            found.append(f"probe {sequence} is of {probe.name}, the last one is {membership.sequence}")
+            found.append(f"probe {sequence} of {probe.name} is invalid, last probe is {membership.sequence}")
     if not 0 <= membership.local_health <= MAX_LOCAL_HEALTH:
-        found.append(f"local health is {membership.local_health}")
+        found.append(f"local health is out of bounds: {membership.local_health}")
     return found
--- a/marlseam/cluster/membership_types.py
+++ b/marlseam/cluster/membership_types.py
@@ -1,4 +1,4 @@
-"""What the membership state machine returns, and what it holds of members and probes; times in ms."""
+"""Effects of the membership state machine, and its records of members and probes; times in ms."""
 
 from dataclasses import dataclass, field
 from math import inf
@@ -17,14 +17,17 @@
 
 
 class MemberChanged(NamedTuple):
-    """A member has another status, or another process uses its name."""
+    """The status of a member has changed, or another process uses its name."""
 
     name: str
     state: MemberState
 
 
 class DuplicateMember(NamedTuple):
-    """Two processes use one member's name: one whose name another had taken over was heard again."""
+    """Two processes use the name of one member: the earlier of them sent again after another took its name.
+
+    `generation` is that of the process that was received again.
+    """
 
     name: str
     generation: int
@@ -35,15 +38,16 @@
 
 @dataclass(slots=True)
 class Member:
-    """What is held of one other member.
+    """The view of one other member.
 
     Attributes:
-        state: the greatest state heard, None if none was.
-        since_ms: when that state was taken over.
-        last_datagram_ms: when its last datagram came, -inf if none did.
-        suspected_by: who suspects it, in the order heard; the values mean nothing.
+        state: the greatest state received, None if none was.
+        since_ms: when that state was adopted.
+        last_datagram_ms: when its last datagram was received, -inf if none was.
+        suspected_by: the members that suspect it, in the order received; an ordered set, the values are
+            unused.
         suspicion_ends_ms: when its suspicion times out, inf if it is not suspected.
-        former_generation: of the process that used its name before, `NO_GENERATION` if none did.
+        former_generation: generation of the process that used its name before, `NO_GENERATION` if none did.
     """
 
     state: MemberState | None = None
@@ -55,26 +59,26 @@
 
     @property
     def is_alive(self) -> bool:
-        """Return whether the member counts as alive; a suspected one does."""
+        """Whether the member counts as alive; a suspected member does, one without a state does not."""
         return self.state is not None and self.state.status <= MemberStatus.SUSPECT
 
     def state_as(self, status: MemberStatus) -> MemberState:
-        """Return the state that is held, with another status; some state has to be held."""
+        """Return the member's state with another status; requires that the member has a state."""
         assert self.state is not None
         return MemberState(self.state.incarnation, self.state.generation, status)
 
 
 @dataclass(slots=True)
 class PendingProbe:
-    """A ping that has no answer yet, sent for this member itself or for another.
+    """An unanswered ping, sent on this member's own behalf or for a requester.
 
     Attributes:
         name: the member that was pinged.
         times_out_ms: when the probe counts as missed.
-        indirect_ms: when others are asked to probe, inf once they are or if nobody is to be.
-        requester: the member that asked for this probe, empty if it is our own.
-        requester_sequence: the number under which it asked.
-        awaited_nacks: helpers that have not said yet that they have no answer either.
+        indirect_ms: when indirect probes are requested; inf once they are, and for probes for a requester.
+        requester: the member that requested this probe; empty for a probe of this member's own.
+        requester_sequence: sequence number of the requester's probe.
+        awaited_nacks: number of helpers that have not yet reported a missing answer with a nack.
     """
 
     name: str
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -70,14 +70,14 @@
             "intervals [1]",
         ),
         ([interval_begun(1, 1000.0), ActionCounts(GENERATION, [(2, 1, 1, 1, 1)], 1500.0, 0.0)], "is missing"),
-        ([interval_begun(1, 1000.0), interval_begun(1, 2000.0)], "two intervals 1"),
+        ([interval_begun(1, 1000.0), interval_begun(1, 2000.0)], "two different intervals 1"),
         (
             [
                 interval_begun(1, 1000.0),
                 ActionCounts(GENERATION, [(1, 5, 5, 5, 5)], 1.0, 0.0),
                 ActionCounts(GENERATION, [(1, 4, 5, 5, 5)], 2.0, 0.0),
             ],
-            "fewer acts",
+            "fewer actions",
         ),
         ([VersionHeld(1, "x", 1.0), VersionHeld(1, "y", 1.0)], "2 contents"),
         (
@@ -87,14 +87,14 @@
                 ActionCounts(GENERATION, [(1, 1, 1, 1, 1)], 2000.0 + LEASE_MS + 50.0, 0.0),
                 ActionCounts(GENERATION, [(1, 2, 2, 2, 2)], 2000.0 + LEASE_MS + 99.0, 0.0),
             ],
-            "1 acts on version 0, as proved",
+            "1 attempts sent on version 0, as proven",
         ),
         (
             [
                 ActionCounts(GENERATION, [], 9000.0, 0.0),
                 ProcessStarted(8, "0.1", "boot", 5000.0, 0.0, LEASE_MS),
             ],
-            "life 8 began before 7",
+            "generation 8 began before 7",
         ),
     ],
 )
