--- a/marlseam/cluster/checking/__init__.py
+++ b/marlseam/cluster/checking/__init__.py
@@ -1,1 +1,1 @@
-"""Searches and seeded schedules that try to break the machines of this package's parent."""
+"""State-space searches and seeded fault schedules that test the state machines of `marlseam.cluster`."""
--- a/marlseam/cluster/checking/explore_leasing.py
+++ b/marlseam/cluster/checking/explore_leasing.py
@@ -1,7 +1,8 @@
-"""Every interleaving of quota leasing in a small size: three members, and one unit of quota that one owns.
+"""Explores every interleaving of quota leasing in a small system: three members, one of which owns the limit.
 
-A message that was sent may arrive at any time, any number of times or never. Time goes in steps; a lease is
-some of them. A violation is a state in which members may use, or do use, more than the limit together.
+A message that was sent may arrive at any time, any number of times or never. Time advances in steps, of which
+a lease lasts `LEASE_STEPS`. A violation is a state in which members may use, or do use, more than the limit
+in total. The names of steps determine the order of random walks.
 """
 
 from collections.abc import Callable, Iterator
@@ -19,15 +20,15 @@
 )
 
 NAMES = ("a", "b", "c")
-OWNER = "a"  # of the limit at the start
-LENDERS = ("a", "b")  # whom others ask
+OWNER = "a"  # the member that owns the limit at the start
+LENDERS = ("a", "b")  # members from which others request leases
 LEASE_STEPS, MAX_TIME_STEPS = 2, 6
 LIMIT = 1.0
 MAX_STATES = 5_000_000
 
 
 class SentMessage(NamedTuple):
-    """A message on its way."""
+    """A message that was sent, with its sender and receiver."""
 
     sender: str
     to: str
@@ -39,11 +40,11 @@
 
     Attributes:
         now: the time, in steps.
-        members: what each member holds, in the order of `NAMES`.
-        disks: each member's granted leases on record.
-        sent: all messages sent so far: each may arrive again.
-        crashes: how many processes have crashed.
-        generations: how many processes were started.
+        members: the quota state of each member, in the order of `NAMES`.
+        disks: the recorded granted leases of each member, in the order of `NAMES`.
+        sent: all messages sent so far, each of which may arrive again.
+        crashes: number of processes that crashed so far.
+        generations: number of processes started so far.
     """
 
     now: int
@@ -58,7 +59,7 @@
 
 
 class Rules(QuotaLeasing):
-    """The rules as they are, in steps of time; tests override some to plant defects."""
+    """The lease rules with time in steps; tests override methods to plant defects."""
 
     max_crashes = 1
 
@@ -66,15 +67,15 @@
         super().__init__(LEASE_STEPS, min_lease=LIMIT, max_share_of_free=1.0)
 
     def lender_lease_ms(self) -> float:
-        """Return a lender's lease: all clocks are one here, drift is left to other tests."""
+        """Return the duration of a lender's lease, in steps; without drift, which other tests cover."""
         return self.lease_ms
 
     def borrower_lease_ms(self) -> float:
-        """Return a borrower's lease."""
+        """Return the duration of a borrower's lease, in steps."""
         return self.lease_ms
 
     def may_send_before_durable(self) -> bool:
-        """Return whether grants may be sent before they are on record."""
+        """Return whether grants may be sent before they are recorded; True is a planted defect."""
         return False
 
 
@@ -82,10 +83,10 @@
     """The steps that one member can take in a state.
 
     Attributes:
-        state: all members' state.
-        rules: the rules that the member acts by.
-        index, name: of the member.
-        quota: what the member holds.
+        state: the state of the whole system.
+        rules: the lease rules.
+        index, name: index and name of the member.
+        quota: the quota state of the member.
     """
 
     def __init__(self, state: State, rules: Rules, index: int) -> None:
@@ -95,7 +96,7 @@
         self.now = state.now
 
     def all(self) -> Iterator[Step]:
-        """Yield each step with its name."""
+        """Yield each step as its name and the next state."""
         yield from self.use()
         if self.name != OWNER:
             yield from self.borrow()
@@ -108,18 +109,18 @@
     def after(
         self, quota: QuotaState, *sent: SentMessage, disk: tuple[GrantedLease, ...] | None = None
     ) -> State:
-        """Return the state once the member holds something else, has sent messages and written its disk."""
+        """Return the state with a new quota state of the member, sent messages, and a new disk if given."""
         index, state = self.index, self.state
         members = (*state.members[:index], quota, *state.members[index + 1 :])
         disks = state.disks if disk is None else (*state.disks[:index], disk, *state.disks[index + 1 :])
         return state._replace(members=members, disks=disks, sent=state.sent | set(sent))
 
     def message(self, receiver: str, message: LeaseMessage) -> SentMessage:
-        """Return a message that this member sends."""
+        """Return a message from this member to another."""
         return SentMessage(self.name, receiver, message)
 
     def use(self) -> Iterator[Step]:
-        """Yield the steps to use all that may be used, and nothing."""
+        """Yield the steps to use all usable quota, and to use none."""
         usable = self.rules.usable(self.quota, self.now)
         if self.quota.used < usable:
             yield f"{self.name} uses", self.after(self.quota._replace(used=usable))
@@ -127,7 +128,7 @@
             yield f"{self.name} rests", self.after(self.quota._replace(used=0.0))
 
     def borrow(self) -> Iterator[Step]:
-        """Yield the requests for leases, renewals and returns."""
+        """Yield the steps to request leases and renewals, and to return leases."""
         has_pending = bool(self.quota.pending_requests)
         for lender in LENDERS:
             if lender != self.name and not has_pending:
@@ -142,7 +143,7 @@
                 yield f"{self.name} gives back", self.after(quota, self.message(lease.lender, returned))
 
     def persist(self) -> Iterator[Step]:
-        """Yield that grants are durable and sent; by a planted defect also that they are sent before."""
+        """Yield the step in which grants are recorded and sent; with a planted defect also only sent."""
         if not self.quota.unsent_grants:
             return
         quota, grants = self.rules.send_durable(self.quota, self.now)
@@ -154,7 +155,7 @@
             yield f"{self.name} says it first", self.after(quota, *sent)
 
     def receive(self, sent: SentMessage) -> Iterator[Step]:
-        """Yield what comes of a message, if anything does."""
+        """Yield the step in which the member receives a message, if that has any effect."""
         message, sender = sent.message, sent.sender
         answers: list[SentMessage] = []
         if isinstance(message, LeaseRequest):
@@ -174,7 +175,7 @@
             yield f"{self.name} hears {sender} {verb}", self.after(quota, *answers)
 
     def restart(self) -> Iterator[Step]:
-        """Yield the restarts of the member, with its record and without."""
+        """Yield the restarts of the member, with and without the record of its grants."""
         state = self.state
         if state.crashes >= self.rules.max_crashes:
             return
@@ -186,21 +187,21 @@
             )
 
 
-def beginning() -> State:
-    """Return the state in which no message was sent: the first member owns the limit."""
+def initial_state() -> State:
+    """Return the state before any message was sent, in which `OWNER` owns the limit."""
     members = tuple(QuotaState(LIMIT if name == OWNER else 0.0, i) for i, name in enumerate(NAMES))
     return State(0, members, ((),) * len(NAMES))
 
 
 def is_over_limit(state: State, rules: Rules) -> bool:
-    """Return whether members may use, or use, more than the limit together."""
+    """Return whether members may use, or do use, more than the limit in total."""
     return sum(max(rules.usable(quota, state.now), quota.used) for quota in state.members) > LIMIT
 
 
 def steps(state: State, rules: Rules) -> Iterator[Step]:
-    """Yield each next step with its name."""
+    """Yield each next step as its name and the next state."""
     if state.now < MAX_TIME_STEPS:
-        # Whoever uses what it may no more stops: the reducer looks before each act.
+        # A member stops using expired quota at once, as the reducer checks its quota before each action.
         members = tuple(
             quota._replace(used=min(quota.used, rules.usable(quota, state.now + 1)))
             for quota in state.members
@@ -216,10 +217,10 @@
     max_states: int = MAX_STATES,
     report: Callable[[int, int], None] | None = None,
 ) -> Explored:
-    """Look at each state up to a depth, nearest first."""
+    """Visit the states up to a depth, breadth-first."""
     rules = rules or Rules()
     return search.explore(
-        beginning(),
+        initial_state(),
         lambda state: steps(state, rules),
         lambda state: is_over_limit(state, rules),
         depth,
@@ -229,9 +230,9 @@
 
 
 def random_walks(walks: int, length: int, rules: Rules, seed: int = 1) -> list[str]:
-    """Walk at random; return the path to a state over the limit, or none."""
+    """Take random walks; return the path to a state over the limit, or []."""
     return search.random_walks(
-        beginning(),
+        initial_state(),
         lambda state: steps(state, rules),
         lambda state: is_over_limit(state, rules),
         walks,
--- a/marlseam/cluster/checking/explore_paxos.py
+++ b/marlseam/cluster/checking/explore_paxos.py
@@ -1,13 +1,14 @@
-"""Explores every interleaving of agreement and of quorum reads in a small size.
+"""Explores every interleaving of Paxos and of quorum reads in a small system.
 
-Three voters, two operators that publish, and one node that asks whether anything was chosen; with crashes, a
-voter's memory lost or set back, messages lost, repeated or late.
+The system has three voters, two operators that publish, and one node that runs a quorum read; with crashes, a
+voter's memory lost or set back, and messages lost, repeated or late.
 
-What was sent once may come at any time, any number of times or never, so the network is the set of all that
-was ever sent. A state is what disks and processes hold, and that set; each is visited once, up to a depth. A
-step is one process's: hear one message, begin a round, take some majority's promises, crash, restart, ask the
-voters whether anything is accepted, answer that. A state is broken if two contents are chosen, or if the node
-that asked takes as proven that nothing was chosen then, and something was.
+A message that was sent may arrive at any time, any number of times or never, so the network is the set of all
+messages ever sent. A state consists of the contents of disks and processes, and of that set; each state is
+visited once, up to a depth. A step is taken by one process: receive one message, begin a round, use the
+promises of some majority, crash, restart, ask the voters whether anything is accepted, answer that. A state
+is broken if two contents are chosen, or if the quorum read proves that nothing was chosen when it began
+although something was. The names of steps determine the order of random walks.
 """
 
 import enum
@@ -31,11 +32,11 @@
     majority,
 )
 
-NUMBER = 2  # the number that is agreed on
+NUMBER = 2  # the version number to agree on
 
 
 class ProofRequest(enum.IntEnum):
-    """Whether a node has asked if anything is accepted, and whether anything was chosen then."""
+    """Whether the quorum read has begun, and whether a content was chosen at that time."""
 
     NONE = 0
     BEFORE_CHOICE = 1
@@ -43,7 +44,7 @@
 
 
 class Voter(NamedTuple):
-    """A voter: its state on disk and in its process, and whether it knows its memory to be whole."""
+    """A voter: its state on disk, its state in the process, and whether its memory counts as complete."""
 
     disk: AcceptorState = AcceptorState()
     process: AcceptorState = AcceptorState()
@@ -51,18 +52,19 @@
 
 
 class Clear(NamedTuple):
-    """A voter's answer to the node that asked: it has accepted nothing."""
+    """A voter's answer to the quorum read that it has accepted nothing."""
 
     voter: str
 
 
 class Operator(NamedTuple):
-    """One that publishes.
+    """The state of a publishing operator.
 
-    round: the last that its process has begun; `is_open` while responses to it count.
-    value: the content that it wants.
-    requested: the content that it has asked to accept in this round.
-    restarts: how often its process began anew.
+    round: the last round that its process has begun.
+    value: the content that it proposes.
+    is_open: whether responses to the round are still counted.
+    requested: the content of its accept request in this round; None before that.
+    restarts: number of restarts of its process.
     """
 
     round: int = 0
@@ -73,7 +75,7 @@
 
 
 class State(NamedTuple):
-    """The state of all processes, and all messages that were ever sent."""
+    """The state of all processes, and the set of all messages ever sent."""
 
     voters: tuple[Voter, ...]
     operators: tuple[Operator, ...]
@@ -83,40 +85,37 @@
 
 
 class Rules:
-    """The rules as they are; a planted defect overrides one of these methods."""
+    """The correct rules; planted defects override single methods."""
 
     voters = ("a", "b", "c")
     rounds, crashes = 2, 1
 
     def knows_loss(self) -> bool:
-        """Return whether a voter whose folder was lost or set back knows it."""
+        """Return whether a voter detects that its disk was lost or set back."""
         return True
 
     def may_vote(self, voter: Voter) -> bool:
-        """Return whether a voter takes part."""
+        """Return whether a voter may vote."""
         return voter.has_memory
 
     def is_clear(self, voter: Voter) -> bool:
-        """Return whether a voter says that it has accepted nothing."""
+        """Return whether a voter answers the quorum read that it has accepted nothing."""
         return self.may_vote(voter) and voter.process.accepted == NO_BALLOT
 
     def is_proof(self, voters: set[str]) -> bool:
-        """Return whether those that have accepted nothing prove that nothing was chosen."""
+        """Return whether the voters that have accepted nothing prove that nothing was chosen."""
         return any(self.has_quorum(voters, self.electorate(place)) for place in (1, 2))
 
     def is_proof_false(self, state: State) -> bool:
-        """Return whether a proof, where there is one, says what is not so.
-
-        It holds as of when it was asked.
-        """
+        """Return whether a proof would be false; a proof applies to the time when the quorum read began."""
         return state.asked is ProofRequest.AFTER_CHOICE
 
     def electorate(self, _place: int) -> frozenset[str]:
-        """Return the voters as an operator knows them."""
+        """Return the voters that the operator with this place uses."""
         return frozenset(self.voters)
 
     def is_choice(self, voters: set[str]) -> bool:
-        """Return whether those that accepted a content under one ballot have chosen it for some operator."""
+        """Return whether the voters that accepted a content under one ballot chose it for some operator."""
         return any(self.has_quorum(voters, self.electorate(place)) for place in (1, 2))
 
     def has_quorum(self, voters: set[str], electorate: frozenset[str]) -> bool:
@@ -128,11 +127,11 @@
         return majority(electorate)
 
     def acceptor(self, name: str, held: AcceptorState) -> Acceptor:
-        """Return a voter's acceptor."""
+        """Return the acceptor of a voter in a state."""
         return Acceptor(name, {NUMBER: held})
 
     def proposer(self, place: int, operator: Operator) -> Proposer:
-        """Return an operator's proposer in its present round."""
+        """Return the proposer of an operator in its current round."""
         electorate = self.electorate(place)
         held = operator.round, operator.is_open
         return Proposer(
@@ -145,25 +144,25 @@
         )
 
     def durable_state(self, _voter: Voter, new: AcceptorState) -> AcceptorState:
-        """Return what a voter's disk holds before it answers."""
+        """Return the state on a voter's disk when it answers."""
         return new
 
     def ballot_place(self, place: int, operator: Operator) -> str:
-        """Return an operator's place in ballots: another after each restart."""
+        """Return the place of an operator in its ballots, which changes with each restart."""
         return f"{place}.{operator.restarts}"
 
     def wanted_content(self, place: int, operator: Operator) -> str:
-        """Return the content that an operator asks for: another in each round, and after each restart."""
+        """Return the content that an operator proposes, which changes with each round and each restart."""
         return f"{'xy'[place - 1]}{operator.round + 1}.{operator.restarts}"
 
 
 def initial_state(rules: Rules) -> State:
-    """Return the state in which nothing was sent."""
+    """Return the state before any message was sent."""
     return State(tuple(Voter() for _ in rules.voters), (Operator(), Operator()), frozenset())
 
 
 def steps(state: State, rules: Rules) -> Iterator[tuple[str, State]]:
-    """Yield each next step with its name."""
+    """Yield each next step as its name and the next state."""
     if not state.asked:
         yield (
             "a node asks",
@@ -180,12 +179,12 @@
 
 
 def with_voter(state: State, index: int, voter: Voter) -> tuple[Voter, ...]:
-    """Return the voters with one of them in another state."""
+    """Return the voters with one of them replaced."""
     return (*state.voters[:index], voter, *state.voters[index + 1 :])
 
 
 def voter_steps(state: State, rules: Rules, index: int) -> Iterator[tuple[str, State]]:
-    """Yield each next step of a voter: answer that it is clear, hear a request, restart, lose its memory."""
+    """Yield each next step of a voter: answer a quorum read, receive a request, restart, lose its memory."""
     name, voter = rules.voters[index], state.voters[index]
     if state.asked and Clear(name) not in state.sent and rules.is_clear(voter):
         yield f"{name} is clear", state._replace(sent=state.sent | {Clear(name)})
@@ -209,7 +208,7 @@
 def request_steps(
     state: State, rules: Rules, index: int, request: Prepare | Accept
 ) -> Iterator[tuple[str, State]]:
-    """Yield the step in which a voter hears a request, if that changes anything."""
+    """Yield the step in which a voter receives a request, if that changes the state or sends a new answer."""
     name, voter = rules.voters[index], state.voters[index]
     new, response = rules.acceptor(name, voter.process).handle(request)
     if new is None and response in state.sent:
@@ -220,20 +219,20 @@
 
 
 def with_operator(state: State, index: int, operator: Operator, message: Message | None) -> State:
-    """Return the state with an operator in another one, which may have said something."""
+    """Return the state with an operator replaced, and with a message sent unless it is None."""
     operators = (*state.operators[:index], operator, *state.operators[index + 1 :])
     sent = state.sent if message is None else state.sent | {message}
     return state._replace(operators=operators, sent=sent)
 
 
 def operator_steps(state: State, rules: Rules, index: int) -> Iterator[tuple[str, State]]:
-    """Yield each next step of an operator: begin a round, ask for a content, restart."""
+    """Yield each next step of an operator: begin a round, send an accept request, restart."""
     place, operator = index + 1, state.operators[index]
     if operator.round < rules.rounds:
-        wish = operator._replace(value=rules.wanted_content(place, operator), is_open=True, requested=None)
-        proposer = rules.proposer(place, wish)
+        opened = operator._replace(value=rules.wanted_content(place, operator), is_open=True, requested=None)
+        proposer = rules.proposer(place, opened)
         message = proposer.begin_round()
-        begun = wish._replace(round=proposer.round)
+        begun = opened._replace(round=proposer.round)
         yield f"{place} begins {proposer.round}", with_operator(state, index, begun, message)
     if operator.is_open and operator.requested is None:
         yield from accept_steps(state, rules, index)
@@ -243,7 +242,7 @@
 
 
 def accept_steps(state: State, rules: Rules, index: int) -> Iterator[tuple[str, State]]:
-    """Yield each step in which an operator takes some majority's promises and asks for a content."""
+    """Yield each step in which an operator uses the promises of some majority and sends an accept request."""
     place, operator = index + 1, state.operators[index]
     ballot = rules.proposer(place, operator).ballot
     promises = [m for m in state.sent if isinstance(m, Promise) and m.ballot == ballot]
@@ -258,7 +257,7 @@
 
 
 def chosen_contents(state: State, rules: Rules) -> set[str]:
-    """Return the contents that a majority has answered to have accepted under one ballot."""
+    """Return the contents that a majority has reported as accepted under one ballot."""
     accepted_by: dict[tuple[Ballot, str], set[str]] = {}
     for message in state.sent:
         if isinstance(message, Accepted):
@@ -267,7 +266,7 @@
 
 
 def is_broken(state: State, rules: Rules) -> bool:
-    """Return whether two contents are chosen, or what is taken as proven is false."""
+    """Return whether two contents are chosen, or a proof exists and is false."""
     if len(chosen_contents(state, rules)) > 1:
         return True
     clear = {message.voter for message in state.sent if isinstance(message, Clear)}
@@ -280,7 +279,7 @@
     max_states: int = 10_000_000,
     report: Callable[[int, int], None] | None = None,
 ) -> Explored:
-    """Visit each state up to a depth, nearest first; `report` is told each depth and count of states."""
+    """Visit the states up to a depth, breadth-first; `report` receives each depth and number of states."""
     rules = rules or Rules()
     return search.explore(
         initial_state(rules),
@@ -293,9 +292,9 @@
 
 
 def state_after(path: list[str], rules: Rules) -> State:
-    """Return the state that some steps lead to, each named by its beginning.
+    """Return the state after a path of steps, each given by a prefix of its name.
 
-    Raises StopIteration where there is no such step.
+    Raises StopIteration if no step has such a name.
     """
     state = initial_state(rules)
     for name in path:
@@ -306,7 +305,7 @@
 def random_walks(
     walks: int, length: int, rules: Rules, first: State | None = None, seed: int = 1
 ) -> list[str]:
-    """Take random steps; return a walk that leads to a broken state, or none."""
+    """Take random walks from `first`; return the path to a broken state, or []."""
     begin = first or initial_state(rules)
     return search.random_walks(
         begin, lambda s: steps(s, rules), lambda s: is_broken(s, rules), walks, length, seed
--- a/marlseam/cluster/checking/fault_schedules.py
+++ b/marlseam/cluster/checking/fault_schedules.py
@@ -1,4 +1,4 @@
-"""Schedules of faults: drawn by a seed, described to people, and cut down to what breaks a bound."""
+"""Fault schedules: drawn by a seed, described as text, and reduced to the faults that violate a bound."""
 
 import enum
 from collections.abc import Callable
@@ -7,18 +7,18 @@
 from marlseam.cluster.checking.simulation import PERIOD_MS, InjectedFault
 from marlseam.random_source import RandomSource
 
-MAX_FAULTS = 4  # of a schedule
+MAX_FAULTS = 4  # default bound of the faults in one schedule
 
 
 class Step(NamedTuple):
-    """A step at which a fault may strike: the n-th datagram of a kind."""
+    """A step before which a fault may be injected: the n-th datagram of a kind, counted from 1."""
 
     kind: enum.IntEnum
     ordinal: int
 
 
 class ScheduleDraws:
-    """Random whole numbers, by a seed and a prefix that tells kinds of schedules apart."""
+    """Random integers, determined by a seed and by a prefix that distinguishes kinds of schedules."""
 
     def __init__(self, prefix: str, seed: int) -> None:
         self.random = RandomSource(f"{prefix}:{seed}")
@@ -36,9 +36,9 @@
     max_periods: int,
     max_faults: int = MAX_FAULTS,
 ) -> list[InjectedFault]:
-    """Return some random faults, each at a step's kind and ordinal that `draw_step` draws.
+    """Draw 1 to `max_faults` random faults; `draw_step` draws the kind and ordinal of the step of each.
 
-    A fault lasts between one period and `max_periods`.
+    The faults are chosen from `faults`; each lasts 1 to `max_periods` protocol periods.
     """
     found = []
     for _ in range(1 + draws(max_faults)):
@@ -58,9 +58,11 @@
     *,
     play: Callable[..., Any],
 ) -> list[InjectedFault]:
-    """Return a shortest part of a schedule whose run, by `play`, still violates a bound.
+    """Return a minimal part of a schedule whose run by `play` violates a bound.
 
-    `machine`: the class of state machine that `play` is to run, None for its default.
+    Each fault in turn is removed if the run without it still violates a bound.
+
+    `machine`: the class of state machine that `play` runs, None for its default.
     """
     at, options = 0, () if machine is None else (machine,)
     while at < len(faults):
@@ -73,7 +75,7 @@
 
 
 def describe_fault(fault: InjectedFault) -> str:
-    """Return a fault as people read it."""
+    """Return a description of a fault."""
     direction = "sends" if fault.sends else "receives"
     step = f"{fault.node} {direction} its {fault.kind.name.lower()} no. {fault.ordinal}"
     other = f" towards {fault.other}" if fault.fault == "pair" else ""
--- a/marlseam/cluster/checking/membership_schedules.py
+++ b/marlseam/cluster/checking/membership_schedules.py
@@ -1,6 +1,6 @@
-"""Membership under a seeded schedule of faults in virtual time, held against its bounds.
+"""Membership under a seeded schedule of faults in virtual time, checked against its bounds.
 
-The checker knows the faults and what members concluded of one another, not how they reason.
+The checker uses the injected faults and the states that members hold of each other, not their implementation.
 """
 
 from math import inf
@@ -30,36 +30,37 @@
 from marlseam.cluster.membership_types import DuplicateMember, MemberChanged, SendDatagram
 
 CLUSTER = "fleet"
-SETTLE_PERIODS = 4.0  # before the first fault
-PLAYED_PERIODS = 60.0  # in which faults strike
-MAX_FAULT_PERIODS = 90
+SETTLE_PERIODS = 4.0  # time before the first fault
+PLAYED_PERIODS = 60.0  # time from the start in which faults are injected
+MAX_FAULT_PERIODS = 90  # longest duration of a fault
 FAULTS = ("kill", "restart", "stop", "cut", "deaf", "mute", "pair", "hold", "twin")
 
 
 def detection_bound_ms(nodes: int, suspicion_ms: float, period_ms: float, health: int) -> float:
-    """Return within what time a silent member is held as dead by each one that is well.
+    """Return the time in ms within which each healthy member declares an unreachable member dead.
 
-    Each pings each other at least once in two rounds of its order, less one; a ping takes a period, and each
-    period is longer by the local health of the one that pings; then the longest suspicion.
+    A member pings each other one at least once in two rounds of its shuffled order, less one ping; a ping
+    takes a period, which is lengthened by the local health of the pinging member; then the longest suspicion
+    follows.
     """
     return (2.0 * (nodes - 1) + 1.0) * period_ms * (1.0 + health) + suspicion_ms
 
 
 def healing_bound_ms(nodes: int, period_ms: float) -> float:
-    """Return within what time, after the last fault, all hold all that live as alive.
+    """Return the time in ms, after the last fault, within which all members hold all live members as alive.
 
-    A member that was held as dead hears of it with the first answer that it gets, and then each other one
-    does within two rounds.
+    A member that was declared dead receives that state with the first answer to one of its datagrams, and
+    each other member receives the refutation within two rounds after that.
     """
     return (2.0 * (nodes - 1) + 3.0) * period_ms * (1.0 + MAX_LOCAL_HEALTH)
 
 
 class MembershipVerdict(NamedTuple):
-    """What a run showed.
+    """The result of a run.
 
     Attributes:
-        violations: of the bounds, described.
-        nearest: how near the run came to each bound, as a share of it.
+        violations: descriptions of the violated bounds.
+        nearest: the highest value reached for each bound, as a share of the bound.
         duplicates: how often a second process of one member was reported.
     """
 
@@ -69,11 +70,11 @@
 
 
 class MembershipSimulation(ClusterSimulation):
-    """Members that find out which of them are alive.
+    """A simulated cluster whose members run the membership state machine.
 
     Attributes:
-        machine_class: of the members' state machines; tests plant defects in it.
-        declared_dead: when a member held another as dead, by both names.
+        machine_class: class of the state machines; tests replace it by subclasses with planted defects.
+        declared_dead: the times at which a member declared another dead, by the names of both.
         duplicates_reported: how often a second process of one member was reported.
     """
 
@@ -94,11 +95,11 @@
         super().__init__(nodes, seed, faults, loss, duplication, drift)
 
     def new_machine(self, name: str, seed: int) -> Any:  # noqa: ANN401
-        """Return the state machine of a process that begins now."""
+        """Return the state machine of a process that starts now."""
         return self.machine_class(CLUSTER, name, self.names, self.process_count, seed, PERIOD_MS, 0.0)
 
     def apply_effects(self, process: SimulatedMember, effects: list[Any]) -> None:
-        """Send datagrams, and note what members conclude."""
+        """Send datagrams, and record declared deaths and reported duplicates."""
         for effect in effects:
             if isinstance(effect, SendDatagram):
                 self.send_at_step(process, effect)
@@ -108,7 +109,7 @@
                 self.duplicates_reported += 1
 
     def send_at_step(self, process: SimulatedMember, effect: SendDatagram) -> None:
-        """Send a datagram, after the fault that strikes at this step."""
+        """Send a datagram, after injecting the fault of this step, if any."""
         fault = self.fault_at_step(process, True, effect.datagram.kind)
         if fault is not None:
             self.inject(fault, process)
@@ -117,7 +118,7 @@
             self.send(process, effect.to, write(effect.datagram), hold_ms)
 
     def deliver(self, process: SimulatedMember, data: bytes) -> None:
-        """Hand a datagram to a process, after the fault that strikes at this step."""
+        """Pass a datagram to a process, after injecting the fault of this step, if any."""
         try:
             datagram = read(data, CLUSTER, self.names)
         except InvalidMessageError:
@@ -129,7 +130,7 @@
             self.apply_effects(process, process.machine.receive(self.local(process), datagram))
 
     def disagreements(self) -> list[str]:
-        """Return who holds what is not so of whom, described."""
+        """Return descriptions of all states that differ from the actual one, alive in its current process."""
         found = []
         for process in self.processes.values():
             for name, member in process.machine.members.items():
@@ -137,7 +138,7 @@
                 state = member.state
                 is_right = state is not None and state.status == MemberStatus.ALIVE
                 if not is_right or state.generation != generation:
-                    found.append(f"{process.name} holds {name} as {state}")
+                    found.append(f"{process.name} holds {name} in state {state}")
         return found
 
 
@@ -145,9 +146,9 @@
 
 
 def check_run(simulation: MembershipSimulation, detect: float, detect_alone: float) -> MembershipVerdict:
-    """Hold a run against the bounds on detection and on false deaths.
+    """Check a run against the bounds on the detection of outages and on false deaths.
 
-    `detect`: the bound in ms while others are in trouble too, `detect_alone`: while no other fault is there.
+    `detect`: bound on detection in ms while there are other faults too; `detect_alone`: without other faults.
     """
     violations: list[str] = []
     nearest = {"detection": 0.0, "detection, one fault": 0.0}
@@ -164,14 +165,14 @@
             nearest[kind] = max(nearest[kind], took / bound)
             if took > bound:
                 violations.append(
-                    f"{observer} held {name} for {took:.0f} ms after {since:.0f}, bound {bound:.0f}"
+                    f"{observer} held {name} as alive for {took:.0f} ms after {since:.0f}, bound {bound:.0f}"
                 )
     violations += false_deaths(simulation, detect)
     return MembershipVerdict(violations, nearest, simulation.duplicates_reported)
 
 
 def healthy_observers(simulation: MembershipSimulation, since: float, bound: float) -> frozenset[str]:
-    """Return the members that no outage and no cut kept from noticing an outage within its bound."""
+    """Return the members that no outage and no cut prevented from detecting an outage within its bound."""
     out = {
         outage.name
         for outage in simulation.outages
@@ -182,9 +183,9 @@
 
 
 def false_deaths(simulation: MembershipSimulation, detect: float) -> list[str]:
-    """Return the deaths that were declared while no fault was there, described."""
+    """Return descriptions of the deaths declared without any fault in the detection time before."""
     return [
-        f"{observer} called {name} gone at {at:.0f} with no fault there"
+        f"{observer} declared {name} dead at {at:.0f} ms without a fault"
         for (observer, name), times in simulation.declared_dead.items()
         for at in times
         if simulation.is_fault_free(at - detect, at) and not simulation.loss
@@ -195,13 +196,13 @@
 
 
 def draw_step(draws: ScheduleDraws) -> Step:
-    """Return a random step's kind and ordinal: mostly a ping or its answer."""
+    """Draw the kind and ordinal of a step: mostly a ping or an ack."""
     kind = DatagramKind(1 + draws(4)) if draws(4) == 0 else DatagramKind(1 + draws(2))
     return Step(kind, 3 + draws(4) if kind > DatagramKind.ACK else 6 + draws(30))
 
 
 def schedule(nodes: int, seed: int, max_faults: int = MAX_FAULTS) -> list[InjectedFault]:
-    """Return the random schedule of a seed."""
+    """Return the random fault schedule of a seed."""
     draws = ScheduleDraws("schedule", seed)
     return draw_faults(draws, nodes, draw_step, FAULTS, MAX_FAULT_PERIODS, max_faults)
 
@@ -209,9 +210,9 @@
 def play(
     nodes: int, seed: int, faults: list[InjectedFault], machine: type[Membership] = Membership
 ) -> MembershipVerdict:
-    """Play a schedule, wait until its last fault is over, and check the run."""
+    """Run a schedule, wait until all members have recovered from its last fault, and check the run."""
     simulation = MembershipSimulation(nodes, seed, faults, duplication=0.02, machine=machine)
-    # By the machine as it should be: one that is tried must not set its own bound.
+    # By the original state machine: the one under test must not determine its own bound.
     suspicion_ms = Membership(CLUSTER, "n0", simulation.names, 0, 0, PERIOD_MS, 0.0).suspicion_ms(0)
     detect = detection_bound_ms(nodes, suspicion_ms, PERIOD_MS, MAX_LOCAL_HEALTH) * (1.0 + 2.0 * DRIFT)
     detect_alone = detection_bound_ms(nodes, suspicion_ms, PERIOD_MS, 0) * (1.0 + 2.0 * DRIFT)
@@ -219,7 +220,7 @@
     simulation.run(SETTLE_PERIODS * PERIOD_MS)
     violations = []
     if simulation.is_fault_free(0.0, simulation.now):
-        violations += [f"at the start {what}" for what in simulation.disagreements()]
+        violations += [f"after the start: {what}" for what in simulation.disagreements()]
     simulation.run(PERIOD_MS * PLAYED_PERIODS)
     end = simulation.stop_faults(faults)
     simulation.run(end)
@@ -230,10 +231,10 @@
         wrong = simulation.disagreements()
     found = check_run(simulation, detect, detect_alone)
     found.nearest["heal"] = (at - end) / heal
-    violations += [f"{heal:.0f} ms after all healed {what}" for what in wrong[:3]]
+    violations += [f"{heal:.0f} ms after the last fault: {what}" for what in wrong[:3]]
     return found._replace(violations=violations + found.violations)
 
 
 def play_seed(nodes: int, seed: int) -> MembershipVerdict:
-    """Play the schedule of a seed."""
+    """Run and check the schedule of a seed."""
     return play(nodes, seed, schedule(nodes, seed))
--- a/marlseam/cluster/checking/quota_schedules.py
+++ b/marlseam/cluster/checking/quota_schedules.py
@@ -1,6 +1,6 @@
-"""A limit shared by a cluster in virtual time: demand that moves, under a seeded schedule of faults.
+"""A limit shared by a simulated cluster: moving demand under a seeded schedule of faults.
 
-The checker adds up what all processes that live may use at each moment, by their own clocks.
+The checker sums the quota that all live processes may use at each sample, by their own clocks.
 """
 
 from collections.abc import Callable
@@ -29,12 +29,12 @@
 from marlseam.cluster.replication.messages import MessageKind
 
 LEASE_PERIODS = 10.0
-MAX_DISK_MS = 20.0  # for a record
-SAMPLE_MS = 100.0  # between samples of demand, use and the sum
-DEMAND_PHASE_PERIODS = 20.0  # in which the demand stays on one member
-PLAYED_PERIODS = 60.0  # in which faults strike
-MAX_FAULT_PERIODS = 40
-MIN_USED_SHARE = 0.95  # of what is wanted and there, at the end
+MAX_DISK_MS = 20.0  # longest time to write a record
+SAMPLE_MS = 100.0  # time between samples of demand, use and the sum of usable quota
+DEMAND_PHASE_PERIODS = 20.0  # time for which the demand stays on one member
+PLAYED_PERIODS = 60.0  # time in which faults are injected
+MAX_FAULT_PERIODS = 40  # longest duration of a fault
+MIN_USED_SHARE = 0.95  # required use at the end, as a share of the demand that the limit can satisfy
 FAULTS = ("kill", "restart", "stop", "cut", "deaf", "mute", "pair", "hold", "lost")
 
 FORMS: dict[str, Callable[..., LeaseMessage]] = {
@@ -43,12 +43,12 @@
     "give": LeaseReturn,
 }
 NAMES = {LeaseRequest: "borrow", LeaseGrant: "lend", LeaseReturn: "give"}
-# The kinds of messages under which steps are counted.
+# The kinds of messages by which steps are counted.
 KINDS = {"borrow": MessageKind.ASK, "lend": MessageKind.TELL, "give": MessageKind.WANT}
 
 
 class DemandSample(NamedTuple):
-    """What all members used and wanted at a time."""
+    """The total use and the total demand of all members at a time."""
 
     at_ms: float
     used: float
@@ -56,11 +56,12 @@
 
 
 class QuotaVerdict(NamedTuple):
-    """What a run showed.
+    """The result of a run.
 
     Attributes:
-        violations: of the bounds, described.
-        nearest: how near the run came to the limit, and to leaving a twentieth unused.
+        violations: descriptions of the violated bounds.
+        nearest: the highest sum of usable quota, as a share of the limit, and the unused quota at the end, as
+            a share of one twentieth of the available quota.
     """
 
     violations: list[str]
@@ -68,15 +69,15 @@
 
 
 class QuotaSimulation(ClusterSimulation):
-    """Members that share a limit.
+    """A simulated cluster whose members share a limit.
 
     Attributes:
-        limit: that all members share equally at first.
-        demand: what a member would use at a time.
-        rules: the lease rules; tests plant defects in them.
-        disks: each member's granted leases on record, None once the record was lost.
-        max_usable: the most that all members together might have used at any time.
-        samples: of use and demand.
+        limit: the limit, of which each member owns an equal share.
+        demand: returns the demand of a member, by name and time in ms.
+        rules: the lease rules; tests replace them by subclasses with planted defects.
+        disks: the recorded granted leases of each member, None once the record was lost.
+        max_usable: highest sum of the quota that members could use at any sample.
+        samples: samples of use and demand.
     """
 
     def __init__(
@@ -89,7 +90,7 @@
         duplication: float = 0.0,
         rules: type[QuotaLeasing] = QuotaLeasing,
     ) -> None:
-        """Start the members; `demand` tells what one would use, by name and time in ms."""
+        """Start the members; `demand` returns the demand of a member, by name and time in ms."""
         self.limit, self.demand = limit, demand
         self.rules = rules(LEASE_PERIODS * PERIOD_MS, min_lease=limit / nodes / 100.0)
         self.disks: dict[str, tuple[GrantedLease, ...] | None] = {}
@@ -99,7 +100,7 @@
         self.at(SAMPLE_MS, self.sample)
 
     def new_machine(self, name: str, seed: int) -> DemandEstimator:
-        """Return a process's state machine, with the leases that its disk holds."""
+        """Return the state machine of a process, with the leases recorded on its disk."""
         is_first = name not in self.disks
         recorded = self.disks.setdefault(name, ())
         share = self.limit / len(self.names)
@@ -109,7 +110,7 @@
         )
 
     def apply_effects(self, process: SimulatedMember, effects: list[Any]) -> None:
-        """Send messages, and write to the disk."""
+        """Send messages, and begin writes to the disk."""
         for effect in effects:
             if not process.live:
                 return
@@ -119,7 +120,7 @@
                 self.send_at_step(process, effect)
 
     def send_at_step(self, process: SimulatedMember, effect: SendLeaseMessage) -> None:
-        """Send a message, after the fault that strikes at this step."""
+        """Send a message, after injecting the fault of this step, if any."""
         name = NAMES[type(effect.message)]
         fault = self.fault_at_step(process, True, KINDS[name])
         if fault is not None:
@@ -130,7 +131,7 @@
             self.send(process, effect.name, data, hold_ms)
 
     def deliver(self, process: SimulatedMember, data: bytes) -> None:
-        """Hand a message to a process, after the fault that strikes at this step."""
+        """Pass a message to a process, after injecting the fault of this step, if any."""
         sender, name, values = msgspec.msgpack.decode(data)
         fault = self.fault_at_step(process, False, KINDS[name])
         if fault is not None:
@@ -141,7 +142,7 @@
             self.apply_effects(process, process.machine.receive(self.local(process), sender, message))
 
     def persist(self, process: SimulatedMember, effect: PersistQuotaState) -> None:
-        """Write leases to a disk; of a process that was killed meanwhile they may be there or not."""
+        """Complete a write of leases; if the process was killed in the meantime, it succeeds at random."""
         if self.processes.get(process.name) is not process:
             return
         if process.live or self.random() < 0.5:
@@ -156,7 +157,7 @@
             self.at(process.stopped_until, self.persist, process, effect)
 
     def inject(self, fault: InjectedFault, process: SimulatedMember) -> None:
-        """Let a fault strike; `lost` is a restart without the record."""
+        """Inject a fault of any simulation, or `lost`: the process restarts without its record."""
         if fault.fault == "lost":
             self.fault_spans.append((self.now, self.now + 1.0))
             process.live = False
@@ -166,14 +167,14 @@
             super().inject(fault, process)
 
     def sample(self) -> None:
-        """Note what each member uses of what it wants, and what all together may use."""
+        """Record the total use and demand, and the sum of the quota that members may use."""
         usable = used = wanted = 0.0
         for process in self.processes.values():
             demand = self.demand(process.name, self.now)
             wanted += demand
             if not process.live:
                 continue
-            # One that is stopped does nothing; what it may use counts all the same, as it may wake.
+            # A stopped process uses nothing now, but its usable quota counts, as it may resume at any time.
             usable += process.machine.usable(self.local(process))
             if process.stopped_until <= self.now:
                 used += process.machine.set_demand(self.local(process), demand)
@@ -183,25 +184,25 @@
 
 
 def demand_on_one(limit: float, nodes: int, name: str, shares: float) -> Callable[[str, float], float]:
-    """Return a demand of so many members' shares on one member, and of a tenth of a share on each other."""
+    """Return a demand function: `shares` equal shares on member `name`, a tenth of a share on each other."""
     share = limit / nodes
     return lambda member, _now: shares * share if member == name else 0.1 * share
 
 
 def draw_step(draws: ScheduleDraws) -> Step:
-    """Return a random step's kind and ordinal."""
+    """Draw the kind and ordinal of a step."""
     return Step(list(KINDS.values())[draws(3)], 1 + draws(20))
 
 
 def schedule(nodes: int, seed: int, max_faults: int = MAX_FAULTS) -> list[InjectedFault]:
-    """Return the random schedule of a seed."""
+    """Return the random fault schedule of a seed."""
     return draw_faults(ScheduleDraws("skew", seed), nodes, draw_step, FAULTS, MAX_FAULT_PERIODS, max_faults)
 
 
 def play(
     nodes: int, seed: int, faults: list[InjectedFault], rules: type[QuotaLeasing] = QuotaLeasing
 ) -> QuotaVerdict:
-    """Play a schedule while the demand moves between members; check the sum, and its use at the end."""
+    """Run a schedule while the demand moves between members; check the sum, and the use at the end."""
     limit = 10.0 * nodes
     phase_ms = DEMAND_PHASE_PERIODS * PERIOD_MS
 
@@ -211,21 +212,21 @@
 
     simulation = QuotaSimulation(nodes, seed, faults, limit, demand, duplication=0.02, rules=rules)
     simulation.run(PLAYED_PERIODS * PERIOD_MS)
-    # To the end of a phase of demand that began after all was well for a lease.
+    # Run to the end of a demand phase that began at least one lease after the last fault.
     end = simulation.stop_faults(faults) + LEASE_PERIODS * PERIOD_MS
     simulation.run((end // phase_ms + 2.0) * phase_ms - SAMPLE_MS)
     last = simulation.samples[-1]
     available = min(limit, last.wanted)
     violations = []
     if simulation.max_usable > limit * (1.0 + 1e-9):
-        violations.append(f"all might use {simulation.max_usable:.2f} of {limit:g}")
+        violations.append(f"all members together may use {simulation.max_usable:.2f}, limit {limit:g}")
     if last.used < MIN_USED_SHARE * available:
-        violations.append(f"{last.used:.2f} of {available:.2f} wanted is used at the end")
+        violations.append(f"{last.used:.2f} of the available {available:.2f} is used at the end")
     unused = 1.0 - last.used / available
     nearest = {"the sum": simulation.max_usable / limit, "unused at the end": unused / 0.05}
     return QuotaVerdict(violations, nearest)
 
 
 def play_seed(nodes: int, seed: int) -> QuotaVerdict:
-    """Play the schedule of a seed."""
+    """Run and check the schedule of a seed."""
     return play(nodes, seed, schedule(nodes, seed))
--- a/marlseam/cluster/checking/replication_checker.py
+++ b/marlseam/cluster/checking/replication_checker.py
@@ -1,4 +1,4 @@
-"""Bounds of replication, checked by one that sees all disks and replicas of a simulated cluster; pure."""
+"""Checks the bounds of replication against all disks and replicas of a simulated cluster; pure."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -10,18 +10,18 @@
 
 
 class ChosenContent(NamedTuple):
-    """The content that was chosen for a number, and when."""
+    """The content that was chosen for a number, and the time of the choice."""
 
     content_id: str
     at_ms: float
 
 
 class ReplicationVerdict(NamedTuple):
-    """What a run showed.
+    """The result of a run.
 
-    violations: bounds that were broken, in words.
-    nearest: how near the run came to each bound, as a share of it.
-    chosen: how many numbers were chosen.
+    violations: descriptions of the violated bounds.
+    nearest: the highest value reached for each bound, as a share of the bound.
+    chosen: number of versions that were chosen.
     """
 
     violations: list[str]
@@ -30,22 +30,23 @@
 
 
 class ReplicationChecker:
-    """Checks that a number has one content, and that no replica acts on an older one past its lease.
+    """Checks that a number has one content, and that no replica acts on an older version past its lease.
 
     Attributes:
-        chosen: what was chosen, by number.
-        electorates: who votes on a number.
-        accepted_by: voters on whose disks a content is accepted under a ballot.
-        max_stale_ms: the longest that any replica acted on a version after a newer was chosen.
-        checks, unproven_checks: of replicas, and those that served without a proof.
-        findings: bounds that were broken.
+        chosen: the content chosen, by number.
+        electorates: the voters on each number.
+        accepted_by: by number, ballot and content id, the voters on whose disks the content is accepted.
+        max_stale_ms: the longest time for which a replica acted on a version as proven after a newer one was
+            chosen.
+        checks, unproven_checks: number of checks of replicas, and of those that served without a proof.
+        findings: descriptions of the violated bounds.
 
     """
 
     def __init__(
         self, names: frozenset[str], voters: frozenset[str], lease_ms: float, has_corruption: bool
     ) -> None:
-        """Begin; with `has_corruption` chunks of contents may come otherwise than they were sent."""
+        """Start; with `has_corruption` chunks of contents may be corrupted on the network."""
         self.names, self.lease_ms, self.has_corruption = names, lease_ms, has_corruption
         self.chosen: dict[int, ChosenContent] = {}
         self.electorates = {1: voters}
@@ -57,7 +58,7 @@
     def records_written(
         self, now: float, name: str, records: Iterable[LogRecord], replicas: list[ConfigReplica]
     ) -> None:
-        """Take in what a member's disk holds now: what is chosen by it, and that nothing else is held."""
+        """Process records written to a member's disk: detect choices, and check the versions held."""
         for record in records:
             if isinstance(record, AcceptorPromise) and record.value:
                 if self.is_choice(name, record):
@@ -65,12 +66,12 @@
             elif isinstance(record, VersionHeld):
                 if record.number not in self.chosen:
                     self.findings.append(
-                        f"version {record.number} is held, no majority of its voters took it"
+                        f"version {record.number} is held, but no majority of its voters accepted it"
                     )
                 self.note_chosen(now, record.number, record.id, replicas)
 
     def is_choice(self, name: str, record: AcceptorPromise) -> bool:
-        """Return whether a majority of the voters has accepted a content, one of them by a record."""
+        """Count the acceptance of a record; return whether a majority of voters has accepted its content."""
         ballot = record.accepted_round, record.accepted_place
         accepted_by = self.accepted_by.setdefault((record.number, ballot, record.value), set())
         accepted_by.add(name)
@@ -78,10 +79,10 @@
         return bool(electorate) and len(accepted_by & electorate) >= majority(electorate)
 
     def note_chosen(self, now: float, number: int, content_id: str, replicas: list[ConfigReplica]) -> None:
-        """Note that a number has a content, and who votes on the next."""
+        """Record the content chosen for a number and the voters on the next; report a second content."""
         chosen = self.chosen.setdefault(number, ChosenContent(content_id, now))
         if chosen.content_id != content_id:
-            self.findings.append(f"version {number} has two contents at {now:.0f}")
+            self.findings.append(f"version {number} has two contents at {now:.0f} ms")
         for replica in replicas:
             data = replica.store.contents.get(content_id)
             if data is not None:
@@ -89,7 +90,7 @@
                 self.electorates.setdefault(number + 1, voters)
 
     def check_replica(self, now: float, local_ms: float, replica: ConfigReplica) -> None:
-        """Check a replica that runs, whose own clock shows `local_ms`."""
+        """Check a running replica; `local_ms` is the time by its own clock."""
         self.check_store(replica)
         status = replica.serving.evaluate(local_ms)
         self.checks += 1
@@ -103,26 +104,29 @@
                 self.findings.append(f"{acts} {stale_ms:.0f} ms after {next_number} was chosen")
 
     def check_store(self, replica: ConfigReplica) -> None:
-        """Check that a replica holds what it says, and no more deltas than they are worth."""
+        """Check the digest of the held content, the transfer failures and the total size of the deltas."""
         name, store = replica.name, replica.store
         data = store.contents.get(replica.content_id)
         if data is not None and digest(data) != replica.content_id:
-            self.findings.append(f"{name} holds something else than version {replica.number}")
+            self.findings.append(f"{name} holds a content with a wrong digest as version {replica.number}")
         if not self.has_corruption and store.transfer_counts["changes"] + store.transfer_counts["digest"]:
-            self.findings.append(f"{name} was sent what is not what it asked for, and nothing was corrupted")
+            self.findings.append(f"{name} received wrong deltas or a wrong content without any corruption")
         if store.delta_links_bytes > len(data or b""):
-            self.findings.append(f"{name} keeps more changes than they are worth")
+            self.findings.append(f"{name} stores deltas that are larger in total than the content held")
 
     def stale_replicas(self, replicas: Iterable[tuple[float, ConfigReplica]]) -> list[str]:
-        """Return which replicas, each with its own clock, do not act on the newest version as proven."""
+        """Return descriptions of the replicas that do not act on the newest version as proven.
+
+        `replicas` pairs each replica with the time by its own clock in ms.
+        """
         newest = max(self.chosen, default=0)
         found = []
         for local_ms, replica in replicas:
             status = replica.serving.evaluate(local_ms)
             if replica.applied_number != newest or not (status.is_serving and status.is_proven):
-                found.append(f"{replica.name} is at {replica.applied_number} of {newest}, {status}")
+                found.append(f"{replica.name} applies version {replica.applied_number} of {newest}, {status}")
         return found
 
     def may_vote_again(self, without_memory: set[str]) -> bool:
-        """Return whether every electorate has a majority that never lost its memory of votes."""
+        """Return whether in every electorate fewer voters than a majority have lost their memory of votes."""
         return all(len(without_memory & voters) < majority(voters) for voters in self.electorates.values())
--- a/marlseam/cluster/checking/replication_schedules.py
+++ b/marlseam/cluster/checking/replication_schedules.py
@@ -1,7 +1,8 @@
-"""Versions of a cluster in virtual time, under faults of a seeded schedule, checked against their bounds.
+"""Replication in a simulated cluster under a seeded schedule of faults, checked against its bounds.
 
-The simulation is that of `membership_schedules`; here its members agree on versions, spread and prove them,
-with disks that take time, fail, and are lost or set back.
+The members run replicas that agree on versions, transfer them and prove them, on the simulation that
+`membership_schedules` uses too; their disks need time to write, become full, and are lost or restored from an
+older state.
 """
 
 from collections.abc import Callable
@@ -30,36 +31,37 @@
 
 CLUSTER = "trial"
 LEASE_PERIODS = 15.0
-SERVE_LEASES = 100.0  # for which one that is not strict serves on without a proof
-MAX_DISK_MS = 20.0  # for a write
-CHECK_PERIOD_MS = 100.0  # between checks of all replicas
-HEAL_PERIODS = 20.0
-CONTENT_ROWS = 40  # of a content's settings: deltas are fewer bytes, and the whole several chunks
-RESTART_MS = 1.0  # of a process whose disk was lost
-VOTER_CHANGE_EVERY = 20  # publications
-PUBLICATIONS, PUBLISHERS = 6, 2  # of a run, and members that publish each of them at once
+SERVE_LEASES = 100.0  # time, in leases, for which a node that is not strict serves without a proof
+MAX_DISK_MS = 20.0  # longest time for one write
+CHECK_PERIOD_MS = 100.0  # time between checks of all replicas
+HEAL_PERIODS = 20.0  # bound of the time to recover after the last fault; see `heal_ms`
+CONTENT_ROWS = 40  # rows in the settings of a content: enough for several chunks, and for smaller deltas
+RESTART_MS = 1.0  # downtime of a process whose disk was lost or set back
+VOTER_CHANGE_EVERY = 20  # marks of publications between two changes of voters
+PUBLICATIONS, PUBLISHERS = 6, 2  # publications of a run, and members that publish at the same time
 FAULTS = ("kill", "restart", "stop", "cut", "deaf", "mute", "pair", "hold", "full", "old", "lost", "halves")
 
 ReplicaFactory = Callable[..., ConfigReplica]
 
 
 def heal_ms(period_ms: float) -> float:
-    """Return within what time, after the last fault, all that can act on the newest version.
+    """Return the time in ms, after the last fault, within which all able members act on the newest version.
 
-    A publication left half done is finished within two rounds of at most 8 periods each; a member that lags
-    hears of it in the next period, and a content comes at one window of chunks a period at the slowest.
+    An abandoned publication is completed within two rounds of at most 8 periods each; a member that lags
+    receives a status in the next period, and a content arrives at a rate of at least one window of chunks per
+    period.
     """
     return HEAL_PERIODS * period_ms
 
 
 @dataclass
 class Disk:
-    """What a member's folder holds, and whether it takes more.
+    """The simulated disk of a member.
 
     Attributes:
-        records: in the order of their writing.
-        full_until: until when it is full, in ms.
-        busy_until: until when writes are under way, in ms.
+        records: the records on the disk, in the order of writing.
+        full_until: when the disk stops being full, in ms.
+        busy_until: when the last write ends, in ms.
 
     """
 
@@ -74,15 +76,15 @@
 
 
 class ReplicationSimulation(ClusterSimulation):
-    """Members of a cluster with versions.
+    """A simulated cluster whose members run replicas.
 
     Attributes:
-        disks: by member.
-        checker: sees all disks and replicas.
-        applied_at_ms: when each member began to act on a number, by both.
+        disks: the disk of each member.
+        checker: checks all disks and replicas.
+        applied_at_ms: when a member first applied a version, by member and number.
         without_memory: members whose disks were lost or set back.
-        corrupted_share: of chunks, which come with one byte changed.
-        content_rows: of the settings that are published; 0 for contents smaller than deltas to them.
+        corrupted_share: share of chunks that are sent with one byte changed.
+        content_rows: rows in the published settings; with 0 contents are smaller than the deltas to them.
 
     """
 
@@ -101,7 +103,7 @@
         twists: float = 0.0,
         rows: int = CONTENT_ROWS,
     ) -> None:
-        """Make a cluster of some members, `machine` makes the replica of each."""
+        """Start the members; `machine` creates their replicas, `twists` is the share of corrupted chunks."""
         lease_ms = lease_periods * PERIOD_MS
         names = frozenset(f"n{i}" for i in range(nodes))
         first_voters = frozenset(f"n{i}" for i in range(min(voters, nodes)))
@@ -116,10 +118,10 @@
         super().__init__(nodes, seed, faults, loss, duplication, drift)
         self.at(CHECK_PERIOD_MS, self.check)
 
-    # The simulation's steps, for replicas.
+    # Implementation of the simulation for replicas.
 
     def new_machine(self, name: str, seed: int) -> ConfigReplica:
-        """Return a process's replica, with what its disk holds."""
+        """Return the replica of a process, recovered from the member's disk."""
         recovered = recover_log(self.disks.setdefault(name, Disk()).records)
         replica = self.replica_factory(
             name, self.names, self.settings, f"{name}/{self.process_count}", seed, 0.0, recovered
@@ -128,11 +130,11 @@
         return replica
 
     def replicas(self) -> list[ConfigReplica]:
-        """Return all replicas, also those of processes that are down."""
+        """Return all replicas, including those of processes that were killed."""
         return [replica_of(process) for process in self.processes.values()]
 
     def apply_effects(self, process: SimulatedMember, effects: list[Effect]) -> None:
-        """Carry out what a process asks for."""
+        """Carry out the effects that a process returned."""
         for effect in effects:
             if not process.live:
                 return
@@ -145,18 +147,18 @@
                     self.applied_at_ms.setdefault((process.name, effect.number), self.now)
 
     def send_message(self, process: SimulatedMember, effect: SendMessage) -> None:
-        """Send a message, unless a fault strikes at this step."""
+        """Send a message, after injecting the fault of this step, if any."""
         fault = self.fault_at_step(process, True, messages.kind_of(effect.message))
         if fault is not None:
             self.inject(fault, process)
         if process.live:
             message = self.maybe_corrupted(effect.message)
             datagram = messages.ReplicationDatagram(messages.VERSION, CLUSTER, process.name, message)
-            held_ms = fault.for_ms if fault is not None and fault.fault == "hold" else 0.0
-            self.send(process, effect.recipient, messages.write(datagram), held_ms)
+            hold_ms = fault.for_ms if fault is not None and fault.fault == "hold" else 0.0
+            self.send(process, effect.recipient, messages.write(datagram), hold_ms)
 
     def maybe_corrupted(self, message: messages.ReplicationMessage) -> messages.ReplicationMessage:
-        """Return a message, or a chunk with one byte changed."""
+        """Return the message; of a chunk, at random, a copy with one bit changed."""
         if not self.corrupted_share or not isinstance(message, messages.Chunk):
             return message
         if self.random() >= self.corrupted_share:
@@ -166,7 +168,7 @@
         return msgspec.structs.replace(message, data=data)
 
     def deliver(self, process: SimulatedMember, data: bytes) -> None:
-        """Hand a datagram to a process."""
+        """Pass a datagram to a process, after injecting the fault of this step, if any."""
         try:
             datagram = messages.read(data, CLUSTER, self.names)
         except InvalidMessageError:
@@ -181,17 +183,17 @@
     # Disks.
 
     def begin_write(self, process: SimulatedMember, effect: Persist) -> None:
-        """Begin to write, behind what is being written."""
+        """Schedule the end of a write, after all earlier writes of the member."""
         disk = self.disks[process.name]
-        # In order, as the node's writer process does.
+        # Writes complete in order, as in the node's writer process.
         disk.busy_until = max(disk.busy_until, self.now + MAX_DISK_MS * self.random())
         self.at(disk.busy_until, self.end_write, process, effect)
 
     def end_write(self, process: SimulatedMember, effect: Persist) -> None:
-        """Have records on a disk: those of a process that was killed meanwhile may be there or not."""
+        """Complete a write; if the process was killed in the meantime, the records are written at random."""
         disk = self.disks[process.name]
         if self.processes.get(process.name) is not process:
-            return  # its folder is another process's by now
+            return  # another process of the member uses the disk by now
         if disk.full_until > self.now:
             replica_of(process).disk_fault = "full"
             if process.live:
@@ -206,11 +208,11 @@
             self.confirm_write(process, effect.token)
 
     def written(self, name: str, records: tuple[LogRecord, ...]) -> None:
-        """Have the checker see what a disk holds now."""
+        """Pass records that were written to a disk to the checker."""
         self.checker.records_written(self.now, name, records, self.replicas())
 
     def confirm_write(self, process: SimulatedMember, token: int) -> None:
-        """Tell a process that something is durable."""
+        """Notify a process that the records with a token are durable."""
         if process.live:
             replica_of(process).disk_fault = ""
             self.apply_effects(process, replica_of(process).persisted(self.local(process), token))
@@ -219,7 +221,12 @@
     # Faults.
 
     def inject(self, fault: InjectedFault, process: SimulatedMember) -> None:
-        """Inject a fault."""
+        """Inject a fault, also the faults of disks and networks.
+
+        `full`: the disk takes no records for the fault's duration. `lost`: the process restarts with an empty
+        disk. `old`: it restarts with an older state of its disk. `halves`: the network is partitioned into
+        halves.
+        """
         if fault.fault == "full":
             self.fill_disk(process.name, self.now + fault.for_ms)
         elif fault.fault in ("old", "lost"):
@@ -230,29 +237,30 @@
             super().inject(fault, process)
 
     def fill_disk(self, name: str, until: float) -> None:
-        """Have a disk take no more for a while."""
+        """Make a disk full until a time."""
         self.fault_spans.append((self.now, until))
         self.disks[name].full_until = until
         self.at(until, self.empty_disk, name)
 
     def empty_disk(self, name: str) -> None:
-        """Have a disk take more again."""
+        """End the disk fault of a member, unless its disk was made full for longer in the meantime."""
         if self.disks[name].full_until <= self.now:
             replica_of(self.processes[name]).disk_fault = ""
 
     def lose_disk(self, process: SimulatedMember, is_set_back: bool) -> None:
-        """Kill a process and lose what its disk holds, or set that back to an earlier state."""
+        """Kill a process and erase its disk, or set the disk back to an older state."""
         self.fault_spans.append((self.now, self.now + RESTART_MS))
         process.live = False
         self.without_memory.add(process.name)
         records = self.disks[process.name].records
-        # Found out at the start (store/ledger_writer.py): the memory of votes is known not to be whole.
+        # The node detects this when it starts (store/ledger_writer.py), so that its memory of votes counts as
+        # incomplete.
         left = records[: len(records) // 2] if is_set_back else []
         self.disks[process.name].records = [*left, VotesExcluded(-1)]
         self.at(self.now + RESTART_MS, self.restart, process.name, process)
 
     def cut_in_halves(self, until: float) -> None:
-        """Cut a random half of the members off from the other half."""
+        """Partition the network between a random half of the members and the other half."""
         self.fault_spans.append((self.now, until))
         order = sorted(self.names, key=lambda name: number(b"%d:%s" % (self.seed, name.encode())))
         half = len(order) // 2
@@ -263,24 +271,24 @@
     # Checks and publications.
 
     def is_running(self, process: SimulatedMember) -> bool:
-        """Return whether a process is neither down nor stopped."""
+        """Return whether a process is neither killed nor stopped."""
         return process.live and process.stopped_until <= self.now
 
     def check(self) -> None:
-        """Check all replicas that run."""
+        """Check all running replicas, and schedule the next check."""
         for process in self.processes.values():
             if self.is_running(process):
                 self.checker.check_replica(self.now, self.local(process), replica_of(process))
         self.at(self.now + CHECK_PERIOD_MS, self.check)
 
     def stale_replicas(self) -> list[str]:
-        """Return which members do not act on the newest version as proven."""
+        """Return descriptions of the members that do not act on the newest version as proven."""
         return self.checker.stale_replicas(
             (self.local(process), replica_of(process)) for process in self.processes.values()
         )
 
     def publish(self, name: str, mark: int) -> None:
-        """Have a member publish settings that carry a mark."""
+        """Publish settings with a mark on a member, if it is running."""
         process = self.processes[name]
         if not self.is_running(process):
             return
@@ -298,7 +306,7 @@
         self.schedule_tick(process)
 
     def voters_of(self, replica: ConfigReplica, mark: int) -> list[str]:
-        """Return the next voters: now and then a voter's place goes to another member."""
+        """Return the voters to publish; every `VOTER_CHANGE_EVERY` marks another member replaces a voter."""
         others = sorted(self.names - replica.voters)
         voters = sorted(replica.voters)
         if mark % VOTER_CHANGE_EVERY == VOTER_CHANGE_EVERY // 2 and others:
@@ -306,7 +314,7 @@
         return voters
 
     def settings_of(self, mark: int) -> dict[str, Any]:
-        """Return settings that carry a mark, in one of their rows if they have any."""
+        """Return settings with a mark, which also changes one of their rows if they have any."""
         settings: dict[str, Any] = {"x": mark}
         if self.content_rows:
             rows = {f"t{i:02d}": {"quota": i, "urgent": i % 4 == 0} for i in range(self.content_rows)}
@@ -316,13 +324,13 @@
 
 
 def draw_step(draws: ScheduleDraws) -> tuple[messages.MessageKind, int]:
-    """Return a kind of message and its count, at which a fault strikes: often early ones of agreement."""
+    """Draw the kind and ordinal of the message before which a fault is injected: often an early Paxos one."""
     kind = messages.MessageKind(11 + draws(9)) if draws(3) else messages.MessageKind(13 + draws(4))
     return kind, 10 + draws(60) if kind < messages.MessageKind.PREPARE else 1 + draws(3)
 
 
 def schedule(nodes: int, seed: int, most: int = 4) -> list[InjectedFault]:
-    """Return a random schedule of at most so many faults."""
+    """Return the random fault schedule of a seed, with at most `most` faults."""
     return draw_faults(ScheduleDraws("trial", seed), nodes, draw_step, FAULTS, 45, most)
 
 
@@ -335,7 +343,7 @@
     rows: int = CONTENT_ROWS,
     twists: float = 0.0,
 ) -> ReplicationVerdict:
-    """Play a schedule with publications by two at a time, wait until its last fault is over, and judge."""
+    """Run a schedule with concurrent publications, wait for the cluster to recover, and check the run."""
     simulation = ReplicationSimulation(
         nodes, seed, faults, strict=strict, duplication=0.02, machine=machine, rows=rows, twists=twists
     )
@@ -348,18 +356,19 @@
     violations = checker.findings[:3]
     nearest = {"stale": checker.max_stale_ms / simulation.settings.lease_ms}
     if checker.may_vote_again(simulation.without_memory):
-        # Where most voters have lost their memory nobody may vote again: a cluster of another name begins.
-        violations += [f"{bound_ms:.0f} ms after all healed {text}" for text in stale[:3]]
+        # If a majority of voters has lost its memory of votes, no member may vote again, and operators have
+        # to start a cluster of another name.
+        violations += [f"{bound_ms:.0f} ms after the last fault: {text}" for text in stale[:3]]
         nearest["alike after a heal"] = (simulation.now - ended_ms) / bound_ms
     if not faults and len(checker.chosen) < PUBLICATIONS:
         violations.append(
-            f"{len(checker.chosen)} of {PUBLICATIONS} publications were chosen with no fault there"
+            f"{len(checker.chosen)} of {PUBLICATIONS} publications were chosen without any fault"
         )
     return ReplicationVerdict(violations, nearest, len(checker.chosen))
 
 
 def publish_all(simulation: ReplicationSimulation, nodes: int, seed: int) -> None:
-    """Play the time of the publications, each by some members at once."""
+    """Run the phase of publications, each of which `PUBLISHERS` members publish at the same time."""
     simulation.run(3.0 * PERIOD_MS)
     for i in range(PUBLICATIONS):
         simulation.run((4.0 + 8.0 * i) * PERIOD_MS)
@@ -370,7 +379,7 @@
 
 
 def run_until_healed(simulation: ReplicationSimulation, limit_ms: float) -> list[str]:
-    """Play until all act on the newest version as proven, or past a limit; return which do not."""
+    """Run until all members act on the newest version as proven, or up to `limit_ms`; describe the others."""
     stale, step_ms = simulation.stale_replicas(), simulation.now
     while stale and step_ms < limit_ms:
         step_ms += PERIOD_MS / 2.0
@@ -380,5 +389,5 @@
 
 
 def play_seed(nodes: int, seed: int) -> ReplicationVerdict:
-    """Play the schedule of a seed."""
+    """Run and check the schedule of a seed."""
     return play(nodes, seed, schedule(nodes, seed))
--- a/marlseam/cluster/checking/search.py
+++ b/marlseam/cluster/checking/search.py
@@ -1,7 +1,7 @@
-"""Searches of the states that a small system can reach: all of them, nearest first, or random walks; pure.
+"""Searches of the reachable states of a small system: breadth-first, or by random walks; pure.
 
-A state is hashable; `steps` yields each next state with the step's name, and `is_violation` tells whether a
-state must not be reached.
+A state is hashable; `steps` yields each next state with the name of the step, and `is_violation` returns
+whether a state must not be reached.
 """
 
 from collections.abc import Callable, Hashable, Iterator
@@ -16,12 +16,13 @@
 
 
 class Explored(NamedTuple):
-    """What a search found.
+    """The result of a breadth-first search.
 
     Attributes:
-        states: how many different states were reached.
-        depth: in how many steps all reachable states were looked at.
-        path: the names of the steps to a violation, empty if there is none.
+        states: number of different states reached.
+        depth: number of steps within which all reachable states were visited; with a violation, its number of
+            steps.
+        path: names of the steps to a violation, empty if none was found.
     """
 
     states: int
@@ -37,34 +38,34 @@
     max_states: int,
     report: Progress | None = None,
 ) -> Explored:
-    """Look at each state up to a depth, nearest first, until a violation or more than `max_states` states.
+    """Visit the states up to a depth, breadth-first, until a violation or more than `max_states` states.
 
-    `report` is called after each level with its depth and the count of states.
+    `report` is called after each level with its depth and the number of states.
     """
     predecessors: Predecessors[State] = {first: None}
-    layer = [first]
+    frontier = [first]
     for level in range(1, depth + 1):
-        following = []
-        for state in layer:
+        next_frontier = []
+        for state in frontier:
             for name, reached in steps(state):
                 if reached in predecessors:
                     continue
                 predecessors[reached] = state, name
                 if is_violation(reached):
                     return Explored(len(predecessors), level, path_to(predecessors, reached))
-                following.append(reached)
+                next_frontier.append(reached)
             if len(predecessors) > max_states:
                 return Explored(len(predecessors), level - 1, [])
-        layer = following
+        frontier = next_frontier
         if report is not None:
             report(level, len(predecessors))
-        if not layer:
+        if not frontier:
             return Explored(len(predecessors), level, [])
     return Explored(len(predecessors), depth, [])
 
 
 def path_to(predecessors: Predecessors[State], state: State) -> list[str]:
-    """Return the steps that lead to a state."""
+    """Return the names of the steps from the first state to a state."""
     path = []
     while (before := predecessors[state]) is not None:
         state, name = before
@@ -80,7 +81,10 @@
     length: int,
     seed: int,
 ) -> list[str]:
-    """Walk at random, which leads further than `explore`; return the path to a violation, or none."""
+    """Take random walks, which reach deeper states than `explore`; return the path to a violation, or [].
+
+    The choices depend on `seed` and on the order of the steps' names.
+    """
     for walk in range(walks):
         state = first
         path: list[str] = []
--- a/marlseam/cluster/quota/__init__.py
+++ b/marlseam/cluster/quota/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that hold for a whole cluster: each member owns a share, and leases are lent between members."""
+"""Limits that apply to a whole cluster: each member owns a share, and members lend quota on lease."""
--- a/marlseam/cluster/quota/demand.py
+++ b/marlseam/cluster/quota/demand.py
@@ -1,8 +1,8 @@
-"""How much of a cluster's limit a member requests, keeps and returns as its demand changes; pure.
+"""The policy by which a member requests, renews and returns quota of a cluster's limit; pure.
 
-The policy moves quota to where the demand is without oscillating: a member requests what it lacks with some
-headroom, renews a lease for as long as it needs it, and returns it only once it has clearly too much. A
-lender grants half of what is free to each that asks, so that the first does not empty it.
+The policy moves quota to the demand without oscillation: a member requests what it lacks with some headroom,
+renews a lease for as long as it needs the quota, and returns it only if it has clearly too much. A lender
+grants half of its free quota to each requester, so that the first one does not take all of it.
 """
 
 from typing import NamedTuple
@@ -19,12 +19,12 @@
 )
 from marlseam.random_source import RandomSource
 
-HEADROOM_SHARE = 0.1  # of its demand, that a member keeps beside it
-EXCESS_SHARE = 0.3  # of its demand, beyond which it returns leases
-MAX_LENDERS_PER_PERIOD = 4  # asked for new leases
-RENEW_AT_LEASE_SHARE = 0.5  # of a lease that is left when it is renewed
-REQUEST_GROWTH = 2.0  # of requests over what is lacking: a burst is followed in few periods
-MIN_JITTER, JITTER_SPAN = 0.75, 0.5  # of the time between two checks, in periods
+HEADROOM_SHARE = 0.1  # quota that a member keeps above its demand, as a share of the demand
+EXCESS_SHARE = 0.3  # quota above the demand from which a member returns leases, as a share of the demand
+MAX_LENDERS_PER_PERIOD = 4  # members from which new leases are requested in one period
+RENEW_AT_LEASE_SHARE = 0.5  # remaining share of a lease's duration at which its renewal is requested
+REQUEST_GROWTH = 2.0  # ratio of the requested to the lacking quota, to follow a burst within few periods
+MIN_JITTER, JITTER_SPAN = 0.75, 0.5  # shortest time between two checks, and its random span, in periods
 
 
 class SendLeaseMessage(NamedTuple):
@@ -45,19 +45,19 @@
 
 
 class DemandEstimator:
-    """One member's part of one limit; times in ms on its own clock.
+    """The lease policy of one member for one limit; times in ms on its own clock.
 
-    Call `set_demand` as the demand changes, `tick` when `next_ms` has come, `receive` for each message and
+    Call `set_demand` when the demand changes, `tick` at `next_ms`, `receive` for each message and
     `on_durable` once leases are durable.
 
     Attributes:
-        name: this member's.
-        others: all other members, by name.
+        name: name of this member.
+        others: names of all other members, sorted.
         rules: the lease rules.
-        state: what this member holds of the limit.
-        demand: what it would use now, in units of the limit.
+        state: the quota that this member owns, has lent and has borrowed.
+        demand: current demand, in units of the limit.
         next_ms: when `tick` is due.
-        refusals: how often in a row a member had nothing to lend; such members are asked last.
+        refusals: how often in a row each member had nothing to lend; such members are asked last.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
         seed: int,
         now_ms: float,
     ) -> None:
-        """Begin with a state, as `QuotaLeasing.restarted` returns it."""
+        """Start with a state as returned by `QuotaLeasing.restarted`."""
         self.name, self.others = name, sorted(members - {name})
         self.rules, self.state = rules, state
         self.period_ms, self.random = period_ms, RandomSource(seed)
@@ -78,18 +78,18 @@
         self.refusals: dict[str, int] = {}
 
     def usable(self, now_ms: float) -> float:
-        """Return what may be used now."""
+        """Return the quota that may be used now, in units of the limit."""
         return self.rules.usable(self.state, now_ms)
 
     def set_demand(self, now_ms: float, demand: float) -> float:
-        """Note the demand; return how much of it may be used now, without waiting for anybody."""
+        """Set the demand; return how much of it may be used at once, without a request to other members."""
         self.demand = demand
         used = min(demand, self.usable(now_ms))
         self.state = self.state._replace(used=used)
         return used
 
     def tick(self, now_ms: float) -> list[Effect]:
-        """Return what is in excess, renew what is needed, request what is lacking."""
+        """Return excess leases, renew needed ones and request lacking quota; no effect before `next_ms`."""
         if now_ms < self.next_ms:
             return []
         self.next_ms = now_ms + self.period_ms * (MIN_JITTER + JITTER_SPAN * self.random())
@@ -97,7 +97,7 @@
         usable = self.usable(now_ms)
         self.state = self.state._replace(used=min(self.demand, usable))
         effects: list[Effect] = []
-        # Smallest first: of what is in excess, the most is returned.
+        # Smallest first, so that as much of the excess as possible is returned.
         for lease in sorted(self.state.held, key=lambda held: held.amount):
             if self.is_in_excess(lease, usable):
                 self.state, returned = self.rules.return_lease(self.state, now_ms, lease)
@@ -112,12 +112,12 @@
         return effects
 
     def is_in_excess(self, lease: HeldLease, usable: float) -> bool:
-        """Return whether there is too much, and without this lease still enough with headroom."""
+        """Return whether quota is in excess, and still covers demand and headroom without this lease."""
         has_too_much = usable > self.demand * (1.0 + EXCESS_SHARE)
         return has_too_much and usable - lease.amount >= self.demand * (1.0 + HEADROOM_SHARE)
 
     def renew_leases(self, now_ms: float) -> list[Effect]:
-        """Request the renewal of leases that expire soon, once a period each."""
+        """Request the renewal of leases that expire soon, at most once per period for each."""
         effects: list[Effect] = []
         requested = {
             pending.renewed_lease_id
@@ -134,11 +134,11 @@
         return effects
 
     def request_leases(self, now_ms: float, lacking: float) -> list[Effect]:
-        """Request what is lacking from some members, last from those that had nothing before."""
+        """Request lacking quota from some members; those that last had nothing to lend are asked last."""
         order = sorted(self.others, key=lambda name: (self.refusals.get(name, 0), self.random()))
         effects: list[Effect] = []
         for name in order[:MAX_LENDERS_PER_PERIOD]:
-            # Each may have only a part of it: what is in excess is returned.
+            # Each lender may have only a part of its amount; any excess is returned later.
             amount = REQUEST_GROWTH * lacking / MAX_LENDERS_PER_PERIOD
             self.state, request = self.rules.request(self.state, now_ms, name, amount)
             effects.append(SendLeaseMessage(name, request))
@@ -154,7 +154,7 @@
         return []
 
     def handle_request(self, now_ms: float, sender: str, request: LeaseRequest) -> list[Effect]:
-        """Answer a request at once, or have a new grant made durable first."""
+        """Answer a request at once, or return the effect that makes a new grant durable first."""
         before = self.state.unsent_grants
         self.state, grant = self.rules.handle_request(self.state, now_ms, sender, request)
         if grant is not None:
@@ -166,7 +166,7 @@
         return [PersistQuotaState(self.state.granted, new_lease_ids)]
 
     def handle_grant(self, now_ms: float, sender: str, grant: LeaseGrant) -> list[Effect]:
-        """Take a lease, and note which members have nothing to lend."""
+        """Handle a grant, and count the refusals of members that have nothing to lend."""
         if grant.amount:
             self.refusals.pop(sender, None)
         else:
@@ -175,6 +175,6 @@
         return [] if returned is None else [SendLeaseMessage(sender, returned)]
 
     def on_durable(self, now_ms: float, lease_ids: frozenset[SerialNumber]) -> list[Effect]:
-        """Send the grants whose records are durable now."""
+        """Send the grants of these leases, whose records are durable now."""
         self.state, grants = self.rules.send_durable(self.state, now_ms, lease_ids)
         return [SendLeaseMessage(borrower, grant) for borrower, grant in grants]
