--- a/marlseam/cluster/checking/membership_schedules.py
+++ b/marlseam/cluster/checking/membership_schedules.py
@@ -145,17 +145,19 @@
 # The checker.
 
 
-def check_run(simulation: MembershipSimulation, detect: float, detect_alone: float) -> MembershipVerdict:
+def check_run(
+    simulation: MembershipSimulation, detection_ms: float, detection_alone_ms: float
+) -> MembershipVerdict:
     """Check a run against the bounds on the detection of outages and on false deaths.
 
-    `detect`: bound on detection in ms while there are other faults too; `detect_alone`: without other faults.
+    `detection_ms`: bound on detection while there are other faults too; `detection_alone_ms`: without others.
     """
     violations: list[str] = []
     nearest = {"detection": 0.0, "detection, one fault": 0.0}
     for name, since, until in simulation.outages:
         others = [span for span in simulation.fault_spans if span[0] != since]
-        is_alone = all(end < since - detect or begin > until for begin, end in others)
-        bound = detect_alone if is_alone else detect
+        is_alone = all(end < since - detection_ms or begin > until for begin, end in others)
+        bound = detection_alone_ms if is_alone else detection_ms
         if until - since <= bound:
             continue
         for observer in healthy_observers(simulation, since, bound):
@@ -167,7 +169,7 @@
                 violations.append(
                     f"{observer} held {name} as alive for {took:.0f} ms after {since:.0f}, bound {bound:.0f}"
                 )
-    violations += false_deaths(simulation, detect)
+    violations += false_deaths(simulation, detection_ms)
     return MembershipVerdict(violations, nearest, simulation.duplicates_reported)
 
 
@@ -182,13 +184,13 @@
     return simulation.names - out - cut
 
 
-def false_deaths(simulation: MembershipSimulation, detect: float) -> list[str]:
+def false_deaths(simulation: MembershipSimulation, detection_ms: float) -> list[str]:
     """Return descriptions of the deaths declared without any fault in the detection time before."""
     return [
         f"{observer} declared {name} dead at {at:.0f} ms without a fault"
         for (observer, name), times in simulation.declared_dead.items()
         for at in times
-        if simulation.is_fault_free(at - detect, at) and not simulation.loss
+        if simulation.is_fault_free(at - detection_ms, at) and not simulation.loss
     ]
 
 
@@ -214,9 +216,9 @@
     simulation = MembershipSimulation(nodes, seed, faults, duplication=0.02, machine=machine)
     # By the original state machine: the one under test must not determine its own bound.
     suspicion_ms = Membership(CLUSTER, "n0", simulation.names, 0, 0, PERIOD_MS, 0.0).suspicion_ms(0)
-    detect = detection_bound_ms(nodes, suspicion_ms, PERIOD_MS, MAX_LOCAL_HEALTH) * (1.0 + 2.0 * DRIFT)
-    detect_alone = detection_bound_ms(nodes, suspicion_ms, PERIOD_MS, 0) * (1.0 + 2.0 * DRIFT)
-    heal = healing_bound_ms(nodes, PERIOD_MS) * (1.0 + 2.0 * DRIFT)
+    detection_ms = detection_bound_ms(nodes, suspicion_ms, PERIOD_MS, MAX_LOCAL_HEALTH) * (1.0 + 2.0 * DRIFT)
+    detection_alone_ms = detection_bound_ms(nodes, suspicion_ms, PERIOD_MS, 0) * (1.0 + 2.0 * DRIFT)
+    healing_ms = healing_bound_ms(nodes, PERIOD_MS) * (1.0 + 2.0 * DRIFT)
     simulation.run(SETTLE_PERIODS * PERIOD_MS)
     violations = []
     if simulation.is_fault_free(0.0, simulation.now):
@@ -225,13 +227,13 @@
     end = simulation.stop_faults(faults)
     simulation.run(end)
     at, wrong = end, simulation.disagreements()
-    while wrong and at < end + heal:
+    while wrong and at < end + healing_ms:
         at += PERIOD_MS / 2.0
         simulation.run(at)
         wrong = simulation.disagreements()
-    found = check_run(simulation, detect, detect_alone)
-    found.nearest["heal"] = (at - end) / heal
-    violations += [f"{heal:.0f} ms after the last fault: {what}" for what in wrong[:3]]
+    found = check_run(simulation, detection_ms, detection_alone_ms)
+    found.nearest["heal"] = (at - end) / healing_ms
+    violations += [f"{healing_ms:.0f} ms after the last fault: {what}" for what in wrong[:3]]
     return found._replace(violations=violations + found.violations)
 
 
--- a/marlseam/cluster/checking/replication_schedules.py
+++ b/marlseam/cluster/checking/replication_schedules.py
@@ -100,19 +100,19 @@
         drift: float = DRIFT,
         machine: ReplicaFactory = ConfigReplica,
         lease_periods: float = LEASE_PERIODS,
-        twists: float = 0.0,
+        corrupted_share: float = 0.0,
         rows: int = CONTENT_ROWS,
     ) -> None:
-        """Start the members; `machine` creates their replicas, `twists` is the share of corrupted chunks."""
+        """Start the members; `machine` creates the replica of each, from the arguments of `ConfigReplica`."""
         lease_ms = lease_periods * PERIOD_MS
         names = frozenset(f"n{i}" for i in range(nodes))
         first_voters = frozenset(f"n{i}" for i in range(min(voters, nodes)))
         self.disks: dict[str, Disk] = {}
-        self.content_rows, self.corrupted_share, self.replica_factory = rows, twists, machine
+        self.content_rows, self.corrupted_share, self.replica_factory = rows, corrupted_share, machine
         self.settings = ReplicationSettings(
             first_voters, PERIOD_MS, lease_ms, strict, SERVE_LEASES * lease_ms
         )
-        self.checker = ReplicationChecker(names, first_voters, lease_ms, bool(twists))
+        self.checker = ReplicationChecker(names, first_voters, lease_ms, bool(corrupted_share))
         self.applied_at_ms: dict[tuple[str, int], float] = {}
         self.without_memory: set[str] = set()
         super().__init__(nodes, seed, faults, loss, duplication, drift)
@@ -329,9 +329,9 @@
     return kind, 10 + draws(60) if kind < messages.MessageKind.PREPARE else 1 + draws(3)
 
 
-def schedule(nodes: int, seed: int, most: int = 4) -> list[InjectedFault]:
-    """Return the random fault schedule of a seed, with at most `most` faults."""
-    return draw_faults(ScheduleDraws("trial", seed), nodes, draw_step, FAULTS, 45, most)
+def schedule(nodes: int, seed: int, max_faults: int = 4) -> list[InjectedFault]:
+    """Return the random fault schedule of a seed, with at most `max_faults` faults."""
+    return draw_faults(ScheduleDraws("trial", seed), nodes, draw_step, FAULTS, 45, max_faults)
 
 
 def play(
@@ -341,11 +341,18 @@
     machine: ReplicaFactory = ConfigReplica,
     strict: bool = True,
     rows: int = CONTENT_ROWS,
-    twists: float = 0.0,
+    corrupted_share: float = 0.0,
 ) -> ReplicationVerdict:
     """Run a schedule with concurrent publications, wait for the cluster to recover, and check the run."""
     simulation = ReplicationSimulation(
-        nodes, seed, faults, strict=strict, duplication=0.02, machine=machine, rows=rows, twists=twists
+        nodes,
+        seed,
+        faults,
+        strict=strict,
+        duplication=0.02,
+        machine=machine,
+        rows=rows,
+        corrupted_share=corrupted_share,
     )
     publish_all(simulation, nodes, seed)
     ended_ms = simulation.stop_faults(faults)
--- a/tests/members.py
+++ b/tests/members.py
@@ -12,5 +12,5 @@
 
 
 def make_datagram(sender="b", state=(0, 9, 0), kind=DatagramKind.PING, entries=()):
-    """Return a datagram of a member in a state: its incarnation, generation and status."""
+    """Return a datagram of a member whose `state` is (incarnation, generation, status)."""
     return Datagram(VERSION, "f", sender, MemberState(*state), kind, 1, "", list(entries))
--- a/tests/replicas.py
+++ b/tests/replicas.py
@@ -18,14 +18,14 @@
 
 
 def make_replica(name="a", recovered=None, strict=True, voters="abc", **options):
-    """Return a replica at time 0, by default with an empty ledger that was begun."""
+    """Return a replica at time 0, by default recovered from an empty, complete ledger."""
     settings = ReplicationSettings(frozenset(voters), PERIOD_MS, LEASE_MS, strict, SERVE_MS)
     recovered = recovered or RecoveredLog(begun=True)
     return ConfigReplica(name, NAMES, settings, f"{name}/1", 7, 0.0, recovered, **options)
 
 
 def status_response(sequence, **fields):
-    """Return a response of a member that holds no version, with some fields changed."""
+    """Return the response of a member that holds no version, with some fields replaced."""
     values = {
         "number": 0,
         "id": "",
@@ -41,7 +41,7 @@
 
 
 def hold_content(replica, content, now_ms=0.0):
-    """Have a replica hold a content durably; return the effects of that."""
+    """Make a replica hold a content durably; return the effects after the write."""
     data = write(content)
     replica.store.contents[digest(data)] = data
     persist = replica.persist_and_hold(content.number, digest(data))[-1]
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -1,4 +1,4 @@
-"""Paxos on a version's content: every interleaving of a small size, and planted defects that are found."""
+"""Paxos on a version's content: every interleaving of a small system, and detection of planted defects."""
 
 import pytest
 
@@ -35,38 +35,38 @@
 
 
 def proposer_with(**methods):
-    """Return a kind of proposer with other methods."""
+    """Return a subclass of Proposer with some methods replaced."""
     return type("DefectiveProposer", (Proposer,), methods)
 
 
 class ForgetsPromise(Rules):
-    """Planted defect: a voter's promise is not on its disk, what it accepted is."""
+    """Planted defect: a voter does not write its promise to disk, only an accepted value."""
 
     def durable_state(self, voter, new):
         return new if new.accepted > voter.disk.accepted else voter.disk
 
 
 class ForgetsAccepted(Rules):
-    """Planted defect: what a voter accepted is not on its disk, its promise is."""
+    """Planted defect: a voter does not write an accepted value to disk, only its promise."""
 
     def durable_state(self, _voter, new):
         return new._replace(accepted=NO_BALLOT, value="")
 
 
 class AnswersBeforeDurable(Rules):
-    """Planted defect: a voter answers before its state is on its disk."""
+    """Planted defect: a voter answers before its state is on disk."""
 
     def durable_state(self, voter, _new):
         return voter.process
 
 
 class Proposers(Rules):
-    """Rules under which operators use another kind of proposer."""
+    """Rules under which operators use another class of proposer."""
 
-    kind = Proposer
+    proposer_class = Proposer
 
     def proposer(self, place, operator):
-        return self.kind(
+        return self.proposer_class(
             self.ballot_place(place, operator),
             NUMBER,
             operator.value,
@@ -80,14 +80,14 @@
 class HalfIsEnough(Proposers):
     """Planted defect: half of the voters count as a majority."""
 
-    kind = proposer_with(quorum_size=lambda self: len(self.voters) // 2)
+    proposer_class = proposer_with(quorum_size=lambda self: len(self.voters) // 2)
 
     def quorum_size(self, electorate):
         return len(electorate) // 2
 
 
 class VotersOfAnotherVersion(Rules):
-    """Planted defect: an operator takes the voters of another version."""
+    """Planted defect: an operator uses the voters of another version."""
 
     voters = ("a", "b", "c", "d", "e")
 
@@ -96,20 +96,20 @@
 
 
 def handle_without_accepted(self, message):
-    """Handle a message as if no voter had accepted a value before."""
+    """Handle a message as if no voter had accepted a value earlier."""
     if type(message) is Promise:
         message = message._replace(accepted=NO_BALLOT)
     return Proposer.handle(self, message)
 
 
 class ProposesItsOwnValue(Proposers):
-    """Planted defect: values that were accepted before are ignored."""
+    """Planted defect: values that were accepted earlier are ignored."""
 
-    kind = proposer_with(handle=handle_without_accepted)
+    proposer_class = proposer_with(handle=handle_without_accepted)
 
 
 def handle_with_earliest(self, message):
-    """Handle a message so that of the values accepted before, the earliest counts as the latest."""
+    """Handle a message so that, of the values accepted earlier, the earliest counts as the latest."""
     if type(message) is Promise and message.accepted > NO_BALLOT:
         other = {"1.0": "2.0", "2.0": "1.0"}[message.accepted[1]]
         message = message._replace(accepted=(9 - message.accepted[0], other))
@@ -117,41 +117,41 @@
 
 
 class ProposesTheEarliestValue(Proposers):
-    """Planted defect: of the values accepted before, the earliest is proposed."""
+    """Planted defect: of the values accepted earlier, the earliest is proposed."""
 
-    kind = proposer_with(handle=handle_with_earliest)
+    proposer_class = proposer_with(handle=handle_with_earliest)
 
 
 class ReusesRounds(Rules):
-    """Planted defect: an operator that restarts begins its rounds anew."""
+    """Planted defect: a restarted operator reuses its ballots."""
 
     def ballot_place(self, place, _operator):
         return f"{place}.0"
 
 
 class LossNotDetected(Rules):
-    """Planted defect: a voter whose state was restored from a backup goes on as if it were complete."""
+    """Planted defect: a voter whose state was lost or restored from a backup votes as if it were complete."""
 
     def knows_loss(self):
         return False
 
 
 class VotesAfterLoss(Rules):
-    """Planted defect: a voter that knows of its loss votes all the same."""
+    """Planted defect: a voter that has detected its loss votes nevertheless."""
 
     def may_vote(self, _voter):
         return True
 
 
 class ProofTimedByAnswers(Rules):
-    """Planted defect: a proof holds as of when the answers came."""
+    """Planted defect: a proof counts from when the answers arrived, not from when the read began."""
 
     def is_proof_false(self, state):
         return bool(chosen_contents(state, self))
 
 
-class ClearAfterPromise(Rules):
-    """Planted defect: a voter that has promised but not accepted since its start answers that it is clear."""
+class ClearAfterAccepting(Rules):
+    """Planted defect: a voter that has accepted a content answers a quorum read that it has not."""
 
     def is_clear(self, voter):
         return voter.has_memory
@@ -207,17 +207,17 @@
         (LossNotDetected, FIRST_PROPOSAL),
         (VotesAfterLoss, FIRST_PROPOSAL),
         (ProofTimedByAnswers, FIRST_PROPOSAL[:5]),
-        (ClearAfterPromise, FIRST_PROPOSAL),
+        (ClearAfterAccepting, FIRST_PROPOSAL),
         (ProofByOneVoter, FIRST_PROPOSAL),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
-def test_a_planted_defect_is_found(rules, path):
+def test_a_planted_defect_is_detected(rules, path):
     assert random_walks(6000, 16, rules(), state_after(path, rules()))
     assert random_walks(60, 16, Rules(), state_after(path, Rules())) == []
 
 
-def test_a_repeated_or_late_request_changes_no_state():
+def test_a_repeated_or_outdated_request_changes_no_state():
     voter = Acceptor("a", {})
     new, answer = voter.handle(Prepare(2, (2, "1")))
     voter.record(2, new)
@@ -244,7 +244,7 @@
     assert proposer.handle(Accepted(2, (5, "1"), "c", "y")) is None
 
 
-def test_two_contents_are_detected_where_a_majority_accepted_each():
+def test_two_chosen_contents_are_detected_if_a_majority_accepted_each():
     state = state_after(THIRD_ROUND, Rules())
     assert chosen_contents(state, Rules()) == {"y1.0"}
     both = state.sent | {Accepted(2, (2, "1"), voter, "x2.0") for voter in "ab"}
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit of ledgers, and its command."""
+"""The audit of ledgers, and the audit command."""
 
 import json
 from math import inf
@@ -32,11 +32,11 @@
 
 
 def audit_of(*entries):
-    """Return the audit of one process's ledger with these records."""
+    """Return the audit of the ledger of one process with these records."""
     return audit.read({"n": [[LedgerBegun(0.0), PROCESS_STARTED, *entries]]}, error_ms=10.0)
 
 
-def test_each_action_lies_in_one_interval_and_unknown_periods_are_reported():
+def test_each_action_belongs_to_one_interval_and_unknown_periods_are_reported():
     found = audit_of(
         interval_begun(1, 1000.0),
         interval_begun(2, 2000.0),
@@ -98,7 +98,7 @@
         ),
     ],
 )
-def test_an_audit_reports_what_is_wrong(entries, what):
+def test_an_audit_reports_violations_and_gaps(entries, what):
     assert any(what in text for text in audit_of(*entries).findings)
 
 
@@ -118,7 +118,7 @@
     ).findings
 
 
-def test_actions_after_the_last_counts_are_reported_as_unknown_though_an_interval_began_later():
+def test_actions_after_the_last_counts_are_unknown_even_if_an_interval_began_later():
     found = audit_of(
         interval_begun(1, 1000.0),
         ActionCounts(GENERATION, [(1, 3, 2, 1, 0)], 1500.0, 0.0),
@@ -127,7 +127,7 @@
     assert found.processes["n"][0].unknown == (1500.0, inf)
 
 
-def test_the_audit_command_prints_a_table_and_a_page_and_ends_with_1_where_something_is_wrong(
+def test_the_audit_command_prints_a_table_writes_a_page_and_exits_with_1_if_there_are_findings(
     ledger_folder, tmp_path
 ):
     page = tmp_path / "page.html"
@@ -146,7 +146,7 @@
     assert CliRunner().invoke(fleet_command.group, ["audit"]).exit_code == 1
 
 
-def test_the_audit_tells_which_node_sent_a_keyed_request_and_on_which_version(ledger_folder, tmp_path):
+def test_the_audit_reports_which_node_sent_a_keyed_request_and_on_which_version(ledger_folder, tmp_path):
     (tmp_path / "state").mkdir()
     state = StateDirectory(Disk(tmp_path / "state"), "n")
     state.snapshot([], 0.0)
--- a/tests/test_content_delta.py
+++ b/tests/test_content_delta.py
@@ -1,4 +1,4 @@
-"""Deltas between contents: what they lead to, and what is raised where they lead nowhere."""
+"""Deltas between contents: their results, and the errors of invalid ones."""
 
 import json
 from typing import NamedTuple
@@ -22,7 +22,7 @@
 
 
 @given(SETTINGS, SETTINGS, st.dictionaries(TEXTS.filter(bool), TEXTS, max_size=3))
-def test_a_delta_makes_exactly_one_content_out_of_the_other(one, two, members):
+def test_a_delta_turns_one_content_into_exactly_the_other(one, two, members):
     before, base = write_content(make_content(settings=one))
     after, document = write_content(make_content(2, digest(before), settings=two, members=members, why="x"))
     computed = delta.compute_change(base, after, document)
@@ -36,14 +36,14 @@
 
 
 class ContentsAndLinks(NamedTuple):
-    """Contents that follow each other, and the links between them."""
+    """Successive contents, and the delta links between them."""
 
     datas: list[bytes]
     links: list[delta.DeltaLink]
 
 
 def contents_and_links(settings: list[dict[str, object]]) -> ContentsAndLinks:
-    """Make contents with these settings, and the links between them."""
+    """Return successive contents with these settings, and the delta links between them."""
     datas, links = [], []
     for number, version_settings in enumerate(settings, 1):
         before = digest(datas[-1]) if datas else ""
@@ -59,7 +59,7 @@
 
 
 @given(st.lists(SETTINGS, min_size=2, max_size=5), st.data())
-def test_a_tampered_chain_raises_or_leads_to_the_content_asked_for(settings, data):
+def test_a_tampered_chain_raises_or_gives_the_requested_content(settings, data):
     datas, links = contents_and_links(settings)
     start, newest_id = digest(datas[0]), digest(datas[-1])
     raw = bytearray(delta.encode_chain(links))
@@ -71,12 +71,12 @@
         del raw[data.draw(st.integers(0, len(raw) - 1)) :]
     elif kind in ("drop", "swap", "twice"):
         at = data.draw(st.integers(0, len(links) - 1))
-        meddled = {
+        tampered = {
             "drop": [*links[:at], *links[at + 1 :]],
             "twice": [*links[: at + 1], *links[at:]],
             "swap": links[::-1],
         }[kind]
-        raw = bytearray(delta.encode_chain(meddled))
+        raw = bytearray(delta.encode_chain(tampered))
     elif kind == "other base":
         base = delta.decode_document(datas[-1])
     else:
@@ -108,7 +108,7 @@
         delta.Put(["settings", 0], 1),
     ],
 )
-def test_an_edit_without_a_place_raises_and_changes_nothing(edit):
+def test_an_edit_at_an_invalid_path_raises_and_changes_nothing(edit):
     _, base = write_content(make_content(settings={"a": {"b": 1}, "list": [1, 2, 3]}))
     before = json.dumps(base)
     with pytest.raises(delta.DeltaError):
@@ -124,7 +124,7 @@
         delta.apply_chain(base, digest(data), raw, "0" * 64)
 
 
-def test_what_is_not_edited_is_the_same_object_and_one_quota_is_two_edits():
+def test_unedited_values_stay_the_same_objects_and_the_change_of_one_quota_is_small():
     before, base = write_content(make_content(settings={"teams": team_quotas(300), "kinds": ["a", "b"]}))
     changed_settings = change_one_team({"teams": team_quotas(300), "kinds": ["a", "b"]}, 1, 1)
     after, document = write_content(make_content(2, digest(before), settings=changed_settings, why="x"))
--- a/tests/test_content_fetch.py
+++ b/tests/test_content_fetch.py
@@ -1,4 +1,4 @@
-"""How a replica fetches a content from another one: as deltas or as a whole, in chunks that may get lost."""
+"""Fetching a content from another replica: as deltas or as a whole, in chunks that may be lost."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -31,7 +31,7 @@
 
 
 def persist_all(replica: ConfigReplica, effects: list[Effect], now_ms: float = 0.0) -> list[Effect]:
-    """Make all durable that is to be persisted, and return the other effects."""
+    """Carry out all Persist effects, including those that follow, and return the other effects."""
     others = []
     for effect in effects:
         if type(effect) is Persist:
@@ -42,7 +42,7 @@
 
 
 def hold(replica: ConfigReplica, data: bytes, number: int) -> None:
-    """Have a replica hold a content that it got as a whole."""
+    """Make a replica hold a content as if received as a whole."""
     content_id = digest(data)
     replica.store.contents[content_id] = data
     replica.store.add_delta_from_predecessor(content_id)
@@ -54,7 +54,7 @@
 
 
 class SourceAndReader(NamedTuple):
-    """A replica that holds the last of some contents, one that holds an earlier one, and the contents."""
+    """A replica that holds the last of some contents, another that holds an earlier one, and the contents."""
 
     source: ConfigReplica
     reader: ConfigReplica
@@ -62,7 +62,7 @@
 
 
 def source_and_reader(count: int = 6, place: int = 1, rows: int = 60) -> SourceAndReader:
-    """Make a source of so many versions, each of so many teams, and a reader that holds one of them."""
+    """Return a source that holds `count` versions with `rows` teams each, and a reader at version `place`."""
     datas = chained_contents(count, rows)
     source, reader = make_replica("b"), make_replica("d")
     for number, data in enumerate(datas, 1):
@@ -84,7 +84,7 @@
 
 
 def answer(source: ConfigReplica, requests: list[FetchRequest]) -> list[Chunk]:
-    """Return the chunks with which a source answers requests of the reader."""
+    """Return the chunks with which a source answers fetch requests of the reader."""
     return [effect.message for request in requests for effect in source.fetcher.send_chunks("d", request)]
 
 
@@ -93,7 +93,7 @@
 
 
 class Exchanged(NamedTuple):
-    """How many chunks were sent, and their bytes."""
+    """The number of chunks sent, and their total size in bytes."""
 
     chunks: int
     data_bytes: int
@@ -105,7 +105,10 @@
     effects: list[Effect],
     deliver: Callable[[Chunk], list[Chunk]] = deliver_unchanged,
 ) -> Exchanged:
-    """Have a source answer a reader until it asks no more; `deliver` says what becomes of a chunk."""
+    """Let a source answer a reader until it sends no more requests.
+
+    `deliver` returns the chunks that the reader receives for one that was sent.
+    """
     count = size = 0
     requests = fetch_requests(effects)
     while requests:
@@ -132,13 +135,13 @@
     )
     assert size < 1024 < len(datas[-1])
     assert reader.content.settings == read(datas[-1], NAMES).settings
-    # It can send on what it received.
+    # The reader can forward the deltas that it received.
     assert reader.store.delta_chain(digest(datas[0]), digest(datas[-1])) == source.store.delta_chain(
         digest(datas[0]), digest(datas[-1])
     )
 
 
-def test_the_smaller_of_deltas_and_whole_is_sent():
+def test_the_smaller_of_the_deltas_and_the_whole_content_is_sent():
     source, reader, datas = source_and_reader(count=60, rows=20)
     count, size = exchange(
         source, reader, reader.receive_status(0.0, "b", status_response(60, digest(datas[-1])))
@@ -154,7 +157,7 @@
     assert late.store.transfer_counts["whole"] == 1
 
 
-def test_a_replica_that_received_the_whole_can_send_the_delta():
+def test_a_replica_that_received_the_whole_content_can_send_the_delta():
     source, reader, datas = source_and_reader(count=3, place=2)
     source.store.delta_links.clear()
     exchange(source, reader, reader.receive_status(0.0, "b", status_response(3, digest(datas[-1]))))
@@ -162,7 +165,7 @@
     assert reader.store.delta_chain(digest(datas[1]), digest(datas[2])) is not None
 
 
-def test_wrong_deltas_are_detected_and_the_whole_is_requested():
+def test_wrong_deltas_are_detected_and_the_whole_content_is_requested():
     source, reader, datas = source_and_reader()
     links = source.store.delta_links
     last = links[digest(datas[-1])]
@@ -180,7 +183,7 @@
     assert reader.store.contents[reader.content_id] == datas[-1]
 
 
-def test_deltas_to_a_content_that_was_dropped_are_requested_anew():
+def test_after_the_base_content_was_dropped_deltas_from_the_held_one_are_requested():
     source, reader, datas = source_and_reader(count=6, place=1)
     effects = reader.receive_status(0.0, "b", status_response(6, digest(datas[-1])))
     chunks = answer(source, [effects[0].message])
@@ -193,7 +196,7 @@
     assert reader.store.transfer_counts["chains"] == 1
 
 
-def test_a_voter_receives_a_candidate_as_deltas_and_accepts_it_once_the_whole_is_durable():
+def test_a_voter_receives_a_proposed_content_as_deltas_and_accepts_it_once_the_whole_is_durable():
     source, voter, datas = source_and_reader(count=3, place=3)
     data = write(
         make_content(4, digest(datas[-1]), settings=change_one_team({"teams": team_quotas(60)}, 9, 9))
@@ -210,31 +213,33 @@
     assert [e.message.kind for e in voter.persisted(0.0, persist.token)] == ["accepted"]
 
 
-FATES = st.lists(
+DELIVERIES = st.lists(
     st.sampled_from(["as is", "lost", "twice", "late", "bent", "short", "elsewhere"]), max_size=60
 )
 
 
-@given(FATES, st.integers(1, 5), st.booleans())
-def test_whatever_becomes_of_chunks_the_fetch_completes_with_the_right_content(fates, place, chained):
+@given(DELIVERIES, st.integers(1, 5), st.booleans())
+def test_a_fetch_completes_with_the_right_content_despite_lost_late_or_corrupted_chunks(
+    deliveries, place, chained
+):
     source, reader, datas = source_and_reader(count=6, place=place, rows=150)
     if not chained:
         source.store.delta_links.clear()
-    newest_id, late, fates = digest(datas[-1]), [], list(fates)
+    newest_id, late, deliveries = digest(datas[-1]), [], list(deliveries)
 
     def deliver(chunk):
-        fate = fates.pop() if fates else "as is"
-        after = [late.pop()] if late and fate != "late" else []
-        if fate == "late":
+        delivery = deliveries.pop() if deliveries else "as is"
+        after = [late.pop()] if late and delivery != "late" else []
+        if delivery == "late":
             late.append(chunk)
             return []
-        bent = {
+        corrupted = {
             "bent": msgspec.structs.replace(chunk, data=bytes([chunk.data[0] ^ 1]) + chunk.data[1:]),
             "short": msgspec.structs.replace(chunk, data=chunk.data[:7]),
             "elsewhere": msgspec.structs.replace(chunk, at=min(chunk.at + 1, chunk.size - len(chunk.data))),
         }
         return {"as is": [chunk], "lost": [], "twice": [chunk, chunk]}.get(
-            fate, [bent.get(fate, chunk)]
+            delivery, [corrupted.get(delivery, chunk)]
         ) + after
 
     effects, now = reader.receive_status(0.0, "b", status_response(6, newest_id)), 0.0
@@ -253,7 +258,7 @@
 
 
 @pytest.mark.parametrize("chained", [True, False])
-def test_a_long_fetch_completes_though_a_fifth_of_the_chunks_is_lost(chained):
+def test_a_long_fetch_completes_although_a_fifth_of_the_chunks_is_lost(chained):
     source, reader, datas = source_and_reader(count=101 if chained else 6, rows=600)
     if not chained:
         source.store.delta_links.clear()
@@ -272,7 +277,7 @@
     )
 
 
-def test_chunks_that_overtake_each_other_are_put_in_order():
+def test_chunks_received_out_of_order_are_reordered_without_further_requests():
     source, reader, datas = source_and_reader(place=1, rows=100)
     source.store.delta_links.clear()
     effects = reader.receive_status(0.0, "b", status_response(6, digest(datas[-1])))
@@ -309,7 +314,7 @@
     assert not any(f.out_of_order for f in reader.fetcher.fetches.values())
 
 
-def test_a_wrong_size_delays_a_fetch_by_at_most_the_stalled_periods():
+def test_a_wrong_announced_size_delays_a_fetch_by_at_most_the_stalled_periods():
     source, reader, datas = source_and_reader(rows=100)
     source.store.delta_links.clear()
     reader.receive_status(0.0, "b", status_response(6, digest(datas[-1])))
--- a/tests/test_dissemination.py
+++ b/tests/test_dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination: in which order changes are sent on, and how often."""
+"""Dissemination: the order in which changes are sent, and how often."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 @pytest.fixture
 def queue():
-    """Return the queue of a member with two others, which sends each change eight times."""
+    """Return the queue of a member in a group with two others, which sends each change eight times."""
     queue = GossipQueue()
     queue.resize(2)
     return queue
@@ -21,14 +21,14 @@
     assert queue.max_sends == 40
 
 
-def test_changes_that_were_sent_least_often_go_first(queue):
+def test_changes_that_were_sent_least_often_are_sent_first(queue):
     queue.publish("b")
     queue.next_batch(1)
     queue.publish("c")
     assert [queue.next_batch(1) for _ in range(3)] == [["c"], ["b"], ["c"]]
 
 
-def test_a_change_of_a_queued_member_goes_first_again_and_is_queued_once(queue):
+def test_a_new_change_of_a_queued_member_is_sent_first_and_queued_once(queue):
     queue.publish("b")
     queue.next_batch(1)
     queue.publish("c")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Members of a cluster: how their states merge, and how they refute and time out."""
+"""Membership: merging of states, refutation, and suspicion timeouts."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -24,7 +24,7 @@
     st.lists(st.builds(GossipEntry, st.sampled_from("bc"), STATES, st.sampled_from(["", "c"])), max_size=12),
     st.data(),
 )
-def test_entries_merge_in_any_order_and_any_number_of_times(entries, data):
+def test_entries_merge_to_the_same_states_in_any_order_and_with_repetitions(entries, data):
     repeated = data.draw(st.lists(st.sampled_from(entries or [None])))
     reordered = data.draw(st.permutations(entries + repeated))
     one, two = make_member(), make_member()
@@ -45,10 +45,11 @@
     assert a.alive_members() == ["b"]
 
 
-def test_a_restart_is_one_member_of_another_generation_and_a_duplicate_is_reported():
+def test_a_restart_changes_the_generation_and_a_duplicate_process_is_reported():
     a = make_member()
     a.receive(1.0, make_datagram(state=(2, 9, 0)))
-    a.receive(2.0, make_datagram(state=(0, 10, 0)))  # it does not know yet what others hold of it
+    # The new process has not yet received the state that others hold of its name.
+    a.receive(2.0, make_datagram(state=(0, 10, 0)))
     assert a.members["b"].state == MemberState(2, 9, MemberStatus.ALIVE)
     effects = a.receive(3.0, make_datagram(state=(3, 10, 0)))
     changes = [type(effect) for effect in effects if type(effect) in (MemberChanged, DuplicateMember)]
@@ -57,7 +58,7 @@
     assert DuplicateMember("b", 9) in effects
 
 
-def test_a_process_that_was_stopped_holds_its_own_silence_against_nobody():
+def test_a_process_that_was_stopped_extends_suspicions_by_the_time_it_was_stopped():
     a = make_member()
     a.receive(0.0, make_datagram())
     a.receive(0.0, make_datagram("c"))
@@ -70,7 +71,7 @@
     assert set(a.alive_members()) == {"b", "c"}
 
 
-def test_a_datagram_is_one_packet_however_many_names_there_are():
+def test_a_datagram_fits_into_one_packet_for_any_number_of_members():
     names = frozenset(f"{i:064d}" for i in range(1000))
     own_name = min(names)
     machine = make_member(own_name, names)
@@ -82,7 +83,7 @@
     assert all(len(write(datagram)) <= MAX_DATAGRAM_BYTES for datagram in sent)
 
 
-def test_a_member_whose_state_changes_again_and_again_costs_no_memory():
+def test_the_memory_for_a_member_whose_state_changes_repeatedly_is_bounded():
     a = make_member()
     for incarnation in range(5000):
         a.merge(GossipEntry("b", MemberState(incarnation, 9, incarnation % 4)))
--- a/tests/test_membership_codec.py
+++ b/tests/test_membership_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams of membership: what is invalid is rejected with a code."""
+"""Membership datagrams: invalid ones are rejected with a code."""
 
 import msgspec
 import pytest
--- a/tests/test_membership_schedules.py
+++ b/tests/test_membership_schedules.py
@@ -1,4 +1,4 @@
-"""Membership under schedules of faults in virtual time: bounds, invariants and planted defects."""
+"""Membership under fault schedules in virtual time: bounds, invariants and planted defects."""
 
 import pytest
 from members import make_member
@@ -12,12 +12,12 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_schedule_of_faults_breaks_no_bound(seed):
+def test_a_fault_schedule_violates_no_bound(seed):
     assert not membership_schedules.play_seed(5, seed).violations
 
 
-class ChecksItself(Membership):
-    """Checks its invariants after each event."""
+class SelfCheckingMembership(Membership):
+    """Checks the invariants after each event."""
 
     def tick(self, now_ms):
         effects = super().tick(now_ms)
@@ -31,9 +31,9 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_invariants_hold_after_each_event_of_a_schedule_of_faults(seed):
+def test_invariants_hold_after_each_event_of_a_fault_schedule(seed):
     faults = membership_schedules.schedule(5, seed)
-    assert not membership_schedules.play(5, seed, faults, ChecksItself).violations
+    assert not membership_schedules.play(5, seed, faults, SelfCheckingMembership).violations
 
 
 def test_a_violated_invariant_is_described():
@@ -49,14 +49,14 @@
 
 
 class NoRefutation(Membership):
-    """Planted: never raises its incarnation, whatever others hold of it."""
+    """Planted defect: a member never refutes a state that others hold of it."""
 
     def refute(self, state):
         pass
 
 
 class IgnoresOtherGenerations(Membership):
-    """Planted: does not refute states of other generations of its name."""
+    """Planted defect: a member does not refute states of other generations of its name."""
 
     def refute(self, state):
         if state.generation == self.own_state.generation:
@@ -64,7 +64,7 @@
 
 
 class DeadNeverProbed(Membership):
-    """Planted: a dead member is neither probed nor told that it is held as dead."""
+    """Planted defect: a dead member is neither probed nor sent the state in which it is held."""
 
     def send(self, to, kind, sequence, subject=""):
         member = self.members[to]
@@ -76,7 +76,7 @@
 
 
 class DeathIsFinal(Membership):
-    """Planted: no state overrides a death."""
+    """Planted defect: no state overrides a death."""
 
     def merge(self, entry):
         member = self.members.get(entry.name)
@@ -85,7 +85,7 @@
 
 
 class LastNeverProbed(Membership):
-    """Planted: the last member by name is never pinged."""
+    """Planted defect: the last member by name is never pinged."""
 
     def ping(self, name, requester="", requester_sequence=0):
         if name != "n4":
@@ -93,14 +93,14 @@
 
 
 class EndlessSuspicion(Membership):
-    """Planted: a suspicion never times out."""
+    """Planted defect: a suspicion never times out."""
 
     def suspicion_ms(self, _confirmations):
         return float("inf")
 
 
 class ExcusedByNacks(Membership):
-    """Planted: a missed probe counts only where helpers sent no nack."""
+    """Planted defect: a missed probe is ignored if all helpers sent a nack."""
 
     def handle_missed(self, probe):
         if probe.requester or probe.awaited_nacks:
@@ -110,9 +110,9 @@
 KILL = InjectedFault("n4", True, DatagramKind.PING, 8, "kill", "n0", 90000.0)
 CUT = InjectedFault("n4", True, DatagramKind.PING, 8, "cut", "n0", 60000.0)
 SHORT_CUT = InjectedFault("n4", True, DatagramKind.PING, 8, "cut", "n0", 12000.0)
-# Once the member has refuted its death.
+# A restart after the member has refuted its death.
 LATER_RESTART = InjectedFault("n4", True, DatagramKind.PING, 45, "restart", "n0", 0.0)
-PLANTED = [
+PLANTED_DEFECTS = [
     (NoRefutation, [CUT]),
     (IgnoresOtherGenerations, [SHORT_CUT, LATER_RESTART]),
     (DeadNeverProbed, [CUT]),
@@ -123,14 +123,16 @@
 ]
 
 
-@pytest.mark.parametrize(("machine", "faults"), PLANTED, ids=lambda value: getattr(value, "__name__", ""))
-def test_a_planted_defect_is_found(machine, faults):
+@pytest.mark.parametrize(
+    ("machine", "faults"), PLANTED_DEFECTS, ids=lambda value: getattr(value, "__name__", "")
+)
+def test_a_planted_defect_is_detected(machine, faults):
     assert not membership_schedules.play(5, 1, faults).violations
     assert membership_schedules.play(5, 1, faults, machine).violations
 
 
-def test_a_schedule_is_cut_down_to_what_breaks_the_bound():
-    needless = InjectedFault("n1", True, DatagramKind.ACK, 9, "hold", "n0", 2000.0)
-    faults = [needless, SHORT_CUT, LATER_RESTART]
+def test_a_schedule_is_reduced_to_the_faults_that_violate_a_bound():
+    unneeded = InjectedFault("n1", True, DatagramKind.ACK, 9, "hold", "n0", 2000.0)
+    faults = [unneeded, SHORT_CUT, LATER_RESTART]
     shrunk = shrink(5, 1, faults, IgnoresOtherGenerations, play=membership_schedules.play)
     assert shrunk == [SHORT_CUT, LATER_RESTART]
--- a/tests/test_publication.py
+++ b/tests/test_publication.py
@@ -13,7 +13,7 @@
     return [effect.message for effect in effects if type(effect) is SendMessage]
 
 
-def test_a_voter_refuses_a_content_that_fails_its_check_and_no_number_is_used_up():
+def test_a_voter_refuses_a_content_that_fails_its_check_and_the_number_stays_free():
     voter = make_replica("b", check=lambda _content: "aimUs: -1, expected a number")
     operator = make_replica("a")
     data = write(make_content())
@@ -47,7 +47,7 @@
 
 
 def test_a_refused_round_sends_nothing_until_the_next_begins():
-    # Guards against a content that is sent again under the later ballot, and chosen beside another.
+    # Guards against a content that is sent again under the later ballot, and chosen in addition to another.
     operator = make_replica("d", voters="abc")
     data = write(make_content())
     operator.publish(0.0, data)
@@ -77,7 +77,7 @@
     assert operator.publish(1.0, write(following)) == []
     assert operator.publisher.busy_reason() == "busy: version 1 is being written on this node"
     assert operator.publisher.publication is None
-    # Whoever published it still waits to read this.
+    # The client that published version 1 may not have read its result yet.
     assert operator.publisher.result.startswith("version 1 is")
     operator.persisted(2.0, persist.token)
     following = make_content(2, operator.content_id)
--- a/tests/test_quota_leasing.py
+++ b/tests/test_quota_leasing.py
@@ -1,4 +1,4 @@
-"""Quota leasing: never over the limit, in every interleaving of a small size and under clocks that drift."""
+"""Quota leasing: never over the limit, in every interleaving of a small system and with drifting clocks."""
 
 import pytest
 from hypothesis import given
@@ -33,7 +33,7 @@
 
 
 class ReusesRequestIds(Rules):
-    """Planted defect: a process that restarts numbers its requests as the one before."""
+    """Planted defect: a restarted process reuses the request ids of the previous one."""
 
     def request(self, state, now_ms, lender, amount, renewed_lease_id=None):
         without_generation = state._replace(generation=0)
@@ -42,7 +42,7 @@
 
 
 class CountsFromTheGrant(Rules):
-    """Planted defect: a borrower's lease counts from when the grant came."""
+    """Planted defect: a borrower's lease counts from when the grant arrived."""
 
     def handle_grant(self, state, now_ms, sender, grant):
         pending = tuple(request._replace(sent_ms=now_ms) for request in state.pending_requests)
@@ -50,14 +50,14 @@
 
 
 class SendsBeforeDurable(Rules):
-    """Planted defect: a grant is sent before it is on record."""
+    """Planted defect: a grant is sent before it is recorded."""
 
     def may_send_before_durable(self):
         return True
 
 
 class UsesItsShareAtOnce(Rules):
-    """Planted defect: a process without its record uses its share at once."""
+    """Planted defect: a process that lost its record uses its share at once."""
 
     def restarted(self, share, generation, now_ms, recorded):
         state = super().restarted(share, generation, now_ms, recorded)
@@ -65,21 +65,21 @@
 
 
 class LendsWhatIsInUse(Rules):
-    """Planted defect: what is in use is lent."""
+    """Planted defect: quota that is in use is lent."""
 
     def lendable(self, state, now_ms):
         return self.unlent_share(state, now_ms)
 
 
 class LendsTwice(Rules):
-    """Planted defect: what is lent is forgotten."""
+    """Planted defect: lent quota still counts as part of the lender's unlent share."""
 
     def unlent_share(self, state, now_ms):
         return state.share if now_ms >= state.share_withheld_until_ms else 0.0
 
 
 class LendsWhatIsBorrowed(Rules):
-    """Planted defect: what is borrowed is lent to a third member, for a lease of its own."""
+    """Planted defect: borrowed quota is lent to a third member, on a new full lease."""
 
     def lendable(self, state, now_ms):
         return max(0.0, self.usable(state, now_ms) - state.used)
@@ -92,7 +92,7 @@
 
 
 class RenewsWhatWasReturned(Rules):
-    """Planted defect: the renewal of a lease that was returned brings it back."""
+    """Planted defect: the renewal of a lease that was returned restores that lease."""
 
     def handle_grant(self, state, now_ms, sender, grant):
         pending = find_request(state, sender, grant.request_id)
@@ -105,7 +105,7 @@
 
 
 class TakesAnyReturn(Rules):
-    """Planted defect: a returned lease counts for all that is lent to that member."""
+    """Planted defect: the return of one lease ends all leases granted to that borrower."""
 
     def handle_return(self, state, sender, _returned):
         return state._replace(granted=tuple(lease for lease in state.granted if lease.borrower != sender))
@@ -119,14 +119,14 @@
 
 
 class HeldLeaseNeverExpires(Rules):
-    """Planted defect: a borrower uses its quota after its lease."""
+    """Planted defect: a borrower uses borrowed quota after the lease has expired."""
 
     def usable(self, state, now_ms):
         return self.unlent_share(state, now_ms) + sum(lease.amount for lease in state.held)
 
 
 class TakesAGrantTwice(Rules):
-    """Planted defect: a grant that comes twice counts twice."""
+    """Planted defect: a grant that arrives twice counts twice."""
 
     def handle_grant(self, state, now_ms, sender, grant):
         after, returned = super().handle_grant(state, now_ms, sender, grant)
@@ -150,7 +150,7 @@
         TakesAGrantTwice,
     ],
 )
-def test_a_planted_defect_is_found(rules):
+def test_a_planted_defect_is_detected(rules):
     assert explore(8, rules()).path or random_walks(6000, 24, rules())
 
 
@@ -177,18 +177,18 @@
 
 
 class Members:
-    """Three members with shares of 4, 2 and 0, by clocks of their own; messages come late, repeated or never.
+    """Three members with shares of 4, 2 and 0 and separate clocks; messages are late, repeated or lost.
 
-    Each step is for one member, and takes a number that says how much, to whom or which.
+    Each step is taken by one member; its number selects an amount, another member, a lease or a message.
 
     Attributes:
-        rules: the rules of leasing that all follow.
-        rates: how fast each member's clock runs, by true time.
-        real_ms: the true time.
-        generations: how many processes have been started.
-        states: each member's state.
-        disks: the grants that each member has on its disk.
-        sent: all messages so far, with their sender and receiver.
+        rules: the lease rules.
+        rates: the rate of each member's clock, relative to true time.
+        real_ms: the true time in ms.
+        generations: number of processes started so far.
+        states: the quota state of each member.
+        disks: the recorded granted leases of each member.
+        sent: all messages sent so far, as (sender, receiver, message).
 
     """
 
@@ -266,7 +266,7 @@
             self.sent.append((member, receiver, message))
 
     def expire(self):
-        """Drop expired leases, and lower the use of each member to what it may still use."""
+        """Drop expired leases, and reduce the use of each member to its usable quota."""
         for member, state in enumerate(self.states):
             now_ms = self.local_ms(member)
             remaining = self.rules.without_expired(state, now_ms)
@@ -274,14 +274,14 @@
             self.states[member] = remaining._replace(used=used)
 
     def usable(self):
-        """Return how much of the quota all members may use together."""
+        """Return the total quota that all members may use."""
         return sum(
             self.rules.usable(state, self.local_ms(member)) for member, state in enumerate(self.states)
         )
 
 
 @given(STEPS, st.tuples(*[st.floats(1.0 - CLOCK_DRIFT, 1.0 + CLOCK_DRIFT)] * 3))
-def test_with_clocks_within_the_drift_members_never_exceed_the_limit(steps, rates):
+def test_members_never_exceed_the_limit_with_clocks_within_the_drift(steps, rates):
     members = Members(rates)
     for step, member, number in steps:
         getattr(members, step)(member, number)
@@ -296,7 +296,7 @@
 
 
 def test_a_member_with_high_demand_borrows_what_others_do_not_use_in_a_few_periods():
-    # Fixed shares would leave it at one of the five that it wants.
+    # With fixed shares the member could use only one of the five shares of its demand.
     simulation = quota_schedules.QuotaSimulation(
         7, 1, [], 70.0, quota_schedules.demand_on_one(70.0, 7, "n3", 5.0)
     )
@@ -328,8 +328,8 @@
         ),
     ],
 )
-def test_a_lease_that_is_wrong_on_one_side_exceeds_the_limit(rules):
-    # The borrower is partitioned off: its lender uses the quota again by its own lease.
+def test_a_wrong_lease_duration_on_one_side_exceeds_the_limit(rules):
+    # The borrower is partitioned, so its lender uses the quota again once the lender's lease has ended.
     simulation = quota_schedules.QuotaSimulation(
         7, 1, [], 70.0, quota_schedules.demand_on_one(70.0, 7, "n3", 5.0), rules=rules
     )
@@ -339,7 +339,7 @@
     assert simulation.max_usable > 70.0 + 1.0
 
 
-def test_a_grant_is_at_least_the_minimum_and_at_most_a_part_of_what_is_free():
+def test_a_grant_is_at_least_the_minimum_and_at_most_a_share_of_the_free_quota():
     rules = QuotaLeasing(1000.0, min_lease=1.0)
     request = LeaseRequest(SerialNumber(2, 1), 9.0)
     state, grant = rules.handle_request(QuotaState(10.0, 1, used=4.0), 0.0, "b", request)
@@ -351,7 +351,7 @@
     assert state.granted == (GrantedLease(SerialNumber(1, 1), "b", 3.0, expires_ms, SerialNumber(2, 1)),)
     assert grants[0].borrower == "b"
 
-    # A request that comes twice is granted once.
+    # A duplicate request is granted once.
     assert rules.handle_request(state, 6.0, "b", request) == (state, grants[0].grant)
 
     _, grant = rules.handle_request(QuotaState(1.0, 1), 0.0, "b", request)
@@ -372,7 +372,7 @@
     assert not state.held
 
 
-def test_a_smaller_share_holds_at_once_and_a_larger_one_once_all_members_have_it():
+def test_a_smaller_share_applies_at_once_and_a_larger_one_once_all_members_have_applied_it():
     rules = QuotaLeasing(1000.0)
     state = QuotaState(4.0, 1)
     assert rules.with_share(state, 6.0, is_on_all=False).share == 4.0
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""One replica: contents, the quorum lease, service and the operators' override."""
+"""One replica: contents, the quorum lease, service and the operator's override."""
 
 from math import inf
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("strict", [True, False])
-def test_without_a_proof_a_strict_node_leaves_service_and_another_serves_on_unproven_for_a_time(strict):
+def test_without_a_proof_a_strict_node_leaves_service_and_another_serves_unproven_for_a_time(strict):
     replica = make_replica("d", strict=strict)
     replica.tick(0.0)
     replica.receive_status(5.0, "b", status_response(1, age_ms=0.0))
@@ -44,7 +44,9 @@
 
 
 @pytest.mark.parametrize(("members_in_service", "is_serving"), [(3, False), (0, True)])
-def test_a_node_that_cannot_use_a_version_leaves_service_unless_most_cannot(members_in_service, is_serving):
+def test_a_node_that_cannot_use_a_version_leaves_service_unless_a_majority_cannot(
+    members_in_service, is_serving
+):
     replica = make_replica("d", strict=False, check=lambda _content: "key: what was expected")
     replica.tick(0.0)
     replica.receive_status(0.0, "b", status_response(1, age_ms=0.0))
@@ -59,7 +61,7 @@
     assert replica.applied_number == 0
 
 
-def test_a_node_serves_again_only_after_a_while_without_fault():
+def test_a_node_serves_again_only_after_the_recovery_time_without_a_fault():
     replica = make_replica("d")
     replica.tick(0.0)
     replica.receive_status(0.0, "b", status_response(1, age_ms=0.0))
@@ -71,7 +73,7 @@
     assert replica.serving.evaluate(2100.0).is_serving
 
 
-def test_an_operators_override_holds_once_durable_and_across_restarts():
+def test_an_operators_override_applies_once_durable_and_after_restarts():
     replica = make_replica("d")
     persist = replica.override_by_operator("sick", 5.0)
     assert replica.operator_override is None
@@ -83,8 +85,8 @@
     assert make_replica("d", recovered).serving.evaluate(0.0).code == "hand"
 
 
-def test_a_replica_that_cannot_read_a_version_takes_no_proof_from_earlier_voters():
-    # Earlier voters may not vote any more: what they did not accept others may have.
+def test_a_replica_that_cannot_read_a_version_adopts_no_proof_from_earlier_voters():
+    # Earlier voters may no longer be voters: other members may have accepted a version that they did not.
     replica = make_replica("a")
     data = write(make_content(format=FORMAT + 1))
     replica.store.contents[digest(data)] = data
--- a/tests/test_replication_compatibility.py
+++ b/tests/test_replication_compatibility.py
@@ -1,4 +1,4 @@
-"""A cluster in which some nodes run a program that knows no deltas."""
+"""A cluster in which some nodes run an earlier program that does not support deltas."""
 
 import msgspec
 import pytest
@@ -11,14 +11,14 @@
 
 
 class EarlierFetchRequest(msgspec.Struct, array_like=True, frozen=True, tag="want"):
-    """A fetch request as it was before deltas."""
+    """A fetch request in the format before deltas."""
 
     id: str
     at: int
 
 
 class EarlierChunk(msgspec.Struct, array_like=True, frozen=True, tag="piece"):
-    """A chunk as it was before deltas."""
+    """A chunk in the format before deltas."""
 
     id: str
     size: int
@@ -32,10 +32,10 @@
 
 
 class EarlierReplica(ConfigReplica):
-    """A program that knows no deltas: it reads and sends what that did."""
+    """A replica of a program without deltas, which receives and sends messages in the earlier format."""
 
     def receive(self, now, sender, message):
-        earlier = EARLIER_MESSAGES.decode(msgspec.msgpack.encode(message))  # as its codec reads it
+        earlier = EARLIER_MESSAGES.decode(msgspec.msgpack.encode(message))  # as decoded by its codec
         message = msgspec.msgpack.decode(msgspec.msgpack.encode(earlier), type=messages.ReplicationMessage)
         assert getattr(message, "have", "") == ""
         return [self.in_earlier_form(effect) for effect in super().receive(now, sender, message)]
@@ -54,18 +54,18 @@
 
 
 def make_mixed_replica(name: str, *arguments: object) -> ConfigReplica:
-    """Return a replica of the earlier program on three nodes, of the present one on the others."""
+    """Return a replica of the earlier program on three nodes, of the current one on the others."""
     replica_type = EarlierReplica if name in ("n0", "n3", "n5") else ConfigReplica
     return replica_type(name, *arguments)
 
 
 @pytest.mark.parametrize("seed", [0, 3, 17, 42, 81])
-def test_a_mixed_cluster_sends_whole_contents_to_programs_that_know_no_deltas(seed):
+def test_a_mixed_cluster_sends_whole_contents_to_earlier_programs_and_violates_no_bound(seed):
     faults = replication_schedules.schedule(7, seed) if seed else []
     assert replication_schedules.play(7, seed, faults, make_mixed_replica).violations == []
 
 
-def test_in_a_mixed_cluster_programs_that_know_deltas_receive_them():
+def test_in_a_mixed_cluster_only_programs_that_support_deltas_receive_them():
     simulation = replication_schedules.ReplicationSimulation(7, 1, [], machine=make_mixed_replica)
     simulation.run(5000.0)
     for mark in range(1, 9):
@@ -76,5 +76,5 @@
     assert len(simulation.checker.chosen) == 8
     counts = {name: process.machine.store.transfer_counts for name, process in simulation.processes.items()}
     assert all(counts[name]["whole"] == 8 and not counts[name]["chains"] for name in ("n0", "n3", "n5"))
-    # An older program sends them the whole; others, past the first version, deltas.
+    # An earlier program sends them whole contents; the others send deltas after the first version.
     assert all(counts[name]["chains"] >= 3 for name in ("n2", "n4", "n6"))
--- a/tests/test_replication_defects.py
+++ b/tests/test_replication_defects.py
@@ -1,4 +1,4 @@
-"""Replicas with planted defects of fetching, and whether the search in virtual time finds them."""
+"""Replicas with planted defects in fetching contents, which simulated fault schedules must detect."""
 
 import msgspec
 import pytest
@@ -11,13 +11,13 @@
 
 
 @pytest.mark.parametrize("seed", [2, 9, 33, 145])
-def test_corrupted_chunks_break_no_bound(seed):
-    found = replication_schedules.play(7, seed, replication_schedules.schedule(7, seed), twists=0.1)
+def test_corrupted_chunks_violate_no_bound(seed):
+    found = replication_schedules.play(7, seed, replication_schedules.schedule(7, seed), corrupted_share=0.1)
     assert found.violations == []
 
 
 class UnverifiedStore(ContentStore):
-    """Does not compare what deltas lead to with the id asked for."""
+    """Does not compare the result of deltas with the requested id."""
 
     def apply_delta_chain(self, base_id, chain, content_id):  # noqa: ARG002 - as it is called
         document, before = self.document(base_id), base_id
@@ -30,13 +30,13 @@
 
 
 class UnverifiedReplica(ConfigReplica):
-    """A defect: what deltas lead to is not held against the id."""
+    """Planted defect: the result of deltas is not verified against the id."""
 
     store_type = UnverifiedStore
 
 
 class LastDeltaStore(ContentStore):
-    """Gives the last delta alone, whatever the base."""
+    """Returns only the last delta, for any base."""
 
     def delta_chain(self, base_id, content_id):  # noqa: ARG002 - as it is called
         link = self.delta_links.get(content_id)
@@ -44,13 +44,13 @@
 
 
 class LastDeltaReplica(ConfigReplica):
-    """A defect: the last delta alone is sent, wherever the reader is."""
+    """Planted defect: only the last delta is sent, whatever version the reader holds."""
 
     store_type = LastDeltaStore
 
 
 class DeltasOnlyFetcher(ContentFetcher):
-    """Discards a whole content where it asked for deltas."""
+    """Discards a whole content if it requested deltas."""
 
     def receive_chunk(self, sender, chunk):
         fetch = self.fetches.get(chunk.id)
@@ -60,26 +60,26 @@
 
 
 class DeltasOnlyReplica(ConfigReplica):
-    """A defect: one that asked for deltas takes no whole."""
+    """Planted defect: a replica that requested deltas accepts no whole content."""
 
     fetcher_type = DeltasOnlyFetcher
 
 
 class UntrimmedStore(ContentStore):
-    """Keeps all deltas."""
+    """Never drops deltas."""
 
     def trim_delta_links(self):
         pass
 
 
 class UntrimmedReplica(ConfigReplica):
-    """A defect: deltas are kept for ever."""
+    """Planted defect: deltas are never dropped."""
 
     store_type = UntrimmedStore
 
 
 class UnorderedFetcher(ContentFetcher):
-    """Takes each chunk for the next one."""
+    """Treats each chunk as the next one."""
 
     def receive_chunk(self, sender, chunk):
         fetch = self.fetches.get(chunk.id)
@@ -89,7 +89,7 @@
 
 
 class UnorderedReplica(ConfigReplica):
-    """A defect: chunks are put together as they come."""
+    """Planted defect: chunks are joined in the order of arrival."""
 
     fetcher_type = UnorderedFetcher
 
@@ -103,8 +103,13 @@
 ]
 
 
-@pytest.mark.parametrize(("replica_type", "seed", "twists", "rows"), DEFECTS)
-def test_a_planted_defect_is_found(replica_type, seed, twists, rows):
+@pytest.mark.parametrize(("replica_type", "seed", "corrupted_share", "rows"), DEFECTS)
+def test_a_planted_defect_is_detected(replica_type, seed, corrupted_share, rows):
     faults = replication_schedules.schedule(7, seed)
-    assert replication_schedules.play(7, seed, faults, replica_type, twists=twists, rows=rows).violations
-    assert replication_schedules.play(7, seed, faults, twists=twists, rows=rows).violations == []
+    assert replication_schedules.play(
+        7, seed, faults, replica_type, corrupted_share=corrupted_share, rows=rows
+    ).violations
+    assert (
+        replication_schedules.play(7, seed, faults, corrupted_share=corrupted_share, rows=rows).violations
+        == []
+    )
--- a/tests/test_replication_messages.py
+++ b/tests/test_replication_messages.py
@@ -1,4 +1,4 @@
-"""Messages about versions from the network, and the contents that they carry."""
+"""Replication messages from the network, and the contents that they carry."""
 
 from math import inf
 
@@ -78,7 +78,7 @@
     assert len(replica.voter.awaiting_content) <= 3
 
 
-def test_accept_requests_that_wait_for_contents_are_bounded():
+def test_the_number_of_accept_requests_that_wait_for_contents_is_bounded():
     replica = make_replica("b")
     for ballot in range(40):
         accept = VoteMessage("accept", 1, ballot, "a/1", value=digest(b"%d" % ballot))
@@ -123,6 +123,6 @@
         ({"why": ""}, "why"),
     ],
 )
-def test_a_content_that_cannot_be_used_says_why(change, what):
+def test_the_error_of_an_unusable_content_names_the_reason(change, what):
     with pytest.raises(InvalidContentError, match=what):
         read(write(msgspec.structs.replace(make_content(), **change)), NAMES)
--- a/tests/test_replication_schedules.py
+++ b/tests/test_replication_schedules.py
@@ -1,4 +1,4 @@
-"""The search of fault schedules for versions in virtual time, and planted defects that it finds."""
+"""Replication under fault schedules in virtual time, and the detection of planted defects."""
 
 from zlib import crc32
 
@@ -21,15 +21,15 @@
 
 @pytest.mark.parametrize("rows", [0, replication_schedules.CONTENT_ROWS])
 @pytest.mark.parametrize("seed", [1, 81, 1287, 2130, 8759])
-def test_no_schedule_breaks_a_bound(seed, rows):
-    # 1287 and 2130 drew other schedules with an earlier random source: these are played below.
+def test_no_schedule_violates_a_bound(seed, rows):
+    # With an earlier random source, 1287 and 2130 gave other schedules; those are run by another test below.
     faults = replication_schedules.schedule(NODES, seed)
     assert replication_schedules.play(NODES, seed, faults, rows=rows).violations == []
 
 
 @pytest.fixture
 def linear_random_source(monkeypatch):
-    """Draw by CRC-32 alone, as the random source did when these schedules broke bounds."""
+    """Draw by CRC-32 alone, as the random source did when the schedules of 1287 and 2130 violated bounds."""
 
     class Draws:
         def __init__(self, prefix, seed):
@@ -44,10 +44,11 @@
     monkeypatch.setattr(replication_schedules, "ScheduleDraws", Draws)
 
 
-# These schedules once led to two contents of one number, and to no member with a proof.
+# Guards against two contents of one number, and against a cluster in which no member has a proof: these
+# schedules once caused both.
 @pytest.mark.parametrize(("seed", "checksum"), [(1287, 1045893244), (2130, 938371654)])
 @pytest.mark.usefixtures("linear_random_source")
-def test_schedules_found_by_earlier_searches_break_no_bound(seed, checksum):
+def test_schedules_found_by_earlier_searches_violate_no_bound(seed, checksum):
     faults = replication_schedules.schedule(NODES, seed)
     assert crc32(plain(faults).encode()) == checksum
     assert replication_schedules.play(NODES, seed, faults, rows=0).violations == []
@@ -80,13 +81,13 @@
 
 
 class AnswersBeforeDurable(ConfigReplica):
-    """Planted: a voter answers before its promise is durable."""
+    """Planted defect: a voter answers before its promise is durable."""
 
     voter_type = HastyVoter
 
 
 class ProofFromResponse(ConfigReplica):
-    """Planted: a proof counts from when the response came, not from when it was asked for."""
+    """Planted defect: a proof counts from when the response arrived, not from when it was requested."""
 
     def receive_status(self, now, sender, status):
         read = self.lease.reads.get(status.seq)
@@ -96,7 +97,7 @@
 
 
 class IgnoresProofAge(ConfigReplica):
-    """Planted: another member's proof is taken for one of this moment."""
+    """Planted defect: another member's proof is treated as if its age were 0."""
 
     def receive_status(self, now, sender, status):
         ageless = msgspec.structs.replace(status, age_ms=min(status.age_ms, 0.0))
@@ -104,7 +105,7 @@
 
 
 class OneVoterLease(QuorumLease):
-    """Takes one voter for a quorum."""
+    """Treats one voter as a quorum."""
 
     def renew(self, read):
         if read.voters_without_later:
@@ -112,20 +113,20 @@
 
 
 class OneVoterProves(ConfigReplica):
-    """Planted: the response of one voter is a proof."""
+    """Planted defect: the response of one voter is a proof."""
 
     lease_type = OneVoterLease
 
 
 class IgnoresAccepted(ConfigReplica):
-    """Planted: a voter that has accepted a later version counts as one that has not."""
+    """Planted defect: a voter that has accepted a later version counts as one that has not."""
 
     def receive_status(self, now, sender, status):
         return super().receive_status(now, sender, msgspec.structs.replace(status, accepted=0))
 
 
 class KeepsFirstVoters(ConfigReplica):
-    """Planted: the voters of the settings stay, whatever versions name."""
+    """Planted defect: the voters of the settings stay in use, whatever voters a version names."""
 
     def hold(self, number, content_id):
         effects = super().hold(number, content_id)
@@ -141,26 +142,26 @@
 
 
 class EndlessProof(ConfigReplica):
-    """Planted: a version that was in force once is taken to be so for ever."""
+    """Planted defect: a version that was proven once counts as proven forever."""
 
     lease_type = EndlessLease
 
 
 class OwnOnlyPublisher(Publisher):
-    """Proposes nothing that another member left accepted."""
+    """Does not propose a content that another member's publication left accepted."""
 
     def progress(self, now):
         return super().progress(now) if self.publication is not None else []
 
 
 class IgnoresOthersAccepted(ConfigReplica):
-    """Planted: a publication that another member began is not finished."""
+    """Planted defect: an abandoned publication of another member is not completed."""
 
     publisher_type = OwnOnlyPublisher
 
 
 class FetchesOnce(ConfigReplica):
-    """Planted: a content that did not arrive is not requested again."""
+    """Planted defect: a content that did not arrive is not requested again."""
 
     def tick(self, now):
         return [
@@ -192,7 +193,7 @@
         (ProofFromResponse, 9, LATE_RESPONSES),
     ],
 )
-def test_a_planted_defect_is_found(replica_type, seed, faults):
+def test_a_planted_defect_is_detected(replica_type, seed, faults):
     if faults is None:
         faults = replication_schedules.schedule(NODES, seed)
     assert replication_schedules.play(NODES, seed, faults, replica_type, rows=0).violations
@@ -202,7 +203,7 @@
 @pytest.mark.parametrize(
     ("replica_type", "seed"), [(EndlessProof, 18), (IgnoresOthersAccepted, 57), (KeepsFirstVoters, 3)]
 )
-def test_a_planted_defect_is_found_where_deltas_are_sent_too(replica_type, seed):
+def test_a_planted_defect_is_detected_if_deltas_are_sent_too(replica_type, seed):
     faults = replication_schedules.schedule(NODES, seed)
     assert replication_schedules.play(NODES, seed, faults, replica_type).violations
     assert replication_schedules.play(NODES, seed, faults).violations == []
--- a/tests/test_wire_samples.py
+++ b/tests/test_wire_samples.py
@@ -1,4 +1,4 @@
-"""What is sent and stored keeps its bytes, whatever the types and fields are called in the code."""
+"""Messages and stored records keep their encoding, whatever the names of types and fields in the code."""
 
 import json
 from pathlib import Path
@@ -28,36 +28,36 @@
 
 
 @pytest.mark.parametrize("name", KEPT)
-def test_each_message_and_record_is_written_as_before(name):
+def test_each_message_and_record_is_encoded_to_the_kept_bytes(name):
     assert WRITTEN[name] == KEPT[name]
 
 
 @pytest.mark.parametrize("data", kept("letter"))
-def test_a_letter_is_read_and_written_to_the_same_bytes(data):
+def test_a_membership_datagram_is_decoded_and_encoded_to_the_same_bytes(data):
     assert membership_codec.write(membership_codec.read(data, "f", NAMES)) == data
 
 
 @pytest.mark.parametrize("data", kept("note"))
-def test_a_note_is_read_and_written_to_the_same_bytes(data):
+def test_a_replication_datagram_is_decoded_and_encoded_to_the_same_bytes(data):
     assert messages.write(messages.read(data, "f", NAMES)) == data
 
 
-def test_notes_are_counted_under_the_same_numbers():
-    kinds = [int(messages.kind_of(note.message)) for note in wire_samples.notes()]
+def test_replication_messages_keep_the_numbers_of_their_kinds():
+    kinds = [int(messages.kind_of(datagram.message)) for datagram in wire_samples.replication_datagrams()]
     assert kinds == [11, 12, 18, 19, 13, 14, 15, 16, 17]
 
 
-def test_records_of_the_state_are_read_as_what_was_written():
+def test_kept_state_records_are_decoded_to_the_samples():
     for record, data in zip(wire_samples.state_records(), kept("state"), strict=True):
         assert files.DECODER.decode(data[files.FRAME_HEADER.size :]) == record
 
 
-def test_records_of_the_ledger_are_read_as_what_was_written():
+def test_kept_ledger_records_are_decoded_to_the_samples():
     for record, data in zip(wire_samples.ledger_records(), kept("ledger"), strict=True):
         assert audit_log.DECODER.decode(data) == record
 
 
-def test_lines_of_the_handover_are_read_as_what_was_written():
+def test_kept_handover_lines_are_decoded_to_the_samples():
     row = handover_codec.AttemptSent("k", "e1", "here", 5, 1000.5, 2000.5)
     hosts = [{"host": "e1", "dial": "127.0.0.1:1"}, {"host": "e2", "dial": "127.0.0.1:2"}]
     read = [
--- a/tests/wire_samples.py
+++ b/tests/wire_samples.py
@@ -1,7 +1,7 @@
-"""One sample of each message and stored record, every field named and with a value of its own.
+"""One sample of each message and stored record, with every field named and a distinct value in each field.
 
-The bytes that 53bfa1a wrote for them are kept in tests/data/wire.json, which is never written anew: a change
-of a field's place, of a tag or of a number shows as other bytes.
+Their encoding by commit 53bfa1a is kept in tests/data/wire.json, which is never regenerated: a change of the
+order of fields, of a tag or of a number gives other bytes.
 """
 
 from marlseam.cluster import audit_log, membership_codec
@@ -13,8 +13,8 @@
 OTHER_DIGEST = "cd" * 32
 
 
-def letters():
-    """Return a datagram of membership of each kind, with what it claims of other members."""
+def membership_datagrams():
+    """Yield a membership datagram of each kind, with gossip about other members."""
     state = membership_codec.MemberState(
         incarnation=3, generation=1234567, status=membership_codec.MemberStatus.SUSPECT
     )
@@ -54,9 +54,9 @@
         )
 
 
-def notes():
-    """Return a datagram of each kind on configuration versions."""
-    says_all = [
+def replication_datagrams():
+    """Yield a replication datagram of each kind of message."""
+    all_messages = [
         messages.StatusRequest(seq=11, number=12),
         messages.StatusResponse(
             seq=21,
@@ -86,12 +86,12 @@
             for kind in messages.KINDS_BY_VOTE
         ),
     ]
-    for said in says_all:
-        yield messages.ReplicationDatagram(version=messages.VERSION, fleet="f", sender="n1", message=said)
+    for message in all_messages:
+        yield messages.ReplicationDatagram(version=messages.VERSION, fleet="f", sender="n1", message=message)
 
 
 def handover_lines():
-    """Return each kind of line that one process of a node writes to another."""
+    """Yield each kind of line that one process of a node writes to another during a handover."""
     row = handover_codec.AttemptSent(
         key="k", server="e1", zone="here", cell=5, sent_ms=1000.5, until_ms=2000.5
     )
@@ -106,7 +106,7 @@
 
 
 def state_records():
-    """Return each record of a state folder's files."""
+    """Yield each kind of record in the files of a state directory."""
     sent = files.AttemptSent(key="k", server="e1", zone="here", cell=5, sent_ms=11.5, until_ms=12.5)
     yield files.FileHeader(
         kind="journal",
@@ -128,7 +128,7 @@
 
 
 def ledger_records():
-    """Return each record of a ledger."""
+    """Yield each kind of record of a ledger."""
     yield audit_log.LedgerBegun(wall_ms=1.5)
     yield audit_log.FileOpened(inode=2)
     yield audit_log.BatchWritten(wall_ms=3.5)
@@ -168,7 +168,7 @@
 
 
 def contents():
-    """Return a configuration version as a document, and the difference to one that follows it."""
+    """Yield the content of a configuration version, and a change to the next one, both encoded."""
     settings = {"b": [1, 2.0, True], "a": {"y": 1, "x": "text"}, "zone": "own"}
     yield content.write(
         content.Content(
@@ -195,9 +195,11 @@
 
 
 def samples():
-    """Return each sample's bytes by its name."""
-    found = {f"letter {i}": membership_codec.write(letter) for i, letter in enumerate(letters())}
-    found |= {f"note {i}": messages.write(note) for i, note in enumerate(notes())}
+    """Return the encoding of each sample by its name in tests/data/wire.json."""
+    found = {
+        f"letter {i}": membership_codec.write(datagram) for i, datagram in enumerate(membership_datagrams())
+    }
+    found |= {f"note {i}": messages.write(datagram) for i, datagram in enumerate(replication_datagrams())}
     found |= {f"handover {i}": line for i, line in enumerate(handover_lines())}
     found |= {f"state {i}": files.encode_record(record) for i, record in enumerate(state_records())}
     found |= {f"ledger {i}": audit_log.encode(record) for i, record in enumerate(ledger_records())}
