--- a/marlseam/cluster/checking/explore_paxos.py
+++ b/marlseam/cluster/checking/explore_paxos.py
@@ -151,7 +151,7 @@
         """Return the place of an operator in its ballots, which changes with each restart."""
         return f"{place}.{operator.restarts}"
 
-    def wanted_content(self, place: int, operator: Operator) -> str:
+    def proposed_content(self, place: int, operator: Operator) -> str:
         """Return the content that an operator proposes, which changes with each round and each restart."""
         return f"{'xy'[place - 1]}{operator.round + 1}.{operator.restarts}"
 
@@ -229,7 +229,9 @@
     """Yield each next step of an operator: begin a round, send an accept request, restart."""
     place, operator = index + 1, state.operators[index]
     if operator.round < rules.rounds:
-        opened = operator._replace(value=rules.wanted_content(place, operator), is_open=True, requested=None)
+        opened = operator._replace(
+            value=rules.proposed_content(place, operator), is_open=True, requested=None
+        )
         proposer = rules.proposer(place, opened)
         message = proposer.begin_round()
         begun = opened._replace(round=proposer.round)
--- a/marlseam/cluster/checking/membership_schedules.py
+++ b/marlseam/cluster/checking/membership_schedules.py
@@ -167,7 +167,8 @@
             nearest[kind] = max(nearest[kind], took / bound)
             if took > bound:
                 violations.append(
-                    f"{observer} held {name} as alive for {took:.0f} ms after {since:.0f}, bound {bound:.0f}"
+                    f"{observer} held {name} as alive for {took:.0f} ms after its outage at {since:.0f} ms, "
+                    f"bound {bound:.0f} ms"
                 )
     violations += false_deaths(simulation, detection_ms)
     return MembershipVerdict(violations, nearest, simulation.duplicates_reported)
--- a/marlseam/cluster/checking/quota_schedules.py
+++ b/marlseam/cluster/checking/quota_schedules.py
@@ -37,14 +37,14 @@
 MIN_USED_SHARE = 0.95  # required use at the end, as a share of the demand that the limit can satisfy
 FAULTS = ("kill", "restart", "stop", "cut", "deaf", "mute", "pair", "hold", "lost")
 
-FORMS: dict[str, Callable[..., LeaseMessage]] = {
+TYPES_BY_NAME: dict[str, Callable[..., LeaseMessage]] = {
     "borrow": LeaseRequest,
     "lend": LeaseGrant,
     "give": LeaseReturn,
 }
-NAMES = {LeaseRequest: "borrow", LeaseGrant: "lend", LeaseReturn: "give"}
+NAMES_BY_TYPE = {LeaseRequest: "borrow", LeaseGrant: "lend", LeaseReturn: "give"}
 # The kinds of messages by which steps are counted.
-KINDS = {"borrow": MessageKind.ASK, "lend": MessageKind.TELL, "give": MessageKind.WANT}
+KINDS_BY_NAME = {"borrow": MessageKind.ASK, "lend": MessageKind.TELL, "give": MessageKind.WANT}
 
 
 class DemandSample(NamedTuple):
@@ -52,7 +52,7 @@
 
     at_ms: float
     used: float
-    wanted: float
+    demanded: float
 
 
 class QuotaVerdict(NamedTuple):
@@ -121,8 +121,8 @@
 
     def send_at_step(self, process: SimulatedMember, effect: SendLeaseMessage) -> None:
         """Send a message, after injecting the fault of this step, if any."""
-        name = NAMES[type(effect.message)]
-        fault = self.fault_at_step(process, True, KINDS[name])
+        name = NAMES_BY_TYPE[type(effect.message)]
+        fault = self.fault_at_step(process, True, KINDS_BY_NAME[name])
         if fault is not None:
             self.inject(fault, process)
         if process.live:
@@ -133,12 +133,12 @@
     def deliver(self, process: SimulatedMember, data: bytes) -> None:
         """Pass a message to a process, after injecting the fault of this step, if any."""
         sender, name, values = msgspec.msgpack.decode(data)
-        fault = self.fault_at_step(process, False, KINDS[name])
+        fault = self.fault_at_step(process, False, KINDS_BY_NAME[name])
         if fault is not None:
             self.inject(fault, process)
         if process.live and process.stopped_until <= self.now:
             fields = [SerialNumber(*value) if isinstance(value, list) else value for value in values]
-            message = FORMS[name](*fields)
+            message = TYPES_BY_NAME[name](*fields)
             self.apply_effects(process, process.machine.receive(self.local(process), sender, message))
 
     def persist(self, process: SimulatedMember, effect: PersistQuotaState) -> None:
@@ -168,10 +168,10 @@
 
     def sample(self) -> None:
         """Record the total use and demand, and the sum of the quota that members may use."""
-        usable = used = wanted = 0.0
+        usable = used = demanded = 0.0
         for process in self.processes.values():
             demand = self.demand(process.name, self.now)
-            wanted += demand
+            demanded += demand
             if not process.live:
                 continue
             # A stopped process uses nothing now, but its usable quota counts, as it may resume at any time.
@@ -179,7 +179,7 @@
             if process.stopped_until <= self.now:
                 used += process.machine.set_demand(self.local(process), demand)
         self.max_usable = max(self.max_usable, usable)
-        self.samples.append(DemandSample(self.now, used, wanted))
+        self.samples.append(DemandSample(self.now, used, demanded))
         self.at(self.now + SAMPLE_MS, self.sample)
 
 
@@ -191,7 +191,7 @@
 
 def draw_step(draws: ScheduleDraws) -> Step:
     """Draw the kind and ordinal of a step."""
-    return Step(list(KINDS.values())[draws(3)], 1 + draws(20))
+    return Step(list(KINDS_BY_NAME.values())[draws(3)], 1 + draws(20))
 
 
 def schedule(nodes: int, seed: int, max_faults: int = MAX_FAULTS) -> list[InjectedFault]:
@@ -216,7 +216,7 @@
     end = simulation.stop_faults(faults) + LEASE_PERIODS * PERIOD_MS
     simulation.run((end // phase_ms + 2.0) * phase_ms - SAMPLE_MS)
     last = simulation.samples[-1]
-    available = min(limit, last.wanted)
+    available = min(limit, last.demanded)
     violations = []
     if simulation.max_usable > limit * (1.0 + 1e-9):
         violations.append(f"all members together may use {simulation.max_usable:.2f}, limit {limit:g}")
--- a/marlseam/cluster/checking/simulation.py
+++ b/marlseam/cluster/checking/simulation.py
@@ -297,7 +297,7 @@
             self.outages.append(Outage(name, self.now, until))
 
     def stop_faults(self, faults: list[InjectedFault]) -> float:
-        """Inject no more faults; return when the last one has ended and all held copies have been sent."""
+        """Inject no more faults; return when the last one has ended and all held copies have arrived."""
         self.pending_faults.clear()
         over = max([until for _, until in self.fault_spans], default=0.0)
         held = max([fault.for_ms for fault in faults if fault.fault == "hold"], default=0.0)
--- a/marlseam/cluster/replication/content_store.py
+++ b/marlseam/cluster/replication/content_store.py
@@ -46,10 +46,10 @@
         except DeltaError as error:
             raise InvalidContentError(str(error)[: messages.MAX_REASON_CHARACTERS]) from None
 
-    def retain(self, wanted: Collection[str]) -> None:
-        """Drop all contents except those with the ids `wanted`, and trim the deltas."""
-        self.contents = {key: data for key, data in self.contents.items() if key in wanted}
-        self.documents = {key: found for key, found in self.documents.items() if key in wanted}
+    def retain(self, needed: Collection[str]) -> None:
+        """Drop all contents except those with the ids `needed`, and trim the deltas."""
+        self.contents = {key: data for key, data in self.contents.items() if key in needed}
+        self.documents = {key: found for key, found in self.documents.items() if key in needed}
         self.trim_delta_links()
 
     def add_delta_link(self, content_id: str, link: DeltaLink) -> None:
--- a/marlseam/cluster/replication/delta.py
+++ b/marlseam/cluster/replication/delta.py
@@ -61,8 +61,8 @@
 
 
 ENCODER = msgspec.json.Encoder()
-CHANGE: msgspec.json.Decoder[Change] = msgspec.json.Decoder(Change)
-CHAIN: msgspec.json.Decoder[list[Change]] = msgspec.json.Decoder(list[Change])
+CHANGE_DECODER: msgspec.json.Decoder[Change] = msgspec.json.Decoder(Change)
+CHAIN_DECODER: msgspec.json.Decoder[list[Change]] = msgspec.json.Decoder(list[Change])
 
 
 def decode_document(data: bytes) -> Document:
@@ -160,7 +160,7 @@
     edited_after = {key: value for key, value in after.items() if key not in DERIVED_KEYS}
     encoded = ENCODER.encode(Change(digest(data), diff_values(edited_before, edited_after)))
     try:
-        result = apply_change(before, after.get("before", ""), CHANGE.decode(encoded))
+        result = apply_change(before, after.get("before", ""), CHANGE_DECODER.decode(encoded))
         is_exact = encode_document(result) == data
     except (DeltaError, msgspec.MsgspecError, RecursionError):
         return None
@@ -256,7 +256,7 @@
     Raises DeltaError if the chain is invalid or its result does not have the id `content_id`.
     """
     try:
-        changes = CHAIN.decode(data)
+        changes = CHAIN_DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise DeltaError(f"not a chain of changes: {error}") from None
     document, current_id = base, base_id
--- a/marlseam/cluster/replication/messages.py
+++ b/marlseam/cluster/replication/messages.py
@@ -171,12 +171,12 @@
     return DATAGRAM_PREFIX + ENCODER.encode(datagram)
 
 
-def are_numbers(*numbers: int) -> bool:
+def are_numbers_in_bounds(*numbers: int) -> bool:
     """Return whether all numbers are within 0 and `MAX_NUMBER`, the bounds of version and round numbers."""
     return all(0 <= number <= MAX_NUMBER for number in numbers)
 
 
-def is_id_or_none(text: str) -> bool:
+def is_id_or_empty(text: str) -> bool:
     """Return whether a text has the length of a content's id, or is empty."""
     return len(text) in (0, DIGEST_CHARACTERS)
 
@@ -185,12 +185,12 @@
     """Return whether all fields of a message are in bounds."""
     match message:
         case StatusRequest():
-            return are_numbers(message.seq, message.number)
+            return are_numbers_in_bounds(message.seq, message.number)
         case StatusResponse():
             return is_status_in_bounds(message)
         case VoteMessage():
             return is_vote_in_bounds(message)
-    if not is_id_or_none(message.have) or len(message.id) != DIGEST_CHARACTERS:
+    if not is_id_or_empty(message.have) or len(message.id) != DIGEST_CHARACTERS:
         return False
     if isinstance(message, FetchRequest):
         return 0 <= message.at < MAX_CONTENT_BYTES
@@ -200,8 +200,8 @@
 def is_status_in_bounds(status: StatusResponse) -> bool:
     """Return whether all fields of a status are in bounds."""
     return (
-        are_numbers(status.seq, status.number, status.acting, status.accepted, status.top)
-        and is_id_or_none(status.id)
+        are_numbers_in_bounds(status.seq, status.number, status.acting, status.accepted, status.top)
+        and is_id_or_empty(status.id)
         and len(status.code) <= MAX_NAME_CHARACTERS
         and -1.0 <= status.age_ms <= MAX_NUMBER
     )
@@ -211,8 +211,8 @@
     """Return whether all fields of a vote are in bounds and its kind is one of `VOTES`."""
     return (
         vote.kind in KINDS_BY_VOTE
-        and are_numbers(vote.number, vote.round, vote.other_round)
-        and is_id_or_none(vote.value)
+        and are_numbers_in_bounds(vote.number, vote.round, vote.other_round)
+        and is_id_or_empty(vote.value)
         and max(len(vote.place), len(vote.other_place)) <= MAX_PROPOSER_CHARACTERS
         and len(vote.why) <= MAX_REASON_CHARACTERS
     )
--- a/marlseam/cluster/replication/quorum_lease.py
+++ b/marlseam/cluster/replication/quorum_lease.py
@@ -147,8 +147,8 @@
     def exclude_forgotten_votes(self, read: QuorumRead) -> list[Effect]:
         """Set the number up to which this node does not vote, if its memory of its votes is lost.
 
-        This node may have promised for the number after the newest one chosen, which a majority of the voters
-        have a promise for or hold.
+        A majority of the voters hold, or have promised for, the newest number chosen; this node may also have
+        promised for the number after that one, so it is excluded too.
         """
         replica, voter = self.replica, self.replica.voter
         if voter.votes_excluded_up_to is not None or voter.memory_is_elsewhere:
--- a/marlseam/cluster/replication/voting.py
+++ b/marlseam/cluster/replication/voting.py
@@ -191,7 +191,7 @@
         number = vote.number
         state, response = self.acceptor.handle(request_of(vote))
         if state is None:
-            # A repeated request: answered again only if the state of the first answer is on disk.
+            # A repeated request: answered again if the state of the first answer is on disk, or by a refusal.
             is_durable = self.durable_promises.get(number) == self.acceptor.promises.get(number)
             may_send = is_durable or isinstance(response, Refused)
             return self.answer(now, sender, vote_of(response)) if may_send else []
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -168,14 +168,14 @@
     """Planted defect: a voter accepts under an earlier ballot than it promised."""
 
     def acceptor(self, name, held):
-        class LaxAcceptor(Acceptor):
+        class DefectiveAcceptor(Acceptor):
             def handle(self, message):
                 if type(message) is Prepare:
                     return super().handle(message)
                 new = AcceptorState(max(message.ballot, held.ballot), message.ballot, message.value)
                 return new, Accepted(message.number, message.ballot, name, message.value)
 
-        return LaxAcceptor(name, {NUMBER: held})
+        return DefectiveAcceptor(name, {NUMBER: held})
 
 
 FIRST_PROPOSAL = ["1 begins 1", "a hears Prepare", "b hears Prepare", "1 asks", "a hears Accept"]
--- a/tests/test_content_delta.py
+++ b/tests/test_content_delta.py
@@ -131,7 +131,7 @@
     computed = delta.compute_change(base, after, document)
     raw, found = computed.data, computed.document
     assert len(raw) < 200 < len(after) / 50
-    assert found == delta.apply_change(base, digest(before), delta.CHANGE.decode(raw))
+    assert found == delta.apply_change(base, digest(before), delta.CHANGE_DECODER.decode(raw))
     unchanged = [
         name for name, row in found["settings"]["teams"].items() if row is base["settings"]["teams"][name]
     ]
--- a/tests/test_quota_leasing.py
+++ b/tests/test_quota_leasing.py
@@ -301,8 +301,8 @@
         7, 1, [], 70.0, quota_schedules.demand_on_one(70.0, 7, "n3", 5.0)
     )
     simulation.run(6000.0)
-    sampled_ms, used, wanted = simulation.samples[-1]
-    assert used >= 0.95 * wanted == 0.95 * 56.0
+    sampled_ms, used, demanded = simulation.samples[-1]
+    assert used >= 0.95 * demanded == 0.95 * 56.0
     assert sampled_ms < 6001.0
     assert simulation.max_usable <= 70.0 + 1e-9
 
--- a/tests/test_replication_defects.py
+++ b/tests/test_replication_defects.py
@@ -22,7 +22,7 @@
     def apply_delta_chain(self, base_id, chain, content_id):  # noqa: ARG002 - as it is called
         document, before = self.document(base_id), base_id
         try:
-            for change in delta.CHAIN.decode(chain):
+            for change in delta.CHAIN_DECODER.decode(chain):
                 document, before = delta.apply_change(document, before, change), change.id
         except msgspec.MsgspecError as error:
             raise delta.DeltaError(str(error)) from None
--- a/tests/test_replication_schedules.py
+++ b/tests/test_replication_schedules.py
@@ -70,7 +70,7 @@
     assert len(simulation.checker.chosen) == 1
 
 
-class HastyVoter(Voter):
+class NonDurableVoter(Voter):
     """Answers before its promise is durable."""
 
     def receive_request(self, now, sender, vote):
@@ -83,7 +83,7 @@
 class AnswersBeforeDurable(ConfigReplica):
     """Planted defect: a voter answers before its promise is durable."""
 
-    voter_type = HastyVoter
+    voter_type = NonDurableVoter
 
 
 class ProofFromResponse(ConfigReplica):
