--- a/marlseam/cluster/replication/delta.py
+++ b/marlseam/cluster/replication/delta.py
@@ -57,7 +57,7 @@
 
 
 class DeltaError(ContentError):
-    """Raised for a chain or a document that does not give the requested content; the text is the reason."""
+    """Raised for a chain or a document that does not produce the requested content; text: the reason."""
 
 
 ENCODER = msgspec.json.Encoder()
--- a/marlseam/cluster/replication/fetch.py
+++ b/marlseam/cluster/replication/fetch.py
@@ -180,7 +180,7 @@
         return self.complete_whole(sender, fetch)
 
     def complete_deltas(self, sender: str, fetch: Fetch, base_id: str) -> FetchProgress:
-        """Apply received deltas; if they do not give the content, request the whole from a random member."""
+        """Apply received deltas; if they do not lead to the content, fetch the whole from a random member."""
         if base_id not in self.store.contents:
             # The base was dropped in the meantime, as a later version is held.
             self.store.transfer_counts["gone"] += 1
@@ -192,7 +192,7 @@
             self.store.transfer_counts["changes"] += 1
             fetch.restart("")
             fetch.source = self.replica.random_member(sender)
-            text = f"deltas from {sender} do not give content {fetch.content_id[:12]}: {error}"
+            text = f"deltas from {sender} do not produce content {fetch.content_id[:12]}: {error}"
             return FetchProgress(
                 [LogLine(f"fleet code=changes: {text}"), SendMessage(fetch.source, fetch.next_request())]
             )
