--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit of ledgers, and its command."""
+"""The audit of ledgers, and the audit command."""
 
 import json
 from math import inf
@@ -32,11 +32,11 @@
 
 
 def audit_of(*entries):
-    """Return the audit of one process's ledger with these records."""
+    """Return the audit of the ledger of one process with these records."""
     return audit.read({"n": [[LedgerBegun(0.0), PROCESS_STARTED, *entries]]}, error_ms=10.0)
 
 
-def test_each_action_lies_in_one_interval_and_unknown_periods_are_reported():
+def test_each_action_belongs_to_one_interval_and_unknown_periods_are_reported():
     found = audit_of(
         interval_begun(1, 1000.0),
         interval_begun(2, 2000.0),
@@ -70,14 +70,14 @@
             "intervals [1]",
         ),
         ([interval_begun(1, 1000.0), ActionCounts(GENERATION, [(2, 1, 1, 1, 1)], 1500.0, 0.0)], "is missing"),
-        ([interval_begun(1, 1000.0), interval_begun(1, 2000.0)], "two intervals 1"),
+        ([interval_begun(1, 1000.0), interval_begun(1, 2000.0)], "two different intervals 1"),
         (
             [
                 interval_begun(1, 1000.0),
                 ActionCounts(GENERATION, [(1, 5, 5, 5, 5)], 1.0, 0.0),
                 ActionCounts(GENERATION, [(1, 4, 5, 5, 5)], 2.0, 0.0),
             ],
-            "fewer acts",
+            "fewer actions",
         ),
         ([VersionHeld(1, "x", 1.0), VersionHeld(1, "y", 1.0)], "2 contents"),
         (
@@ -87,18 +87,18 @@
                 ActionCounts(GENERATION, [(1, 1, 1, 1, 1)], 2000.0 + LEASE_MS + 50.0, 0.0),
                 ActionCounts(GENERATION, [(1, 2, 2, 2, 2)], 2000.0 + LEASE_MS + 99.0, 0.0),
             ],
-            "1 acts on version 0, as proved",
+            "1 attempts sent on version 0, as proven",
         ),
         (
             [
                 ActionCounts(GENERATION, [], 9000.0, 0.0),
                 ProcessStarted(8, "0.1", "boot", 5000.0, 0.0, LEASE_MS),
             ],
-            "life 8 began before 7",
+            "generation 8 began before 7",
         ),
     ],
 )
-def test_an_audit_reports_what_is_wrong(entries, what):
+def test_an_audit_reports_violations_and_gaps(entries, what):
     assert any(what in text for text in audit_of(*entries).findings)
 
 
@@ -118,7 +118,7 @@
     ).findings
 
 
-def test_actions_after_the_last_counts_are_reported_as_unknown_though_an_interval_began_later():
+def test_actions_after_the_last_counts_are_unknown_even_if_an_interval_began_later():
     found = audit_of(
         interval_begun(1, 1000.0),
         ActionCounts(GENERATION, [(1, 3, 2, 1, 0)], 1500.0, 0.0),
@@ -127,7 +127,7 @@
     assert found.processes["n"][0].unknown == (1500.0, inf)
 
 
-def test_the_audit_command_prints_a_table_and_a_page_and_ends_with_1_where_something_is_wrong(
+def test_the_audit_command_prints_a_table_writes_a_page_and_exits_with_1_if_there_are_findings(
     ledger_folder, tmp_path
 ):
     page = tmp_path / "page.html"
@@ -146,7 +146,7 @@
     assert CliRunner().invoke(fleet_command.group, ["audit"]).exit_code == 1
 
 
-def test_the_audit_tells_which_node_sent_a_keyed_request_and_on_which_version(ledger_folder, tmp_path):
+def test_the_audit_reports_which_node_sent_a_keyed_request_and_on_which_version(ledger_folder, tmp_path):
     (tmp_path / "state").mkdir()
     state = StateDirectory(Disk(tmp_path / "state"), "n")
     state.snapshot([], 0.0)
