--- a/marlseam/cli/__init__.py
+++ b/marlseam/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command groups, a module each; a group's subsystem is imported only when one of its commands runs."""
+"""Command groups, one module each; a group imports its subsystem only when one of its commands runs."""
--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -1,4 +1,4 @@
-"""`marlseam fleet audit`: who acted on which version, by nodes' ledgers."""
+"""`marlseam fleet audit`: which node acted on which configuration version, read from the nodes' ledgers."""
 
 import json
 import sys
@@ -19,30 +19,34 @@
 from marlseam.store.errors import code_of
 from marlseam.store.state_directory import StateDirectory
 
-Row = dict[str, Any]  # an interval, by the keys of `auditing.rows`
+Row = dict[str, Any]  # an interval as `marlseam.cluster.audit.rows` returns it
 
 FOLDER = click.Path(path_type=Path, file_okay=False, exists=True)
 PAGE = """<!doctype html><meta charset=utf-8><title>Audit of the fleet</title>
-<style>body{{font:14px sans-serif}}</style><h1>Who acted on what</h1>
-<p>{first} to {last} (UTC). {key}. Pale: out of service; dashed: not proved to be in force.</p>
+<style>body{{font:14px sans-serif}}</style><h1>Versions that nodes acted on</h1>
+<p>{first} to {last} (UTC). {key}. Pale: out of service; dashed: version not proved to be in force.</p>
 <svg width="1110" height="{height}">{bars}</svg><h2>Findings</h2><ul>{findings}</ul>
 """
 COLOURS = ("#9aa5b1", "#2f6f9f", "#c9622e", "#4f8a3c", "#8a4f8f", "#b59a2a", "#3c8a86", "#a83e52")
-LABEL_PX, TIMELINE_PX, ROW_PX = 100, 1000.0, 24  # widths of names and of the time shown, height of a node
-MAX_SHOWN_MS = 1e15  # Unix time; what is later never comes
+LABEL_PX, TIMELINE_PX, ROW_PX = (
+    100,
+    1000.0,
+    24,
+)  # width of node names, width of the time axis, height of a row
+MAX_SHOWN_MS = 1e15  # Unix time; a later one stands for "never" and is shown as "-"
 BASIS_HEADINGS = ("program", "version", "list", "proved", "service", "code")
 HEADINGS = ("node", "life", "interval", "from (UTC)", *BASIS_HEADINGS)
 
 
 def time_text(unix_ms: float | None) -> str:
-    """Return a Unix time for people."""
+    """Return a Unix time in ms as month, day and UTC time of day; "-" for None and from MAX_SHOWN_MS on."""
     if unix_ms is None or unix_ms > MAX_SHOWN_MS:
         return "-"
     return time.strftime("%m-%d %H:%M:%S", time.gmtime(unix_ms / 1000.0)) + f".{int(unix_ms % 1000.0):03d}"
 
 
 def colour_of(version: int) -> str:
-    """Return the colour of a version."""
+    """Return the colour of a version in the timeline; versions repeat the colours in turn."""
     return COLOURS[version % len(COLOURS)]
 
 
@@ -50,16 +54,18 @@
 
 
 class Bar(NamedTuple):
-    """Where an interval is drawn, in pixels."""
+    """The position and width of an interval in the timeline, in pixels."""
 
     left: float
     top: int
     width: float
 
     def rectangle(self, row: Row) -> str:
-        """Return the interval's rectangle; pale where the node is out of service."""
+        """Return the interval's SVG rectangle with its tooltip; pale where the node is out of service."""
         text = f"{row['node']} life {row['life']} interval {row['interval']}: version {row['number']}, list "
-        text += f"{row['listed']}, {row['sent']} sent, {row['code'] or 'well'}, {time_text(row['from_ms'])}"
+        text += (
+            f"{row['listed']}, {row['sent']} sent, {row['code'] or 'no fault'}, {time_text(row['from_ms'])}"
+        )
         opacity = 1.0 if row["serving"] else 0.3
         return (
             f'<rect x="{self.left:.1f}" y="{self.top + 2}" width="{self.width:.1f}" height="18" '
@@ -67,7 +73,7 @@
         )
 
     def dashes(self) -> str:
-        """Return the line that marks an interval whose version is not proven."""
+        """Return the dashed SVG line that marks an interval whose version is not proven to be in force."""
         return (
             f'<line x1="{self.left:.1f}" x2="{self.left + self.width:.1f}" y1="{self.top + 11}" '
             f'y2="{self.top + 11}" stroke="#fff" stroke-dasharray="3 3"/>'
@@ -75,7 +81,11 @@
 
 
 def timeline(rows: list[Row], findings: list[str]) -> str:
-    """Return a page with each node's time by version; what is not proven is dashed, out of service pale."""
+    """Return an HTML page that shows each node's intervals over time, coloured by version, and the findings.
+
+    Intervals out of service are pale, those whose version is not proven have a dashed line. `rows` must not
+    be empty.
+    """
     first_ms = min(row["from_ms"] for row in rows)
     last_ms = max(row["to_ms"] or row["from_ms"] for row in rows)
     scale = TIMELINE_PX / max(1.0, last_ms - first_ms)
@@ -95,7 +105,7 @@
         key=" ".join(f'<b style="color:{colour_of(number)}">version {number}</b>' for number in versions),
         height=ROW_PX * len(names) + 10,
         bars="".join(shapes),
-        findings="".join(f"<li>{escape(text)}</li>" for text in findings) or "<li>nothing is wrong</li>",
+        findings="".join(f"<li>{escape(text)}</li>" for text in findings) or "<li>none</li>",
     )
 
 
@@ -104,17 +114,23 @@
 
 @click.command()
 @click.argument("folders", nargs=-1, type=FOLDER)
-@click.option("--at", "address", help="A node's operators' door: its own ledger, on this machine.")
-@click.option("--node", help="Of this node alone.")
-@click.option("--since", "since_s", type=float, help="Of the last so many seconds.")
-@click.option("--unit", help="A work unit's key: who sent it, and on what that stood.")
+@click.option("--at", "address", help="Control address of a node on this machine: also read its ledger.")
+@click.option("--node", help="Show this node only.")
+@click.option(
+    "--since", "since_s", type=float, help="Show only intervals that reach into the last so many seconds."
+)
+@click.option(
+    "--unit", help="Idempotency key of a work unit: show who sent it, to which server and on which version."
+)
 @click.option(
-    "--store", "stores", multiple=True, type=FOLDER, help="Nodes' state folders, for --unit; may repeat."
+    "--store", "stores", multiple=True, type=FOLDER, help="State folder of a node, for --unit; may repeat."
 )
-@click.option("--json", "raw", is_flag=True, help="Print a line of JSON for each interval.")
-@click.option("--html", type=click.Path(path_type=Path, dir_okay=False), help="Write a timeline here.")
+@click.option("--json", "raw", is_flag=True, help="Print one line of JSON per interval.")
 @click.option(
-    "--error-ms", default=100.0, show_default=True, help="By which the machines' clocks may differ."
+    "--html", type=click.Path(path_type=Path, dir_okay=False), help="Write a timeline to this file."
+)
+@click.option(
+    "--error-ms", default=100.0, show_default=True, help="Largest difference of the machines' clocks, in ms."
 )
 def audit(  # noqa: PLR0913 - one parameter an option
     folders: tuple[Path, ...],
@@ -127,10 +143,11 @@
     html: Path | None,
     error_ms: float,
 ) -> None:
-    """Say which node acted on which version, by the ledgers in FOLDERS.
+    """Show which node acted on which configuration version, as recorded in the ledgers in FOLDERS.
 
-    Ends with 1 and a list where an act stood on a version past the bound, a chain is broken, an interval is
-    missing, or two processes acted under one name.
+    Exits with 1 and lists what is wrong if a node acted on a version as proven for longer than its lease
+    after a newer one was first held, a chain of records is broken, an interval is missing, or two processes
+    acted under one name.
     """
     found = read_ledgers(folders, address, error_ms)
     since_ms = 1000.0 * (time.time() - since_s) if since_s is not None else 0.0
@@ -152,14 +169,17 @@
 
 
 def read_ledgers(folders: tuple[Path, ...], address: str | None, error_ms: float) -> auditing.Audit:
-    """Return the audit of some folders, and of the ledger of the node at an address."""
+    """Return the audit of ledger folders and, with `address`, of the ledger of the node at it.
+
+    Raises ClickException where there is no ledger to read, or reading one fails.
+    """
     if address is not None:
         folder = fleet_status(address).get("acting", {}).get("ledger")
         if folder is None or not Path(folder).is_dir():
-            raise click.ClickException(f"{address}: a node with a ledger on this machine was expected")
+            raise click.ClickException(f"{address}: expected a node whose ledger is a folder on this machine")
         folders = (*folders, Path(folder))
     if not folders:
-        raise click.ClickException("folders of ledgers, or --at, were expected")
+        raise click.ClickException("no ledger given: expected FOLDERS or --at")
     try:
         return ledger_audit.read(folders, error_ms)
     except OSError as error:
@@ -167,7 +187,7 @@
 
 
 def table_row(row: Row) -> list[str]:
-    """Return an interval as a row of the table."""
+    """Return the cells of an interval's table row, in the order of HEADINGS and ACTS."""
     return [
         row["node"],
         str(row["life"]),
@@ -184,7 +204,7 @@
 
 
 def print_unknown(found: auditing.Audit, node: str | None) -> None:
-    """Print which processes were killed, and when their actions are not known."""
+    """Print which processes were killed, and the time for which their actions are not recorded."""
     for name, processes in found.processes.items():
         if node not in (None, name):
             continue
@@ -192,11 +212,14 @@
             if process.unknown is not None:
                 first, last = map(time_text, process.unknown)
                 killed = f"{name}: life {process.started.generation} was killed"
-                click.echo(f"{killed}, its acts after {first} are not known, to {last} at most")
+                click.echo(f"{killed}, its acts after {first} are not recorded, until {last} at the latest")
 
 
 def print_attempts(found: auditing.Audit, key: str, stores: Iterable[Path]) -> None:
-    """Print who sent a request with an idempotency key, and on what each attempt stood."""
+    """Print who sent a request with an idempotency key, and on which version each attempt was sent.
+
+    `stores` are the nodes' state folders, which hold the attempts.
+    """
     rows = [["node", "sent (UTC)", "to", "version", "list", "proved", "interval"]]
     for path in stores:
         folder = StateDirectory(Disk(path), None)
@@ -205,10 +228,14 @@
             interval = auditing.interval_at(found, folder.owner or "", sent.sent_ms)
             basis = basis_cells(interval.begun) if interval is not None else ["not known"] * 4
             rows.append([folder.owner or "?", time_text(sent.sent_ms), sent.server, *basis])
-    click.echo(table(rows) if len(rows) > 1 else f"nothing was sent under {key}, as far as is kept")
+    click.echo(
+        table(rows)
+        if len(rows) > 1
+        else f"nothing was sent under {key}, according to the given state folders"
+    )
 
 
 def basis_cells(begun: IntervalBegun) -> list[str]:
-    """Return what the attempts of an interval stood on, as cells of the table."""
+    """Return the version, endpoint list version, proof and number of an interval as table cells."""
     version = f"{begun.number} {begun.settings_digest[:8]}"
     return [version, str(begun.endpoint_list_version), "yes" if begun.proved else "no", str(begun.interval)]
--- a/marlseam/cli/common.py
+++ b/marlseam/cli/common.py
@@ -1,4 +1,4 @@
-"""What command groups share: a day read from either form of file, and progress on a terminal alone."""
+"""Functions that command groups share: reading a day, and progress on a terminal."""
 
 import sys
 from pathlib import Path
@@ -10,11 +10,14 @@
 
 
 def load_day(path: Path) -> Day:
-    """Return the day in an experiment file, or in the JSON that a driver writes."""
+    """Return the day of an experiment file, or of a `.json` file as a driver writes it."""
     return read_day(path.read_bytes()) if path.suffix == ".json" else file.load(path).day
 
 
 def show_progress(text: str, end: bool = False) -> None:
-    """Show a line of progress in the place of the last one; show nothing where no terminal is."""
+    """Replace the last progress line on standard error by `text`; print nothing if it is no terminal.
+
+    With `end` the line is final: what is printed next goes to a new line.
+    """
     if sys.stderr.isatty():
         print(f"{CLEAR_LINE}{text}", end="\n" if end else "", file=sys.stderr, flush=True)
--- a/marlseam/cli/control_client.py
+++ b/marlseam/cli/control_client.py
@@ -1,4 +1,4 @@
-"""Calls to a node's control address."""
+"""HTTP calls to a node's control address."""
 
 import http.client
 import json
@@ -11,14 +11,17 @@
 
 
 class ControlAnswer(NamedTuple):
-    """What a node answered: HTTP status and body."""
+    """A node's HTTP status and response body."""
 
     status: int
     body: bytes
 
 
 def call(address: str, method: str, path: str, body: bytes = b"") -> ControlAnswer:
-    """Return what a node answers at its control address; raise ClickException where it cannot be reached."""
+    """Send a request to a node's control address and return the answer.
+
+    Raises ClickException on a socket error, a wait over TIMEOUT_S, or a response that is not valid HTTP.
+    """
     host, _, port = address.rpartition(":")
     try:
         connection = http.client.HTTPConnection(host.strip("[]"), int(port), timeout=TIMEOUT_S)
@@ -31,9 +34,11 @@
 
 
 def fleet_status(address: str) -> dict[str, Any]:
-    """Return what a node says of its cluster; raise ClickException where it is in none."""
+    """Return a node's status of its cluster; raise ClickException where its response is not 200."""
     status, body = call(address, "GET", "/control/fleet")
     if status != 200:
-        raise click.ClickException(f"{address}: {status}, a node with a door and a fleet was expected")
+        raise click.ClickException(
+            f"{address}: HTTP status {status}, expected 200 from the control address of a node in a fleet"
+        )
     found: dict[str, Any] = json.loads(body)
     return found
--- a/marlseam/cli/experiment.py
+++ b/marlseam/cli/experiment.py
@@ -1,6 +1,6 @@
 """`marlseam experiment`: run, list and compare experiments.
 
-Words printed here are those that operators know; see docs/operators/bench.md.
+docs/operators/bench.md explains the printed words to operators.
 """
 
 import sys
@@ -20,18 +20,18 @@
 
 FILE = click.Path(path_type=Path, exists=True, dir_okay=False)
 FOLDER = click.Path(path_type=Path, exists=True, file_okay=False)
-USAGE_EXIT_CODE = 2  # of a file or a command line that is wrong
-OUTCOMES = ("completed", "deferred", "aborted", "lost", "left", "unsent", "none")  # figures, in this order
-LATENCY_PERCENTILES = ("50", "90", "99", "99.9")  # as in the names of figures
+USAGE_EXIT_CODE = 2  # for an invalid file or command line
+OUTCOMES = ("completed", "deferred", "aborted", "lost", "left", "unsent", "none")  # figures, in printed order
+LATENCY_PERCENTILES = ("50", "90", "99", "99.9")  # as written in the names of the figures
 
 
 @click.group()
 def group() -> None:
-    """Run experiments, list and compare them."""
+    """Run, list and compare experiments."""
 
 
 def fail(error: Exception) -> NoReturn:
-    """Show what is wrong with a file or a command line, and end with 2."""
+    """Print an error of a file or a command line to standard error, and exit with 2."""
     for line in str(error).split("\n"):
         click.echo(f"marlseam: {line}", err=True)
     sys.exit(USAGE_EXIT_CODE)
@@ -43,15 +43,16 @@
     "--out",
     type=click.Path(path_type=Path, file_okay=False),
     required=True,
-    help="Folder for what comes of it.",
+    help="Folder for the results.",
 )
-@click.option("--virtual", is_flag=True, help="Play the day in virtual time, whatever the file says.")
-@click.option("--seed", type=int, help="Another seed than the file's.")
-@click.option("--quiet", is_flag=True, help="Print only what was missed.")
+@click.option("--virtual", is_flag=True, help="Play in virtual time, whatever driver the file names.")
+@click.option("--seed", type=int, help="Seed to use in place of the file's.")
+@click.option("--quiet", is_flag=True, help="Print only expectations and rules that do not hold.")
 def run(path: Path, out: Path, virtual: bool, seed: int | None, quiet: bool) -> None:
     """Run an experiment.
 
-    Ends with 0 if all that it expects holds, 1 if a rule or an expectation does not, 2 if the file is wrong.
+    Exits with 0 if all expectations and rules hold, 1 if one does not or the run failed, 2 if the file is
+    invalid.
     """
     from marlseam.experiment import file, registered_plays, runner
     from marlseam.experiment.processes import RunFailedError
@@ -77,7 +78,7 @@
 
 
 def override_head(experiment: "Experiment", virtual: bool, seed: int | None) -> None:
-    """Put the options of the command line in the place of what the file says."""
+    """Replace the driver and the seed of an experiment by the options of the command line, where given."""
     if virtual:
         experiment.head = msgspec.structs.replace(experiment.head, driver="virtual")
     if seed is not None:
@@ -85,7 +86,7 @@
 
 
 def summary_text(summary: "RunSummary") -> str:
-    """Return a run's figures for a terminal."""
+    """Return a run's figures, rules, tables and expectations as text for a terminal."""
     heading = f"{summary.name} ({summary.driver}, seed {summary.seed}, {summary.duration_s:g} s)"
     lines = [heading]
     if "work_units" in summary.figures:
@@ -98,7 +99,7 @@
 
 
 def day_lines(figures: dict[str, float]) -> list[str]:
-    """Return the figures of a day in lines."""
+    """Return the lines that show the figures of a day."""
     ends = ", ".join(f"{figures[name]:.0f} {name}" for name in OUTCOMES if figures[name])
     latencies = "  ".join(
         f"p{percent} {figures[f'latency_p{percent}']:.0f}" for percent in LATENCY_PERCENTILES
@@ -114,19 +115,22 @@
 
 
 def rule_line(rule: "RuleOutcome") -> str:
-    """Return what the check of a rule found in a line."""
+    """Return the line that shows the result of a rule's check."""
     verdict = "kept" if not rule.violation_count else f"BROKEN {rule.violation_count} times"
     return f"  rule {rule.name:<16} {verdict}, nearest {rule.margin:.3f} ({rule.means})"
 
 
 def table_lines(titled: "Table") -> list[str]:
-    """Return a table of a run, indented below its title."""
+    """Return the lines of a table, indented below its title."""
     title, rows = titled
     return [f"  {title}", *(f"    {line}" for line in table(rows).split("\n"))]
 
 
 def expectation_line(expectation: "ExpectationOutcome") -> str:
-    """Return whether a figure is as expected in a line; one of what never came is shown as inf."""
+    """Return the line that shows whether a figure meets its expectation.
+
+    The figure of something that never happened is infinite or not a number; both are shown as inf.
+    """
     value = f"{expectation.value:.4g}" if isfinite(expectation.value) else "inf"
     verdict = "holds " if expectation.holds else "MISSED"
     return f"  {verdict} {expectation.figure}: {expectation.bound}, seen {value}"
@@ -135,7 +139,7 @@
 @group.command("list")
 @click.argument("folder", type=FOLDER, default=Path("experiments"))
 def list_experiments(folder: Path) -> None:
-    """List the experiments of a folder."""
+    """List the experiment files of a folder with play, driver and description, or their first error."""
     from marlseam.experiment import file, registered_plays
 
     registered_plays.register()
@@ -153,7 +157,7 @@
 def compare_runs(first: Path, second: Path) -> None:
     """Compare the runs in two folders.
 
-    Differences with bootstrapped intervals, and which are within noise.
+    Prints the differences of figures with bootstrapped intervals, and which of them are within noise.
     """
     from marlseam.experiment import compare
 
--- a/marlseam/cli/fleet.py
+++ b/marlseam/cli/fleet.py
@@ -1,6 +1,6 @@
 """`marlseam fleet`: membership and configuration versions of a cluster, its audit, and fault schedule search.
 
-Words printed here and keys of the nodes' JSON are those that operators know; see docs/operators/fleet.md.
+docs/operators/fleet.md explains the printed words and the keys of the nodes' JSON to operators.
 """
 
 import importlib
@@ -20,25 +20,25 @@
 from marlseam.store.ledger_writer import create_ledger
 
 MINUTE_S, HOUR_S = 60.0, 3600.0
-ACCEPTED = 202  # HTTP status of a request that is carried out later
+ACCEPTED = 202  # HTTP status of a request that the node has accepted and carries out later
 PUBLICATION_POLL_S = 0.1
-SEEDS_PER_TASK = 4  # schedules that a process of the search is handed at once
+SEEDS_PER_TASK = 4  # schedules sent to a worker process at once
 CHECKING = "marlseam.cluster.checking"
-FAULT_CODES = ("unfit", "hand", "disk")  # keys that say why a node is out of service
+FAULT_KEYS = ("unfit", "hand", "disk")  # of the status; their values are reasons for being out of service
 MEMBER_COLUMNS = ["member", "standing", "since", "heard", "life", "incarnation", "suspected by"]
 PEER_COLUMNS = ["member", "version", "acts on", "service", "code", "votes", "told"]
 
 
 @click.group()
 def group() -> None:
-    """See who of a fleet is there and acts on what; publish versions; search for what breaks its bounds."""
+    """Show members of a fleet and the versions they act on; publish; audit; search fault schedules."""
 
 
 group.add_command(audit)
 
 
 def format_age(age_ms: float | None) -> str:
-    """Return an age as people read it."""
+    """Return an age in ms as text in s, min or h; "never" for None."""
     if age_ms is None:
         return "never"
     seconds = age_ms / 1000.0
@@ -48,10 +48,15 @@
 
 
 @group.command()
-@click.option("--at", "addresses", multiple=True, required=True, help="A node's operators' door; may repeat.")
-@click.option("--json", "raw", is_flag=True, help="Print what the nodes say, a line each.")
+@click.option(
+    "--at", "addresses", multiple=True, required=True, help="Control address of a node; may repeat."
+)
+@click.option("--json", "raw", is_flag=True, help="Print the nodes' JSON, one line per node.")
 def status(addresses: tuple[str, ...], *, raw: bool) -> None:
-    """Say who is there, as one node holds it or several do; ends with 1 where any holds one as not here."""
+    """Show the members of the fleet as each given node sees them.
+
+    Exits with 1 if any of these nodes does not see a member as here.
+    """
     statuses = [fleet_status(address) for address in addresses]
     for node_status in statuses:
         if raw:
@@ -63,11 +68,11 @@
 
 
 def print_status(status: dict[str, Any]) -> None:
-    """Print one node's status."""
+    """Print one node's view of the members, and of the versions if its cluster has any."""
     dropped = sum(status["letters"]["left_out"].values())
     click.echo(
-        f"{status['fleet']} as {status['by']} holds it; doubts itself {status['health']}, "
-        f"{dropped} letters left out"
+        f"{status['fleet']} as seen by {status['by']}; local health {status['health']} (0 is healthy), "
+        f"{dropped} datagrams dropped"
     )
     click.echo(table([MEMBER_COLUMNS, *(member_row(member) for member in status["members"])]))
     if "acting" in status:
@@ -75,7 +80,7 @@
 
 
 def member_row(member: dict[str, Any]) -> list[str]:
-    """Return a member's row of the table."""
+    """Return the cells of a member's table row, in the order of MEMBER_COLUMNS."""
     generation = "-" if member["life"] is None else str(member["life"])
     if member["former_life"] is not None:
         generation += f" (after {member['former_life']})"
@@ -91,7 +96,7 @@
 
 
 def versions_text(node: str, versions: dict[str, Any]) -> str:
-    """Return what a node acts on, and what others last told it, as people read it."""
+    """Return the text on the version that a node acts on, and the table of what its peers last reported."""
     if "version" not in versions:
         return f"versions: code={versions['code']}"
     proof_age_ms = versions["proof_age_ms"]
@@ -99,17 +104,17 @@
     text = f"\n{node} acts on version {versions['acting']} of {versions['version']}"
     text += f" for {format_age(versions['since_ms'])}, {proof}"
     if versions["local"]:
-        text += ", with a file of its own"
+        text += ", with a local settings file"
     if not versions["serving"] or versions["code"]:
         text += f"; {'in' if versions['serving'] else 'out of'} service code={versions['code']}"
-        text += "".join(f" ({versions[key]})" for key in FAULT_CODES if versions[key])
+        text += "".join(f" ({versions[key]})" for key in FAULT_KEYS if versions[key])
     text += f"; voters {', '.join(versions['voters'])}"
     peers = [peer_row(name, peer) for name, peer in versions["peers"].items()]
     return "\n".join([text, table([PEER_COLUMNS, *peers])])
 
 
 def peer_row(name: str, peer: dict[str, Any]) -> list[str]:
-    """Return another node's row of the table of versions."""
+    """Return the cells of another node's table row, in the order of PEER_COLUMNS."""
     return [
         name,
         str(peer["version"]),
@@ -125,9 +130,9 @@
 @click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
 @click.argument("node")
 def begin(folder: Path, node: str) -> None:
-    """Say that NODE has promised nothing yet: its ledger's FOLDER is empty as it has not lived.
+    """Initialize FOLDER as the ledger of NODE, which has never run and has promised nothing.
 
-    Without this an empty folder counts as one whose content is lost, and its node does not vote at first.
+    Without this an empty folder counts as one whose content was lost, and its node does not vote at first.
     """
     try:
         create_ledger(folder, node)
@@ -140,14 +145,16 @@
 
 @group.command()
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False, exists=True))
-@click.option("--at", "address", required=True, help="A node's operators' door.")
-@click.option("--why", required=True, help="What it is for, in up to 160 characters.")
-@click.option("--voters", help="Who votes on the next one, by commas; else as before.")
-@click.option("--member", "added", multiple=True, help="A member more, as NAME=ADDRESS; one step at a time.")
-@click.option("--remove", "removed", multiple=True, help="A member less.")
+@click.option("--at", "address", required=True, help="Control address of a node.")
+@click.option("--why", required=True, help="Reason for the version, up to 160 characters.")
+@click.option(
+    "--voters", help="Voters on the version after this one, separated by commas; unchanged by default."
+)
 @click.option(
-    "--wait", "wait_s", default=60.0, show_default=True, help="Seconds to wait for what comes of it."
+    "--member", "added", multiple=True, help="Add a member as NAME=ADDRESS; a version may change one member."
 )
+@click.option("--remove", "removed", multiple=True, help="Name of a member to remove.")
+@click.option("--wait", "wait_s", default=60.0, show_default=True, help="Seconds to wait for the result.")
 def publish(
     file: Path,
     address: str,
@@ -157,9 +164,9 @@
     removed: tuple[str, ...],
     wait_s: float,
 ) -> None:
-    """Have the settings in FILE, a node's configuration or its settings alone.
+    """Publish the settings in FILE as the next version, and wait for the result.
 
-    Agreed on as the next version.
+    FILE is a node's configuration, or settings alone. Exits with 1 if they did not become a version.
     """
     body: dict[str, Any] = {
         "settings": settings_in(file),
@@ -173,14 +180,20 @@
 
 
 def changed_members(address: str, added: tuple[str, ...], removed: tuple[str, ...]) -> dict[str, str]:
-    """Return the members that a node knows, by name with their addresses, after a change."""
+    """Return the addresses of the members that a node lists, by name, with the changes applied.
+
+    `added` are texts NAME=ADDRESS, `removed` are names.
+    """
     members = dict(fleet_status(address)["addresses"])
     members |= dict(text.partition("=")[::2] for text in added)
     return {name: member_address for name, member_address in members.items() if name not in removed}
 
 
 def wait_for_publication(address: str, wait_s: float) -> None:
-    """Print what came of a publication, and end with 1 where it is no version."""
+    """Print the result of a publication and exit: with 0 if it became a version, else with 1.
+
+    Raises ClickException if there is no result within `wait_s` seconds.
+    """
     deadline_s = time.monotonic() + wait_s
     while time.monotonic() < deadline_s:
         result = fleet_status(address)["acting"]["publication"]
@@ -188,20 +201,25 @@
             click.echo(result)
             sys.exit(0 if result.startswith("version") else 1)
         time.sleep(PUBLICATION_POLL_S)
-    raise click.ClickException(f"nothing came of it in {wait_s:g} s; `fleet status` goes on telling")
+    raise click.ClickException(
+        f"no result of the publication within {wait_s:g} s; `fleet status --json` shows it later"
+    )
+
 
+def settings_in(file: Path) -> Any:  # noqa: ANN401 - any JSON of the file; the node checks it
+    """Return the settings in a node's configuration, or in a file of settings alone.
 
-def settings_in(file: Path) -> Any:  # noqa: ANN401 - whatever JSON the file holds; the node checks it
-    """Return the settings in a node's configuration, or in a file of settings alone."""
+    Raises ClickException where the file cannot be read or holds no JSON object.
+    """
     try:
         given = json.loads(file.read_text(encoding="utf-8"))
         return given.get("settings", given)
     except (OSError, ValueError, AttributeError) as error:
-        raise click.ClickException(f"{file}: a JSON object was expected ({error})") from None
+        raise click.ClickException(f"{file}: expected a JSON object ({error})") from None
 
 
 def post(address: str, path: str, body: bytes) -> str:
-    """Send a command to a node; return its answer. Raises ClickException where it does not accept it."""
+    """Send a command to a node and return its response; raise ClickException unless the status is 202."""
     status, answer = call(address, "POST", path, body)
     if status != ACCEPTED:
         raise click.ClickException(answer.decode(errors="replace").strip() or f"{address}: {status}")
@@ -209,47 +227,58 @@
 
 
 def post_to_node(node: str, address: str, path: str, why: str) -> None:
-    """Send a command to a node, after a check that the address is its own, and print the answer."""
+    """Check that an address is that of `node`, send it a command with a reason, and print the response.
+
+    Raises ClickException where the address is another node's, or the command is not accepted.
+    """
     name = fleet_status(address)["by"]
     if name != node:
-        raise click.ClickException(f"{address} is the door of {name}, {node}'s was expected")
+        raise click.ClickException(f"{address} is the control address of {name}, expected that of {node}")
     click.echo(post(address, path, why.encode()).strip())
 
 
 @group.command()
 @click.argument("node")
-@click.option("--at", "address", required=True, help="That node's operators' door.")
-@click.option("--why", required=True, help="Why, in up to 160 characters.")
+@click.option("--at", "address", required=True, help="Control address of NODE.")
+@click.option("--why", required=True, help="Reason, up to 160 characters.")
 def out(node: str, address: str, why: str) -> None:
-    """Shut NODE out of service, across restarts, until `fleet in`."""
+    """Take NODE out of service until `fleet in`; restarts do not change that."""
     post_to_node(node, address, "/control/fleet/out", why)
 
 
 @group.command("in")
 @click.argument("node")
-@click.option("--at", "address", required=True, help="That node's operators' door.")
+@click.option("--at", "address", required=True, help="Control address of NODE.")
 def back(node: str, address: str) -> None:
-    """Bring NODE back that `fleet out` shut out."""
+    """Return NODE to service after `fleet out`."""
     post_to_node(node, address, "/control/fleet/in", "")
 
 
 @group.command()
-@click.option("--seeds", default=100, show_default=True, type=click.IntRange(1), help="Schedules to play.")
+@click.option(
+    "--seeds", default=100, show_default=True, type=click.IntRange(1), help="Number of schedules to play."
+)
 @click.option("--first", default=0, show_default=True, help="The first seed.")
-@click.option("--nodes", default=7, show_default=True, type=click.IntRange(3, 1000), help="Members.")
+@click.option(
+    "--nodes", default=7, show_default=True, type=click.IntRange(3, 1000), help="Number of members."
+)
 @click.option(
     "--versions",
     "module_name",
     flag_value="replication_schedules",
-    help="Of versions, in place of membership.",
+    help="Play schedules of configuration versions in place of membership.",
 )
 @click.option(
-    "--limits", "module_name", flag_value="quota_schedules", help="Of a limit shared by lending, likewise."
+    "--limits",
+    "module_name",
+    flag_value="quota_schedules",
+    help="Play schedules of quota leasing in place of membership.",
 )
 def hunt(seeds: int, first: int, nodes: int, module_name: str | None) -> None:
-    """Search schedules of faults, in virtual time, for one that breaks a bound; ends with 1 if one does.
+    """Search for a fault schedule, played in virtual time, that breaks a bound; exits with 1 if one does.
 
-    Prints the schedule that came nearest to each bound, and a shortest one of each that breaks.
+    Prints for each bound the schedule that came nearest to it, and for each schedule that breaks one a
+    minimal part that still does.
     """
     from marlseam.cluster.checking.fault_schedules import shrink
 
@@ -267,21 +296,21 @@
 
 
 class PlayedSchedule(NamedTuple):
-    """A schedule of faults that was played: its seed, and the verdict of the module that played it."""
+    """The seed of a fault schedule that was played, and the verdict of the module that played it."""
 
     seed: int
     verdict: Any
 
 
 class NearestSchedule(NamedTuple):
-    """The schedule that came nearest to a bound: the share of the bound, and its seed."""
+    """The share of a bound that the nearest schedule reached, and that schedule's seed."""
 
     share: float
     seed: int
 
 
 def play_seeds(module: ModuleType, nodes: int, seeds: range) -> list[PlayedSchedule]:
-    """Play the schedules of seeds on all cores."""
+    """Play the fault schedules of some seeds in one worker process per core; return them in that order."""
     from concurrent.futures import ProcessPoolExecutor
 
     with ProcessPoolExecutor() as pool:
@@ -290,7 +319,7 @@
 
 
 def nearest_by_bound(played: list[PlayedSchedule]) -> dict[str, NearestSchedule]:
-    """Return for each bound the schedule that came nearest to it."""
+    """Return the schedule that came nearest to each bound, by the bound's name."""
     nearest: dict[str, NearestSchedule] = {}
     for seed, verdict in played:
         for bound, share in verdict.nearest.items():
@@ -300,7 +329,7 @@
 
 
 def print_faults(faults: list[Any]) -> None:
-    """Print a schedule, a fault a line."""
+    """Print a fault schedule, one fault per line."""
     from marlseam.cluster.checking.fault_schedules import describe_fault
 
     for fault in faults:
@@ -308,13 +337,17 @@
 
 
 @group.command()
-@click.option("--depth", default=10, show_default=True, type=click.IntRange(1, 40), help="Steps, at most.")
-@click.option("--lending", is_flag=True, help="Of a limit lent between three members, in place of agreement.")
+@click.option(
+    "--depth", default=10, show_default=True, type=click.IntRange(1, 40), help="Largest number of steps."
+)
+@click.option(
+    "--lending", is_flag=True, help="Explore quota leasing between three members in place of agreement."
+)
 def explore(depth: int, *, lending: bool) -> None:
-    """Look at every interleaving of three voters, two operators and one that asks, or of lending.
+    """Explore every interleaving of three voters, two operators and one quorum reader, or of quota leasing.
 
-    Ends with 1 if a number gets two contents, a proof says what is not so, or members may use more than their
-    limit. A step is one process's. States grow threefold a step.
+    Exits with 1 if two contents are chosen for one version number, a proof is wrong, or members together may
+    use more than their limit. A step is one process's. The number of states triples per step.
     """
     from marlseam.cluster.checking import explore_leasing, explore_paxos
 
@@ -329,5 +362,5 @@
 
 
 def print_level(depth: int, states: int) -> None:
-    """Print how far a search is."""
+    """Print the number of states found up to a depth."""
     click.echo(f"{depth} steps: {states} states")
--- a/marlseam/cli/load.py
+++ b/marlseam/cli/load.py
@@ -1,4 +1,4 @@
-"""`marlseam load`: send a day's load to nodes that run, and write traces from records."""
+"""`marlseam load`: send a day's load to running nodes, and write traces from records."""
 
 import json
 import time
@@ -30,19 +30,22 @@
     "nodes",
     multiple=True,
     required=True,
-    help="A node's address; several are dealt to the zones in turn.",
+    help="Address of a node; may repeat: nodes are assigned to the zones in turn.",
 )
-@click.option("--seed", default=1, show_default=True, help="Seed of the arrivals.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the arrivals and of the clients' waits.")
 @click.option(
-    "--connections", default=0, show_default=True, help="Most connections at once, 0 for as needed."
+    "--connections", default=0, show_default=True, help="Largest number of connections at once; 0: no limit."
 )
 @click.option(
     "--records",
     type=click.Path(path_type=Path, file_okay=False),
-    help="Folder for records, made if there is none.",
+    help="Folder for records, created if missing.",
 )
 def run(day: Path, nodes: tuple[str, ...], seed: int, connections: int, records: Path | None) -> None:
-    """Send a day's work units to nodes and print what was counted; ends with 1 where the run is not valid."""
+    """Send a day's work units (requests) to nodes and print counts and latencies.
+
+    Exits with 1 if the run is not valid because the generator itself was the bottleneck.
+    """
     from marlseam.load import process
     from marlseam.load.generator import Generator, NodePlace
     from marlseam.load.tally import Tally
@@ -73,18 +76,18 @@
 
 
 def _check_addresses(addresses: Sequence[str]) -> None:
-    """Raise BadParameter for what is no address and port."""
+    """Raise BadParameter for the first text that is not HOST:PORT."""
     from marlseam.configuration import address_from
 
     for address in addresses:
         if address_from(address) is None:
             raise click.BadParameter(
-                f"{address!r} is no address and port, as 127.0.0.1:8443", param_hint="--node"
+                f"{address!r}: expected HOST:PORT, for example 127.0.0.1:8443", param_hint="--node"
             )
 
 
 def _arrivals(day: "Day", seed: int, places: "dict[str, NodePlace]") -> "list[Arrival]":
-    """Return a day's arrivals; raise UsageError for a bad trace, or a zone without a node."""
+    """Return a day's arrivals; raise UsageError for an invalid trace, or a zone that has no node."""
     from marlseam.load.errors import TraceError
     from marlseam.load.process import arrivals_of
 
@@ -96,7 +99,7 @@
     if any(arrival.zone not in covered_zones for arrival in arrivals):
         zone_count = len(day.fleet.zones)
         raise click.UsageError(
-            f"--node: {len(places)} given, expected one for each of {zone_count} zones at least"
+            f"--node: {len(places)} given, expected at least one for each of {zone_count} zones"
         )
     return arrivals
 
@@ -105,10 +108,10 @@
 @click.argument("run", type=click.Path(path_type=Path, exists=True, file_okay=False))
 @click.argument("to", type=click.Path(path_type=Path, dir_okay=False))
 @click.option(
-    "--retries/--first-tries", default=False, show_default=True, help="Whether clients' retries go in."
+    "--retries/--first-tries", default=False, show_default=True, help="Include the clients' retries."
 )
 def trace(run: Path, to: Path, retries: bool) -> None:
-    """Write the trace of an experiment's RUN folder to a file."""
+    """Write the trace of the experiment run in folder RUN to the file TO."""
     from marlseam import records
     from marlseam.load.process import arrivals_of
     from marlseam.load.trace import trace_lines
@@ -117,7 +120,7 @@
         seed = json.loads((run / "summary.json").read_text())["seed"]
         played_day = common.load_day(run / "day.json")
     except (OSError, KeyError, ValueError) as error:
-        raise click.UsageError(f"{run}: no run of an experiment ({error})") from None
+        raise click.UsageError(f"{run}: expected the folder of an experiment run ({error})") from None
     found, problems = records.read_folder(run / "records")
     if problems:
         raise click.UsageError("\n".join(problems))
--- a/marlseam/cli/standin.py
+++ b/marlseam/cli/standin.py
@@ -1,6 +1,6 @@
 """`marlseam standin`: emulators on loopback and load generators, started by experiments or by hand.
 
-Names of commands and options, and texts printed, are those that operators know.
+Experiments start these commands by name and parse the ready lines that they print.
 """
 
 import json
@@ -13,18 +13,20 @@
 from marlseam.cli import common
 
 DAY = click.argument("day", type=click.Path(path_type=Path, exists=True, dir_okay=False))
-SEED = click.option("--seed", default=1, show_default=True, help="Seed of all chance.")
+SEED = click.option("--seed", default=1, show_default=True, help="Seed of all random draws.")
 RECORDS = click.option(
     "--records", type=click.Path(path_type=Path, file_okay=False, exists=True), help="Folder for records."
 )
-NOW = click.option("--now", is_flag=True, help="Begin at once, and leave standard input alone.")
+NOW = click.option(
+    "--now", is_flag=True, help="Begin at once, without reading the run's start from standard input."
+)
 
 
 Decorator = Callable[[Callable[..., Any]], Callable[..., Any]]
 
 
 def emulator_options(*further: Decorator) -> Decorator:
-    """Return a decorator that adds the arguments of all emulators to a command, and some further ones."""
+    """Return a decorator that adds the arguments common to all emulators, and `further` ones."""
 
     def decorate(command: Callable[..., Any]) -> Callable[..., Any]:
         for option in (*reversed(further), NOW, RECORDS, SEED, DAY):
@@ -36,20 +38,18 @@
 
 @click.group()
 def group() -> None:
-    """Run parts of the world on loopback: executors, roster, network, load."""
+    """Run emulators on loopback: executors, roster, network, echo; and the load generator."""
 
 
 @group.command("executors")
 @emulator_options(
+    click.option("--part", default="1/1", show_default=True, help="Run part NUMBER/COUNT of the executors."),
     click.option(
-        "--part", default="1/1", show_default=True, help="Which part of the executors, of how many."
-    ),
-    click.option(
-        "--nodelay/--nagle", default=True, show_default=True, help="Whether small writes go out at once."
+        "--nodelay/--nagle", default=True, show_default=True, help="Whether to disable Nagle's algorithm."
     ),
 )
 def run_servers(day: Path, seed: int, records: Path | None, now: bool, part: str, nodelay: bool) -> None:
-    """Run a day's executors; the ready line holds their addresses."""
+    """Run a day's executors (servers); the ready line holds their addresses."""
     from marlseam.emulators.servers import serve
 
     serve(common.load_day(day), seed, records, now, nodelay, part)
@@ -61,11 +61,11 @@
         "--dials",
         type=click.Path(path_type=Path, exists=True),
         required=True,
-        help="Addresses, by zone, as JSON.",
+        help="JSON file of addresses to dial, by zone and executor.",
     )
 )
 def run_discovery(day: Path, seed: int, records: Path | None, now: bool, dials: Path) -> None:
-    """Run a day's roster; the ready line holds an address for each node."""
+    """Run a day's roster (discovery); the ready line holds an address for each node."""
     from marlseam.emulators.discovery import serve
 
     serve(common.load_day(day), seed, json.loads(dials.read_text()), records, now)
@@ -77,7 +77,7 @@
         "--addresses",
         type=click.Path(path_type=Path, exists=True),
         required=True,
-        help="Executors' addresses as JSON.",
+        help="JSON file of the executors' addresses.",
     )
 )
 def run_network(day: Path, seed: int, records: Path | None, now: bool, addresses: Path) -> None:
@@ -93,19 +93,22 @@
         "--nodes",
         type=click.Path(path_type=Path, exists=True),
         required=True,
-        help="Zone and address by node, as JSON.",
+        help="JSON file of zone and address by node.",
     ),
-    click.option("--part", default="1/1", show_default=True, help="Which part of the arrivals, of how many."),
+    click.option("--part", default="1/1", show_default=True, help="Send part NUMBER/COUNT of the arrivals."),
     click.option(
-        "--connections", default=0, show_default=True, help="Most connections at once, 0 for as needed."
+        "--connections",
+        default=0,
+        show_default=True,
+        help="Largest number of connections at once; 0: no limit.",
     ),
 )
 def run_load(
     day: Path, seed: int, records: Path | None, now: bool, nodes: Path, part: str, connections: int
 ) -> None:
-    """Send a day's work units as its clients.
+    """Send a day's work units (requests) as its clients.
 
-    The ready line is empty, the last one holds what was counted.
+    The ready line is an empty JSON object; the last line holds the counts as JSON.
     """
     from marlseam.load.process import serve
 
@@ -118,10 +121,10 @@
     "stalls",
     type=(float, float),
     multiple=True,
-    help="Stand still: from which second, for how many.",
+    help="Stall the process: start and duration in seconds; may repeat.",
 )
 def run_echo(stalls: list[tuple[float, float]]) -> None:
-    """Run a node that completes everything at once; the ready line holds its address."""
+    """Run a node that completes each request at once; the ready line holds its address."""
     from marlseam.emulators.echo import Stall, serve
 
     serve([Stall(*stall) for stall in stalls])
--- a/marlseam/cli/state.py
+++ b/marlseam/cli/state.py
@@ -1,4 +1,4 @@
-"""`marlseam state`: what a node's state folder holds."""
+"""`marlseam state`: initialize, show, verify and export a node's state folder."""
 
 import json
 import time
@@ -17,7 +17,7 @@
 MS_PER_HOUR = 3.6e6
 FOLDER = click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
 
-# The names that operators are shown of each record and its fields, whatever these are called in the code.
+# The names of entries and fields in exported JSON, by the type of record; independent of the names in code.
 EXPORTED: dict[type, tuple[str, tuple[str, ...]]] = {
     DepartureRateStored: ("turned", ("departures", "lived_ms")),
     ListStored: ("listed", ("version", "rows", "heard_ms")),
@@ -28,18 +28,18 @@
 
 @click.group()
 def group() -> None:
-    """Show, verify and export a node's state folder, which changes nothing in it; or begin a first one."""
+    """Show, verify and export a node's state folder without changing it; or initialize a new one."""
 
 
 class ReadState(NamedTuple):
-    """The state in a folder, and what of the folder could not be used."""
+    """The state read from a folder, and a finding for each part of the folder that could not be used."""
 
     state: NodeState
     findings: list[Finding]
 
 
 def read(folder: Path) -> ReadState:
-    """Read the state folder of any node; raise ClickException where it cannot be read."""
+    """Read the state folder of any node; raise ClickException if the operating system reports an error."""
     directory = StateDirectory(Disk(folder), None)
     try:
         return ReadState(directory.load(time.time() * 1000.0), directory.findings)
@@ -51,9 +51,9 @@
 @FOLDER
 @click.argument("node")
 def begin(folder: Path, node: str) -> None:
-    """Say that nothing ran before under NODE: its folder is empty as it has not lived yet.
+    """Initialize FOLDER for NODE, which has never run.
 
-    Without this an empty folder counts as one whose content is lost. Ends with 1 where there is a state.
+    Without this an empty folder counts as one whose content was lost. Exits with 1 if FOLDER holds a state.
     """
     try:
         create_state(folder, node)
@@ -67,7 +67,7 @@
 @group.command()
 @FOLDER
 def show(folder: Path) -> None:
-    """Say what is there, in a few lines."""
+    """Show a summary of the state."""
     state, findings = read(folder)
     now_ms = time.time() * 1000.0
     for line in state_lines(state, now_ms):
@@ -76,27 +76,27 @@
 
 
 def state_lines(state: NodeState, now_ms: float) -> list[str]:
-    """Return a state in a few lines; times are Unix times in ms."""
+    """Return the lines that summarize a state at `now_ms` (Unix ms)."""
     lines = []
     if state.listed is None:
-        lines.append("no list of servers")
+        lines.append("no saved list of servers")
     else:
         listed = state.listed
         age_s = (now_ms - listed.confirmed_ms) / 1000.0
         lines.append(f"{len(listed.rows)} servers, version {listed.version}, confirmed {age_s:.0f} s ago")
     last_ms = max((attempt.until_ms for sent in state.sent.values() for attempt in sent), default=now_ms)
     left_s = max(0.0, last_ms - now_ms) / 1000.0
-    lines.append(f"{len(state.sent)} keys that may have run, the last forgotten in {left_s:.0f} s")
+    lines.append(f"{len(state.sent)} keys that may have run, the last expires in {left_s:.0f} s")
     if state.lost_ms is not None:
         lost_s = (now_ms - state.lost_ms) / 1000.0
-        lines.append(f"what may have run before {lost_s:.0f} s ago is not known")
+        lines.append(f"which keys may have run before {lost_s:.0f} s ago is not known")
     hours = state.departure_rate.lived_ms / MS_PER_HOUR
     lines.append(f"{state.departure_rate.departures:.0f} departures in {hours:.1f} server hours")
     return lines
 
 
 def print_findings(folder: Path, findings: list[Finding]) -> None:
-    """Print what could not be used, a line each."""
+    """Print one line for each part of a folder that could not be used."""
     for finding in findings:
         click.echo(f"{finding.name or folder} code={finding.code}: {finding.text}")
 
@@ -104,18 +104,18 @@
 @group.command()
 @FOLDER
 def verify(folder: Path) -> None:
-    """Read everything; ends with 1 if anything could not be used."""
+    """Read the whole folder; exits with 1 if a part of it could not be used."""
     _, findings = read(folder)
     print_findings(folder, findings)
     if findings:
         raise SystemExit(1)
-    click.echo("all of it can be read")
+    click.echo("the whole folder can be read")
 
 
 @group.command()
 @FOLDER
 def export(folder: Path) -> None:
-    """Print the state as JSON, one entry a line."""
+    """Print the state as JSON, one entry per line."""
     state, _ = read(folder)
     for entry in state.entries():
         name, fields = EXPORTED[type(entry)]
--- a/marlseam/cli/tables.py
+++ b/marlseam/cli/tables.py
@@ -1,10 +1,10 @@
-"""Tables for people."""
+"""Text tables for terminals."""
 
 from collections.abc import Iterable
 
 
 def table(rows: Iterable[list[str]]) -> str:
-    """Return rows as text in aligned columns; all rows have as many cells as the first."""
+    """Return rows as text in aligned columns; raise ValueError if rows differ in their number of cells."""
     rows = list(rows)
     widths = [max(len(cell) for cell in column) for column in zip(*rows, strict=True)]
     lines = (
