--- a/marlseam/records.py
+++ b/marlseam/records.py
@@ -1,12 +1,13 @@
-"""The records of a run: what happened, as written by whoever it happened to, one JSON object a line.
+"""The records of a run: the events that clients, servers and others observed, one JSON object per line.
 
-Every writer (clients, servers, endpoint list, network, driver) leaves one stream: a `StreamBegan`, its
-records with a number that counts up from 1, and a `StreamEnded` with the last number, so that the judge can
-tell a whole stream from one with gaps. The names of the structs' fields and their tags are those of the
-files.
+Each writer (clients, servers, endpoint list, network, driver) writes one stream: a `StreamBegan`, its records
+numbered from 1 without gaps, and a `StreamEnded` with the last number. By the numbers the check of a run
+(`marlseam.verification`) distinguishes a complete stream from one with gaps. Fields and tags of the structs
+are stored in the files under their names.
 
-A request and its client retries are tries; `id` is a try's id, `first` that of the request's first try. An
-attempt is one send of a try to a server. Times are float milliseconds since the run's zero, on one clock.
+A try is one send of a request by its client: the first, or a client retry. `id` is the id of a try, `first`
+the id of the first try of its request. An attempt is one send of a try by a node to a server. Times are float
+milliseconds since the run's zero, on one clock.
 """
 
 from collections.abc import Iterable, Iterator
@@ -19,12 +20,12 @@
 
 
 class Record(msgspec.Struct, tag_field="what", kw_only=True):
-    """One thing that happened.
+    """One event of a run.
 
     Attributes:
-        n: its number in the writer's stream, from 1.
-        t: when, in ms.
-        by: the writer's name.
+        n: the record's number in the writer's stream, from 1.
+        t: the time of the event, in ms of the run.
+        by: the name of the writer: for a server's records the server's name.
     """
 
     n: int = 0
@@ -33,9 +34,12 @@
 
 
 class StreamBegan(Record, tag="begin"):
-    """A stream begins.
+    """The first record of a stream.
 
-    `rules` are the run's settings as the judge reads them, in the driver's stream alone.
+    Attributes:
+        version: the version of the format.
+        system: the part of the run that the writer belongs to: clients, executors, roster, network or driver.
+        rules: the settings of the rules for this run; only in the driver's stream, empty in all others.
     """
 
     version: int = VERSION
@@ -44,7 +48,7 @@
 
 
 class StreamEnded(Record, tag="end"):
-    """A stream ends whole."""
+    """The last record of a complete stream."""
 
 
 # Clients.
@@ -53,7 +57,7 @@
 class TrySent(Record, tag="tried"):
     """A client sent a try.
 
-    Turnarounds count from `intended`; `credit` is the priority weight of the request.
+    Latency is measured from `intended`; `credit` is the priority weight of the request.
     """
 
     id: str
@@ -62,17 +66,24 @@
     node: str
     zone: str
     type: str
-    intended: float  # when the first try should have gone out
-    expires: float  # the deadline, the same for all tries
-    promised: float  # the latency objective: the turnaround that earns the whole credit, in ms
+    intended: float  # when the first try was to be sent, in ms of the run
+    expires: float  # the deadline in ms of the run, the same for all tries of the request
+    promised: float  # the latency objective in ms: an answer within it earns the whole credit
     credit: float
-    late_credit: float  # share of it for an answer past the latency objective
+    late_credit: float  # the share of `credit` for an answer after the latency objective
     receipt: str | None = None  # the idempotency key
     key: str | None = None
 
 
 class TryAnswered(Record, tag="answered"):
-    """A try's final answer came: completed, deferred, aborted; or it ended without: lost, unsent."""
+    """A client received the answer to a try, or its connection ended without one.
+
+    Attributes:
+        id: the id of the try.
+        how: `completed`; `deferred`: rejected, to be retried; `aborted`: any other answer, the try may have
+            run; `lost`: the connection ended without an answer; `unsent`: no connection, the try never left.
+        advice_ms: the Retry-After of the answer in ms, 0 for none.
+    """
 
     id: str
     how: str
@@ -80,14 +91,14 @@
 
 
 class ClientLeft(Record, tag="quit"):
-    """A client left a try without an answer; `early` if before its deadline."""
+    """A client left before its try was answered, at the deadline or, if `early`, before it."""
 
     id: str
     early: bool = False
 
 
 class GeneratorLagged(Record, tag="lagged"):
-    """A load generator lagged in some second: by how many ms at most, and how many sends were late."""
+    """A load generator lagged in the second from `t` on: `sends` late sends, by at most `most` ms."""
 
     most: float
     sends: int
@@ -97,30 +108,45 @@
 
 
 class AttemptReceived(Record, tag="took"):
-    """A server received an attempt whole."""
+    """A server received a whole attempt and accepts or rejects it.
+
+    Attributes:
+        id: the id of the attempt's try.
+        node: the name of the node that sent it, empty where the server cannot identify the node.
+        born: when the server's process started in ms of the run, None if that was before the run.
+        load: in slow start the work received within the rule's window, with this attempt, as a share of the
+            work that overloads the server; else 0.
+        acting: the configuration version that the sending node serves by, as the attempt states it.
+    """
 
     id: str
     node: str = ""
     born: float | None = None
-    load: float = 0.0  # share of what the server bears in slow start that it has received, with this attempt
-    acting: str = ""  # the configuration version that its node serves by, as the node says
+    load: float = 0.0
+    acting: str = ""
 
 
 class AttemptRefused(Record, tag="refused"):
-    """A server rejected an attempt, or handed it back unstarted: it never ran."""
+    """A server rejected an attempt, or returned it before its start: it never ran."""
 
     id: str
 
 
 class AttemptStarted(Record, tag="ran"):
-    """An attempt began to run; without effect where the server knew its idempotency key and dropped it."""
+    """An attempt began to run; without `effect` if the server had seen its idempotency key and dropped it."""
 
     id: str
     effect: bool = True
 
 
 class AttemptEnded(Record, tag="ended"):
-    """A run ended: done, failed, lost; `work` is the standard work spent on it, in ms times slots."""
+    """An attempt that ran, or waited at a server that crashed, ended.
+
+    Attributes:
+        id: the id of the attempt's try.
+        how: `done`, `failed`, or `lost` with the server's process.
+        work: the standard work spent on it, in ms times slots.
+    """
 
     id: str
     how: str
@@ -128,7 +154,10 @@
 
 
 class AttemptCancelled(Record, tag="withdrawn"):
-    """A node cancelled an attempt, as the server saw it, or the network on its link to `executor`."""
+    """A node cancelled an attempt.
+
+    Written by the server that noticed it, or by the network, which names the server in `executor`.
+    """
 
     id: str
     executor: str = ""
@@ -139,11 +168,11 @@
 
 
 class ServerStarted(Record, tag="born"):
-    """A server's process started, in slow start."""
+    """A server's process started and began its slow start."""
 
 
 class ServerOverloaded(Record, tag="fell"):
-    """A server in slow start was overloaded; `load` is the share of what it bears that it received."""
+    """A server in slow start was overloaded; `load` is the work received as a share of its bound, above 1."""
 
     load: float
 
@@ -152,7 +181,7 @@
 
 
 class ServerStateHeard(Record, tag="told"):
-    """A node was told a server's state by the endpoint list: ready, draining, gone."""
+    """The endpoint list notified a node of a server's state: ready, draining or gone."""
 
     node: str
     executor: str
@@ -160,14 +189,14 @@
 
 
 class EndpointListCalled(Record, tag="called"):
-    """A node called the endpoint list; `served` unless that was down or too many calls waited."""
+    """A node called the endpoint list; not `served` if the list was down or too many calls waited."""
 
     node: str
     served: bool
 
 
 class LinkChanged(Record, tag="cut"):
-    """The network cut or mended the link between two names or zones."""
+    """The network cut the link between two names or zones, or restored it (`mended`)."""
 
     a: str
     b: str
@@ -175,7 +204,7 @@
 
 
 class FaultBegan(Record, tag="trouble"):
-    """A fault of the schedule began; it ends at `until`."""
+    """A fault of the schedule began; it ends at `until`, in ms of the run."""
 
     kind: str
     until: float
@@ -187,7 +216,7 @@
     """A dispatcher node changed its state."""
 
     node: str
-    state: str  # began, closing, killed, ended; stopped: not run by the operating system until `until`
+    state: str  # began, closing, killed, ended; stopped: not scheduled by the operating system until `until`
     zone: str = ""
     until: float = 0.0
 
@@ -218,25 +247,25 @@
 
 
 class StreamWriter:
-    """Writes one stream to a binary file, or holds it in memory where there is none.
+    """Writes one stream to a binary file, or keeps it in memory.
 
     Attributes:
         by: the writer's name.
-        file: where records go, None to hold them in memory.
-        records: those so far, where there is no file.
+        file: the file to write to, None to keep the records in memory.
+        records: the records so far; empty where there is a file.
     """
 
     def __init__(
         self, by: str, system: str, file: IO[bytes] | None = None, rules: dict[str, Any] | None = None
     ) -> None:
-        """Begin a stream; `rules` are the run's settings for the judge, in the driver's stream alone."""
+        """Begin a stream; `rules` are the settings of the rules, which only the driver's stream holds."""
         self.by, self.file = by, file
         self.records: list[Record] = []
         self._last_number = 0
         self.add(StreamBegan(t=0.0, by=by, system=system, rules=rules or {}))
 
     def add(self, record: Record) -> None:
-        """Write a record under the stream's next number."""
+        """Assign the stream's next number to a record and write it."""
         self._last_number += 1
         record.n = self._last_number
         if self.file is None:
@@ -245,29 +274,29 @@
             self.file.write(ENCODER.encode(record) + b"\n")
 
     def end(self, at_ms: float) -> None:
-        """End the stream whole."""
+        """Write the stream's last record and flush the file; the file stays open."""
         self.add(StreamEnded(t=at_ms, by=self.by))
         if self.file is not None:
             self.file.flush()
 
 
 class RecordStreams:
-    """The streams of one process: a file each in a folder, or all in memory; `end` closes them whole.
+    """The streams of one process: one file each in a folder, or all in memory.
 
     Attributes:
-        folder: where the files go, None to keep all in memory.
-        system: which part of the run the process is: clients, executors, roster, network or driver.
-        rules: the run's settings for the judge, None in any stream but the driver's.
+        folder: the folder for the files, None to keep all streams in memory.
+        system: the part of the run that the process plays: clients, executors, roster, network or driver.
+        rules: the settings of the rules for this run, None in every process but the driver.
         writers: the streams so far, by the writer's name.
     """
 
     def __init__(self, folder: Path | None, system: str, rules: dict[str, Any] | None = None) -> None:
-        """Make it without a stream."""
+        """Make an object without streams; they begin on the first call of `of` for a writer."""
         self.folder, self.system, self.rules = folder, system, rules
         self.writers: dict[str, StreamWriter] = {}
 
     def of(self, by: str) -> StreamWriter:
-        """Return the stream of a writer, begun if it is new."""
+        """Return the stream of a writer; begin it on the first call for that writer."""
         if by not in self.writers:
             file = None
             if self.folder is not None:
@@ -276,7 +305,7 @@
         return self.writers[by]
 
     def end(self, at_ms: float) -> None:
-        """End all streams whole."""
+        """Write the last record of all streams and close their files."""
         for writer in self.writers.values():
             writer.end(at_ms)
             if writer.file is not None:
@@ -284,7 +313,7 @@
 
 
 def read_records(lines: Iterable[bytes]) -> Iterator[Record]:
-    """Yield the records of a stream; raise ValueError with the line's number for a line that is none."""
+    """Yield the records of a stream; raise ValueError with the line's number at a line that is no record."""
     for number, line in enumerate(lines, 1):
         try:
             yield DECODER.decode(line)
@@ -293,14 +322,17 @@
 
 
 class FolderRecords(NamedTuple):
-    """The records of a folder's streams, and what was wrong with the files, a text each."""
+    """The records of a folder's streams, and one text for each file that could not be read as records."""
 
     records: list[Record]
     problems: list[str]
 
 
 def read_folder(folder: Path) -> FolderRecords:
-    """Return all records of a folder's streams; a file with a line that is no record is left out whole."""
+    """Return all records of the `.jsonl` files of a folder.
+
+    A file with a line that is no record contributes none of its records, and one text to `problems`.
+    """
     found = FolderRecords([], [])
     for path in sorted(folder.glob("*.jsonl")):
         with path.open("rb") as file:
--- a/marlseam/verification/__init__.py
+++ b/marlseam/verification/__init__.py
@@ -1,4 +1,4 @@
-"""The rules and the service figures of a run, computed from its records alone.
+"""The checks of the rules and the service figures of a run, computed from its records alone.
 
-No code of a dispatcher node is imported: a fault of the dispatcher cannot hide itself in its own check.
+No code of a dispatcher node is imported, so that a fault in that code cannot mask itself in the check.
 """
--- a/marlseam/verification/book.py
+++ b/marlseam/verification/book.py
@@ -1,4 +1,4 @@
-"""A run's records put in order: streams checked for gaps, and records indexed by what they are about."""
+"""The records of a run: search for gaps in the streams, and an index by try, node and server."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Sequence
@@ -23,20 +23,20 @@
 
 RecordType = TypeVar("RecordType", bound=Record)
 
-REQUIRED_SYSTEMS = ("clients", "executors", "roster", "driver")  # each must have one whole stream at least
+REQUIRED_SYSTEMS = ("clients", "executors", "roster", "driver")  # each must have at least one complete stream
 FINAL_ANSWERS = ("completed", "deferred", "aborted")
-UNSHOWN_FIELDS = ("n", "t", "by", "id", "first")  # a timeline's line shows them apart, or not at all
+UNSHOWN_FIELDS = ("n", "t", "by", "id", "first")  # not among the NAME=VALUE pairs of a timeline's line
 
 
 class NodePause(NamedTuple):
-    """A time in which the operating system did not run a node, in ms of the run."""
+    """A period in which the operating system did not schedule a node's process, in ms of the run."""
 
     from_ms: float
     until_ms: float
 
 
 def find_gaps(records: Iterable[Record]) -> list[str]:
-    """Return what is missing from the streams, a text each: numbers, begins, ends, whole systems."""
+    """Return a text for each gap: missing first, last or numbered records, and systems without a stream."""
     streams: dict[str, list[Record]] = defaultdict(list)
     for record in records:
         streams[record.by].append(record)
@@ -52,7 +52,7 @@
 
 
 def _gaps_of_stream(writer: str, stream: Sequence[Record]) -> list[str]:
-    """Return what is missing from one stream, whose records are in order of number."""
+    """Return the gaps of one stream, whose records are sorted by number."""
     gaps = []
     if stream[0].n != 1 or not isinstance(stream[0], StreamBegan):
         gaps.append(f"{writer}: no begin")
@@ -65,25 +65,25 @@
 
 
 class RunRecords:
-    """All records of a run in order of time, indexed by what they are about.
+    """All records of a run in order of time, indexed by try, node and server.
 
-    A request and its client retries are tries that share the id of the first. An attempt is one send of a try
-    to a server. Times are ms of the run.
+    The tries of a request (its first send and its client retries) share the id of the first. An attempt is
+    one send of a try by a node to a server. Times are ms of the run.
 
     Attributes:
-        records: all records, by time, writer and number.
-        rules: the settings of the rules, as the driver's stream holds them.
-        slack_ms: by how much clocks and messages on their way may make two records appear out of order.
+        records: all records, sorted by time, writer and number.
+        rules: the settings of the rules, from the driver's stream.
+        slack_ms: by how much two records may appear out of order, as clocks differ and messages take time.
         tries: each try by its id.
         tries_by_first: the tries of each request, by the id of the first.
-        answers: the answers that a try's client got, by the try's id.
-        quits: the departure of a try's client, by the try's id.
+        answers: the answers that a try's client recorded, with `lost` and `unsent`, by the try's id.
+        quits: the record that a try's client left, by the try's id.
         attempts: the attempts of a try that servers received, by the try's id.
-        runs: the runs of a try on servers, by the try's id.
-        attempt_ends: whatever closed an attempt of a try, by the try's id.
-        state_notices: what a node was told of a server's state, by node and server.
-        node_kills: when a node was killed or ended, by node.
-        node_pauses: when a node was not run, by node.
+        runs: the starts of a try's attempts on servers, by the try's id.
+        attempt_ends: the rejections, ends and cancellations of a try's attempts, by the try's id.
+        state_notices: the notifications of a server's state to a node, by node and server.
+        node_kills: the times at which a node was killed or ended, by node.
+        node_pauses: the periods in which a node was stopped, by node.
     """
 
     def __init__(self, records: Iterable[Record]) -> None:
@@ -107,7 +107,7 @@
         self.slack_ms = float(self.rules.get("slack_ms", 0.0))
 
     def _index(self, record: Record) -> None:
-        """Add a record to the table of its kind."""
+        """Add a record to the index of its type; types that no index holds are skipped."""
         match record:
             case StreamBegan():
                 self.rules = record.rules or self.rules
@@ -130,7 +130,7 @@
                 self._index_node_state(record)
 
     def _index_node_state(self, record: NodeStateChanged) -> None:
-        """Add a node's pause or end to its table."""
+        """Add a node's pause, kill or end to its index."""
         if record.state == "stopped":
             self.node_pauses[record.node].append(NodePause(record.t, record.until))
         elif record.state in ("killed", "ended"):
@@ -141,19 +141,20 @@
         return [record for record in self.records if type(record) is record_type]
 
     def final_answers(self, try_id: str) -> list[TryAnswered]:
-        """Return a try's final answers, in order; a correct dispatcher gives one at most."""
+        """Return a try's final answers, in order; a correct dispatcher sends at most one."""
         return [answer for answer in self.answers.get(try_id, ()) if answer.how in FINAL_ANSWERS]
 
     def final_answer(self, try_id: str) -> TryAnswered | None:
-        """Return a try's first final answer, or None where it got none."""
+        """Return a try's first final answer, None without one."""
         return next(iter(self.final_answers(try_id)), None)
 
     def ends_at_server(
         self, try_id: str, server: str
     ) -> list[AttemptRefused | AttemptEnded | AttemptCancelled]:
-        """Return what closed a try's attempts at one server, in order.
+        """Return the rejections, ends and cancellations of a try's attempts at one server, in order.
 
-        A withdrawal that the network noted names its server; any other end was noted by the server itself.
+        A cancellation recorded by the network names its server in `executor`; all others are recorded by the
+        server itself.
         """
         return [
             end
@@ -162,7 +163,7 @@
         ]
 
     def timeline(self, first_id: str) -> list[str]:
-        """Return all that happened to a request and its client retries, a line each."""
+        """Return a line for each record of a request's tries; `first_id` is the id of its first try."""
         ids = {row.id for row in self.tries_by_first.get(first_id, ())} | {first_id}
         return [
             _timeline_line(record, record_id)
@@ -172,7 +173,7 @@
 
 
 def _timeline_line(record: Record, try_id: str) -> str:
-    """Return a line that shows a record of a try to people."""
+    """Return a record of a try as a readable line of text."""
     fields = {name: getattr(record, name) for name in record.__struct_fields__ if name not in UNSHOWN_FIELDS}
     shown = " ".join(f"{name}={value}" for name, value in fields.items() if value not in (None, ""))
     what = record.__struct_config__.tag
--- a/marlseam/verification/rules.py
+++ b/marlseam/verification/rules.py
@@ -1,6 +1,7 @@
-"""The rules, each checked against the records of all sides; every violation names its try or server.
+"""The rules, each checked against the records of clients, nodes and servers.
 
-The names of the rules and the texts are written into reports, and experiments compare the names.
+Each violation names its try or server. Reports contain the names of the rules and the texts of violations;
+experiments compare the names.
 """
 
 from collections import defaultdict
@@ -23,15 +24,15 @@
 from marlseam.verification.book import RunRecords, find_gaps
 from marlseam.verification.verdict import Rule, Verdict
 
-DEFAULT_EFFECT = ("exclusive", "cell")  # of a request class that the run's rules do not list
+DEFAULT_EFFECT = ("exclusive", "cell")  # effect and key group of a request class without settings in the run
 
 
 # Rule 1: one answer.
 
 
 def check_one_answer(run: RunRecords) -> Rule:
-    """Check rule 1: each try gets one final answer before its deadline, and nothing is sent for it after."""
-    rule = Rule("one answer", "largest share of its time that an answered work unit took")
+    """Check rule 1: each try gets one final answer before its deadline, and no server an attempt after it."""
+    rule = Rule("one answer", "largest share of the time to its deadline that an answered work unit took")
     for tried in run.tries.values():
         finals = run.final_answers(tried.id)
         if len(finals) > 1:
@@ -42,17 +43,17 @@
             what = (
                 "its connection ended without an answer"
                 if run.answers.get(tried.id)
-                else "no answer before its hard limit"
+                else "no answer before its deadline"
             )
             rule.add_violation(tried.id, what)
     return rule
 
 
 def _check_answer_time(rule: Rule, run: RunRecords, tried: TrySent, answered_ms: float) -> None:
-    """Check that a try's answer came before its deadline and that no server got an attempt after it."""
+    """Check that a try's answer came before its deadline and that no server received an attempt after it."""
     rule.raise_margin((answered_ms - tried.t) / max(1.0, tried.expires - tried.t))
     if answered_ms > tried.expires + run.slack_ms and not _is_node_paused_at_deadline(run, tried):
-        rule.add_violation(tried.id, f"answered {answered_ms - tried.expires:.0f} ms after its hard limit")
+        rule.add_violation(tried.id, f"answered {answered_ms - tried.expires:.0f} ms after its deadline")
     for attempt in run.attempts.get(tried.id, ()):
         if attempt.t > answered_ms + run.slack_ms:
             late_ms = attempt.t - answered_ms
@@ -60,9 +61,10 @@
 
 
 def _is_missing_answer_excused(run: RunRecords, tried: TrySent) -> bool:
-    """Return whether a try may have no final answer.
+    """Return whether a try need not have a final answer.
 
-    It never reached a node, its client left early, or its node was killed, or paused at its deadline.
+    That is so if the try never reached a node, its client left early, or its node was killed before the try
+    ended, or was paused at the deadline.
     """
     answers = run.answers.get(tried.id, [])
     if any(answer.how == "unsent" for answer in answers):
@@ -78,7 +80,7 @@
 
 
 def _is_node_paused_at_deadline(run: RunRecords, tried: TrySent) -> bool:
-    """Return whether a try's node was paused at the try's deadline, so that it could not answer."""
+    """Return whether a try's node was paused at the try's deadline and could not answer."""
     return any(
         pause.from_ms <= tried.expires + run.slack_ms and pause.until_ms >= tried.expires - run.slack_ms
         for pause in run.node_pauses.get(tried.node, ())
@@ -89,7 +91,11 @@
 
 
 def check_effects(run: RunRecords) -> Rule:
-    """Check rule 2: no effect twice, no rejection of what may have run, no barred hedged attempts."""
+    """Check rule 2 for each request.
+
+    An unsafe or keyed request has at most one effect and is not rejected after it ran; without permission to
+    hedge no try has two attempts in flight at once.
+    """
     rule = Rule("no effect twice", "largest number of effects of one receipted or exclusive work unit")
     effect_by_class = run.rules.get("effects", {})
     allows_hedging = run.rules.get("second_copies", False)
@@ -97,7 +103,7 @@
         effect, group = effect_by_class.get(tries[0].type, DEFAULT_EFFECT)
         if effect != "rerunnable":
             _check_single_effect(rule, run, tries, effect)
-            # An idempotency key that all nodes share makes a client's retry of what ran harmless.
+            # If all servers share the memory of keys, a client's retry of a request that ran has no effect.
             if not (effect == "receipted" and group == "all"):
                 _check_no_rejection_after_run(rule, run, tries, effect)
         if not allows_hedging:
@@ -106,7 +112,7 @@
 
 
 def _check_single_effect(rule: Rule, run: RunRecords, tries: Sequence[TrySent], effect: str) -> None:
-    """Check that all tries of a request together had one effect at most."""
+    """Check that all tries of a request together had at most one effect."""
     runs = [started for tried in tries for started in run.runs.get(tried.id, ()) if started.effect]
     rule.raise_margin(float(len(runs)))
     if len(runs) > 1:
@@ -115,7 +121,7 @@
 
 
 def _check_no_rejection_after_run(rule: Rule, run: RunRecords, tries: Sequence[TrySent], effect: str) -> None:
-    """Check that no try of a request was rejected, as if safe to retry, although a server ran it."""
+    """Check that no try of a request was rejected, which permits a retry, although a server ran it."""
     for tried in tries:
         final, runs = run.final_answer(tried.id), run.runs.get(tried.id)
         if final is not None and final.how == "deferred" and runs:
@@ -127,11 +133,11 @@
     for tried in tries:
         overlap = find_overlap(run, tried.id)
         if overlap is not None:
-            rule.add_violation(tried.first, f"a second copy: {overlap}")
+            rule.add_violation(tried.first, f"hedged attempt: {overlap}")
 
 
 class _AttemptSpan(NamedTuple):
-    """The time in which an attempt was in flight; compared in order of its fields."""
+    """The period in which an attempt was in flight, in ms of the run; sorted by its fields in their order."""
 
     from_ms: float
     until_ms: float
@@ -140,7 +146,7 @@
 
 
 def find_overlap(run: RunRecords, try_id: str) -> str | None:
-    """Return which two attempts of a try were in flight at once, as a text, or None."""
+    """Return a text that names two attempts of a try that were in flight at once, None if none were."""
     spans = []
     for index, attempt in enumerate(run.attempts.get(try_id, ())):
         ends_ms = (end.t for end in run.ends_at_server(try_id, attempt.by) if end.t >= attempt.t)
@@ -148,7 +154,7 @@
     spans.sort()
     for earlier, later in pairwise(spans):
         if later.from_ms + run.slack_ms < earlier.until_ms:
-            return f"sent to {later.server} while out at {earlier.server}"
+            return f"sent to {later.server} while in flight to {earlier.server}"
     return None
 
 
@@ -156,40 +162,47 @@
 
 
 def check_drains(run: RunRecords) -> Rule:
-    """Check rule 3: no attempt to a server after the grace since its node heard that it drains or is gone."""
-    rule = Rule("drains kept", "latest send after being told, as a share of the grace")
+    """Check rule 3: no attempt to a server after the grace since its node was notified of its departure.
+
+    A departure is the notification that the server drains or is gone; with the setting `drain_binds_alone`
+    only that it drains.
+    """
+    rule = Rule("drains kept", "latest send after the notification of a departure, as a share of the grace")
     grace_ms = float(run.rules.get("grace_ms", 0.0))
-    draining_binds = not run.rules.get("drain_binds_alone", False)
+    gone_binds = not run.rules.get("drain_binds_alone", False)
     for try_id, attempts in run.attempts.items():
         tried = run.tries.get(try_id)
         if tried is None:
             continue
         for attempt in attempts:
             notices = run.state_notices.get((tried.node, attempt.by), ())
-            left_ms = _leaving_known_since(notices, attempt.t, draining_binds)
+            left_ms = _leaving_known_since(notices, attempt.t, gone_binds)
             if left_ms is None:
                 continue
             rule.raise_margin((attempt.t - left_ms) / grace_ms)
             if attempt.t > left_ms + grace_ms + run.slack_ms:
                 late_ms = attempt.t - left_ms
                 rule.add_violation(
-                    try_id, f"sent to {attempt.by} {late_ms:.0f} ms after {tried.node} was told"
+                    try_id,
+                    f"sent to {attempt.by} {late_ms:.0f} ms after {tried.node} was notified that it leaves",
                 )
     return rule
 
 
 def _leaving_known_since(
-    notices: Sequence[ServerStateHeard], until_ms: float, draining_binds: bool
+    notices: Sequence[ServerStateHeard], until_ms: float, gone_binds: bool
 ) -> float | None:
-    """Return since when a node knew, at some time, that a server leaves; None if it is listed as ready.
+    """Return when a node was first notified that a server leaves, in ms; None if the server is ready.
 
-    The first notice of leaving counts, until the server is listed as ready again.
+    `notices` are sorted by time; those after `until_ms` are ignored, and a notice that the server is ready
+    cancels those before it. Without `gone_binds` only the notice that a server drains counts as
+    leaving.
     """
     since_ms = None
     for notice in notices:
         if notice.t > until_ms:
             break
-        binds = notice.state == "draining" or draining_binds
+        binds = notice.state == "draining" or gone_binds
         if notice.state == "ready":
             since_ms = None
         elif since_ms is None and binds:
@@ -202,18 +215,20 @@
 
 def check_slow_start(run: RunRecords) -> Rule:
     """Check rule 4: all nodes together do not overload a server in slow start."""
-    rule = Rule("cold spared", "largest share of what a cold executor bears that it was sent")
+    rule = Rule("cold spared", "largest share of its overload bound that an executor in slow start received")
     rule.margin = max((attempt.load for attempt in run.of_type(AttemptReceived)), default=0.0)
     for overload in run.of_type(ServerOverloaded):
         rule.raise_margin(overload.load)
         last = _last_attempt_before(run, overload)
         subject = overload.by if last is None else last.id
-        rule.add_violation(subject, f"{overload.by} was pushed over at {overload.load:.2f} of its bound")
+        rule.add_violation(
+            subject, f"{overload.by} was overloaded in slow start at {overload.load:.2f} of its bound"
+        )
     return rule
 
 
 def _last_attempt_before(run: RunRecords, overload: ServerOverloaded) -> AttemptReceived | None:
-    """Return the last attempt that a server received before it was overloaded, or None."""
+    """Return the last attempt that a server received up to its overload, None if there is none."""
     before = [
         attempt
         for attempt in run.of_type(AttemptReceived)
@@ -226,18 +241,20 @@
 
 
 class _KeyRelease(NamedTuple):
-    """When a try no longer occupied its key, and whether the key must then be left unused for the gap."""
+    """When a try released its key, in ms, and whether the key must stay unused for the gap after that."""
 
     at_ms: float
     needs_gap: bool
 
 
 def check_key_order(run: RunRecords) -> Rule:
-    """Check rule 5: where a class asks for it, requests of one key run one at a time, in order of arrival.
+    """Check rule 5: requests of one key run one at a time, in order of arrival, if their class requires it.
 
-    Tries that went out closer to each other than the slack may have arrived in either order: not compared.
+    Tries sent within the slack of each other are not compared: they may have arrived in either order.
     """
-    rule = Rule("in turn", "largest share of a key's rest that the next of its line cut short")
+    rule = Rule(
+        "in turn", "largest share of the gap after a key's release that the next attempt of the key cut short"
+    )
     gap_ms = float(run.rules.get("turn_gap_ms", 0.0))
     for tries in _tries_by_node_and_key(run):
         for index, tried in enumerate(tries):
@@ -248,7 +265,7 @@
 
 
 def _tries_by_node_and_key(run: RunRecords) -> Iterator[list[TrySent]]:
-    """Yield the tries of each key at each node, by time; only of classes that ask for order."""
+    """Yield the tries of each key at each node, sorted by time; only of classes that require order."""
     ordered_classes = set(run.rules.get("in_turn", ()))
     by_node_and_key: dict[tuple[str, str], list[TrySent]] = defaultdict(list)
     for tried in run.tries.values():
@@ -261,11 +278,11 @@
 def _tries_to_wait_for(
     run: RunRecords, earlier_tries: Sequence[TrySent], tried: TrySent, attempt: AttemptReceived
 ) -> Iterator[TrySent]:
-    """Yield the tries of a key that a later try's attempt must have waited for."""
+    """Yield the earlier tries of a key whose release an attempt of a later try had to wait for."""
     for earlier in earlier_tries:
         if earlier.t + run.slack_ms >= tried.t:
             return
-        # A node that was restarted since knows nothing of the earlier try.
+        # A node that was restarted since has no record of the earlier try.
         restarted = any(
             earlier.t - run.slack_ms <= killed_ms <= attempt.t
             for killed_ms in run.node_kills.get(tried.node, ())
@@ -277,16 +294,20 @@
 def _check_after_release(
     rule: Rule, run: RunRecords, earlier: TrySent, attempt: AttemptReceived, gap_ms: float
 ) -> None:
-    """Check that an attempt was sent after an earlier try of its key had released the key."""
+    """Check that an attempt was sent after an earlier try had released the key, and the gap if required."""
     release = _key_release(run, earlier.id, attempt.t)
     if release.needs_gap and gap_ms:
         rule.raise_margin((release.at_ms + gap_ms - attempt.t) / gap_ms)
     if attempt.t + run.slack_ms < release.at_ms + (gap_ms if release.needs_gap else 0.0):
-        rule.add_violation(attempt.id, f"sent to {attempt.by} before {earlier.id} of the same key was over")
+        rule.add_violation(attempt.id, f"sent to {attempt.by} before {earlier.id} released the same key")
 
 
 def _key_release(run: RunRecords, try_id: str, until_ms: float) -> _KeyRelease:
-    """Return when a try released its key, judged by the attempts that servers received until some time."""
+    """Return when a try released its key, by the attempts that servers received until `until_ms`.
+
+    The key is released at the last of: the end for the client, and the ends of the attempts; infinity if an
+    attempt has no recorded end.
+    """
     release = _KeyRelease(_client_done_ms(run, try_id), needs_gap=False)
     for attempt in run.attempts.get(try_id, ()):
         if attempt.t > until_ms:
@@ -300,7 +321,7 @@
 
 
 def _client_done_ms(run: RunRecords, try_id: str) -> float:
-    """Return when a try's client had an answer or left, infinity if neither."""
+    """Return when a try's client received an answer or left, in ms; infinity if neither happened."""
     done_ms = [answer.t for answer in run.answers.get(try_id, ())]
     quit_record: ClientLeft | None = run.quits.get(try_id)
     if quit_record is not None:
@@ -309,7 +330,7 @@
 
 
 def _may_still_run(end: AttemptRefused | AttemptEnded | AttemptCancelled | None) -> bool:
-    """Return whether a server may still run an attempt for a while after its end: cancelled, or lost."""
+    """Return whether a server may still run an attempt after its end: if it was cancelled or lost."""
     return isinstance(end, AttemptCancelled) or (isinstance(end, AttemptEnded) and end.how == "lost")
 
 
@@ -317,14 +338,17 @@
 
 
 class Judgement(NamedTuple):
-    """A run's verdict, and its records as they were indexed for it."""
+    """The verdict on a run, and the index of its records."""
 
     verdict: Verdict
     run: RunRecords
 
 
 def judge(records: list[Record], read_errors: list[str] | None = None) -> Judgement:
-    """Check a run's records against all rules; `read_errors` is what reading them found wrong."""
+    """Check a run's records against all rules, unless there are gaps.
+
+    `read_errors` are texts on files that could not be read; they count as gaps.
+    """
     gaps = [*(read_errors or []), *find_gaps(records)]
     run = RunRecords(records)
     if gaps:
--- a/marlseam/verification/service.py
+++ b/marlseam/verification/service.py
@@ -1,7 +1,7 @@
-"""The service figures of a run: value earned in time over value asked for, and what it cost.
+"""The service figures of a run: the priority weight earned in time, latencies, and the cost.
 
-Client retries are counted with the request that they repeat. The names of the figures are written into
-reports and compared by experiments.
+Client retries count as part of the request that they repeat. Reports contain the names of the figures, and
+experiments compare them.
 """
 
 from collections import Counter, defaultdict
@@ -18,7 +18,7 @@
 Key = TypeVar("Key", bound=Hashable)
 
 WINDOW_MS = 10000.0
-MIN_WINDOW_SHARE = 0.3  # of a mean window's weight, below which a window says too little to count
+MIN_WINDOW_SHARE = 0.3  # of the weight of a mean window; windows of less are ignored as not significant
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 OUTCOMES = ("completed", "deferred", "aborted", "lost", "left", "unsent", "none")
 
@@ -28,7 +28,7 @@
 
     Attributes:
         first: its first try.
-        how: one of OUTCOMES: its last try's answer, "left" where its client went, "none" where nothing came.
+        how: one of OUTCOMES: the answer to its last try, "left" if the client left it, "none" without either.
         turnaround_ms: from the intended send of the first try to the answer; None if it was not completed.
     """
 
@@ -38,36 +38,36 @@
 
     @property
     def credit_in_time(self) -> float:
-        """Return the priority weight that was earned within the latency objective: all or nothing."""
+        """Return the priority weight if the request was completed within its latency objective, else 0."""
         in_time = self.turnaround_ms is not None and self.turnaround_ms <= self.first.promised
         return self.first.credit if in_time else 0.0
 
 
 @dataclass
 class WeightShare:
-    """Priority weight that was earned in time, of the weight that was asked for."""
+    """The priority weight of some requests, and how much of it was earned within their latency objectives."""
 
     earned: float = 0.0
     asked: float = 0.0
 
     def add(self, earned: float, asked: float) -> None:
-        """Count one request."""
+        """Add the earned and the asked weight of a request."""
         self.earned += earned
         self.asked += asked
 
     @property
     def share(self) -> float:
-        """Return the earned share, in [0, 1]."""
+        """Return the earned share, in [0, 1]; `asked` must not be 0."""
         return self.earned / self.asked
 
 
 def request_outcomes(run: RunRecords) -> list[RequestOutcome]:
-    """Return how each request of a run ended, in the order of their first tries."""
+    """Return the outcome of each request of a run, in the order of their first records."""
     return [_request_outcome(run, tries) for tries in run.tries_by_first.values()]
 
 
 def _request_outcome(run: RunRecords, tries: Sequence[TrySent]) -> RequestOutcome:
-    """Return how a request ended that was sent with these tries."""
+    """Return the outcome of the request with these tries."""
     first = min(tries, key=lambda tried: tried.number)
     how = "none"
     for tried in tries:
@@ -84,7 +84,10 @@
 
 
 def figures(run: RunRecords) -> dict[str, float]:
-    """Return a run's figures by name; shares lie in [0, 1], latencies are in ms from the intended send."""
+    """Return a run's figures by name: shares in [0, 1], latencies and lags in ms, counts.
+
+    Latencies are measured from the intended send of a request's first try.
+    """
     outcomes = request_outcomes(run)
     by_class = _weight_by(outcomes, [outcome.first.type for outcome in outcomes])
     attempts = [attempt for of_try in run.attempts.values() for attempt in of_try]
@@ -112,7 +115,7 @@
 
 
 def _value_figures(outcomes: Sequence[RequestOutcome]) -> dict[str, float]:
-    """Return the weight earned in time, late and both, as shares of the weight asked for."""
+    """Return the weight earned in time, late, and in sum, as shares of the weight of all requests."""
     asked = _asked_weight(outcomes)
     in_time = late = 0.0
     for outcome in outcomes:
@@ -124,12 +127,12 @@
 
 
 def _asked_weight(outcomes: Iterable[RequestOutcome]) -> float:
-    """Return the weight that all requests asked for, 1 where there is none, to divide by."""
+    """Return the weight of all requests; 1 if it is 0, as callers divide by it."""
     return sum(outcome.first.credit for outcome in outcomes) or 1.0
 
 
 def _weight_by(outcomes: Sequence[RequestOutcome], keys: Sequence[Key]) -> dict[Key, WeightShare]:
-    """Return the earned and asked weight of requests by a key of each."""
+    """Return the earned and asked weight by key; `keys` holds a key for each outcome."""
     weights: dict[Key, WeightShare] = defaultdict(WeightShare)
     for outcome, key in zip(outcomes, keys, strict=True):
         weights[key].add(outcome.credit_in_time, outcome.first.credit)
@@ -137,9 +140,10 @@
 
 
 def _worst_window_share(outcomes: Sequence[RequestOutcome]) -> float:
-    """Return the lowest share that was earned in any window of the day, by intended sends.
+    """Return the lowest share earned in any window of WINDOW_MS, by the intended sends of requests.
 
-    Guards against a few requests in a window at the day's end deciding the figure: such windows do not count.
+    Guards against a few requests in the window at the day's end deciding the figure: windows of too little
+    weight are ignored.
     """
     windows = _weight_by(outcomes, [int(outcome.first.intended // WINDOW_MS) for outcome in outcomes])
     least_asked = MIN_WINDOW_SHARE * _asked_weight(outcomes) / max(1, len(windows))
@@ -147,7 +151,7 @@
 
 
 def _wasted_work_share(run: RunRecords) -> float:
-    """Return the share of the servers' work that went into no completed answer."""
+    """Return the share of the servers' work that no completed answer came from."""
     all_work = sum(end.work for end in run.of_type(AttemptEnded))
     useful_work = sum(
         _useful_work(run, tried.id) for tried in run.tries.values() if _is_completed(run, tried.id)
@@ -156,13 +160,13 @@
 
 
 def _is_completed(run: RunRecords, try_id: str) -> bool:
-    """Return whether a try's final answer completed it."""
+    """Return whether a try's final answer is `completed`."""
     final = run.final_answer(try_id)
     return final is not None and final.how == "completed"
 
 
 def _useful_work(run: RunRecords, try_id: str) -> float:
-    """Return the work of the one run that answered a try: the largest of those that were done."""
+    """Return the work of the attempt that answered a try: the largest among its attempts that were done."""
     done = (
         end for end in run.attempt_ends.get(try_id, ()) if isinstance(end, AttemptEnded) and end.how == "done"
     )
@@ -170,7 +174,7 @@
 
 
 def _cross_zone_share(run: RunRecords, attempts: Sequence[AttemptReceived]) -> float:
-    """Return the share of attempts that went to a server of another zone than their client's."""
+    """Return the share of attempts that went to a server outside the zone of their client."""
     zones: dict[str, str] = run.rules.get("zones", {})
     crossed = sum(
         zones.get(attempt.by, "") != run.tries[attempt.id].zone
@@ -181,6 +185,6 @@
 
 
 def _completed_latencies_ms(outcomes: Iterable[RequestOutcome]) -> NDArray[np.float64]:
-    """Return the turnarounds of the completed requests, shape (n,); a single 0 where there is none."""
+    """Return the latencies of the completed requests in ms, shape (n,); a single 0 if there are none."""
     latencies = [outcome.turnaround_ms for outcome in outcomes if outcome.turnaround_ms is not None]
     return np.array(latencies or [0.0])
--- a/marlseam/verification/verdict.py
+++ b/marlseam/verification/verdict.py
@@ -1,11 +1,11 @@
-"""What the check of a run's rules found: each violation, and how near the run came to one."""
+"""The result of checking a run against the rules: each violation, and how near the run came to one."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 
 class Violation(NamedTuple):
-    """One violation of a rule: the id of the try, or the name of the server, and what is wrong."""
+    """One violation of a rule: the id of the try or the name of the server, and a description."""
 
     subject: str
     text: str
@@ -13,13 +13,14 @@
 
 @dataclass
 class Rule:
-    """What the check of one rule found.
+    """The result of checking one rule.
 
     Attributes:
-        name: the rule's name in reports.
-        means: what `margin` measures.
+        name: the rule's name in reports and experiment files.
+        means: what `margin` measures, as reports print it.
         violations: each violation found.
-        margin: how near the run came; below 1 is kept, unless `means` says otherwise.
+        margin: how near the run came to a violation; the rule is kept below 1, unless `means` defines
+            another bound.
     """
 
     name: str
@@ -28,21 +29,21 @@
     margin: float = 0.0
 
     def add_violation(self, subject: str, text: str) -> None:
-        """Note a violation by a try or a server."""
+        """Add a violation; `subject` is the id of a try, or the name of a server."""
         self.violations.append(Violation(subject, text))
 
     def raise_margin(self, margin: float) -> None:
-        """Note how near one case came to a violation."""
+        """Raise the margin to that of one case, if that is larger."""
         self.margin = max(self.margin, margin)
 
 
 @dataclass
 class Verdict:
-    """What the check of a run found: the rules, or why it cannot tell.
+    """The result of checking a run: its rules, or the gaps in its records that prevent a check.
 
     Attributes:
-        rules: each rule as checked; empty where there are gaps.
-        gaps: what is missing from the records, a text each; nothing is checked then.
+        rules: the result of each rule; empty if there are gaps.
+        gaps: a text for each gap in the records; with any gap no rule is checked.
     """
 
     rules: list[Rule]
@@ -50,10 +51,10 @@
 
     @property
     def is_judged(self) -> bool:
-        """Return whether the records were whole, so that the rules were checked."""
+        """Return whether the records were complete, so that the rules were checked."""
         return not self.gaps
 
     @property
     def violation_count(self) -> int:
-        """Return how many violations of all rules there are."""
+        """Return the number of violations of all rules."""
         return sum(len(rule.violations) for rule in self.rules)
