--- a/marlseam/simulation/__init__.py
+++ b/marlseam/simulation/__init__.py
@@ -1,5 +1,4 @@
-"""A model of what marlseam serves, without input or output.
+"""Models of servers, endpoint list, network, clients and faults, for the emulators and the virtual driver.
 
-Servers, endpoint list, network, clients and faults, in real or virtual time: whoever drives the model hands
-each time in.
+The models do no input or output and read no clock: the caller passes each time in, real or virtual.
 """
--- a/marlseam/simulation/clients.py
+++ b/marlseam/simulation/clients.py
@@ -1,6 +1,6 @@
-"""A client, modelled without input or output: its tries, the waits between them, its deadline.
+"""The model of a client: its tries, the waits between them, its deadline.
 
-And the front load balancer that spreads the tries of a zone over its nodes.
+Also the front load balancer, which distributes the tries of a zone over the zone's nodes.
 """
 
 from dataclasses import dataclass
@@ -12,80 +12,82 @@
 from marlseam.simulation.model import Clients, RequestType
 from marlseam.simulation.plan import Arrival
 
-EARLY_LEAVE_IN_OBJECTIVES = 0.3  # when a client that leaves early goes, as a share of its latency objective
+EARLY_LEAVE_IN_OBJECTIVES = 0.3  # after a try is sent, in latency objectives of its client
 
 
 @dataclass
 class Client:
-    """One request as its client sees it. Times in ms.
+    """The client of one request. Times are ms of the run.
 
     Attributes:
         arrival: the request.
         type: its request class.
-        figures: how clients of the day behave.
-        replayed: whether it comes from a trace with retries inside, so that nothing is retried on top.
-        tries: how many tries it has begun.
+        settings: how clients of the day behave.
+        replayed: whether the request is from a trace that holds retries, so that the client adds none.
+        tries: how many tries the client has begun.
     """
 
     arrival: Arrival
     type: RequestType
-    figures: Clients
+    settings: Clients
     replayed: bool = False
     tries: int = 0
 
     @property
     def expires(self) -> float:
-        """Return the deadline, for all tries together."""
+        """Return the deadline, which is the same for all tries."""
         return self.arrival.at + self.type.limit_ms
 
     @property
     def promised(self) -> float:
-        """Return the latency objective: the turnaround that earns the whole priority weight."""
+        """Return the latency objective in ms, at most the time to the deadline."""
         return min(self.type.promised_ms + self.type.stretch * self.arrival.work, self.type.limit_ms)
 
     def begin(self) -> str:
-        """Begin a try and return its id, which is new each time."""
+        """Begin a try and return its id, which is unique among the tries of the request."""
         self.tries += 1
         return self.arrival.id if self.tries == 1 else f"{self.arrival.id}.{self.tries - 1}"
 
     def leaves_at(self, now_ms: float) -> float:
-        """Return when the client goes: at its deadline, or early if it is one of those."""
+        """Return when the client leaves a try sent at `now_ms`: at the deadline, or before (`leaves`)."""
         early_ms = now_ms + EARLY_LEAVE_IN_OBJECTIVES * self.promised
         return min(self.expires, early_ms) if self.arrival.leaves else self.expires
 
-    def wait(self, now_ms: float, how: str, advice_ms: float, chance: np.random.Generator) -> float | None:
-        """Return how long to wait before the next try in ms, or None where there is none.
+    def wait(self, now_ms: float, how: str, advice_ms: float, rng: np.random.Generator) -> float | None:
+        """Draw the wait before the next try in ms, or return None where the client makes no further try.
 
-        `how` is how the last try ended; `advice_ms` is its Retry-After, which some clients honour.
+        `how` is the outcome of the last try as in `TryAnswered`; `advice_ms` is the Retry-After of its
+        answer, a lower bound of the wait if this client honours it. The wait doubles with each try and has a
+        random factor in [0.5, 1.5).
         """
         if not self._may_retry(how):
             return None
-        wait_ms: float = self.figures.wait_ms * 2.0 ** (self.tries - 1) * (0.5 + chance.random())
+        wait_ms: float = self.settings.wait_ms * 2.0 ** (self.tries - 1) * (0.5 + rng.random())
         if self.arrival.honours:
             wait_ms = max(wait_ms, advice_ms)
         return wait_ms if now_ms + wait_ms < self.expires else None
 
     def _may_retry(self, how: str) -> bool:
-        """Return whether the client sends a try again that ended in some way."""
-        if self.replayed or self.tries >= self.figures.tries or self.arrival.leaves:
+        """Return whether the client retries after a try with outcome `how`."""
+        if self.replayed or self.tries >= self.settings.tries or self.arrival.leaves:
             return False
         return self._is_retry_harmless(how)
 
     def _is_retry_harmless(self, how: str) -> bool:
-        """Return whether a try that ended in some way may be sent again without a second effect.
+        """Return whether a try with outcome `how` may be sent again without a second effect.
 
-        A rejection says that it is, and what found no connection never left. What was aborted or lost may
-        have run, so only safe requests are sent again, and keyed ones where their clients trust the key.
+        A rejected try has not run, and an unsent one never left the client. An aborted or lost try may have
+        run: only safe requests are retried, and with the setting `resend` lost keyed ones under their key.
         """
         if how in ("deferred", "unsent"):
             return True
         if how == "lost" and self.type.effect == "receipted":
-            return self.figures.resend
+            return self.settings.resend
         return how in ("aborted", "lost") and self.type.effect == "rerunnable"
 
 
 def try_record(client: Client, request_id: str, by: str, node: str, now: float) -> TrySent:
-    """Return the record of a try that goes out to a node now."""
+    """Return the record of a try that a client sends to `node` at `now` (ms of the run)."""
     arrival, request_class = client.arrival, client.type
     return TrySent(
         t=now,
@@ -107,40 +109,43 @@
 
 
 class NodePick(NamedTuple):
-    """The node that a try goes to, and whether it is up."""
+    """The node that a try is sent to, and whether the node is up."""
 
     node: str
     is_up: bool
 
 
 class FrontLoadBalancer:
-    """A front load balancer: spreads a zone's tries over its nodes, round robin.
+    """A front load balancer: distributes the tries of a zone over its nodes, round robin.
 
-    It notices a node's failure only after a while, as it finds out by health checks of its own.
+    It detects the failure of a node after `notice_ms`, as its own health checks would.
 
     Attributes:
         by_zone: the names of the nodes of each zone.
-        notice_ms: after which time it notices a failure.
-        down_since_by_node: since when a node is down, by name.
-        pick_counts: how many tries were given to the nodes of each zone.
+        notice_ms: the time from a node's failure to its detection, in ms.
+        down_since_by_node: since when each node that is down is so, in ms, by name.
+        pick_counts: the number of round-robin steps made so far, by zone.
     """
 
     def __init__(self, by_zone: dict[str, list[str]], notice_ms: float) -> None:
-        """Make one whose nodes are all up."""
+        """Make a load balancer whose nodes are all up."""
         self.by_zone, self.notice_ms = by_zone, notice_ms
         self.down_since_by_node: dict[str, float] = {}
         self.pick_counts = dict.fromkeys(by_zone, 0)
 
     def mark_down(self, node: str, now_ms: float) -> None:
-        """Note that a node failed or stopped listening."""
+        """Mark a node that failed or stopped listening as down; an earlier mark keeps its time."""
         self.down_since_by_node.setdefault(node, now_ms)
 
     def mark_up(self, node: str) -> None:
-        """Note that a node is ready again."""
+        """Mark a node as up."""
         self.down_since_by_node.pop(node, None)
 
     def pick_node(self, zone: str, now_ms: float) -> NodePick:
-        """Pick the node for a try; one that is down is picked until its failure is noticed."""
+        """Return the node for a try; a node that is down is still picked until its failure is detected.
+
+        If all nodes are detected as down, it is the zone's first.
+        """
         nodes = self.by_zone[zone]
         for _ in nodes:
             self.pick_counts[zone] += 1
--- a/marlseam/simulation/faults.py
+++ b/marlseam/simulation/faults.py
@@ -1,7 +1,7 @@
-"""A day's faults: a schedule, given or drawn from the seed, and what each one affects.
+"""A day's faults: the schedule, given or drawn from the seed, with the targets of each fault.
 
-What a fault does to a server and to the endpoint list is decided here; what it does to links and nodes, by
-the driver that plays it.
+This module determines the effects of faults on servers and on the endpoint list; the driver that plays the
+day applies those on links and nodes.
 """
 
 from collections.abc import Iterable
@@ -20,13 +20,13 @@
 NODE_FAULTS = ("node_kill", "node_roll", "node_reload")
 ZONE_FAULTS = ("zone_cut", "slow_link")
 UNTARGETED_FAULTS = ("roster_outage", "surge")
-LISTED_FAULTS = ("silent", "crash", "shrink", "grow")  # that change the endpoint list
+LISTED_FAULTS = ("silent", "crash", "shrink", "grow")  # change the endpoint list
 MAX_STOLEN_SHARE = 0.95
-TAIL_SHARE = 0.05  # of jobs that cost more during a `tail` fault
+TAIL_SHARE = 0.05  # of the jobs during a `tail` fault, whose work is multiplied by its size
 
 
 class SizeRange(NamedTuple):
-    """The bounds between which the size of a drawn fault lies."""
+    """The range of a drawn fault's size; `high` is exclusive."""
 
     low: float
     high: float
@@ -42,7 +42,7 @@
 
 
 class ScheduledFault(NamedTuple):
-    """A fault of the schedule with the names of what it affects; times in ms, the end not part of it."""
+    """A fault of the schedule with the names of its targets; begin and exclusive end are ms of the run."""
 
     settings: Fault
     at: float
@@ -50,47 +50,47 @@
     targets: list[str]
 
     def is_on(self, at_ms: float) -> bool:
-        """Return whether it is on at a time."""
+        """Return whether the fault is active at a time."""
         return self.at <= at_ms < self.until
 
 
 def drawn(day: Day, seed: int) -> list[Fault]:
-    """Draw a day's own faults: each begins in the middle of the day; two may overlap."""
-    chance = stream(seed, "troubles")
-    return [_drawn_fault(day, chance) for _ in range(day.drawn.count)]
+    """Draw the day's random faults: each begins in the middle of the day; they may overlap."""
+    rng = stream(seed, "troubles")
+    return [_drawn_fault(day, rng) for _ in range(day.drawn.count)]
 
 
-def _drawn_fault(day: Day, chance: np.random.Generator) -> Fault:
-    """Draw one fault. The order of the draws is part of what a seed means."""
-    what = day.drawn.of[int(chance.integers(len(day.drawn.of)))]
+def _drawn_fault(day: Day, rng: np.random.Generator) -> Fault:
+    """Draw one fault. The order of the draws must not change: it determines the faults of each seed."""
+    what = day.drawn.of[int(rng.integers(len(day.drawn.of)))]
     sizes = SIZE_RANGES.get(what, DEFAULT_SIZE_RANGE)
-    at_s = day.seconds * (0.15 + 0.5 * chance.random())
-    for_s = day.seconds * (0.15 + 0.2 * chance.random())
-    size = sizes.low + (sizes.high - sizes.low) * chance.random()
-    share = 0.1 + 0.2 * chance.random()
+    at_s = day.seconds * (0.15 + 0.5 * rng.random())
+    for_s = day.seconds * (0.15 + 0.2 * rng.random())
+    size = sizes.low + (sizes.high - sizes.low) * rng.random()
+    share = 0.1 + 0.2 * rng.random()
     return Fault(what=what, at_s=at_s, for_s=for_s, share=share, size=size)
 
 
 def schedule(day: Day, seed: int) -> list[ScheduledFault]:
-    """Return all faults with their targets, in the order of their begin."""
+    """Return all faults, given and drawn, with their targets, sorted by their begin."""
     faults: list[ScheduledFault] = []
     for index, settings in enumerate([*day.troubles, *drawn(day, seed)]):
-        chance = stream(seed, "targets", index)
-        targets = _targets(day, settings, chance)
+        rng = stream(seed, "targets", index)
+        targets = _targets(day, settings, rng)
         at_ms = settings.at_s * 1000.0
         fault = ScheduledFault(settings, at_ms, at_ms + settings.for_s * 1000.0, targets)
         faults.append(fault)
         if settings.what == "flapping":
-            faults += flaps(fault, chance)
+            faults += flaps(fault, rng)
     return sorted(faults, key=lambda fault: fault.at)
 
 
-def _targets(day: Day, settings: Fault, chance: np.random.Generator) -> list[str]:
-    """Return the names of what a fault affects: those that it names, or drawn ones."""
+def _targets(day: Day, settings: Fault, rng: np.random.Generator) -> list[str]:
+    """Return the names of a fault's targets: those in its settings, else drawn ones; none for some faults."""
     if settings.targets:
         return list(settings.targets)
     if settings.what in ZONE_FAULTS:
-        return [_drawn_zone(day, chance)]
+        return [_drawn_zone(day, rng)]
     if settings.what in UNTARGETED_FAULTS:
         return []
     if settings.what in NODE_FAULTS:
@@ -99,28 +99,28 @@
         pool = [server.name for server in placed_servers(day)]
     count = max(1, round(settings.share * len(pool)))
     if settings.by == "zone":
-        zone = _drawn_zone(day, chance)
+        zone = _drawn_zone(day, rng)
         pool = [server.name for server in placed_servers(day) if server.zone == zone]
         count = min(count, len(pool))
-    return [pool[i] for i in sorted(chance.choice(len(pool), count, replace=False).tolist())]
+    return [pool[i] for i in sorted(rng.choice(len(pool), count, replace=False).tolist())]
 
 
-def _drawn_zone(day: Day, chance: np.random.Generator) -> str:
+def _drawn_zone(day: Day, rng: np.random.Generator) -> str:
     """Draw one of a day's zones."""
-    return day.fleet.zones[int(chance.integers(len(day.fleet.zones)))]
+    return day.fleet.zones[int(rng.integers(len(day.fleet.zones)))]
 
 
-def flaps(fault: ScheduledFault, chance: np.random.Generator) -> list[ScheduledFault]:
-    """Return the short faults that a `flapping` fault consists of, each target at times of its own."""
+def flaps(fault: ScheduledFault, rng: np.random.Generator) -> list[ScheduledFault]:
+    """Draw the short faults that a `flapping` fault consists of, at separate times for each target."""
     settings, period_ms = fault.settings, 1000.0 * fault.settings.size
     short = msgspec.structs.replace(settings, what=settings.how)
     found = []
     for name in fault.targets:
-        at_ms = fault.at + period_ms * chance.random()
+        at_ms = fault.at + period_ms * rng.random()
         while at_ms < fault.until:
-            end_ms = min(fault.until, at_ms + period_ms * settings.part * (0.5 + chance.random()))
+            end_ms = min(fault.until, at_ms + period_ms * settings.part * (0.5 + rng.random()))
             found.append(ScheduledFault(short, at_ms, end_ms, [name]))
-            at_ms = end_ms + period_ms * (1.0 - settings.part) * (0.5 + chance.random())
+            at_ms = end_ms + period_ms * (1.0 - settings.part) * (0.5 + rng.random())
     return found
 
 
@@ -134,7 +134,7 @@
 
 
 def fault_effects(faults: Iterable[ScheduledFault], server: str, now_ms: float) -> FaultEffects:
-    """Return what the faults that are on at a time make of a server; overlapping ones add up."""
+    """Return the combined effects on a server of the faults that are active at a time."""
     effects = FaultEffects()
     for fault in faults:
         if fault.is_on(now_ms) and server in fault.targets:
@@ -143,7 +143,7 @@
 
 
 def _add_effect(effects: FaultEffects, settings: Fault) -> None:
-    """Add the effect of one fault on a server to those of others."""
+    """Combine the effect of one fault on a server with `effects`, in place."""
     match settings.what:
         case "slow":
             effects.slowdown *= max(1.0, settings.size)
@@ -166,10 +166,10 @@
     """A change of the endpoint list.
 
     Attributes:
-        at: when it is listed, in ms.
+        at: when the list changes, in ms of the run.
         server: the server's name.
-        state: the state that is listed.
-        started_ms: when the server's process started, None if that was before the day.
+        state: the state to list.
+        started_ms: when the server's process started, in ms of the run; None if that was before the day.
     """
 
     at: float
@@ -179,16 +179,17 @@
 
 
 class ServerState(NamedTuple):
-    """A server's true state, and when its process started, None if that was before the day."""
+    """A server's true state, and when its process started (ms of the run; None: before the day)."""
 
     state: EndpointState
     started_ms: float | None
 
 
 def listings(day: Day, faults: list[ScheduledFault]) -> list[ListChange]:
-    """Return what the endpoint list learns over a day, in order.
+    """Return the changes of the endpoint list over a day, sorted by time.
 
-    That a server went silent takes longer to be noticed than that its process ended.
+    The list changes later than the servers: by `silent_lag_ms` for a server that falls silent, by `lag_ms`
+    for any other change. The begin of a silence that is over within its lag is not listed.
     """
     changes: list[ListChange] = []
     for fault in faults:
@@ -208,7 +209,7 @@
 
 
 def true_state(faults: Iterable[ScheduledFault], server: str, at_ms: float) -> ServerState:
-    """Return a server's true state at a time."""
+    """Return a server's true state at a time, in ms of the run."""
     state, started_ms = EndpointState.READY, None
     for fault in faults:
         if server not in fault.targets:
--- a/marlseam/simulation/fleet.py
+++ b/marlseam/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""A day's servers as objects, made alike for real and for virtual time."""
+"""The models of a day's servers and jobs, and the settings of its rules; shared by all drivers."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
@@ -14,7 +14,7 @@
 
 
 def build(day: Day, seed: int, schedule: Iterable[ScheduledFault]) -> dict[str, Server]:
-    """Return a day's servers by name; those that a `grow` brings are down until then."""
+    """Return a day's servers by name; those that a `grow` fault adds later are down."""
     later = {name for fault in schedule if fault.settings.what == "grow" for name in fault.targets}
     memories: dict[object, GroupMemory] = defaultdict(GroupMemory)
     servers = {}
@@ -29,7 +29,7 @@
 def make_server(
     day: Day, seed: int, name: str, kind: ServerKind, memories: Mapping[str, GroupMemory]
 ) -> Server:
-    """Return one server of a day; `memories` are those of its groups."""
+    """Return one server of a day; `memories` are those it shares, by group: all, zone and cell."""
     reports = ReportSettings(day.reports.period_ms, day.reports.late_ms, day.reports.queue)
     settings = ServerSettings(
         reports=reports,
@@ -43,7 +43,7 @@
 
 
 def job(arrival: Arrival, type: RequestType, try_id: str, attempt: object) -> Job:
-    """Return an arrival's job as one attempt of a try hands it to a server."""
+    """Return the job of an arrival for one attempt of a try; `attempt` completes the job's id."""
     return Job(
         id=f"{try_id}/{attempt}",
         try_id=try_id,
@@ -58,7 +58,10 @@
 
 
 def rules(day: Day, slack_ms: float) -> dict[str, Any]:
-    """Return what the judge must know of a day, for the driver's stream of records."""
+    """Return the settings of the rules for a day, for the first record of the driver's stream.
+
+    `slack_ms` is by how much two records may appear out of order.
+    """
     return {
         "slack_ms": slack_ms,
         "grace_ms": day.rules.grace_ms,
--- a/marlseam/simulation/job.py
+++ b/marlseam/simulation/job.py
@@ -1,18 +1,18 @@
-"""Jobs as servers run them: what happens to one, and what servers of a group remember of them."""
+"""Jobs that servers run, their events, and the memory that a group of servers shares."""
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
 
 class JobEvent(NamedTuple):
-    """Something that happened to a job.
+    """An event of a job.
 
     Attributes:
-        t: when, in ms.
+        t: the time, in ms of the run.
         what: started, progress, done, failed or lost.
         id: the job's id.
-        value: for started 1, or 0 without effect; for progress the share done; else the work spent, in ms
-            times slots.
+        value: for started 1, or 0 without effect; for progress the share done; else the standard work spent,
+            in ms times slots.
     """
 
     t: float
@@ -23,23 +23,23 @@
 
 @dataclass
 class Job:
-    """One attempt as a server has it.
+    """The work of one attempt at a server.
 
     Attributes:
-        id: the attempt's id.
-        try_id: the id of the try that it is of.
-        class_name: the name of its request class.
-        work: its standard work in ms.
-        slots: how many slots it takes.
-        memory: how much memory it takes, in units.
-        idempotency_key: its idempotency key, None where it has none.
-        key_group: which servers share the memory of such keys: all, zone or cell.
-        key_memory_ms: for how long a key is remembered.
-        is_duplicate: whether its key was known at its start, so that it has no effect.
-        will_fail: whether it will fail.
-        is_cancelled: whether its node cancelled it.
-        start_clock: the clock of standard work at its start.
-        end_clock: that clock at its end.
+        id: the id of the attempt.
+        try_id: the id of the attempt's try.
+        class_name: the name of the request class.
+        work: the standard work in ms.
+        slots: the number of slots it occupies.
+        memory: the memory it occupies, in units.
+        idempotency_key: the idempotency key, None without one.
+        key_group: the group of servers that share the memory of the key: all, zone or cell.
+        key_memory_ms: for how long the group remembers the key.
+        is_duplicate: whether the key was remembered when the job started, so that it has no effect.
+        will_fail: whether it ends as failed.
+        is_cancelled: whether its node cancelled it while it ran.
+        start_clock: the server's clock of standard work at the job's start, in ms.
+        end_clock: that clock at the job's end, in ms.
     """
 
     id: str
@@ -58,16 +58,16 @@
     end_clock: float = 0.0
 
     def progress_at(self, clock: float) -> float:
-        """Return which share of it is done when the clock of standard work shows a figure."""
+        """Return the share of the job that is done when the clock of standard work is at `clock`."""
         return (clock - self.start_clock) / max(1e-9, self.end_clock - self.start_clock)
 
 
 class GroupMemory:
-    """What a group of servers shares.
+    """The memory that a group of servers shares.
 
     Attributes:
-        first_seen_ms: when each idempotency key was first seen.
-        saved_work: the standard work of interrupted runs that was saved, by the try's id.
+        first_seen_ms: when each idempotency key was first seen, in ms of the run; renewed after its span.
+        saved_work: the standard work of interrupted jobs that checkpoints saved, in ms, by the try's id.
     """
 
     def __init__(self) -> None:
@@ -76,7 +76,7 @@
         self.saved_work: dict[str, float] = {}
 
     def note_key(self, key: str, now_ms: float, span_ms: float) -> bool:
-        """Return whether a key was first seen within its span; if not, it is seen for the first time now."""
+        """Return whether a key was first seen at most `span_ms` ago; if not, note it as first seen now."""
         since_ms = self.first_seen_ms.get(key)
         if since_ms is not None and now_ms - since_ms <= span_ms:
             return True
--- a/marlseam/simulation/model.py
+++ b/marlseam/simulation/model.py
@@ -1,7 +1,7 @@
-"""A day as its file describes it: servers, request classes, clients, network, endpoint list, rules, faults.
+"""The settings of a day: servers, request classes, clients, network, endpoint list, rules, faults.
 
 The names of the structs' fields are keys of experiment files. Times in seconds end in `_s`, in milliseconds
-in `_ms`. Standard work is what a slot of speed 1 does in that time.
+in `_ms`. Standard work in ms is what one slot of speed 1 does in that time.
 """
 
 from typing import Annotated, Any, Literal, NamedTuple
@@ -37,29 +37,33 @@
     "slow_link",
 )
 
-SEMANTICS_BY_EFFECT = {"rerunnable": "safe", "receipted": "keyed", "exclusive": "unsafe"}  # in settings
+SEMANTICS_BY_EFFECT = {
+    "rerunnable": "safe",
+    "receipted": "keyed",
+    "exclusive": "unsafe",
+}  # the effects as node settings name them
 
 
 class Strict(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A table in which every key must be known."""
+    """A table in which unknown keys are errors."""
 
 
 class ServerKind(Strict, frozen=True):
-    """A kind of server."""
+    """The settings of a kind of server."""
 
     name: Name
     executors: Count
     slots: Count = 4
     speed: Positive = 1.0
     queue: int = 40
-    memory: NotNegative = 0.0  # units, none where 0
-    cell: Count = 4  # servers that share which idempotency keys they have seen
-    cold_share: Share = 0.4  # of its speed, that slow start begins with
-    warm_s: Positive = 5.0  # how long slow start takes; the speed grows linearly
+    memory: NotNegative = 0.0  # units; 0: memory is not limited
+    cell: Count = 4  # servers per cell; a cell shares the memory of idempotency keys
+    cold_share: Share = 0.4  # of `speed`, at the begin of slow start
+    warm_s: Positive = 5.0  # duration of slow start, in which the speed grows linearly
 
 
 class RequestType(Strict, frozen=True):
-    """A request class. Its latency objective is promised_ms plus `stretch` times a request's own work."""
+    """A request class. A request's latency objective is `promised_ms` plus `stretch` times its work in ms."""
 
     name: Name
     share: Positive
@@ -75,37 +79,35 @@
     memory_ms: Positive = 30000.0
     slots: tuple[Positive, ...] = (1.0,)  # shares of requests that take 1, 2, ... slots
     memory: NotNegative = 0.0
-    keys: Annotated[int, Meta(ge=0)] = (
-        0  # how many keys its requests have, the same for all classes; 0 for none
-    )
-    key_skew: NotNegative = 1.1  # exponent of a key's rank in how often it is asked for
-    in_turn: bool = False  # requests of one key run one at a time, in order of arrival
+    keys: Annotated[int, Meta(ge=0)] = 0  # different keys, the same ones in all classes; 0: no keys
+    key_skew: NotNegative = 1.1  # a key's frequency is its rank to the power of minus this
+    in_turn: bool = False  # whether requests of one key run one at a time, in order of arrival
 
 
 class Fleet(Strict, frozen=True):
-    """Servers and nodes, dealt to the zones in turn."""
+    """The servers and nodes, which are assigned to the zones in turn."""
 
     zones: Annotated[list[Name], Meta(min_length=1)]
     nodes: Count
     kinds: Annotated[list[ServerKind], Meta(min_length=1)]
-    connections: Count = 600  # that a server holds
-    connect_ms: NotNegative = 3.0  # what a new one costs its first attempt
-    checkpoint_s: NotNegative = 0.0  # how often a cell saves the state of its runs, 0 for never
-    progress_s: NotNegative = 1.0
-    roll_s: NotNegative = 0.0  # from a node's shutdown signal to its next start, at least
-    cold: bool = False  # whether all servers are in slow start as the day begins
+    connections: Count = 600  # a server's limit
+    connect_ms: NotNegative = 3.0  # added to the first attempt on a new connection
+    checkpoint_s: NotNegative = 0.0  # period in which a cell saves the work of running jobs; 0: never
+    progress_s: NotNegative = 1.0  # period in which a running job reports progress; 0: never
+    roll_s: NotNegative = 0.0  # shortest time from a node's shutdown signal to its next start
+    cold: bool = False  # whether all servers begin the day in slow start
 
 
 class Load(Strict, frozen=True):
     """Open-loop arrivals; `shape` scales `rate` over the day."""
 
-    rate: Positive = 10.0  # first tries a second
+    rate: Positive = 10.0  # first tries per second
     shape: Literal["steady", "ramp", "burst", "trace"] = "steady"
-    to_rate: NotNegative = 0.0  # at a ramp's end, or during a burst
+    to_rate: NotNegative = 0.0  # rate at the end of a ramp, or during a burst
     burst_at_s: NotNegative = 0.0
     burst_for_s: NotNegative = 0.0
     arrivals: Literal["poisson", "even"] = "poisson"
-    skew: Share = 0.0  # how much more than its part the first zone gets
+    skew: Share = 0.0  # weight added to the first zone, as a multiple of the weight of all zones together
     trace: str = ""
     time_scale: Positive = 1.0
     from_s: NotNegative = 0.0
@@ -113,19 +115,25 @@
 
 
 class Clients(Strict, frozen=True):
-    """How clients behave: tries in all, waits between them, shares that honour Retry-After or leave early."""
+    """How clients behave: most tries per request, first wait before a retry, and shares of clients.
+
+    `honour` is the share that honours Retry-After, `leave` the share that leaves early.
+    """
 
     tries: Count = 3
     wait_ms: NotNegative = 40.0
     honour: Share = 0.8
     leave: Share = 0.0
-    marks: bool = False  # whether nodes are told that clients mark their retries
-    resend: bool = False  # whether a keyed try whose connection broke is sent again under its key
-    notice_s: NotNegative = 3.0  # after which a front has noticed a node's death
+    marks: bool = False  # whether the nodes' settings state that clients mark their retries
+    resend: bool = False  # whether a keyed try whose connection broke is retried under its key
+    notice_s: NotNegative = 3.0  # until the front load balancer detects a node's failure
 
 
 class Network(Strict, frozen=True):
-    """One-way delays."""
+    """One-way delays: within a zone, between zones, and between client and node.
+
+    `jitter` is the mean of the exponential part that is added to the factor 1 of each delay.
+    """
 
     same_ms: NotNegative = 0.2
     cross_ms: NotNegative = 0.7
@@ -134,17 +142,21 @@
 
 
 class Reports(Strict, frozen=True):
-    """How servers report their load: how often refreshed, and how late known."""
+    """How servers report their load: the period of refreshes, the delay until one is available."""
 
     period_ms: Positive = 60.0
     late_ms: NotNegative = 10.0
-    probe_ms: NotNegative = 0.6
-    queue: bool = True  # whether a report holds the queue's length, beside free slots
-    answers: bool = False  # whether answers bring reports too, and probes the last one again
+    probe_ms: NotNegative = 0.6  # time that a server takes to answer a probe
+    queue: bool = True  # whether a report states the queue's length besides the free slots
+    answers: bool = False  # whether answers carry a report too; a probe then returns the last one again
 
 
 class DiscoverySettings(Strict, frozen=True):
-    """The endpoint list: how late it learns of a change, and how many calls a second it serves."""
+    """The endpoint list: the lag of its changes, and the calls that it serves.
+
+    `silent_lag_ms` is the lag until a silent server is listed as gone, `lag_ms` that of other changes. A call
+    that would wait longer than `timeout_ms` fails.
+    """
 
     lag_ms: NotNegative = 800.0
     silent_lag_ms: NotNegative = 8000.0
@@ -153,7 +165,7 @@
 
 
 class Rules(Strict, frozen=True):
-    """The figures of the rules, and what the settings permit."""
+    """The bounds of the rules, and the permissions and limits in the settings of nodes."""
 
     grace_ms: Positive = 2500.0
     fall_multiple: Positive = 2.5
@@ -166,27 +178,27 @@
     max_advice_ms: NotNegative = 2000.0
     cross_price: NotNegative = 0.03
     tick_ms: Positive = 4.0
-    turn_gap_ms: NotNegative = 0.0  # how long a key is left unused after an attempt that may still run
+    turn_gap_ms: NotNegative = 0.0  # how long a key stays unused after an attempt that may still run
     drain_binds_alone: bool = False
 
 
 class Fault(Strict, frozen=True):
-    """One fault of the schedule. What `size` means for each is in docs/design/bench.md."""
+    """One fault of the schedule. docs/design/bench.md has the meaning of `size` for each fault."""
 
     what: Literal[FAULT_NAMES]  # type: ignore[valid-type]
     at_s: NotNegative
     for_s: Positive = 10.0
-    share: Share = 0.2  # of the servers or nodes that it affects
+    share: Share = 0.2  # of all servers or nodes, that the fault affects
     size: NotNegative = 4.0
-    type: str = ""  # for errors: the one request class that fails, all where empty
-    targets: tuple[str, ...] = ()  # what it affects, by name; drawn from the seed where none are named
-    part: Share = 0.4  # share of a flap that is bad, of load that is reported, or of messages lost
-    how: Literal["silent", "crash"] = "silent"  # what happens in the bad part of a flap
-    by: Literal["any", "zone"] = "any"  # whether all that it affects are of one zone
+    type: str = ""  # for errors: the request class that fails; empty: all classes
+    targets: tuple[str, ...] = ()  # names of what the fault affects; empty: drawn from the seed
+    part: Share = 0.4  # of a flap's period that is bad, of the load that is reported, or of messages lost
+    how: Literal["silent", "crash"] = "silent"  # fault in the bad part of a flap's period
+    by: Literal["any", "zone"] = "any"  # zone: all targets are in one drawn zone
 
 
 class RandomFaults(Strict, frozen=True):
-    """Faults drawn from the seed: how many, overlapping or not."""
+    """Faults to draw from the seed: how many, and of which kinds; they may overlap."""
 
     count: int = 0
     of: tuple[Literal[FAULT_NAMES], ...] = (  # type: ignore[valid-type]
@@ -201,7 +213,7 @@
 
 
 class Day(Strict, frozen=True):
-    """A whole day."""
+    """The settings of a whole day; `seconds` is its length."""
 
     seconds: Positive
     fleet: Fleet
@@ -217,13 +229,13 @@
 
 
 class PlacedServer(NamedTuple):
-    """A server of a day and where it runs.
+    """A server of a day and its place.
 
     Attributes:
-        name: its name.
-        kind: its kind, and `kind_index` that kind's index in the day.
-        zone: its zone.
-        cell: the number of its cell, the servers of one kind and zone that share their memory.
+        name: the server's name.
+        kind: the server's kind; `kind_index` is the index of that kind in the day.
+        zone: the zone that the server runs in.
+        cell: the number of the server's cell: servers of one kind and zone that share a memory.
     """
 
     name: str
@@ -234,14 +246,14 @@
 
 
 class PlacedNode(NamedTuple):
-    """A node of a day, and its zone."""
+    """A node of a day and its zone."""
 
     name: str
     zone: str
 
 
 def placed_servers(day: Day) -> list[PlacedServer]:
-    """Return every server of a day, dealt to the zones in turn; cells lie within a zone."""
+    """Return all servers of a day, assigned to the zones in turn; a cell lies within one zone."""
     zones = day.fleet.zones
     servers: list[PlacedServer] = []
     for kind_index, kind in enumerate(day.fleet.kinds):
@@ -256,13 +268,13 @@
 
 
 def placed_nodes(day: Day) -> list[PlacedNode]:
-    """Return every node of a day, dealt to the zones in turn."""
+    """Return all nodes of a day, assigned to the zones in turn."""
     zones = day.fleet.zones
     return [PlacedNode(f"n{number}", zones[number % len(zones)]) for number in range(day.fleet.nodes)]
 
 
 def node_settings(day: Day, zone: str) -> dict[str, Any]:
-    """Return a day's settings for a node of some zone, in the form of the operators' settings file."""
+    """Return the settings of a node in `zone`, in the form of the operators' settings file."""
     rules = day.rules
     return {
         "zone": zone,
@@ -287,7 +299,7 @@
 
 
 def _request_class_settings(request_class: RequestType) -> dict[str, Any]:
-    """Return the settings of a request class."""
+    """Return a request class in the form of the settings file; times in microseconds."""
     return {
         "name": request_class.name,
         "aimUs": request_class.promised_ms * 1000.0,
@@ -300,7 +312,7 @@
 
 
 def _ceilings(rules: Rules) -> dict[str, Any]:
-    """Return the settings of what a node may do at most."""
+    """Return the limits and permissions of a node in the form of the settings file."""
     return {
         "sendCap": rules.max_allocs,
         "mayProbe": rules.probes,
@@ -314,7 +326,7 @@
 
 
 def _guarantees(day: Day) -> dict[str, Any]:
-    """Return the settings of what a node may rely on."""
+    """Return the guarantees that a node may rely on, in the form of the settings file."""
     rules, kinds = day.rules, day.fleet.kinds
     return {
         "mustAskInUs": rules.must_ask_ms * 1000.0,
@@ -328,5 +340,5 @@
 
 
 def read_day(data: bytes) -> Day:
-    """Read a day from JSON, as a driver hands it to its processes."""
+    """Return the day in the JSON that a driver writes for its processes; raise msgspec.MsgspecError."""
     return msgspec.json.decode(data, type=Day)
--- a/marlseam/simulation/plan.py
+++ b/marlseam/simulation/plan.py
@@ -1,6 +1,6 @@
 """The arrivals of a day: each request's intended time, class, size, zone and priority weight.
 
-Made from the seed alone, so that every driver and every process plays the same day.
+They depend on the day and the seed alone, so that every driver and process plays the same arrivals.
 """
 
 from collections.abc import Sequence
@@ -13,12 +13,12 @@
 from marlseam.simulation.chance import lognormal, stream
 from marlseam.simulation.model import Day, Load, RequestType, placed_nodes
 
-MAX_WORK_IN_MEANS = 12.0  # largest work of a request, in means of its class
-RATE_STEP_MS = 10.0  # over which the rate of arrivals is taken as constant
+MAX_WORK_IN_MEANS = 12.0  # largest work of a request, as a multiple of the mean of its class
+RATE_STEP_MS = 10.0  # step in which the rate of arrivals counts as constant
 
 
 class Surge(NamedTuple):
-    """A time in which the rate of arrivals is multiplied; the end is not part of it."""
+    """A period in which the rate of arrivals is multiplied by `factor`; its end is exclusive."""
 
     from_ms: float
     until_ms: float
@@ -27,23 +27,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request's first try, or a try as a trace has it.
+    """The first try of a request, or any try of a trace.
 
     Attributes:
-        at: its intended time, in ms from the day's begin.
-        id: its id.
-        type: the index of its request class in the day.
-        zone: the zone of its client.
-        work: its standard work in ms.
-        slots: how many slots it takes.
-        memory: how much memory it takes, in units.
-        credit: its priority weight.
-        receipt: its idempotency key, None where its class has none.
-        honours: whether its client honours Retry-After.
-        leaves: whether its client leaves early.
-        first: in a trace with retries inside the id of the first try, else empty.
+        at: the intended time of the send, in ms from the day's begin.
+        id: the id of the try.
+        type: the index of the request class in the day.
+        zone: the zone of the client.
+        work: the standard work in ms.
+        slots: the number of slots that the request occupies.
+        memory: the memory that the request occupies, in units.
+        credit: the priority weight.
+        receipt: the idempotency key, None where the class has none.
+        honours: whether the client honours Retry-After.
+        leaves: whether the client leaves early.
+        first: in a trace that holds retries the id of the request's first try, else empty.
         number: 0 for a first try, 1 for the first retry.
-        key: the key that orders it among requests, None where it has none.
+        key: the key whose requests may have to run in order, None for none.
     """
 
     at: float
@@ -67,8 +67,8 @@
 ) -> NDArray[np.float64]:
     """Return the intended times of a day's requests in ms, shape (n,).
 
-    Times at a rate of 1 are stretched to the shape's own rate: even arrivals come at equal steps of the
-    summed rate, Poisson ones at exponential steps.
+    The times are the inverse of the integrated rate (the expected count so far) at equal steps for even
+    arrivals, at exponentially distributed steps for Poisson arrivals.
     """
     grid_ms = np.arange(0.0, seconds * 1000.0 + RATE_STEP_MS, RATE_STEP_MS)
     rate = _rate_on_grid(load, seconds, grid_ms, surges or [])
@@ -77,7 +77,7 @@
     if load.arrivals == "even":
         counts = np.arange(0.0, total)
     else:
-        # Ten standard deviations more than are expected, so that the steps reach the day's end.
+        # Ten standard deviations above the expected count, so that the draws reach the day's end.
         draws = int(total + 10.0 * np.sqrt(total + 1.0)) + 20
         counts = np.cumsum(stream(seed, "arrivals").exponential(1.0, draws))
         counts = counts[counts < total]
@@ -88,7 +88,7 @@
 def _rate_on_grid(
     load: Load, seconds: float, grid_ms: NDArray[np.float64], surges: Sequence[Surge]
 ) -> NDArray[np.float64]:
-    """Return the rate of arrivals in requests a second at each time of a grid, shape (n,)."""
+    """Return the rate of arrivals at each time of a grid, in requests per second, shape (n,)."""
     rate = np.full(len(grid_ms), load.rate)
     if load.shape == "ramp":
         rate += (load.to_rate - load.rate) * grid_ms / (seconds * 1000.0)
@@ -101,16 +101,16 @@
 
 
 def make(day: Day, seed: int, surges: Sequence[Surge] | None = None) -> list[Arrival]:
-    """Return a day's requests in the order of their intended times."""
+    """Return a day's requests, sorted by their intended times."""
     at_ms = times(day.load, day.seconds, seed, surges)
     count = len(at_ms)
-    # The order of these draws is part of what a seed means.
-    chance = stream(seed, "plan")
-    class_indices = _drawn_indices(chance, count, np.array([each.share for each in day.types]))
+    # The order of these draws must not change: it determines the arrivals of each seed.
+    rng = stream(seed, "plan")
+    class_indices = _drawn_indices(rng, count, np.array([each.share for each in day.types]))
     zones = list(dict.fromkeys(node.zone for node in placed_nodes(day)))
-    zone_indices = _drawn_indices(chance, count, _zone_weights(day, len(zones)))
-    honours = chance.random(count) < day.clients.honour
-    leaves = chance.random(count) < day.clients.leave
+    zone_indices = _drawn_indices(rng, count, _zone_weights(day, len(zones)))
+    honours = rng.random(count) < day.clients.honour
+    leaves = rng.random(count) < day.clients.leave
     sizes = _drawn_sizes(day, seed, class_indices)
     keys = _drawn_keys(day, seed, class_indices)
     arrivals = []
@@ -138,29 +138,29 @@
 
 
 def _zone_weights(day: Day, zone_count: int) -> NDArray[np.float64]:
-    """Return how much of the load each zone gets, relative to the others, shape (zones,)."""
+    """Return the relative share of the load of each zone, shape (zones,)."""
     weights = np.ones(zone_count)
     weights[0] += day.load.skew * zone_count
     return weights
 
 
-def _drawn_indices(chance: np.random.Generator, count: int, weights: NDArray[np.float64]) -> NDArray[np.intp]:
-    """Draw indices of a list with these weights, shape (count,)."""
+def _drawn_indices(rng: np.random.Generator, count: int, weights: NDArray[np.float64]) -> NDArray[np.intp]:
+    """Draw indices into a list whose items have these weights, shape (count,)."""
     bounds = np.cumsum(weights / weights.sum())
-    indices = np.searchsorted(bounds, chance.random(count), side="right")
-    # The last bound may lie below 1 by rounding.
+    indices = np.searchsorted(bounds, rng.random(count), side="right")
+    # Guards against an index past the end: the last bound may be below 1 by rounding.
     return np.minimum(indices, len(weights) - 1)
 
 
 class _Sizes(NamedTuple):
-    """The standard work in ms and the slots of requests, shape (n,) each."""
+    """The standard work in ms and the number of slots of each request, shape (n,) each."""
 
     work: NDArray[np.float64]
     slots: NDArray[np.float64]
 
 
 def _drawn_sizes(day: Day, seed: int, class_indices: NDArray[np.intp]) -> _Sizes:
-    """Draw the sizes of requests, each class from streams of its own."""
+    """Draw the sizes of requests, with separate random streams for each class."""
     sizes = _Sizes(np.zeros(len(class_indices)), np.ones(len(class_indices)))
     for class_index, request_class in enumerate(day.types):
         of_class = class_indices == class_index
@@ -174,22 +174,22 @@
 
 
 def _drawn_slots(seed: int, request_class: RequestType, count: int) -> NDArray[np.float64]:
-    """Draw how many slots requests of a class take, shape (count,)."""
+    """Draw the number of slots of each request of a class, shape (count,)."""
     bounds = np.cumsum(np.array(request_class.slots) / sum(request_class.slots))
     draws = stream(seed, "slots", request_class.name).random(count)
     return 1.0 + np.minimum(np.searchsorted(bounds, draws, side="right"), len(bounds) - 1)
 
 
 def _drawn_keys(day: Day, seed: int, class_indices: NDArray[np.intp]) -> list[str | None]:
-    """Draw the keys of requests: some are asked for far more often than others, by a power of their rank."""
+    """Draw the key of each request, None for classes without keys; frequencies follow a power law of rank."""
     keys: list[str | None] = [None] * len(class_indices)
     for class_index, request_class in enumerate(day.types):
         if not request_class.keys:
             continue
         of_class = np.flatnonzero(class_indices == class_index).tolist()
         weights = np.arange(1.0, request_class.keys + 1.0) ** -request_class.key_skew
-        chance = stream(seed, "keys", request_class.name)
-        drawn = chance.choice(request_class.keys, len(of_class), p=weights / weights.sum())
+        rng = stream(seed, "keys", request_class.name)
+        drawn = rng.choice(request_class.keys, len(of_class), p=weights / weights.sum())
         for i, key in zip(of_class, drawn.tolist(), strict=True):
             keys[i] = f"k{key}"
     return keys
--- a/marlseam/simulation/server_settings.py
+++ b/marlseam/simulation/server_settings.py
@@ -1,11 +1,17 @@
-"""How the servers of a day behave, whatever their kind."""
+"""Settings of servers that apply to all servers of a day, whatever their kind."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class ReportSettings:
-    """How a server reports its load: how often a report is refreshed, its age, whether it tells the queue."""
+    """How a server reports its load.
+
+    Attributes:
+        period_ms: how often a report is refreshed.
+        delay_ms: the time from a refresh until the new report is available.
+        includes_queue: whether a report states the queue's length.
+    """
 
     period_ms: float
     delay_ms: float
@@ -14,14 +20,15 @@
 
 @dataclass(frozen=True)
 class ServerSettings:
-    """How servers of a day behave, whatever their kind.
+    """Settings of a server that do not depend on its kind.
 
     Attributes:
-        reports: how they report their load.
-        fall_multiple: how many times what it can do a server in slow start bears before it is overloaded.
-        fall_ms: the window over which that is counted.
-        progress_ms: how often a running job shows progress, 0 for never.
-        checkpoint_ms: how often a running job's state is saved, 0 for never.
+        reports: how the server reports its load.
+        fall_multiple: the overload bound in slow start, as a multiple of the work that the server can do in
+            the window at its present speed.
+        fall_ms: the window over which the received work is counted for that bound, in ms.
+        progress_ms: the period in which a running job reports progress, in ms; 0: never.
+        checkpoint_ms: the period in which a running job's work is saved, in ms of standard work; 0: never.
     """
 
     reports: ReportSettings
