--- a/marlseam/simulation/clients.py
+++ b/marlseam/simulation/clients.py
@@ -12,7 +12,7 @@
 from marlseam.simulation.model import Clients, RequestType
 from marlseam.simulation.plan import Arrival
 
-EARLY_LEAVE_IN_OBJECTIVES = 0.3  # after a try is sent, in latency objectives of its client
+EARLY_LEAVE_IN_OBJECTIVES = 0.3  # time from a try's send to an early leave, in latency objectives
 
 
 @dataclass
@@ -76,7 +76,7 @@
     def _is_retry_harmless(self, how: str) -> bool:
         """Return whether a try with outcome `how` may be sent again without a second effect.
 
-        A rejected try has not run, and an unsent one never left the client. An aborted or lost try may have
+        A rejection permits a retry, and an unsent try never left the client. An aborted or lost try may have
         run: only safe requests are retried, and with the setting `resend` lost keyed ones under their key.
         """
         if how in ("deferred", "unsent"):
--- a/marlseam/simulation/discovery.py
+++ b/marlseam/simulation/discovery.py
@@ -1,6 +1,6 @@
 """The model of discovery: an endpoint list with versions, calls served one after another, and outages.
 
-A driver adds changes with `add_entry`, each later than the change itself, and calls with `take_call`;
+A driver adds changes with `add_entry` after the lag of the list, and calls with `take_call`;
 `answer_since` returns the answer to a call that is served.
 """
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge finds planted defects of a dispatcher by the rules broken, and judges no partial records."""
+"""The check of a run's records: planted defects of a dispatcher, gaps in records, each rule, figures."""
 
 import msgspec
 import pytest
@@ -24,26 +24,26 @@
 from marlseam.verification.service import figures
 
 
-def dispatcher(state_type, **methods):
-    """Return a type of reducer with another type of requests, and other methods of the dispatcher."""
+def defective_reducer(state_type, **methods):
+    """Return a reducer class whose dispatcher uses `state_type` for requests and has these methods."""
 
-    wrong = type("Wrong", (Dispatcher,), {"request_state_type": state_type, **methods})
+    defective = type("DefectiveDispatcher", (Dispatcher,), {"request_state_type": state_type, **methods})
 
-    class WrongCore(Reducer):
-        dispatcher_type = wrong
+    class DefectiveReducer(Reducer):
+        dispatcher_type = defective
 
-    return WrongCore
+    return DefectiveReducer
 
 
-class Mute(RequestState):
-    """Gives no answer to what it gives up."""
+class NoFailureAnswer(RequestState):
+    """Sends no answer to a request that it gives up."""
 
     def answer(self):
         self.is_closed = True
 
 
-class Twice(RequestState):
-    """Sends keyed work on to anybody once it has run anywhere."""
+class RepeatsKeyed(RequestState):
+    """Sends keyed requests to any server again after they have run on one."""
 
     def is_eligible(self, _server):
         return True
@@ -60,7 +60,7 @@
         )
 
 
-class Copies(RequestState):
+class AlwaysHedges(RequestState):
     """Sends each request to two servers at once."""
 
     def may_attempt(self):
@@ -72,8 +72,8 @@
             super().send((server + 1) % len(self.dispatcher.endpoint_state))
 
 
-class Late(RequestState):
-    """Goes on sending what is answered."""
+class SendsAfterAnswer(RequestState):
+    """Sends further attempts of a request that is answered."""
 
     def close(self):
         super().close()
@@ -83,39 +83,47 @@
             self.is_closed = True
 
 
-class Jumps(RequestState):
-    """Waits for no turn."""
+class IgnoresKeyOrder(RequestState):
+    """Does not wait for earlier requests of its key."""
 
     has_turn = property(lambda _self: True, lambda _self, _value: None)
 
 
-def always(*_):
+def always_true(*_):
     return True
 
 
-def nothing(*_):
+def always_none(*_):
     return None
 
 
-def deaf(dispatcher, update_kind, endpoints, _doubt):
-    """Hear of the first list alone."""
+def apply_first_list_only(dispatcher, update_kind, endpoints, _doubt):
+    """Apply the first endpoint list and ignore all later updates."""
     if not dispatcher.same_zone and not dispatcher.other_zones:
         Dispatcher.update_endpoints(dispatcher, update_kind, endpoints)
 
 
 CRASH = {"what": "crash", "at_s": 3, "for_s": 2, "share": 0.4}
-TURNED = [row | {"keys": 3, "in_turn": True} for row in TYPES]
+TYPES_WITH_ORDERED_KEYS = [row | {"keys": 3, "in_turn": True} for row in TYPES]
 DRAIN = {"what": "shrink", "at_s": 2, "for_s": 8, "share": 0.4}
-WRONG = {
-    "mute": ("one answer", dispatcher(Mute), {"rate": 60.0}),
-    "late": ("one answer", dispatcher(Late), {}),
-    "twice": ("no effect twice", dispatcher(Twice), {}),
-    "copies": ("no effect twice", dispatcher(Copies), {}),
-    "jumps": ("in turn", dispatcher(Jumps), {"types": TURNED, "rules": {"turn_gap_ms": 50.0}}),
-    "deaf": ("drains kept", dispatcher(RequestState, update_endpoints=deaf), {"troubles": [DRAIN]}),
-    "rash": (
+DEFECTS = {  # by name: the rule that each defect violates, the defective reducer, and settings of the day
+    "no-failure-answer": ("one answer", defective_reducer(NoFailureAnswer), {"rate": 60.0}),
+    "sends-after-answer": ("one answer", defective_reducer(SendsAfterAnswer), {}),
+    "repeats-keyed": ("no effect twice", defective_reducer(RepeatsKeyed), {}),
+    "always-hedges": ("no effect twice", defective_reducer(AlwaysHedges), {}),
+    "ignores-key-order": (
+        "in turn",
+        defective_reducer(IgnoresKeyOrder),
+        {"types": TYPES_WITH_ORDERED_KEYS, "rules": {"turn_gap_ms": 50.0}},
+    ),
+    "ignores-list-updates": (
+        "drains kept",
+        defective_reducer(RequestState, update_endpoints=apply_first_list_only),
+        {"troubles": [DRAIN]},
+    ),
+    "ignores-slow-start": (
         "cold spared",
-        dispatcher(RequestState, has_budget=always, relative_cost=lambda _self, _request: 0.0),
+        defective_reducer(RequestState, has_budget=always_true, relative_cost=lambda _self, _request: 0.0),
         {
             "troubles": [CRASH],
             "rate": 40.0,
@@ -125,32 +133,36 @@
 }
 
 
-@pytest.mark.parametrize("name", WRONG)
-def test_a_dispatcher_that_breaks_a_rule_is_caught_by_name(name):
-    rule, core, changes = WRONG[name]
+@pytest.mark.parametrize("name", DEFECTS)
+def test_a_planted_defect_violates_its_rule_and_a_correct_dispatcher_none(name):
+    violated_rule, make_reducer, changes = DEFECTS[name]
     assert not played(day(**changes)).verdict.violation_count
-    verdict, book, _, _ = played(day(**changes), make_reducer=core)
-    broken = {r.name: r.violations for r in verdict.rules}
+    verdict, run_records, _, _ = played(day(**changes), make_reducer=make_reducer)
+    violations = {rule.name: rule.violations for rule in verdict.rules}
     assert verdict.is_judged
-    assert broken[rule], {name: rows[:2] for name, rows in broken.items()}
-    who, what = broken[rule][0]
-    assert what
-    assert book.timeline(who) or who in book.attempts or any(t.by == who for t in book.records)
+    assert violations[violated_rule], {name: found[:2] for name, found in violations.items()}
+    subject, text = violations[violated_rule][0]
+    assert text
+    assert (
+        run_records.timeline(subject)
+        or subject in run_records.attempts
+        or any(record.by == subject for record in run_records.records)
+    )
 
 
-# Records as such.
+# Single records.
 
 
-def run(*rows):
-    """Return whole streams that hold some records: of clients, and empty ones of the others."""
+def complete_streams(*rows):
+    """Return a complete stream for each system that is required, with the records that name it as writer."""
     found = []
     for system in ("clients", "executors", "roster", "driver"):
-        mine = [r for r in rows if r.by == system]
+        records_of_system = [record for record in rows if record.by == system]
         rules = {"slack_ms": 10.0, "grace_ms": 100.0, "effects": {"t": ("exclusive", "cell")}}
         rules |= {"in_turn": ["u"], "turn_gap_ms": 50.0}
         stream = [
             StreamBegan(t=0.0, by=system, system=system, rules=rules if system == "driver" else {}),
-            *mine,
+            *records_of_system,
         ]
         stream.append(StreamEnded(t=99.0, by=system))
         for n, record in enumerate(stream, 1):
@@ -159,72 +171,79 @@
     return found
 
 
-def tried(id="a", first="a", number=0, t=0.0, **more):
+def try_sent(id="a", first="a", number=0, t=0.0, **more):
     values = {"node": "n0", "zone": "z", "type": "t", "intended": 0.0, "expires": 1000.0, "promised": 100.0}
     return TrySent(
         t=t, by="clients", id=id, first=first, number=number, credit=2.0, late_credit=0.5, **values | more
     )
 
 
-def answered(t, how="completed", id="a"):
+def try_answered(t, how="completed", id="a"):
     return TryAnswered(t=t, by="clients", id=id, how=how)
 
 
-def rules(*rows):
-    verdict, book = judge(run(*rows))
+def judged_rules(*rows):
+    """Return the result of each rule by name, and the indexed records."""
+    verdict, run_records = judge(complete_streams(*rows))
     assert verdict.is_judged
-    return {rule.name: rule for rule in verdict.rules}, book
+    return {rule.name: rule for rule in verdict.rules}, run_records
 
 
-@pytest.mark.parametrize("spoil", ["number", "begin", "end", "system", "line"])
-def test_records_with_holes_are_not_judged(spoil):
-    found = run(tried(), answered(50.0))
-    wrong = ["clients.jsonl: line 3: odd"] if spoil == "line" else []
-    match spoil:
+@pytest.mark.parametrize("missing", ["number", "begin", "end", "system", "line"])
+def test_incomplete_records_are_not_judged(missing):
+    found = complete_streams(try_sent(), try_answered(50.0))
+    read_errors = ["clients.jsonl: line 3: odd"] if missing == "line" else []
+    match missing:
         case "number":
-            found = [r for r in found if not isinstance(r, TryAnswered)]
+            found = [record for record in found if not isinstance(record, TryAnswered)]
         case "begin":
             del found[0]
         case "end":
-            found = [r for r in found if not (isinstance(r, StreamEnded) and r.by == "clients")]
+            found = [
+                record for record in found if not (isinstance(record, StreamEnded) and record.by == "clients")
+            ]
         case "system":
-            found = [r for r in found if r.by != "roster"]
-    verdict, _ = judge(found, wrong)
+            found = [record for record in found if record.by != "roster"]
+    verdict, _ = judge(found, read_errors)
     assert not verdict.is_judged
     assert not verdict.rules
     assert verdict.gaps
 
 
 @pytest.mark.parametrize(
-    ("ends", "what"),
+    ("ends", "violation"),
     [
         ([], "no answer"),
-        ([answered(50.0, "lost")], "ended without"),
-        ([answered(1020.0)], "after its"),
-        ([answered(50.0), answered(60.0, "aborted")], "2 final answers"),
+        ([try_answered(50.0, "lost")], "ended without"),
+        ([try_answered(1020.0)], "after its"),
+        ([try_answered(50.0), try_answered(60.0, "aborted")], "2 final answers"),
         ([records.ClientLeft(t=1010.0, by="clients", id="a")], "no answer"),
     ],
 )
-def test_a_request_without_its_one_answer_in_time_breaks_the_first_rule(ends, what):
-    found, _ = rules(tried(), *ends)
-    assert [who for who, _ in found["one answer"].violations] == ["a"]
-    assert what in found["one answer"].violations[0][1]
+def test_a_try_without_one_answer_before_its_deadline_violates_one_answer(ends, violation):
+    found, _ = judged_rules(try_sent(), *ends)
+    assert [subject for subject, _ in found["one answer"].violations] == ["a"]
+    assert violation in found["one answer"].violations[0][1]
 
 
 @pytest.mark.parametrize(
     "ends",
     [
-        [answered(1005.0)],
-        [answered(0.0, "unsent")],
+        [try_answered(1005.0)],
+        [try_answered(0.0, "unsent")],
         [records.ClientLeft(t=90.0, by="clients", id="a", early=True)],
-        [answered(50.0, "lost"), records.NodeStateChanged(t=48.0, by="driver", node="n0", state="killed")],
+        [
+            try_answered(50.0, "lost"),
+            records.NodeStateChanged(t=48.0, by="driver", node="n0", state="killed"),
+        ],
     ],
 )
-def test_what_is_no_breach_of_the_first_rule(ends):
-    assert not rules(tried(), *ends)[0]["one answer"].violations
+def test_slack_no_connection_an_early_leave_and_a_killed_node_do_not_violate_one_answer(ends):
+    assert not judged_rules(try_sent(), *ends)[0]["one answer"].violations
 
 
-def ran(t, _server, id="a"):
+def run_to_completion(t, _server, id="a"):
+    """Return the records of an attempt that a server receives and starts at `t` and completes after 1 ms."""
     return [
         records.AttemptReceived(t=t, by="executors", id=id),
         records.AttemptStarted(t=t, by="executors", id=id),
@@ -232,73 +251,93 @@
     ]
 
 
-def test_an_unsafe_effect_counts_over_all_tries_and_bars_a_deferral():
-    found, book = rules(
-        tried(),
-        *ran(1.0, "e"),
-        answered(5.0, "deferred"),
-        tried("a.1", "a", 1, 10.0),
-        *ran(12.0, "e", "a.1"),
-        answered(20.0, id="a.1"),
+def test_two_tries_with_effects_and_a_rejection_after_a_run_violate_no_effect_twice():
+    found, run_records = judged_rules(
+        try_sent(),
+        *run_to_completion(1.0, "e"),
+        try_answered(5.0, "deferred"),
+        try_sent("a.1", "a", 1, 10.0),
+        *run_to_completion(12.0, "e", "a.1"),
+        try_answered(20.0, id="a.1"),
     )
-    texts = [what for _, what in found["no effect twice"].violations]
+    texts = [text for _, text in found["no effect twice"].violations]
     assert any("2 effects" in text for text in texts)
     assert any("deferred though" in text for text in texts)
-    assert len(book.timeline("a")) == 10
+    assert len(run_records.timeline("a")) == 10
 
 
-def test_a_send_after_the_grace_breaks_the_third_rule_until_it_is_ready_again():
-    told = [
+def test_a_send_to_a_draining_server_after_the_grace_violates_drains_kept_until_it_is_ready_again():
+    notices = [
         records.ServerStateHeard(t=t, by="roster", node="n0", executor="executors", state=state)
         for t, state in ((10.0, "draining"), (400.0, "ready"))
     ]
-    for sent, broken in ((100.0, False), (300.0, True), (500.0, False)):
-        found, _ = rules(
-            tried(), *told, records.AttemptReceived(t=sent, by="executors", id="a"), answered(600.0)
+    for sent_ms, is_violation in ((100.0, False), (300.0, True), (500.0, False)):
+        found, _ = judged_rules(
+            try_sent(),
+            *notices,
+            records.AttemptReceived(t=sent_ms, by="executors", id="a"),
+            try_answered(600.0),
         )
-        assert bool(found["drains kept"].violations) == broken
+        assert bool(found["drains kept"].violations) == is_violation
 
 
-LINE = {"node": "n0", "type": "u", "key": "k"}
-END = {"by": "executors", "id": "a"}
+ORDERED_TRY = {"node": "n0", "type": "u", "key": "k"}
+END_FIELDS = {"by": "executors", "id": "a"}
 
 
 @pytest.mark.parametrize(
-    ("end", "over", "took", "broken"),
+    ("end", "answered_ms", "received_ms", "is_violation"),
     [
-        (AttemptEnded(t=300.0, how="done", **END), 300.0, 310.0, False),
-        (AttemptEnded(t=300.0, how="done", **END), 300.0, 250.0, True),  # it was still out
-        (AttemptEnded(t=300.0, how="done", **END), 900.0, 500.0, True),  # it had no answer
-        (AttemptCancelled(t=300.0, **END), 300.0, 330.0, True),  # the rest was cut short
-        (AttemptCancelled(t=300.0, **END), 300.0, 345.0, False),
-        (AttemptEnded(t=300.0, how="lost", **END), 300.0, 330.0, True),
-        (None, 300.0, 800.0, True),  # nothing ever told of its end
+        (AttemptEnded(t=300.0, how="done", **END_FIELDS), 300.0, 310.0, False),
+        (
+            AttemptEnded(t=300.0, how="done", **END_FIELDS),
+            300.0,
+            250.0,
+            True,
+        ),  # the earlier attempt was still in flight
+        (
+            AttemptEnded(t=300.0, how="done", **END_FIELDS),
+            900.0,
+            500.0,
+            True,
+        ),  # the earlier try had no answer
+        (
+            AttemptCancelled(t=300.0, **END_FIELDS),
+            300.0,
+            330.0,
+            True,
+        ),  # within the gap after a cancelled attempt
+        (AttemptCancelled(t=300.0, **END_FIELDS), 300.0, 345.0, False),
+        (AttemptEnded(t=300.0, how="lost", **END_FIELDS), 300.0, 330.0, True),
+        (None, 300.0, 800.0, True),  # the earlier attempt has no recorded end
     ],
 )
-def test_a_send_out_of_turn_breaks_the_rule_on_order(end, over, took, broken):
+def test_a_send_before_the_earlier_try_released_the_key_violates_in_turn(
+    end, answered_ms, received_ms, is_violation
+):
     rows = [
-        tried(**LINE),
-        tried("b", "b", t=100.0, **LINE),
+        try_sent(**ORDERED_TRY),
+        try_sent("b", "b", t=100.0, **ORDERED_TRY),
         AttemptReceived(t=50.0, by="executors", id="a"),
-        answered(over),
-        AttemptReceived(t=took, by="executors", id="b"),
-        AttemptEnded(t=took + 5.0, by="executors", id="b", how="done"),
-        answered(took + 5.0, id="b"),
+        try_answered(answered_ms),
+        AttemptReceived(t=received_ms, by="executors", id="b"),
+        AttemptEnded(t=received_ms + 5.0, by="executors", id="b", how="done"),
+        try_answered(received_ms + 5.0, id="b"),
     ]
-    found = rules(*rows, *([end] if end else []))[0]
-    assert bool(found["in turn"].violations) is broken
-
-
-def test_service_counts_retries_with_their_first_try_from_the_intended_send():
-    rows = run(
-        tried(intended=0.0, t=30.0),
-        answered(40.0, "deferred"),
-        tried("a.1", "a", 1, 60.0),
-        answered(90.0, id="a.1"),
-        tried("b", "b", intended=0.0, t=50.0),
-        answered(130.0, id="b"),
-        tried("c", "c"),
-        answered(50.0, "aborted", "c"),
+    found = judged_rules(*rows, *([end] if end else []))[0]
+    assert bool(found["in turn"].violations) is is_violation
+
+
+def test_figures_count_retries_with_their_first_try_and_latency_from_the_intended_send():
+    rows = complete_streams(
+        try_sent(intended=0.0, t=30.0),
+        try_answered(40.0, "deferred"),
+        try_sent("a.1", "a", 1, 60.0),
+        try_answered(90.0, id="a.1"),
+        try_sent("b", "b", intended=0.0, t=50.0),
+        try_answered(130.0, id="b"),
+        try_sent("c", "c"),
+        try_answered(50.0, "aborted", "c"),
         ProbeAnswered(t=1.0, by="executors"),
     )
     found = figures(RunRecords(rows))
@@ -309,8 +348,8 @@
     assert found["aborted"] == 1.0
 
 
-def test_an_odd_line_is_told_with_its_number(tmp_path):
+def test_an_invalid_line_is_reported_with_its_number(tmp_path):
     (tmp_path / "x.jsonl").write_bytes(msgspec.json.encode(StreamBegan(t=0.0, by="x", n=1)) + b"\nnonsense\n")
-    _, wrong = records.read_folder(tmp_path)
-    assert len(wrong) == 1
-    assert "line 2" in wrong[0]
+    _, problems = records.read_folder(tmp_path)
+    assert len(problems) == 1
+    assert "line 2" in problems[0]
--- a/tests/test_one_answer_rule.py
+++ b/tests/test_one_answer_rule.py
@@ -1,4 +1,4 @@
-"""The rule that a request gets one answer, where a node is stopped."""
+"""The rule that a try gets one answer before its deadline, with a node that is stopped (not scheduled)."""
 
 import pytest
 
@@ -16,7 +16,9 @@
 
 
 @pytest.mark.parametrize(("until_ms", "violations"), [(1500.0, 1), (2500.0, 0)])
-def test_a_stopped_node_answers_nothing_and_only_then_is_excused(until_ms, violations):
+def test_a_node_stopped_at_the_deadline_excuses_a_missing_answer_but_no_send_after_an_answer(
+    until_ms, violations
+):
     tried = TrySent(
         n=1,
         t=1000.0,
@@ -44,10 +46,10 @@
         StreamEnded(n=2, t=3000.0, by="c"),
     ]
     assert len(check_one_answer(RunRecords(run)).violations) == violations
-    # What is sent after an answer is excused by nothing.
-    later = [
+    # A stopped node does not excuse an attempt sent after the answer.
+    send_after_answer = [
         TryAnswered(n=3, t=1500.0, by="c", id="1", how="deferred"),
         AttemptReceived(n=1, t=1900.0, by="e", id="1"),
     ]
-    found = check_one_answer(RunRecords([*run, *later])).violations
+    found = check_one_answer(RunRecords([*run, *send_after_answer])).violations
     assert any("after its answer" in violation.text for violation in found)
--- a/tests/test_simulated_clients.py
+++ b/tests/test_simulated_clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients: their retries, the load balancer before the nodes, and when requests arrive."""
+"""Simulated clients: their retries, the front load balancer, and the times of arrivals."""
 
 from collections import Counter
 
@@ -13,7 +13,7 @@
 
 
 def make_client(effect, tries=3):
-    """Return the client of a request, of the class with an effect."""
+    """Return the client of a request whose class has this effect; it honours Retry-After."""
     settings = day(clients={"tries": tries, "wait_ms": 40, "honour": 1.0})
     request_type = next(request_type for request_type in settings.types if request_type.effect == effect)
     values = {
@@ -45,7 +45,7 @@
         ("rerunnable", "completed", False),
     ],
 )
-def test_a_client_retries_only_what_is_harmless(effect, ending, is_retried):
+def test_a_client_retries_only_without_risk_of_a_second_effect(effect, ending, is_retried):
     client = make_client(effect)
     assert client.begin() == "a"
     wait_ms = client.wait(10.0, ending, 500.0, stream(1))
@@ -86,7 +86,7 @@
         ),
     ],
 )
-def test_even_arrivals_follow_their_shape(load, arrivals_by_second):
+def test_even_arrivals_follow_the_shape_of_the_load(load, arrivals_by_second):
     counts, _ = np.histogram(plan.times(load, 4.0, 1), bins=[0, 1000, 2000, 3000, 4001])
     assert np.abs(counts - np.array(arrivals_by_second)).max() <= 1
 
--- a/tests/test_simulated_server.py
+++ b/tests/test_simulated_server.py
@@ -1,4 +1,4 @@
-"""A simulated server: work is conserved, its queue is first in first out, keys are forgotten in time."""
+"""A simulated server: conserved work, first-in-first-out queue, memory of keys, slow start, reports."""
 
 from math import inf
 
@@ -16,7 +16,7 @@
 
 
 def make_server(started_ms=None, group_memory=None, **kind_values):
-    """Return a server of three slots, of a kind with some values changed."""
+    """Return a server with three slots; `kind_values` override the settings of its kind."""
     group_memory = group_memory or GroupMemory()
     memories = {"all": group_memory, "zone": group_memory, "cell": group_memory}
     kind = ServerKind(**({"name": "k", "executors": 1, "slots": 3, "queue": 100} | kind_values))
@@ -24,7 +24,7 @@
 
 
 def started_ids(events):
-    """Return the ids of the jobs that have started, in that order."""
+    """Return the ids of started jobs, in the order of their starts."""
     return [event.id for event in events if event.what == "started"]
 
 
@@ -78,7 +78,7 @@
 
 
 @given(st.floats(0.0, 20000.0))
-def test_an_idempotency_key_drops_repeats_while_it_is_remembered_and_not_after(gap_ms):
+def test_a_repeated_idempotency_key_has_an_effect_only_after_its_memory_span(gap_ms):
     server = make_server()
     server.offer(0.0, make_job(1, idempotency_key="r", key_memory_ms=9000.0))
     server.advance(5000.0)
@@ -95,7 +95,7 @@
     assert started_ids(server.advance(50.0)) == ["0/0"]
 
 
-def test_missing_memory_blocks_the_head_beside_a_free_slot():
+def test_missing_memory_blocks_the_head_despite_a_free_slot():
     server = make_server(slots=3)
     server.kind, server.free_memory = ServerKind(name="k", executors=1, slots=3, memory=4.0), 4.0
     server.offer(0.0, make_job(0, memory=3.0))
@@ -113,7 +113,7 @@
     assert server.overload_share > 1.0
 
 
-def test_a_crash_keeps_the_checkpoints_that_the_cell_saved():
+def test_a_restarted_job_continues_from_the_checkpoint_that_its_cell_saved():
     group_memory = GroupMemory()
     server = make_server(group_memory=group_memory)
     server.offer(0.0, make_job(1, 350.0))
@@ -125,7 +125,7 @@
     assert done.t == pytest.approx(150.0)
 
 
-def test_load_reports_are_refreshed_periodically_and_known_late():
+def test_load_reports_are_refreshed_periodically_and_available_after_their_delay():
     server = make_server()
     server.advance(95.0)
     server.offer(95.0, make_job(1, 1000.0))
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""Simulated discovery and faults, and whole days that verification judges."""
+"""Simulated discovery and faults, and whole days in virtual time whose records are checked."""
 
 import os
 import subprocess
@@ -38,7 +38,7 @@
     assert endpoint_list.take_call(200.0) is not None
 
 
-def test_overlapping_faults_add_up_and_end():
+def test_overlapping_slowdowns_multiply_and_end():
     settings = day(
         troubles=[
             {"what": "slow", "at_s": 1, "for_s": 4, "share": 1.0, "size": 2},
@@ -50,7 +50,7 @@
     assert [effect.slowdown for effect in effects] == [1.0, 2.0, 6.0, 3.0, 1.0]
 
 
-def test_discovery_learns_late_of_a_crash_and_lists_a_restarted_server_with_its_start():
+def test_discovery_lists_a_crash_and_a_restart_with_its_start_time_after_its_lag():
     settings = day(troubles=[{"what": "crash", "at_s": 2, "for_s": 3, "share": 0.1}])
     removed, relisted = faults.listings(settings, faults.schedule(settings, 1))
     assert (removed.at, removed.state) == (2800.0, EndpointState.GONE)
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULT_NAMES)
-def test_the_rules_hold_through_each_fault(fault):
+def test_no_rule_is_violated_on_a_day_with_any_one_fault(fault):
     size = {"errors": 0.8, "neighbour": 0.5, "late_reports": 2.0}.get(fault, 3.0)
     settings = day(troubles=[Fault(what=fault, at_s=4.0, for_s=4.0, share=0.25, size=size)])
     verdict, _, figures, _ = played(settings)
@@ -71,7 +71,7 @@
 
 
 def encoded_records(settings, seed):
-    """Return the bytes of all records of a day in virtual time."""
+    """Play a day in virtual time; return all its records as lines of JSON."""
     *_, records = played(settings, seed)
     return b"\n".join(ENCODER.encode(record) for record in records)
 
