--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -28,11 +28,7 @@
 <svg width="1110" height="{height}">{bars}</svg><h2>Findings</h2><ul>{findings}</ul>
 """
 COLOURS = ("#9aa5b1", "#2f6f9f", "#c9622e", "#4f8a3c", "#8a4f8f", "#b59a2a", "#3c8a86", "#a83e52")
-LABEL_PX, TIMELINE_PX, ROW_PX = (
-    100,
-    1000.0,
-    24,
-)  # width of node names, width of the time axis, height of a row
+LABEL_PX, TIMELINE_PX, ROW_PX = 100, 1000.0, 24  # widths of names and time axis, height of a row
 MAX_SHOWN_MS = 1e15  # Unix time; a later one stands for "never" and is shown as "-"
 BASIS_HEADINGS = ("program", "version", "list", "proved", "service", "code")
 HEADINGS = ("node", "life", "interval", "from (UTC)", *BASIS_HEADINGS)
@@ -132,7 +128,7 @@
 @click.option(
     "--error-ms", default=100.0, show_default=True, help="Largest difference of the machines' clocks, in ms."
 )
-def audit(  # noqa: PLR0913 - one parameter an option
+def audit(  # noqa: PLR0913 - one parameter per option
     folders: tuple[Path, ...],
     address: str | None,
     node: str | None,
--- a/marlseam/cli/fleet.py
+++ b/marlseam/cli/fleet.py
@@ -55,7 +55,7 @@
 def status(addresses: tuple[str, ...], *, raw: bool) -> None:
     """Show the members of the fleet as each given node sees them.
 
-    Exits with 1 if any of these nodes does not see a member as here.
+    Exits with 1 if one of these nodes reports a member with a standing other than here.
     """
     statuses = [fleet_status(address) for address in addresses]
     for node_status in statuses:
@@ -140,7 +140,7 @@
         raise click.ClickException(f"{folder}: there is a ledger already") from None
     except OSError as error:
         raise click.ClickException(f"{folder}: {code_of(error)}: {error.strerror}") from None
-    click.echo(f"{folder} is ready for the first life of {node}")
+    click.echo(f"{folder} is ready for the first start of {node}")
 
 
 @group.command()
@@ -222,7 +222,9 @@
     """Send a command to a node and return its response; raise ClickException unless the status is 202."""
     status, answer = call(address, "POST", path, body)
     if status != ACCEPTED:
-        raise click.ClickException(answer.decode(errors="replace").strip() or f"{address}: {status}")
+        raise click.ClickException(
+            answer.decode(errors="replace").strip() or f"{address}: HTTP status {status}, expected 202"
+        )
     return answer.decode()
 
 
--- a/marlseam/cli/load.py
+++ b/marlseam/cli/load.py
@@ -64,8 +64,10 @@
     generator = Generator(played_day, arrivals, places, writer, stream(seed, "clients"), connections)
 
     def show_progress(now_ms: float, tally: Tally) -> None:
-        sent, out = tally.sent, generator.open_tries
-        common.show_progress(f"{now_ms / 1000.0:.0f} s of {played_day.seconds:g}: {sent} sent, {out} out")
+        sent, open_tries = tally.sent, generator.open_tries
+        common.show_progress(
+            f"{now_ms / 1000.0:.0f} s of {played_day.seconds:g}: {sent} sent, {open_tries} open"
+        )
 
     tally = generator.run(time.monotonic() + process.START_DELAY_S, show_progress)
     common.show_progress("", end=True)
--- a/marlseam/cli/standin.py
+++ b/marlseam/cli/standin.py
@@ -1,6 +1,7 @@
 """`marlseam standin`: emulators on loopback and load generators, started by experiments or by hand.
 
-Experiments start these commands by name and parse the ready lines that they print.
+Operators know the names of commands and options and the printed texts, which therefore stay. Experiments
+start the commands by name and parse their ready lines.
 """
 
 import json
--- a/marlseam/cli/state.py
+++ b/marlseam/cli/state.py
@@ -61,7 +61,7 @@
         raise click.ClickException(f"{folder}: there is a state already") from None
     except OSError as error:
         raise click.ClickException(f"{folder}: {code_of(error)}: {error.strerror}") from None
-    click.echo(f"{folder} is ready for the first life of {node}")
+    click.echo(f"{folder} is ready for the first start of {node}")
 
 
 @group.command()
--- a/marlseam/records.py
+++ b/marlseam/records.py
@@ -62,7 +62,7 @@
 
     id: str
     first: str
-    number: int
+    number: int  # 0 for the first try, 1 for the first retry
     node: str
     zone: str
     type: str
@@ -72,7 +72,7 @@
     credit: float
     late_credit: float  # the share of `credit` for an answer after the latency objective
     receipt: str | None = None  # the idempotency key
-    key: str | None = None
+    key: str | None = None  # the key whose requests may have to run in order
 
 
 class TryAnswered(Record, tag="answered"):
--- a/marlseam/simulation/model.py
+++ b/marlseam/simulation/model.py
@@ -37,11 +37,7 @@
     "slow_link",
 )
 
-SEMANTICS_BY_EFFECT = {
-    "rerunnable": "safe",
-    "receipted": "keyed",
-    "exclusive": "unsafe",
-}  # the effects as node settings name them
+SEMANTICS_BY_EFFECT = {"rerunnable": "safe", "receipted": "keyed", "exclusive": "unsafe"}  # of node settings
 
 
 class Strict(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
--- a/marlseam/verification/book.py
+++ b/marlseam/verification/book.py
@@ -55,12 +55,12 @@
     """Return the gaps of one stream, whose records are sorted by number."""
     gaps = []
     if stream[0].n != 1 or not isinstance(stream[0], StreamBegan):
-        gaps.append(f"{writer}: no begin")
+        gaps.append(f"{writer}: first record missing")
     if not isinstance(stream[-1], StreamEnded):
-        gaps.append(f"{writer}: no end")
+        gaps.append(f"{writer}: last record missing")
     after_gap = [later.n for earlier, later in pairwise(stream) if later.n != earlier.n + 1]
     if after_gap:
-        gaps.append(f"{writer}: {len(after_gap)} holes, the first before number {after_gap[0]}")
+        gaps.append(f"{writer}: {len(after_gap)} gaps, the first before number {after_gap[0]}")
     return gaps
 
 
