--- a/marlseam/emulators/__init__.py
+++ b/marlseam/emulators/__init__.py
@@ -1,5 +1,5 @@
-"""Emulators: the simulated servers, discovery and network behind loopback sockets, and nodes with faults.
+"""Emulators: simulated servers, discovery and network behind loopback sockets, and nodes with faults.
 
-`servers`, `discovery`, `network` and `echo` are started by `python -m marlseam standin`; `disk`, `faulty`,
-`clocks` and `older` run a real node in an impaired environment, as `python -m marlseam.emulators.NAME`.
+`python -m marlseam standin` starts `servers`, `discovery`, `network` and `echo`. `disk`, `faulty`, `clocks`
+and `older` each run a real node with faults, by `python -m marlseam.emulators.NAME`.
 """
--- a/marlseam/emulators/clocks.py
+++ b/marlseam/emulators/clocks.py
@@ -1,8 +1,8 @@
-"""A node with faulty clocks: the monotonic one runs at another rate, the wall clock is off by a constant.
+"""A node with faulty clocks: the monotonic clock has a wrong rate, the wall clock a constant offset.
 
 MARLSEAM_CLOCKS="RATE JUMP_MS" python -m marlseam.emulators.clocks serve ...
 
-The node's writer process has the machine's own clocks.
+The node's writer process keeps the clocks of the machine.
 """
 
 import os
@@ -10,17 +10,17 @@
 
 from marlseam.__main__ import main
 
-# Variable of the environment: the rate of the monotonic clock, the error of the wall clock in ms.
+# Environment variable: the rate of the monotonic clock (1 is correct) and the offset of the wall clock in ms.
 CLOCKS_VARIABLE = "MARLSEAM_CLOCKS"
 
 
-def skew_clocks(rate: float, jump_ms: float) -> None:
-    """Have this process's monotonic clock run at a rate, and its wall clock be ahead, from now on."""
-    real_monotonic, real_time, zero_s = time.monotonic, time.time, time.monotonic()
-    time.monotonic = lambda: zero_s + rate * (real_monotonic() - zero_s)
+def patch_clocks(rate: float, jump_ms: float) -> None:
+    """Patch `time` in this process: scale the monotonic clock by `rate`, add `jump_ms` to the wall clock."""
+    real_monotonic, real_time, patched_at_s = time.monotonic, time.time, time.monotonic()
+    time.monotonic = lambda: patched_at_s + rate * (real_monotonic() - patched_at_s)
     time.time = lambda: real_time() + jump_ms / 1000.0
 
 
 if __name__ == "__main__":
-    skew_clocks(*map(float, os.environ[CLOCKS_VARIABLE].split()))
+    patch_clocks(*map(float, os.environ[CLOCKS_VARIABLE].split()))
     main()
--- a/marlseam/emulators/echo.py
+++ b/marlseam/emulators/echo.py
@@ -1,6 +1,7 @@
-"""A node that answers every request at once, except for stalls of its whole process.
+"""A node that answers every request at once, except while its whole process is stalled.
 
-For checks of the load generator alone: the latencies that it measures are then its own and the stalls'.
+For tests of the load generator: all latency that it measures against this node comes from the generator
+itself or from the stalls.
 """
 
 import asyncio
@@ -23,39 +24,39 @@
 
 
 class Stall(NamedTuple):
-    """A time for which the process stands still; it begins with the first request at or after `at_s`."""
+    """A pause of the process for `for_s` seconds; it begins with the first request at or after `at_s`."""
 
     at_s: float
     for_s: float
 
 
 class EchoProtocol(asyncio.Protocol):
-    """One connection."""
+    """One connection of a client; answers each request with its id and ` by echo`."""
 
     def __init__(self, stalls: list[Stall]) -> None:
-        """Serve a connection; `stalls` are those still to come, by the system's monotonic clock."""
+        """Serve a connection; `stalls` are those to come, with `at_s` on the system's monotonic clock."""
         self._request_id = b""
         self._stalls = stalls
         self._parser = httptools.HttpRequestParser(self)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport for the responses."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what was received; a connection with a malformed request is reset."""
+        """Parse received bytes; abort the connection if a request is malformed."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self._transport.abort()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep the request's id."""
+        """Store the request's id from its `x-correlation-id` header."""
         if name.lower() == ID_HEADER:
             self._request_id = value
 
     def on_message_complete(self) -> None:
-        """Respond, after a stall if one is due."""
+        """Write the response, after blocking the process for a stall that is due."""
         if self._stalls and time.monotonic() >= self._stalls[0].at_s:
             time.sleep(self._stalls.pop(0).for_s)
         body = self._request_id + b" by echo"
@@ -63,15 +64,15 @@
 
 
 class ParentInput:
-    """The lines that the parent writes to standard input: the run's zero; its end stops the process."""
+    """Reads standard input, on which the parent writes the run's zero; its end stops the process."""
 
     def __init__(self, planned: Sequence[Stall], stalls: list[Stall], stopped: asyncio.Event) -> None:
-        """Add the planned stalls to `stalls` once the zero is known; set `stopped` at the input's end."""
+        """Add the planned stalls to `stalls` once the run's zero is read; set `stopped` at end of input."""
         self._planned, self._stalls, self._stopped = planned, stalls, stopped
         self._buffer = b""
 
     def read(self) -> None:
-        """Take what can be read."""
+        """Read the available bytes; on a whole line, schedule the stalls from the run's zero."""
         data = os.read(sys.stdin.fileno(), INPUT_CHUNK_BYTES)
         self._buffer += data
         if not data:
@@ -82,7 +83,7 @@
 
 
 async def run(planned: Sequence[Stall]) -> None:
-    """Serve until SIGTERM or the end of standard input; stalls are planned from the run's zero."""
+    """Serve until SIGTERM or the end of standard input; the stalls' `at_s` counts from the run's zero."""
     loop, stopped = asyncio.get_running_loop(), asyncio.Event()
     stalls: list[Stall] = []
     server = await loop.create_server(lambda: EchoProtocol(stalls), LOOPBACK_HOST, 0, backlog=LISTEN_BACKLOG)
@@ -94,5 +95,5 @@
 
 
 def serve(planned: Sequence[Stall]) -> None:
-    """Run the node."""
+    """Run the node in an event loop of its own, with the planned stalls."""
     asyncio.run(run(planned))
--- a/marlseam/emulators/faulty.py
+++ b/marlseam/emulators/faulty.py
@@ -1,9 +1,9 @@
-"""A node with injected faults: system calls that fail in bursts, a wrong wall clock, errors in decisions.
+"""A node with injected faults: system calls fail in bursts, the wall clock is wrong, event handlers raise.
 
 python -m marlseam.emulators.faulty serve ...
 
-MARLSEAM_SOAK_FAULTS holds the faults as JSON (`NodeFaults`). The calls are wrapped in this process alone,
-below the node's own code.
+MARLSEAM_SOAK_FAULTS holds the faults as JSON (`NodeFaults`). The system calls are patched in this process
+only, in the standard library's modules, so that the node's own code stays unchanged.
 """
 
 import errno
@@ -17,22 +17,22 @@
 
 import msgspec
 
-FAULTS_VARIABLE = "MARLSEAM_SOAK_FAULTS"  # variable of the environment: the faults as JSON
-RECEIVE_SEND_ACCEPT = ("recv_into", "recv", "send", "accept")  # methods of sockets that raise where they fail
+FAULTS_VARIABLE = "MARLSEAM_SOAK_FAULTS"  # environment variable: the faults as JSON
+RECEIVE_SEND_ACCEPT = ("recv_into", "recv", "send", "accept")  # socket methods that raise OSError
 
 
 def replace(owner: object, name: str, call: Callable[..., Any]) -> None:
-    """Put a call in the place of a class's or a module's own."""
+    """Replace the attribute `name` of a class or module by another callable."""
     setattr(owner, name, call)
 
 
 class CallFailure(msgspec.Struct, frozen=True):
-    """A system call that fails while a burst lasts.
+    """A system call, some of whose calls fail during a burst.
 
     Attributes:
-        call: its name.
-        error: the name of its errno.
-        share: the share of calls that fail, in [0, 1].
+        call: the name of the system call.
+        error: the name of the errno that it fails with, as ENOBUFS.
+        share: the share of calls that fail during a burst, in [0, 1].
     """
 
     call: str
@@ -41,16 +41,16 @@
 
 
 class NodeFaults(msgspec.Struct, frozen=True):
-    """What fails in a node.
+    """The faults of a node.
 
     Attributes:
-        seed: of all draws.
-        failures: the calls that fail in bursts.
-        every_s: the time from the begin of one burst to that of the next, in seconds.
+        seed: the seed of all random draws.
+        failures: the system calls that fail in bursts.
+        every_s: the time from the start of one burst to the start of the next, in seconds.
         for_s: how long a burst lasts, in seconds.
         clock_s: by how much the wall clock is ahead, in seconds.
-        decision: the name of an event that the reducer fails at; empty for none.
-        decision_share: the share of these events at which it fails, in [0, 1].
+        decision: the name of the event type whose handler in the reducer raises; empty for none.
+        decision_share: the share of these events for which the handler raises, in [0, 1].
     """
 
     seed: int
@@ -66,8 +66,8 @@
     """Wraps system calls so that they fail in bursts.
 
     Attributes:
-        faults: what fails.
-        random: draws which calls of a burst fail.
+        faults: the faults of the node.
+        random: draws which calls during a burst fail.
         first_burst_s: when the first burst began, in seconds of the monotonic clock.
     """
 
@@ -75,7 +75,7 @@
         self.faults, self.random, self.first_burst_s = faults, random.Random(faults.seed), time.monotonic()
 
     def raise_if_failing(self, call: str) -> None:
-        """Raise OSError where a call is to fail now."""
+        """Raise OSError if a burst is on and the draw lets this call fail."""
         is_between_bursts = (time.monotonic() - self.first_burst_s) % self.faults.every_s > self.faults.for_s
         if is_between_bursts:
             return
@@ -85,18 +85,18 @@
                 raise OSError(number, os.strerror(number))
 
     def failing_call(self, call: str, real: Callable[..., Any]) -> Callable[..., Any]:
-        """Return a call that raises OSError where it is to fail, and else is the real one."""
+        """Return a wrapper of `real` that raises OSError where the call is to fail, else calls `real`."""
 
-        def failing(*arguments: Any) -> Any:  # noqa: ANN401 - as the call that it wraps
+        def failing(*arguments: Any) -> Any:  # noqa: ANN401 - signature of the wrapped call
             self.raise_if_failing(call)
             return real(*arguments)
 
         return failing
 
     def returning_errno(self, failing: Callable[..., int]) -> Callable[..., int]:
-        """Return a call that returns its errno, as `connect_ex` does, rather than raise."""
+        """Return a wrapper that returns the errno of an OSError, as `connect_ex` does, instead of raising."""
 
-        def call(*arguments: Any) -> int:  # noqa: ANN401 - as the call that it wraps
+        def call(*arguments: Any) -> int:  # noqa: ANN401 - signature of the wrapped call
             try:
                 return failing(*arguments)
             except OSError as error:
@@ -105,7 +105,7 @@
         return call
 
     def install(self) -> None:
-        """Wrap the calls of this process."""
+        """Patch the socket methods, `select.poll` and `select.epoll` of this process."""
         for call in RECEIVE_SEND_ACCEPT:
             replace(socket.socket, call, self.failing_call(call, getattr(socket.socket, call)))
         replace(
@@ -121,50 +121,50 @@
         )
 
     def failing_factory(self, factory: Callable[[], Any], calls: dict[str, str]) -> Callable[[], Any]:
-        """Return a factory of objects some of whose methods fail; `calls` has the call that each makes."""
+        """Return a factory whose objects fail in some methods; `calls` maps a method to its system call."""
         return lambda: WrappedObject(self, factory(), calls)
 
 
 class WrappedObject:
-    """An object some of whose methods fail in bursts; all else is the real object's."""
+    """Proxy of a system object: some methods fail in bursts, all other attributes are the real object's."""
 
     def __init__(self, wrapper: CallWrapper, real: object, calls: dict[str, str]) -> None:
         self._wrapper, self._real, self._calls = wrapper, real, calls
 
-    def __getattr__(self, name: str) -> Any:  # noqa: ANN401 - whatever the real object has
+    def __getattr__(self, name: str) -> Any:  # noqa: ANN401 - any attribute of the real object
         found = getattr(self._real, name)
         return self._wrapper.failing_call(self._calls[name], found) if name in self._calls else found
 
 
-def fail_decisions(faults: NodeFaults) -> None:
-    """Have the reducer fail at a small share of one type of event."""
+def patch_event_handler(faults: NodeFaults) -> None:
+    """Patch the reducer's handler of one event type to raise RuntimeError for a share of its events."""
     from marlseam import core
 
     event_type = getattr(core, faults.decision)
-    real_handler, chance = core.EVENT_HANDLERS[event_type], random.Random(faults.seed + 1)
+    real_handler, rng = core.EVENT_HANDLERS[event_type], random.Random(faults.seed + 1)
 
-    def handle(*arguments: Any) -> None:  # noqa: ANN401 - as the handler that it wraps
-        if chance.random() < faults.decision_share:
+    def handle(*arguments: Any) -> None:  # noqa: ANN401 - signature of the wrapped handler
+        if rng.random() < faults.decision_share:
             raise RuntimeError("planted by the soak")
         real_handler(*arguments)
 
     core.EVENT_HANDLERS[event_type] = handle
 
 
-def set_wall_clock_ahead(by_s: float) -> None:
-    """Have this process's wall clock be ahead."""
+def patch_wall_clock(by_s: float) -> None:
+    """Patch `time.time` in this process to be ahead by some seconds."""
     real_time = time.time
     time.time = lambda: real_time() + by_s
 
 
 def main() -> None:
-    """Run a node with the faults that the environment names."""
+    """Run a node with the faults that MARLSEAM_SOAK_FAULTS holds."""
     faults: NodeFaults = msgspec.json.decode(os.environ[FAULTS_VARIABLE], type=NodeFaults)
     if faults.clock_s:
-        set_wall_clock_ahead(faults.clock_s)
+        patch_wall_clock(faults.clock_s)
     CallWrapper(faults).install()
     if faults.decision:
-        fail_decisions(faults)
+        patch_event_handler(faults)
     from marlseam import __main__ as program
 
     program.main()
--- a/marlseam/emulators/http_listener.py
+++ b/marlseam/emulators/http_listener.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on loopback: a listening socket whose connections are served one request after the other."""
+"""An HTTP/1.1 listener on loopback; each connection is served one request at a time."""
 
 import socket
 from collections.abc import Callable
@@ -19,29 +19,27 @@
 from marlseam.net.log import Reason
 from marlseam.net.loop import READ, Cancelled, Coroutine, Task
 
-MAX_BODY_BYTES = 1 << 20  # of a request
+MAX_BODY_BYTES = 1 << 20  # largest body of a request
 Handler = Callable[[Connection, h11.Request, bytes], Steps]
 
 
 class HttpListener:
-    """One listening socket and the connections that were accepted from it.
-
-    It can stop to listen, and listen again at the same port.
+    """A listening socket and the connections accepted from it; it can stop and listen again at its port.
 
     Attributes:
-        process: the emulator that it belongs to.
-        name: what its connections are called in the log.
-        handler: answers one request, given its connection and body.
-        nodelay: whether small writes on its connections go out at once.
+        process: the emulator process whose event loop it uses.
+        name: the name of its connections in the log.
+        handler: answers one request, given the connection, the request's head and its body.
+        nodelay: whether Nagle's algorithm is off on its connections, so that small writes go out at once.
         connections: the open connections, each with the task that serves it.
-        sock: the listening socket, None while it does not listen.
-        port: its port.
+        sock: the listening socket, None while the listener is stopped.
+        port: the port; it stays the same across a stop.
     """
 
     def __init__(
         self, process: EmulatorProcess, name: str, handler: Handler, port: int = 0, nodelay: bool = True
     ) -> None:
-        """Listen at a port, or at a free one where it is 0."""
+        """Listen at a port, or at any free one if `port` is 0."""
         self.process, self.name, self.handler, self.nodelay = process, name, handler, nodelay
         self.connections: dict[Connection, Task] = {}
         self.sock: socket.socket | None = None
@@ -51,18 +49,18 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as HOST:PORT."""
+        """The address of the listening socket, as HOST:PORT."""
         return loopback_address(self.port)
 
     def listen(self) -> None:
-        """Accept new connections, at the port that it had before if there was one."""
+        """Accept new connections, at the same port as before a stop; does nothing if already listening."""
         if self.sock is None:
             self.sock = listening_socket(self.port)
             self.port = port_of(self.sock)
             self._accept_task = self.process.loop.spawn(self._accept(self.sock))
 
     def stop_listening(self) -> None:
-        """Refuse new connections; open ones go on."""
+        """Close the listening socket, so that new connections are refused; open ones stay."""
         if self._accept_task is not None:
             self._accept_task.cancel()
             self._accept_task = None
@@ -71,14 +69,14 @@
             self.sock = None
 
     def reset_connections(self) -> None:
-        """Reset all open connections."""
+        """Close all open connections by a TCP reset and cancel their tasks."""
         for connection, task in list(self.connections.items()):
             reset_on_close(connection.sock)
             connection.close(Reason.DONE)
             task.cancel()
 
     def _accept(self, sock: socket.socket) -> Coroutine:
-        """Accept connections for as long as it listens."""
+        """Accept connections and start a task for each, until the task is cancelled."""
         while True:
             yield (sock.fileno(), READ, inf)
             try:
@@ -116,6 +114,6 @@
 def reply(
     connection: Connection, status: int, body: bytes, headers: list[tuple[str, str]] | None = None
 ) -> Steps:
-    """Write a whole response."""
+    """Write a whole response with its Content-Length."""
     head = h11.Response(status_code=status, headers=[*(headers or []), ("Content-Length", str(len(body)))])
     yield from connection.message(head, body, inf)
--- a/marlseam/emulators/loopback.py
+++ b/marlseam/emulators/loopback.py
@@ -1,4 +1,4 @@
-"""Sockets on loopback, as the emulators use them."""
+"""Helpers for the emulators' TCP sockets on loopback."""
 
 import socket
 import struct
@@ -9,7 +9,7 @@
 
 
 def listening_socket(port: int = 0) -> socket.socket:
-    """Return a non-blocking socket that listens on loopback, at a free port where `port` is 0."""
+    """Return a non-blocking socket that listens on loopback, at any free port if `port` is 0."""
     sock = socket.create_server((LOOPBACK_HOST, port), backlog=LISTEN_BACKLOG)
     sock.setblocking(False)
     return sock
@@ -27,10 +27,10 @@
 
 
 def disable_nagle(sock: socket.socket) -> None:
-    """Send small writes at once; else each waits for the acknowledgment of the one before, up to 40 ms."""
+    """Send small writes at once; else each waits up to 40 ms for the previous one to be acknowledged."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Have the peer get a reset once the socket is closed, rather than an orderly end."""
+    """Make a later close of the socket send a TCP reset (RST) instead of an orderly end (FIN)."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
--- a/marlseam/emulators/network.py
+++ b/marlseam/emulators/network.py
@@ -1,6 +1,7 @@
-"""The network on loopback: a proxy for each zone and server, which delays, loses or holds back bytes.
+"""The network on loopback: a TCP proxy for each zone and server, which delays, loses or holds back bytes.
 
-What is sent while a link is cut waits, as with TCP, and is lost when its connection is reset at the mend.
+Bytes sent while a link is cut are held back, as TCP would retransmit them. When the cut ends, the connections
+over the link are reset, so that the held bytes are lost.
 """
 
 import contextlib
@@ -27,16 +28,16 @@
 from marlseam.simulation.model import Day, placed_servers
 from marlseam.simulation.network import Links
 
-SYSTEM = "network"  # its name in records and in the names of its files
-CHUNK_BYTES = 65536  # passed on at once
-CUT_POLL_MS = 20.0  # how often a held link is looked at
+SYSTEM = "network"  # the name of the network in records, in its log and in the names of its files
+CHUNK_BYTES = 65536  # the most bytes that are relayed in one step
+CUT_CHECK_INTERVAL_MS = 20.0  # interval at which a cut link is checked
 
 
 class Link(NamedTuple):
-    """The way from one zone to one server.
+    """The network path from one zone to one server.
 
     Attributes:
-        zone: the zone that it leads from.
+        zone: the zone of the nodes that connect.
         server: the server's name.
         server_zone: the zone in which the server runs.
     """
@@ -47,14 +48,14 @@
 
 
 class SocketAddress(NamedTuple):
-    """Where a server listens."""
+    """The address at which a server listens."""
 
     host: str
     port: int
 
 
-def socket_address(text: str) -> SocketAddress:
-    """Return the address in HOST:PORT."""
+def parse_socket_address(text: str) -> SocketAddress:
+    """Parse an address HOST:PORT; raise ValueError if the port is not a number."""
     host, _, port = text.rpartition(":")
     return SocketAddress(host, int(port))
 
@@ -62,8 +63,8 @@
 class RelayedConnection:
     """One connection through a proxy: a socket to the client and one to the server.
 
-    A coroutine for each direction passes bytes on. Each has copies of both sockets, as the loop knows one
-    task a descriptor.
+    One coroutine for each direction relays bytes. Each coroutine uses duplicates of both sockets, as the loop
+    allows only one task to wait for a file descriptor.
     """
 
     def __init__(self, proxy: "LinkProxy", client: socket.socket, server: socket.socket) -> None:
@@ -72,7 +73,7 @@
         self._copies: list[socket.socket] = []
 
     def open(self, loop: Loop) -> None:
-        """Start to pass bytes both ways."""
+        """Start a relay task for each direction."""
         directions = [
             (source.dup(), target.dup())
             for source, target in ((self._client, self._server), (self._server, self._client))
@@ -82,7 +83,7 @@
             self._tasks.append(loop.spawn(self._relay(loop, source, target)))
 
     def _relay(self, loop: Loop, source: socket.socket, target: socket.socket) -> Coroutine:
-        """Pass bytes one way until the source ends; an error resets both sides."""
+        """Relay one direction until the source ends; on an error reset both sides."""
         try:
             yield from self._relay_chunks(loop, source, target)
         except OSError:
@@ -92,8 +93,8 @@
                 self.close()
 
     def _relay_chunks(self, loop: Loop, source: socket.socket, target: socket.socket) -> Coroutine:
-        """Pass chunks of bytes one way until the source ends."""
-        is_lossy = False  # after a loss nothing more is passed on, as no message could be read behind the gap
+        """Relay chunks of bytes in one direction until the source ends, with the faults of the link."""
+        has_gap = False  # after a loss no more bytes are relayed: no message behind the gap could be read
         while True:
             yield (source.fileno(), READ, inf)
             try:
@@ -102,8 +103,8 @@
                 continue
             yield from self._proxy.wait_while_cut()
             if self._proxy.is_lost():
-                is_lossy = True
-            if is_lossy and data:
+                has_gap = True
+            if has_gap and data:
                 continue
             delay_ms = self._proxy.delay_ms()
             if delay_ms > 0.0:
@@ -114,7 +115,7 @@
             yield from self._send_all(target, data)
 
     def _send_all(self, target: socket.socket, data: bytes) -> Coroutine:
-        """Send all of some bytes."""
+        """Send all of `data`, waiting for room in the socket as needed."""
         unsent = memoryview(data)
         while unsent:
             try:
@@ -123,7 +124,7 @@
                 yield (target.fileno(), WRITE, inf)
 
     def close(self, reset: bool = False) -> None:
-        """Close both sides, by a reset if wished."""
+        """Close both sides and cancel the relay tasks; with `reset` each close sends a TCP reset."""
         self._proxy.connections.pop(self, None)
         for sock in (self._client, self._server, *self._copies):
             if reset:
@@ -139,13 +140,13 @@
 
     Attributes:
         process: the emulator process.
-        link: from which zone to which server it leads.
+        link: the zone and the server that the proxy connects.
         connections: the connections that it relays.
-        address: where it listens, as HOST:PORT.
+        address: the address at which it listens, as HOST:PORT.
     """
 
     def __init__(self, process: EmulatorProcess, links: Links, link: Link, target: SocketAddress) -> None:
-        """Listen at a free port for connections to `target`; `links` says how its bytes fare."""
+        """Listen at a free port for connections to `target`; `links` has the delays, losses and cuts."""
         self.process, self.link = process, link
         self._links, self._target = links, target
         self.connections: dict[RelayedConnection, None] = {}
@@ -159,25 +160,25 @@
         return self.link.zone != self.link.server_zone
 
     def delay_ms(self) -> float:
-        """Return how long bytes take, in ms; within a zone they take as long as loopback does."""
+        """Return the delay to add to a chunk of bytes, in ms; 0 within a zone, for loopback's own delay."""
         return self._links.delay(self.link.zone, self.link.server_zone) if self.crosses_zones else 0.0
 
     def is_lost(self) -> bool:
-        """Return whether what comes now is lost."""
+        """Draw whether the chunk of bytes received now is lost."""
         return self._links.is_lost(self.link.zone, self.link.server_zone)
 
     def wait_while_cut(self) -> Coroutine:
-        """Wait until bytes pass."""
+        """Wait until the link is not cut."""
         while not self._links.is_reachable(self.link.zone, self.link.server, self.link.server_zone):
-            yield from sleep(self.process.loop.now() + CUT_POLL_MS)
+            yield from sleep(self.process.loop.now() + CUT_CHECK_INTERVAL_MS)
 
     def reset_connections(self) -> None:
-        """Reset all connections."""
+        """Close all relayed connections by a TCP reset."""
         for connection in list(self.connections):
             connection.close(reset=True)
 
     def _accept(self) -> Coroutine:
-        """Accept connections, and connect each to the server."""
+        """Accept connections, and start a task that connects each to the server."""
         while True:
             yield (self._listening_socket.fileno(), READ, inf)
             try:
@@ -187,7 +188,7 @@
             self.process.loop.spawn(self._connect(client))
 
     def _connect(self, client: socket.socket) -> Coroutine:
-        """Connect a client to the server; where the server refuses, the client's connection is reset."""
+        """Connect a client to the server and start relaying; if the server refuses, reset the client."""
         server = socket.socket()
         try:
             for sock in (client, server):
@@ -200,31 +201,33 @@
             if error_number:
                 reset_on_close(client)
         except (OSError, Cancelled):
-            self._close(client, server)
+            self._close_unrelayed(client, server)
             return
         if error_number:
-            self._close(client, server)
+            self._close_unrelayed(client, server)
             return
         connection = RelayedConnection(self, client, server)
         self.connections[connection] = None
         connection.open(self.process.loop)
 
-    def _close(self, *sockets: socket.socket) -> None:
-        """Close sockets that are not relayed."""
+    def _close_unrelayed(self, *sockets: socket.socket) -> None:
+        """Close sockets that belong to no relayed connection."""
         for sock in sockets:
             self.process.loop.close(sock)
 
 
 class EmulatedNetwork:
-    """The proxies of a day between all zones and servers, and the faults of its links."""
+    """The proxies of a day, one for each zone and server, and the scheduled faults of their links."""
 
     def __init__(self, process: EmulatorProcess, day: Day, seed: int, addresses: Mapping[str, str]) -> None:
-        """Make the proxies of a day; `addresses` holds where each server listens."""
+        """Create the proxies, schedule the faults; `addresses` maps a server to its HOST:PORT."""
         self._process = process
         self._records = process.streams.of(SYSTEM)
         self._links = Links(day.network, stream(seed, "network"))
         self._proxies = [
-            LinkProxy(process, self._links, Link(zone, name, server_zone), socket_address(addresses[name]))
+            LinkProxy(
+                process, self._links, Link(zone, name, server_zone), parse_socket_address(addresses[name])
+            )
             for zone in day.fleet.zones
             for name, _, _, server_zone, _ in placed_servers(day)
         ]
@@ -236,14 +239,14 @@
                 process.call_at(fault.until, partial(apply, fault, begins=False))
 
     def addresses_by_zone(self) -> dict[str, dict[str, str]]:
-        """Return where each server is dialled from each zone."""
+        """Return the address to dial for each server, by zone and server's name."""
         addresses: dict[str, dict[str, str]] = {}
         for proxy in self._proxies:
             addresses.setdefault(proxy.link.zone, {})[proxy.link.server] = proxy.address
         return addresses
 
     def _set_cut(self, fault: ScheduledFault, *, begins: bool) -> None:
-        """Cut a zone from the others, or mend it; a mend resets the connections over the cut."""
+        """Cut a zone off from all others, or end the cut, which resets the connections across it."""
         zone = fault.targets[0]
         self._links.set_blocked(self._links.cut_zones, zone, begins)
         self._records.add(
@@ -256,12 +259,12 @@
                 proxy.reset_connections()
 
     def _set_slow(self, fault: ScheduledFault, *, begins: bool) -> None:
-        """Make a zone's links slow and lossy, or as they were before."""
+        """Make the links of a zone slow and lossy when the fault begins, and undo that when it ends."""
         self._links.set_zone_slow(fault.targets[0], fault.settings.size, fault.settings.part, begins)
 
 
 def serve(day: Day, seed: int, addresses: Mapping[str, str], folder: Path | None, now: bool) -> None:
-    """Run the network of a day until the end; the ready line holds the addresses to dial, by zone."""
+    """Run the network of a day until it is stopped; the ready line has the addresses to dial, by zone."""
     process = EmulatorProcess(SYSTEM, folder)
     network = EmulatedNetwork(process, day, seed, addresses)
     process.run({"dials": network.addresses_by_zone()}, now)
--- a/marlseam/emulators/older.py
+++ b/marlseam/emulators/older.py
@@ -1,4 +1,4 @@
-"""A node of an older program: it cannot read a configuration version in the present format.
+"""A node of an older release, which cannot read a configuration version in the current format.
 
 python -m marlseam.emulators.older serve ...
 """
--- a/marlseam/emulators/servers.py
+++ b/marlseam/emulators/servers.py
@@ -1,7 +1,7 @@
-"""Servers on loopback: the simulated servers behind the protocol that nodes speak to theirs.
+"""Servers on loopback: the simulated servers behind the HTTP protocol between nodes and servers.
 
-An attempt is a POST whose response has a line of JSON for each thing that happens to its job; a probe is a
-GET of the load report.
+An attempt is a POST; its response is a stream with a line of JSON for each event of the attempt's job. A
+probe is a GET of the load report.
 """
 
 from collections.abc import Mapping
@@ -28,18 +28,18 @@
 from marlseam.simulation.model import Day
 from marlseam.simulation.server import Server
 
-SYSTEM = "executors"  # the name of these emulators in records, ready line and names of files
-SILENCE_POLL_MS = 50.0  # how often a silent server looks whether it may speak again
-FINAL_EVENTS = ("done", "failed", "lost")  # after which nothing more happens to a job
+SYSTEM = "executors"  # the name of these emulators in records, log, ready line and names of files
+SILENCE_CHECK_INTERVAL_MS = 50.0  # interval at which a silent server checks whether its silence has ended
+FINAL_EVENTS = ("done", "failed", "lost")  # each is the last event of its job
 
 
 class RequestBody(msgspec.Struct):
-    """What a request's body says of its cost.
+    """The body of a request: what its job costs a server.
 
     Attributes:
-        work: standard work in ms.
-        slots: how many slots it takes.
-        memory: how much memory it takes, in units.
+        work: the standard work in ms, which is the run time on a slot of speed 1.
+        slots: the number of slots that the job takes.
+        memory: the memory that the job takes, in units.
     """
 
     work: float = 100.0
@@ -48,7 +48,7 @@
 
 
 class ReceivedAttempt(NamedTuple):
-    """An attempt that a server received: its job, and the configuration version that its node serves by."""
+    """An attempt received by a server: its job, and the configuration version that its node acts on."""
 
     job: Job
     config_version: str
@@ -60,15 +60,15 @@
     Attributes:
         process: the emulator process.
         server: the simulated server.
-        day: the day that is played.
+        day: the day that is run.
         name: the server's name.
-        listener: where nodes reach it.
-        is_silent: whether it says nothing, though its connections stay open.
+        listener: the listener to which nodes connect.
+        is_silent: whether the server sends nothing, though its connections stay open.
         responses: the responses that are being written, by the job's id.
     """
 
     def __init__(self, process: EmulatorProcess, server: Server, day: Day, nodelay: bool) -> None:
-        """Listen for a server, unless its process is down; `nodelay`: small writes go out at once."""
+        """Start to listen, unless the server is down at first; `nodelay` switches off Nagle's algorithm."""
         self.process, self.server, self.day = process, server, day
         self.name = server.name
         self.is_silent = False
@@ -82,22 +82,22 @@
             self.listener.stop_listening()
 
     def advance(self) -> None:
-        """Bring the server to now, pass on what happened, and have it advanced when something next does."""
+        """Advance the simulated server to now, handle its events, and schedule the next advance."""
         for event in self.server.advance(max(self.process.now(), self.server.at_ms)):
-            self._pass_on(event)
+            self._handle_event(event)
         due_ms = self.server.next_event_ms()
         if due_ms < self._next_event_ms:
             self._next_event_ms = due_ms
             self.process.call_at(due_ms, partial(self._advance_if_due, due_ms))
 
     def _advance_if_due(self, due_ms: float) -> None:
-        """Advance the server, unless something earlier has come to be waited for."""
+        """Advance the server, unless an advance for an earlier event has replaced this one."""
         if self._next_event_ms == due_ms:
             self._next_event_ms = inf
             self.advance()
 
-    def _pass_on(self, event: JobEvent) -> None:
-        """Record what happened to a job, and have its response tell it."""
+    def _handle_event(self, event: JobEvent) -> None:
+        """Record an event of a job, and add it to the job's response."""
         attempt_id = event.id.rpartition("/")[0]
         now_ms = self.process.now()
         if event.what == "started":
@@ -116,7 +116,7 @@
     # Requests.
 
     def _answer(self, connection: Connection, request: h11.Request, body: bytes) -> Steps:
-        """Answer one request: a probe, or an attempt."""
+        """Answer a probe or an attempt; a malformed attempt gets 400."""
         yield from self.wait_while_silent()
         if request.method == b"GET":
             yield from self._answer_probe(connection, request.target.decode("latin-1"))
@@ -128,12 +128,12 @@
         yield from AttemptResponse(self, connection, attempt).run()
 
     def wait_while_silent(self) -> Steps:
-        """Wait until the server may speak."""
+        """Wait until the server is not silent."""
         while self.is_silent:
-            yield from sleep(self.process.loop.now() + SILENCE_POLL_MS)
+            yield from sleep(self.process.loop.now() + SILENCE_CHECK_INTERVAL_MS)
 
     def _answer_probe(self, connection: Connection, target: str) -> Steps:
-        """Answer a probe with the load report."""
+        """Answer a probe with the load report, or 404 if the path is another one."""
         self.advance()
         self._records.add(records.ProbeAnswered(t=self.process.now(), by=self.name))
         is_known = target == LOAD_PATH
@@ -141,7 +141,7 @@
         yield from reply(connection, 200 if is_known else 404, text.encode())
 
     def _attempt_from(self, head: Head, body: bytes) -> ReceivedAttempt | None:
-        """Return the attempt that a request brings, None where it is malformed."""
+        """Return a request's attempt; None if the class is unknown, the id missing or the body malformed."""
         request_type = self._request_types.get(head.get(TYPE, ""))
         try:
             cost: RequestBody = msgspec.json.decode(body or b"{}", type=RequestBody)
@@ -164,13 +164,13 @@
         return ReceivedAttempt(job, head.get(ACTING, ""))
 
     def offer(self, attempt: ReceivedAttempt) -> bool:
-        """Hand the server an attempt and record it; return whether it takes it.
+        """Offer an attempt to the server and record it; return whether the server accepts the job.
 
-        An attempt that overloads the server in slow start has its process end soon after.
+        If the attempt overloads the server in slow start, the server's process ends soon after the call.
         """
         self.advance()
         job, now_ms = attempt.job, self.server.at_ms
-        is_taken = self.server.offer(now_ms, job)
+        is_accepted = self.server.offer(now_ms, job)
         load = self.server.slow_start_load(0.0) if self.server.is_in_slow_start(now_ms) else 0.0
         self._records.add(
             records.AttemptReceived(
@@ -182,7 +182,7 @@
                 acting=attempt.config_version,
             )
         )
-        if not is_taken:
+        if not is_accepted:
             self._records.add(records.AttemptRefused(t=self.process.now(), by=self.name, id=job.try_id))
         if self.server.overload_share is not None and self.server.is_up:
             overload_share = self.server.overload_share
@@ -190,10 +190,10 @@
                 records.ServerOverloaded(t=self.process.now(), by=self.name, load=overload_share)
             )
             self.process.loop.soon(self.crash)
-        return is_taken
+        return is_accepted
 
     def cancel(self, job: Job) -> None:
-        """Cancel a job, as its node has gone."""
+        """Cancel a job whose node closed the connection; does nothing if the server is down."""
         if not self.server.is_up:
             return
         self._records.add(records.AttemptCancelled(t=self.process.now(), by=self.name, id=job.try_id))
@@ -204,7 +204,7 @@
     # Faults.
 
     def crash(self) -> None:
-        """End the server's process: connections are reset, new ones refused."""
+        """End the server's process: open connections are reset, new ones are refused."""
         if self.server.is_up:
             self.advance()
             self.server.crash()
@@ -213,13 +213,13 @@
         self.listener.reset_connections()
 
     def restart(self, started_ms: float) -> None:
-        """Start a new process, in slow start since some time."""
+        """Start a new process of the server, in slow start since `started_ms` (ms of the run), and listen."""
         self.server.start_process(self.process.now(), started_ms)
         self._records.add(records.ServerStarted(t=self.process.now(), by=self.name))
         self.listener.listen()
 
     def apply_fault(self, fault: ScheduledFault, schedule: list[ScheduledFault], *, begins: bool) -> None:
-        """Begin or end a fault of the schedule."""
+        """Begin or end a scheduled fault at this server; `schedule` holds all faults, as effects combine."""
         self.advance()
         at_ms = fault.at if begins else fault.until
         match fault.settings.what, begins:
@@ -243,22 +243,22 @@
 
 
 class AttemptResponse:
-    """The response to one attempt, a line for each thing that happens to its job.
+    """The response to one attempt: a line of JSON for each event of its job.
 
-    A client that closes its connection before the last line cancels the attempt.
+    If the client closes its connection before the last line, the attempt is cancelled.
     """
 
     def __init__(self, server: EmulatedServer, connection: Connection, attempt: ReceivedAttempt) -> None:
-        """Make the response to an attempt; call it in the task that serves its connection."""
+        """Create the response to an attempt; must be called in the task that serves the connection."""
         self._server, self._connection, self._attempt = server, connection, attempt
         self._job = attempt.job
         self._task = server.process.loop.running_task()
         self._unsent_lines: list[dict[str, Any]] = []
         self._has_final_event = False
-        self._is_finished = False  # whether all that there is to say was handed to the connection
+        self._is_finished = False  # whether the whole response was handed to the connection
 
     def add_event(self, event: JobEvent) -> None:
-        """Add a line for something that happened to the job."""
+        """Add a line for an event of the job; the last has the load report if the day has it in answers."""
         line: dict[str, Any] = {"id": self._job.try_id, "from": self._server.name, "state": event.what}
         if event.what == "progress":
             line |= {"state": "running", "share": event.value}
@@ -272,7 +272,7 @@
         self._task.wake()
 
     def run(self) -> Steps:
-        """Offer the job to the server, and write the response to its end."""
+        """Offer the job to the server and write the whole response; a job that is not accepted gets 503."""
         self._server.responses[self._job.id] = self
         try:
             if self._server.offer(self._attempt):
@@ -286,7 +286,7 @@
                 self._server.cancel(self._job)
 
     def _write_lines(self) -> Steps:
-        """Write the head, then lines as they come, to the last."""
+        """Write the head of the response, then each line as its event occurs, up to the last."""
         connection = self._connection
         yield from connection.write(connection.http.send(h11.Response(status_code=200, headers=[])), inf)
         self._server.advance()
@@ -299,13 +299,13 @@
                 yield from self._wait_for_event()
 
     def _encoded(self, lines: list[dict[str, Any]], *, is_last: bool) -> bytes:
-        """Return lines as chunks of the body, with its end after the last."""
+        """Return lines as chunks of the HTTP body; with `is_last` followed by the end of the body."""
         http = self._connection.http
         data = b"".join(http.send(h11.Data(data=msgspec.json.encode(line) + b"\n")) for line in lines)
         return data + http.send(h11.EndOfMessage()) if is_last else data
 
     def _wait_for_event(self) -> Steps:
-        """Wait for the next line; raise ConnectionEndedError where the client closes its connection."""
+        """Wait for the job's next event; raise ConnectionEndedError if the client closes the connection."""
         connection = self._connection
         may_read = not connection.eof and len(connection.buffer) < MAX_AHEAD_BYTES
         event = yield (connection.sock.fileno(), READ, inf) if may_read else (-1, 0, inf)
@@ -316,20 +316,20 @@
 
 
 def load_figures(report: LoadReport) -> dict[str, float]:
-    """Return a load report under the protocol's names."""
+    """Return the figures of a load report by their names in the protocol, without absent ones."""
     figures = {"errors_per_s": 0.0, "backlog": report.queued, "x0": report.free_slots}
     return {name: value for name, value in figures.items() if value is not None}
 
 
 def load_text(report: LoadReport) -> str:
-    """Return a load report as the protocol's text."""
+    """Return a load report in the text format of the protocol, `TEXT NAME=VALUE, ...`."""
     return "TEXT " + ", ".join(f"{name}={value:g}" for name, value in load_figures(report).items())
 
 
 def schedule_faults(
     process: EmulatorProcess, servers: Mapping[str, EmulatedServer], schedule: list[ScheduledFault]
 ) -> None:
-    """Have the faults of a schedule begin and end at the servers that they name."""
+    """Schedule the begin and the end of each fault at those of its target servers that run here."""
     for fault in schedule:
         for name in fault.targets:
             if name in servers:
@@ -341,7 +341,7 @@
 def serve(
     day: Day, seed: int, folder: Path | None, now: bool, nodelay: bool = True, part: str = "1/1"
 ) -> None:
-    """Run a day's servers until the end, or one part of them, as NUMBER/COUNT."""
+    """Run the servers of a day until stopped; `part` as NUMBER/COUNT selects each COUNT-th from NUMBER on."""
     process = EmulatorProcess(SYSTEM, folder)
     schedule = faults.schedule(day, seed)
     number, count = (int(word) for word in part.split("/"))
