--- a/marlseam/load/__init__.py
+++ b/marlseam/load/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load: what is sent goes out at its intended time, whatever comes back."""
+"""Open-loop load generation: each request is sent at its intended time, whatever the answers."""
--- a/marlseam/load/connection.py
+++ b/marlseam/load/connection.py
@@ -1,4 +1,4 @@
-"""A load generator's connection to a node: one HTTP/1.1 exchange at a time over a non-blocking socket."""
+"""A load generator's connection to a node: one HTTP/1.1 request at a time over a non-blocking socket."""
 
 import errno
 import socket
@@ -20,31 +20,31 @@
 
 
 class Address(NamedTuple):
-    """Where a node listens."""
+    """The address at which a node listens."""
 
     host: str
     port: int
 
     @classmethod
-    def parsed(cls, address: str) -> "Address":
-        """Return the parts of an address HOST:PORT."""
+    def parse(cls, address: str) -> "Address":
+        """Parse an address HOST:PORT; raise ValueError if the port is not a number."""
         host, _, port = address.rpartition(":")
         return cls(host, int(port))
 
 
 @dataclass
 class PendingTry:
-    """A try whose client waits for an answer. Times in ms of the run.
+    """A try whose client waits for an answer. Times are in ms of the run.
 
     Attributes:
-        client: the client that sent it.
+        client: the client that sent the try.
         id: the try's id.
-        intended_ms: when it should have gone out.
-        node: the node that it goes to.
-        sent_ms: when it was written to a connection; infinity before that.
-        is_open: whether it has no answer yet and its client has not left.
-        was_resent: whether it was sent once more since its connection was closed while it was on its way.
-        connection: the connection that it is on; None while it waits for one.
+        intended_ms: when the plan has the try sent.
+        node: the name of the node to which the try is sent.
+        sent_ms: when the try was written to a connection; infinity before that.
+        is_open: whether the try has no answer yet and its client has not left.
+        was_resent: whether the try was sent again because the node closed an idle connection under it.
+        connection: the connection that carries the try; None while the try waits for a connection.
     """
 
     client: Client
@@ -57,7 +57,7 @@
     connection: "Connection | None" = None
 
     def request(self, address: Address, now_ms: float) -> bytes:
-        """Return the HTTP request that carries it."""
+        """Return the HTTP request of the try to the node at `address`, sent at `now_ms` of the run."""
         arrival, request_class = self.client.arrival, self.client.type
         class_name = request_class.name.encode()
         headers = f"Idempotency-Key: {arrival.receipt}\r\n" if arrival.receipt else ""
@@ -83,24 +83,24 @@
 
 
 class AnswerHandler(Protocol):
-    """Whoever is told of a connection's whole answers."""
+    """Receives the complete answers of connections."""
 
     def on_answer(self, connection: "Connection") -> None:
-        """Take in the answer that a connection holds."""
+        """Handle the complete answer that a connection has received."""
 
 
 class Connection:
-    """One connection to a node.
+    """One connection to a node, reused for one try after the other.
 
     Attributes:
         node: the node's name.
         sock: the socket; `fd` is its file descriptor.
         is_connecting: whether the connection is not established yet.
-        was_used: whether it has brought an answer before.
-        pending: the try that is on it, None where it is idle.
-        unsent: what of the request is still to be written.
+        was_used: whether an answer was received on it before.
+        pending: the try that it carries, None while it is idle.
+        unsent: the bytes of the request that are still to be written.
         headers: the headers of the answer that is being read, by lower-case name.
-        body: what of its body has come.
+        body: the bytes of the answer's body received so far.
         keep_alive: whether the node keeps the connection open after the answer.
     """
 
@@ -120,7 +120,7 @@
     )
 
     def __init__(self, handler: AnswerHandler, node: str, address: Address) -> None:
-        """Begin a connection; raise ConnectionUnavailableError where that fails at once."""
+        """Start to connect; raise ConnectionUnavailableError if that fails at once."""
         self._handler, self.node = handler, node
         self.sock = _connecting_socket(address)
         self.fd = self.sock.fileno()
@@ -130,39 +130,39 @@
         self.reset_parser()
 
     def reset_parser(self) -> None:
-        """Make ready for the next answer."""
+        """Discard the last answer and prepare for the next one."""
         self._parser = httptools.HttpResponseParser(self)
         self.body = b""
         self.headers: dict[bytes, bytes] = {}
         self.keep_alive = True
 
     def outcome(self, pending: PendingTry) -> str:
-        """Return what the answer means for a try: completed, deferred, aborted, or garbled (not its own)."""
-        how = OUTCOME_BY_STATUS.get(self._parser.get_status_code(), "aborted")
-        if how == "completed" and not self.body.startswith(pending.id.encode()):
+        """Return a try's outcome: completed, deferred, aborted, or garbled (answer of another try)."""
+        outcome = OUTCOME_BY_STATUS.get(self._parser.get_status_code(), "aborted")
+        if outcome == "completed" and not self.body.startswith(pending.id.encode()):
             return "garbled"
-        return how
+        return outcome
 
-    def advice_ms(self) -> float:
-        """Return the answer's Retry-After in ms, 0 where it has none or one that is no number."""
+    def retry_after_ms(self) -> float:
+        """Return the answer's Retry-After in ms; 0 if the header is missing or not a number."""
         try:
             return 1000.0 * float(self.headers.get(b"retry-after", b"0"))
         except ValueError:
             return 0.0
 
     def connect_error(self) -> int:
-        """Return the error that ended the attempt to connect, 0 where there is none."""
+        """Return the errno with which connecting failed, 0 if it did not fail."""
         return self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
 
     def flush(self) -> None:
-        """Write what the socket takes of the request; raise OSError where the connection is broken."""
+        """Write as much of the request as the socket accepts; raise OSError if the connection is broken."""
         try:
             self.unsent = self.unsent[self.sock.send(self.unsent) :]
         except BlockingIOError:
             return
 
     def receive(self) -> bool:
-        """Read what has come and handle it; return whether the connection still works."""
+        """Read and parse available bytes; return False if the connection ended or the answer is malformed."""
         try:
             data = self.sock.recv(RECEIVE_BYTES)
             if data:
@@ -173,24 +173,24 @@
             return False
         return bool(data)
 
-    # Called by the parser.
+    # Callbacks of the parser.
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a header."""
+        """Store a header under its lower-case name."""
         self.headers[name.lower()] = value
 
     def on_body(self, data: bytes) -> None:
-        """Keep a part of the body."""
+        """Append a part of the body."""
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Hand a whole answer on."""
+        """Pass the complete answer to the handler."""
         self.keep_alive = self._parser.should_keep_alive()
         self._handler.on_answer(self)
 
 
 def _connecting_socket(address: Address) -> socket.socket:
-    """Return a non-blocking socket that is connecting, or raise ConnectionUnavailableError."""
+    """Return a non-blocking socket that is connecting; raise ConnectionUnavailableError if that fails."""
     try:
         sock = socket.socket()
         sock.setblocking(False)
--- a/marlseam/load/errors.py
+++ b/marlseam/load/errors.py
@@ -8,29 +8,29 @@
 
 
 class TraceError(LoadError):
-    """A trace cannot be replayed; nothing of it was sent.
+    """A trace cannot be read or replayed; none of its tries was sent.
 
     Attributes:
-        problems: each thing that is wrong, a line each; str() of the error joins them.
+        problems: one line for each problem found; str() of the error joins them by newlines.
     """
 
     def __init__(self, problems: Iterable[str]) -> None:
-        """Raise it for some problems."""
+        """Create the error from its problems, a line each."""
         self.problems = tuple(problems)
         super().__init__("\n".join(self.problems))
 
 
 class ConnectionUnavailableError(LoadError):
-    """No connection to a node could be opened, so a try was not sent.
+    """No connection to a node could be opened, so that a try was not sent.
 
     Attributes:
-        reason: NO_DESCRIPTORS, REFUSED, or the operating system's text.
+        reason: NO_DESCRIPTORS, REFUSED, or the operating system's error text.
     """
 
     NO_DESCRIPTORS = "no descriptors"
     REFUSED = "refused"
 
     def __init__(self, reason: str) -> None:
-        """Raise it for a reason."""
+        """Create the error from its reason."""
         self.reason = reason
         super().__init__(reason)
--- a/marlseam/load/generator.py
+++ b/marlseam/load/generator.py
@@ -1,9 +1,9 @@
-"""The load generator: one process on one core that sends tries at their intended times, open loop.
+"""The load generator: one process on one core that sends tries at their intended times (open loop).
 
-It never waits for answers: a slow node must not slow the load down. A plain epoll loop, as a send must not
-wait behind the work of another. Latency counts from the intended send; the count from the actual one stands
-beside it. The generator's own lag (it was busy) is told apart from a wait for a connection, where their
-number is limited.
+A send never waits for an answer, so that a slow node does not reduce the load (coordinated omission). A plain
+epoll loop is used, as a send must not wait behind the work of another one. Latency is measured from the
+intended send, and separately from the actual send. The generator's own lag, by which it was too busy to send
+in time, is counted apart from a try's wait for a connection, which occurs where their number is limited.
 """
 
 import heapq
@@ -27,14 +27,14 @@
 from marlseam.simulation.model import Day
 from marlseam.simulation.plan import Arrival
 
-NODE_CHECK_INTERVAL_MS = 250.0  # how often a node that refused a connection is tried
-NODE_CHECK_TIMEOUT_S = 0.05
-ANSWER_GRACE_MS = 50.0  # how long past its deadline a client waits for an answer that is on its way
+NODE_CHECK_INTERVAL_MS = 250.0  # between two checks of a node that refused a connection
+NODE_CHECK_TIMEOUT_S = 0.05  # of connecting to such a node
+ANSWER_GRACE_MS = 50.0  # how long after its deadline a client waits for an answer in transit
 MAX_POLL_MS = 200.0
 MAX_POLL_EVENTS = 256
 PROGRESS_INTERVAL_MS = 500.0
-SENDS_BETWEEN_CLOCK_READS = 64  # while many sends are due at once
-RESERVED_DESCRIPTORS = 32  # for files, the poll and the checks of nodes
+SENDS_BETWEEN_CLOCK_READS = 64  # while many sends are due
+RESERVED_DESCRIPTORS = 32  # for files, epoll and the checks of nodes
 
 
 class NodePlace(NamedTuple):
@@ -45,15 +45,15 @@
 
 
 class Generator:
-    """Sends a part of a day's arrivals to nodes, and records what its clients see.
+    """Sends arrivals of a day to nodes, and records what its clients see.
 
     Attributes:
-        day: the day that is played.
-        arrivals: what to send, in order of intended time.
-        writer: the stream that takes the clients' records.
-        tally: what was counted.
-        open_tries: how many tries have no answer yet and a client that waits.
-        max_descriptors: how many connections the process may have.
+        day: the day that is run.
+        arrivals: the arrivals to send, in order of their intended times.
+        writer: the stream for the clients' records.
+        tally: the counts and histograms of this generator.
+        open_tries: the number of tries whose clients still wait for an answer.
+        max_descriptors: the most connections that the process's limit of file descriptors allows.
     """
 
     def __init__(
@@ -62,26 +62,26 @@
         arrivals: list[Arrival],
         nodes: Mapping[str, tuple[str, str]],
         writer: StreamWriter,
-        chance: np.random.Generator,
+        rng: np.random.Generator,
         max_connections: int = 0,
     ) -> None:
-        """Make a generator.
+        """Create a generator; `run` starts it.
 
-        `nodes` holds zone and address by name; `max_connections` limits the connections at once, 0 for as
-        many as needed; `chance` draws the clients' waits before their retries.
+        `nodes` maps a node's name to its zone and its address HOST:PORT; `max_connections` limits the
+        simultaneous connections, 0 for no limit; `rng` draws the clients' waits before their retries.
         """
         places = {name: NodePlace(*place) for name, place in nodes.items()}
         self.day, self.arrivals, self.writer = day, arrivals, writer
         self.tally = Tally()
         self.open_tries = 0
         self.max_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0] - RESERVED_DESCRIPTORS
-        self._chance, self._max_connections = chance, max_connections
-        self._addresses = {name: Address.parsed(place.address) for name, place in places.items()}
-        self._front = FrontLoadBalancer(_names_by_zone(places), 1000.0 * day.clients.notice_s)
+        self._rng, self._max_connections = rng, max_connections
+        self._addresses = {name: Address.parse(place.address) for name, place in places.items()}
+        self._load_balancer = FrontLoadBalancer(_names_by_zone(places), 1000.0 * day.clients.notice_s)
         self._poll = select.epoll()
         self._connections: dict[int, Connection] = {}  # by file descriptor
         self._idle: dict[str, list[Connection]] = {name: [] for name in nodes}
-        self._waiting: deque[PendingTry] = deque()  # for a connection, where their number is limited
+        self._waiting: deque[PendingTry] = deque()  # tries without a connection, if these are limited
         self._timers: list[tuple[float, int, Callable[[], None]]] = []
         self._timer_count = 0
         self._scheduled_retries = 0
@@ -91,18 +91,19 @@
     # Time.
 
     def now_ms(self) -> float:
-        """Return ms since the run's zero."""
+        """Return the time in ms since the run's zero."""
         return (time.monotonic() - self._zero_s) * 1000.0
 
     def _call_at(self, at_ms: float, call: Callable[[], None]) -> None:
-        """Call at a time; calls of the same time are made in the order in which they were asked for."""
+        """Schedule a call at `at_ms` of the run; calls for the same time keep the order of scheduling."""
         self._timer_count += 1
         heapq.heappush(self._timers, (at_ms, self._timer_count, call))
 
     def run(self, zero_s: float, progress: Callable[[float, Tally], None] | None = None) -> Tally:
-        """Play the arrivals from the run's zero on (seconds, monotonic clock) to the last answer.
+        """Send all arrivals; return the tally once every client has its last answer or has left.
 
-        `progress` is called now and then with the time in ms and the tally.
+        `zero_s` is the run's zero in seconds of the monotonic clock; `progress` is called at most every
+        PROGRESS_INTERVAL_MS with the time in ms of the run and the tally.
         """
         self._zero_s = zero_s
         progress_ms = 0.0
@@ -119,11 +120,11 @@
         return self.tally
 
     def _has_arrivals(self) -> bool:
-        """Return whether any arrival is still to be sent."""
+        """Return whether an arrival is still to be sent."""
         return self._next_arrival < len(self.arrivals)
 
     def _send_due_arrivals(self) -> float:
-        """Send all arrivals whose time has come; return the time when the clock was last read, in ms."""
+        """Send all arrivals that are due; return the last reading of the clock, in ms of the run."""
         now_ms = self.now_ms()
         while self._has_arrivals() and self.arrivals[self._next_arrival].at <= now_ms:
             self._send_arrival(self.arrivals[self._next_arrival])
@@ -133,18 +134,18 @@
         return now_ms
 
     def _run_due_timers(self, now_ms: float) -> None:
-        """Make the calls whose time has come."""
+        """Make all scheduled calls that are due at `now_ms`."""
         while self._timers and self._timers[0][0] <= now_ms:
             heapq.heappop(self._timers)[2]()
 
     def _handle_sockets(self, now_ms: float) -> None:
-        """Wait for sockets until something is due, and handle those that are ready."""
+        """Poll the sockets until the next send or call is due, and handle those that are ready."""
         due_ms = min(
             self.arrivals[self._next_arrival].at if self._has_arrivals() else inf,
             self._timers[0][0] if self._timers else inf,
             now_ms + MAX_POLL_MS,
         )
-        # epoll counts whole milliseconds and rounds up: the last one before a send is spent polling.
+        # epoll rounds its time-out up to whole ms: the last ms before a send is spent polling without wait.
         pause_s = int(max(0.0, due_ms - self.now_ms())) / 1000.0
         for fd, mask in self._poll.poll(pause_s, MAX_POLL_EVENTS):
             connection = self._connections.get(fd)
@@ -152,7 +153,7 @@
                 self._handle_ready(connection, mask)
 
     def _finish(self) -> None:
-        """Close all connections and end the stream of records."""
+        """Close all connections, record the lagged seconds, and end the stream of records."""
         for connection in list(self._connections.values()):
             self._close(connection)
         for number, second in sorted(self.tally.lagged.items()):
@@ -166,26 +167,26 @@
     # Tries.
 
     def _send_arrival(self, arrival: Arrival) -> None:
-        """Send a request's first try, or a trace's next one."""
+        """Send the try of an arrival: a request's first, or a try of a trace; count the generator's lag."""
         self.tally.record_lag(arrival.at, self.now_ms() - arrival.at)
         request_class = self.day.types[arrival.type]
         client = Client(arrival, request_class, self.day.clients, replayed=bool(arrival.first))
         self._send_try(client, arrival.at)
 
     def _send_try(self, client: Client, intended_ms: float) -> None:
-        """Send a client's next try to the node that the front picks."""
+        """Send a client's next try to the node that the front load balancer picks."""
         try_id, now_ms = client.begin(), self.now_ms()
-        node, _ = self._front.pick_node(client.arrival.zone, now_ms)
+        node, _ = self._load_balancer.pick_node(client.arrival.zone, now_ms)
         pending = PendingTry(client, try_id, intended_ms, node)
         self.open_tries += 1
         self.writer.add(try_record(client, try_id, self.writer.by, node, now_ms))
-        leaves_ms = client.leaves_at(now_ms)
-        grace_ms = ANSWER_GRACE_MS if leaves_ms >= client.expires else 0.0
-        self._call_at(leaves_ms + grace_ms, lambda: self._client_leaves(pending))
+        leaves_at_ms = client.leaves_at(now_ms)
+        grace_ms = ANSWER_GRACE_MS if leaves_at_ms >= client.expires else 0.0
+        self._call_at(leaves_at_ms + grace_ms, lambda: self._handle_client_left(pending))
         self.send(pending)
 
     def send(self, pending: PendingTry) -> None:
-        """Write a try on an idle connection or a new one; let it wait where no more are allowed."""
+        """Send a try over an idle or a new connection; queue it if no more connections are allowed."""
         idle = self._idle[pending.node]
         if idle:
             connection = idle.pop()
@@ -203,7 +204,7 @@
             self._write(connection, pending)
 
     def _connect(self, node: str) -> Connection:
-        """Begin a connection to a node, or raise ConnectionUnavailableError."""
+        """Start a connection to a node; raise ConnectionUnavailableError if that fails at once."""
         if len(self._connections) >= self.max_descriptors:
             raise ConnectionUnavailableError(ConnectionUnavailableError.NO_DESCRIPTORS)
         connection = Connection(self, node, self._addresses[node])
@@ -212,7 +213,7 @@
         return connection
 
     def _write(self, connection: Connection, pending: PendingTry) -> None:
-        """Write a try's request to its connection."""
+        """Write the request of a try to its connection, and count it as sent."""
         now_ms = self.now_ms()
         connection.unsent = pending.request(self._addresses[connection.node], now_ms)
         pending.sent_ms = now_ms
@@ -220,7 +221,7 @@
         self._flush(connection)
 
     def _flush(self, connection: Connection) -> None:
-        """Write what the socket takes, and wait for room where it does not take all."""
+        """Write what the socket accepts; poll for writability while bytes are left."""
         try:
             connection.flush()
         except OSError:
@@ -230,7 +231,7 @@
         self._poll.modify(connection.fd, mask)
 
     def _handle_ready(self, connection: Connection, mask: int) -> None:
-        """Go on at a connection on which something happened."""
+        """Handle an epoll event of a connection."""
         if connection.is_connecting:
             self._handle_connected(connection, mask)
             return
@@ -241,7 +242,7 @@
             self._connection_lost(connection)
 
     def _handle_connected(self, connection: Connection, mask: int) -> None:
-        """Send the try that waits for a connection to be established, or note that the node refused it."""
+        """Send the try that waits for a connection now established, or handle a refused connection."""
         if connection.connect_error() or mask & select.EPOLLHUP:
             self._connection_refused(connection)
             return
@@ -251,54 +252,56 @@
             self._write(connection, connection.pending)
 
     def on_answer(self, connection: Connection) -> None:
-        """Take in the whole answer that a connection holds."""
+        """Handle the complete answer that a connection has received."""
         pending, now_ms = connection.pending, self.now_ms()
         if pending is None:
             self._close(connection)
             return
         connection.pending = pending.connection = None
         connection.was_used = True
-        how, keep_alive = connection.outcome(pending), connection.keep_alive
-        advice_ms = connection.advice_ms() if how == "deferred" else 0.0
+        outcome, keep_alive = connection.outcome(pending), connection.keep_alive
+        retry_after_ms = connection.retry_after_ms() if outcome == "deferred" else 0.0
         connection.reset_parser()
-        if how == "completed":
+        if outcome == "completed":
             self.tally.record_completed(now_ms - pending.intended_ms, now_ms - pending.sent_ms)
         if keep_alive:
             self._idle[connection.node].append(connection)
         else:
             self._close(connection)
-        self._end_try(pending, how, advice_ms)
+        self._end_try(pending, outcome, retry_after_ms)
         self._send_waiting()
 
     def _send_waiting(self) -> None:
-        """Give connections to the tries that wait for one, in order, as far as there are any."""
+        """Send queued tries in their order while connections are available."""
         while self._waiting:
             pending = self._waiting.popleft()
             if not pending.is_open:
                 continue
             if not self._idle[pending.node] and len(self._connections) >= self._max_connections:
-                # Another node's idle connection makes room.
-                spare = next((idle for idle in self._idle.values() if idle), None)
-                if spare is None:
+                # At the limit: close an idle connection to another node, to open one to this node.
+                other_idle = next((idle for idle in self._idle.values() if idle), None)
+                if other_idle is None:
                     self._waiting.appendleft(pending)
                     return
-                self._close(spare[0])
+                self._close(other_idle[0])
             self.send(pending)
 
-    def _end_try(self, pending: PendingTry, how: str, advice_ms: float) -> None:
-        """Record how a try ended, and schedule its client's retry if there is one."""
+    def _end_try(self, pending: PendingTry, outcome: str, retry_after_ms: float) -> None:
+        """Record the outcome of a try, and schedule the client's retry if it makes one."""
         pending.is_open = False
         self.open_tries -= 1
         now_ms = self.now_ms()
         self.writer.add(
-            records.TryAnswered(t=now_ms, by=self.writer.by, id=pending.id, how=how, advice_ms=advice_ms)
+            records.TryAnswered(
+                t=now_ms, by=self.writer.by, id=pending.id, how=outcome, advice_ms=retry_after_ms
+            )
         )
-        wait_ms = pending.client.wait(now_ms, how, advice_ms, self._chance)
+        wait_ms = pending.client.wait(now_ms, outcome, retry_after_ms, self._rng)
         if wait_ms is not None:
             self._schedule_retry(pending.client, now_ms + wait_ms)
 
     def _schedule_retry(self, client: Client, at_ms: float) -> None:
-        """Send a client's next try at a time."""
+        """Schedule a client's next try at `at_ms` of the run."""
 
         def retry() -> None:
             self._scheduled_retries -= 1
@@ -308,12 +311,12 @@
         self._call_at(at_ms, retry)
 
     def _fail_unsent(self, pending: PendingTry, reason: str) -> None:
-        """End a try for which there was no connection."""
+        """End a try that was not sent, as no connection was available."""
         self.tally.record_unsent(reason)
         self._end_try(pending, "unsent", 0.0)
 
-    def _client_leaves(self, pending: PendingTry) -> None:
-        """Close the connection of a client that goes without an answer."""
+    def _handle_client_left(self, pending: PendingTry) -> None:
+        """End a try whose client leaves without an answer, and close its connection."""
         if not pending.is_open:
             return
         pending.is_open = False
@@ -326,40 +329,40 @@
             self._close(pending.connection)
             self._send_waiting()
 
-    # Connections that fail.
+    # Failed connections.
 
     def _connection_refused(self, connection: Connection) -> None:
-        """Fail the try of a refused connection; the front notices the node's failure after its time."""
+        """Fail the try of a refused connection; the load balancer notices the failure after a delay."""
         node, pending = connection.node, connection.pending
         connection.pending = None
         self._close(connection)
-        if node not in self._front.down_since_by_node:
-            self._front.mark_down(node, self.now_ms())
+        if node not in self._load_balancer.down_since_by_node:
+            self._load_balancer.mark_down(node, self.now_ms())
             self._call_at(self.now_ms() + NODE_CHECK_INTERVAL_MS, lambda: self._check_node(node))
         if pending is not None and pending.is_open:
             pending.connection = None
             self._fail_unsent(pending, ConnectionUnavailableError.REFUSED)
 
     def _check_node(self, node: str) -> None:
-        """Try whether a node accepts connections again; check again later if it does not."""
+        """Mark a node up if it accepts a connection, else check again after NODE_CHECK_INTERVAL_MS."""
         if not self._has_arrivals() and not self.open_tries:
             return
         with socket.socket() as sock:
             sock.settimeout(NODE_CHECK_TIMEOUT_S)
             if sock.connect_ex(self._addresses[node]) == 0:
-                self._front.mark_up(node)
+                self._load_balancer.mark_up(node)
                 return
         self._call_at(self.now_ms() + NODE_CHECK_INTERVAL_MS, lambda: self._check_node(node))
 
     def _connection_lost(self, connection: Connection) -> None:
-        """Drop a connection that ended; a try on it is lost, or sent once more where that is harmless."""
+        """Close a failed connection; its try is lost, or is sent again where that has no second effect."""
         pending = connection.pending
         connection.pending = None
         self._close(connection)
         if pending is None or not pending.is_open:
             return
         pending.connection = None
-        # A node may close an idle connection while a request is on its way to it.
+        # A node may close an idle connection while a request is in transit on it.
         closed_while_idle = (
             connection.was_used
             and not connection.body
@@ -373,7 +376,7 @@
             self._end_try(pending, "lost", 0.0)
 
     def _close(self, connection: Connection) -> None:
-        """Close a connection, if it is not closed yet."""
+        """Close a connection; does nothing if it is closed already."""
         if self._connections.pop(connection.fd, None) is not None:
             if connection in self._idle[connection.node]:
                 self._idle[connection.node].remove(connection)
@@ -382,7 +385,7 @@
 
 
 def _names_by_zone(places: Mapping[str, NodePlace]) -> dict[str, list[str]]:
-    """Return the names of the nodes of each zone."""
+    """Return the nodes' names by zone."""
     by_zone: dict[str, list[str]] = {}
     for name, place in places.items():
         by_zone.setdefault(place.zone, []).append(name)
--- a/marlseam/load/process.py
+++ b/marlseam/load/process.py
@@ -1,4 +1,4 @@
-"""A generator as a process of its own, which an experiment starts and reads."""
+"""The process of one load generator, which an experiment starts and whose standard output it reads."""
 
 import gc
 import json
@@ -14,18 +14,18 @@
 from marlseam.simulation.chance import stream
 from marlseam.simulation.model import Day
 
-START_DELAY_S = 0.2  # from the ready line to the run's zero, where no zero is handed in
+START_DELAY_S = 0.2  # from the ready line to the run's zero, if the parent sends no zero
 
 
 def arrivals_of(day: Day, seed: int) -> list[plan.Arrival]:
-    """Return a day's arrivals: drawn from the seed, or read from the trace that it names."""
+    """Return a day's arrivals, drawn from the seed or read from the day's trace; raise TraceError."""
     if day.load.shape == "trace":
         return trace.load(Path(day.load.trace), day)
     return plan.make(day, seed, faults.surges(faults.schedule(day, seed)))
 
 
 def summary(tally: Tally) -> TallySummary:
-    """Return what a generator counted, as JSON holds it."""
+    """Return a tally in the form that is written as JSON."""
     return {
         "sent": tally.sent,
         "lagged": sorted(tally.lagged),
@@ -46,10 +46,11 @@
     part: str,
     connections: int,
 ) -> None:
-    """Play one part of a day's arrivals; print an empty line when ready, then what was counted.
+    """Send one part of a day's arrivals; print an empty JSON object when ready, then the tally as JSON.
 
-    `nodes` holds zone and address by name, `folder` takes the records (None: they are dropped), `part` is
-    NUMBER/COUNT. The run's zero is shortly after with `now`, else read from standard input.
+    `nodes` maps a node's name to its zone and its address HOST:PORT. `folder` is where records are written
+    (None: they are dropped). `part` is NUMBER/COUNT: every COUNT-th arrival, from NUMBER on. With `now` the
+    run's zero is START_DELAY_S after the ready line, else a JSON line on standard input has the zero.
     """
     number, count = (int(word) for word in part.split("/"))
     arrivals = arrivals_of(day, seed)[number - 1 :: count]
@@ -59,7 +60,7 @@
     generator = Generator(day, arrivals, places, writer, stream(seed, "clients", number), connections)
     print(json.dumps({}), flush=True)
     zero_s = time.monotonic() + START_DELAY_S if now else float(json.loads(sys.stdin.readline())["zero"])
-    # Guards against a late send: a collection of all that a long plan holds stops the process for long.
+    # Guards against late sends: a garbage collection over all objects of a long plan is a long pause.
     gc.collect()
     gc.freeze()
     gc.disable()
--- a/marlseam/load/tally.py
+++ b/marlseam/load/tally.py
@@ -1,4 +1,4 @@
-"""What a load generator counts: latencies, its own lag, and why tries were not sent."""
+"""What a load generator counts: latencies, its own lag, and tries that were not sent, by reason."""
 
 from dataclasses import dataclass, field
 from typing import Literal, TypedDict, get_args
@@ -7,7 +7,7 @@
 
 MAX_LATENCY_US = 600_000_000
 SIGNIFICANT_DIGITS = 3
-LAG_MS = 5.0  # a send that is later than this by the generator's own fault marks its second as lagged
+LAG_MS = 5.0  # a send later than this by the generator's own lag marks its second as lagged
 
 HistogramName = Literal["intended", "actual", "lag"]
 HISTOGRAM_NAMES: tuple[HistogramName, ...] = get_args(HistogramName)
@@ -20,7 +20,7 @@
 
 @dataclass
 class LaggedSecond:
-    """A second in which the generator sent too late: by how many ms at most, and how many sends."""
+    """A second with sends late by the generator's own lag: the largest lag, and the number of late sends."""
 
     max_lag_ms: float = 0.0
     sends: int = 0
@@ -28,15 +28,15 @@
 
 @dataclass
 class Tally:
-    """What a generator counted.
+    """The counts and latency histograms of one generator.
 
     Attributes:
         intended: latencies from the intended send, in microseconds.
         actual: latencies from the actual send, in microseconds.
-        lag: how late each request's first try was by the generator's own fault, in microseconds.
-        sent: how many tries were written to a connection.
-        lagged: the seconds in which the generator lagged, by their number.
-        refused: how many tries were not sent, by reason.
+        lag: how late the generator sent each arrival by its own lag, in microseconds.
+        sent: the number of tries written to a connection, retries included.
+        lagged: the seconds in which the generator lagged, by the second's number from the run's zero.
+        refused: the number of tries that were not sent, by reason.
     """
 
     intended: HdrHistogram = field(default_factory=new_histogram)
@@ -47,7 +47,7 @@
     refused: dict[str, int] = field(default_factory=dict)
 
     def record_lag(self, intended_ms: float, lag_ms: float) -> None:
-        """Count by how much a send was late through the generator's own fault."""
+        """Record by how much a send was late through the generator's own lag."""
         self.lag.record_value(_microseconds(lag_ms))
         if lag_ms > LAG_MS:
             second = self.lagged.setdefault(int(intended_ms // 1000.0), LaggedSecond())
@@ -55,25 +55,25 @@
             second.sends += 1
 
     def record_completed(self, from_intended_ms: float, from_actual_ms: float) -> None:
-        """Count the latencies of a completed try."""
+        """Record the latencies of a completed try, in ms."""
         self.intended.record_value(_microseconds(from_intended_ms))
         self.actual.record_value(_microseconds(from_actual_ms))
 
     def record_unsent(self, reason: str) -> None:
-        """Count a try that was not sent."""
+        """Count a try that was not sent, under its reason."""
         self.refused[reason] = self.refused.get(reason, 0) + 1
 
 
 def _microseconds(latency_ms: float) -> int:
-    """Return a latency in whole microseconds, 1 at least as a histogram needs."""
+    """Return a latency in whole microseconds, at least 1, the lowest value of a histogram."""
     return max(1, int(latency_ms * 1000.0))
 
 
 class TallySummary(TypedDict):
-    """A tally as JSON, as one process hands it to another and as an experiment stores it.
+    """A tally as JSON, which a generator prints and an experiment stores.
 
-    Histograms are in HdrHistogram's own encoding, `lagged` holds the numbers of the lagged seconds and
-    `lagged_sends` how many sends these held.
+    `intended`, `actual` and `lag` are histograms in HdrHistogram's encoding, `lagged` has the numbers of the
+    lagged seconds, and `lagged_sends` is the number of late sends in them.
     """
 
     sent: int
--- a/marlseam/load/verdict.py
+++ b/marlseam/load/verdict.py
@@ -1,4 +1,4 @@
-"""Whether generators kept up, and what they counted, over all their processes."""
+"""The merged counts of all generators of a run, and whether the generators kept up with the plan."""
 
 from dataclasses import dataclass
 
@@ -7,24 +7,24 @@
 from marlseam.load.errors import ConnectionUnavailableError
 from marlseam.load.tally import HISTOGRAM_NAMES, LAG_MS, HistogramName, TallySummary, new_histogram
 
-MAX_LAGGED_SHARE = 0.01  # of sends in a valid run, that the generator's own lag delayed
+MAX_LAGGED_SHARE = 0.01  # largest share of planned sends delayed by own lag over LAG_MS in a valid run
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
 
 
 @dataclass(frozen=True)
 class Counted:
-    """What generators counted together.
+    """The merged counts of all generators of a run.
 
     Attributes:
-        planned: how many sends the plan had.
-        sent: how many tries were written to a connection, retries included.
+        planned: the number of sends in the plan.
+        sent: the number of tries written to a connection, retries included.
         intended: latencies from the intended send in ms, by percentile.
         actual: latencies from the actual send in ms, by percentile.
         lag: the generators' own lag in ms, by percentile.
-        lagged: the seconds in which a generator lagged.
-        lagged_share: the share of the planned sends that such lag touched.
-        refused: how many tries were not sent, by reason.
-        histograms: the whole histograms of `intended`, `actual` and `lag`, in microseconds.
+        lagged: the numbers of the seconds in which a generator lagged, counted from the run's zero.
+        lagged_share: the number of sends late by own lag over LAG_MS, as a share of the planned sends.
+        refused: the number of tries that were not sent, by reason.
+        histograms: the full histograms of `intended`, `actual` and `lag`, in microseconds.
     """
 
     planned: int
@@ -39,14 +39,14 @@
 
     @property
     def is_valid(self) -> bool:
-        """Return whether the load was what the plan says."""
+        """Whether the generators sent the planned load: little own lag, and no lack of descriptors."""
         return (
             self.lagged_share <= MAX_LAGGED_SHARE
             and ConnectionUnavailableError.NO_DESCRIPTORS not in self.refused
         )
 
     def share_over(self, name: HistogramName, limit_ms: float) -> float:
-        """Return the share of latencies, counted from `intended` or `actual` sends, that lie over a limit."""
+        """Return the share of latencies over a limit in ms in the histogram `name`; 0 if it is empty."""
         histogram = self.histograms[name]
         total = histogram.get_total_count()
         over = sum(
@@ -58,14 +58,14 @@
 
 
 def merge(counts: list[TallySummary], planned: int) -> Counted:
-    """Add up the counts of several generators; `planned` is how many sends the plan had."""
+    """Merge the counts of several generators; `planned` is the number of sends in the plan."""
     histograms = {name: new_histogram() for name in HISTOGRAM_NAMES}
     refused: dict[str, int] = {}
     for count in counts:
         for name, histogram in histograms.items():
             histogram.decode_and_add(count[name].encode())
-        for why, number in count["refused"].items():
-            refused[why] = refused.get(why, 0) + number
+        for reason, unsent in count["refused"].items():
+            refused[reason] = refused.get(reason, 0) + unsent
     latencies_ms = {name: _percentiles_ms(histogram) for name, histogram in histograms.items()}
     return Counted(
         planned=planned,
@@ -81,26 +81,28 @@
 
 
 def _percentiles_ms(histogram: HdrHistogram) -> dict[float, float]:
-    """Return the latencies of a histogram in ms, by percentile."""
+    """Return a histogram's values at PERCENTILES in ms, by percentile."""
     return {p: histogram.get_value_at_percentile(p) / 1000.0 for p in PERCENTILES}
 
 
 def table(counted: Counted) -> str:
-    """Return what was counted, for people."""
+    """Return the counts as a text table for display."""
     rows = [f"{counted.sent} sent of {counted.planned} planned (retries included)"]
     rows.append(
-        f"{'latency, ms':<24}" + "".join(f"{f'p{p:g}' if p < 100.0 else 'most':>10}" for p in PERCENTILES)
+        f"{'latency, ms':<24}" + "".join(f"{f'p{p:g}' if p < 100.0 else 'max':>10}" for p in PERCENTILES)
     )
     for name, figures in (
         ("from the intended send", counted.intended),
         ("from the actual send", counted.actual),
-        ("own lag", counted.lag),
+        ("generator's own lag", counted.lag),
     ):
         rows.append(f"{name:<24}" + "".join(f"{figures[p]:>10.2f}" for p in PERCENTILES))
     if counted.lagged:
         shown = ", ".join(str(second) for second in counted.lagged[:20])
-        rows.append(f"own lag over {LAG_MS:g} ms in second {shown}: {counted.lagged_share:.2%} of the sends")
-    rows += [f"not sent, {why}: {number}" for why, number in counted.refused.items()]
+        rows.append(
+            f"own lag over {LAG_MS:g} ms in seconds {shown}: {counted.lagged_share:.2%} of the planned sends"
+        )
+    rows += [f"tries not sent, {reason}: {unsent}" for reason, unsent in counted.refused.items()]
     if not counted.is_valid:
-        rows.append("not valid: the generator itself was the bottleneck")
+        rows.append("run not valid: the load generator was the bottleneck")
     return "\n".join(rows)
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -1,4 +1,4 @@
-"""Small days for the tests of the simulation, verification, load and experiments."""
+"""Small days and their runs in virtual time, for tests of simulation, verification, load, experiments."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -40,7 +40,7 @@
 
 
 class PlayedDay(NamedTuple):
-    """What a day in virtual time came to: the judge's verdict and what it read, figures, and the records."""
+    """A day run in virtual time: the judge's verdict, the judge's input, the figures and the records."""
 
     verdict: Verdict
     book: RunRecords
@@ -49,14 +49,14 @@
 
 
 def day(seconds: float = 12.0, rate: float = 15.0, **tables: Any) -> Day:
-    """Return a small day in two zones; `tables` are added to those of the day, and to that of the fleet."""
+    """Return a small day in two zones; `tables` replace whole tables, but `fleet` only its given keys."""
     fleet = {"zones": ["east", "west"], "nodes": 3, "kinds": KINDS, **tables.pop("fleet", {})}
     standard = {"seconds": seconds, "fleet": fleet, "types": TYPES, "load": {"rate": rate}}
     return msgspec.convert(standard | tables, Day)
 
 
 def played(day: Day, seed: int = 1, make_reducer: Callable[[], Reducer] = Reducer) -> PlayedDay:
-    """Play a day in virtual time, and judge its records."""
+    """Run a day in virtual time with reducers of `make_reducer`, and judge its records."""
     streams = RecordStreams(None, "driver")
     VirtualDriver(day, seed, streams, make_reducer).run()
     records = [record for writer in streams.writers.values() for record in writer.records]
