--- a/examples/fleet.py
+++ b/examples/fleet.py
@@ -1,8 +1,8 @@
-"""Three emulated servers to try a node with, and their discovery at 127.0.0.1:8500, until Ctrl-C.
+"""Run three emulated servers and their discovery, at 127.0.0.1:8500, for a node, until Ctrl-C.
 
     python examples/fleet.py
 
-A request's body may say what it costs, as {"work": 300} in ms; the response names the server that ran it.
+A request's body may set its standard work in ms, as {"work": 300}; the response names the server that ran it.
 """
 
 from marlseam.emulators.discovery import DiscoveryService
@@ -27,7 +27,7 @@
 
 
 def main() -> None:
-    """Run the servers and the discovery; print their addresses."""
+    """Run the servers and the discovery until Ctrl-C; print their addresses as one line of JSON."""
     process = EmulatorProcess("fleet", None)
     simulated = fleet.build(DAY, SEED, [])
     servers = [EmulatedServer(process, server, DAY, nodelay=True) for server in simulated.values()]
--- a/examples/members.py
+++ b/examples/members.py
@@ -1,10 +1,10 @@
-"""Seven nodes of one cluster on loopback, with emulated servers and their discovery, until Ctrl-C.
+"""Run seven nodes of one cluster on loopback, with emulated servers and their discovery, until Ctrl-C.
 
     PYTHONPATH=. python examples/members.py
 
-Each node is a process of its own, with a ledger of its own. What is printed tells where to ask which members
-are alive and on which version they act, how to publish a change, and how to read the audit; stop a node
-(kill -STOP), or end it, and ask again.
+Each node is a separate process with its own ledger. The example prints the commands that show which members
+are alive and on which version they act, that publish a change, and that read the audit. To see how the
+cluster reacts, stop a node (kill -STOP) or end it, and run the first command again.
 """
 
 import contextlib
@@ -37,7 +37,7 @@
 
 
 def free_address(socket_type: int) -> str:
-    """Return an address on loopback that was free a moment ago, for sockets of a type."""
+    """Return a loopback address HOST:PORT that is free now; another process may still take it."""
     with socket.socket(socket.AF_INET, socket_type) as sock:
         sock.bind(("127.0.0.1", 0))
         return "{}:{}".format(*sock.getsockname())
@@ -45,7 +45,7 @@
 
 @dataclass
 class NodeAddresses:
-    """Where a node is reached: by members, by clients and by operators."""
+    """The addresses HOST:PORT at which members, clients and operators reach a node."""
 
     member: str
     listen: str
@@ -53,7 +53,7 @@
 
 
 def new_addresses() -> NodeAddresses:
-    """Return free addresses for a node."""
+    """Return free addresses for a node: UDP for members, TCP for clients and operators."""
     return NodeAddresses(
         member=free_address(socket.SOCK_DGRAM),
         listen=free_address(socket.SOCK_STREAM),
@@ -62,12 +62,12 @@
 
 
 def write_configuration(folder: Path, name: str, nodes: dict[str, NodeAddresses]) -> Path:
-    """Write a node's configuration, with its cluster in a file of its own; return the path of the former."""
-    ledger = ledger_of(folder, name)
+    """Create a node's ledger, settings file and configuration; return the path of the configuration."""
+    ledger = ledger_path(folder, name)
     create_ledger(ledger, name)
     members = "\n".join(f'{member} = "{addresses.member}"' for member, addresses in nodes.items())
     cluster = f'[fleet]\nname = "example"\nfolder = "{ledger}"\nvoters = {json.dumps(VOTERS)}\n'
-    settings_of(folder, name).write_text(f"{cluster}[fleet.members]\n{members}\n")
+    settings_path(folder, name).write_text(f"{cluster}[fleet.members]\n{members}\n")
     configuration = {
         "name": name,
         "listen": nodes[name].listen,
@@ -80,26 +80,28 @@
     return path
 
 
-def ledger_of(folder: Path, name: str) -> Path:
-    """Return the folder of a node's ledger."""
+def ledger_path(folder: Path, name: str) -> Path:
+    """Return the path of a node's ledger folder."""
     return folder / "ledgers" / name
 
 
-def settings_of(folder: Path, name: str) -> Path:
-    """Return the file of a node's own settings."""
+def settings_path(folder: Path, name: str) -> Path:
+    """Return the path of the settings file that holds a node's cluster."""
     return folder / f"{name}.toml"
 
 
 def start_node(folder: Path, name: str, nodes: dict[str, NodeAddresses]) -> subprocess.Popen[bytes]:
-    """Start a node."""
+    """Write the configuration of a node and start its process."""
     path = write_configuration(folder, name, nodes)
-    arguments = ["serve", "--config", str(path), "--settings", str(settings_of(folder, name))]
+    arguments = ["serve", "--config", str(path), "--settings", str(settings_path(folder, name))]
     return subprocess.Popen([sys.executable, "-m", "marlseam", *arguments])
 
 
 @contextlib.contextmanager
-def running(folder: Path, nodes: dict[str, NodeAddresses]) -> Iterator[dict[str, subprocess.Popen[bytes]]]:
-    """Run all nodes, the emulated servers and their discovery; end them all afterwards."""
+def running_cluster(
+    folder: Path, nodes: dict[str, NodeAddresses]
+) -> Iterator[dict[str, subprocess.Popen[bytes]]]:
+    """Start the emulated servers, their discovery and all nodes; end all these processes on exit."""
     servers = subprocess.Popen([sys.executable, str(Path(__file__).with_name("fleet.py"))])
     processes: dict[str, subprocess.Popen[bytes]] = {}
     try:
@@ -110,13 +112,13 @@
         started = (*processes.values(), servers)
         for process in started:
             process.send_signal(signal.SIGTERM)
-            process.send_signal(signal.SIGCONT)  # guards against a stopped process, which could not end
+            process.send_signal(signal.SIGCONT)  # guards against a stopped process, which would never end
         for process in started:
             process.wait()
 
 
 def write_change(folder: Path) -> Path:
-    """Write a configuration to publish, with another latency objective; return its path."""
+    """Write a configuration to publish, with a doubled latency objective; return its path."""
     change = json.loads((folder / "n0.json").read_text())
     change["settings"]["requestClasses"][0]["aimUs"] *= 2
     path = folder / "change.json"
@@ -125,21 +127,21 @@
 
 
 def print_commands(folder: Path, nodes: dict[str, NodeAddresses], process: subprocess.Popen[bytes]) -> None:
-    """Print what may be tried; `process` is a node to stop."""
+    """Print commands to try; `process` is the node for the commands that stop and continue one."""
     admin, changed = nodes["n0"].admin, write_change(folder)
     print(
         f"""
-which members are alive, and act:  python -m marlseam fleet status --at {admin}
-publish a change (--why is kept):  python -m marlseam fleet publish {changed} --at {admin} --why trial
-stop a node, and let it go on:     kill -STOP {process.pid}; kill -CONT {process.pid}
-which node acted on what:          python -m marlseam fleet audit {folder}/ledgers/*
+members alive, version acted on:   python -m marlseam fleet status --at {admin}
+publish a change (stores --why):   python -m marlseam fleet publish {changed} --at {admin} --why trial
+stop a node and continue it:       kill -STOP {process.pid}; kill -CONT {process.pid}
+versions each node acted on:       python -m marlseam fleet audit {folder}/ledgers/*
 """,
         flush=True,
     )
 
 
 def send_request(address: str) -> None:
-    """Send a request to a node; one that cannot be reached is passed over."""
+    """Send a request to a node and read the answer; ignore a node that cannot be reached."""
     headers = {
         "X-Correlation-Id": uuid4().hex,
         "X-Service-Class": "statement",
@@ -152,16 +154,16 @@
 
 
 def main() -> None:
-    """Run the nodes, and send requests to one after the other."""
+    """Run the nodes and send a request to each in turn, until Ctrl-C."""
     nodes = {f"n{i}": new_addresses() for i in range(NODES)}
     with (
         contextlib.suppress(KeyboardInterrupt),
-        tempfile.TemporaryDirectory() as name,
-        running(Path(name), nodes) as processes,
+        tempfile.TemporaryDirectory() as folder,
+        running_cluster(Path(folder), nodes) as processes,
     ):
         for node, process in processes.items():
-            print(f"{node} is process {process.pid}, its operators' door {nodes[node].admin}", flush=True)
-        print_commands(Path(name), nodes, processes["n5"])
+            print(f"{node}: process {process.pid}, admin address {nodes[node].admin}", flush=True)
+        print_commands(Path(folder), nodes, processes["n5"])
         while True:
             for addresses in nodes.values():
                 send_request(addresses.listen)
--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -1,8 +1,9 @@
-"""Pytest plugin: tests listed in KNOWN-RED.txt may fail, and only they; loaded by scripts/test.
+"""Pytest plugin, loaded by scripts/test: only tests listed in KNOWN-RED.txt may fail.
 
-Each line of the file reads `test id | cause | issue`. All tests run. The run fails where an unlisted test
-fails, a listed test passes or does not exist, the file holds over MAX_ENTRIES, or a line is malformed.
-A test whose cause begins with `flaky:` fails in some runs alone, so it may pass too; either is printed.
+Each line of the file has the form `test id | cause | issue`. Listed tests are run too. The run fails if an
+unlisted test fails, a listed test passes, does not run or does not exist, the file has more than MAX_ENTRIES
+entries or lists a test twice, or a line is malformed. A test whose cause begins with `flaky:` fails only in
+some runs, so that it may pass too; both results are printed.
 """
 
 from collections.abc import Iterator
@@ -15,14 +16,14 @@
 MAX_ENTRIES = 3
 SEPARATOR = " | "
 FIELDS_OF_ENTRY = 3
-FLAKY = "flaky:"  # how the cause of a test begins that fails in some runs alone
+FLAKY_PREFIX = "flaky:"  # prefix of the cause of a test that fails only in some runs
 
 
 class MalformedEntryError(Exception):
-    """A line of the file does not hold a test, a cause and an issue.
+    """A line of the file is not of the form `test id | cause | issue`.
 
     Attributes:
-        line: the line.
+        line: the malformed line.
     """
 
     def __init__(self, line: str) -> None:
@@ -35,9 +36,9 @@
     """A test that is known to fail.
 
     Attributes:
-        test: its id.
-        cause: why it fails; it begins with FLAKY where it fails in some runs alone.
-        issue: the issue that tracks it.
+        test: the test's id in pytest.
+        cause: why the test fails; begins with FLAKY_PREFIX if the test fails only in some runs.
+        issue: the issue that tracks the failure.
     """
 
     test: str
@@ -46,28 +47,28 @@
 
     @property
     def is_flaky(self) -> bool:
-        """Return whether the test may pass too."""
-        return self.cause.startswith(FLAKY)
+        """Whether the test fails only in some runs, so that it may pass too."""
+        return self.cause.startswith(FLAKY_PREFIX)
 
 
-def entry_from(line: str) -> Entry:
-    """Read one line of the file; raises MalformedEntryError."""
+def parse_entry(line: str) -> Entry:
+    """Parse one line of the file; raise MalformedEntryError if it is not of the required form."""
     fields = [text.strip() for text in line.split(SEPARATOR)]
     if len(fields) != FIELDS_OF_ENTRY or not all(fields):
         raise MalformedEntryError(line)
     return Entry(*fields)
 
 
-class KnownRed:
-    """Follows one run of pytest and decides whether its failures are the known ones.
+class KnownFailures:
+    """Observes one run of pytest and compares its failures with the list of known ones.
 
     Attributes:
         entries: the entries of the file by the test's id.
-        problems: what is wrong with the file, a line each.
-        collected: the tests that were found.
-        failed: the tests of which a phase failed.
-        ran: the tests that ran.
-        is_whole_run: whether the run was asked for all tests.
+        problems: the problems of the file, each a line to print.
+        collected: the ids of the collected tests.
+        failed: the ids of the tests that failed in set-up, call or tear-down.
+        ran: the ids of the tests whose call phase ran.
+        is_whole_run: whether the run was started for all tests, without a selection.
     """
 
     def __init__(self, entries: list[Entry], malformed: list[str]) -> None:
@@ -83,15 +84,15 @@
         self.is_whole_run = False
 
     def pytest_collection_finish(self, session: pytest.Session) -> None:
-        """Note which tests were found."""
+        """Store the ids of the collected tests, and whether the run is for all tests."""
         config = session.config
         self.collected = {item.nodeid for item in session.items}
-        narrowed = config.option.keyword or config.option.markexpr or config.option.deselect
-        named = config.args_source is pytest.Config.ArgsSource.ARGS
-        self.is_whole_run = not (narrowed or named or config.option.collectonly)
+        has_filter = config.option.keyword or config.option.markexpr or config.option.deselect
+        has_paths = config.args_source is pytest.Config.ArgsSource.ARGS
+        self.is_whole_run = not (has_filter or has_paths or config.option.collectonly)
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Note a phase of a test that failed, and that a test ran."""
+        """Store that a test ran, or that one of its phases failed."""
         if report.failed:
             self.failed.add(report.nodeid)
         if report.when == "call":
@@ -99,8 +100,8 @@
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_sessionfinish(self, session: pytest.Session, exitstatus: int) -> None:
-        """Decide the exit status: only a run whose failures are all listed is passed over."""
-        self.problems += self.contradictions()
+        """Set the exit status: a run passes if all its failures are listed and the list has no problem."""
+        self.problems += self.find_disagreements()
         if self.problems and exitstatus == pytest.ExitCode.OK:
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
         elif (
@@ -111,11 +112,11 @@
             session.exitstatus = pytest.ExitCode.OK
 
     def has_only_known_failures(self) -> bool:
-        """Return whether tests failed, all of them listed."""
+        """Return whether at least one test failed and all failed tests are listed."""
         return bool(self.failed) and self.failed <= self.entries.keys()
 
-    def contradictions(self) -> Iterator[str]:
-        """Yield each way in which the file is not true of this run."""
+    def find_disagreements(self) -> Iterator[str]:
+        """Yield a line for each entry that does not agree with this run."""
         for test, entry in self.entries.items():
             if test in self.ran - self.failed and not entry.is_flaky:
                 yield f"{FILE}: {test} does not fail any more: take it off"
@@ -125,7 +126,7 @@
                 yield f"{FILE}: {test} did not run"
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """Print the known failures with their causes, then what is wrong with the file."""
+        """Print the known failures and passed flaky tests with their causes, then the file's problems."""
         for test in sorted(self.failed & self.entries.keys()):
             entry = self.entries[test]
             terminalreporter.write_line(f"known failure: {test}: {entry.cause} ({entry.issue})")
@@ -139,14 +140,14 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the list of known failures, if there is one, and follow the run."""
+    """Read KNOWN-RED.txt in the root folder, if it exists, and register the plugin for the run."""
     path = Path(config.rootpath) / FILE
     entries: list[Entry] = []
     malformed: list[str] = []
     lines = path.read_text().splitlines() if path.exists() else []
     for line in filter(str.strip, lines):
         try:
-            entries.append(entry_from(line))
+            entries.append(parse_entry(line))
         except MalformedEntryError as error:
             malformed.append(error.line)
-    config.pluginmanager.register(KnownRed(entries, malformed), "known-red")
+    config.pluginmanager.register(KnownFailures(entries, malformed), "known-red")
