--- a/marlseam/emulators/clocks.py
+++ b/marlseam/emulators/clocks.py
@@ -1,6 +1,6 @@
 """A node with faulty clocks: the monotonic clock has a wrong rate, the wall clock a constant offset.
 
-MARLSEAM_CLOCKS="RATE JUMP_MS" python -m marlseam.emulators.clocks serve ...
+MARLSEAM_CLOCKS="RATE OFFSET_MS" python -m marlseam.emulators.clocks serve ...
 
 The node's writer process keeps the clocks of the machine.
 """
@@ -14,11 +14,11 @@
 CLOCKS_VARIABLE = "MARLSEAM_CLOCKS"
 
 
-def patch_clocks(rate: float, jump_ms: float) -> None:
-    """Patch `time` in this process: scale the monotonic clock by `rate`, add `jump_ms` to the wall clock."""
+def patch_clocks(rate: float, offset_ms: float) -> None:
+    """Patch `time` in this process: scale the monotonic clock by `rate`, add an offset to the wall clock."""
     real_monotonic, real_time, patched_at_s = time.monotonic, time.time, time.monotonic()
     time.monotonic = lambda: patched_at_s + rate * (real_monotonic() - patched_at_s)
-    time.time = lambda: real_time() + jump_ms / 1000.0
+    time.time = lambda: real_time() + offset_ms / 1000.0
 
 
 if __name__ == "__main__":
--- a/marlseam/emulators/discovery.py
+++ b/marlseam/emulators/discovery.py
@@ -176,7 +176,7 @@
             del self._watch_tasks[task]
 
     def _encode_list(self, node: PlacedNode, since: int) -> bytes:
-        """Return the list's changes since a version as JSON for a node; record the departures among them."""
+        """Return the list, or its changes since a version, as JSON for a node; record departures in it."""
         is_whole, entries = self.endpoint_list.answer_since(since)
         for notice in self.endpoint_list.departure_notices(node.name, is_whole, entries):
             self._records.add(
--- a/marlseam/emulators/disk.py
+++ b/marlseam/emulators/disk.py
@@ -54,7 +54,7 @@
         return not self.every_s or now_s % self.every_s > self.every_s / 2.0
 
 
-def wait_until(end_s: float) -> None:
+def sleep_until(end_s: float) -> None:
     """Sleep until `end_s`, in seconds of the monotonic clock, or until the experiment is over."""
     end_file = os.environ.get(END_FILE_VARIABLE)
     while time.monotonic() < end_s and not (end_file and Path(end_file).exists()):
@@ -94,7 +94,7 @@
         """Count a sync, and sleep as long as the faults make the sync take."""
         self.sync_count += 1
         hangs = 0 < self.faults.hangs_after < self.sync_count
-        wait_until(inf if hangs else time.monotonic() + self.faults.sync_s)
+        sleep_until(inf if hangs else time.monotonic() + self.faults.sync_s)
 
     def sync(self, descriptor: int) -> None:
         """Flush a file's bytes to the disk, after the injected delay."""
@@ -111,7 +111,7 @@
         try:
             super().check_node()
         except NodeGoneError:
-            wait_until(time.monotonic() + self.faults.linger_s)
+            sleep_until(time.monotonic() + self.faults.linger_s)
             raise
 
 
--- a/marlseam/emulators/faulty.py
+++ b/marlseam/emulators/faulty.py
@@ -31,7 +31,7 @@
 
     Attributes:
         call: the name of the system call.
-        error: the name of the errno that it fails with, as ENOBUFS.
+        error: the name of the errno that it fails with, such as ENOBUFS.
         share: the share of calls that fail during a burst, in [0, 1].
     """
 
--- a/marlseam/load/connection.py
+++ b/marlseam/load/connection.py
@@ -43,7 +43,7 @@
         node: the name of the node to which the try is sent.
         sent_ms: when the try was written to a connection; infinity before that.
         is_open: whether the try has no answer yet and its client has not left.
-        was_resent: whether the try was sent again because the node closed an idle connection under it.
+        was_resent: whether the try was sent again, as the node closed a reused connection during the send.
         connection: the connection that carries the try; None while the try waits for a connection.
     """
 
--- a/marlseam/load/generator.py
+++ b/marlseam/load/generator.py
@@ -1,9 +1,9 @@
 """The load generator: one process on one core that sends tries at their intended times (open loop).
 
-A send never waits for an answer, so that a slow node does not reduce the load (coordinated omission). A plain
-epoll loop is used, as a send must not wait behind the work of another one. Latency is measured from the
-intended send, and separately from the actual send. The generator's own lag, by which it was too busy to send
-in time, is counted apart from a try's wait for a connection, which occurs where their number is limited.
+A send never waits for an answer, as a slow node must not reduce the load: that would hide its latency
+(coordinated omission). A plain epoll loop is used, as a send must not wait behind the work of another one.
+Latency is measured from the intended send, and separately from the actual send. The generator's own lag, from
+being too busy to send in time, is counted apart from a try's wait for one of a limited number of connections.
 """
 
 import heapq
@@ -33,7 +33,7 @@
 MAX_POLL_MS = 200.0
 MAX_POLL_EVENTS = 256
 PROGRESS_INTERVAL_MS = 500.0
-SENDS_BETWEEN_CLOCK_READS = 64  # while many sends are due
+SENDS_BETWEEN_CLOCK_READS = 64  # while many sends are due at once
 RESERVED_DESCRIPTORS = 32  # for files, epoll and the checks of nodes
 
 
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -56,7 +56,7 @@
 
 
 def played(day: Day, seed: int = 1, make_reducer: Callable[[], Reducer] = Reducer) -> PlayedDay:
-    """Run a day in virtual time with reducers of `make_reducer`, and judge its records."""
+    """Run a day in virtual time, with a reducer from `make_reducer` for each node; judge its records."""
     streams = RecordStreams(None, "driver")
     VirtualDriver(day, seed, streams, make_reducer).run()
     records = [record for writer in streams.writers.values() for record in writer.records]
