--- a/marlseam/experiment/charts.py
+++ b/marlseam/experiment/charts.py
@@ -1,4 +1,4 @@
-"""Drawings of a report, as SVG: lines over a day, and the attempts that each server received."""
+"""SVG charts of a report: lines over the time of a day, and a grid of the attempts each server received."""
 
 from collections.abc import Iterable, Sequence
 from html import escape
@@ -11,21 +11,21 @@
 from marlseam.verification.book import RunRecords
 from marlseam.verification.service import RequestOutcome, request_outcomes
 
-# Sizes in pixels: of a drawing, and of the margins around its plot.
+# Size of a drawing, and margins around its plot, in pixels.
 WIDTH, HEIGHT = 940, 270
 LEFT, RIGHT, TOP, BOTTOM = 64, 10, 52, 26
-FAULT_NAME_ROWS = 4  # rows above a chart over which the names of faults are spread
+FAULT_NAME_ROWS = 4  # rows above a chart that the names of successive faults alternate between
 FAULT_NAME_ROW_PX = 12
-Y_INTERVALS = 4  # of a linear axis
-MIN_LATENCY_MS = 0.1  # which a logarithmic axis shows
-# The table of attempts received: most servers and columns, sizes in pixels, least opacity of a cell.
+Y_INTERVALS = 4  # between the grid lines of a linear axis
+MIN_LATENCY_MS = 0.1  # smaller latencies are drawn at this value
+# The grid of attempts received: limits of rows and columns, sizes in pixels, least opacity of a cell.
 MAX_SERVER_ROWS, MAX_TIME_COLUMNS = 120, 240
 SERVER_ROW_PX, SERVER_NAME_PX, SERVER_GRID_LEFT_PX = 14, 120, 126
 MIN_OPACITY = 0.15
 
 
 class KeyEntry(NamedTuple):
-    """What a colour of a chart stands for; the colour is a variable of the report's style."""
+    """An entry of a chart's legend; the colour is the name of a CSS variable of the report's style."""
 
     colour: str
     text: str
@@ -35,7 +35,7 @@
 
 
 class Percentile(NamedTuple):
-    """A percentile that is drawn, its colour and its name."""
+    """A percentile to draw, its colour and its name in the legend."""
 
     percent: float
     colour: str
@@ -51,17 +51,17 @@
 
 
 class Chart:
-    """Lines over the seconds of a day, with its faults as bands; the y axis is linear or logarithmic.
+    """A line chart over the seconds of a day, with faults as bands; the y axis is linear or logarithmic.
 
     Attributes:
         seconds: the length of the day.
-        low: the lower end of the y axis, as its logarithm where the axis is logarithmic.
-        high: the upper end, likewise.
-        parts: the elements drawn so far.
+        low: the lower end of the y axis; its decimal logarithm if the axis is logarithmic.
+        high: the upper end of the y axis; its decimal logarithm if the axis is logarithmic.
+        parts: the SVG elements drawn so far.
     """
 
     def __init__(self, seconds: float, low: float, high: float, log: bool = False) -> None:
-        """Begin a chart whose y axis goes from `low` to `high` at least."""
+        """Create a chart with axes only; its y axis covers at least the range from `low` to `high`."""
         self.seconds, self.log = max(seconds, 1e-9), log
         if log:
             self.low, self.high = float(np.floor(log10(low))), float(np.ceil(log10(max(high, 2.0 * low))))
@@ -71,17 +71,17 @@
         self._draw_axes()
 
     def x_px(self, at_s: float) -> float:
-        """Return where a second lies."""
+        """Return the x coordinate of a time in pixels; times outside the day are clamped."""
         return LEFT + (WIDTH - LEFT - RIGHT) * min(max(at_s, 0.0), self.seconds) / self.seconds
 
     def y_px(self, value: float) -> float:
-        """Return where a value lies."""
+        """Return the y coordinate of a value in pixels; values outside the axis are clamped."""
         position = log10(max(value, 1e-9)) if self.log else value
         share = min(max((position - self.low) / (self.high - self.low), 0.0), 1.0)
         return HEIGHT - BOTTOM - (HEIGHT - BOTTOM - TOP) * share
 
     def _draw_axes(self) -> None:
-        """Draw the grid and its figures."""
+        """Draw the grid lines and the labels of both axes."""
         if self.log:
             marks = [10.0**power for power in range(int(self.low), int(self.high) + 1)]
         else:
@@ -93,7 +93,7 @@
             self.parts.append(x_axis_label(self.x_px(at_s), f"{at_s:g} s"))
 
     def draw_faults(self, faults: Iterable[FaultBegan]) -> None:
-        """Draw faults as bands with their names."""
+        """Draw each fault as a band with its name; a tooltip lists the targets."""
         for number, fault in enumerate(faults):
             left, right = self.x_px(fault.t / 1000.0), self.x_px(fault.until / 1000.0)
             name = fault.kind.replace("_", " ")
@@ -106,32 +106,32 @@
             )
 
     def draw_line(self, seconds: np.ndarray, values: np.ndarray, colour: str) -> None:
-        """Draw a line; it is interrupted where a value is NaN."""
+        """Draw a line in a colour of the report's style; NaN values leave gaps."""
         points: list[str] = []
-        is_begun = False
+        has_point = False
         for at_s, value in zip(seconds, values, strict=True):
             if np.isnan(value):
-                is_begun = False
+                has_point = False
                 continue
-            points.append(f"{'L' if is_begun else 'M'}{self.x_px(at_s):.1f},{self.y_px(value):.1f}")
-            is_begun = True
+            points.append(f"{'L' if has_point else 'M'}{self.x_px(at_s):.1f},{self.y_px(value):.1f}")
+            has_point = True
         self.parts.append(
             f'<path d="{" ".join(points)}" fill="none" stroke="var(--{colour})" stroke-width="1.6"/>'
         )
 
     def svg(self, title: str) -> str:
-        """Return the drawing."""
+        """Return the chart as an SVG element."""
         return drawing(HEIGHT, title, self.parts)
 
 
 def drawing(height: float, title: str, parts: Iterable[str]) -> str:
-    """Return a drawing of some height in pixels."""
+    """Return an SVG element of the given height in pixels that contains `parts`."""
     head = f'<svg viewBox="0 0 {WIDTH} {height}" role="img" aria-label="{escape(title)}">'
     return head + "".join(parts) + "</svg>"
 
 
 def grid_line(y_px: float, label: str) -> list[str]:
-    """Return a horizontal line of the grid, and its label on the y axis."""
+    """Return a horizontal grid line and its label on the y axis."""
     return [
         f'<line class="grid" x1="{LEFT}" x2="{WIDTH - RIGHT}" y1="{y_px:.1f}" y2="{y_px:.1f}"/>',
         f'<text x="{LEFT - 6}" y="{y_px + 4:.1f}" text-anchor="end">{label}</text>',
@@ -144,13 +144,13 @@
 
 
 def key(*entries: KeyEntry) -> str:
-    """Return what a chart's colours stand for."""
+    """Return a chart's legend as an HTML paragraph."""
     marks = (f'<i style="background:var(--{entry.colour})"></i>{escape(entry.text)}' for entry in entries)
     return f'<p class="key">{"".join(marks)}</p>'
 
 
 def day_charts(book: RunRecords) -> str:
-    """Draw arrivals and answers, latencies, and the attempts that each server received."""
+    """Return the charts of a run as HTML: arrivals and answers, latencies, attempts received per server."""
     outcomes, faults = request_outcomes(book), book.of_type(FaultBegan)
     if not outcomes:
         return ""
@@ -164,7 +164,7 @@
 def answers_chart(
     outcomes: Sequence[RequestOutcome], faults: Sequence[FaultBegan], seconds: int
 ) -> list[str]:
-    """Draw how many requests arrived and were answered in each second."""
+    """Draw the numbers of requests that arrived and that ended in each second."""
     midpoints = np.arange(seconds) + 0.5
     arrived = count_per_second([outcome.first.intended for outcome in outcomes], seconds)
     counts = {how: answered_per_second(outcomes, how, seconds) for _, how in ANSWER_COLOURS}
@@ -181,15 +181,15 @@
 
 
 def count_per_second(times_ms: Sequence[float], seconds: int) -> np.ndarray:
-    """Return how many times fall into each second, shape (seconds,)."""
+    """Return the number of given times in each second, shape (seconds,)."""
     numbers = np.clip(np.array(times_ms, dtype=float) // 1000.0, 0, seconds - 1).astype(int)
     return np.bincount(numbers, minlength=seconds)
 
 
 def answered_per_second(outcomes: Sequence[RequestOutcome], how: str, seconds: int) -> np.ndarray:
-    """Return how many requests ended in some way in each second, shape (seconds,).
+    """Return the number of requests with the outcome `how` in each second, shape (seconds,).
 
-    What was not completed counts in the second of its intended send.
+    A request that was not completed counts in the second of its intended send.
     """
     ended = [outcome for outcome in outcomes if outcome.how == how]
     times_ms = [outcome.first.intended + (outcome.turnaround_ms or 0.0) for outcome in ended]
@@ -199,11 +199,11 @@
 def latency_chart(
     outcomes: Sequence[RequestOutcome], faults: Sequence[FaultBegan], seconds: int
 ) -> list[str]:
-    """Draw percentiles of the latencies, by the second of the intended send."""
+    """Draw latency percentiles by the second of the intended send."""
     by_second = latencies_by_second(outcomes, seconds)
-    greatest_ms = max((max(row) for row in by_second if row), default=10.0)
-    least_ms = min((min(row) for row in by_second if row), default=1.0)
-    chart = Chart(seconds, max(MIN_LATENCY_MS, least_ms), greatest_ms * 1.2, log=True)
+    max_ms = max((max(row) for row in by_second if row), default=10.0)
+    min_ms = min((min(row) for row in by_second if row), default=1.0)
+    chart = Chart(seconds, max(MIN_LATENCY_MS, min_ms), max_ms * 1.2, log=True)
     chart.draw_faults(faults)
     for percent, colour, _ in LATENCY_PERCENTILES:
         values = np.array([np.percentile(row, percent) if row else np.nan for row in by_second])
@@ -226,7 +226,7 @@
 
 
 def attempts_chart(book: RunRecords, seconds: int) -> str:
-    """Draw the attempts that each server received: a row each, darker where there were more."""
+    """Draw the attempts received: one row per server, one cell per interval, darker for more attempts."""
     received = book.of_type(AttemptReceived)
     servers = sorted({record.by for record in received})[:MAX_SERVER_ROWS]
     if not servers:
@@ -237,22 +237,22 @@
         if record.by in counts and record.t >= 0.0:
             column = min(columns - 1, int(record.t / 1000.0 / seconds * columns))
             counts[record.by][column] += 1
-    greatest = max(row.max() for row in counts.values()) or 1.0
+    max_count = max(row.max() for row in counts.values()) or 1.0
     parts: list[str] = []
     for number, server in enumerate(servers):
-        parts += server_row(number, server, counts[server], greatest)
-    svg = drawing(len(servers) * SERVER_ROW_PX + 6, "work", parts)
-    return f"<h2>Allocations that each executor got</h2><p>Most in a cell: {greatest:g}.</p>{svg}"
+        parts += server_row(number, server, counts[server], max_count)
+    svg = drawing(len(servers) * SERVER_ROW_PX + 6, "attempts by server", parts)
+    return f"<h2>Allocations received by each executor</h2><p>Maximum in a cell: {max_count:g}.</p>{svg}"
 
 
-def server_row(number: int, server: str, counts: np.ndarray, greatest: float) -> list[str]:
-    """Return a server's name and a cell for each stretch of time in which it received attempts."""
+def server_row(number: int, server: str, counts: np.ndarray, max_count: float) -> list[str]:
+    """Return a server's name and a cell for each time interval in which the server received attempts."""
     top = number * SERVER_ROW_PX
     cell_px = (WIDTH - SERVER_GRID_LEFT_PX - 4) / len(counts)
     parts = [f'<text x="{SERVER_NAME_PX}" y="{top + 11}" text-anchor="end">{escape(server)}</text>']
     for column, count in enumerate(counts):
         if count:
-            opacity = MIN_OPACITY + (1.0 - MIN_OPACITY) * count / greatest
+            opacity = MIN_OPACITY + (1.0 - MIN_OPACITY) * count / max_count
             parts.append(
                 f'<rect x="{SERVER_GRID_LEFT_PX + column * cell_px:.1f}" y="{top + 1}" '
                 f'width="{cell_px:.2f}" height="{SERVER_ROW_PX - 2}" fill="var(--a)" '
--- a/marlseam/experiment/compare.py
+++ b/marlseam/experiment/compare.py
@@ -1,6 +1,6 @@
-"""Two runs side by side: differences of figures, each with an interval by the bootstrap over requests.
+"""Compares two runs: differences of figures, each with a bootstrap confidence interval over requests.
 
-Requests are paired where both runs had the same ones.
+Requests are paired if both runs had the same requests.
 """
 
 import json
@@ -14,20 +14,20 @@
 from marlseam.simulation.chance import stream
 
 RESAMPLES = 2000
-RESAMPLES_AT_ONCE = 50  # which bounds the memory that they take
-INTERVAL_PERCENTILES = (2.5, 97.5)
-MIN_COMMON_SHARE = 0.9  # of the requests of the longer run, that both have where requests are paired
-WEIGHT, EARNED_WEIGHT, TURNAROUND_MS = 0, 1, 2  # columns of a run's requests
+RESAMPLES_AT_ONCE = 50  # bounds the memory of the resampled tables
+INTERVAL_PERCENTILES = (2.5, 97.5)  # of a 95% interval
+MIN_COMMON_SHARE = 0.9  # share of the larger run's requests that both runs must have to be paired
+WEIGHT, EARNED_WEIGHT, TURNAROUND_MS = 0, 1, 2  # columns of a table of requests
 
-Requests = dict[str, tuple[float, float, float]]  # by the id of the first try, the columns above
-Figure = Callable[[np.ndarray], np.ndarray]  # of resamples, shape (resamples, requests, 3)
+Requests = dict[str, tuple[float, float, float]]  # the columns above, by the id of the first try
+Figure = Callable[[np.ndarray], np.ndarray]  # takes resamples of shape (resamples, requests, 3)
 
 
 class IncomparableRunsError(Exception):
-    """Two folders whose runs cannot be compared.
+    """Two runs that cannot be compared.
 
     Attributes:
-        folder: the folder that is at fault, None where the runs do not fit each other.
+        folder: the folder without a readable run, None if a run has no requests.
     """
 
     def __init__(self, text: str, folder: Path | None = None) -> None:
@@ -41,10 +41,10 @@
 
     Attributes:
         name: the figure's name.
-        first: its value in the first run.
-        second: its value in the second run.
-        low: the lower end of the interval of the second less the first.
-        high: its upper end.
+        first: the figure in the first run.
+        second: the figure in the second run.
+        low: the lower end of the 95% interval of `second - first`.
+        high: the upper end of that interval.
     """
 
     name: str
@@ -55,7 +55,7 @@
 
     @property
     def is_noise(self) -> bool:
-        """Whether the interval holds 0."""
+        """Whether the interval contains 0, so that the difference is within noise."""
         return self.low <= 0.0 <= self.high
 
 
@@ -67,7 +67,7 @@
 
 
 class Interval(NamedTuple):
-    """A mean and its interval by the bootstrap."""
+    """A mean and its 95% bootstrap interval."""
 
     mean: float
     low: float
@@ -75,7 +75,7 @@
 
 
 def interval(values: np.ndarray, seed: int) -> Interval:
-    """Return the mean of some values, shape (n,), and its interval."""
+    """Return the mean of values of shape (n,) and its 95% bootstrap interval."""
     random = stream(seed, "bootstrap")
     resamples = random.integers(len(values), size=(RESAMPLES, len(values)))
     low, high = np.percentile(values[resamples].mean(axis=1), INTERVAL_PERCENTILES)
@@ -83,11 +83,14 @@
 
 
 def read_requests(folder: Path) -> Requests:
-    """Return the requests of a run; the turnaround of one that was not completed is NaN."""
+    """Return the requests of a run, with NaN as the turnaround of requests that were not completed.
+
+    Raises IncomparableRunsError if the folder has no readable `units.json`.
+    """
     try:
         rows = json.loads((folder / "units.json").read_text())
     except (OSError, ValueError):
-        raise IncomparableRunsError("holds no units.json of a run", folder) from None
+        raise IncomparableRunsError("contains no readable units.json of a run", folder) from None
     return {
         first_try: (weight, earned, np.nan if turnaround_ms is None else turnaround_ms)
         for first_try, weight, earned, turnaround_ms in rows
@@ -95,10 +98,10 @@
 
 
 def differences(first_folder: Path, second_folder: Path) -> Differences:
-    """Return the differences of two runs."""
+    """Return the differences of two runs in all figures of `FIGURES`; raise IncomparableRunsError."""
     runs = (read_requests(first_folder), read_requests(second_folder))
     if not all(runs):
-        raise IncomparableRunsError("a run without work units cannot be compared")
+        raise IncomparableRunsError("cannot compare a run whose units.json contains no work units")
     first, second = runs
     common = [first_try for first_try in first if first_try in second]
     is_paired = len(common) >= MIN_COMMON_SHARE * max(len(first), len(second))
@@ -114,33 +117,36 @@
 def difference(
     name: str, figure: Figure, tables: list[np.ndarray], resamples: list[np.ndarray]
 ) -> Difference:
-    """Return the difference of two runs in one figure; `tables` hold their requests, shape (requests, 3)."""
+    """Return the difference of two runs in one figure.
+
+    `tables` are the requests of each run, shape (requests, 3); `resamples` are row indices into them.
+    """
     first, second = (float(figure(table[None, :, :])[0]) for table in tables)
-    spread = np.concatenate(
+    resampled_differences = np.concatenate(
         [
             figure(tables[1][resamples[1][i : i + RESAMPLES_AT_ONCE]])
             - figure(tables[0][resamples[0][i : i + RESAMPLES_AT_ONCE]])
             for i in range(0, RESAMPLES, RESAMPLES_AT_ONCE)
         ]
     )
-    low, high = np.percentile(spread, INTERVAL_PERCENTILES)
+    low, high = np.percentile(resampled_differences, INTERVAL_PERCENTILES)
     return Difference(name, first, second, float(low), float(high))
 
 
 def earned_share(requests: np.ndarray) -> np.ndarray:
-    """Return the weight earned in time, as a share of all weight."""
+    """Return the share of the priority weight that was earned in time, shape (resamples,)."""
     earned: np.ndarray = requests[:, :, EARNED_WEIGHT].sum(axis=1) / requests[:, :, WEIGHT].sum(axis=1)
     return earned
 
 
 def completed_share(requests: np.ndarray) -> np.ndarray:
-    """Return the share of requests that were completed."""
+    """Return the share of completed requests, shape (resamples,)."""
     share: np.ndarray = 1.0 - np.isnan(requests[:, :, TURNAROUND_MS]).mean(axis=1)
     return share
 
 
 def turnaround_percentile(percent: float) -> Figure:
-    """Return a function for a percentile of the turnarounds of completed requests, in ms."""
+    """Return a figure: a percentile of the turnarounds of completed requests, in ms."""
 
     def figure(requests: np.ndarray) -> np.ndarray:
         found: np.ndarray = np.nanpercentile(requests[:, :, TURNAROUND_MS], percent, axis=1)
@@ -159,7 +165,7 @@
 
 
 def text(first_folder: Path, second_folder: Path) -> str:
-    """Return the comparison of two runs, for people."""
+    """Return the comparison of two runs as text for a terminal."""
     found, is_paired = differences(first_folder, second_folder)
     how = "the same work units, paired" if is_paired else "different work units, not paired"
     lines = [f"{second_folder} against {first_folder}: {how}; intervals hold 95%"]
--- a/marlseam/experiment/day_plays.py
+++ b/marlseam/experiment/day_plays.py
@@ -1,4 +1,4 @@
-"""Plays of one day: `day`, in virtual time or on loopback sockets, and `agree`, in both."""
+"""The plays of one day: `day` runs on one driver, `agree` runs on both and compares their results."""
 
 import time
 from pathlib import Path
@@ -16,7 +16,7 @@
 from marlseam.records import RecordStreams
 from marlseam.verification.verdict import Verdict
 
-COMPARED_FIGURES = (  # shown side by side for both drivers
+COMPARED_FIGURES = (  # figures that the play `agree` tabulates for both drivers
     "service",
     "late",
     "worst_type",
@@ -30,7 +30,7 @@
 
 @register_play("day")
 def day(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Play one day with the driver that the file names."""
+    """Play one day on the driver that the experiment file names."""
     if experiment.head.driver == "virtual":
         return play_in_virtual_time(experiment, out)
     return play_on_sockets(experiment, out, show_progress)
@@ -38,7 +38,7 @@
 
 @register_play("agree")
 def agree(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Play one day with both drivers, and compare their figures, rules and faults."""
+    """Play one day on both drivers and compare their figures, rules and faults."""
     show_progress("virtual time")
     virtual = play_in_virtual_time(experiment, out / "virtual")
     sockets = play_on_sockets(experiment, out / "sockets", show_progress)
@@ -46,8 +46,8 @@
     figures |= sockets.figures | {
         "service_apart": abs(virtual.figures["service"] - sockets.figures["service"]),
         "rules_broken": virtual.figures["rules_broken"] + sockets.figures["rules_broken"],
-        "rules_apart": float(rules_apart(virtual.verdict, sockets.verdict)),
-        "troubles_apart": float(fault_names(virtual) != fault_names(sockets)),
+        "rules_apart": float(differing_rule_count(virtual.verdict, sockets.verdict)),
+        "troubles_apart": float(sorted_faults(virtual) != sorted_faults(sockets)),
     }
     return RunResult(
         figures,
@@ -59,12 +59,12 @@
 
 
 def play_in_virtual_time(experiment: Experiment, out: Path) -> JudgedResult:
-    """Play an experiment's day in virtual time; its records lie in the folder `records`."""
+    """Play an experiment's day in virtual time; write the records to `out/records`, replacing older ones."""
     day, seed = experiment.day, experiment.head.seed
     folder = out / "records"
     folder.mkdir(parents=True, exist_ok=True)
-    for former in folder.glob("*.jsonl"):
-        former.unlink()
+    for old_stream in folder.glob("*.jsonl"):
+        old_stream.unlink()
     (out / "day.json").write_bytes(msgspec.json.encode(day))
     started_s = time.perf_counter()
     driver = VirtualDriver(day, seed, RecordStreams(folder, "driver"))
@@ -81,7 +81,7 @@
 
 
 def play_on_sockets(experiment: Experiment, out: Path, show_progress: ShowProgress) -> JudgedResult:
-    """Play an experiment's day on loopback sockets; its records lie in the folder `records`."""
+    """Play an experiment's day on loopback sockets; write the records to `out/records`."""
     day, seed = experiment.day, experiment.head.seed
     driver = SocketDriver(day, seed, out)
     arrivals = arrivals_of(day, seed)
@@ -102,19 +102,19 @@
 
 
 def comparison_rows(virtual: RunResult, sockets: RunResult) -> list[list[str]]:
-    """Return the compared figures of both drivers as a table."""
+    """Return the compared figures of both drivers as table rows."""
     rows = [["figure", "virtual", "sockets"]]
     for name in COMPARED_FIGURES:
         rows.append([name, f"{virtual.figures[name]:.3f}", f"{sockets.figures[name]:.3f}"])
     return rows
 
 
-def rules_apart(one: Verdict, other: Verdict) -> int:
-    """Return how many rules one verdict has violations of and the other has not."""
+def differing_rule_count(one: Verdict, other: Verdict) -> int:
+    """Return the number of rules that exactly one of two verdicts has violations of."""
     pairs = zip(one.rules, other.rules, strict=True)
     return sum(bool(rule.violations) != bool(other_rule.violations) for rule, other_rule in pairs)
 
 
-def fault_names(result: JudgedResult) -> list[tuple[str, tuple[str, ...]]]:
-    """Return the kind and targets of each fault of a run, in a comparable order."""
+def sorted_faults(result: JudgedResult) -> list[tuple[str, tuple[str, ...]]]:
+    """Return the kind and targets of each fault of a run, sorted so that two runs compare equal."""
     return sorted((fault.kind, tuple(fault.targets)) for fault in result.book.of_type(records.FaultBegan))
--- a/marlseam/experiment/exit_with_parent.py
+++ b/marlseam/experiment/exit_with_parent.py
@@ -1,4 +1,4 @@
-"""Runs marlseam as a process that ends when its parent does, however that ends.
+"""Runs marlseam as a process that is killed when its parent ends, for whatever reason the parent ends.
 
     python -m marlseam.experiment.exit_with_parent PARENT_PID ARGUMENTS
 
@@ -10,19 +10,19 @@
 import signal
 import sys
 
-PR_SET_PDEATHSIG = 1  # of prctl(2)
-PARENT_IS_GONE = 1  # exit code
+PR_SET_PDEATHSIG = 1  # option of prctl(2): the signal sent to a process whose parent ends
+PARENT_GONE_EXIT_CODE = 1
 
 
 def exit_with_parent(parent: int) -> None:
-    """Have the system kill this process when its parent ends; end at once where that has happened."""
+    """Have the kernel kill this process when its parent ends; exit now if the parent has already ended."""
     ctypes.CDLL(None, use_errno=True).prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
     if os.getppid() != parent:
-        os._exit(PARENT_IS_GONE)
+        os._exit(PARENT_GONE_EXIT_CODE)
 
 
 def main() -> None:
-    """Run marlseam, with the parent's process id taken off the arguments."""
+    """Remove the parent's process id from the arguments and run marlseam with the rest."""
     exit_with_parent(int(sys.argv.pop(1)))
     from marlseam.__main__ import main as run_marlseam
 
--- a/marlseam/experiment/file.py
+++ b/marlseam/experiment/file.py
@@ -1,4 +1,4 @@
-"""Experiment files: TOML into strict types; each unknown key is named with the nearest known one."""
+"""Reads experiment files: converts TOML to strict structs and suggests a known key for each unknown one."""
 
 import difflib
 import tomllib
@@ -10,14 +10,14 @@
 
 from marlseam.simulation.model import Day, Strict, placed_nodes, placed_servers
 
-MAX_HINTS, MIN_SIMILARITY = 1, 0.5  # of a key that is hinted at, similarity as difflib counts it
+MAX_HINTS, MIN_SIMILARITY = 1, 0.5  # suggested keys per unknown key; least difflib similarity ratio
 
 
 class FileError(Exception):
-    """A file that cannot be used.
+    """An experiment file that is unreadable or invalid.
 
     Attributes:
-        problems: what is wrong, a line each; the error's text has them all.
+        problems: one line per fault; the text of the error joins all lines.
     """
 
     def __init__(self, *problems: str) -> None:
@@ -26,13 +26,13 @@
 
 
 class Bound(Strict, frozen=True):
-    """Within which bounds a figure must lie, both included; None for no bound."""
+    """The inclusive range within which a figure must lie; None leaves that side unbounded."""
 
     least: float | None = None
     most: float | None = None
 
     def holds(self, value: float) -> bool:
-        """Return whether a figure lies within."""
+        """Return whether a value lies within the bounds."""
         is_low_enough = self.most is None or value <= self.most
         is_high_enough = self.least is None or value >= self.least
         return is_low_enough and is_high_enough
@@ -47,15 +47,15 @@
 
 
 class Head(Strict, frozen=True):
-    """The keys that every experiment's file may have.
+    """The top-level keys that every experiment file may have.
 
     Attributes:
         name: the experiment's name.
-        about: what it shows.
-        play: the name of its play.
-        seed: the seed of all draws.
-        driver: what the play runs on: virtual or sockets.
-        expect: bounds by the name of a figure.
+        about: what the experiment demonstrates.
+        play: the name of the registered play.
+        seed: the seed of all random draws.
+        driver: the driver that runs the play: virtual or sockets.
+        expect: bounds by figure name.
     """
 
     name: str
@@ -66,21 +66,21 @@
     expect: dict[str, Bound] = {}
 
 
-# The types of tables by their name in files; a play adds its own with `register`.
+# The struct of each table by its name in experiment files; a play adds its own with `register`.
 TABLES: dict[str, type[Strict]] = {"day": Day}
 
 
 def register(name: str, table: type[Strict]) -> None:
-    """Make a table known to experiment files under a name."""
+    """Register the struct that the table `name` of an experiment file is converted to."""
     TABLES[name] = table
 
 
 class Experiment(msgspec.Struct):
-    """An experiment as its file describes it.
+    """A parsed experiment file.
 
     Attributes:
-        head: what every experiment has.
-        tables: the tables of the file by name, each of the type that is registered for it.
+        head: the keys common to all experiments.
+        tables: the tables of the file by name, each an instance of the struct registered for that name.
     """
 
     head: Head
@@ -88,21 +88,21 @@
 
     @property
     def day(self) -> Day:
-        """The day that is played; raises FileError where the file has none."""
+        """The day to play; raises FileError if the file has no table `day`."""
         if "day" not in self.tables:
-            raise FileError("day: missing, expected a table")
+            raise FileError("day: missing, expected a table that describes the day")
         day: Day = self.tables["day"]
         return day
 
 
-def nearest(key: str, known: list[str]) -> str:
-    """Return a hint at the nearest known key, or at all where none is near."""
+def nearest_key_hint(key: str, known: list[str]) -> str:
+    """Return the end of an error line: the most similar known key, or all known keys if none is similar."""
     close = difflib.get_close_matches(key, known, MAX_HINTS, MIN_SIMILARITY)
     return f", the nearest is {close[0]}" if close else f", known are {', '.join(sorted(known))}"
 
 
 def struct_in(hint: object) -> type[msgspec.Struct] | None:
-    """Return the struct that a type hint is or contains, None if there is none."""
+    """Return the struct type that a type hint is or contains, None if the hint contains no struct."""
     if isinstance(hint, type) and issubclass(hint, msgspec.Struct):
         return hint
     if get_origin(hint) in (list, tuple, dict, Union, UnionType) or hasattr(hint, "__metadata__"):
@@ -111,24 +111,24 @@
     return None
 
 
-def wrong_keys(values: object, table: type[msgspec.Struct], path: str) -> list[str]:
-    """Return a line for each key that a table does not know, at any depth; `path` is the table's own key."""
+def unknown_key_problems(values: object, table: type[msgspec.Struct], path: str) -> list[str]:
+    """Return an error line per unknown key of a table, at any depth; `path` is the table's dotted key."""
     if not isinstance(values, dict):
         return []
     hints = get_type_hints(table, include_extras=True)
     known = list(table.__struct_fields__)
-    found: list[str] = []
+    problem_lines: list[str] = []
     for key, value in values.items():
         key_path = f"{path}.{key}" if path else key
         if key in known:
-            found += wrong_keys_in_value(value, hints[key], key_path)
+            problem_lines += unknown_key_problems_in_value(value, hints[key], key_path)
         else:
-            found.append(f"{key_path}: no such key{nearest(key, known)}")
-    return found
+            problem_lines.append(f"{key_path}: no such key{nearest_key_hint(key, known)}")
+    return problem_lines
 
 
-def wrong_keys_in_value(value: object, hint: object, path: str) -> list[str]:
-    """Return a line for each unknown key in the structs of a value, whose type hint is `hint`."""
+def unknown_key_problems_in_value(value: object, hint: object, path: str) -> list[str]:
+    """Return an error line per unknown key in the structs of a value; `hint` is the value's type hint."""
     struct = struct_in(hint)
     if struct is None:
         return []
@@ -138,32 +138,35 @@
         rows = [(f"{path}.{name}", row) for name, row in value.items()]
     else:
         rows = [(path, value)]
-    found: list[str] = []
+    problem_lines: list[str] = []
     for row_path, row in rows:
-        found += wrong_keys(row, struct, row_path)
-    return found
+        problem_lines += unknown_key_problems(row, struct, row_path)
+    return problem_lines
 
 
 def convert(values: object, table: type, path: str) -> Any:  # noqa: ANN401 - of the type `table`
-    """Turn a table into its struct; raise FileError that names the key at fault."""
+    """Convert a parsed table to its struct; raise FileError that names the invalid key."""
     try:
         return msgspec.convert(values, table)
     except msgspec.ValidationError as error:
-        text, _, place = str(error).partition(" - at `$")
-        key = (path + place.rstrip("`")).strip(".")
+        text, _, location = str(error).partition(" - at `$")
+        key = (path + location.rstrip("`")).strip(".")
         raise FileError(f"{key or path}: {text[0].lower()}{text[1:]}") from None
 
 
 def read(data: dict[str, Any]) -> Experiment:
-    """Return the experiment of a parsed file; raise FileError for all keys that are unknown, or one fault."""
+    """Return the experiment of a parsed file.
+
+    Raises FileError with all unknown keys; if there are none, with the first invalid value.
+    """
     head_keys = list(Head.__struct_fields__)
     problems: list[str] = []
     for key, value in data.items():
         if key in TABLES:
-            problems += wrong_keys(value, TABLES[key], key)
+            problems += unknown_key_problems(value, TABLES[key], key)
         elif key not in head_keys:
-            problems.append(f"{key}: no such key{nearest(key, head_keys + list(TABLES))}")
-    problems += wrong_keys({"expect": data.get("expect", {})}, Head, "")
+            problems.append(f"{key}: no such key{nearest_key_hint(key, head_keys + list(TABLES))}")
+    problems += unknown_key_problems({"expect": data.get("expect", {})}, Head, "")
     if problems:
         raise FileError(*problems)
     head = convert({key: value for key, value in data.items() if key in head_keys}, Head, "")
@@ -174,27 +177,32 @@
 
 
 def check_day(day: Day) -> None:
-    """Raise FileError where parts of a day do not fit each other."""
+    """Raise FileError if parts of a day contradict each other."""
     check_unique([request_class.name for request_class in day.types], "day.types")
     check_unique([kind.name for kind in day.fleet.kinds], "day.fleet.kinds")
     check_faults(day)
     if day.load.shape == "trace" and not day.load.trace:
-        raise FileError("day.load.trace: missing, expected a trace's path as the shape is trace")
-    most_slots = max(kind.slots for kind in day.fleet.kinds)
+        raise FileError(
+            "day.load.trace: missing, expected the path of a trace because day.load.shape is trace"
+        )
+    max_slots = max(kind.slots for kind in day.fleet.kinds)
     for index, request_class in enumerate(day.types):
         slot_count = len(request_class.slots)
-        if slot_count > most_slots:
-            raise FileError(f"day.types[{index}].slots: {slot_count}, but no kind has over {most_slots}")
+        if slot_count > max_slots:
+            raise FileError(
+                f"day.types[{index}].slots: {slot_count} entries, expected at most {max_slots},"
+                " the slots of the largest server kind"
+            )
 
 
 def check_unique(names: list[str], key: str) -> None:
-    """Raise FileError where a name comes twice."""
+    """Raise FileError if the list at `key` contains a duplicate name."""
     if len(set(names)) < len(names):
-        raise FileError(f"{key}: a name comes twice")
+        raise FileError(f"{key}: duplicate name, expected unique names")
 
 
 def check_faults(day: Day) -> None:
-    """Raise FileError where a fault names what the day does not have, or begins after its end."""
+    """Raise FileError if a fault names an unknown target or request class, or begins after the day's end."""
     class_names = [request_class.name for request_class in day.types]
     target_names = {server.name for server in placed_servers(day)}
     target_names |= {node.name for node in placed_nodes(day)} | set(day.fleet.zones)
@@ -202,16 +210,16 @@
         key = f"day.troubles[{index}]"
         for name in fault.targets:
             if name not in target_names:
-                hint = nearest(name, list(target_names))
-                raise FileError(f"{key}.targets: nobody is called {name!r}{hint}")
+                hint = nearest_key_hint(name, list(target_names))
+                raise FileError(f"{key}.targets: no server, node or zone is named {name!r}{hint}")
         if fault.type and fault.type not in class_names:
-            raise FileError(f"{key}.type: no such project type{nearest(fault.type, class_names)}")
+            raise FileError(f"{key}.type: no such request class{nearest_key_hint(fault.type, class_names)}")
         if fault.at_s >= day.seconds:
             raise FileError(f"{key}.at_s: {fault.at_s:g}, expected less than day.seconds")
 
 
 def load(path: Path) -> Experiment:
-    """Read an experiment file; raise FileError, each line of which names the file."""
+    """Read an experiment file; raise FileError with the path of the file at the start of each line."""
     try:
         data = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
--- a/marlseam/experiment/node_starts.py
+++ b/marlseam/experiment/node_starts.py
@@ -1,6 +1,6 @@
-"""Node processes that start against an emulated discovery service, and are asked whether they are ready.
+"""Starts node processes against an emulated discovery service and polls their readiness.
 
-A node is ready once `GET /-/ready` answers 200: it listens and holds an endpoint list.
+A node is ready once `GET /-/ready` answers 200: the node listens and holds an endpoint list.
 """
 
 import contextlib
@@ -27,11 +27,9 @@
 from marlseam.net.loop import Coroutine, sleep
 from marlseam.net.protocol import LIST_PATH, READY_PATH
 
-POLL_MS = 20.0  # between two questions whether a node is ready
-CALL_TIMEOUT_MS = 1000.0
-NODE_MODULE = (
-    "marlseam.experiment.startup_timing"  # as which nodes run, so that they log when each phase began
-)
+POLL_MS = 20.0  # between two readiness calls to a node
+CALL_TIMEOUT_MS = 1000.0  # of a readiness call
+NODE_MODULE = "marlseam.experiment.startup_timing"  # runs a node and logs each phase of its start
 LOG_EVENT = re.compile(
     r"began (?P<phase>\w+) (?P<at_s>[0-9.]+)"
     r"|listens on (?P<host>[0-9.]+):(?P<port>\d+)"
@@ -57,57 +55,58 @@
 
 
 class DiscoveryCall(NamedTuple):
-    """A call of discovery: when, by the monotonic clock in s, and whether for the whole list."""
+    """A call received by discovery: its monotonic time in s, and whether it requested the whole list."""
 
     at_s: float
     is_for_list: bool
 
 
 class EmulatedDiscovery:
-    """Discovery with one list that never changes; a poll for changes is held for as long as it asks.
+    """A discovery service whose list never changes; it holds each poll for changes for the timeout requested.
 
     Attributes:
-        delay_ms: that each answer takes.
-        calls: so far.
-        door: where it listens.
+        loop: the event loop that the service runs on.
+        delay_ms: the time added to each answer, in ms.
+        calls: the calls received so far.
+        listener: the HTTP listener of the service.
     """
 
-    def __init__(self, stand: EmulatorProcess, delay_ms: float = 0.0, is_down: bool = False) -> None:
-        """Listen, or refuse connections where it is down."""
-        self.loop, self.delay_ms = stand.loop, delay_ms
+    def __init__(self, emulator: EmulatorProcess, delay_ms: float = 0.0, is_down: bool = False) -> None:
+        """Start to listen, or refuse connections if `is_down`."""
+        self.loop, self.delay_ms = emulator.loop, delay_ms
         self.calls: list[DiscoveryCall] = []
-        self.door = HttpListener(stand, "discovery", self.answer)
+        self.listener = HttpListener(emulator, "discovery", self.answer)
         if is_down:
-            self.door.stop_listening()
+            self.listener.stop_listening()
 
     @property
     def address(self) -> str:
-        """Where it listens."""
-        return self.door.address
+        """The address that the service listens on, or refuses connections at if it is down."""
+        return self.listener.address
 
     def answer(self, connection: Connection, request: h11.Request, _body: bytes) -> Steps:
-        """Answer one call."""
+        """Record and answer one call."""
         target = request.target.decode()
         is_for_list = target == LIST_PATH
         self.calls.append(DiscoveryCall(time.monotonic(), is_for_list))
-        held_ms = 0.0 if is_for_list else float(target.rpartition("timeout_ms=")[2])
-        yield from sleep(self.loop.now() + self.delay_ms + held_ms)
+        hold_ms = 0.0 if is_for_list else float(target.rpartition("timeout_ms=")[2])
+        yield from sleep(self.loop.now() + self.delay_ms + hold_ms)
         content = ENDPOINT_LIST if is_for_list else NO_CHANGES
         yield from reply(connection, 200, json.dumps(content).encode())
 
 
 @dataclass
 class NodeStart:
-    """One node process that starts.
+    """The start of one node process.
 
     Attributes:
-        process: the process.
-        started_s: when it was started, by the monotonic clock.
-        port: where the node listens, 0 while that is not known.
-        ready_s: how long after its start it was ready, inf while it is not.
-        phases_s: how long after its start each phase of the start was over.
-        discovery_ends: how often its connections to discovery ended, by reason.
-        log_text: what it has logged, whole lines.
+        process: the node process.
+        started_s: the monotonic time of the start, in s.
+        port: the port that the node listens on, 0 until it is logged.
+        ready_s: the time from the start until the node was found ready, in s; inf until then.
+        phases_s: the time from the start until the first completion of each phase, in s, by phase.
+        discovery_ends: the number of connections to discovery that ended, by reason code.
+        log_text: the complete log lines read so far.
     """
 
     process: ChildProcess
@@ -119,7 +118,7 @@
     log_text: str = ""
 
     def read_log(self) -> None:
-        """Take in what the node has logged since the last time."""
+        """Process the complete lines that the node has logged since the last call."""
         text = self.process.log.read_text(errors="replace")
         end = text.rfind("\n") + 1
         for event in LOG_EVENT.finditer(text[len(self.log_text) : end]):
@@ -133,22 +132,23 @@
 
 
 class NodeStarter:
-    """Starts nodes, reads their logs, and asks each whether it is ready until it is.
+    """Starts nodes, reads their logs, and polls each node until it is ready.
 
     Attributes:
-        stand: the loop, and what an emulated part of the run needs.
-        directory: of the nodes' configurations and logs.
-        starts: the nodes that were started.
+        emulator: the process context that emulated parts of the run share, with the event loop.
+        loop: the event loop of `emulator`.
+        directory: the directory of the nodes' configurations and logs.
+        log: the log of the readiness calls' connections.
+        starts: the starts so far, in order.
     """
 
-    def __init__(self, stand: EmulatorProcess, directory: Path) -> None:
-        """Begin without nodes."""
-        self.stand, self.loop, self.directory = stand, stand.loop, directory
+    def __init__(self, emulator: EmulatorProcess, directory: Path) -> None:
+        self.emulator, self.loop, self.directory = emulator, emulator.loop, directory
         self.log: Log = QuietLog("front", self.loop.now)
         self.starts: list[NodeStart] = []
 
     def start(self, name: str, config: dict[str, Any]) -> None:
-        """Start a node."""
+        """Write the configuration of a node, start its process and begin to poll its readiness."""
         config_path, log_path = self.directory / f"{name}.json", self.directory / f"{name}.log"
         config_path.write_text(json.dumps(config))
         log_path.unlink(missing_ok=True)
@@ -159,7 +159,7 @@
         self.loop.spawn(self.poll_until_ready(start))
 
     def poll_until_ready(self, start: NodeStart) -> Coroutine:
-        """Ask a node until it is ready."""
+        """Poll a node until it is ready, then set `start.ready_s`."""
         while start.ready_s == inf:
             yield from sleep(self.loop.now() + POLL_MS)
             start.read_log()
@@ -167,7 +167,7 @@
                 start.ready_s = time.monotonic() - start.started_s
 
     def is_ready(self, port: int) -> Steps:
-        """Return whether the node at a port answers that it is ready."""
+        """Return whether the node at a port answers the readiness call with 200 in time."""
         until_ms = self.loop.now() + CALL_TIMEOUT_MS
         connection = None
         try:
@@ -184,22 +184,22 @@
                 connection.close(Reason.DONE)
 
     def run_until(self, is_done: Callable[[], bool], timeout_s: float) -> None:
-        """Run the loop until something is done, or the time is over."""
+        """Run the loop until `is_done` returns true or the timeout has passed."""
         end_ms = self.loop.now() + 1000.0 * timeout_s
         while not is_done() and self.loop.now() < end_ms:
             self.loop.at(min(end_ms, self.loop.now() + POLL_MS), lambda: None)
             self.loop.turn()
 
     def run_for(self, seconds: float) -> None:
-        """Run the loop for so long."""
+        """Run the loop for the given time."""
         self.run_until(lambda: False, seconds)
 
     def all_ready(self) -> bool:
-        """Return whether all nodes were found ready."""
+        """Return whether all started nodes have been found ready."""
         return all(start.ready_s < inf for start in self.starts)
 
     def end(self) -> None:
-        """Kill all nodes, which hold nothing that matters, and close what is held of them."""
+        """Kill all nodes, which have no state to save, and close their pipes and the loop."""
         for start in self.starts:
             start.process.signal(signal.SIGKILL)
         for start in self.starts:
@@ -209,7 +209,7 @@
 
 @contextlib.contextmanager
 def node_starter(directory: Path) -> Iterator[NodeStarter]:
-    """Give a starter whose nodes end with it."""
+    """Yield a starter whose files go to `directory`; kill its nodes at exit."""
     directory.mkdir(parents=True, exist_ok=True)
     starter = NodeStarter(EmulatorProcess("front", None), directory)
     try:
--- a/marlseam/experiment/plays.py
+++ b/marlseam/experiment/plays.py
@@ -1,7 +1,7 @@
-"""What a play is: a function that carries out an experiment and returns figures, a verdict, tables.
+"""Plays: functions that run an experiment and return figures, a verdict and tables.
 
-A play is registered under the name that the key `play` of an experiment's file gives; `registered_plays`
-imports all of them. A table that a play reads from the file is registered in `file`.
+A play is registered under the name that the key `play` of an experiment file selects; `registered_plays`
+imports all plays. The tables that a play reads from the file are registered in `file`.
 """
 
 from collections.abc import Callable, Iterable
@@ -22,15 +22,15 @@
 
 @dataclass
 class RunResult:
-    """What a play returns.
+    """The result of a play.
 
     Attributes:
-        figures: figures by name, which the experiment's file may bound.
-        verdict: what the check of the rules found, None where none was made.
-        book: the records of the run, for the report, None where there are none.
+        figures: figures by name; the experiment file may bound each of them.
+        verdict: the outcome of the rule check, None if the play checks no rules.
+        book: the records of the run, for the report; None if the play has no records.
         tables: tables for the report.
-        driver: what the play ran on; empty for what the file says.
-        slopes: figures by size, drawn in the report, each with its bound.
+        driver: the driver that the play ran on; empty if it is the driver named in the file.
+        slopes: figures by size, each with its bound, drawn in the report.
     """
 
     figures: dict[str, float]
@@ -43,7 +43,7 @@
 
 @dataclass
 class JudgedResult(RunResult):
-    """The result of a run whose records were checked."""
+    """The result of a run whose records were checked against the rules."""
 
     verdict: Verdict = field()
     book: RunRecords = field()
@@ -54,7 +54,7 @@
 
 
 def register_play(name: str) -> Callable[[Play], Play]:
-    """Return a decorator that registers a play under a name."""
+    """Return a decorator that registers a play in `PLAYS` under a name."""
 
     def register(play: Play) -> Play:
         PLAYS[name] = play
@@ -68,11 +68,11 @@
     return "margin_" + rule_name.replace(" ", "_")
 
 
-def judge_records(found: Iterable[Record], wrong: list[str], driver: str) -> JudgedResult:
-    """Check records and count their figures; `wrong` are the lines that could not be read."""
-    verdict, book = judge(list(found), wrong)
-    counted = figures(book)
-    counted["rules_broken"] = float(verdict.violation_count)
+def judge_records(run_records: Iterable[Record], read_errors: list[str], driver: str) -> JudgedResult:
+    """Check records against the rules and compute figures; with `read_errors` the verdict has gaps only."""
+    verdict, book = judge(list(run_records), read_errors)
+    run_figures = figures(book)
+    run_figures["rules_broken"] = float(verdict.violation_count)
     for rule in verdict.rules:
-        counted[margin_figure(rule.name)] = rule.margin
-    return JudgedResult(counted, verdict, book, driver=driver)
+        run_figures[margin_figure(rule.name)] = rule.margin
+    return JudgedResult(run_figures, verdict, book, driver=driver)
--- a/marlseam/experiment/policies.py
+++ b/marlseam/experiment/policies.py
@@ -1,8 +1,9 @@
-"""Baseline policies for comparison with marlseam in the same simulation. Never reachable from a serving node.
+"""Baseline policies for comparison with marlseam in the same simulation. No serving node can reach them.
 
-Each keeps to the rules (what may be sent where, drains, slow start budgets, final answers) and places
-requests by a textbook policy alone: no threshold, no latency objective at home, no probes but the policy's
-own. A request that finds no server waits in the pending queue, and is answered at its deadline.
+Each baseline keeps the rules (what may be sent where, drains, slow start budgets, final answers) and places
+requests by a textbook policy alone: without threshold, without a latency objective at the home server, and
+with no probes except those of the policy. A request without an eligible server waits in the pending queue
+and is answered at its deadline.
 """
 
 from collections.abc import Callable
@@ -11,8 +12,8 @@
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.request_state import RequestState
 
-NO_SERVER = -1
-PROBED_COUNT = 2  # servers that the policy of two choices probes
+NO_SERVER = -1  # in place of a server index
+PROBED_COUNT = 2  # servers probed per request by the policy of two choices
 
 
 class BaselineRequest(RequestState):
@@ -21,7 +22,7 @@
     dispatcher: "BaselineDispatcher"
 
     def place(self) -> None:
-        """Send to the policy's choice among usable, eligible servers."""
+        """Send to the policy's choice among usable, eligible servers; if no attempt is allowed, `retry`."""
         self.is_queued = False
         if not self.may_attempt():
             self.retry()
@@ -29,7 +30,7 @@
             self.choose_and_send()
 
     def choose_and_send(self) -> None:
-        """Send to the policy's choice, or wait in the pending queue."""
+        """Send the request to the server that the policy chooses, or add it to the pending queue."""
         server = self.choose_server(self.eligible_servers())
         if server == NO_SERVER:
             self.enqueue()
@@ -37,11 +38,11 @@
             self.send(server)
 
     def choose_server(self, servers: list[int]) -> int:
-        """Return the server among these that the policy chooses, NO_SERVER for none."""
+        """Return the server among `servers` that the policy chooses, NO_SERVER if there is none."""
         raise NotImplementedError
 
     def eligible_servers(self) -> list[int]:
-        """Return the usable, eligible servers, those of the node's own zone first."""
+        """Return the usable and eligible servers, those of the node's zone first."""
         dispatcher = self.dispatcher
         return [
             server
@@ -50,7 +51,7 @@
         ]
 
     def draw(self, servers: list[int]) -> int:
-        """Return one of these servers at random; there must be one."""
+        """Return a random one of `servers`, which must not be empty."""
         return servers[int(self.dispatcher.random() * len(servers))]
 
 
@@ -58,25 +59,25 @@
     """A dispatcher that places requests by one of the baseline policies.
 
     Attributes:
-        last_server: the server that was chosen last where servers are chosen in turn, NO_SERVER for none.
+        last_server: the server that round robin chose last, NO_SERVER before the first choice.
     """
 
     last_server = NO_SERVER
 
 
 class RandomRequest(BaselineRequest):
-    """Any server, at random."""
+    """A request sent to a random server."""
 
     def choose_server(self, servers: list[int]) -> int:
-        """Return one at random."""
+        """Return a random server."""
         return self.draw(servers) if servers else NO_SERVER
 
 
 class RoundRobinRequest(BaselineRequest):
-    """The servers in turn."""
+    """A request sent to the next server in round robin order."""
 
     def choose_server(self, servers: list[int]) -> int:
-        """Return the next one after the last."""
+        """Return the next server after the one chosen last, in index order with wrap-around."""
         if not servers:
             return NO_SERVER
         last = self.dispatcher.last_server
@@ -87,10 +88,10 @@
 
 
 class LeastRequestsRequest(BaselineRequest):
-    """The server with the fewest attempts of this node's own; among equals one at random."""
+    """A request sent to the server with the fewest attempts of this node; ties are broken at random."""
 
     def choose_server(self, servers: list[int]) -> int:
-        """Return the one with the fewest."""
+        """Return the server with the fewest attempts of this node."""
         if not servers:
             return NO_SERVER
         own_attempts = self.dispatcher.own_attempts
@@ -99,10 +100,10 @@
 
 
 class TwoChoicesRequest(BaselineRequest):
-    """Two servers at random are probed, and the one with the smaller count by its report is chosen."""
+    """A request sent to the less loaded, by its load report, of two random servers that are probed."""
 
     def choose_and_send(self) -> None:
-        """Probe two at random; the request is sent when they have answered."""
+        """Probe two random servers; the request is sent when the probes have ended."""
         servers = self.eligible_servers()
         probed: list[int] = []
         while servers and len(probed) < PROBED_COUNT:
@@ -115,7 +116,7 @@
             self.enqueue()
 
     def send_to_less_loaded(self) -> None:
-        """Send to the probed server with the smaller count, if one is still usable."""
+        """Send to the probed server with the smaller count; enqueue if none is still usable and eligible."""
         dispatcher = self.dispatcher
         usable = [
             server
@@ -129,7 +130,7 @@
 
 
 def reducer_type(request_type: type[BaselineRequest]) -> Callable[[], Reducer]:
-    """Return a type of reducer that places requests by a baseline policy."""
+    """Return a reducer class that places requests by a baseline policy."""
 
     class PolicyDispatcher(BaselineDispatcher):
         """The dispatcher of the policy."""
--- a/marlseam/experiment/policy_comparison.py
+++ b/marlseam/experiment/policy_comparison.py
@@ -1,4 +1,4 @@
-"""The play `policies`: marlseam and baselines in virtual time, over the same days and seeds."""
+"""The play `policies`: compares marlseam and baselines in virtual time, over the same days and seeds."""
 
 from collections.abc import Mapping
 from concurrent.futures import ProcessPoolExecutor
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from marlseam.experiment import compare, file
-from marlseam.experiment.file import Experiment, FileError, nearest
+from marlseam.experiment.file import Experiment, FileError, nearest_key_hint
 from marlseam.experiment.plays import RunResult, ShowProgress, margin_figure, register_play
 from marlseam.experiment.policies import POLICIES
 from marlseam.experiment.scale import records_in_memory
@@ -19,18 +19,18 @@
 from marlseam.verification.rules import judge
 from marlseam.verification.service import figures
 
-PROCESSES = 8  # runs side by side
+PROCESSES = 8  # worker processes, each of which plays one run at a time
 SHOWN_FIGURES = ("service", "worst_10s", "worst_type", "probes_per_try", "crossings", "waste")
 MARGIN_PREFIX = margin_figure("")
-SeedFigures = list[dict[str, float]]  # the figures of a policy's runs, a seed each
+SeedFigures = list[dict[str, float]]  # the figures of a policy's runs, one entry per seed
 
 
 class Policies(Strict, frozen=True):
-    """Which policies are compared; the fields are keys of experiment files.
+    """Table `policies` of an experiment file: the policies to compare.
 
     Attributes:
-        seeds: how many seeds each policy plays.
-        names: the names of the policies, the first of which the others are compared to; all where empty.
+        seeds: the number of seeds, from the experiment's own on, that each policy plays.
+        names: the names of the policies; the others are compared to the first. Empty for all policies.
     """
 
     seeds: Count = 10
@@ -38,7 +38,7 @@
 
 
 def one_run(day: Day, seed: int, name: str) -> dict[str, float]:
-    """Play one day by one policy; return its figures."""
+    """Play one day with one policy in virtual time; return its figures."""
     streams = RecordStreams(None, "driver")
     VirtualDriver(day, seed, streams, POLICIES[name]).run()
     verdict, book = judge(list(records_in_memory(streams)))
@@ -49,38 +49,40 @@
 
 @register_play("policies")
 def policies(experiment: Experiment, _out: Path, show_progress: ShowProgress) -> RunResult:
-    """Play each policy over the same seeds; differences are paired by seed."""
+    """Play each policy with the same seeds; differences of service are paired by seed."""
     table: Policies = experiment.tables["policies"]
     names = table.names or list(POLICIES)
     check_names(names)
     first_seed = experiment.head.seed
     seeds = range(first_seed, first_seed + table.seeds)
     runs = run_all(experiment.day, seeds, names, show_progress)
-    own = runs[names[0]]
+    first_policy_runs = runs[names[0]]
     head = ["policy", *SHOWN_FIGURES, "latency p99", "broken", "service less marlseam's (95%)"]
     rows = [head]
-    found: dict[str, float] = {}
+    result_figures: dict[str, float] = {}
     for name in names:
-        difference = service_difference(runs[name], own, first_seed)
-        found |= policy_figures(name, runs[name], difference)
+        difference = service_difference(runs[name], first_policy_runs, first_seed)
+        result_figures |= policy_figures(name, runs[name], difference)
         rows.append(policy_row(name, runs[name], None if name == names[0] else difference))
-    found |= own_figures(own)
+    result_figures |= first_policy_figures(first_policy_runs)
     tables = [
         (f"Policies over {len(seeds)} seeds, virtual time", rows),
-        ("Margins", margin_rows(found, own)),
+        ("Margins", margin_rows(result_figures, first_policy_runs)),
     ]
-    return RunResult(found, tables=tables, driver="virtual")
+    return RunResult(result_figures, tables=tables, driver="virtual")
 
 
 def check_names(names: list[str]) -> None:
-    """Raise FileError for a policy that does not exist."""
+    """Raise FileError if a name is not the name of a policy."""
     for name in names:
         if name not in POLICIES:
-            raise FileError(f"policies.names: no policy {name!r}{nearest(name, list(POLICIES))}")
+            raise FileError(
+                f"policies.names: no policy named {name!r}{nearest_key_hint(name, list(POLICIES))}"
+            )
 
 
 def run_all(day: Day, seeds: range, names: list[str], show_progress: ShowProgress) -> dict[str, SeedFigures]:
-    """Play all policies over all seeds, side by side; return the figures by policy."""
+    """Play all policies with all seeds in parallel processes; return the figures by policy."""
     with ProcessPoolExecutor(PROCESSES) as pool:
         futures = {name: [pool.submit(one_run, day, seed, name) for seed in seeds] for name in names}
         runs: dict[str, SeedFigures] = {}
@@ -90,11 +92,11 @@
     return runs
 
 
-def service_difference(runs: SeedFigures, own: SeedFigures, seed: int) -> compare.Interval:
-    """Return a policy's service less that of the first policy, paired by seed."""
+def service_difference(runs: SeedFigures, first_policy_runs: SeedFigures, seed: int) -> compare.Interval:
+    """Return the mean and interval of a policy's service minus that of the first policy, paired by seed."""
     services = np.array([run["service"] for run in runs])
-    own_services = np.array([run["service"] for run in own])
-    return compare.interval(services - own_services, seed)
+    first_policy_services = np.array([run["service"] for run in first_policy_runs])
+    return compare.interval(services - first_policy_services, seed)
 
 
 def mean_figures(runs: SeedFigures) -> dict[str, float]:
@@ -103,7 +105,7 @@
 
 
 def policy_figures(name: str, runs: SeedFigures, difference: compare.Interval) -> dict[str, float]:
-    """Return the figures of one policy that an experiment may bound."""
+    """Return the figures of one policy that an experiment file may bound."""
     short_name = name.split(" (")[0].replace(" ", "_")
     return {
         f"{short_name}_service": mean_figures(runs)["service"],
@@ -114,7 +116,7 @@
 
 
 def policy_row(name: str, runs: SeedFigures, difference: compare.Interval | None) -> list[str]:
-    """Return one policy as a row of the table; the policy that others are compared to has no difference."""
+    """Return the table row of one policy; `difference` is None for the policy that others are compared to."""
     mean = mean_figures(runs)
     shown = ""
     if difference is not None:
@@ -129,25 +131,30 @@
     ]
 
 
-def own_figures(own: SeedFigures) -> dict[str, float]:
-    """Return the first policy's figures: means over the seeds, of margins the greatest, all violations."""
-    found = mean_figures(own)
-    found |= {name: max(run[name] for run in own) for name in own[0] if name.startswith(MARGIN_PREFIX)}
-    found["rules_broken"] = sum(run["rules_broken"] for run in own)
-    found["judged"] = min(run["judged"] for run in own)
-    return found
+def first_policy_figures(runs: SeedFigures) -> dict[str, float]:
+    """Return the first policy's figures over all seeds.
+
+    Figures are means, except margins (maximum), `rules_broken` (sum) and `judged` (1 only if all runs were).
+    """
+    result_figures = mean_figures(runs)
+    result_figures |= {
+        name: max(run[name] for run in runs) for name in runs[0] if name.startswith(MARGIN_PREFIX)
+    }
+    result_figures["rules_broken"] = sum(run["rules_broken"] for run in runs)
+    result_figures["judged"] = min(run["judged"] for run in runs)
+    return result_figures
 
 
-def margin_rows(found: Mapping[str, float], own: SeedFigures) -> list[list[str]]:
-    """Return the greatest margin of each rule as a table."""
+def margin_rows(result_figures: Mapping[str, float], runs: SeedFigures) -> list[list[str]]:
+    """Return the greatest margin of each rule over all seeds as table rows."""
     rows = [["rule", "nearest that marlseam came, over all seeds"]]
-    for name in own[0]:
+    for name in runs[0]:
         if name.startswith(MARGIN_PREFIX):
             rule_name = name.removeprefix(MARGIN_PREFIX).replace("_", " ")
-            rows.append([rule_name, f"{found[name]:.3f}"])
+            rows.append([rule_name, f"{result_figures[name]:.3f}"])
     return rows
 
 
 def register() -> None:
-    """Make the table of this play known to experiment files."""
+    """Register the table of this play for experiment files."""
     file.register("policies", Policies)
--- a/marlseam/experiment/processes.py
+++ b/marlseam/experiment/processes.py
@@ -1,7 +1,7 @@
-"""Processes of an experiment.
+"""Child processes of an experiment.
 
-Each is started with a pipe to its standard input, prints a line once it is ready, and is ended by
-its own id.
+Each child process has a pipe to its standard input, prints a line once it is ready, and is terminated
+individually by its process id.
 """
 
 import json
@@ -15,32 +15,33 @@
 from pathlib import Path
 from typing import IO, Any
 
-READY_TIMEOUT_S = 30.0  # a start takes a fraction of a second, and longer on loaded machines
-END_TIMEOUT_S = 10.0  # after which a process that was told to end is killed
-READ_BYTES = 65536
-SHOWN_ARGUMENTS = 2  # of a process, in the text of an error
-STAT_USER_TICKS, STAT_SYSTEM_TICKS = 11, 12  # fields of /proc/PID/stat after the name of the program
+READY_TIMEOUT_S = 30.0  # a start takes a fraction of a second, and longer on a loaded machine
+END_TIMEOUT_S = 10.0  # from SIGTERM until a process that has not exited is killed
+READ_BYTES = 65536  # maximum per read from a pipe
+SHOWN_ARGUMENTS = 2  # leading arguments of a process that error messages show
+# Indices of the fields utime and stime in /proc/PID/stat, counted after the name of the program.
+STAT_USER_TICKS, STAT_SYSTEM_TICKS = 11, 12
 
 
 class RunFailedError(Exception):
-    """A process of the experiment did not do its part."""
+    """A process of the experiment failed, which ends the run."""
 
 
 class ProcessSilentError(RunFailedError):
-    """A process printed no line in time.
+    """A process printed no line within the timeout.
 
     Attributes:
         command: the first arguments of the process.
-        waited_s: how long it was waited for, in seconds.
+        waited_s: the timeout, in seconds.
     """
 
     def __init__(self, command: str, waited_s: float) -> None:
-        super().__init__(f"{command} said nothing for {waited_s:g} s")
+        super().__init__(f"{command} printed no line within {waited_s:g} s")
         self.command, self.waited_s = command, waited_s
 
 
 class ProcessEndedError(RunFailedError):
-    """A process ended before it printed a line.
+    """A process exited or closed its output before it printed a line.
 
     Attributes:
         command: the first arguments of the process.
@@ -48,16 +49,16 @@
     """
 
     def __init__(self, command: str, last_log_line: str) -> None:
-        super().__init__(f"{command} ended at once: {last_log_line}")
+        super().__init__(f"{command} ended before it printed a line; last line of its log: {last_log_line}")
         self.command, self.last_log_line = command, last_log_line
 
 
 class NodeFailedError(RunFailedError):
-    """A node did not start, was not ready in time, or ended by itself.
+    """A node did not start, was not ready in time, or exited unexpectedly.
 
     Attributes:
-        node: its name.
-        reason: what went wrong, as a predicate.
+        node: the name of the node.
+        reason: the failure, worded as a predicate of the node.
     """
 
     def __init__(self, node: str, reason: str) -> None:
@@ -66,11 +67,11 @@
 
 
 class ChildProcess:
-    """A Python process with pipes to its standard input and output; its standard error goes to a log.
+    """A Python child process with pipes to its standard input and output and a log for its standard error.
 
     Attributes:
-        log: the path of the log, which earlier processes may have written to.
-        process: the process itself.
+        log: the path of the log, which may already contain lines of earlier processes.
+        process: the underlying process.
     """
 
     def __init__(
@@ -80,17 +81,17 @@
         env: dict[str, str] | None = None,
         profile: Path | None = None,
         module: str = "marlseam",
-        keep: tuple[int, ...] = (),
+        inherited_descriptors: tuple[int, ...] = (),
     ) -> None:
-        """Start one.
+        """Start the process.
 
         Args:
-            arguments: those of the module.
-            log: the file that its standard error is appended to.
-            env: variables that are added to its environment.
-            profile: where cProfile writes its profile, None to run without.
-            module: what `python -m` runs.
-            keep: file descriptors that it inherits.
+            arguments: the command line arguments of the module.
+            log: the file that standard error is appended to.
+            env: variables added to the inherited environment.
+            profile: the file that cProfile writes its profile to, None to run without a profiler.
+            module: the module that `python -m` runs.
+            inherited_descriptors: file descriptors that the process inherits.
         """
         self.log = log
         self._command = " ".join(arguments[:SHOWN_ARGUMENTS])
@@ -104,74 +105,74 @@
                 stdout=subprocess.PIPE,
                 stderr=log_file,
                 env={**os.environ, **(env or {})},
-                pass_fds=keep,
+                pass_fds=inherited_descriptors,
             )
 
     @property
     def _input(self) -> IO[bytes]:
-        """Return the pipe to its standard input."""
-        assert self.process.stdin is not None  # as it was started with a pipe
+        """Return the pipe to the standard input of the process."""
+        assert self.process.stdin is not None  # the process was started with stdin=PIPE
         return self.process.stdin
 
     @property
     def _output(self) -> IO[bytes]:
-        """Return the pipe from its standard output."""
-        assert self.process.stdout is not None  # as it was started with a pipe
+        """Return the pipe from the standard output of the process."""
+        assert self.process.stdout is not None  # the process was started with stdout=PIPE
         return self.process.stdout
 
     def is_running(self) -> bool:
-        """Return whether it has not ended."""
+        """Return whether the process has not exited."""
         return self.process.poll() is None
 
     def has_output(self) -> bool:
-        """Return whether it has printed something that was not read, or has closed its output."""
+        """Return whether the output of the process has unread data or is closed."""
         return bool(select.select([self._output], [], [], 0.0)[0])
 
     def read_json(self, timeout_s: float = READY_TIMEOUT_S) -> Any:  # noqa: ANN401 - any JSON value
-        """Return the next line that it prints, as JSON.
+        """Return the next line of the process's output, parsed as JSON.
 
-        Raises ProcessSilentError where none comes in time, ProcessEndedError where none will.
+        Raises ProcessSilentError if no line arrives within the timeout, ProcessEndedError if the output ends.
         """
         text, end_s = b"", time.monotonic() + timeout_s
         while not text.endswith(b"\n"):
-            left_s = end_s - time.monotonic()
-            if left_s <= 0.0 or not select.select([self._output], [], [], left_s)[0]:
+            remaining_s = end_s - time.monotonic()
+            if remaining_s <= 0.0 or not select.select([self._output], [], [], remaining_s)[0]:
                 raise ProcessSilentError(self._command, timeout_s)
-            more = os.read(self._output.fileno(), READ_BYTES)
-            if not more:
+            chunk = os.read(self._output.fileno(), READ_BYTES)
+            if not chunk:
                 raise ProcessEndedError(self._command, self.tail())
-            text += more
+            text += chunk
         return json.loads(text.splitlines()[-1])
 
     def tail(self) -> str:
-        """Return the last line of its log."""
+        """Return the last line of the log, or a note that the log is empty."""
         lines = deque(self.log.read_text(errors="replace").splitlines(), 1)
-        return lines[0] if lines else "no word in its log"
+        return lines[0] if lines else "its log is empty"
 
     def send_zero(self, zero_s: float) -> None:
-        """Tell it the run's zero, in seconds of the monotonic clock."""
+        """Send the process the run's zero, in seconds of the monotonic clock."""
         self._input.write(json.dumps({"zero": zero_s}).encode() + b"\n")
         self._input.flush()
 
     def signal(self, number: int) -> None:
-        """Send it a signal, if it runs."""
+        """Send a signal to the process if it has not exited."""
         if self.is_running():
             self.process.send_signal(number)
 
     def end(self) -> int:
-        """Tell it to end, and return its exit code; one that does not is killed."""
+        """Terminate the process, kill it after `END_TIMEOUT_S`, close its pipes; return its exit code."""
         self.signal(signal.SIGTERM)
         try:
-            code = self.process.wait(END_TIMEOUT_S)
+            exit_code = self.process.wait(END_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
-            code = self.process.wait()
+            exit_code = self.process.wait()
         self._input.close()
         self._output.close()
-        return code
+        return exit_code
 
     def cpu_s(self) -> float:
-        """Return the CPU time that it has used, in seconds."""
+        """Return the CPU time that the process has used so far, in seconds."""
         fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         ticks = int(fields[STAT_USER_TICKS]) + int(fields[STAT_SYSTEM_TICKS])
         return ticks / os.sysconf("SC_CLK_TCK")
--- a/marlseam/experiment/ready.py
+++ b/marlseam/experiment/ready.py
@@ -1,7 +1,8 @@
-"""The play `ready`: how soon restarted nodes are ready, many at once, with discovery up, slow and down.
+"""The play `ready`: time until many nodes restarted at once are ready, with discovery up, slow and down.
 
-A node is ready as the platform's load balancer sees it: `GET /-/ready` has answered 200. A node does so once
-it listens and holds an endpoint list: the one in its configuration, which may be old, or discovery's first.
+A node is ready in the sense of the platform's load balancer: `GET /-/ready` has answered 200. A node answers
+200 once it listens and holds an endpoint list: the one in its configuration, which may be outdated, or the
+first list from discovery.
 """
 
 import time
@@ -30,8 +31,9 @@
     node_settings,
 )
 
-READY_TIMEOUT_S = 30.0  # after which a node counts as one that does not get ready
-PHASES = ("interpreter", "import", "settings", "socket", "node", "list")  # of a start, as nodes log them
+READY_TIMEOUT_S = 30.0  # for all nodes of a case; also the figure of a node that is not ready by then
+# Phases of a start, in order, as `startup_timing` logs them.
+PHASES = ("interpreter", "import", "settings", "socket", "node", "list")
 READY_PERCENTILES = (50, 90, 100)
 RATES = ("list_calls_s", "calls_s", "failed_calls_s")
 HEAD = ("discovery", "ready 50%", "90%", "100%", *PHASES, "list calls/s", "all calls/s", "failed/s")
@@ -44,9 +46,9 @@
     """One of the `cases` of an experiment file.
 
     Attributes:
-        name: with which its figures' names begin.
-        discovery: whether it answers at once, late or not at all.
-        listed: whether nodes have an endpoint list in their configuration.
+        name: the case's name, and the prefix of its figures' names.
+        discovery: whether discovery answers at once (`there`), late (`slow`) or not at all (`away`).
+        listed: whether the nodes have an endpoint list in their configuration.
     """
 
     name: str
@@ -58,10 +60,10 @@
     """Table `ready` of an experiment file.
 
     Attributes:
-        processes: nodes that start at once.
-        slow_s: how many seconds a slow discovery takes for an answer.
-        after_s: for how many seconds after all nodes are ready calls of discovery are counted.
-        cases: that are played.
+        processes: the number of nodes started at once.
+        slow_s: the time a slow discovery takes to answer, in seconds.
+        after_s: the time after all nodes are ready for which discovery calls are still counted, in seconds.
+        cases: the cases to play, in order.
     """
 
     processes: Count = 30
@@ -71,11 +73,11 @@
 
 
 class CaseResult(NamedTuple):
-    """What a case came to.
+    """The result of a case.
 
     Attributes:
-        figures: by the names that experiment files expect them under, the case's name left out.
-        row: of the report.
+        figures: figures by the names used in experiment files, without the prefix of the case's name.
+        row: the case's row in the table of the report.
     """
 
     figures: Figures
@@ -83,12 +85,12 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return the least value that so large a share of values does not exceed."""
+    """Return the smallest value that at least the given share of values does not exceed (nearest rank)."""
     return sorted(values)[max(0, ceil(share * len(values)) - 1)]
 
 
 def node_config(address: str, case: Case, name: str, number: int, nodes: int) -> dict[str, Any]:
-    """Return a node's configuration, as the platform writes it; `address` is discovery's."""
+    """Return a node's configuration file in the platform's format; `address` is the address of discovery."""
     day = Day(
         seconds=1.0,
         types=[RequestType(name="statement", share=1.0, work_ms=50.0, promised_ms=200.0, limit_ms=5000.0)],
@@ -106,10 +108,10 @@
 
 
 def start_nodes(case: Case, settings: ReadySettings, directory: Path) -> CaseResult:
-    """Start all nodes of a case at once, and measure when they are ready and what they ask of discovery."""
+    """Start all nodes of a case at once; measure their times to readiness and their calls to discovery."""
     with node_starter(directory) as starter:
         delay_ms = 1000.0 * settings.slow_s if case.discovery == "slow" else 0.0
-        discovery = EmulatedDiscovery(starter.stand, delay_ms, is_down=case.discovery == "away")
+        discovery = EmulatedDiscovery(starter.emulator, delay_ms, is_down=case.discovery == "away")
         for number in range(settings.processes):
             name = f"n{number}"
             config = node_config(discovery.address, case, name, number, settings.processes)
@@ -132,13 +134,13 @@
 
 
 def ready_figures(starter: NodeStarter) -> Figures:
-    """Return percentiles of how long nodes took to be ready, in s."""
+    """Return percentiles of the nodes' times to readiness in s, each time capped at `READY_TIMEOUT_S`."""
     ready_s = [min(start.ready_s, READY_TIMEOUT_S) for start in starter.starts]
     return {f"ready_{percent}": percentile(ready_s, percent / 100.0) for percent in READY_PERCENTILES}
 
 
 def call_figures(discovery: EmulatedDiscovery, starter: NodeStarter, seconds: float) -> Figures:
-    """Return the rates of calls of discovery, a second: for the whole list, all, and failed ones."""
+    """Return the rates of discovery calls per second: for the whole list, all calls, and failed calls."""
     list_calls = sum(call.is_for_list for call in discovery.calls)
     failed_calls = sum(start.discovery_ends.total() for start in starter.starts)
     return {
@@ -149,7 +151,7 @@
 
 
 def phase_medians(starts: list[NodeStart]) -> Figures:
-    """Return the median time in s until each phase was over, of those phases that nodes logged."""
+    """Return the median time in s from the start to the end of each phase, for phases that a node logged."""
     found: Figures = {}
     for phase in PHASES:
         times_s = [start.phases_s[phase] for start in starts if phase in start.phases_s]
@@ -160,7 +162,7 @@
 
 @register_play("ready")
 def ready(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Start many nodes at once, in each case."""
+    """Start all nodes at once in each case, and report their times to readiness and discovery calls."""
     settings: ReadySettings = experiment.tables["ready"]
     found: Figures = {}
     rows = [list(HEAD)]
@@ -174,5 +176,5 @@
 
 
 def register() -> None:
-    """Make this play's table known to experiment files."""
+    """Register the table of this play for experiment files."""
     file.register("ready", ReadySettings)
--- a/marlseam/experiment/registered_plays.py
+++ b/marlseam/experiment/registered_plays.py
@@ -1,4 +1,4 @@
-"""All plays: their import registers them, `register` makes their tables known to experiment files."""
+"""Imports all plays, which registers them; `register` registers their tables for experiment files."""
 
 from marlseam.experiment import (
     capacity,
@@ -18,7 +18,7 @@
     store_cost,
 )
 
-__all__ = ["day_plays", "register"]  # the plays of one day have no table of their own
+__all__ = ["day_plays", "register"]  # `day_plays` has no table to register; it is imported for its plays
 
 MODULES_WITH_TABLES = (
     generator_plays,
@@ -39,6 +39,6 @@
 
 
 def register() -> None:
-    """Make the tables of all plays known to experiment files."""
+    """Register the tables of all plays for experiment files."""
     for module in MODULES_WITH_TABLES:
         module.register()
--- a/marlseam/experiment/report.py
+++ b/marlseam/experiment/report.py
@@ -1,4 +1,4 @@
-"""The report: one HTML file without outside parts, readable in dark and light."""
+"""The report of a run: one self-contained HTML file with a light and a dark colour scheme."""
 
 from html import escape
 
@@ -33,7 +33,7 @@
 
 
 def page(summary: RunSummary, book: RunRecords | None) -> str:
-    """Return the whole report of a run; `book` holds its records, if there are any."""
+    """Return the HTML page of a run's report; `book` holds the run's records, None if it has none."""
     parts = heading(summary)
     if summary.expectations:
         parts.append(table(expectation_rows(summary.expectations), marks_verdicts=True))
@@ -52,9 +52,9 @@
 
 
 def heading(summary: RunSummary) -> list[str]:
-    """Return the experiment's name, what came of it, and what does not hold."""
+    """Return the experiment's name, the outcome of the run, and each missed rule or expectation."""
     is_good = summary.exit_code == 0
-    verdict = "all that was expected holds" if is_good else "something was missed"
+    verdict = "all rules and expectations hold" if is_good else "a rule or an expectation does not hold"
     parts = [f"<h1>{escape(summary.name)}</h1>", f"<p>{escape(summary.about)}</p>"]
     parts.append(
         f'<p><span class="{"ok" if is_good else "bad"}">{verdict}</span>, {escape(summary.driver)}, seed '
@@ -64,7 +64,7 @@
 
 
 def expectation_rows(expectations: list[ExpectationOutcome]) -> list[list[str]]:
-    """Return the bounded figures as a table."""
+    """Return the outcomes of the expectations as table rows."""
     rows = [["expected of", "bound", "seen", ""]]
     for expectation in expectations:
         verdict = "holds" if expectation.holds else "missed"
@@ -73,12 +73,12 @@
 
 
 def rules_section(rules: list[RuleOutcome]) -> list[str]:
-    """Return the rules as a table, and the timeline of the first violations."""
+    """Return the outcomes of the rules as a table, and the timelines of their first violations."""
     rows = [["rule", "nearest", "which is the", "broken", ""]]
     for rule in rules:
         verdict = "kept" if not rule.violation_count else "broken"
         rows.append([rule.name, f"{rule.margin:.3f}", rule.means, str(rule.violation_count), verdict])
-    parts = ["<h2>The rules</h2>" + table(rows, marks_verdicts=True)]
+    parts = ["<h2>Rules</h2>" + table(rows, marks_verdicts=True)]
     for rule in rules:
         for example in rule.examples:
             parts.append(f"<p>{escape(example.subject)}: {escape(example.text)}</p>")
@@ -87,12 +87,15 @@
 
 
 def figure_rows(figures: dict[str, float]) -> list[list[str]]:
-    """Return all figures as a table."""
+    """Return all figures as table rows."""
     return [["figure", "value"], *([name, f"{value:.4g}"] for name, value in figures.items())]
 
 
 def table(rows: list[list[str]], marks_verdicts: bool = False) -> str:
-    """Return a table whose first row is its head; with `marks_verdicts` the last column is coloured."""
+    """Return an HTML table whose first row is the header.
+
+    With `marks_verdicts` the last column is coloured by whether its text is one of `GOOD_VERDICTS`.
+    """
     parts = ["<table><tr>" + "".join(f"<th>{escape(cell)}</th>" for cell in rows[0]) + "</tr>"]
     for row in rows[1:]:
         cells = [f"<td>{escape(cell)}</td>" for cell in row]
--- a/marlseam/experiment/runner.py
+++ b/marlseam/experiment/runner.py
@@ -1,4 +1,4 @@
-"""Carries out an experiment: runs its play, checks what the file expects, and writes the run's folder."""
+"""Runs an experiment: runs its play, checks the expectations of its file, and writes the run's folder."""
 
 import platform
 import time
@@ -10,7 +10,7 @@
 
 from marlseam import __version__
 from marlseam.experiment import report
-from marlseam.experiment.file import Experiment, FileError, Head, nearest
+from marlseam.experiment.file import Experiment, FileError, Head, nearest_key_hint
 from marlseam.experiment.plays import PLAYS, RunResult, ShowProgress
 from marlseam.experiment.summary import ExpectationOutcome, RuleOutcome, RunSummary, ViolationExample
 from marlseam.verification.book import RunRecords
@@ -18,18 +18,24 @@
 from marlseam.verification.verdict import Rule, Verdict
 
 DRIVERS = ("virtual", "sockets")
-MAX_EXAMPLES = 5  # violations shown of each rule
-LIBRARIES = ("numpy", "msgspec", "hdrhistogram", "httptools", "h11")  # whose versions a summary holds
+MAX_EXAMPLES = 5  # violations shown per rule
+LIBRARIES = (
+    "numpy",
+    "msgspec",
+    "hdrhistogram",
+    "httptools",
+    "h11",
+)  # libraries whose versions the summary lists
 
 
 class RequestRow(NamedTuple):
-    """A request as `units.json` holds it, for comparisons of runs.
+    """A request as stored in `units.json` for comparisons of runs.
 
     Attributes:
-        first_try: the id of its first try, which is the same in runs of one day and seed.
-        weight: its weight.
-        earned_weight: its weight if it was answered within its objective, else 0.
-        turnaround_ms: from the intended send to the answer, None without one.
+        first_try: the id of the request's first try, equal in all runs of one day and seed.
+        weight: the request's priority weight.
+        earned_weight: the weight if the request was answered within its latency objective, else 0.
+        turnaround_ms: the time from the intended send to the answer; None if the request was not completed.
     """
 
     first_try: str
@@ -39,10 +45,10 @@
 
 
 def run(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunSummary:
-    """Carry out an experiment and write `summary.json`, `units.json` and `report.html` into its folder.
+    """Run an experiment and write `summary.json`, `units.json` and `report.html` into the folder `out`.
 
-    The exit code in the summary is 1 where a rule is violated, the records have gaps, or an expectation does
-    not hold. Raises FileError where the file names a play, a driver or a figure that does not exist.
+    The exit code in the summary is 1 if a rule is violated, the records have gaps, or an expectation does
+    not hold. Raises FileError if the file names an unknown play, driver or figure.
     """
     head = experiment.head
     check_names(head)
@@ -57,25 +63,29 @@
 
 
 def check_names(head: Head) -> None:
-    """Raise FileError where a file names a play or a driver that does not exist."""
+    """Raise FileError if an experiment file names an unknown play or driver."""
     if head.play not in PLAYS:
-        raise FileError(f"play: {head.play!r} is none{nearest(head.play, list(PLAYS))}")
+        raise FileError(f"play: no play named {head.play!r}{nearest_key_hint(head.play, list(PLAYS))}")
     if head.driver not in DRIVERS:
-        raise FileError(f"driver: {head.driver!r} is none{nearest(head.driver, list(DRIVERS))}")
+        raise FileError(
+            f"driver: no driver named {head.driver!r}{nearest_key_hint(head.driver, list(DRIVERS))}"
+        )
 
 
 def check_figures(head: Head, result: RunResult) -> None:
-    """Raise FileError where a file bounds figures that its play does not return."""
+    """Raise FileError if the file expects figures that its play does not return."""
     known = list(result.figures)
-    wrong = [
-        f"expect.{name}: no such figure{nearest(name, known)}" for name in head.expect if name not in known
+    unknown_figures = [
+        f"expect.{name}: no such figure{nearest_key_hint(name, known)}"
+        for name in head.expect
+        if name not in known
     ]
-    if wrong:
-        raise FileError(*wrong)
+    if unknown_figures:
+        raise FileError(*unknown_figures)
 
 
 def summarize(head: Head, result: RunResult, duration_s: float) -> RunSummary:
-    """Return the summary of a run."""
+    """Return the summary of a run, with the exit code and all missed rules and expectations."""
     expectations = expectation_outcomes(head, result.figures)
     missed = missed_rules(result.verdict) if result.verdict is not None else []
     for expectation in expectations:
@@ -101,7 +111,7 @@
 
 
 def expectation_outcomes(head: Head, figures: dict[str, float]) -> list[ExpectationOutcome]:
-    """Return for each figure that the file bounds whether it holds."""
+    """Return the outcome of each expectation of the file."""
     return [
         ExpectationOutcome(name, str(bound), figures[name], bound.holds(figures[name]))
         for name, bound in head.expect.items()
@@ -109,16 +119,16 @@
 
 
 def missed_rules(verdict: Verdict) -> list[str]:
-    """Return a line for each gap in the records, and for the first violations of each rule."""
+    """Return one line per gap in the records, and one per violation for the first violations of each rule."""
     missed = [f"not judged: {gap}" for gap in verdict.gaps]
     for rule in verdict.rules:
         for subject, text in rule.violations[:MAX_EXAMPLES]:
-            missed.append(f"rule '{rule.name}' broken by {subject}: {text}")
+            missed.append(f"rule '{rule.name}' violated by {subject}: {text}")
     return missed
 
 
 def rule_outcomes(result: RunResult) -> list[RuleOutcome]:
-    """Return what the check of each rule found, with the timeline of the first violations."""
+    """Return the outcome of each rule, with the timelines of its first violations."""
     if result.verdict is None:
         return []
     return [
@@ -134,7 +144,7 @@
 
 
 def violation_examples(rule: Rule, book: RunRecords | None) -> list[ViolationExample]:
-    """Return the first violations of a rule, each with its request's timeline."""
+    """Return the first violations of a rule, each with the timeline of the request concerned."""
     examples: list[ViolationExample] = []
     for subject, text in rule.violations[:MAX_EXAMPLES]:
         timeline = book.timeline(first_try_of(book, subject)) if book is not None else []
@@ -143,12 +153,12 @@
 
 
 def first_try_of(book: RunRecords, subject: str) -> str:
-    """Return the id of the first try of a request; for what is no try, the subject itself."""
+    """Return the id of the first try of the request that `subject` is a try of; else `subject` unchanged."""
     return book.tries[subject].first if subject in book.tries else subject
 
 
 def request_rows(book: RunRecords) -> list[RequestRow]:
-    """Return the requests of a run for comparisons."""
+    """Return one row per request of a run, as `units.json` stores them."""
     return [
         RequestRow(
             first_try=outcome.first.first,
@@ -161,7 +171,7 @@
 
 
 def write_folder(out: Path, summary: RunSummary, result: RunResult) -> None:
-    """Write a run's summary, requests and report."""
+    """Write `summary.json`, `report.html` and, if the run has records, `units.json`."""
     (out / "summary.json").write_bytes(msgspec.json.format(msgspec.json.encode(summary), indent=1))
     if result.book is not None:
         (out / "units.json").write_bytes(msgspec.json.encode(request_rows(result.book)))
@@ -169,6 +179,6 @@
 
 
 def versions() -> dict[str, str]:
-    """Return the versions of what the figures were made with."""
+    """Return the versions of marlseam, Python and the libraries that produced the figures."""
     found = {"marlseam": __version__, "python": platform.python_version()}
     return found | {name: metadata.version(name) for name in LIBRARIES}
--- a/marlseam/experiment/startup_timing.py
+++ b/marlseam/experiment/startup_timing.py
@@ -1,9 +1,10 @@
-"""Runs a node that reports when each part of its start was over.
+"""Runs a node that reports when each phase of its start was completed.
 
     python -m marlseam.experiment.startup_timing PARENT_PID ARGUMENTS
 
 The arguments are those of `python -m marlseam`. Each report is a line `began PART SECONDS` on standard error,
-by the system's monotonic clock, which all processes share. The node ends with its parent.
+with the time on the system's monotonic clock, which all processes share. The node is killed when its parent
+ends.
 """
 
 import sys
@@ -14,34 +15,34 @@
 if TYPE_CHECKING:
     from marlseam.net.discovery import Discovery
 
-INTERPRETER_STARTED_S = time.monotonic()  # all other imports come later: they are a part of the start
+INTERPRETER_STARTED_S = time.monotonic()  # taken before all other imports, which are part of the start
 Parameters = ParamSpec("Parameters")
 Result = TypeVar("Result")
 
 
-def report(part: str, at_s: float | None = None) -> None:
-    """Write that a part of the start is over."""
-    print(f"began {part} {time.monotonic() if at_s is None else at_s:.6f}", file=sys.stderr, flush=True)
+def report_phase(phase: str, at_s: float | None = None) -> None:
+    """Write a line that reports the completion of a phase, now or at the given monotonic time in seconds."""
+    print(f"began {phase} {time.monotonic() if at_s is None else at_s:.6f}", file=sys.stderr, flush=True)
 
 
-def reported(part: str, call: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
-    """Return a call that reports each time that it is over."""
+def reporting_phase(phase: str, call: Callable[Parameters, Result]) -> Callable[Parameters, Result]:
+    """Return a wrapper of `call` that reports a phase after each call."""
 
-    def call_and_report(*arguments: Parameters.args, **options: Parameters.kwargs) -> Result:
+    def call_and_report_phase(*arguments: Parameters.args, **options: Parameters.kwargs) -> Result:
         result = call(*arguments, **options)
-        report(part)
+        report_phase(phase)
         return result
 
-    return call_and_report
+    return call_and_report_phase
 
 
-def report_calls(owner: object, name: str, part: str) -> None:
-    """Replace a function or class of a module by one that reports each call."""
-    setattr(owner, name, reported(part, getattr(owner, name)))
+def report_calls(owner: object, name: str, phase: str) -> None:
+    """Replace a function or class of a module by a wrapper that reports a phase after each call."""
+    setattr(owner, name, reporting_phase(phase, getattr(owner, name)))
 
 
 def report_first_list(discovery: type["Discovery"]) -> None:
-    """Have discovery report its first list that does not come from the disk, once it has arrived."""
+    """Make discovery report the arrival of its first list that does not come from the disk."""
     take = discovery.take
     has_reported = False
 
@@ -49,14 +50,14 @@
         nonlocal has_reported
         if not cached and not has_reported:
             has_reported = True
-            report("list")
-        return take(self, value, cached, **options)  # type: ignore[arg-type]  # as the caller gave them
+            report_phase("list")
+        return take(self, value, cached, **options)  # type: ignore[arg-type]  # passed on unchanged
 
-    discovery.take = take_and_report  # type: ignore[assignment]  # the same but for the options' types
+    discovery.take = take_and_report  # type: ignore[assignment]  # differs only in the types of the options
 
 
 def main() -> None:
-    """Run a node, with the parent's process id taken off the arguments."""
+    """Remove the parent's process id from the arguments and run a node with the rest."""
     from marlseam.experiment.exit_with_parent import exit_with_parent
 
     exit_with_parent(int(sys.argv.pop(1)))
@@ -65,8 +66,8 @@
     from marlseam.net import http
     from marlseam.net.discovery import Discovery
 
-    report("interpreter", INTERPRETER_STARTED_S)
-    report("import")
+    report_phase("interpreter", INTERPRETER_STARTED_S)
+    report_phase("import")
     report_calls(configuration, "load", "settings")
     report_calls(http, "bound", "socket")
     report_calls(program, "Node", "node")
--- a/marlseam/experiment/summary.py
+++ b/marlseam/experiment/summary.py
@@ -1,7 +1,7 @@
-"""What a run leaves in `summary.json`, as typed values.
+"""The contents of `summary.json`, as typed values.
 
-The keys of the file are those that operators and tools know; where a field has another name here, the key
-stands beside it.
+The keys of the file are an interface for operators and tools; where a field is named differently here, its
+key is given by `field(name=...)`.
 """
 
 from collections.abc import Sequence
@@ -11,17 +11,17 @@
 
 from marlseam.experiment.slope import Slope
 
-Table = tuple[str, list[list[str]]]  # its title, and its rows with the head first
+Table = tuple[str, list[list[str]]]  # title, and rows with the header row first
 
 
 class ExpectationOutcome(msgspec.Struct):
-    """One figure that the experiment's file bounds.
+    """The outcome of one expectation of the experiment file.
 
     Attributes:
-        figure: its name.
-        bound: what it must be, as text.
-        value: what it was.
-        holds: whether it lies within.
+        figure: the name of the figure.
+        bound: the expected range, as text.
+        value: the measured value.
+        holds: whether the value lies within the expected range.
     """
 
     figure: str
@@ -34,9 +34,9 @@
     """A violation of a rule.
 
     Attributes:
-        subject: the id of the try, or the name of the server.
-        text: what is wrong.
-        timeline: all that happened to the request, a line each.
+        subject: the id of the violating try, or the name of the violating server.
+        text: a description of the violation.
+        timeline: all recorded events of the request, one line each.
     """
 
     subject: str = field(name="who")
@@ -45,13 +45,13 @@
 
 
 class RuleOutcome(msgspec.Struct):
-    """What the check of one rule found; `margin` and `means` as in `verification.verdict.Rule`.
+    """The outcome of one rule; `margin` and `means` are defined in `verification.verdict.Rule`.
 
     Attributes:
         name: the rule's name.
-        violation_count: how often it was violated.
-        margin: how near the run came to a violation.
-        means: what `margin` measures.
+        violation_count: the number of violations.
+        margin: how close the run came to a violation.
+        means: the quantity that `margin` measures.
         examples: the first violations.
     """
 
@@ -63,22 +63,22 @@
 
 
 class RunSummary(msgspec.Struct):
-    """A run of an experiment.
+    """The summary of a run of an experiment.
 
     Attributes:
         name: the experiment's name.
-        about: what it shows.
-        play: the play that was run.
-        driver: what it ran on.
-        seed: the seed of all draws.
-        duration_s: how long the play took, in seconds.
-        exit_code: 0 if all that is expected holds and no rule is violated, else 1.
-        missed: what does not hold, a line each.
-        expectations: the figures that the file bounds.
+        about: what the experiment demonstrates.
+        play: the name of the play.
+        driver: the driver that the play ran on.
+        seed: the seed of all random draws.
+        duration_s: the duration of the play, in seconds.
+        exit_code: 0 if all expectations hold and no rule is violated, else 1.
+        missed: one line per gap in the records, rule violation or missed expectation.
+        expectations: the outcome of each expectation.
         figures: all figures by name.
-        rules: what the check of each rule found; empty where the play has no verdict.
+        rules: the outcome of each rule; empty if the play has no verdict.
         tables: the tables of the report.
-        slopes: figures by size.
+        slopes: figures by size, each with its bound.
         versions: the versions of marlseam, Python and libraries, by name.
     """
 
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiment files, exit codes, comparisons, reports and baselines."""
+"""Experiment files, exit codes, summaries, reports, comparisons of runs and baseline policies."""
 
 import json
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 
 def experiment_data(**changes: object) -> dict[str, Any]:
-    """Return a parsed experiment file with some keys more, or others than usual."""
+    """Return the data of a valid experiment file, with the keys of `changes` added or replaced."""
     return {"name": "x", "driver": "virtual", "day": DAY} | changes
 
 
@@ -45,7 +45,10 @@
             r"day.types\[0\].effect: invalid",
         ),
         (experiment_data(day=DAY | {"types": []}), "day.types: expected"),
-        (experiment_data(day=DAY | {"types": [TYPES[0], TYPES[0]]}), "day.types: a name comes twice"),
+        (
+            experiment_data(day=DAY | {"types": [TYPES[0], TYPES[0]]}),
+            "day.types: duplicate name, expected unique names",
+        ),
         (experiment_data(day=DAY | {"troubles": [{"what": "slow", "at_s": 9}]}), r"day.troubles\[0\].at_s"),
         (
             experiment_data(day=DAY | {"troubles": [{"what": "errors", "at_s": 1, "type": "lokup"}]}),
@@ -63,12 +66,12 @@
         ),
     ],
 )
-def test_each_wrong_key_is_named(values, text):
+def test_an_invalid_key_or_value_raises_an_error_that_names_the_key(values, text):
     with pytest.raises(file.FileError, match=text):
         file.read(values)
 
 
-def test_all_unknown_keys_are_named_at_once():
+def test_one_error_lists_all_unknown_keys():
     with pytest.raises(file.FileError) as error:
         file.read(experiment_data(sed=1, day=DAY | {"laod": {}, "fleet": DAY["fleet"] | {"nods": 3}}))
     assert len(str(error.value).split("\n")) == 3
@@ -88,7 +91,7 @@
 
 
 class CommandRun(NamedTuple):
-    """What `experiment run` came to, and the folder that it wrote."""
+    """The result of `marlseam experiment run`, and its output folder."""
 
     result: Result
     out: Path
@@ -96,7 +99,7 @@
 
 @pytest.fixture
 def run(tmp_path) -> Callable[..., CommandRun]:
-    """Return a function that runs an experiment file by the command line."""
+    """Return a function that runs an experiment file with `marlseam experiment run`."""
 
     def run_file(more: str = "", play: str = "day") -> CommandRun:
         path = tmp_path / "x.toml"
@@ -116,7 +119,7 @@
         ("[days]", 2, "days: no such key, the nearest is day"),
     ],
 )
-def test_the_exit_code_says_whether_all_holds(run, more, code, text):
+def test_the_exit_code_is_0_if_all_holds_1_if_a_bound_is_missed_2_if_a_key_is_unknown(run, more, code, text):
     result, out = run(more)
     assert result.exit_code == code
     assert text in result.output
@@ -127,7 +130,7 @@
         assert summary["seed"] == 1
 
 
-def test_an_infinite_figure_is_missed_and_printed_as_inf(run, monkeypatch):
+def test_an_infinite_figure_over_its_bound_is_reported_as_missed_and_printed_as_inf(run, monkeypatch):
     endless = plays.RunResult({"heal_s": float("inf")})
     monkeypatch.setitem(plays.PLAYS, "endless", lambda _experiment, _out, _show_progress: endless)
     result, _ = run("[expect]\nheal_s = { most = 5 }", play="endless")
@@ -137,8 +140,10 @@
     assert isinstance(result.exception, SystemExit)
 
 
-@pytest.mark.parametrize(("play", "text"), [("dya", "play: 'dya' is none, the nearest is day"), ('day"', "")])
-def test_a_wrong_play_or_a_file_that_is_no_toml_ends_with_2(run, play, text):
+@pytest.mark.parametrize(
+    ("play", "text"), [("dya", "play: no play named 'dya', the nearest is day"), ('day"', "")]
+)
+def test_an_unknown_play_or_invalid_toml_exits_with_2_and_no_traceback(run, play, text):
     result, _ = run(play=play)
     assert result.exit_code == 2
     assert text in result.output
@@ -151,7 +156,7 @@
 ]
 
 
-def test_the_summary_keeps_the_keys_that_tools_read(run):
+def test_the_summary_keeps_its_json_keys_and_their_order(run):
     _, out = run("[expect]\nservice = { least = 0 }")
     summary = json.loads((out / "summary.json").read_text())
     assert list(summary) == SUMMARY_KEYS
@@ -161,7 +166,7 @@
     assert msgspec.to_builtins(example) == {"who": "t1", "what": "two answers", "story": ["sent"]}
 
 
-def test_requests_of_a_run_are_stored_as_rows_of_four(run):
+def test_units_json_stores_each_request_as_a_row_of_four_values(run):
     _, out = run()
     rows = json.loads((out / "units.json").read_text())
     first_try, weight, earned_weight, turnaround_ms = rows[0]
@@ -170,7 +175,7 @@
     assert turnaround_ms > 0.0
 
 
-def test_the_report_stands_alone_and_shows_what_happened(run):
+def test_the_report_is_self_contained_and_shows_charts_faults_and_rules(run):
     _, out = run('[[day.troubles]]\nwhat = "slow"\nat_s = 1')
     page = (out / "report.html").read_text()
     assert "prefers-color-scheme: dark" in page
@@ -180,7 +185,7 @@
         assert part in page
 
 
-def test_runs_compare_paired_and_the_same_run_is_within_noise(run):
+def test_runs_of_one_seed_are_paired_and_a_run_does_not_differ_from_itself(run):
     _, one = run()
     _, two = run('[[day.troubles]]\nwhat = "slow"\nat_s = 0\nfor_s = 4\nshare = 1.0\nsize = 30')
     same, paired = compare.differences(one, one)
@@ -197,7 +202,7 @@
 
 
 @pytest.mark.parametrize("name", POLICIES)
-def test_baselines_keep_the_rules_in_the_same_world(name):
+def test_each_policy_keeps_the_rules_in_the_simulation(name):
     verdict, _, figures, _ = played(day(seconds=8.0, rate=15.0), make_reducer=POLICIES[name])
     assert verdict.is_judged
     assert not verdict.violation_count
@@ -208,7 +213,7 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_the_experiments_of_the_project_read_and_their_days_keep_the_rules(path):
+def test_each_experiment_file_of_the_project_loads_and_its_policies_play_keeps_the_rules(path):
     registered_plays.register()
     experiment = file.load(path)
     assert experiment.head.name == path.stem
@@ -220,7 +225,7 @@
         assert found["none"] == 0.0
 
 
-def test_a_day_whose_records_have_holes_ends_with_1(run, monkeypatch):
+def test_a_run_whose_record_streams_have_no_end_is_not_judged_and_exits_with_1(run, monkeypatch):
     from marlseam import records
 
     monkeypatch.setattr(records.StreamWriter, "end", lambda self, _at_ms: self.file.flush())
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -1,7 +1,7 @@
-"""How soon a restarted node is ready, with discovery up, slow and down.
+"""Time until a restarted node is ready, with discovery up, slow and down.
 
-A node is ready once `GET /-/ready` answers 200, which it does once it listens and holds an endpoint list: the
-one of its configuration, or discovery's first.
+A node is ready once `GET /-/ready` answers 200: it listens and holds an endpoint list, either the one of its
+configuration or the first one from discovery.
 """
 
 import json
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def make_node(tmp_path, discovery):
-    """Return a function that makes a node, and one that runs its loop until a condition holds."""
+    """Return a function that returns a new node and a function that runs its loop until a condition holds."""
     made = []
 
     def build(settings: dict, known: dict | None = None) -> tuple[Node, Callable]:
@@ -53,7 +53,7 @@
                     return
                 node.loop.at(node.loop.now() + 1.0, lambda: None)
                 node.loop.turn()
-            raise AssertionError("the condition did not come to hold")
+            raise AssertionError("the condition did not hold within 20000 turns of the loop")
 
         return node, run_until
 
@@ -64,16 +64,18 @@
 
 
 def has_list_call(discovery: ListeningServer) -> bool:
-    """Return whether a call for the whole list has come."""
+    """Return whether a call for the whole list has arrived."""
     return b"GET /api/targets HTTP" in discovery.read()
 
 
-# The clock is moved by hand: the tests say how much time has gone by.
+# The following tests advance the clock by moving its zero.
 
 
 @pytest.mark.parametrize("settings", [OPTIONS, PUSHED], ids=["asked", "pushed"])
 @pytest.mark.parametrize("slow_ms", [0.0, 500.0, 1900.0])
-def test_a_node_without_any_list_is_ready_with_a_slow_first_one(make_node, discovery, settings, slow_ms):
+def test_a_node_without_a_list_is_ready_once_a_slow_first_list_arrives(
+    make_node, discovery, settings, slow_ms
+):
     node, run_until = make_node(settings)
     run_until(lambda: has_list_call(discovery))
     first = discovery.held[0]
@@ -82,27 +84,25 @@
         node.loop.at(node.loop.now(), lambda: None)
         node.loop.turn()
     assert not node.is_ready()
-    first.sendall(ANSWER)  # also where it was told as failed, and another call is under way
+    first.sendall(ANSWER)  # accepted even if the call was reported as failed and another call is under way
     run_until(node.is_ready)
 
 
 @pytest.mark.parametrize("slow_ms", [3000.0, 5000.0])
-def test_an_answer_to_the_first_list_call_is_taken_after_the_call_has_timed_out(
-    make_node, discovery, slow_ms
-):
+def test_a_list_that_arrives_after_its_call_timed_out_makes_the_node_ready(make_node, discovery, slow_ms):
     node, run_until = make_node(OPTIONS)
     run_until(lambda: has_list_call(discovery))
     node.loop.clock.zero -= slow_ms / 1000.0
-    run_until(lambda: has_list_call(discovery))  # another call, as the first counts as failed
+    run_until(lambda: has_list_call(discovery))  # a second call, because the first call has timed out
     assert not node.is_ready()
     discovery.held[0].sendall(ANSWER)
     run_until(node.is_ready)
 
 
-def test_a_call_accepted_and_never_answered_leaves_time_for_another(make_node, discovery):
+def test_an_unanswered_list_call_is_followed_by_another_within_8_s(make_node, discovery):
     node, run_until = make_node(OPTIONS)
     run_until(lambda: has_list_call(discovery))
-    node.loop.clock.zero -= 2.0  # as long as a call may take
+    node.loop.clock.zero -= 2.0  # the timeout of a call
     before = node.loop.now()
     run_until(lambda: has_list_call(discovery))
     discovery.held[-1].sendall(ANSWER)
@@ -112,13 +112,13 @@
 
 
 @pytest.mark.parametrize("settings", [OPTIONS, PUSHED], ids=["asked", "pushed"])
-def test_with_a_list_a_node_is_ready_before_discovery_is_asked(make_node, discovery, settings):
+def test_a_node_with_a_configured_list_is_ready_before_it_calls_discovery(make_node, discovery, settings):
     node, _ = make_node(settings, {"seq": 1, "whole": True, "hosts": HOSTS})
     assert node.is_ready()
     assert not discovery.held
 
 
-# Thirty real node processes at once.
+# The following test starts thirty node processes at once.
 
 CASES = [
     Case("there"),
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
-def test_nine_in_ten_of_thirty_processes_are_ready_in_time(case, tmp_path):
+def test_ninety_percent_of_thirty_node_processes_are_ready_within_10_s_and_all_in_time(case, tmp_path):
     settings = ReadySettings(processes=30, slow_s=3.0, after_s=0.0)
     figures = ready.start_nodes(case, settings, tmp_path / "logs").figures
     assert figures["ready_90"] <= 10.0
