--- a/marlseam/experiment/__init__.py
+++ b/marlseam/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: a file becomes a day in virtual time or on loopback sockets, a verdict and a report."""
+"""Experiments: plays of a day in virtual time or on loopback sockets, with a verdict and a report."""
--- a/marlseam/experiment/capacity.py
+++ b/marlseam/experiment/capacity.py
@@ -1,4 +1,4 @@
-"""The play `capacity`: the greatest rate that one node on one core sustains, and where its time goes."""
+"""The play `capacity`: the greatest rate that one node on one core sustains, and its CPU profile."""
 
 import pstats
 from collections import defaultdict
@@ -19,11 +19,11 @@
 from marlseam.load.verdict import Counted, merge
 from marlseam.simulation.model import Count, Positive, Share, Strict
 
-MIN_PROFILED_RATE = 50.0  # requests a second
-PROFILED_RATE_DIVISOR = 3.0  # by which the sustained rate is divided under the profiler, which slows the node
-MIN_SHOWN_S = 5e-6  # own time a job below which a part of the program is left out
-SHOWN_FUNCTIONS = 4  # of each part
-MODULES = (  # parts of the program that are shown by themselves
+MIN_PROFILED_RATE = 50.0  # requests per second
+PROFILED_RATE_DIVISOR = 3.0  # reduces the sustained rate under the profiler, which slows the node
+MIN_SHOWN_S = 5e-6  # own time per request below which a part of the program is left out
+SHOWN_FUNCTIONS = 4  # per part of the program
+MODULES = (  # parts of the program that the profile lists separately
     "decisions",
     "core",
     "net/loop",
@@ -32,7 +32,8 @@
     "net/upstream",
     "net/protocol",
 )
-SOCKET_CALLS = ("'send' of '_socket", "recv_into", "accept", "connect")  # in names of functions
+# Substrings of the names of functions that the profile counts as socket calls.
+SOCKET_CALLS = ("'send' of '_socket", "recv_into", "accept", "connect")
 HEAD = [
     "rate a second",
     "in time",
@@ -45,15 +46,15 @@
 
 
 class Capacity(Strict, frozen=True):
-    """A search for the greatest rate that one node sustains; the fields are keys of experiment files.
+    """Table `capacity` of an experiment file: a search for the greatest rate that one node sustains.
 
     Attributes:
-        rates: requests a second, tried in turn until one is not sustained.
-        seconds: how long each is tried.
-        in_time: the share of the weight that has to be earned in time.
-        connections: how many connections the generator has at most.
+        rates: requests per second, tried in order until one is not sustained.
+        seconds: the duration of each trial, in seconds.
+        in_time: the share of the priority weight that must be earned in time for a rate to be sustained.
+        connections: the maximum number of connections of the generator.
         parts: the number of processes that emulate servers.
-        profile: whether the node is profiled at last.
+        profile: whether to profile the node after the search.
     """
 
     rates: list[Positive]
@@ -66,14 +67,14 @@
 
 @dataclass(frozen=True)
 class RateRun:
-    """A day that was played at a rate.
+    """The result of a day played at one rate.
 
     Attributes:
-        rate: requests a second.
-        seconds: its length.
+        rate: requests per second.
+        seconds: the length of the day.
         figures: the figures of the day.
-        counted: what the generator counted.
-        node_cpu_s: the node's processor time, in seconds.
+        counted: the counts of the generator.
+        node_cpu_s: the CPU time of the node, in seconds.
     """
 
     rate: float
@@ -84,15 +85,15 @@
 
     @property
     def cpu_ms_per_request(self) -> float:
-        """The node's processor time a completed request, in ms."""
+        """The node's CPU time per completed request, in ms."""
         return 1000.0 * self.node_cpu_s / max(1.0, self.figures["completed"])
 
-    def is_sustained(self, least_in_time: float) -> bool:
-        """Return whether enough was answered in time, and the generator kept up."""
-        return self.figures["service"] >= least_in_time and self.counted.is_valid
+    def is_sustained(self, min_in_time: float) -> bool:
+        """Return whether the service reached `min_in_time` and the generator sent its load as planned."""
+        return self.figures["service"] >= min_in_time and self.counted.is_valid
 
     def row(self) -> list[str]:
-        """Return the run as a row of the table."""
+        """Return the run as a table row."""
         return [
             f"{self.rate:g}",
             f"{self.figures['service']:.4f}",
@@ -106,7 +107,7 @@
 
 @register_play("capacity")
 def capacity(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Raise the rate until one node no longer answers enough in time, then profile the node."""
+    """Raise the rate until one node does not sustain it, then profile the node if requested."""
     table: Capacity = experiment.tables["capacity"]
     rows = [HEAD]
     sustained_rate = 0.0
@@ -133,7 +134,7 @@
 def run_at_rate(
     experiment: Experiment, table: Capacity, rate: float, out: Path, profile: Path | None = None
 ) -> RateRun:
-    """Play the day at a rate; with `profile` the node's profile is written there."""
+    """Play the day at a rate; write the node's profile to the file `profile` unless it is None."""
     load = msgspec.structs.replace(experiment.day.load, rate=rate)
     day = msgspec.structs.replace(experiment.day, seconds=table.seconds, load=load)
     seed = experiment.head.seed
@@ -154,11 +155,11 @@
     return RateRun(rate, table.seconds, result.figures, counted, sum(driver.cpu_s.values()))
 
 
-# The profile.
+# Evaluation of the profile.
 
 
 class ProfiledFunction(NamedTuple):
-    """A function as the profiler names it: its file, line and name."""
+    """A function as identified by the profiler: file, line (0 for built-in functions) and name."""
 
     path: str
     line: int
@@ -166,12 +167,12 @@
 
     @property
     def text(self) -> str:
-        """The function as it is shown."""
+        """The function's file name, line and name as shown in the table; the name alone without a line."""
         return f"{Path(self.path).name}:{self.line} {self.name}" if self.line else self.name
 
 
 class FunctionTime(NamedTuple):
-    """The own time of a function in seconds; greater times sort later."""
+    """The own time of a function in seconds, excluding its callees; greater times sort later."""
 
     own_s: float
     text: str
@@ -179,29 +180,29 @@
 
 @dataclass
 class PartTime:
-    """The own time of a part of the program, in seconds, and of its functions."""
+    """The own time of a part of the program in seconds, in total and by function."""
 
     own_s: float = 0.0
     functions: list[FunctionTime] = field(default_factory=list)
 
     def add(self, function: FunctionTime) -> None:
-        """Add a function."""
+        """Add the own time of a function."""
         self.own_s += function.own_s
         self.functions.append(function)
 
 
 def own_times(path: Path) -> dict[ProfiledFunction, float]:
-    """Return the own time in seconds of each function of a profile."""
+    """Return the own time in seconds of each function in a profile file."""
     stats = pstats.Stats(str(path))
     entries = cast(
         dict[tuple[str, int, str], tuple[int, int, float, float, object]],
-        vars(stats)["stats"],  # which the library's type stubs leave out
+        vars(stats)["stats"],  # the type stubs of pstats do not declare this attribute
     )
     return {ProfiledFunction(*function): entry[2] for function, entry in entries.items()}
 
 
 def profile_rows(path: Path, request_count: float) -> list[list[str]]:
-    """Return own time by part of the program, in microseconds a request, and its most expensive functions."""
+    """Return table rows: each part's own time per request in us, and its most expensive functions."""
     parts: dict[str, PartTime] = defaultdict(PartTime)
     for function, own_s in own_times(path).items():
         parts[part_of(function.path, function.name)].add(FunctionTime(own_s, function.text))
@@ -218,7 +219,7 @@
 
 
 def part_of(path: str, name: str) -> str:
-    """Return which part of the program a function belongs to."""
+    """Return the name of the part of the program that a function belongs to, as shown in the table."""
     for module in MODULES:
         if f"marlseam/{module}/" in path or f"marlseam/{module}.py" in path:
             return module
@@ -232,5 +233,5 @@
 
 
 def register() -> None:
-    """Make the table of this play known to experiment files."""
+    """Register the table of this play for experiment files."""
     file.register("capacity", Capacity)
--- a/marlseam/experiment/generator_plays.py
+++ b/marlseam/experiment/generator_plays.py
@@ -1,4 +1,4 @@
-"""Plays of load generators alone, against echo nodes: `pause` and `generator`."""
+"""Plays that run load generators against echo nodes, without marlseam nodes: `pause` and `generator`."""
 
 import json
 import time
@@ -19,13 +19,13 @@
 from marlseam.load.verdict import Counted, merge
 from marlseam.simulation.model import Count, Day, Positive, Strict
 
-GENERATOR_START_S = 60.0  # within which a generator has planned its day and says that it is ready
-FINISH_S = 60.0  # after the end of the day, within which a generator says what it counted
-LAG_PERCENTILES = (50.0, 99.0, 100.0)  # shown in the table
+GENERATOR_START_S = 60.0  # time limit for a generator to plan its day and report that it is ready
+FINISH_S = 60.0  # time limit after the end of the day for a generator to report its counts
+LAG_PERCENTILES = (50.0, 99.0, 100.0)  # of the lag of the generators, shown in the table
 
 
 class Stall(NamedTuple):
-    """A time for which an echo node stands still, in seconds of the run."""
+    """A period in which an echo node is stalled: its begin and duration, in seconds of the run."""
 
     at_s: float
     for_s: float
@@ -33,16 +33,16 @@
 
 @dataclass(frozen=True)
 class EchoRun:
-    """A day that generators send to echo nodes.
+    """A run in which generators send the requests of a day to echo nodes.
 
     Attributes:
-        day: what is sent.
-        seed: the seed of all draws.
-        out: the folder of its files.
-        generators: the number of generator processes, among which the day is shared out.
+        day: the day whose requests are sent.
+        seed: the seed of all random draws.
+        out: the folder of the run's files.
+        generators: the number of generator processes; each sends one part of the day.
         nodes: the number of echo nodes.
-        connections: how many connections a generator has at most, 0 for as many as it needs.
-        stalls: when the nodes stand still.
+        connections: the maximum number of connections per generator, 0 for no limit.
+        stalls: the periods in which all nodes are stalled.
     """
 
     day: Day
@@ -54,7 +54,7 @@
     stalls: tuple[Stall, ...] = ()
 
     def run(self) -> Counted:
-        """Send the day; return what the generators counted."""
+        """Send the requests of the day; return the merged counts of the generators."""
         for name in ("records", "logs"):
             (self.out / name).mkdir(parents=True, exist_ok=True)
         self._day_path.write_bytes(msgspec.json.encode(self.day))
@@ -72,12 +72,12 @@
 
     @property
     def _day_path(self) -> Path:
-        """The file that holds the day."""
+        """The file with the day, as JSON."""
         return self.out / "day.json"
 
     @property
     def _addresses_path(self) -> Path:
-        """The file that holds zone and address of each node."""
+        """The file with the zone and address of each node, as JSON."""
         return self.out / "nodes.json"
 
     def _start_echo(self) -> ChildProcess:
@@ -88,13 +88,13 @@
         return ChildProcess(arguments, self.out / "logs" / "echo.log")
 
     def _write_addresses(self, echoes: list[ChildProcess]) -> None:
-        """Write where the nodes listen, once they say so."""
+        """Wait for the address of each node and write all addresses to a file."""
         zone = self.day.fleet.zones[0]
         addresses = {f"n{number}": (zone, echo.read_json()["node"]) for number, echo in enumerate(echoes)}
         self._addresses_path.write_text(json.dumps(addresses))
 
     def _start_generator(self, number: int) -> ChildProcess:
-        """Start the generator of one part of the day; parts count from 1."""
+        """Start the generator of one part of the day; parts are numbered from 1."""
         arguments = ["standin", "load", str(self._day_path), "--seed", str(self.seed)]
         arguments += ["--nodes", str(self._addresses_path)]
         arguments += ["--part", f"{number}/{self.generators}", "--connections", str(self.connections)]
@@ -102,7 +102,7 @@
         return ChildProcess(arguments, self.out / "logs" / "load.log")
 
     def _send(self, echoes: list[ChildProcess], generators: list[ChildProcess]) -> list[TallySummary]:
-        """Begin the run in all processes at once; return what each generator counted."""
+        """Set the run's zero in all processes; return the counts of each generator."""
         for generator in generators:
             generator.read_json(GENERATOR_START_S)
         zero_s = time.monotonic() + START_LEAD_S
@@ -113,13 +113,13 @@
 
 
 class Pause(Strict, frozen=True):
-    """A stall of the node while requests are sent evenly; the fields are keys of experiment files.
+    """Table `pause` of an experiment file: a stall of the node while requests are sent evenly.
 
     Attributes:
-        at_s: when it begins, in seconds.
-        for_s: how long it lasts, in seconds.
-        over_ms: the latency in ms whose share is counted.
-        connections: how many connections the generator has at most.
+        at_s: the begin of the stall, in seconds.
+        for_s: the duration of the stall, in seconds.
+        over_ms: the latency limit in ms; the share of latencies over it is a figure.
+        connections: the maximum number of connections of the generator.
     """
 
     at_s: Positive
@@ -128,7 +128,10 @@
     connections: Count = 16
 
     def expected_share(self, day: Day, seed: int) -> float:
-        """Return the share of requests whose latency has to be over the limit, by their intended sends."""
+        """Return the share of requests whose latency must exceed the limit.
+
+        Their intended sends are in the stall, at least `over_ms` before its end.
+        """
         begin_ms, end_ms = 1000.0 * self.at_s, 1000.0 * (self.at_s + self.for_s)
         sends_ms = np.array([arrival.at for arrival in arrivals_of(day, seed)])
         is_over = (sends_ms >= begin_ms) & (sends_ms < end_ms - self.over_ms)
@@ -137,9 +140,10 @@
 
 @register_play("pause")
 def pause(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Stall an echo node, and count which share of latencies shows it.
+    """Stall an echo node and measure the share of latencies over the limit.
 
-    Latencies from the intended sends show the whole stall, those from the actual sends next to nothing.
+    Latencies counted from the intended sends show the whole stall; latencies counted from the actual sends
+    show almost nothing of it.
     """
     table: Pause = experiment.tables["pause"]
     seed, day = experiment.head.seed, experiment.day
@@ -165,7 +169,7 @@
 
 
 def pause_rows(table: Pause, counted: Counted, expected: float) -> list[list[str]]:
-    """Return the latencies from both sends as a table, with what arithmetic says."""
+    """Return table rows of the latencies from intended and actual sends, and of the values expected."""
     names: tuple[HistogramName, ...] = ("intended", "actual")
     rows = [["counted from", "p50", "p99", "most", f"share over {table.over_ms:g} ms"]]
     for name in names:
@@ -177,14 +181,14 @@
 
 
 class Rates(Strict, frozen=True):
-    """Rates that generators try; the fields are keys of experiment files.
+    """Table `generator` of an experiment file: the rates that generators try.
 
     Attributes:
-        rates: requests a second and process, tried in turn until one is not sustained.
-        processes: the numbers of processes that are tried.
-        seconds: how long each is tried.
-        lag_ms: the limit of the 99th percentile of the generators' own lag, in ms.
-        connections: how many connections a generator has at most.
+        rates: requests per second and process, tried in order until one is not sustained.
+        processes: the numbers of generator processes to try; 1 if empty.
+        seconds: the duration of each trial, in seconds.
+        lag_ms: the limit of the 99th percentile of the generators' lag, in ms.
+        connections: the maximum number of connections per generator.
     """
 
     rates: list[Positive]
@@ -196,7 +200,7 @@
 
 @register_play("generator")
 def generator(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Find the greatest rate that one generator process sustains, and that several do."""
+    """Find the greatest rate that generators sustain, for each number of generator processes."""
     table: Rates = experiment.tables["generator"]
     rows = [["processes", "rate a second", "lag p50, ms", "lag p99, ms", "lag most, ms", "sustained"]]
     figures: dict[str, float] = {}
@@ -217,7 +221,7 @@
 
 
 def send_at_rate(experiment: Experiment, table: Rates, rate: float, processes: int, out: Path) -> Counted:
-    """Send requests at a rate from some processes to as many nodes; return what they counted."""
+    """Send requests at a total rate from `processes` generators to as many nodes; return merged counts."""
     load = msgspec.structs.replace(experiment.day.load, rate=rate)
     day = msgspec.structs.replace(experiment.day, seconds=table.seconds, load=load)
     seed = experiment.head.seed
@@ -225,6 +229,6 @@
 
 
 def register() -> None:
-    """Make the tables of these plays known to experiment files."""
+    """Register the tables of these plays for experiment files."""
     file.register("pause", Pause)
     file.register("generator", Rates)
--- a/marlseam/experiment/scale.py
+++ b/marlseam/experiment/scale.py
@@ -1,4 +1,4 @@
-"""The play `scale`: a day at growing sizes in virtual time, with its rules and its cost."""
+"""The play `scale`: plays a day at growing sizes in virtual time, checks rules and measures run time."""
 
 import time
 from collections.abc import Iterator
@@ -29,17 +29,17 @@
 
 
 class Scale(Strict, frozen=True):
-    """Sizes at which a day is played; the field is a key of experiment files.
+    """Table `scale` of an experiment file: the sizes at which a day is played.
 
     Attributes:
-        times: by what nodes, servers and load of the day are multiplied, in turn.
+        times: the factors that multiply nodes, servers, load and discovery calls of the day, in order.
     """
 
     times: tuple[Count, ...] = (1,)
 
 
-def multiplied(day: Day, factor: int) -> Day:
-    """Return a day with `factor` times its nodes, servers, load and calls of discovery."""
+def scaled_day(day: Day, factor: int) -> Day:
+    """Return a day with `factor` times its nodes, servers, load and discovery calls per second."""
     kinds = [msgspec.structs.replace(kind, executors=kind.executors * factor) for kind in day.fleet.kinds]
     fleet = msgspec.structs.replace(day.fleet, kinds=kinds, nodes=day.fleet.nodes * factor)
     discovery = msgspec.structs.replace(day.roster, calls_per_s=day.roster.calls_per_s * factor)
@@ -49,15 +49,15 @@
 
 @dataclass(frozen=True)
 class SizeRun:
-    """A day that was played at one size.
+    """The result of a day played at one size.
 
     Attributes:
-        factor: by what its size was multiplied.
-        day: the day.
-        result: its figures, verdict and records.
-        server_count: how many servers it had.
-        events: how many events the driver carried out.
-        wall_s: how long that took, in seconds.
+        factor: the factor of the size.
+        day: the day at that size.
+        result: figures, verdict and records of the run.
+        server_count: the number of servers.
+        events: the number of events that the driver played.
+        wall_s: the wall time of the run, in seconds.
     """
 
     factor: int
@@ -69,11 +69,11 @@
 
     @property
     def us_per_request(self) -> float:
-        """The time that a request took, in microseconds."""
+        """The wall time of the run per request, in microseconds."""
         return 1e6 * self.wall_s / self.result.figures["work_units"]
 
     def figures(self) -> dict[str, float]:
-        """Return the figures of this size."""
+        """Return the figures of this size, with the factor at the end of each name."""
         return {
             f"wall_s_{self.factor}": self.wall_s,
             f"speed_{self.factor}": self.day.seconds / self.wall_s,
@@ -84,7 +84,7 @@
         }
 
     def row(self) -> list[str]:
-        """Return the run as a row of the table."""
+        """Return the run as a table row."""
         return [
             str(self.factor),
             str(self.day.fleet.nodes),
@@ -101,14 +101,14 @@
 
 @register_play("scale")
 def scale(experiment: Experiment, _out: Path, show_progress: ShowProgress) -> RunResult:
-    """Play the day at growing sizes in virtual time: rules, wall time, events a second, cost a request."""
+    """Play the day at each size in virtual time: rules, wall time, events per second, cost per request."""
     table: Scale = experiment.tables["scale"]
     runs: list[SizeRun] = []
     for factor in table.times:
         show_progress(f"{factor} times the fleet")
         runs.append(run_at_size(experiment, factor))
     if not runs:
-        raise FileError("scale.times: empty, expected a number at least")
+        raise FileError("scale.times: empty, expected at least one number")
     figures = dict(runs[0].result.figures)
     for run in runs:
         figures |= run.figures()
@@ -124,8 +124,8 @@
 
 
 def run_at_size(experiment: Experiment, factor: int) -> SizeRun:
-    """Play the day at one size."""
-    day = multiplied(experiment.day, factor)
+    """Play the day at one size, with its records kept in memory."""
+    day = scaled_day(experiment.day, factor)
     streams = RecordStreams(None, "driver")
     started_s = time.perf_counter()
     driver = VirtualDriver(day, experiment.head.seed, streams)
@@ -136,11 +136,11 @@
 
 
 def records_in_memory(streams: RecordStreams) -> Iterator[Record]:
-    """Yield the records of streams that have no folder."""
+    """Yield the records of streams that are kept in memory."""
     for writer in streams.writers.values():
         yield from writer.records
 
 
 def register() -> None:
-    """Make the table of this play known to experiment files."""
+    """Register the table of this play for experiment files."""
     file.register("scale", Scale)
--- a/marlseam/experiment/soak.py
+++ b/marlseam/experiment/soak.py
@@ -1,8 +1,8 @@
-"""The soak: short days of real processes on loopback, in which each seed lets two or three faults overlap.
+"""The play `soak`: short days of real processes on loopback with two or three overlapping faults per seed.
 
-Each seed also draws what fails inside the nodes: system calls, the wall clock, decisions. Judged are the
-rules, by the records of clients and servers; the run-time invariants, by the nodes' logs; and whether a node
-ended by itself. A seed draws the same each time it is played.
+Each seed also draws failures inside the nodes: of system calls, of the wall clock and of decisions. Three
+things are checked: the rules, in the records of clients and servers; the run-time invariants, in the nodes'
+logs; and that no node exits unexpectedly. A seed draws the same faults each time that it is played.
 """
 
 import random
@@ -44,43 +44,43 @@
     "epoll_ctl": ("ENOMEM", "ENOSPC"),
 }
 CLOCK_ERRORS_S = (-3600.0, -5.0, 3600.0)
-FAILING_EVENTS = ("AttemptEnded", "RequestArrived", "ProbeEnded", "AttemptStarted")  # of the reducer
-FAULT_COUNTS = (2, 3)  # faults of a day
+FAILING_EVENTS = ("AttemptEnded", "RequestArrived", "ProbeEnded", "AttemptStarted")  # reducer events
+FAULT_COUNTS = (2, 3)  # faults per day
 FAILING_CALL_COUNTS = (0, 1, 2)
-FAILING_CALL_SHARES = (0.02, 0.1)  # of the calls, while a burst of failures lasts
+FAILING_CALL_SHARES = (0.02, 0.1)  # share of calls that fail during a burst of failures
 CLOCK_ERROR_CHANCE = 0.3
 FAILING_EVENT_CHANCE = 0.25
-MIN_MIDDLE_SHARE, MAX_MIDDLE_SHARE = 0.3, 0.6  # where in the day the faults overlap
-MAX_LEAD_S = 1.0  # by which a fault begins before that
-MIN_DURATION_S, MAX_DURATION_S = 1.0, 3.0  # of a fault
-TARGET_SHARE = 0.34  # of the servers or nodes that a fault affects
-ERROR_SHARE = 0.5  # of the attempts that fail during `errors`
+MIN_MIDDLE_SHARE, MAX_MIDDLE_SHARE = 0.3, 0.6  # when all faults overlap, as a share of the day
+MAX_LEAD_S = 1.0  # the longest time from the begin of a fault to the overlap
+MIN_DURATION_S, MAX_DURATION_S = 1.0, 3.0  # duration of a fault
+TARGET_SHARE = 0.34  # share of servers or nodes that a fault affects
+ERROR_SHARE = 0.5  # share of attempts that fail during the fault `errors`
 DEFAULT_FAULT_SIZE = 2.0
-INVARIANT_VIOLATED, TRACEBACK, PLANTED = "invariant violated", "Traceback", "planted"  # in nodes' logs
+INVARIANT_VIOLATED, TRACEBACK, INJECTED = "invariant violated", "Traceback", "planted"  # texts in nodes' logs
 SHOWN_LINE_CHARACTERS = 300
-SHOWN_VIOLATIONS = 3  # of a rule
-SHOWN_PROBLEMS = 3  # of a seed
+SHOWN_VIOLATIONS = 3  # per rule
+SHOWN_PROBLEMS = 3  # per seed
 
 
 class Soak(Strict, frozen=True):
-    """Which seeds are played, from the experiment's own on."""
+    """Table `soak` of an experiment file: the number of seeds to play, from the experiment's seed on."""
 
     seeds: Count = 3
 
 
 class DrawnFaults(msgspec.Struct):
-    """What a seed draws.
+    """The faults drawn from one seed.
 
     Attributes:
         day_faults: the faults of the day.
-        node_faults: what fails in each node.
+        node_faults: the failures inside each node.
     """
 
     day_faults: list[Fault]
     node_faults: NodeFaults
 
     def names(self) -> list[str]:
-        """Return the names of all that overlaps, as the report shows them."""
+        """Return the names of all overlapping faults and failures, as shown in the report."""
         names = [fault.what for fault in self.day_faults]
         names += sorted({f"call {failure.call}" for failure in self.node_faults.failures})
         names += ["clock"] if self.node_faults.clock_s else []
@@ -88,12 +88,12 @@
 
 
 class SeedResult(NamedTuple):
-    """What one seed came to.
+    """The result of one seed.
 
     Attributes:
-        drawn: what it drew.
-        problems: what is wrong, a text each.
-        verdict: the judge's verdict, None where a process failed.
+        drawn: the faults drawn from the seed.
+        problems: one text per problem.
+        verdict: the outcome of the rule check, None if a process failed.
     """
 
     drawn: DrawnFaults
@@ -102,71 +102,71 @@
 
 
 def draw_faults(seed: int, seconds: float) -> DrawnFaults:
-    """Draw the faults of a day, which overlap, and what fails in its nodes.
+    """Draw the overlapping faults of a day of `seconds` seconds, and the failures inside its nodes.
 
-    The order of the draws is part of what a seed means.
+    The order of the draws must not change: it determines which faults a seed stands for.
     """
-    chance = random.Random(seed)
-    day_faults = _draw_day_faults(chance, seconds)
-    calls = chance.sample(sorted(ERRORS_BY_CALL), chance.choice(FAILING_CALL_COUNTS))
+    generator = random.Random(seed)
+    day_faults = _draw_day_faults(generator, seconds)
+    calls = generator.sample(sorted(ERRORS_BY_CALL), generator.choice(FAILING_CALL_COUNTS))
     failures = [
-        CallFailure(call, chance.choice(ERRORS_BY_CALL[call]), chance.choice(FAILING_CALL_SHARES))
+        CallFailure(call, generator.choice(ERRORS_BY_CALL[call]), generator.choice(FAILING_CALL_SHARES))
         for call in calls
     ]
-    clock_s = chance.choice(CLOCK_ERRORS_S) if chance.random() < CLOCK_ERROR_CHANCE else 0.0
-    event = chance.choice(FAILING_EVENTS) if chance.random() < FAILING_EVENT_CHANCE else ""
+    clock_s = generator.choice(CLOCK_ERRORS_S) if generator.random() < CLOCK_ERROR_CHANCE else 0.0
+    event = generator.choice(FAILING_EVENTS) if generator.random() < FAILING_EVENT_CHANCE else ""
     return DrawnFaults(day_faults, NodeFaults(seed, failures, clock_s=clock_s, decision=event))
 
 
-def _draw_day_faults(chance: random.Random, seconds: float) -> list[Fault]:
-    """Draw faults that are all on at one time in the middle of the day."""
-    middle_s = chance.uniform(MIN_MIDDLE_SHARE, MAX_MIDDLE_SHARE) * seconds
-    found = []
-    for name in chance.sample(FAULT_NAMES, chance.choice(FAULT_COUNTS)):
-        at_s = middle_s - chance.uniform(0.0, MAX_LEAD_S)
-        for_s = chance.uniform(MIN_DURATION_S, MAX_DURATION_S)
+def _draw_day_faults(generator: random.Random, seconds: float) -> list[Fault]:
+    """Draw faults that are all active at one instant in the middle of the day."""
+    middle_s = generator.uniform(MIN_MIDDLE_SHARE, MAX_MIDDLE_SHARE) * seconds
+    faults = []
+    for name in generator.sample(FAULT_NAMES, generator.choice(FAULT_COUNTS)):
+        at_s = middle_s - generator.uniform(0.0, MAX_LEAD_S)
+        for_s = generator.uniform(MIN_DURATION_S, MAX_DURATION_S)
         size = ERROR_SHARE if name == "errors" else DEFAULT_FAULT_SIZE
-        found.append(Fault(what=name, at_s=at_s, for_s=for_s, share=TARGET_SHARE, size=size))
-    return found
+        faults.append(Fault(what=name, at_s=at_s, for_s=for_s, share=TARGET_SHARE, size=size))
+    return faults
 
 
-def log_problems(out: Path, expects_planted_errors: bool) -> list[str]:
-    """Return what the nodes' logs say of broken invariants, and of errors that were not planted."""
+def log_problems(out: Path, expects_injected_errors: bool) -> list[str]:
+    """Return the lines of the nodes' logs that show violated invariants or errors that were not injected."""
     return [
         f"{path.stem}: {line[:SHOWN_LINE_CHARACTERS]}"
         for path in sorted((out / "logs").glob("*.log"))
         for line in path.read_text(errors="replace").splitlines()
-        if _is_problem(line, expects_planted_errors)
+        if _is_problem(line, expects_injected_errors)
     ]
 
 
-def _is_problem(line: str, expects_planted_errors: bool) -> bool:
-    """Return whether a line of a log shows a broken invariant, or an error that was not planted."""
-    is_planted = expects_planted_errors and PLANTED in line
-    return INVARIANT_VIOLATED in line or (TRACEBACK in line and not is_planted)
+def _is_problem(line: str, expects_injected_errors: bool) -> bool:
+    """Return whether a log line shows a violated invariant or a traceback that was not injected."""
+    is_injected = expects_injected_errors and INJECTED in line
+    return INVARIANT_VIOLATED in line or (TRACEBACK in line and not is_injected)
 
 
 def play_seed(day: Day, seed: int, out: Path) -> SeedResult:
-    """Play one seed."""
+    """Play the day with the faults of one seed on sockets and return the problems found."""
     drawn = draw_faults(seed, day.seconds)
     day = msgspec.structs.replace(day, troubles=drawn.day_faults)
     environment = {FAULTS_VARIABLE: msgspec.json.encode(drawn.node_faults).decode()}
     options = SocketOptions(
         node_module=lambda _: "marlseam.emulators.faulty", node_environment=lambda _: environment
     )
-    expects_planted_errors = bool(drawn.node_faults.decision)
+    expects_injected_errors = bool(drawn.node_faults.decision)
     try:
         SocketDriver(day, seed, out, options).run()
     except RunFailedError as error:
-        problems = [f"a process failed: {error}", *log_problems(out, expects_planted_errors)]
+        problems = [f"a process failed: {error}", *log_problems(out, expects_injected_errors)]
         return SeedResult(drawn, problems, None)
     verdict = judge_records(*records.read_folder(out / "records"), driver="sockets").verdict
-    problems = log_problems(out, expects_planted_errors) + _rule_problems(verdict)
+    problems = log_problems(out, expects_injected_errors) + _rule_problems(verdict)
     return SeedResult(drawn, problems, verdict)
 
 
 def _rule_problems(verdict: Verdict | None) -> list[str]:
-    """Return the first violations of each rule."""
+    """Return a text for each of the first violations of each rule."""
     return [
         f"rule {rule.name}: {violation}"
         for rule in (verdict.rules if verdict is not None else ())
@@ -176,7 +176,7 @@
 
 @register_play("soak")
 def soak(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Play seeds one after the other, and count which faults overlapped and where problems were found."""
+    """Play seeds in sequence; count the pairs of faults that overlapped and the seeds with problems."""
     table: Soak = experiment.tables.get("soak", Soak())
     overlap_counts: Counter[tuple[str, str]] = Counter()
     rows = [["seed", "what overlapped", "found"]]
@@ -199,11 +199,11 @@
 
 
 def _overlap_rows(overlap_counts: Counter[tuple[str, str]]) -> list[list[str]]:
-    """Return the table of the pairs that overlapped, and in how many seeds."""
+    """Return table rows of the pairs of faults that overlapped and the number of seeds of each pair."""
     rows = [[" x ".join(pair), str(count)] for pair, count in sorted(overlap_counts.items())]
     return [["crossing", "seeds"], *rows]
 
 
 def register() -> None:
-    """Make this play's table known to experiment files."""
+    """Register the table of this play for experiment files."""
     register_table("soak", Soak)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: what a seed draws, which calls fail, what logs show, and one seed on real processes."""
+"""The play `soak`: draws of a seed, injected call failures, problems in logs, one seed on real processes."""
 
 import errno
 import os
@@ -17,13 +17,13 @@
 FILE = Path(__file__).parent.parent / "experiments" / "soak.toml"
 
 
-def test_a_seed_draws_the_same_again_and_others_differ() -> None:
+def test_a_seed_always_draws_the_same_faults_and_seeds_differ() -> None:
     drawn = [msgspec.json.encode(soak.draw_faults(seed, 8.0)) for seed in range(50)]
     assert drawn == [msgspec.json.encode(soak.draw_faults(seed, 8.0)) for seed in range(50)]
     assert len(set(drawn)) == 50
 
 
-def test_faults_overlap_and_each_is_drawn_by_some_seed() -> None:
+def test_the_faults_of_a_seed_overlap_and_each_fault_is_drawn_by_some_seed() -> None:
     all_drawn = [soak.draw_faults(seed, 8.0) for seed in range(200)]
     for drawn in all_drawn:
         last_begin_s = max(fault.at_s for fault in drawn.day_faults)
@@ -33,7 +33,7 @@
     assert names == {*soak.FAULT_NAMES, *calls, "clock", "own error"}
 
 
-def test_a_call_fails_in_bursts_alone() -> None:
+def test_an_injected_failure_raises_during_a_burst_only_and_for_its_call_only() -> None:
     wrapper = CallWrapper(NodeFaults(1, [CallFailure("send", "ENOBUFS", 1.0)], every_s=10.0, for_s=5.0))
     send = wrapper.failing_call("send", lambda data: len(data))
     with pytest.raises(OSError, match=os.strerror(errno.ENOBUFS)) as error:
@@ -44,7 +44,7 @@
     assert send(b"x") == 1
 
 
-def test_connect_ex_returns_its_error() -> None:
+def test_an_injected_failure_of_connect_ex_is_returned_as_an_error_number() -> None:
     wrapper = CallWrapper(NodeFaults(1, [CallFailure("connect_ex", "ENETUNREACH", 1.0)]))
     connect = wrapper.returning_errno(wrapper.failing_call("connect_ex", lambda: 0))
     assert connect() == errno.ENETUNREACH
@@ -52,16 +52,16 @@
     assert connect() == 0
 
 
-def test_objects_of_the_system_are_wrapped() -> None:
+def test_a_method_of_an_object_from_a_wrapped_factory_fails_during_a_burst() -> None:
     wrapper = CallWrapper(NodeFaults(1, [CallFailure("poll", "ENOMEM", 1.0)]))
-    look = wrapper.failing_factory(select.poll, {"poll": "poll"})()
+    poller = wrapper.failing_factory(select.poll, {"poll": "poll"})()
     one, other = socket.socketpair()
-    look.register(one, select.POLLOUT)
+    poller.register(one, select.POLLOUT)
     with pytest.raises(OSError, match=os.strerror(errno.ENOMEM)) as error:
-        look.poll(0)
+        poller.poll(0)
     assert error.value.errno == errno.ENOMEM
-    wrapper.first_burst_s -= 1.0  # the burst is over
-    assert look.poll(0)
+    wrapper.first_burst_s -= 1.0  # now after the end of the burst
+    assert poller.poll(0)
     one.close()
     other.close()
 
@@ -76,7 +76,7 @@
         ("marlseam n1: client ended code=done messages=1", False, False),
     ],
 )
-def test_logs_show_broken_invariants_and_errors_that_were_not_planted(
+def test_logs_with_violated_invariants_or_tracebacks_that_were_not_injected_are_problems(
     tmp_path: Path, line: str, planted: bool, found: bool
 ) -> None:
     (tmp_path / "logs").mkdir()
@@ -84,7 +84,7 @@
     assert bool(soak.log_problems(tmp_path, planted)) is found
 
 
-def test_one_short_seed_holds_on_real_processes(tmp_path: Path) -> None:
+def test_a_short_day_of_one_seed_on_real_processes_has_no_problems(tmp_path: Path) -> None:
     soak.register()
     day = read(tomllib.loads(FILE.read_text())).day
     day = msgspec.structs.replace(day, seconds=4.0)
