--- a/marlseam/experiment/sockets/__init__.py
+++ b/marlseam/experiment/sockets/__init__.py
@@ -1,9 +1,11 @@
-"""The sockets driver: emulators, real node processes and generators on loopback, then the judge's records.
+"""The sockets driver: plays a day with real node processes, emulators and load generators on loopback.
 
-Simulated are the work of servers, the delays of discovery and the network; real are nodes, sockets and time.
+The work of servers, the delays of discovery and the network are simulated; nodes, sockets and time are real.
+The run leaves the records that the rules are checked against.
 
-`driver` starts all processes and plays the day; `nodes` has the node processes, `emulators` those around
-them, `process_group` what must be ended with the run, `recorder` the clock and the driver's records.
+`driver` starts all processes and plays the day; `nodes` manages the node processes and `emulators` the
+processes around them; `process_group` ends processes and closes sockets after the run; `recorder` provides
+the run's clock and writes the driver's records.
 """
 
 from marlseam.experiment.sockets.driver import START_LEAD_S, SocketDriver
--- a/marlseam/experiment/sockets/driver.py
+++ b/marlseam/experiment/sockets/driver.py
@@ -1,4 +1,4 @@
-"""The driver: starts all processes of a run, plays the day's faults on nodes, and collects the counts."""
+"""The driver: starts all processes of a run, applies the day's faults to nodes, collects load counts."""
 
 import signal
 import time
@@ -20,25 +20,25 @@
 from marlseam.simulation.faults import NODE_FAULTS, ZONE_FAULTS, ScheduledFault
 from marlseam.simulation.model import Day, placed_nodes
 
-DELIVERY_SLACK_MS = 50.0  # by which answers and sends may be late, as the judge sees it
-START_LEAD_S = 0.3  # from telling the processes the run's zero until that zero
-POLL_S = 0.05  # between two looks at the processes while the day is played
-PROGRESS_PERIOD_MS = 500.0  # between two calls that show the progress
-GENERATOR_END_TIMEOUT_S = 5.0  # after the longest deadline, until the generators must have ended
-RESTART_S = 0.05  # how long a killed node is away at least
+DELIVERY_SLACK_MS = 50.0  # delay of answers and sends that the rule check tolerates
+START_LEAD_S = 0.3  # from sending the run's zero to the processes until that zero
+POLL_S = 0.05  # between two checks of the processes while the day is played
+PROGRESS_PERIOD_MS = 500.0  # minimum between two progress reports
+GENERATOR_END_TIMEOUT_S = 5.0  # from the last possible deadline until generators must have reported
+RESTART_S = 0.05  # minimum time from the end of a node process until its restart
 
-ShowProgress = Callable[[float], None]
-GeneratorCounts = dict[str, Any]  # what one generator counted, as it prints it
+ShowProgress = Callable[[float], None]  # takes the time of the run in ms
+GeneratorCounts = dict[str, Any]  # the counts that one generator prints, parsed from JSON
 
 
 @dataclass(frozen=True)
 class FaultStep:
-    """Something that the driver does for a fault.
+    """One step of the driver for a fault.
 
     Attributes:
-        at_ms: when.
+        at_ms: the time of the step, in ms of the run.
         fault: the fault.
-        node: the node to which it is done; empty: the begin of the fault is recorded.
+        node: the node that the fault is applied to; if empty, the step records the begin of the fault.
     """
 
     at_ms: float
@@ -48,11 +48,11 @@
 
 @dataclass(frozen=True)
 class PendingRestart:
-    """A node that a fault ends, and that is to start again.
+    """The due restart of a node whose process a fault ends.
 
     Attributes:
-        due_ms: the earliest time of the restart.
-        node: its name.
+        due_ms: the earliest time of the restart, in ms of the run.
+        node: the name of the node.
     """
 
     due_ms: float
@@ -62,20 +62,20 @@
 class SocketDriver:
     """Plays one day on loopback.
 
-    Nodes are watched while the day is played. An emulator that fails in it is noticed by the gaps in its
-    records.
+    The driver detects nodes that exit unexpectedly while the day is played. The failure of an emulator is not
+    detected during the day but afterwards, by the gaps in the emulator's records.
 
     Attributes:
         day: the day.
-        schedule: its faults.
+        schedule: the scheduled faults of the day.
         node_processes: the processes of the nodes.
-        recorder: the run's clock and the driver's records.
-        ready_s: how long each node took from its start until it was ready, in seconds.
-        cpu_s: the CPU time that each node used while the day was played, in seconds, by name.
+        recorder: the run's clock and the writer of the driver's records.
+        ready_s: the time from start to readiness of each node, in seconds, in the order of the nodes.
+        cpu_s: the CPU time that each node used while the day was played, in seconds, by node name.
     """
 
     def __init__(self, day: Day, seed: int, out: Path, options: SocketOptions | None = None) -> None:
-        """Make one whose files go to `out`, the records to its directory `records`."""
+        """Prepare a run whose files go to `out`; the records go to `out/records`, replacing older ones."""
         options = options or SocketOptions()
         self.day, self.schedule = day, faults.schedule(day, seed)
         self._uses_network = options.uses_network
@@ -94,7 +94,7 @@
         self.cpu_s: dict[str, float] = {}
 
     def run(self, show_progress: ShowProgress | None = None) -> list[GeneratorCounts]:
-        """Play the day; return what each generator counted."""
+        """Play the day and return the counts of each generator; raise RunFailedError if a process fails."""
         self.recorder.begin()
         try:
             return self._play(show_progress)
@@ -103,7 +103,7 @@
             self.recorder.end()
 
     def _play(self, show_progress: ShowProgress | None) -> list[GeneratorCounts]:
-        """Start all processes, play the day, and wait for the generators."""
+        """Start all processes, play the day, and return the counts of the generators."""
         self._emulators.start(bool(self._uses_network))
         self._start_nodes()
         generators = self._emulators.start_generators(self.node_processes.addresses)
@@ -111,7 +111,7 @@
         cpu_before_s = {name: process.cpu_s() for name, process in self.node_processes.running.items()}
         for name in self._zones:
             self._record_state(0.0, name, "began")
-        self._follow(generators, zero_s + self._longest_run_s(), show_progress)
+        self._run_until_generators_report(generators, zero_s + self._longest_run_s(), show_progress)
         counts = [generator.read_json(GENERATOR_END_TIMEOUT_S) for generator in generators]
         self.cpu_s = {
             name: process.cpu_s() - cpu_before_s.get(name, 0.0)
@@ -121,7 +121,7 @@
         return counts
 
     def _start_nodes(self) -> None:
-        """Start all nodes, then wait until each is ready: nodes of a cluster may need each other for that."""
+        """Start all nodes before waiting for any: nodes of a cluster may need each other to become ready."""
         self.node_processes.discovery_addresses = self._emulators.discovery_addresses
         for name, zone in self._zones.items():
             self.node_processes.start(name, self._emulators.server_addresses[zone])
@@ -129,7 +129,7 @@
             self.ready_s.append(self.node_processes.wait_until_ready(name))
 
     def _begin_day(self, generators: list[ChildProcess]) -> float:
-        """Set the run's zero a short time ahead, tell all processes, and return it."""
+        """Set the run's zero `START_LEAD_S` ahead, send it to all emulators and generators, and return it."""
         zero_s = time.monotonic() + START_LEAD_S
         self.recorder.zero_s = zero_s
         self._emulators.send_zero(zero_s)
@@ -137,18 +137,21 @@
             generator.send_zero(zero_s)
         return zero_s
 
-    def _follow(
+    def _run_until_generators_report(
         self, generators: list[ChildProcess], end_s: float, show_progress: ShowProgress | None
     ) -> None:
-        """Play the faults on nodes until the generators are done, which is an error after `end_s`."""
+        """Apply faults and restart nodes until all generators have reported.
+
+        Raises RunFailedError at the monotonic time `end_s`, NodeFailedError if a node exits unexpectedly.
+        """
         steps = deque(_fault_steps(self.schedule))
         shown_ms = 0.0
         while any(generator.is_running() and not generator.has_output() for generator in generators):
             now_ms = self.recorder.now_ms()
             if time.monotonic() > end_s:
-                raise RunFailedError("the generators did not end")
+                raise RunFailedError("the load generators did not finish before the time limit of the run")
             while steps and steps[0].at_ms <= now_ms:
-                self._take_step(steps.popleft(), now_ms)
+                self._apply_step(steps.popleft(), now_ms)
             self._restart_nodes(now_ms)
             self._check_nodes()
             if show_progress is not None and now_ms - shown_ms > PROGRESS_PERIOD_MS:
@@ -157,12 +160,12 @@
             time.sleep(POLL_S)
 
     def _longest_run_s(self) -> float:
-        """Return how long the day may take from the run's zero on, in seconds."""
-        longest_s = max(request_class.limit_ms for request_class in self.day.types) / 1000.0
-        return self.day.seconds + longest_s + GENERATOR_END_TIMEOUT_S
+        """Return the time limit of the run from the run's zero on, in seconds."""
+        max_deadline_s = max(request_class.limit_ms for request_class in self.day.types) / 1000.0
+        return self.day.seconds + max_deadline_s + GENERATOR_END_TIMEOUT_S
 
-    def _take_step(self, step: FaultStep, now_ms: float) -> None:
-        """Record the begin of a fault, or do to a node what the fault is."""
+    def _apply_step(self, step: FaultStep, now_ms: float) -> None:
+        """Record the begin of a fault, or apply the fault to a node: reload, kill or terminate it."""
         kind = step.fault.settings.what
         if not step.node:
             self._record_fault(step.fault, now_ms)
@@ -178,17 +181,17 @@
                 self.node_processes.running[step.node].signal(signal.SIGTERM)
 
     def _is_restarting(self, name: str) -> bool:
-        """Return whether a node is being ended already, or is away."""
+        """Return whether a fault has ended a node that has not been restarted yet."""
         return any(restart.node == name for restart in self._restarts)
 
     def expect_end(self, name: str, away_ms: float, state: str = "killed") -> None:
-        """Note that a node is about to be ended by a fault; it is started again after `away_ms` at least."""
+        """Register that the caller ends a node now; the node is restarted after at least `away_ms`."""
         now_ms = self.recorder.now_ms()
         self._record_state(now_ms, name, state)
         self._restarts.append(PendingRestart(now_ms + away_ms, name))
 
     def _restart_nodes(self, now_ms: float) -> None:
-        """Start the nodes again that have ended and whose time has come."""
+        """Restart the nodes whose process has ended and whose restart is due."""
         due = [
             restart
             for restart in self._restarts
@@ -201,10 +204,10 @@
             self._record_state(self.recorder.now_ms(), restart.node, "began")
 
     def _check_nodes(self) -> None:
-        """Raise NodeFailedError where a node has ended that no fault has ended."""
+        """Raise NodeFailedError if a node has exited that no fault has ended."""
         for name, process in self.node_processes.running.items():
             if not process.is_running() and not self._is_restarting(name):
-                raise NodeFailedError(name, f"ended by itself: {process.tail()}")
+                raise NodeFailedError(name, f"exited unexpectedly: {process.tail()}")
 
     def _record_state(self, at_ms: float, name: str, state: str) -> None:
         """Record a change of a node's state."""
@@ -227,7 +230,7 @@
 
 
 def _prepare_directories(out: Path) -> None:
-    """Make the directories of a run, without the records of an earlier one."""
+    """Create the directories of a run and delete the records of an earlier run."""
     for name in ("records", "logs"):
         (out / name).mkdir(parents=True, exist_ok=True)
     for old in (out / "records").glob("*.jsonl"):
@@ -235,7 +238,7 @@
 
 
 def _fault_steps(schedule: list[ScheduledFault]) -> list[FaultStep]:
-    """Return what the driver does for a schedule of faults, in the order of time."""
+    """Return the driver's steps for a schedule of faults, ordered by time."""
     steps: list[FaultStep] = []
     for fault in schedule:
         steps.append(FaultStep(fault.at, fault))
--- a/marlseam/experiment/sockets/nodes.py
+++ b/marlseam/experiment/sockets/nodes.py
@@ -1,4 +1,4 @@
-"""The node processes of a run on sockets: their configuration, starts, restarts and upgrades."""
+"""The node processes of a run on sockets: configuration, starts, restarts and upgrades."""
 
 import http.client
 import json
@@ -17,40 +17,40 @@
 from marlseam.simulation.chance import stream
 from marlseam.simulation.model import Day, node_settings, placed_nodes
 
-START_TIMEOUT_S = 30.0
-NODE_READY_TIMEOUT_S = 20.0  # from its start until a node must be ready
-READY_CALL_TIMEOUT_S = 2.0
-POLL_S = 0.02  # between two looks whether a node has started or is ready
-UPGRADE_OVERLAP_S = 1.0  # for which both processes of an upgrade run
-SEED_BOUND = 1 << 62  # of a node's seed
+START_TIMEOUT_S = 30.0  # from the start of a node process until it must listen
+NODE_READY_TIMEOUT_S = 20.0  # of a wait until a node is ready
+READY_CALL_TIMEOUT_S = 2.0  # of one readiness call
+POLL_S = 0.02  # between two checks whether a node listens or is ready
+UPGRADE_OVERLAP_S = 1.0  # time for which both processes of an upgrade run
+SEED_BOUND = 1 << 62  # exclusive upper bound of a node's seed
 MEMORY_MB = 192  # limit of a node
 MAX_SOCKETS = 1024  # limit of a node
-LISTENS = "listens on "  # what a node logs before its address
+LISTENS = "listens on "  # precedes the address in a node's log
 
 
 class NodeProcesses:
     """Starts the processes of a day's nodes.
 
     Attributes:
-        running: the present process of each node by name.
-        addresses: the address on which each node listens.
-        discovery_addresses: the address of discovery for each node.
-        started_s: when the last process of each node was started, in seconds of the monotonic clock.
+        running: the current process of each node, by node name.
+        addresses: the address on which each node listens, by node name.
+        discovery_addresses: the address of discovery for each node, by node name; set before the first start.
+        started_s: the monotonic time of the last process start of each node in seconds, by node name.
     """
 
     def __init__(self, day: Day, seed: int, out: Path, options: SocketOptions, group: ProcessGroup) -> None:
-        """Make one without processes; files go to `out`, processes and sockets are held by `group`."""
+        """Prepare without starting nodes; files go to `out`, processes and sockets are added to `group`."""
         self._day, self._seed, self._out = day, seed, out
         self._options, self._group = options, group
         self._zones = dict(placed_nodes(day))
-        self._listening: dict[str, socket.socket] = {}  # of nodes that inherit their listening socket
+        self._listening: dict[str, socket.socket] = {}  # by name of the node that inherits the socket
         self.running: dict[str, ChildProcess] = {}
         self.addresses: dict[str, str] = {}
         self.discovery_addresses: dict[str, str] = {}
         self.started_s: dict[str, float] = {}
 
     def start(self, name: str, server_addresses: dict[str, str]) -> None:
-        """Start a node for the first time, and return once it listens; servers are given for the hook."""
+        """Start a node for the first time and return once it listens; call `before_first_start` before."""
         if self._options.before_first_start is not None:
             self._options.before_first_start(name, server_addresses)
         listen = self._group.reserve_address()
@@ -60,15 +60,15 @@
         self.running[name] = self._start_process(name, listen)
 
     def restart(self, name: str) -> None:
-        """Start a further process of a node whose process has ended, and return once it listens."""
+        """Start a new process of a node whose process has ended, and return once the node listens."""
         if self._options.before_restart is not None:
             self._options.before_restart(name)
         self.running[name] = self._start_process(name, self.addresses[name])
 
     def upgrade(self, name: str) -> None:
-        """Start a later process of a node, and end the earlier one a fixed time after that listens.
+        """Start a later process of a node; `UPGRADE_OVERLAP_S` after it listens, terminate the earlier one.
 
-        The platform does the same: it does not know whether the later one has taken over.
+        The platform uses a fixed time too: it cannot detect whether the later process has taken over.
         """
         earlier = self.running[name]
         later = self._start_process(name, self.addresses[name])
@@ -77,7 +77,7 @@
         earlier.signal(SIGTERM)
 
     def _start_process(self, name: str, listen: str) -> ChildProcess:
-        """Start a process of a node, and return it once it listens."""
+        """Write the files of a node, start a process and return the process once it listens."""
         configuration, operator_settings = self._configuration(name, listen)
         path = self._out / f"{name}.json"
         path.write_text(json.dumps(configuration))
@@ -93,13 +93,13 @@
         return process
 
     def _configuration(self, name: str, listen: str) -> NodeConfiguration:
-        """Return a node's configuration file and its operator settings."""
-        chance = stream(self._seed, "node", name, time.monotonic_ns())
+        """Return the content of a node's configuration file and its operator settings."""
+        generator = stream(self._seed, "node", name, time.monotonic_ns())
         configuration: dict[str, Any] = {
             "name": name,
             "listen": listen,
             "discovery": self.discovery_addresses[name],
-            "seed": f"{int(chance.integers(SEED_BOUND)):x}",
+            "seed": f"{int(generator.integers(SEED_BOUND)):x}",
             "limits": {"memory_mb": MEMORY_MB, "sockets": MAX_SOCKETS},
             "known": {"seq": 0, "whole": True, "hosts": []},
             "settings": node_settings(self._day, self._zones[name]),
@@ -110,7 +110,7 @@
         return NodeConfiguration(configuration | own.configuration, own.operator_settings)
 
     def _spawn(self, name: str, arguments: list[str], log: Path) -> ChildProcess:
-        """Start a process of a node with its environment and the descriptors that it inherits."""
+        """Start a process of a node with the node's environment and inherited descriptors."""
         environment = dict(self._options.node_environment(name))
         descriptors: tuple[int, ...] = ()
         self.started_s[name] = time.monotonic()
@@ -124,17 +124,23 @@
         return self._group.add(process)
 
     def wait_until_ready(self, name: str) -> float:
-        """Wait until a node is ready for clients, and return how long that took since its start, in s."""
+        """Wait until a node is ready for clients; return the time since its start in s.
+
+        Raises NodeFailedError after `NODE_READY_TIMEOUT_S` of waiting.
+        """
         address, end_s = self.addresses[name], time.monotonic() + NODE_READY_TIMEOUT_S
         while time.monotonic() < end_s:
             if _is_ready(address):
                 return time.monotonic() - self.started_s[name]
             time.sleep(POLL_S)
-        raise NodeFailedError(name, f"was not ready in {NODE_READY_TIMEOUT_S:g} s")
+        raise NodeFailedError(name, f"was not ready within {NODE_READY_TIMEOUT_S:g} s")
 
 
 def _wait_for_address(name: str, process: ChildProcess, log_offset: int) -> str:
-    """Return the address that a node logs as it begins to listen; its log is read from an offset on."""
+    """Wait for the address that a node logs when it listens; `log_offset` skips lines of earlier processes.
+
+    Raises NodeFailedError if the process exits or does not listen within `START_TIMEOUT_S`.
+    """
     end_s = time.monotonic() + START_TIMEOUT_S
     while True:
         with process.log.open("rb") as file:
@@ -148,7 +154,7 @@
 
 
 def _is_ready(address: str) -> bool:
-    """Return whether the node at an address says that it is ready."""
+    """Return whether the node at an address answers the readiness call with 200."""
     call = http.client.HTTPConnection(address, timeout=READY_CALL_TIMEOUT_S)
     try:
         call.request("GET", READY_PATH)
--- a/marlseam/experiment/sockets/options.py
+++ b/marlseam/experiment/sockets/options.py
@@ -1,4 +1,4 @@
-"""How the sockets driver runs a day, and what it does with its nodes."""
+"""Options of the sockets driver: its processes, and the configuration and hooks of its nodes."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,11 +7,11 @@
 
 
 class NodeConfiguration(NamedTuple):
-    """What one node's configuration has beside the day's settings.
+    """The configuration of one node in addition to the day's settings.
 
     Attributes:
-        configuration: keys of its configuration file.
-        operator_settings: its operator settings as TOML, see `SocketOptions.operator_settings`.
+        configuration: keys added to or replaced in the node's configuration file.
+        operator_settings: the node's operator settings as TOML, see `SocketOptions.operator_settings`.
     """
 
     configuration: dict[str, Any]
@@ -19,33 +19,34 @@
 
 
 def _default_module(_: str) -> str:
-    """Return the module that a node runs as."""
+    """Return the module that nodes run as by default."""
     return "marlseam"
 
 
 def _default_environment(_: str) -> dict[str, str]:
-    """Return the variables of a node's environment: none."""
+    """Return the environment variables added for nodes by default: none."""
     return {}
 
 
 @dataclass(frozen=True)
 class SocketOptions:
-    """How the sockets driver runs a day. Functions are called with a node's name.
+    """Options of a run of the sockets driver. All functions are called with a node's name.
 
     Attributes:
-        generator_count: how many processes generate load.
-        connection_count: how many connections each of them has; 0 for as many as it needs.
-        uses_network: whether a process simulates the network between nodes and servers; None: where zones
-            are cut, or where there are several.
-        server_process_count: how many processes the servers are spread over.
-        profile: where the nodes' profile goes, None for none.
+        generator_count: the number of load generator processes.
+        connection_count: the number of connections per generator; 0 for as many as it needs.
+        uses_network: whether a process simulates the network between nodes and servers; None: if there are
+            several zones, or a fault affects the links of a zone.
+        server_process_count: the number of processes that the servers are distributed over.
+        profile: the file that the nodes' profile is written to, None to run without a profiler.
         operator_settings: the operator settings of all nodes as TOML, in which `{folder}` stands for the
             node's state directory; empty for none.
-        before_first_start: called before a node's first start, with the addresses of the servers.
-        before_restart: called before each further start of a node.
+        before_first_start: called before a node's first start, also with the addresses of the servers.
+        before_restart: called before each further start of a node, except upgrades.
         node_module: returns the module that a node runs as.
         node_environment: returns variables that are added to a node's environment.
-        node_configuration: returns a node's own configuration and operator settings, None for those of all.
+        node_configuration: returns the additional configuration and the operator settings of one node; None
+            if all nodes have the same.
         inherits_sockets: whether nodes inherit their listening socket, so that a later process of a node
             can take over from an earlier one.
     """
--- a/marlseam/experiment/sockets/process_group.py
+++ b/marlseam/experiment/sockets/process_group.py
@@ -1,4 +1,4 @@
-"""The processes and sockets that a run on sockets must end and close."""
+"""The processes and sockets of a run on sockets, to be ended and closed after the run."""
 
 import socket
 
@@ -9,41 +9,40 @@
 
 
 class ProcessGroup:
-    """Processes that were started and sockets that are held, to be ended and closed with the run."""
+    """Processes and sockets that are ended and closed together."""
 
     def __init__(self) -> None:
-        """Make an empty one."""
         self._processes: list[ChildProcess] = []
         self._sockets: list[socket.socket] = []
 
     def add(self, process: ChildProcess) -> ChildProcess:
-        """Add a process, and return it."""
+        """Add a process to the group and return the process."""
         self._processes.append(process)
         return process
 
     def reserve_address(self) -> str:
-        """Return an address that is held by a socket which is bound and does not listen.
+        """Return an address reserved by a socket that is bound but does not listen.
 
-        Guards a node that restarts: while it is away, an outgoing connection could take its port.
+        Guards against an outgoing connection that takes the port of a node while the node restarts.
         """
-        held = socket.socket()
-        held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        held.bind((LOOPBACK, 0))
-        self._sockets.append(held)
-        return address_of(held)
+        reserved = socket.socket()
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserved.bind((LOOPBACK, 0))
+        self._sockets.append(reserved)
+        return address_of(reserved)
 
     def listen(self) -> socket.socket:
-        """Return a listening socket, for processes to inherit."""
+        """Return a listening socket on a free port, for node processes to inherit."""
         listening = socket.create_server((LOOPBACK, 0), backlog=LISTEN_BACKLOG)
         self._sockets.append(listening)
         return listening
 
     def end(self) -> None:
-        """End the processes, those that were started last first, and close the sockets."""
+        """End the processes, last started first, and close the sockets."""
         for process in reversed(self._processes):
             process.end()
-        for held in self._sockets:
-            held.close()
+        for sock in self._sockets:
+            sock.close()
 
 
 def address_of(bound: socket.socket) -> str:
--- a/marlseam/experiment/sockets/recorder.py
+++ b/marlseam/experiment/sockets/recorder.py
@@ -1,4 +1,4 @@
-"""The clock of a run on sockets, and the records of its driver."""
+"""The clock of a run on sockets and the writer of its driver's records."""
 
 import threading
 import time
@@ -7,23 +7,22 @@
 
 
 class DriverRecorder:
-    """Writes the driver's records, from any thread: a race would show as a gap in their numbers."""
+    """Writes the driver's records from any thread; a race would show as a gap in the records' numbers."""
 
     def __init__(self, streams: RecordStreams) -> None:
-        """Make one whose records go to `streams`."""
         self._zero_s: float | None = None
         self._streams = streams
         self._lock = threading.Lock()
 
     def begin(self) -> None:
-        """Begin the stream of records."""
+        """Begin the stream of the driver's records."""
         self._streams.of("driver")
 
     @property
     def zero_s(self) -> float:
-        """Return the run's zero, in seconds of the monotonic clock."""
+        """The run's zero in seconds of the monotonic clock; raises RuntimeError before it is set."""
         if self._zero_s is None:
-            raise RuntimeError("the run's zero is not set")
+            raise RuntimeError("the run's zero was read before it was set")
         return self._zero_s
 
     @zero_s.setter
@@ -31,14 +30,14 @@
         self._zero_s = zero_s
 
     def now_ms(self) -> float:
-        """Return the time since the run's zero in ms, 0 before the zero is set."""
+        """Return the time since the run's zero in ms; 0 until the zero is set."""
         return 0.0 if self._zero_s is None else (time.monotonic() - self._zero_s) * 1000.0
 
     def add(self, record: Record) -> None:
-        """Write a record."""
+        """Write a record to the driver's stream; may be called from any thread."""
         with self._lock:
             self._streams.of("driver").add(record)
 
     def end(self) -> None:
-        """End the stream whole."""
+        """Write the end of the stream, which marks the stream as complete."""
         self._streams.end(self.now_ms())
--- a/marlseam/experiment/virtual/attempts.py
+++ b/marlseam/experiment/virtual/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts between simulated nodes and servers: sent, delivered, heard of, ended, given up."""
+"""Attempts between simulated nodes and servers: sending, delivery, progress, end and cancellation."""
 
 from math import inf
 
@@ -19,16 +19,17 @@
 from marlseam.simulation.job import Job, JobEvent
 
 OUTCOME_BY_JOB_END = {"done": Outcome.COMPLETED, "failed": Outcome.ERROR, "lost": Outcome.BROKEN}
-ANSWERED_OUTCOMES = (Outcome.COMPLETED, Outcome.ERROR, Outcome.AT_CAPACITY)  # the connection stays open
+ANSWERED_OUTCOMES = (Outcome.COMPLETED, Outcome.ERROR, Outcome.AT_CAPACITY)  # the connection is kept open
 GIVEN_UP_OUTCOMES = (Outcome.TIMED_OUT, Outcome.CANCELLED)  # the node closes the connection
 
 
 class AttemptTransport:
-    """Carries attempts between nodes and servers, with the connections that they need.
+    """Carries attempts between nodes and servers over simulated connections.
 
     Attributes:
-        accept_timeout_ms: how long a node waits until a server accepts an attempt.
-        progress_gap_ms: how long a node waits for the next sign of life of an attempt that runs.
+        accept_timeout_ms: the time for which a node waits until a server accepts an attempt.
+        progress_gap_ms: the time for which a node waits for the next progress message of a running attempt;
+            inf if servers send no progress.
     """
 
     def __init__(
@@ -38,17 +39,16 @@
         servers: ServerRunner,
         hooks: DriverHooks,
     ) -> None:
-        """Make one without attempts."""
         self._world, self._nodes, self._servers, self._hooks = world, nodes, servers, hooks
-        least_objective_ms = min(request_class.promised_ms for request_class in world.day.types)
-        self.accept_timeout_ms = ACCEPT_TIMEOUT_IN_OBJECTIVES * least_objective_ms
+        min_objective_ms = min(request_class.promised_ms for request_class in world.day.types)
+        self.accept_timeout_ms = ACCEPT_TIMEOUT_IN_OBJECTIVES * min_objective_ms
         self.progress_gap_ms = PROGRESS_GAP_IN_PERIODS * 1000.0 * world.day.fleet.progress_s or inf
         servers.add_job_listener(self._job_changed)
 
     # From the node to the server.
 
     def send(self, node: SimulatedNode, effect: core.SendAttempt) -> None:
-        """Send an attempt, on a connection that is open if the node has one."""
+        """Send an attempt on an idle connection to the server if the node has one, else on a new one."""
         world, server = self._world, self._world.servers[effect.server]
         attempt = self._open_attempt(node, server, effect)
         is_reachable = world.is_reachable(node, server)
@@ -69,7 +69,7 @@
     def _open_attempt(
         self, node: SimulatedNode, server: SimulatedServer, effect: core.SendAttempt
     ) -> AttemptInFlight:
-        """Return a new attempt in flight."""
+        """Create an attempt in flight and register it at its server."""
         now_ms = self._world.now_ms
         is_unsafe = self._is_unsafe(effect.request_id)
         attempt = AttemptInFlight(
@@ -86,28 +86,28 @@
         return attempt
 
     def _is_unsafe(self, request_id: str) -> bool:
-        """Return whether a try is unsafe to repeat; nodes wait for such attempts until the deadline."""
+        """Return whether a try is unsafe to repeat; nodes wait for its attempts until the deadline."""
         return self._world.request_class(request_id).effect == "exclusive"
 
     def _send_on_idle_connection(self, attempt: AttemptInFlight, delay_ms: float) -> None:
-        """Write an attempt to a connection that is open."""
+        """Write an attempt to an idle connection."""
         attempt.node.idle_connections[attempt.server.name] -= 1
         attempt.is_written = True
         self._world.queue.schedule(self._world.now_ms + delay_ms, self._hooks.deliver, attempt)
 
     def _send_on_new_connection(self, attempt: AttemptInFlight, delay_ms: float) -> None:
-        """Open a connection, which takes a round trip, and write an attempt to it."""
+        """Open a connection, which takes one round trip, and write an attempt to it."""
         queue, connect_ms = self._world.queue, self._world.day.fleet.connect_ms
         attempt.server.connection_count += 1
         queue.schedule(queue.now_ms + 2.0 * delay_ms, self._write, attempt)
         queue.schedule(queue.now_ms + 3.0 * delay_ms + connect_ms, self._hooks.deliver, attempt)
 
     def _write(self, attempt: AttemptInFlight) -> None:
-        """Write an attempt to its new connection, unless it was given up."""
+        """Write an attempt to its new connection, unless the node has given the attempt up."""
         attempt.is_written = attempt.is_open
 
     def deliver(self, attempt: AttemptInFlight) -> None:
-        """Hand an attempt to its server, unless it was given up or lost on its way."""
+        """Deliver an attempt to its server, unless the node has given it up or the network loses it."""
         world, server, node = self._world, attempt.server, attempt.node
         if not attempt.is_written or not attempt.is_open or not world.is_delivered(node, server):
             return
@@ -117,7 +117,7 @@
             return
         self._servers.advance(server)
         if self._offer(attempt):
-            attempt.silence_deadline_ms = inf  # accepted; the timeout begins again when the job starts
+            attempt.silence_deadline_ms = inf  # accepted; the timeout restarts when the job starts
         else:
             refused = records.AttemptRefused(t=world.now_ms, by=server.name, id=attempt.request_id)
             world.server_records(server).add(refused)
@@ -142,13 +142,13 @@
         return is_accepted
 
     def _job(self, attempt: AttemptInFlight) -> Job:
-        """Return an attempt's job."""
+        """Return the job of an attempt at its server."""
         arrival = self._world.arrivals[attempt.request_id]
         request_class = self._world.day.types[arrival.type]
         return fleet.job(arrival, request_class, attempt.request_id, attempt.attempt_index)
 
     def _crash_if_overloaded(self, server: SimulatedServer) -> None:
-        """Crash a server that received more in slow start than it bears."""
+        """Crash a server that received more load during slow start than it can take."""
         load, now_ms = server.model.overload_share, self._world.now_ms
         if load is not None and server.model.is_up:
             overloaded = records.ServerOverloaded(t=now_ms, by=server.name, load=load)
@@ -158,7 +158,7 @@
     # From the server to the node.
 
     def _job_changed(self, server: SimulatedServer, event: JobEvent) -> None:
-        """Send the node of an attempt what happened to its job."""
+        """Send an event of a job to the node of the attempt, unless the network loses the message."""
         world, attempt = self._world, server.attempts.get(event.id)
         if attempt is None or not world.is_delivered(attempt.node, server):
             return
@@ -170,7 +170,7 @@
             world.queue.schedule(arrives_ms, self._receive_progress, attempt, _node_event(attempt, event))
 
     def _receive_progress(self, attempt: AttemptInFlight, event: core.Event) -> None:
-        """Hand a sign of life of an attempt to its node, which waits for the next one from now."""
+        """Post a start or progress event to the attempt's node; unless unsafe, restart the timeout."""
         if not attempt.is_open:
             return
         if not self._is_unsafe(attempt.request_id):
@@ -178,10 +178,10 @@
             self._world.queue.schedule(attempt.give_up_ms, self._check_timeout, attempt)
         self._nodes.post_to_generation(attempt.node, attempt.generation, event)
 
-    # Ends.
+    # The end of an attempt.
 
     def _check_timeout(self, attempt: AttemptInFlight) -> None:
-        """End an attempt whose time is over; else check it again when its time may be over."""
+        """End an attempt whose timeout has passed; else schedule the next check at the current timeout."""
         if not attempt.is_open:
             return
         if self._world.now_ms >= attempt.give_up_ms:
@@ -190,11 +190,11 @@
             self._world.queue.schedule(attempt.give_up_ms, self._check_timeout, attempt)
 
     def _schedule_end(self, at_ms: float, attempt: AttemptInFlight, outcome: Outcome) -> None:
-        """End an attempt for its node at a time."""
+        """Schedule the end of an attempt for its node."""
         self._world.queue.schedule(at_ms, self.end, attempt, outcome)
 
     def end(self, attempt: AttemptInFlight, outcome: Outcome) -> None:
-        """End an attempt for its node, which is told the outcome."""
+        """End an attempt and post its outcome to the node; do nothing if it has ended already."""
         if not attempt.is_open:
             return
         if outcome in GIVEN_UP_OUTCOMES:
@@ -213,13 +213,13 @@
         self._nodes.post_to_generation(attempt.node, attempt.generation, event)
 
     def _report(self, attempt: AttemptInFlight, outcome: Outcome) -> LoadReport | None:
-        """Return the load report that an answer brings, None where answers bring none."""
+        """Return the load report in an answer, None without an answer or if answers carry no reports."""
         if self._world.day.reports.answers and outcome in ANSWERED_OUTCOMES:
             return attempt.server.model.report(self._world.now_ms)
         return None
 
     def give_up(self, attempt: AttemptInFlight) -> None:
-        """Close the connection of an attempt; its server cancels the job if it is reachable."""
+        """Close the connection of an attempt; the server cancels the job if the server is reachable."""
         world, server = self._world, attempt.server
         attempt.is_open = False
         server.attempts.pop(attempt.job_id, None)
@@ -232,20 +232,20 @@
             world.queue.schedule(arrives_ms, self._cancel_job, server, attempt.job_id)
 
     def _record_cancelled(self, attempt: AttemptInFlight) -> None:
-        """Record that the connection of an attempt was closed before its end."""
+        """Record that the connection of an attempt was closed before the attempt ended."""
         cancelled = records.AttemptCancelled(
             t=self._world.now_ms, by="network", id=attempt.request_id, executor=attempt.server.name
         )
         self._world.network_records.add(cancelled)
 
     def _cancel_job(self, server: SimulatedServer, job_id: str) -> None:
-        """Cancel a job at its server."""
+        """Cancel a job at a server."""
         self._servers.advance(server)
         server.model.cancel(job_id)
         self._servers.advance(server)
 
     def cancel(self, node: SimulatedNode, effect: core.CancelAttempt) -> None:
-        """Cancel an attempt as its node asks; the node is told its end like any other."""
+        """Cancel an attempt at the request of its node; its end is posted like that of other attempts."""
         job_id = attempt_job_id(effect.request_id, effect.attempt_index)
         for server in self._world.servers.values():
             attempt = server.attempts.get(job_id)
@@ -256,17 +256,17 @@
                 self._schedule_end(self._world.now_ms, attempt, outcome)
                 return
 
-    # Connections that break.
+    # Broken connections.
 
     def node_ended(self, node: SimulatedNode) -> None:
-        """Close all connections of a node whose process ended."""
+        """Close all connections of a node whose process has ended."""
         for server in self._world.servers.values():
             server.connection_count -= node.idle_connections.get(server.name, 0)
             for attempt in [attempt for attempt in server.attempts.values() if attempt.node is node]:
                 self.give_up(attempt)
 
     def server_crashed(self, server: SimulatedServer) -> None:
-        """Break the connections to a server whose process ended; nodes that reach it notice."""
+        """Break the connections to a server whose process has ended; only nodes that reach it detect it."""
         self._drop_idle_connections(server)
         world = self._world
         for attempt in list(server.attempts.values()):
@@ -275,7 +275,7 @@
                 self._schedule_end(arrives_ms, attempt, Outcome.BROKEN)
 
     def reset_connections(self, server: SimulatedServer) -> None:
-        """Break the connections to a server whose process runs on."""
+        """Break the connections to a server whose process keeps running."""
         self._drop_idle_connections(server)
         for attempt in list(server.attempts.values()):
             if attempt.is_written:
@@ -284,20 +284,20 @@
                 self._schedule_end(self._world.now_ms, attempt, Outcome.BROKEN)
 
     def _drop_idle_connections(self, server: SimulatedServer) -> None:
-        """Close the connections to a server that no attempt uses."""
+        """Close the idle connections to a server."""
         for node in self._world.nodes.values():
             server.connection_count -= node.idle_connections.pop(server.name, 0)
 
 
 def _node_event(attempt: AttemptInFlight, event: JobEvent) -> core.Event:
-    """Return what a node is told of a job that started or makes progress."""
+    """Return the event posted to a node for a job that has started or makes progress."""
     if event.what == "started":
         return core.AttemptStarted(attempt.request_id, attempt.attempt_index)
     return core.AttemptProgressed(attempt.request_id, attempt.attempt_index, event.value)
 
 
 def _release_connection(attempt: AttemptInFlight, outcome: Outcome) -> None:
-    """Keep the connection of an answered attempt open for the next one, or close it."""
+    """Keep the connection of an answered attempt open for the next attempt, or close it."""
     node, server = attempt.node, attempt.server
     if outcome in ANSWERED_OUTCOMES and node.generation == attempt.generation:
         node.idle_connections[server.name] = node.idle_connections.get(server.name, 0) + 1
--- a/marlseam/experiment/virtual/clients.py
+++ b/marlseam/experiment/virtual/clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients: their tries, the answers to them, and clients that leave."""
+"""Simulated clients: their tries, the answers to tries, and clients that leave."""
 
 import numpy as np
 
@@ -17,15 +17,14 @@
 
 
 class ClientRunner:
-    """Sends the tries of clients to nodes, and the answers back."""
+    """Sends the tries of clients to nodes, and the answers back to the clients."""
 
     def __init__(self, world: VirtualWorld, nodes: NodeRunner) -> None:
-        """Make one without clients."""
         self._world, self._nodes = world, nodes
-        self._chance: np.random.Generator = stream(world.seed, "clients")
+        self._generator: np.random.Generator = stream(world.seed, "clients")
 
     def arrive(self, arrival: Arrival) -> None:
-        """Begin a request, or the next try of one as a trace has it."""
+        """Begin a request at its arrival; an arrival from a trace may be a later try of a request."""
         request_class = self._world.day.types[arrival.type]
         client = Client(arrival, request_class, self._world.day.clients, replayed=bool(arrival.first))
         self._send_try(client)
@@ -48,12 +47,12 @@
         world.queue.schedule(self._leaves_ms(client), self._leave, client_try)
 
     def _leaves_ms(self, client: Client) -> float:
-        """Return when a client leaves; it waits for an answer sent at its deadline to come."""
+        """Return when a client leaves, in ms; the slack lets an answer sent at the deadline arrive."""
         leaves_ms = client.leaves_at(self._world.now_ms)
         return leaves_ms + (self._world.delivery_slack_ms if leaves_ms >= client.expires else 0.0)
 
     def _reach_node(self, client_try: ClientTry) -> None:
-        """Hand a try to its node, if the client and the node still wait."""
+        """Deliver a try to its node, if the client still waits and the node's process still runs."""
         node, arrival = client_try.node, client_try.client.arrival
         if not (client_try.is_open and node.is_running(client_try.generation)):
             return
@@ -62,7 +61,7 @@
         self._nodes.post(node, core.RequestArrived(request))
 
     def reply(self, node: SimulatedNode, effect: FinalAnswer) -> None:
-        """Send a node's final answer to the client."""
+        """Send a node's final answer to the client of the try."""
         client_try = node.tries.get(effect.request_id)
         if client_try is None:
             return
@@ -73,14 +72,14 @@
         )
 
     def node_ended(self, node: SimulatedNode) -> None:
-        """Break the connections of a node's clients."""
+        """Break the connections of all clients of a node whose process has ended."""
         world = self._world
         for client_try in list(node.tries.values()):
             arrives_ms = world.now_ms + world.links.client_delay()
             world.queue.schedule(arrives_ms, self._answer, client_try, "lost", 0.0)
 
     def _answer(self, client_try: ClientTry, how: str, retry_after_ms: float) -> None:
-        """End a try for its client: it was answered, lost, or never sent. The client may try again."""
+        """End a try that was answered, lost or never sent; schedule the client's next try if there is one."""
         if not client_try.is_open and how == "lost":
             return
         world, was_open = self._world, client_try.is_open
@@ -94,12 +93,12 @@
         if not was_open:
             return
         client = client_try.client
-        wait_ms = client.wait(world.now_ms, how, retry_after_ms, self._chance)
+        wait_ms = client.wait(world.now_ms, how, retry_after_ms, self._generator)
         if wait_ms is not None:
             world.queue.schedule(world.now_ms + wait_ms, self._send_try, client)
 
     def _leave(self, client_try: ClientTry) -> None:
-        """Let a client leave that has no answer."""
+        """Record that a client leaves, unless its try has been answered."""
         if not client_try.is_open:
             return
         client_try.is_open = False
@@ -111,7 +110,7 @@
         world.queue.schedule(world.now_ms + world.links.client_delay(), self._notice_leave, client_try)
 
     def _notice_leave(self, client_try: ClientTry) -> None:
-        """Tell a node that a client has left."""
+        """Notify a node that a client has left."""
         client_try.node.tries.pop(client_try.id, None)
         left = core.ClientLeft(client_try.id)
         self._nodes.post_to_generation(client_try.node, client_try.generation, left)
--- a/marlseam/experiment/virtual/driver.py
+++ b/marlseam/experiment/virtual/driver.py
@@ -1,4 +1,4 @@
-"""The driver: joins the parts of a virtual run and plays a day."""
+"""The driver: connects the parts of a virtual run and plays a day."""
 
 from collections.abc import Callable
 
@@ -19,17 +19,17 @@
 from marlseam.simulation import faults, plan
 from marlseam.simulation.model import Day, node_settings, placed_nodes
 
-END_SLACK_MS = 1000.0  # that a run lasts after the last request's deadline
+END_SLACK_MS = 1000.0  # from the last possible deadline of a request to the end of the run
 
 
 class VirtualDriver:
     """Plays one day. A subclass may override `make_node` and the steps of `DriverHooks`.
 
     Attributes:
-        day: the day that is played.
-        make_reducer: returns the reducer of a node's process, so that experiments can play other policies.
-        schedule: the day's faults.
-        world: what the parts share.
+        day: the day.
+        make_reducer: returns the reducer of a node's process; experiments replace it to play other policies.
+        schedule: the scheduled faults of the day.
+        world: the state shared by the parts.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         make_reducer: Callable[[], Reducer] = Reducer,
         stale_list: StaleListStart | None = None,
     ) -> None:
-        """Make one whose records go to `streams`; nodes start from an old list where one is given."""
+        """Prepare a run with records in `streams`; with `stale_list`, nodes start from an outdated list."""
         self.day, self.make_reducer = day, make_reducer
         self.schedule = faults.schedule(day, seed)
         self.world = world = VirtualWorld(day, seed, streams)
@@ -49,10 +49,10 @@
             world.add_gone_servers(stale_list.gone_count)
         for name, zone in placed_nodes(day):
             world.nodes[name] = self.make_node(name, zone)
-        self._join_parts(0.0 if stale_list is None else stale_list.doubt)
+        self._connect_parts(0.0 if stale_list is None else stale_list.doubt)
 
-    def _join_parts(self, doubt: float) -> None:
-        """Make the parts, and let each effect of the nodes be carried out by one of them."""
+    def _connect_parts(self, doubt: float) -> None:
+        """Create the parts and register which of them handles each type of effect of the nodes."""
         world = self.world
         nodes = NodeRunner(world)
         self._servers = ServerRunner(world)
@@ -78,16 +78,19 @@
 
     @property
     def now_ms(self) -> float:
-        """Return the present time in ms from the run's begin."""
+        """The current time in ms since the begin of the run."""
         return self.world.now_ms
 
     @property
     def event_count(self) -> int:
-        """Return how many events were played."""
+        """The number of events played so far."""
         return self.world.queue.played_count
 
     def run(self, arrivals: list[plan.Arrival] | None = None) -> float:
-        """Play the day to the last client's end, and return the time at which that was, in ms."""
+        """Play the day until all clients have ended; return the time of the last event in ms.
+
+        `arrivals` replaces the arrivals planned from the day and the seed.
+        """
         if arrivals is None:
             arrivals = plan.make(self.day, self.world.seed, faults.surges(self.schedule))
         queue = self.world.queue
@@ -98,25 +101,25 @@
             queue.schedule(change.at, self._discovery.change, change)
         for arrival in arrivals:
             queue.schedule(arrival.at, self._clients.arrive, arrival)
-        longest_ms = max(request_class.limit_ms for request_class in self.day.types)
-        queue.run_until(1000.0 * self.day.seconds + longest_ms + END_SLACK_MS)
+        max_deadline_ms = max(request_class.limit_ms for request_class in self.day.types)
+        queue.run_until(1000.0 * self.day.seconds + max_deadline_ms + END_SLACK_MS)
         self.world.streams.end(self.now_ms)
         return self.now_ms
 
     def make_node(self, name: str, zone: str) -> SimulatedNode:
-        """Return a node with the day's settings."""
+        """Return a new node with the day's settings."""
         deployment = deployment_from(node_settings(self.day, zone))
         return SimulatedNode(name, zone, deployment, self.make_reducer())
 
     def deliver(self, attempt: AttemptInFlight) -> None:
-        """Hand an attempt to its server."""
+        """Deliver an attempt to its server."""
         self._attempts.deliver(attempt)
 
     def crash(self, server: SimulatedServer) -> None:
-        """End a server's process and break its connections."""
+        """Crash a server's process and break its connections."""
         self._servers.crash(server)
         self._attempts.server_crashed(server)
 
     def start_server(self, server: SimulatedServer) -> None:
-        """Start a server's process, in slow start."""
+        """Start a server's process, which begins in slow start."""
         self._servers.start(server)
--- a/marlseam/experiment/virtual/fault_injector.py
+++ b/marlseam/experiment/virtual/fault_injector.py
@@ -1,4 +1,4 @@
-"""Plays the schedule of faults: what each fault does as it begins and as it ends."""
+"""Applies the schedule of faults: the effects of the begin and the end of each fault."""
 
 from collections.abc import Callable
 
@@ -19,9 +19,9 @@
 class FaultInjector:
     """Begins and ends faults.
 
-    Elsewhere: `simulation.faults` expands `flapping`, says what servers do while a fault is on
-    (`fault_effects`) and what discovery lists (`listings`); `simulation.plan` adds the arrivals of a `surge`.
-    A mended link resets no connection here, as it does on sockets.
+    Other modules implement the rest: `simulation.faults` expands `flapping` and determines the behaviour of
+    servers while a fault is active (`fault_effects`) and the changes of the endpoint list (`listings`);
+    `simulation.plan` adds the arrivals of a `surge`. Unlike on sockets, a restored link resets no connection.
     """
 
     def __init__(
@@ -34,7 +34,6 @@
         discovery: DiscoveryService,
         lifecycle: NodeLifecycle,
     ) -> None:
-        """Make one for a schedule of faults."""
         self._world, self._schedule, self._hooks, self._servers = world, schedule, hooks, servers
         self._attempts, self._discovery, self._lifecycle = attempts, discovery, lifecycle
         self._handlers: dict[str, FaultHandler] = {
@@ -64,7 +63,7 @@
             self._world.queue.schedule(fault.until, self._apply, fault, False)
 
     def _apply(self, fault: ScheduledFault, begins: bool) -> None:
-        """Begin or end a fault."""
+        """Record the begin of a fault, and call the handler of its kind, if any, at its begin or end."""
         kind = fault.settings.what
         if begins:
             self._world.driver_records.add(
@@ -93,7 +92,7 @@
     # Servers.
 
     def _change_behaviour(self, fault: ScheduledFault, _: bool) -> None:
-        """Let servers run and report as the faults that are on say."""
+        """Apply the effects of all active faults to the speed and the reports of servers."""
         for server in self._target_servers(fault):
             self._servers.advance(server)
             now_ms = self._world.now_ms
@@ -101,7 +100,7 @@
             self._servers.reschedule(server)
 
     def _crash_servers(self, fault: ScheduledFault, begins: bool) -> None:
-        """Crash servers, or start them again."""
+        """Crash servers at the begin of a fault, and restart them at its end."""
         for server in self._target_servers(fault):
             if begins:
                 self._crash_if_up(server)
@@ -109,7 +108,7 @@
                 self._hooks.start_server(server)
 
     def _shrink(self, fault: ScheduledFault, begins: bool) -> None:
-        """Let servers drain, or end them."""
+        """Make servers drain at the begin of a fault, and end their processes at its end."""
         for server in self._target_servers(fault):
             if begins:
                 self._servers.advance(server)
@@ -118,26 +117,26 @@
                 self._crash_if_up(server)
 
     def _grow(self, fault: ScheduledFault, begins: bool) -> None:
-        """Start servers that were not there before."""
+        """Start servers that a fault adds to the day."""
         if begins:
             for server in self._target_servers(fault):
                 self._hooks.start_server(server)
 
     def _crash_if_up(self, server: SimulatedServer) -> None:
-        """Crash a server unless it is down already."""
+        """Crash a server unless it is already down."""
         if server.model.is_up:
             self._hooks.crash(server)
 
     # Links.
 
     def _silence_servers(self, fault: ScheduledFault, begins: bool) -> None:
-        """Let servers be out of reach of all nodes, or mend that."""
+        """Make servers unreachable for all nodes, or reachable again."""
         links = self._world.links
         for server in self._target_servers(fault):
             links.set_blocked(links.silent, server.name, begins)
 
     def _cut_zone(self, fault: ScheduledFault, begins: bool) -> None:
-        """Cut a zone from the others, or mend that."""
+        """Cut the links between a zone and the others, or restore them."""
         links, zone = self._world.links, fault.targets[0]
         links.set_blocked(links.cut_zones, zone, begins)
         self._world.network_records.add(
@@ -145,12 +144,12 @@
         )
 
     def _slow_links(self, fault: ScheduledFault, begins: bool) -> None:
-        """Slow the links of a zone and let them lose messages, or mend that."""
+        """Make the links of a zone slow and lossy, or restore them."""
         added_ms, lost_share = fault.settings.size, fault.settings.part
         self._world.links.set_zone_slow(fault.targets[0], added_ms, lost_share, begins)
 
     def _reset_connections(self, fault: ScheduledFault, begins: bool) -> None:
-        """Break the connections to servers."""
+        """Break the connections to servers at the begin of a fault."""
         if begins:
             for server in self._target_servers(fault):
                 self._attempts.reset_connections(server)
@@ -158,28 +157,28 @@
     # Discovery.
 
     def _fail_discovery(self, fault: ScheduledFault, begins: bool) -> None:
-        """Let discovery serve nobody until the fault ends."""
+        """Make discovery fail all calls until the fault ends."""
         if begins:
             self._discovery.fail(fault.at, fault.until)
 
     # Nodes.
 
     def _kill_nodes(self, fault: ScheduledFault, begins: bool) -> None:
-        """Kill nodes that are up."""
+        """Kill the target nodes that are up."""
         if begins:
             for node in self._target_nodes(fault):
                 if node.is_up:
                     self._lifecycle.kill(node)
 
     def _shut_nodes_down(self, fault: ScheduledFault, begins: bool) -> None:
-        """Shut nodes down that are up."""
+        """Begin the graceful shutdown of the target nodes that are up."""
         if begins:
             for node in self._target_nodes(fault):
                 if node.is_up:
                     self._lifecycle.shut_down(node)
 
     def _reload_nodes(self, fault: ScheduledFault, begins: bool) -> None:
-        """Let nodes read their settings again."""
+        """Make the target nodes reload their settings."""
         if begins:
             for node in self._target_nodes(fault):
                 self._lifecycle.reload_settings(node)
--- a/marlseam/experiment/virtual/hooks.py
+++ b/marlseam/experiment/virtual/hooks.py
@@ -1,4 +1,4 @@
-"""The steps of the virtual driver that experiments override to measure them."""
+"""The steps of the virtual driver that experiments override for measurements."""
 
 from typing import Protocol
 
@@ -6,13 +6,13 @@
 
 
 class DriverHooks(Protocol):
-    """Steps that the parts of the driver take by calling the driver, so that a subclass sees them."""
+    """Steps that the parts of the driver run through the driver, so that a subclass can override them."""
 
     def deliver(self, attempt: AttemptInFlight) -> None:
-        """Hand an attempt to its server."""
+        """Deliver an attempt to its server."""
 
     def crash(self, server: SimulatedServer) -> None:
-        """End a server's process and break its connections."""
+        """Crash a server's process and break its connections."""
 
     def start_server(self, server: SimulatedServer) -> None:
-        """Start a server's process, in slow start."""
+        """Start a server's process, which begins in slow start."""
--- a/marlseam/experiment/virtual/lifecycle.py
+++ b/marlseam/experiment/virtual/lifecycle.py
@@ -1,4 +1,4 @@
-"""Starts, shutdowns, ends and reloads of simulated nodes."""
+"""Starts, shutdowns, kills and reloads of simulated nodes."""
 
 from collections.abc import Callable
 from math import inf
@@ -14,14 +14,14 @@
 from marlseam.net.graceful_shutdown import ANSWER_MS, MAX_DRAIN_MS
 from marlseam.simulation.chance import stream
 
-RESTART_MS = 300.0  # from a node's end until its next process starts, at least
-LISTENING_AFTER_SHUTDOWN_MS = 350.0  # how long the load balancer picks a node whose shutdown began
-EXIT_MS = 100.0  # from the end of a shutdown until the process has ended
-SEED_BOUND = 1 << 62  # of a reducer's seed
+RESTART_MS = 300.0  # minimum time from a node's end until its next process starts
+LISTENING_AFTER_SHUTDOWN_MS = 350.0  # the load balancer still picks a node for this time after its shutdown
+EXIT_MS = 100.0  # from the end of a shutdown until the process has exited
+SEED_BOUND = 1 << 62  # exclusive upper bound of a reducer's seed
 
 
 class NodeLifecycle:
-    """Starts and ends the processes of nodes."""
+    """Starts, shuts down, kills and reloads the processes of nodes."""
 
     def __init__(
         self,
@@ -32,47 +32,47 @@
         clients: ClientRunner,
         discovery: DiscoveryService,
     ) -> None:
-        """Make one; `make_reducer` returns the reducer of a new process."""
+        """Connect the parts; `make_reducer` returns the reducer of a new process."""
         self._world, self._make_reducer, self._nodes = world, make_reducer, nodes
         self._attempts, self._clients, self._discovery = attempts, clients, discovery
 
     def start(self, node: SimulatedNode) -> None:
-        """Start a node's next process, without any state but a saved endpoint list."""
+        """Start a node's next process, with no state except a saved endpoint list."""
         node.generation += 1
         node.reducer = self._make_reducer()
         node.is_up, node.is_watching = True, False
         node.idle_connections, node.tries, node.list_version = {}, {}, 0
         self._record(node, "began")
-        chance = stream(self._world.seed, "node", node.name, node.generation)
-        reducer_seed = int(chance.integers(SEED_BOUND))
+        generator = stream(self._world.seed, "node", node.name, node.generation)
+        reducer_seed = int(generator.integers(SEED_BOUND))
         self._nodes.post(node, core.NodeStarted(node.deployment.settings, reducer_seed))
         self._nodes.post(node, self._discovery.initial_update())
         if node.generation > 1:
             self._world.load_balancer.mark_up(node.name)
 
     def kill(self, node: SimulatedNode) -> None:
-        """End a node's process at once."""
+        """End a node's process at once, without a shutdown."""
         self._end(node, "killed")
 
     def shut_down(self, node: SimulatedNode) -> None:
-        """Begin the graceful shutdown of a node, which ends after its longest request."""
+        """Begin the graceful shutdown of a node; its process ends after the longest limit of a request."""
         world = self._world
         node.earliest_start_ms = world.now_ms + 1000.0 * world.day.fleet.roll_s
-        longest_ms = max(request_class.limit_ms for request_class in world.day.types)
-        shutdown_ms = min(MAX_DRAIN_MS, longest_ms) + ANSWER_MS
+        max_deadline_ms = max(request_class.limit_ms for request_class in world.day.types)
+        shutdown_ms = min(MAX_DRAIN_MS, max_deadline_ms) + ANSWER_MS
         self._nodes.post(node, core.ShutdownBegun(shutdown_ms))
         closes_ms = world.now_ms + LISTENING_AFTER_SHUTDOWN_MS
-        # Noted as if long ago, so that no client picks the node from then on.
+        # Marked as down since -inf, so that the load balancer does not pick the node from then on.
         world.queue.schedule(closes_ms, world.load_balancer.mark_down, node.name, -inf)
         world.queue.schedule(world.now_ms + shutdown_ms + EXIT_MS, self._end, node, "ended")
 
     def reload_settings(self, node: SimulatedNode) -> None:
-        """Let a node read its settings again."""
+        """Make a node reload its settings, which have not changed."""
         changed = core.SettingsChanged(node.deployment.settings)
         self._nodes.post_to_generation(node, node.generation, changed)
 
     def _end(self, node: SimulatedNode, recorded_state: str) -> None:
-        """End a node's process and schedule the next one; its connections break."""
+        """End a node's process, break its connections and schedule the start of its next process."""
         world = self._world
         self._record(node, recorded_state)
         world.load_balancer.mark_down(node.name, world.now_ms)
--- a/marlseam/experiment/virtual/probes.py
+++ b/marlseam/experiment/virtual/probes.py
@@ -1,4 +1,4 @@
-"""Probes: a simulated node asks a server for its load report."""
+"""Probes between simulated nodes and servers: requests for a server's load report."""
 
 from dataclasses import dataclass
 
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True)
 class ProbeInFlight:
-    """A probe on its way.
+    """A probe in flight.
 
     Attributes:
-        node: the node that sent it.
-        generation: the node's generation then.
-        server: the server.
-        sent_ms: when it was sent.
-        return_delay_ms: how long the answer takes on its way.
+        node: the node that sent the probe.
+        generation: the generation of the node's process that sent the probe.
+        server: the probed server.
+        sent_ms: the time of sending.
+        return_delay_ms: the network delay of the answer, in ms.
     """
 
     node: SimulatedNode
@@ -34,17 +34,16 @@
     """Carries probes between nodes and servers.
 
     Attributes:
-        timeout_ms: how long a node waits for the answer.
+        timeout_ms: the time for which a node waits for the answer.
     """
 
     def __init__(self, world: VirtualWorld, nodes: NodeRunner, servers: ServerRunner) -> None:
-        """Make one without probes."""
         self._world, self._nodes, self._servers = world, nodes, servers
-        least_objective_ms = min(request_class.promised_ms for request_class in world.day.types)
-        self.timeout_ms = PROBE_TIMEOUT_IN_OBJECTIVES * least_objective_ms
+        min_objective_ms = min(request_class.promised_ms for request_class in world.day.types)
+        self.timeout_ms = PROBE_TIMEOUT_IN_OBJECTIVES * min_objective_ms
 
     def send(self, node: SimulatedNode, effect: core.Probe) -> None:
-        """Send a probe."""
+        """Send a probe to a server."""
         world, server = self._world, self._world.servers[effect.server]
         delay_ms = world.delay_ms(node, server)
         return_delay_ms = world.delay_ms(node, server)
@@ -52,7 +51,7 @@
         world.queue.schedule(world.now_ms + delay_ms, self._arrive, probe)
 
     def _arrive(self, probe: ProbeInFlight) -> None:
-        """Answer a probe that comes to its server."""
+        """Process a probe that reaches its server, and schedule its end."""
         world, server = self._world, probe.server
         answer_ms, timeout_at_ms = world.now_ms + probe.return_delay_ms, probe.sent_ms + self.timeout_ms
         if not world.is_delivered(probe.node, server) or answer_ms > timeout_at_ms:
@@ -67,7 +66,7 @@
             world.queue.schedule(answer_ms, self._end, probe, Outcome.COMPLETED, report)
 
     def _end(self, probe: ProbeInFlight, outcome: Outcome, report: LoadReport | None) -> None:
-        """Tell the node how its probe ended."""
-        took_ms = self._world.now_ms - probe.sent_ms
-        ended = core.ProbeEnded(probe.server.name, outcome, took_ms, report)
+        """Post the outcome of a probe to its node."""
+        duration_ms = self._world.now_ms - probe.sent_ms
+        ended = core.ProbeEnded(probe.server.name, outcome, duration_ms, report)
         self._nodes.post_to_generation(probe.node, probe.generation, ended)
--- a/marlseam/experiment/virtual/servers.py
+++ b/marlseam/experiment/virtual/servers.py
@@ -1,4 +1,4 @@
-"""Simulated servers in virtual time: their own events, crashes and starts of their processes."""
+"""Simulated servers in virtual time: events of their jobs, crashes and process starts."""
 
 from collections.abc import Callable
 from math import inf
@@ -12,19 +12,18 @@
 
 
 class ServerRunner:
-    """Advances the models of servers to the present time and records what happens at them."""
+    """Advances the models of servers to the current time and records their events."""
 
     def __init__(self, world: VirtualWorld) -> None:
-        """Make one to which nobody listens."""
         self._world = world
         self._listeners: list[JobListener] = []
 
     def add_job_listener(self, listener: JobListener) -> None:
-        """Call a function after each event of a job was recorded."""
+        """Register a function that is called after each recorded event of a job."""
         self._listeners.append(listener)
 
     def advance(self, server: SimulatedServer) -> None:
-        """Advance a server to the present time, and schedule its next event."""
+        """Advance a server to the current time and schedule its next event."""
         self._process_events(server)
         next_event_ms = server.model.next_event_ms()
         if next_event_ms < server.next_event_ms:
@@ -32,25 +31,25 @@
             self._world.queue.schedule(next_event_ms, self._advance_if_due, server, next_event_ms)
 
     def reschedule(self, server: SimulatedServer) -> None:
-        """Schedule a server's next event anew, as its speed has changed."""
+        """Reschedule a server's next event after its speed has changed."""
         server.next_event_ms = inf
         self.advance(server)
 
     def _advance_if_due(self, server: SimulatedServer, due_ms: float) -> None:
-        """Advance a server, unless its next event was scheduled for another time since."""
+        """Advance a server, unless its next event has been rescheduled since."""
         if server.next_event_ms == due_ms:
             server.next_event_ms = inf
             self.advance(server)
 
     def _process_events(self, server: SimulatedServer) -> None:
-        """Record and pass on the events of a server up to the present time."""
+        """Record the events of a server up to the current time and call the listeners."""
         for event in server.model.advance(self._world.now_ms):
             self._record(server, event)
             for listener in self._listeners:
                 listener(server, event)
 
     def _record(self, server: SimulatedServer, event: JobEvent) -> None:
-        """Record what happened to a job; its progress is not recorded."""
+        """Record the start or end of a job; progress is not recorded."""
         request_id = event.id.rpartition("/")[0]
         writer = self._world.server_records(server)
         if event.what == "started":
@@ -64,13 +63,13 @@
             )
 
     def crash(self, server: SimulatedServer) -> None:
-        """End a server's process; its jobs are lost."""
+        """End a server's process and lose its jobs."""
         self.advance(server)
         server.model.crash()
         self._process_events(server)
 
     def start(self, server: SimulatedServer) -> None:
-        """Start a server's process, in slow start."""
+        """Start a server's process, which begins in slow start, and record the start."""
         now_ms = self._world.now_ms
         server.model.start_process(now_ms, now_ms)
         self._world.server_records(server).add(records.ServerStarted(t=now_ms, by=server.name))
--- a/marlseam/experiment/virtual/state.py
+++ b/marlseam/experiment/virtual/state.py
@@ -1,6 +1,6 @@
-"""What is simulated, as data: nodes, servers, the tries of clients and the attempts in flight.
+"""The simulated state: nodes, servers, tries of clients and attempts in flight.
 
-All times are in ms from the run's begin.
+All times are in ms since the begin of the run.
 """
 
 from dataclasses import dataclass, field
@@ -14,11 +14,11 @@
 
 @dataclass(frozen=True)
 class StaleListStart:
-    """Nodes start from an old endpoint list.
+    """The outdated endpoint list that nodes start from.
 
     Attributes:
-        gone_count: how many of its entries are of servers that are gone.
-        doubt: the chance that an entry is no longer true.
+        gone_count: the number of entries whose servers are gone.
+        doubt: the probability that an entry is outdated.
     """
 
     gone_count: int
@@ -27,19 +27,21 @@
 
 @dataclass
 class AttemptInFlight:
-    """One attempt on its way between a node and a server.
+    """One attempt in flight between a node and a server.
 
     Attributes:
-        node: the node that sent it.
-        generation: the node's generation then; a later one is told nothing of the attempt.
-        request_id: the id of the try that it is of.
-        attempt_index: its number among the attempts of the try.
+        node: the node that sent the attempt.
+        generation: the generation of the node's process that sent the attempt; later processes receive no
+            events of the attempt.
+        request_id: the id of the try.
+        attempt_index: the index of the attempt among the attempts of the try.
         server: the server.
-        deadline_ms: when the node gives it up.
-        silence_deadline_ms: when the node gives it up unless the server shows a sign of life before.
-        reuses_connection: whether it was sent on a connection that was open before.
-        is_written: whether it was written to a connection.
-        is_open: whether the node still waits for its end.
+        deadline_ms: the time at which the node gives the attempt up.
+        silence_deadline_ms: the time at which the node gives the attempt up unless a message about the
+            attempt arrives from the server before.
+        reuses_connection: whether the attempt was sent on an idle connection.
+        is_written: whether the attempt has been written to a connection.
+        is_open: whether the node still waits for the end of the attempt.
     """
 
     node: "SimulatedNode"
@@ -55,17 +57,17 @@
 
     @property
     def job_id(self) -> str:
-        """Return the id of its job at the server, which no later generation of a node uses again."""
+        """The id of the attempt's job at the server; no later process of a node uses the same id."""
         return attempt_job_id(self.request_id, self.attempt_index)
 
     @property
     def give_up_ms(self) -> float:
-        """Return when the node gives it up if it hears nothing before."""
+        """The time at which the node gives the attempt up if no message about it arrives before."""
         return min(self.deadline_ms, self.silence_deadline_ms)
 
 
 def attempt_job_id(request_id: str, attempt_index: int) -> str:
-    """Return the id of an attempt's job at its server, as `simulation.fleet.job` makes it."""
+    """Return the id of an attempt's job at its server, in the format of `simulation.fleet.job`."""
     return f"{request_id}/{attempt_index}"
 
 
@@ -74,13 +76,13 @@
     """A server and its connections.
 
     Attributes:
-        model: the server's own behaviour.
-        kind_index: the index of its kind in the day.
-        zone: its zone.
-        cell: the number of its cell.
-        connection_count: how many connections it holds.
-        next_event_ms: the earliest time for which an event of its model is scheduled.
-        attempts: the attempts in flight to it, by job id.
+        model: the model of the server's behaviour.
+        kind_index: the index of the server's kind in the day.
+        zone: the zone of the server.
+        cell: the number of the server's cell.
+        connection_count: the number of open connections to the server.
+        next_event_ms: the earliest time for which an event of the model is scheduled, inf if there is none.
+        attempts: the attempts in flight to the server, by job id.
     """
 
     model: Server
@@ -93,28 +95,28 @@
 
     @property
     def name(self) -> str:
-        """Return its name."""
+        """The name of the server."""
         return self.model.name
 
 
 @dataclass
 class SimulatedNode:
-    """A node, with the reducer of its present process.
+    """A node, with the reducer of its current process.
 
     Attributes:
-        name: its name.
-        zone: its zone.
-        deployment: its settings.
-        reducer: the reducer of the present process.
-        generation: the number of that process.
-        is_up: whether the process runs.
+        name: the name of the node.
+        zone: the zone of the node.
+        deployment: the settings of the node.
+        reducer: the reducer of the current process.
+        generation: the number of the current process, from 1; 0 before the first start.
+        is_up: whether the current process runs.
         list_version: the version of the endpoint list that the process holds, 0 for none.
-        is_watching: whether it watches the endpoint list.
-        last_update_ms: when it was last sent an update of the list.
-        is_update_scheduled: whether an update of the list is due.
-        earliest_start_ms: before which the next process does not start.
-        idle_connections: how many open connections without an attempt it has to each server.
-        tries: the tries of clients that are open at it, by id.
+        is_watching: whether the process watches the endpoint list.
+        last_update_ms: the time of the last list update sent to the node.
+        is_update_scheduled: whether a list update is scheduled.
+        earliest_start_ms: the earliest start of the next process.
+        idle_connections: the number of open connections without an attempt, by server name.
+        tries: the open tries of clients at the node, by id.
     """
 
     name: str
@@ -132,19 +134,19 @@
     tries: dict[str, "ClientTry"] = field(default_factory=dict)
 
     def is_running(self, generation: int) -> bool:
-        """Return whether the process of some generation still runs."""
+        """Return whether the process of the given generation still runs."""
         return self.is_up and self.generation == generation
 
 
 @dataclass
 class ClientTry:
-    """A try that a client sent and that is not answered yet.
+    """A try that a client has sent.
 
     Attributes:
         client: the client.
-        id: the try's id.
-        node: the node that it was sent to.
-        generation: the node's generation then.
+        id: the id of the try.
+        node: the node that the try was sent to.
+        generation: the generation of the node's process at the time of sending.
         is_open: whether the client still waits for the answer.
     """
 
--- a/marlseam/experiment/virtual/world.py
+++ b/marlseam/experiment/virtual/world.py
@@ -1,4 +1,4 @@
-"""What the parts of a virtual run share: the day, the clock, the links, the records, nodes and servers."""
+"""The state shared by the parts of a virtual run: day, clock, links, records, nodes and servers."""
 
 from marlseam.experiment.virtual.event_queue import EventQueue
 from marlseam.experiment.virtual.state import SimulatedNode, SimulatedServer
@@ -11,29 +11,30 @@
 from marlseam.simulation.network import Links
 from marlseam.simulation.plan import Arrival
 
-DELIVERY_SLACK_TICKS = 5.0  # by which answers and sends may be late, for the way between client and node
-GONE_SERVERS_FIRST_CELL = 9000  # the cells of servers that are gone, which no other server is in
+DELIVERY_SLACK_TICKS = 5.0  # tolerated delay of answers and sends, for the network between client and node
+GONE_SERVERS_FIRST_CELL = 9000  # cells from here on contain one gone server each and no other server
 
 
 class VirtualWorld:
-    """What the parts of a virtual run share.
+    """The state shared by the parts of a virtual run.
 
     Attributes:
         day: the day that is played.
-        seed: the seed of all draws.
-        queue: the clock, and the calls that are due.
+        seed: the seed of all random draws.
+        queue: the clock and the scheduled calls.
         links: delays of messages, and cuts between zones.
-        streams: the records of the run.
-        driver_records: the records of the driver; likewise those of the clients, the network and discovery.
-        servers: the servers by name, with those that are gone before the day begins.
-        gone_servers: the names of those that are gone.
+        streams: the streams of records of the run.
+        driver_records: the stream of the driver; `client_records`, `network_records` and `discovery_records`
+            are the streams of the clients, the network and discovery.
+        servers: the servers by name, including servers that are gone before the day begins.
+        gone_servers: the names of the servers that are gone before the day begins.
         nodes: the nodes by name.
         load_balancer: the front load balancer of the clients.
-        arrivals: the arrival of each try by its id, also of tries that are over.
+        arrivals: the arrival of each try by the id of the try, including tries that have ended.
     """
 
     def __init__(self, day: Day, seed: int, streams: RecordStreams) -> None:
-        """Make a world without servers and nodes, and begin its records."""
+        """Create a world without servers and nodes, and begin the streams of records."""
         self.day, self.seed = day, seed
         self.queue = EventQueue()
         self.links = Links(day.network, stream(seed, "network"))
@@ -51,26 +52,26 @@
 
     @property
     def now_ms(self) -> float:
-        """Return the present time in ms from the run's begin."""
+        """The current time in ms since the begin of the run."""
         return self.queue.now_ms
 
     @property
     def delivery_slack_ms(self) -> float:
-        """Return by how much answers and sends may be late, for the way between client and node."""
+        """The tolerated delay of answers and sends in ms, for the network between client and node."""
         return DELIVERY_SLACK_TICKS * self.day.rules.tick_ms
 
     def _begin_stream(self, writer: str, system: str) -> StreamWriter:
-        """Begin the records of one writer."""
+        """Begin the stream of one writer, labelled with its part of the system, and return the stream."""
         if writer not in self.streams.writers:
             self.streams.system = system
         return self.streams.of(writer)
 
     def server_records(self, server: SimulatedServer) -> StreamWriter:
-        """Return the records of a server."""
+        """Return the stream of a server."""
         return self.streams.writers[server.name]
 
     def add_servers(self, schedule: list[ScheduledFault]) -> None:
-        """Add the day's servers and begin their records; those that a fault adds later are down."""
+        """Add the day's servers and begin their streams; servers that a fault adds later are down."""
         models = fleet.build(self.day, self.seed, schedule)
         for placed in placed_servers(self.day):
             server = SimulatedServer(models[placed.name], placed.kind_index, placed.zone, placed.cell)
@@ -78,7 +79,7 @@
             self._begin_stream(placed.name, "executors")
 
     def add_gone_servers(self, count: int) -> None:
-        """Add servers that are gone, and that old endpoint lists still name."""
+        """Add servers that are gone but still listed in outdated endpoint lists; they have no stream."""
         placed_by_day = placed_servers(self.day)
         for index in range(count):
             name, placed = f"gone-{index}", placed_by_day[index % len(placed_by_day)]
@@ -93,20 +94,20 @@
         return self.day.types[self.arrivals[request_id].type]
 
     def is_reachable(self, node: SimulatedNode, server: SimulatedServer) -> bool:
-        """Return whether messages pass between a node and a server."""
+        """Return whether messages currently pass between a node and a server."""
         return self.links.is_reachable(node.zone, server.name, server.zone)
 
     def is_delivered(self, node: SimulatedNode, server: SimulatedServer) -> bool:
-        """Draw whether one message between a node and a server arrives."""
+        """Draw whether one message between a node and a server is delivered."""
         return self.is_reachable(node, server) and not self.links.is_lost(node.zone, server.zone)
 
     def delay_ms(self, node: SimulatedNode, server: SimulatedServer) -> float:
-        """Draw how long a message between a node and a server takes, in ms."""
+        """Draw the delay of one message between a node and a server, in ms."""
         return self.links.delay(node.zone, server.zone)
 
 
 def _node_names_by_zone(day: Day) -> dict[str, list[str]]:
-    """Return the names of a day's nodes by zone."""
+    """Return the names of a day's nodes, by zone."""
     names: dict[str, list[str]] = {}
     for node in placed_nodes(day):
         names.setdefault(node.zone, []).append(node.name)
