--- a/marlseam/experiment/charts.py
+++ b/marlseam/experiment/charts.py
@@ -14,7 +14,7 @@
 # Size of a drawing, and margins around its plot, in pixels.
 WIDTH, HEIGHT = 940, 270
 LEFT, RIGHT, TOP, BOTTOM = 64, 10, 52, 26
-FAULT_NAME_ROWS = 4  # rows above a chart that the names of successive faults alternate between
+FAULT_NAME_ROWS = 4  # rows above a chart that the names of successive faults cycle through
 FAULT_NAME_ROW_PX = 12
 Y_INTERVALS = 4  # between the grid lines of a linear axis
 MIN_LATENCY_MS = 0.1  # smaller latencies are drawn at this value
--- a/marlseam/experiment/compare.py
+++ b/marlseam/experiment/compare.py
@@ -1,6 +1,6 @@
 """Compares two runs: differences of figures, each with a bootstrap confidence interval over requests.
 
-Requests are paired if both runs had the same requests.
+Requests are paired if the runs have at least `MIN_COMMON_SHARE` of their requests in common.
 """
 
 import json
@@ -98,7 +98,10 @@
 
 
 def differences(first_folder: Path, second_folder: Path) -> Differences:
-    """Return the differences of two runs in all figures of `FIGURES`; raise IncomparableRunsError."""
+    """Return the differences of two runs in all figures of `FIGURES`.
+
+    Raises IncomparableRunsError if a run cannot be read or has no requests.
+    """
     runs = (read_requests(first_folder), read_requests(second_folder))
     if not all(runs):
         raise IncomparableRunsError("cannot compare a run whose units.json contains no work units")
--- a/marlseam/experiment/file.py
+++ b/marlseam/experiment/file.py
@@ -95,9 +95,9 @@
         return day
 
 
-def nearest_key_hint(key: str, known: list[str]) -> str:
-    """Return the end of an error line: the most similar known key, or all known keys if none is similar."""
-    close = difflib.get_close_matches(key, known, MAX_HINTS, MIN_SIMILARITY)
+def nearest_name_hint(name: str, known: list[str]) -> str:
+    """Return the end of an error line: the most similar known name, or all known names if none is similar."""
+    close = difflib.get_close_matches(name, known, MAX_HINTS, MIN_SIMILARITY)
     return f", the nearest is {close[0]}" if close else f", known are {', '.join(sorted(known))}"
 
 
@@ -123,7 +123,7 @@
         if key in known:
             problem_lines += unknown_key_problems_in_value(value, hints[key], key_path)
         else:
-            problem_lines.append(f"{key_path}: no such key{nearest_key_hint(key, known)}")
+            problem_lines.append(f"{key_path}: no such key{nearest_name_hint(key, known)}")
     return problem_lines
 
 
@@ -165,7 +165,7 @@
         if key in TABLES:
             problems += unknown_key_problems(value, TABLES[key], key)
         elif key not in head_keys:
-            problems.append(f"{key}: no such key{nearest_key_hint(key, head_keys + list(TABLES))}")
+            problems.append(f"{key}: no such key{nearest_name_hint(key, head_keys + list(TABLES))}")
     problems += unknown_key_problems({"expect": data.get("expect", {})}, Head, "")
     if problems:
         raise FileError(*problems)
@@ -210,10 +210,10 @@
         key = f"day.troubles[{index}]"
         for name in fault.targets:
             if name not in target_names:
-                hint = nearest_key_hint(name, list(target_names))
+                hint = nearest_name_hint(name, list(target_names))
                 raise FileError(f"{key}.targets: no server, node or zone is named {name!r}{hint}")
         if fault.type and fault.type not in class_names:
-            raise FileError(f"{key}.type: no such request class{nearest_key_hint(fault.type, class_names)}")
+            raise FileError(f"{key}.type: no such request class{nearest_name_hint(fault.type, class_names)}")
         if fault.at_s >= day.seconds:
             raise FileError(f"{key}.at_s: {fault.at_s:g}, expected less than day.seconds")
 
--- a/marlseam/experiment/generator_plays.py
+++ b/marlseam/experiment/generator_plays.py
@@ -25,7 +25,7 @@
 
 
 class Stall(NamedTuple):
-    """A period in which an echo node is stalled: its begin and duration, in seconds of the run."""
+    """A period in which an echo node is stalled: its start and duration, in seconds of the run."""
 
     at_s: float
     for_s: float
@@ -116,7 +116,7 @@
     """Table `pause` of an experiment file: a stall of the node while requests are sent evenly.
 
     Attributes:
-        at_s: the begin of the stall, in seconds.
+        at_s: the start of the stall, in seconds.
         for_s: the duration of the stall, in seconds.
         over_ms: the latency limit in ms; the share of latencies over it is a figure.
         connections: the maximum number of connections of the generator.
@@ -208,7 +208,7 @@
         sustained_rate = 0.0
         for rate_of_one in table.rates:
             rate = rate_of_one * processes
-            show_progress(f"{processes} processes at {rate:g} a second")
+            show_progress(f"{processes} processes at {rate:g} requests per second")
             counted = send_at_rate(experiment, table, rate, processes, out)
             is_sustained = counted.lag[99.0] < table.lag_ms and counted.is_valid
             lags = [f"{counted.lag[percent]:.3f}" for percent in LAG_PERCENTILES]
--- a/marlseam/experiment/policies.py
+++ b/marlseam/experiment/policies.py
@@ -22,7 +22,7 @@
     dispatcher: "BaselineDispatcher"
 
     def place(self) -> None:
-        """Send to the policy's choice among usable, eligible servers; if no attempt is allowed, `retry`."""
+        """Send to a usable, eligible server of the policy's choice; call `retry` if no attempt is allowed."""
         self.is_queued = False
         if not self.may_attempt():
             self.retry()
--- a/marlseam/experiment/policy_comparison.py
+++ b/marlseam/experiment/policy_comparison.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 
 from marlseam.experiment import compare, file
-from marlseam.experiment.file import Experiment, FileError, nearest_key_hint
+from marlseam.experiment.file import Experiment, FileError, nearest_name_hint
 from marlseam.experiment.plays import RunResult, ShowProgress, margin_figure, register_play
 from marlseam.experiment.policies import POLICIES
 from marlseam.experiment.scale import records_in_memory
@@ -77,7 +77,7 @@
     for name in names:
         if name not in POLICIES:
             raise FileError(
-                f"policies.names: no policy named {name!r}{nearest_key_hint(name, list(POLICIES))}"
+                f"policies.names: no policy named {name!r}{nearest_name_hint(name, list(POLICIES))}"
             )
 
 
--- a/marlseam/experiment/processes.py
+++ b/marlseam/experiment/processes.py
@@ -147,7 +147,7 @@
     def tail(self) -> str:
         """Return the last line of the log, or a note that the log is empty."""
         lines = deque(self.log.read_text(errors="replace").splitlines(), 1)
-        return lines[0] if lines else "its log is empty"
+        return lines[0] if lines else "(the log is empty)"
 
     def send_zero(self, zero_s: float) -> None:
         """Send the process the run's zero, in seconds of the monotonic clock."""
--- a/marlseam/experiment/runner.py
+++ b/marlseam/experiment/runner.py
@@ -10,7 +10,7 @@
 
 from marlseam import __version__
 from marlseam.experiment import report
-from marlseam.experiment.file import Experiment, FileError, Head, nearest_key_hint
+from marlseam.experiment.file import Experiment, FileError, Head, nearest_name_hint
 from marlseam.experiment.plays import PLAYS, RunResult, ShowProgress
 from marlseam.experiment.summary import ExpectationOutcome, RuleOutcome, RunSummary, ViolationExample
 from marlseam.verification.book import RunRecords
@@ -19,13 +19,7 @@
 
 DRIVERS = ("virtual", "sockets")
 MAX_EXAMPLES = 5  # violations shown per rule
-LIBRARIES = (
-    "numpy",
-    "msgspec",
-    "hdrhistogram",
-    "httptools",
-    "h11",
-)  # libraries whose versions the summary lists
+LIBRARIES = ("numpy", "msgspec", "hdrhistogram", "httptools", "h11")  # versions listed in the summary
 
 
 class RequestRow(NamedTuple):
@@ -65,10 +59,10 @@
 def check_names(head: Head) -> None:
     """Raise FileError if an experiment file names an unknown play or driver."""
     if head.play not in PLAYS:
-        raise FileError(f"play: no play named {head.play!r}{nearest_key_hint(head.play, list(PLAYS))}")
+        raise FileError(f"play: no play named {head.play!r}{nearest_name_hint(head.play, list(PLAYS))}")
     if head.driver not in DRIVERS:
         raise FileError(
-            f"driver: no driver named {head.driver!r}{nearest_key_hint(head.driver, list(DRIVERS))}"
+            f"driver: no driver named {head.driver!r}{nearest_name_hint(head.driver, list(DRIVERS))}"
         )
 
 
@@ -76,7 +70,7 @@
     """Raise FileError if the file expects figures that its play does not return."""
     known = list(result.figures)
     unknown_figures = [
-        f"expect.{name}: no such figure{nearest_key_hint(name, known)}"
+        f"expect.{name}: no such figure{nearest_name_hint(name, known)}"
         for name in head.expect
         if name not in known
     ]
--- a/marlseam/experiment/sockets/driver.py
+++ b/marlseam/experiment/sockets/driver.py
@@ -38,7 +38,7 @@
     Attributes:
         at_ms: the time of the step, in ms of the run.
         fault: the fault.
-        node: the node that the fault is applied to; if empty, the step records the begin of the fault.
+        node: the node that the fault is applied to; if empty, the step records the start of the fault.
     """
 
     at_ms: float
@@ -165,7 +165,7 @@
         return self.day.seconds + max_deadline_s + GENERATOR_END_TIMEOUT_S
 
     def _apply_step(self, step: FaultStep, now_ms: float) -> None:
-        """Record the begin of a fault, or apply the fault to a node: reload, kill or terminate it."""
+        """Record the start of a fault, or apply the fault to a node: reload, kill or terminate it."""
         kind = step.fault.settings.what
         if not step.node:
             self._record_fault(step.fault, now_ms)
@@ -216,7 +216,7 @@
         )
 
     def _record_fault(self, fault: ScheduledFault, now_ms: float) -> None:
-        """Record the begin of a fault."""
+        """Record the start of a fault."""
         self.recorder.add(
             records.FaultBegan(
                 t=now_ms,
--- a/marlseam/experiment/sockets/nodes.py
+++ b/marlseam/experiment/sockets/nodes.py
@@ -50,7 +50,7 @@
         self.started_s: dict[str, float] = {}
 
     def start(self, name: str, server_addresses: dict[str, str]) -> None:
-        """Start a node for the first time and return once it listens; call `before_first_start` before."""
+        """Call `before_first_start` with the server addresses, start a node and return once it listens."""
         if self._options.before_first_start is not None:
             self._options.before_first_start(name, server_addresses)
         listen = self._group.reserve_address()
@@ -106,8 +106,8 @@
         }
         if self._options.node_configuration is None:
             return NodeConfiguration(configuration, self._options.operator_settings)
-        own = self._options.node_configuration(name)
-        return NodeConfiguration(configuration | own.configuration, own.operator_settings)
+        additional = self._options.node_configuration(name)
+        return NodeConfiguration(configuration | additional.configuration, additional.operator_settings)
 
     def _spawn(self, name: str, arguments: list[str], log: Path) -> ChildProcess:
         """Start a process of a node with the node's environment and inherited descriptors."""
--- a/marlseam/experiment/summary.py
+++ b/marlseam/experiment/summary.py
@@ -72,7 +72,7 @@
         driver: the driver that the play ran on.
         seed: the seed of all random draws.
         duration_s: the duration of the play, in seconds.
-        exit_code: 0 if all expectations hold and no rule is violated, else 1.
+        exit_code: 0 if all expectations hold, no rule is violated and no records are missing, else 1.
         missed: one line per gap in the records, rule violation or missed expectation.
         expectations: the outcome of each expectation.
         figures: all figures by name.
--- a/marlseam/experiment/virtual/__init__.py
+++ b/marlseam/experiment/virtual/__init__.py
@@ -5,8 +5,8 @@
 simulated. The same day and seed give the same records byte for byte.
 
 `driver` connects the parts: `event_queue` is the clock; `world` and `state` hold the shared state; `nodes`,
-`servers`, `attempts`, `probes`, `clients` and `discovery` each simulate what their name says; `lifecycle`
-starts and ends nodes; `fault_injector` applies the schedule of faults.
+`servers`, `attempts`, `probes`, `clients` and `discovery` simulate the parts they are named after;
+`lifecycle` starts and ends nodes; `fault_injector` applies the schedule of faults.
 """
 
 from marlseam.experiment.virtual.driver import VirtualDriver
--- a/marlseam/experiment/virtual/discovery.py
+++ b/marlseam/experiment/virtual/discovery.py
@@ -38,7 +38,7 @@
         return EndpointEntry(name, state, server.kind_index, zone_index, server.cell, started_ms)
 
     def initial_update(self) -> core.EndpointListUpdate:
-        """Return the current list and the gone servers, as an update from the list a node has saved."""
+        """Return the current list and the gone servers as a list that a node saved before its start."""
         entries = [*self.endpoints.answer_since(0).entries, *self._gone]
         return core.EndpointListUpdate(ListUpdateKind.CACHED, entries, self._doubt)
 
--- a/marlseam/experiment/virtual/driver.py
+++ b/marlseam/experiment/virtual/driver.py
@@ -78,7 +78,7 @@
 
     @property
     def now_ms(self) -> float:
-        """The current time in ms since the begin of the run."""
+        """The current time in ms since the start of the run."""
         return self.world.now_ms
 
     @property
--- a/marlseam/experiment/virtual/event_queue.py
+++ b/marlseam/experiment/virtual/event_queue.py
@@ -20,7 +20,7 @@
     """Runs scheduled calls in the order of their times; calls of equal time in the order of scheduling.
 
     Attributes:
-        now_ms: the time of the last call that was run, in ms since the begin of the run.
+        now_ms: the time of the last call that was run, in ms since the start of the run.
         played_count: the number of calls run so far.
     """
 
--- a/marlseam/experiment/virtual/fault_injector.py
+++ b/marlseam/experiment/virtual/fault_injector.py
@@ -1,4 +1,4 @@
-"""Applies the schedule of faults: the effects of the begin and the end of each fault."""
+"""Applies the schedule of faults: the effects of the start and the end of each fault."""
 
 from collections.abc import Callable
 
@@ -57,13 +57,13 @@
         }
 
     def schedule_all(self) -> None:
-        """Schedule the begin and the end of each fault."""
+        """Schedule the start and the end of each fault."""
         for fault in self._schedule:
             self._world.queue.schedule(fault.at, self._apply, fault, True)
             self._world.queue.schedule(fault.until, self._apply, fault, False)
 
     def _apply(self, fault: ScheduledFault, begins: bool) -> None:
-        """Record the begin of a fault, and call the handler of its kind, if any, at its begin or end."""
+        """Record the start of a fault, and call the handler of its kind, if any, at its start or end."""
         kind = fault.settings.what
         if begins:
             self._world.driver_records.add(
@@ -100,7 +100,7 @@
             self._servers.reschedule(server)
 
     def _crash_servers(self, fault: ScheduledFault, begins: bool) -> None:
-        """Crash servers at the begin of a fault, and restart them at its end."""
+        """Crash servers at the start of a fault, and restart them at its end."""
         for server in self._target_servers(fault):
             if begins:
                 self._crash_if_up(server)
@@ -108,7 +108,7 @@
                 self._hooks.start_server(server)
 
     def _shrink(self, fault: ScheduledFault, begins: bool) -> None:
-        """Make servers drain at the begin of a fault, and end their processes at its end."""
+        """Make servers drain at the start of a fault, and end their processes at its end."""
         for server in self._target_servers(fault):
             if begins:
                 self._servers.advance(server)
@@ -149,7 +149,7 @@
         self._world.links.set_zone_slow(fault.targets[0], added_ms, lost_share, begins)
 
     def _reset_connections(self, fault: ScheduledFault, begins: bool) -> None:
-        """Break the connections to servers at the begin of a fault."""
+        """Break the connections to servers at the start of a fault."""
         if begins:
             for server in self._target_servers(fault):
                 self._attempts.reset_connections(server)
--- a/marlseam/experiment/virtual/lifecycle.py
+++ b/marlseam/experiment/virtual/lifecycle.py
@@ -15,7 +15,7 @@
 from marlseam.simulation.chance import stream
 
 RESTART_MS = 300.0  # minimum time from a node's end until its next process starts
-LISTENING_AFTER_SHUTDOWN_MS = 350.0  # the load balancer still picks a node for this time after its shutdown
+LISTENING_AFTER_SHUTDOWN_MS = 350.0  # from the start of a shutdown until no client picks the node
 EXIT_MS = 100.0  # from the end of a shutdown until the process has exited
 SEED_BOUND = 1 << 62  # exclusive upper bound of a reducer's seed
 
@@ -55,7 +55,7 @@
         self._end(node, "killed")
 
     def shut_down(self, node: SimulatedNode) -> None:
-        """Begin the graceful shutdown of a node; its process ends after the longest limit of a request."""
+        """Begin a node's graceful shutdown; it takes the longest request limit, up to `MAX_DRAIN_MS`."""
         world = self._world
         node.earliest_start_ms = world.now_ms + 1000.0 * world.day.fleet.roll_s
         max_deadline_ms = max(request_class.limit_ms for request_class in world.day.types)
--- a/marlseam/experiment/virtual/state.py
+++ b/marlseam/experiment/virtual/state.py
@@ -1,6 +1,6 @@
 """The simulated state: nodes, servers, tries of clients and attempts in flight.
 
-All times are in ms since the begin of the run.
+All times are in ms since the start of the run.
 """
 
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 
     Attributes:
         gone_count: the number of entries whose servers are gone.
-        doubt: the probability that an entry is outdated.
+        doubt: the probability that an entry is no longer true.
     """
 
     gone_count: int
@@ -37,8 +37,8 @@
         attempt_index: the index of the attempt among the attempts of the try.
         server: the server.
         deadline_ms: the time at which the node gives the attempt up.
-        silence_deadline_ms: the time at which the node gives the attempt up unless a message about the
-            attempt arrives from the server before.
+        silence_deadline_ms: the time at which the node gives the attempt up unless the server accepts the
+            attempt or reports progress before.
         reuses_connection: whether the attempt was sent on an idle connection.
         is_written: whether the attempt has been written to a connection.
         is_open: whether the node still waits for the end of the attempt.
@@ -62,7 +62,7 @@
 
     @property
     def give_up_ms(self) -> float:
-        """The time at which the node gives the attempt up if no message about it arrives before."""
+        """The time at which the node gives the attempt up: the earlier of its two deadlines."""
         return min(self.deadline_ms, self.silence_deadline_ms)
 
 
@@ -140,7 +140,7 @@
 
 @dataclass
 class ClientTry:
-    """A try that a client has sent.
+    """A try that a client has sent and that has not been answered yet.
 
     Attributes:
         client: the client.
--- a/marlseam/experiment/virtual/world.py
+++ b/marlseam/experiment/virtual/world.py
@@ -52,7 +52,7 @@
 
     @property
     def now_ms(self) -> float:
-        """The current time in ms since the begin of the run."""
+        """The current time in ms since the start of the run."""
         return self.queue.now_ms
 
     @property
