--- a/marlseam/experiment/cluster_admin.py
+++ b/marlseam/experiment/cluster_admin.py
@@ -1,4 +1,4 @@
-"""Calls to the address for operators of a node."""
+"""HTTP calls to a node's admin address."""
 
 import http.client
 import json
@@ -11,7 +11,10 @@
 
 
 def publish(address: str, body: dict[str, Any]) -> str:
-    """Ask a node to publish a change; return what it answers, or that it does not."""
+    """Ask the node at `address` (`HOST:PORT`) to publish the configuration change in `body`.
+
+    Returns the text of the node's response, or a text that names the error where the call fails.
+    """
     host, _, port = address.rpartition(":")
     try:
         connection = http.client.HTTPConnection(host, int(port), timeout=POST_TIMEOUT_S)
@@ -22,7 +25,7 @@
 
 
 def cluster_status(address: str) -> dict[str, Any] | None:
-    """Return what a node reports of its cluster, or None where it does not answer."""
+    """Return the cluster status of the node at `address`, or None without a valid answer within 1 s."""
     host, _, port = address.rpartition(":")
     try:
         connection = http.client.HTTPConnection(host, int(port), timeout=STATUS_TIMEOUT_S)
--- a/marlseam/experiment/cluster_cost.py
+++ b/marlseam/experiment/cluster_cost.py
@@ -1,4 +1,4 @@
-"""The play `fleet_cost`: what membership, versions and the ledger cost a node."""
+"""The play `fleet_cost`: CPU time and latency that membership, configuration versions and the ledger cost."""
 
 import json
 import shutil
@@ -22,11 +22,11 @@
 
 
 class CostTable(Strict, frozen=True):
-    """The same load with the cluster off and on, in turn.
+    """Table `fleet_cost` of an experiment file: pairs of runs of the same load, with the cluster off and on.
 
     Attributes:
-        pairs: how often both are played; which is first alternates.
-        period_ms: the protocol period of membership.
+        pairs: how many pairs of runs are played; the mode that is played first alternates.
+        period_ms: the protocol period of membership, in ms.
     """
 
     pairs: Count = 3
@@ -34,12 +34,12 @@
 
 
 class CostSample(NamedTuple):
-    """What one day cost.
+    """The cost of one day.
 
     Attributes:
-        cpu_ms: of all nodes, a completed request.
-        p99_ms: the latency that one request in a hundred exceeds.
-        rules_broken: how often a rule of service was broken.
+        cpu_ms: CPU time of all nodes per completed request, in ms.
+        p99_ms: the 99th percentile of latency, in ms.
+        rules_broken: how many violations of rules were found in the records.
     """
 
     cpu_ms: float
@@ -48,27 +48,27 @@
 
 
 class ClusterNodeSettings:
-    """Gives the nodes of one day their operators' settings, and each a ledger where the cluster is on."""
+    """Provides the operator settings of a day's nodes, and creates their ledgers where the cluster is on."""
 
     def __init__(self, names: Sequence[str], period_ms: float, out: Path, is_on: bool) -> None:
-        """Reserve an address for each node."""
+        """Choose a free UDP address for each node; ledgers are created below `out`."""
         self._voters = json.dumps(names[:VOTERS])
         self._members = "\n".join(f'{name} = "{free_udp_address()}"' for name in names)
         self._period_ms, self._out, self._is_on = period_ms, out, is_on
 
     def settings(self, name: str) -> NodeConfiguration:
-        """Return what is added to a node's configuration, and its operators' settings as TOML."""
+        """Return a node's operator settings, empty where the cluster is off; create its ledger if missing."""
         if not self._is_on:
             return NodeConfiguration({}, "")
         ledger = self._out / "ledgers" / name
         if not ledger.exists():
             create_ledger(ledger, name)
-        own = f'[fleet]\nname = "cost"\nperiod_ms = {self._period_ms:g}\nfolder = "{ledger}"\n'
-        return NodeConfiguration({}, f"{own}voters = {self._voters}\n[fleet.members]\n{self._members}\n")
+        cluster = f'[fleet]\nname = "cost"\nperiod_ms = {self._period_ms:g}\nfolder = "{ledger}"\n'
+        return NodeConfiguration({}, f"{cluster}voters = {self._voters}\n[fleet.members]\n{self._members}\n")
 
 
 def measure_day(day: Day, seed: int, out: Path, nodes: ClusterNodeSettings) -> CostSample:
-    """Play a day, and return what it cost."""
+    """Play a day on sockets, and return its cost."""
     driver = SocketDriver(day, seed, out, SocketOptions(node_configuration=nodes.settings))
     driver.run()
     figures = plays.judge_records(*records.read_folder(out / "records"), driver="sockets").figures
@@ -77,7 +77,7 @@
 
 
 def cost_figures(pairs: list[dict[str, CostSample]]) -> dict[str, float]:
-    """Return the figures of all pairs under the keys of reports."""
+    """Return the figures of all pairs, by their names in reports."""
     ratios = sorted(pair[ON].cpu_ms / pair[OFF].cpu_ms for pair in pairs)
     figures = {"rules_broken": sum(sample.rules_broken for pair in pairs for sample in pair.values())}
     figures |= {f"{mode}_p99": sum(pair[mode].p99_ms / len(pairs) for pair in pairs) for mode in pairs[0]}
@@ -87,7 +87,7 @@
 
 
 def pair_row(number: int, pair: dict[str, CostSample]) -> list[str]:
-    """Return a pair as a row of the report."""
+    """Return the row of one pair in the report's table."""
     off, on = pair[OFF], pair[ON]
     ratio = f"{on.cpu_ms / off.cpu_ms:.3f}"
     return [
@@ -102,7 +102,7 @@
 
 @register_play(PLAY)
 def play_cost(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Measure CPU time a request and latency, in pairs."""
+    """Measure CPU time per request and latency, in pairs of runs with the cluster off and on."""
     table: CostTable = experiment.tables[PLAY]
     day, seed = experiment.day, experiment.head.seed
     names = [name for name, _ in placed_nodes(day)]
@@ -110,7 +110,7 @@
     for number in range(1, table.pairs + 1):
         pair: dict[str, CostSample] = {}
         for mode in (OFF, ON) if number % 2 else (ON, OFF):
-            show_progress(f"pair {number}, the fleet {mode}")
+            show_progress(f"pair {number}, cluster {mode}")
             folder = out / f"{mode}-{number}"
             shutil.rmtree(folder / "ledgers", ignore_errors=True)
             nodes = ClusterNodeSettings(names, table.period_ms, folder, mode == ON)
--- a/marlseam/experiment/cluster_fault_injector.py
+++ b/marlseam/experiment/cluster_fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects faults into the nodes of a cluster, their disks and what is sent between them."""
+"""Injects faults into the nodes of a cluster, their disks and the datagrams between them."""
 
 import contextlib
 import os
@@ -16,17 +16,17 @@
 from marlseam.experiment.cluster_tables import ClusterFault, FaultKind
 from marlseam.experiment.sockets import SocketDriver
 
-ANY_NODE = ""  # of a cut
+ANY_NODE = ""  # as the sender or the receiver of a `Cut`
 
 
 class FaultSpan(NamedTuple):
-    """A fault that was injected.
+    """An injected fault, and the time it lasted.
 
     Attributes:
-        node: the node that it was injected into.
-        kind: which fault.
-        since_ms: when it was injected, in ms of the run.
-        until_ms: when it was over.
+        node: the node that the fault was injected into.
+        kind: the kind of fault.
+        since_ms: when the fault was injected, in ms of the run.
+        until_ms: when the fault ended, in ms of the run.
     """
 
     node: str
@@ -36,10 +36,10 @@
 
 
 class ClusterFaultInjector:
-    """Injects faults.
+    """Injects the faults of a schedule into a running cluster.
 
     Attributes:
-        spans: the faults so far; neither publications nor copies of ledgers, which disturb nothing.
+        spans: the faults injected so far, without PUBLISH and COPY, which disturb no node.
     """
 
     def __init__(
@@ -49,12 +49,19 @@
         driver: SocketDriver,
         publish: Callable[[str], None],
     ) -> None:
-        """Inject faults into a driver's nodes; `publish` has a node publish, and blocks until it has."""
+        """Inject faults into a driver's nodes.
+
+        `publish` has the named node publish a change and blocks until the result is known; it is called in a
+        thread of its own.
+        """
         self._nodes, self._relay, self._driver, self._publish = nodes, relay, driver, publish
         self.spans: list[FaultSpan] = []
 
     def inject(self, fault: ClusterFault, pair: Pair, data: bytes) -> None:
-        """Inject a fault before a datagram of a pair of nodes."""
+        """Inject a fault that is due before the datagram `data` of a pair of nodes.
+
+        HOLD has a copy of this datagram delivered late.
+        """
         now_ms = self._driver.recorder.now_ms()
         span = FaultSpan(fault.node, FaultKind(fault.fault), now_ms, now_ms + fault.for_ms)
         match span.kind:
@@ -63,30 +70,30 @@
             case FaultKind.UPGRADE:
                 self._nodes.renew_admin_address(fault.node)
                 self._start_thread(self._driver.node_processes.upgrade, fault.node)
-                self._note(span)
+                self._add_span(span)
             case FaultKind.COPY:
                 self._nodes.copy_ledger(fault.node)
             case FaultKind.HOLD:
-                self._note(span)
+                self._add_span(span)
                 self._relay.delay(pair, data, span.until_ms)
             case FaultKind.KILL | FaultKind.RESTART | FaultKind.OLD | FaultKind.LOST:
-                self._note(span)
+                self._add_span(span)
                 self._kill(fault, span.kind)
             case FaultKind.STOP:
-                self._note(span)
+                self._add_span(span)
                 self._suspend(span, fault.for_ms)
             case FaultKind.FULL:
-                self._note(span)
+                self._add_span(span)
                 self._fill_disk(fault)
             case FaultKind.CUT | FaultKind.DEAF | FaultKind.MUTE | FaultKind.PAIR | FaultKind.SPLIT:
-                self._note(span)
+                self._add_span(span)
                 self._relay.cuts += cuts_of(fault, span)
 
     @staticmethod
     def _start_thread(call: Callable[[str], None], name: str) -> None:
         threading.Thread(target=call, args=(name,), daemon=True).start()
 
-    def _note(self, span: FaultSpan) -> None:
+    def _add_span(self, span: FaultSpan) -> None:
         self.spans.append(span)
         self._nodes.fault_counts[span.node] += 1
 
@@ -94,7 +101,7 @@
         return self._driver.node_processes.running[name].process.pid
 
     def _kill(self, fault: ClusterFault, kind: FaultKind) -> None:
-        """Kill a node; the driver starts it again, for KILL once the fault's time is over."""
+        """Kill a node; the driver starts the node again, for KILL once the fault's time is over."""
         pid = self._pid(fault.node)
         if kind in (FaultKind.OLD, FaultKind.LOST):
             self._nodes.ledger_faults[fault.node] = kind
@@ -102,7 +109,7 @@
         os.kill(pid, signal.SIGKILL)
 
     def _suspend(self, span: FaultSpan, for_ms: float) -> None:
-        """Stop a node's process, and let it go on later."""
+        """Suspend a node's process with SIGSTOP, and resume it after `for_ms`."""
         pid = self._pid(span.node)
         self._driver.recorder.add(
             records.NodeStateChanged(
@@ -113,13 +120,13 @@
         threading.Timer(for_ms / 1000.0, os.kill, (pid, signal.SIGCONT)).start()
 
     def _fill_disk(self, fault: ClusterFault) -> None:
-        """Let the writer process of a node's ledger write nothing for a time."""
+        """Make file writes of the writer process of a node's ledger fail for the fault's time."""
         self._limit_file_size(fault.node, 0)
         no_limit = (fault.node, resource.RLIM_INFINITY)
         threading.Timer(fault.for_ms / 1000.0, self._limit_file_size, no_limit).start()
 
     def _limit_file_size(self, name: str, max_bytes: int) -> None:
-        """Bound the size of files that the child processes of a node may write."""
+        """Limit the size of files that a node's child processes may write, in bytes."""
         pid = self._pid(name)
         for child in Path(f"/proc/{pid}/task/{pid}/children").read_text().split():
             with contextlib.suppress(OSError):
@@ -127,7 +134,7 @@
 
 
 def cuts_of(fault: ClusterFault, span: FaultSpan) -> list[Cut]:
-    """Return what is lost by a fault of the network."""
+    """Return the cuts that a network fault (CUT, DEAF, MUTE, PAIR or SPLIT) causes."""
     name, until_ms = span.node, span.until_ms
     outgoing, incoming = Cut(name, ANY_NODE, until_ms), Cut(ANY_NODE, name, until_ms)
     match span.kind:
@@ -144,7 +151,7 @@
 
 
 def split_cuts(groups: str, until_ms: float) -> list[Cut]:
-    """Return the cuts between groups of names, as `ClusterFault.other` describes them."""
+    """Return the cuts between groups of node names; `ClusterFault.other` describes the format of `groups`."""
     is_one_way = ">" in groups
     members = [group.split() for group in re.split("[|>]", groups)]
     cuts = []
--- a/marlseam/experiment/cluster_faults.py
+++ b/marlseam/experiment/cluster_faults.py
@@ -1,4 +1,4 @@
-"""The schedule of faults of a cluster: which fault is injected before which datagram of which node."""
+"""The fault schedule of a cluster: which fault is injected before which datagram of which node."""
 
 from collections import Counter
 from collections.abc import Collection
@@ -12,12 +12,12 @@
 from marlseam.experiment import file
 from marlseam.experiment.cluster_tables import ClusterFault, ClusterTable, FaultKind
 
-CLUSTER_NAME = "rig"  # of the nodes' settings, and on each of their datagrams
+CLUSTER_NAME = "rig"  # in the nodes' operator settings and in each of their datagrams
 DIRECTIONS = ("sends", "receives")
-DUPLICATE_PROCESS = "twin"  # a fault of the simulation that real nodes have no counterpart for
+DUPLICATE_PROCESS = "twin"  # a fault of the simulation that cannot be injected into real nodes
 
-# Numbers of kinds by name. Both protocols have an `ask`: the name stands for replication's, so that
-# membership's cannot be a step of a schedule.
+# Numbers of datagram kinds by lower-case name. Both protocols have a kind `ask`: here the name stands for the
+# `ask` of replication, so that a step of a schedule cannot be an `ask` of membership.
 KINDS_BY_NAME = {kind.name.lower(): int(kind) for kind in (*DatagramKind, *messages.MessageKind)}
 
 
@@ -37,18 +37,28 @@
 
 
 def parse_step(fault: ClusterFault, names: Collection[str]) -> Step:
-    """Return the step of a fault of a cluster with these nodes; raise FileError where there is none."""
+    """Return the step before which a fault is due.
+
+    Raises FileError where the direction, the datagram kind or the fault kind is unknown, or where a node is
+    not one of `names`.
+    """
     direction, kind, ordinal = fault.step.split()
     is_fault = fault.fault in list(FaultKind)
     if direction not in DIRECTIONS or not is_fault or kind not in KINDS_BY_NAME:
-        raise file.FileError(f"fleet.faults: {fault} has no known step or fault")
+        raise file.FileError(
+            f"fleet.faults: {fault} has an unknown direction, datagram kind or fault kind; "
+            "a step reads like `sends ping 20`"
+        )
     if fault.node not in names or (fault.fault == FaultKind.PAIR and fault.other not in names):
-        raise file.FileError(f"fleet.faults: {fault} names no node")
+        raise file.FileError(f"fleet.faults: {fault} refers to a node that the day does not have")
     return Step(StepKind(fault.node, direction == "sends", KINDS_BY_NAME[kind]), int(ordinal))
 
 
 def draw_faults(nodes: int, seed: int, period_ms: float) -> list[ClusterFault]:
-    """Return the seed's schedule of `fleet hunt`, with times scaled to this cluster's protocol period."""
+    """Return the schedule that `fleet hunt` draws for a seed, with times scaled to this protocol period.
+
+    A DUPLICATE_PROCESS fault is replaced by HOLD.
+    """
     faults = []
     for drawn in membership_schedules.schedule(nodes, seed):
         direction = "sends" if drawn.sends else "receives"
@@ -65,7 +75,7 @@
 
 
 def kind_of(data: bytes, names: frozenset[str]) -> int | None:
-    """Return the number of a datagram's kind, or None where the datagram is invalid."""
+    """Return the number of a datagram's kind, or None for an invalid datagram; `names` are the members."""
     try:
         if data[:1] == messages.DATAGRAM_PREFIX:
             return int(messages.kind_of(messages.read(data, CLUSTER_NAME, names).message))
@@ -75,15 +85,18 @@
 
 
 class FaultSchedule:
-    """Counts datagrams, and tells which fault is due before each.
+    """Counts datagrams by kind, and finds the fault that is due before each.
 
     Attributes:
         pending: the faults that have not been injected, by step.
-        is_counting: whether datagrams are counted; not before the run's zero.
+        is_counting: whether datagrams are counted; must be False before the run's time 0.
     """
 
     def __init__(self, names: list[str], table: ClusterTable, seed: int) -> None:
-        """Take a table's faults, or draw them by the seed where it has none."""
+        """Schedule the faults of a table, or faults drawn from the seed where the table has none.
+
+        Raises FileError where a fault of the table is invalid.
+        """
         self._names = frozenset(names)
         faults = table.faults or draw_faults(len(names), seed, table.period_ms)
         self.pending: dict[Step, ClusterFault] = {parse_step(fault, names): fault for fault in faults}
@@ -91,7 +104,10 @@
         self._counts: Counter[StepKind] = Counter()
 
     def next_fault(self, node: str, is_sent: bool, data: bytes) -> ClusterFault | None:
-        """Count a datagram that a node is about to send or receive; return the fault due before it."""
+        """Count a datagram that a node is about to send or receive.
+
+        Returns the fault that is due before this datagram, or None; each fault is returned once.
+        """
         if not self.is_counting:
             return None
         number = kind_of(data, self._names)
--- a/marlseam/experiment/cluster_members.py
+++ b/marlseam/experiment/cluster_members.py
@@ -1,4 +1,4 @@
-"""The play `fleet_members`: real nodes find out which of them are alive, while faults are injected."""
+"""The play `fleet_members`: membership of real nodes under load, while faults are injected."""
 
 from dataclasses import dataclass, field
 from math import inf
@@ -17,52 +17,56 @@
 from marlseam.experiment.plays import RunResult, ShowProgress, register_play
 
 PLAY = "fleet_members"
-ALIVE = "here"  # how a node's status calls a member that is alive
-LOG_DELAY_MS = 250.0  # until a line of a node's log is read, and a datagram has passed through
-DETECTABLE = (FaultKind.KILL, FaultKind.STOP, FaultKind.CUT)  # all others are to hold the node as dead
+ALIVE = "here"  # the status of a member that is considered alive, in a node's answer
+LOG_DELAY_MS = 250.0  # for reading a line of a node's log and for passing a datagram through the relay
+DETECTABLE = (FaultKind.KILL, FaultKind.STOP, FaultKind.CUT)  # all other nodes must declare the node dead
 TABLE_HEAD = ["node", "fault", "at, s", "for, s", "gone with the first, s", "with the last, s", "bound, s"]
 
 
 def wrong_member_states(run: ClusterRun) -> list[str]:
-    """Describe what nodes hold of each other that is not so, by what all of them report now."""
+    """Ask all nodes for their status, and describe each member that a node reports wrongly.
+
+    Every member must be reported as alive, with the generation that the member itself reports. A node
+    without an answer is described as well.
+    """
     statuses = run.statuses()
     generations = {
         name: next(member["life"] for member in status["members"] if member["name"] == name)
         for name, status in statuses.items()
         if status
     }
-    wrong = [f"{name} says nothing" for name, status in statuses.items() if status is None]
+    wrong = [f"{name} gave no status answer" for name, status in statuses.items() if status is None]
     for name, status in statuses.items():
         for member in status["members"] if status else ():
             is_current = member["life"] == generations.get(member["name"])
             if member["standing"] != ALIVE or not is_current:
-                wrong.append(f"{name} holds {member['name']} as {member['standing']} life {member['life']}")
+                wrong.append(f"{name} has {member['name']} {member['standing']}, generation {member['life']}")
     return wrong
 
 
 @dataclass
 class DetectionFigures:
-    """How soon failures were detected.
+    """How soon members detected the faults of other nodes.
 
     Attributes:
-        checked: the faults for which there was a bound.
-        past_bound: detections by one member that were late or never came.
-        nearest: the latest detection, as a share of its bound.
-        rows: of the table, a row a fault.
+        checked: the number of faults whose detection had a time bound.
+        past_bound: the number of detections, one per fault and member, that were late or missing.
+        max_bound_share: the slowest detection, as a share of its bound; inf for a missing one.
+        rows: the table's rows, one per fault.
     """
 
     checked: float = 0.0
     past_bound: float = 0.0
-    nearest: float = 0.0
+    max_bound_share: float = 0.0
     rows: list[list[str]] = field(default_factory=list)
 
 
 class DetectionCheck:
-    """Holds what nodes logged of each other against the bounds of detection.
+    """Checks the failure detections that nodes logged against their time bounds.
 
     Attributes:
-        bound_ms: within what time healthy members detect a failure.
-        unhealthy_bound_ms: the same, for members that doubt their own health as far as they may.
+        bound_ms: the time within which members with local health 0 detect a failure, in ms.
+        unhealthy_bound_ms: the time within which members with the worst local health detect a failure, in ms.
     """
 
     def __init__(self, run: ClusterRun) -> None:
@@ -78,9 +82,10 @@
         )
 
     def _overlapping(self, span: FaultSpan) -> list[FaultSpan]:
-        """Return faults of other nodes which may delay the detection of this one.
+        """Return the faults of other nodes that may delay the detection of this fault.
 
-        A member that doubted its own health trusts itself again with each answer that it gets.
+        A fault of another node worsens the local health of members, and so delays detection until they have
+        recovered: each answer that a member gets improves its local health by one step.
         """
         recovery_ms = (MAX_LOCAL_HEALTH + 1) * MAX_LOCAL_HEALTH * self._period_ms
         return [
@@ -92,7 +97,10 @@
         ]
 
     def _detections_ms(self, span: FaultSpan, observers: list[str]) -> dict[str, float]:
-        """Return after what time each observer first held the span's node as dead."""
+        """Return the time from a fault until each observer first declared its node dead, in ms by observer.
+
+        Observers that declared no death during the fault are left out.
+        """
         detections: dict[str, float] = {}
         for report in self._reports:
             is_in_time = span.since_ms <= report.at_ms < span.until_ms + LOG_DELAY_MS
@@ -102,14 +110,19 @@
         return detections
 
     def check(self) -> DetectionFigures:
-        """Check every fault that was injected."""
+        """Check the detection of every injected fault."""
         figures = DetectionFigures()
         for span in self._spans:
             self._check_span(span, figures)
         return figures
 
     def _check_span(self, span: FaultSpan, figures: DetectionFigures) -> None:
-        """Check one fault, and add to the figures."""
+        """Check the detection of one fault, and add the result to `figures`.
+
+        With overlapping faults the bound for the worst local health applies, and nodes that have such a fault
+        need not detect this one. A fault of a kind not in DETECTABLE, or one that ends within the bound, is
+        not checked.
+        """
         overlapping = self._overlapping(span)
         bound_ms = self.unhealthy_bound_ms if overlapping else self.bound_ms
         disturbed = {other.node for other in overlapping}
@@ -118,25 +131,25 @@
         is_bounded = span.kind in DETECTABLE and span.until_ms - span.since_ms > bound_ms
         if is_bounded:
             taken_ms = [detections_ms.get(name, inf) for name in observers if name != span.node]
-            figures.nearest = max(figures.nearest, max(taken_ms) / bound_ms)
+            figures.max_bound_share = max(figures.max_bound_share, max(taken_ms) / bound_ms)
             figures.past_bound += sum(taken > bound_ms for taken in taken_ms)
             figures.checked += 1.0
         bound = f"{bound_ms / 1000.0:.1f}" if is_bounded else "none"
         figures.rows.append(span_row(span, sorted(detections_ms.values()), bound))
 
     def false_detections(self) -> int:
-        """Return how often a member was held as dead when no fault could be the reason."""
+        """Return how often a node declared a member dead at a time at which no fault could be the cause."""
         return sum(report.status == GONE and self._is_undisturbed(report.at_ms) for report in self._reports)
 
     def _is_undisturbed(self, at_ms: float) -> bool:
-        """Return whether nothing was wrong at a time; where datagrams are lost, something always is."""
+        """Return whether no fault could cause a detection at a time; always False with datagram loss."""
         return not self._run.table.loss and all(
             span.until_ms + self.unhealthy_bound_ms < at_ms or span.since_ms > at_ms for span in self._spans
         )
 
 
 def span_row(span: FaultSpan, detections_ms: list[float], bound: str) -> list[str]:
-    """Return a fault as a row of the report."""
+    """Return the row of one fault in the report's table."""
     ends = (detections_ms[0], detections_ms[-1]) if detections_ms else ()
     detected = [f"{taken / 1000.0:.2f}" for taken in ends] or ["-", "-"]
     since_s, for_s = span.since_ms / 1000.0, (span.until_ms - span.since_ms) / 1000.0
@@ -144,14 +157,14 @@
 
 
 def membership_figures(run: ClusterRun, check: DetectionCheck, found: DetectionFigures) -> dict[str, float]:
-    """Return the figures of a run under the keys of reports."""
+    """Return the membership figures of a run, by their names in reports."""
     healing_ms = healing_bound_ms(len(run.names), run.table.period_ms) + LOG_DELAY_MS
     return {
         "faults": float(len(run.injector.spans)),
         "not_struck": float(len(run.schedule.pending)),
         "past_bound": found.past_bound,
         "held_to_bound": found.checked,
-        "nearest_detection": found.nearest,
+        "nearest_detection": found.max_bound_share,
         "false_gone": float(check.false_detections()),
         "letters": float(run.relay.delivered_count),
         "heal_s": run.healed_after_ms / 1000.0,
@@ -161,7 +174,7 @@
 
 @register_play(PLAY)
 def play_members(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Play a day under faults and load; check detection, healing, and by the records the rules of service."""
+    """Play a day under faults and load; check detection, healing, and the rules of service by the records."""
     table: ClusterTable = experiment.tables[PLAY]
     run = ClusterRun(experiment.day, experiment.head.seed, table, out)
     run.play(show_progress, wrong_member_states)
--- a/marlseam/experiment/cluster_plays.py
+++ b/marlseam/experiment/cluster_plays.py
@@ -1,4 +1,4 @@
-"""The tables of the plays on clusters, as experiment files name them."""
+"""Registers the experiment file tables of the plays on clusters."""
 
 from marlseam.experiment import cluster_cost, cluster_members, cluster_scale, file, replication_plays
 from marlseam.experiment.cluster_tables import ClusterTable
@@ -15,6 +15,6 @@
 
 
 def register() -> None:
-    """Make the tables of these plays known to experiment files; the plays are from the import on."""
+    """Register the tables of these plays for experiment files; the import registers the plays themselves."""
     for play, table in TABLES.items():
         file.register(play, table)
--- a/marlseam/experiment/cluster_relay.py
+++ b/marlseam/experiment/cluster_relay.py
@@ -1,7 +1,7 @@
-"""A relay that every datagram between the nodes of a cluster passes through, and that loses or delays some.
+"""A UDP relay for all datagrams between the nodes of a cluster; loses, duplicates and delays some of them.
 
-Each ordered pair of nodes has a socket of its own, so that what one sends to the other can be cut off, lost,
-duplicated or delayed in that direction alone.
+Each ordered pair of nodes has its own socket, so that datagrams can be cut off, lost, duplicated or delayed
+in one direction alone.
 """
 
 import heapq
@@ -14,12 +14,12 @@
 from marlseam.experiment.cluster_tables import ClusterTable
 from marlseam.random_source import RandomSource
 
-POLL_S = 0.02  # between two looks at delayed datagrams and at what else is periodic
+POLL_S = 0.02  # how often delayed datagrams are checked and the periodic hook is called
 MAX_DATAGRAM_BYTES = 65536
 
 
 def free_udp_address() -> str:
-    """Return a UDP address on loopback that was free a moment ago."""
+    """Return a loopback UDP address (`HOST:PORT`) that was free when it was checked; it is not reserved."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
         return "{}:{}".format(*sock.getsockname())
@@ -33,20 +33,23 @@
 
 
 class Cut(NamedTuple):
-    """Datagrams that are lost until a time; an empty name stands for every node."""
+    """A one-way network cut: the datagrams from a sender to a receiver are lost until `until_ms`.
+
+    An empty name stands for every node; `until_ms` is in ms of the run.
+    """
 
     sender: str
     receiver: str
     until_ms: float
 
     def applies(self, pair: Pair, now_ms: float) -> bool:
-        """Return whether a datagram is lost."""
+        """Return whether a datagram of this pair is lost by the cut at a time."""
         is_sender = self.sender in ("", pair.sender)
         return self.until_ms > now_ms and is_sender and self.receiver in ("", pair.receiver)
 
 
 class DelayedDatagram(NamedTuple):
-    """A datagram to deliver at a time; `order` tells apart those of one time."""
+    """A datagram to deliver at `at_ms` of the run; `order` orders the datagrams of the same time."""
 
     at_ms: float
     order: int
@@ -55,13 +58,13 @@
 
 
 class RelayHooks(NamedTuple):
-    """What a relay calls, in its thread.
+    """Functions that a relay calls in its own thread.
 
     Attributes:
-        now: returns ms since the run's zero.
-        periodic: called with the time, every `POLL_S`.
-        before_datagram: called with a node, whether it sends, the pair and the datagram, before a datagram is
-            taken from its sender and before it is handed to its receiver.
+        now: returns the time in ms of the run.
+        periodic: called about every `POLL_S` with the time in ms of the run.
+        before_datagram: called before a datagram of the sender is processed (with the sender, True, the pair
+            and the datagram) and before each delivery (with the receiver, False, the pair and the datagram).
     """
 
     now: Callable[[], float]
@@ -70,21 +73,23 @@
 
 
 class DatagramRelay:
-    """Passes datagrams on in a thread of its own.
+    """Forwards datagrams between nodes, in a thread of its own.
 
     Attributes:
         node_addresses: the nodes' own addresses, by name.
-        random: draws which datagrams are lost and which are sent twice.
-        cuts: what is lost, and until when.
-        delivered_count: datagrams handed to their receivers.
-        lost_count: datagrams that were lost.
-        error: what ended the thread early, if anything did.
+        random: draws which datagrams are lost and which are delivered twice.
+        cuts: the network cuts; a cut has no effect after its time.
+        delivered_count: how many datagrams were sent to their receivers.
+        lost_count: how many datagrams were lost by a cut, at random, or because sending them failed.
+        error: the exception that ended the thread, None for none.
     """
 
     def __init__(self, node_addresses: Mapping[str, str], table: ClusterTable, seed: int) -> None:
-        """Bind a socket for each ordered pair of nodes, whose own addresses are given by name."""
+        """Bind a socket for each ordered pair of the nodes in `node_addresses` (addresses by name)."""
         self.node_addresses, self._table = node_addresses, table
-        self.random = RandomSource(f"rig:{seed}")  # a seed is to draw the same in later versions
+        self.random = RandomSource(
+            f"rig:{seed}"
+        )  # unchanged, so that a seed draws the same in later versions
         self._sockets: dict[Pair, socket.socket] = {}
         for sender in node_addresses:
             for receiver in node_addresses:
@@ -107,43 +112,43 @@
         return sock
 
     def address(self, sender: str, receiver: str) -> str:
-        """Return the address at which one node is to reach another."""
+        """Return the relay's address (`HOST:PORT`) to which `sender` must send datagrams for `receiver`."""
         return "{}:{}".format(*self._sockets[Pair(sender, receiver)].getsockname())
 
     def start(self, hooks: RelayHooks) -> None:
-        """Begin to pass datagrams on."""
+        """Start the thread that forwards datagrams."""
         self._hooks = hooks
         self._thread.start()
 
     def stop(self) -> None:
-        """End the thread, and wait for it."""
+        """Stop the thread, and wait until it has ended."""
         self._is_over.set()
         self._thread.join()
 
     def close(self) -> None:
-        """Close the sockets."""
+        """Close the sockets of all pairs."""
         for sock in self._sockets.values():
             sock.close()
 
     @property
     def is_over(self) -> bool:
-        """Whether the relay was told to end."""
+        """Whether `stop` was called."""
         return self._is_over.is_set()
 
     def delay(self, pair: Pair, data: bytes, until_ms: float) -> None:
-        """Have a copy of a datagram delivered at a time."""
+        """Schedule a copy of a datagram for delivery at `until_ms` of the run."""
         self._delayed_count += 1
         heapq.heappush(self._delayed, DelayedDatagram(until_ms, self._delayed_count, pair, data))
 
     def _run(self) -> None:
-        """Pass on what comes until the relay is told to end."""
+        """Forward datagrams until `stop` is called; an exception ends the thread and is kept in `error`."""
         pairs_by_descriptor = {sock.fileno(): pair for pair, sock in self._sockets.items()}
         poll = select.epoll()
         for descriptor in pairs_by_descriptor:
             poll.register(descriptor, select.EPOLLIN)
         try:
             self._relay_until_over(poll, pairs_by_descriptor)
-        except BaseException as error:  # reported to whoever waits for the run
+        except BaseException as error:  # the run's thread reads `error` and raises RunFailedError
             self.error = error
         finally:
             poll.close()
@@ -160,23 +165,23 @@
                 self._hooks.periodic(now_ms)
 
     def _receive(self, pair: Pair) -> None:
-        """Read one datagram, and pass it on."""
+        """Read one datagram from a pair's socket, and forward it."""
         try:
             data = self._sockets[pair].recv(MAX_DATAGRAM_BYTES)
         except OSError:
             return
-        self._pass_on(pair, data)
+        self._forward(pair, data)
 
-    def _pass_on(self, pair: Pair, data: bytes) -> None:
-        """Deliver a datagram, unless it is cut off or lost; deliver some twice."""
+    def _forward(self, pair: Pair, data: bytes) -> None:
+        """Deliver a datagram once or twice, or drop it by a cut or at random."""
         self._hooks.before_datagram(pair.sender, True, pair, data)
         now_ms = self._hooks.now()
         is_cut = any(cut.applies(pair, now_ms) for cut in self.cuts)
         if is_cut or self.random() < self._table.loss:
             self.lost_count += 1
             return
-        is_doubled = self.random() < self._table.doubles
-        for _ in range(1 + is_doubled):
+        is_duplicated = self.random() < self._table.doubles
+        for _ in range(1 + is_duplicated):
             self._deliver(pair, data)
 
     def _deliver_delayed(self, now_ms: float) -> None:
@@ -186,7 +191,7 @@
             self._deliver(due.pair, due.data)
 
     def _deliver(self, pair: Pair, data: bytes) -> None:
-        """Hand a datagram to its receiver."""
+        """Send a datagram to its receiver; a failed send counts as lost."""
         self._hooks.before_datagram(pair.receiver, False, pair, data)
         host, _, port = self.node_addresses[pair.receiver].rpartition(":")
         self.delivered_count += 1
--- a/marlseam/experiment/cluster_run.py
+++ b/marlseam/experiment/cluster_run.py
@@ -1,7 +1,7 @@
-"""A day of load on a cluster of real nodes, with all datagrams between them relayed and faults injected.
+"""A day of load on a cluster of real nodes, with all datagrams between nodes relayed and faults injected.
 
 A fault is injected before the n-th datagram of a kind that a node sends or receives, so that a run depends on
-what nodes exchange, not on sleeps. Real are nodes, their sockets, signals and time.
+the datagrams that nodes exchange, not on sleeps. Nodes, their sockets, signals and time are real.
 """
 
 import time
@@ -23,29 +23,30 @@
 from marlseam.experiment.sockets import SocketDriver, SocketOptions
 from marlseam.simulation.model import Day, placed_nodes
 
-# Describes what in the nodes of a run is not yet as it should be after faults.
+# Describes how the nodes of a run deviate from their expected state after faults; empty once healed.
 FindUnhealed: TypeAlias = Callable[["ClusterRun"], list[str]]
 
 
 class ClusterRun:
-    """The parts of one run.
+    """One run of a day on a cluster, and its parts.
 
     Attributes:
-        names: of the nodes.
-        table: the cluster and its faults, as the experiment's file says.
-        schedule: which faults are due.
-        relay: what passes datagrams on.
-        nodes: the nodes' configuration, ledgers and addresses.
+        names: the names of the nodes.
+        table: the cluster and its faults, from the experiment's file.
+        schedule: finds the fault that is due before a datagram.
+        relay: forwards the datagrams between the nodes.
+        nodes: provides the nodes' configuration, ledgers and addresses.
         driver: starts nodes, servers and load.
         publisher: has nodes publish changes.
         injector: injects the faults.
-        logs: what nodes have logged.
-        last_statuses: what each node reported when it was last asked.
-        healed_after_ms: how long after the last fault the nodes were first as they should be; inf for never.
+        logs: reads the nodes' logs.
+        last_statuses: the latest status of each node, None for one that did not answer.
+        healed_after_ms: the time from the end of the last fault until the nodes were first in their expected
+            state, in ms; inf if they never were.
     """
 
     def __init__(self, day: Day, seed: int, table: ClusterTable, out: Path) -> None:
-        """Wire the parts to each other; nothing is started."""
+        """Connect the parts to each other; neither processes nor threads are started."""
         self.names = [name for name, _ in placed_nodes(day)]
         self.table = table
         self._day, self._seed = day, seed
@@ -74,26 +75,30 @@
         self.healed_after_ms = inf
 
     def _inject_due_fault(self, node: str, is_sent: bool, pair: Pair, data: bytes) -> None:
-        """Count a datagram, and inject the fault that is due before it."""
+        """Count a datagram, and inject the fault that is due before this datagram, if any."""
         fault = self.schedule.next_fault(node, is_sent, data)
         if fault is not None:
             self.injector.inject(fault, pair, data)
 
     def statuses(self) -> dict[str, dict[str, Any] | None]:
-        """Return what each node reports of its cluster now, None for one that does not answer."""
+        """Ask each node for its cluster status; return statuses by node, None for one without an answer."""
         self.last_statuses = {
             name: cluster_admin.cluster_status(self.nodes.admin_addresses[name]) for name in self.names
         }
         return self.last_statuses
 
     def play(self, show_progress: ShowProgress, find_unhealed: FindUnhealed) -> None:
-        """Play the day; `find_unhealed` describes what in the nodes is not yet as it should be."""
+        """Play the day under faults, until the driver ends it.
+
+        `find_unhealed` is called after the last fault until it returns no deviation. Raises RunFailedError
+        where the relay's thread has ended with an exception.
+        """
 
         def progress(now_ms: float) -> None:
             show_progress(self._describe_progress(now_ms))
             self._advance(now_ms, find_unhealed)
 
-        # Until the run's own zero: nodes exchange datagrams before they are ready.
+        # A provisional time 0, replaced by the driver: nodes exchange datagrams before they are ready.
         self.driver.recorder.zero_s = time.monotonic()
         self.relay.start(RelayHooks(self.driver.recorder.now_ms, self.logs.read, self._inject_due_fault))
         try:
@@ -104,10 +109,10 @@
             self.nodes.close()
 
     def _advance(self, now_ms: float, find_unhealed: FindUnhealed) -> None:
-        """Check the relay, end the schedule in time, and note when the nodes have healed."""
+        """Check the relay, end a drawn schedule after `until_s`, and record when the nodes have healed."""
         self.schedule.is_counting = True
         if self.relay.error is not None:
-            raise RunFailedError(f"the relay ended: {self.relay.error!r}")
+            raise RunFailedError(f"the datagram relay's thread ended early: {self.relay.error!r}")
         if now_ms > 1000.0 * self.table.until_s and not self.table.faults:
             self.schedule.pending.clear()
         last_fault_ms = max([span.until_ms for span in self.injector.spans], default=0.0)
@@ -117,6 +122,6 @@
             self.healed_after_ms = self.driver.recorder.now_ms() - last_fault_ms
 
     def _describe_progress(self, now_ms: float) -> str:
-        """Return how far the run is."""
+        """Return the progress line: seconds played, seconds of the day, and faults injected."""
         played_s = max(0.0, now_ms) / 1000.0
-        return f"{played_s:.0f} s of {self._day.seconds:g}, {len(self.injector.spans)} faults"
+        return f"{played_s:.0f} s of {self._day.seconds:g} s, {len(self.injector.spans)} faults injected"
--- a/marlseam/experiment/cluster_scale.py
+++ b/marlseam/experiment/cluster_scale.py
@@ -1,4 +1,4 @@
-"""The play `fleet_scale`: membership and versions by the cluster's size and loss, in virtual time."""
+"""The play `fleet_scale`: membership and versions by cluster size and datagram loss, in virtual time."""
 
 import time
 import tracemalloc
@@ -20,7 +20,7 @@
 from marlseam.simulation.model import Count, Positive, Share, Strict
 
 PLAY = "fleet_scale"
-KILLED = "n1"
+KILLED_MEMBER = "n1"
 PUBLISHER = "n7"
 MAX_VOTERS = 7
 LEASE_PERIODS = 15.0
@@ -51,13 +51,13 @@
 
 
 class ScaleTable(Strict, frozen=True):
-    """Clusters in virtual time: one member is killed, and some datagrams are lost.
+    """Table `fleet_scale` of an experiment file: clusters simulated in virtual time, with datagram loss.
 
     Attributes:
-        nodes: the sizes of clusters to play.
-        loss: the shares of datagrams that are lost, each played with each size.
-        calm_s: how long members find each other before anything is measured.
-        watched_s: how long what follows is observed.
+        nodes: the cluster sizes to simulate.
+        loss: the shares of datagrams that are lost, each simulated with each size.
+        calm_s: how long a cluster runs before the measurement, so that members find each other, in seconds.
+        watched_s: how long a cluster is observed after a death or a publication, in seconds.
     """
 
     nodes: list[Count]
@@ -68,11 +68,11 @@
 
 @dataclass(frozen=True)
 class Traffic:
-    """What all members of a cluster have sent.
+    """The traffic that all members of a cluster have sent.
 
     Attributes:
-        datagrams: how many.
-        bytes: in all of them.
+        datagrams: the number of datagrams.
+        bytes: the size of all datagrams together, in bytes.
     """
 
     datagrams: int
@@ -80,25 +80,25 @@
 
     @classmethod
     def of(cls, simulation: ClusterSimulation) -> "Traffic":
-        """Return what has been sent so far."""
+        """Return the traffic sent in a simulation so far."""
         processes = simulation.processes.values()
         return cls(sum(process.datagrams for process in processes), sum(p.bytes for p in processes))
 
     def since(self, earlier: "Traffic") -> "Traffic":
-        """Return what has been sent since an earlier count."""
+        """Return the difference to an earlier count."""
         return Traffic(self.datagrams - earlier.datagrams, self.bytes - earlier.bytes)
 
 
 @dataclass(frozen=True)
 class DetectionSample:
-    """How one cluster detected the death of a member.
+    """How the members of one cluster detected the death of another.
 
     Attributes:
-        undetected: members that did not detect it while observed.
-        median_s, p99_s, longest_s: until a member detected it.
-        false_detections: of members that lived.
-        datagrams, bytes: sent by a member in a second.
-        cpu_s: that the simulation took.
+        undetected: how many members did not detect the death while the cluster was observed.
+        median_s, p99_s, longest_s: median, 99th percentile and maximum of the members' detection times.
+        false_detections: how often a member that was alive was declared dead.
+        datagrams, bytes: sent per member and second.
+        cpu_s: the CPU time that the simulation took, in seconds.
     """
 
     undetected: float
@@ -126,14 +126,15 @@
 
 @dataclass(frozen=True)
 class PublicationSample:
-    """How one cluster took over a published version.
+    """How the members of one cluster took over a published version.
 
     Attributes:
-        not_acting: members that did not act on it while observed.
-        median_s, p99_s, longest_s: until a member acted on it.
-        unproven: members without a proof before it was published.
-        datagrams, bytes: sent by a member in a second, before it was published.
-        violations: of the rules of versions.
+        not_acting: how many members did not act on the version while the cluster was observed.
+        median_s, p99_s, longest_s: median, 99th percentile and maximum of the times from the publication
+            until a member acted on the version.
+        unproven: how many members had no proof after the first `calm_s`, before the publication.
+        datagrams, bytes: sent per member and second, before the publication.
+        violations: how many violations of the rules of versions the checker found.
     """
 
     not_acting: float
@@ -160,27 +161,31 @@
 
 
 def median_of(ordered: list[float]) -> float:
-    """Return the middle one of ordered values."""
+    """Return the median of values in ascending order, the upper one of two middle values."""
     return ordered[len(ordered) // 2]
 
 
 def p99_of(ordered: list[float]) -> float:
-    """Return the 99th percentile of ordered values."""
+    """Return the 99th percentile of values in ascending order, which is one of the values."""
     return ordered[int(0.99 * (len(ordered) - 1))]
 
 
 def measure_detection(count: int, loss: float, seed: int, table: ScaleTable) -> DetectionSample:
-    """Play one cluster: members find each other, one is killed, and the others are to detect that."""
+    """Simulate one cluster: members find each other, one is killed, and the others should detect that."""
     cpu_began_s = time.process_time()
     simulation = MembershipSimulation(count, seed, [], loss=loss)
     simulation.run(1000.0 * table.calm_s)
-    early = sum(map(len, simulation.declared_dead.values()))
+    early_detections = sum(map(len, simulation.declared_dead.values()))
     before = Traffic.of(simulation)
-    simulation.end(simulation.processes[KILLED])
+    simulation.end(simulation.processes[KILLED_MEMBER])
     killed_ms = simulation.now
     simulation.run(killed_ms + 1000.0 * table.watched_s)
-    taken_ms = sorted(detection_ms(simulation, name, killed_ms) for name in simulation.names - {KILLED})
-    later = sum(len(times) for (_, member), times in simulation.declared_dead.items() if member != KILLED)
+    taken_ms = sorted(
+        detection_ms(simulation, name, killed_ms) for name in simulation.names - {KILLED_MEMBER}
+    )
+    later_detections = sum(
+        len(times) for (_, member), times in simulation.declared_dead.items() if member != KILLED_MEMBER
+    )
     node_seconds = count * table.watched_s
     sent = Traffic.of(simulation).since(before)
     return DetectionSample(
@@ -188,7 +193,7 @@
         median_s=median_of(taken_ms) / 1000.0,
         p99_s=p99_of(taken_ms) / 1000.0,
         longest_s=taken_ms[-1] / 1000.0,
-        false_detections=float(early + later),
+        false_detections=float(early_detections + later_detections),
         datagrams=sent.datagrams / node_seconds,
         bytes=sent.bytes / node_seconds,
         cpu_s=time.process_time() - cpu_began_s,
@@ -196,13 +201,16 @@
 
 
 def detection_ms(simulation: MembershipSimulation, name: str, killed_ms: float) -> float:
-    """Return after what time a member held the killed one as dead; up to now where it did not."""
-    times = simulation.declared_dead.get((name, KILLED), [])
+    """Return the time from the kill until a member declared the killed one dead, in ms.
+
+    For a member that did not, it is the time from the kill until now.
+    """
+    times = simulation.declared_dead.get((name, KILLED_MEMBER), [])
     return min([at_ms for at_ms in times if at_ms >= killed_ms], default=simulation.now) - killed_ms
 
 
 def measure_publication(count: int, loss: float, seed: int, table: ScaleTable) -> PublicationSample:
-    """Play one cluster: one member publishes a version, and all are to act on it."""
+    """Simulate one cluster: one member publishes a version, and all members should act on it."""
     simulation = ReplicationSimulation(count, seed, [], voters=min(MAX_VOTERS, count), loss=loss)
     simulation.run(1000.0 * table.calm_s)
     before = Traffic.of(simulation)
@@ -228,7 +236,10 @@
 
 
 def measure_memory_kb(count: int) -> float:
-    """Return what a node holds for a cluster of so many members, all of them heard from, in kB."""
+    """Return the memory that a node uses for the state of a cluster of `count` members, in kB.
+
+    The node has received state from every member.
+    """
     names = frozenset(f"n{i}" for i in range(count))
     tracemalloc.start()
     try:
@@ -247,18 +258,19 @@
 
 
 def measured_bound_s(count: int) -> float:
-    """Return within what time the members of a cluster that are well detect a death."""
+    """Return the time within which members with local health 0 detect a death, in seconds."""
     names = frozenset(f"n{i}" for i in range(count))
     any_member = Membership("fleet", "n0", names, 0, 0, PERIOD_MS, 0.0)
     return detection_bound_ms(count, any_member.suspicion_ms(0), PERIOD_MS, 0) / 1000.0
 
 
 class ScaleReport:
-    """Gathers the samples of all clusters.
+    """Collects the samples of all clusters as figures and tables.
 
     Attributes:
-        figures: of each cluster under a prefix of its own, and the sums and worst ones.
-        member_rows, version_rows: the tables.
+        figures: the figures of each cluster, with a prefix of its size and loss, and sums and maxima over
+            all clusters.
+        member_rows, version_rows: the rows of the tables, the heads first.
     """
 
     def __init__(self) -> None:
@@ -274,16 +286,16 @@
         for key in keys:
             self.figures[key] = self.figures.get(key, 0.0) + figures[key]
 
-    def _add_worst(self, key: str, value: float) -> None:
+    def _keep_greatest(self, key: str, value: float) -> None:
         self.figures[key] = max(self.figures.get(key, 0.0), value)
 
     def add_detection(self, count: int, loss: float, sample: DetectionSample) -> None:
-        """Take in how a cluster detected a death; only without loss it is held to the bound."""
+        """Add a detection sample; only a cluster without datagram loss is checked against the bound."""
         bound_s = measured_bound_s(count)
         self._add_each(count, loss, sample.figures())
         if not loss:
             self._add_sums(sample.figures(), "false", "not_told")
-            self._add_worst("nearest", sample.longest_s / bound_s)
+            self._keep_greatest("nearest", sample.longest_s / bound_s)
         times_s = (sample.median_s, sample.p99_s, sample.longest_s)
         self.member_rows.append(
             [
@@ -302,12 +314,12 @@
     def add_publication(
         self, count: int, loss: float, sample: PublicationSample, membership_bytes: float
     ) -> None:
-        """Take in how a cluster took over a version, beside the bytes that its membership sent."""
+        """Add a publication sample; `membership_bytes` are sent per member and second by membership."""
         self._add_each(count, loss, sample.figures())
         self._add_sums(sample.figures(), "not_acting", "unproved", "versions_wrong")
         total_bytes, memory_kb = membership_bytes + sample.bytes, measure_memory_kb(count)
-        self._add_worst("bytes_most", total_bytes)
-        self._add_worst("memory_kb_most", memory_kb)
+        self._keep_greatest("bytes_most", total_bytes)
+        self._keep_greatest("memory_kb_most", memory_kb)
         times_s = (sample.median_s, sample.p99_s, sample.longest_s)
         self.version_rows.append(
             [
@@ -324,7 +336,7 @@
 
 @register_play(PLAY)
 def play_scale(experiment: Experiment, _out: Path, show_progress: ShowProgress) -> RunResult:
-    """Measure every size of cluster with every share of loss, each in a process of its own."""
+    """Measure each cluster size with each share of loss, in a pool of processes."""
     table: ScaleTable = experiment.tables[PLAY]
     clusters = [(count, loss) for count in table.nodes for loss in table.loss]
     report = ScaleReport()
--- a/marlseam/experiment/cluster_tables.py
+++ b/marlseam/experiment/cluster_tables.py
@@ -1,6 +1,6 @@
-"""The tables of experiment files that describe a cluster of real nodes, and the faults injected into it.
+"""The experiment file tables that describe a cluster of real nodes and the faults injected into it.
 
-Field names are the keys of the files.
+Field names are keys of experiment files.
 """
 
 from enum import StrEnum
@@ -10,24 +10,24 @@
 
 
 class FaultKind(StrEnum):
-    """What may be injected into a cluster; the values stand in experiment files.
+    """The kinds of faults that can be injected into a cluster; the values are used in experiment files.
 
     Members:
-        KILL: the node is killed, and starts again after the fault's time.
-        RESTART: it is killed, and starts again at once.
-        STOP: its process is suspended.
-        CUT: it neither sends nor receives datagrams.
-        DEAF: it receives no datagrams.
-        MUTE: it sends no datagrams.
-        PAIR: what it sends to one other node is lost.
-        HOLD: a copy of the datagram arrives late.
-        PUBLISH: it is asked to publish a change of its configuration.
-        FULL: its ledger's disk is full.
-        COPY: its ledger is copied, for a later `OLD`.
-        OLD: it is killed, and starts again with the copy of its ledger.
-        LOST: it is killed, and starts again without its ledger.
+        KILL: the node is killed, and restarts after the fault's time.
+        RESTART: the node is killed, and restarts at once.
+        STOP: the node's process is suspended.
+        CUT: all datagrams to and from the node are lost.
+        DEAF: all datagrams to the node are lost.
+        MUTE: all datagrams from the node are lost.
+        PAIR: all datagrams from the node to one other node are lost.
+        HOLD: a second copy of the datagram arrives after the fault's time.
+        PUBLISH: the node is asked to publish a change of its configuration.
+        FULL: writes to the node's ledger fail, as on a full disk.
+        COPY: the node's ledger is copied, for a later `OLD`.
+        OLD: the node is killed, and restarts at once with the copy of its ledger.
+        LOST: the node is killed, and restarts at once without its ledger.
         SPLIT: groups of nodes are cut off from each other.
-        UPGRADE: a later process takes over from the one that runs.
+        UPGRADE: a new process of the node takes over from the running one.
     """
 
     KILL = "kill"
@@ -51,12 +51,12 @@
     """A fault, and the step before which it is injected.
 
     Attributes:
-        node: the node that it is injected into.
-        step: the n-th datagram of a kind that the node sends or receives, as `sends ping 20`.
+        node: the node that the fault is injected into.
+        step: the n-th datagram of a kind that the node sends or receives, for example `sends ping 20`.
         fault: the value of a `FaultKind`.
-        other: of PAIR, the other node; of SPLIT, the groups, `a b|c` cut off from each other or `a b>c` of
-            which what one sends to the next is lost.
-        for_ms: how long it lasts.
+        other: for PAIR, the other node; for SPLIT, the groups: `a b|c` are cut off from each other in both
+            directions, and with `a b>c` the datagrams from each group to all later groups are lost.
+        for_ms: how long the fault lasts, in ms.
     """
 
     node: str
@@ -70,16 +70,16 @@
     """A cluster of real nodes, and the faults injected into it.
 
     Attributes:
-        period_ms: the protocol period of membership.
+        period_ms: the protocol period of membership, in ms.
         loss: the share of datagrams that are lost.
-        doubles: the share of datagrams that are sent twice.
-        faults: those to inject; where there are none, the seed draws a schedule.
-        until_s: until when drawn faults are injected, in seconds of the day.
-        voters: of configuration versions; where there are none, nodes run without versions.
-        lease_ms: for how long a proof that a version is in force holds.
-        past_lease: whether a node without a proof serves on or leaves service.
-        older: the nodes that run as an older program does.
-        clocks: the rate of a node's monotonic clock, for the nodes whose clocks are wrong.
+        doubles: the share of datagrams that are delivered twice.
+        faults: the faults to inject; if empty, a schedule is drawn from the seed.
+        until_s: when the injection of drawn faults ends, in seconds of the day.
+        voters: the voters on configuration versions; if empty, nodes run without versions.
+        lease_ms: how long a proof that a version is in force remains valid, in ms.
+        past_lease: whether a node without a valid proof stays in service (serve) or leaves service (strict).
+        older: the nodes that run as an older program, which cannot read the present format of versions.
+        clocks: the rate of the monotonic clock by node, for the nodes whose clocks are wrong.
     """
 
     period_ms: Positive = 200.0
--- a/tests/test_cluster_faults.py
+++ b/tests/test_cluster_faults.py
@@ -1,4 +1,4 @@
-"""Faults injected into the nodes of a cluster: the schedule, the steps it counts, and what a split cuts."""
+"""Tests of the fault schedule of a cluster, of the steps that it counts, and of network cuts."""
 
 import re
 
@@ -13,7 +13,7 @@
 from marlseam.random_source import number
 
 NAMES = ["n0", "n1"]
-DRAWN_CHECKSUM = 668474370  # of the schedules that seeds 0 to 99 draw for seven nodes
+SCHEDULES_CHECKSUM = 668474370  # of the schedules drawn from seeds 0 to 99 for seven nodes
 
 
 def datagram(kind=DatagramKind.PING):
@@ -29,24 +29,24 @@
         ClusterFault("n0", "sends ping 1", "pair", "n9"),
     ],
 )
-def test_a_fault_that_cannot_be_injected_is_named(fault):
+def test_an_invalid_fault_raises_a_file_error_that_contains_the_fault(fault):
     with pytest.raises(FileError, match=re.escape(f"fleet.faults: {fault} ")):
         FaultSchedule(NAMES, ClusterTable(faults=[fault]), 1)
 
 
-def test_seeds_draw_the_schedules_that_they_always_drew():
+def test_the_schedules_drawn_from_seeds_are_those_of_earlier_versions():
     drawn = [
         (fault.node, fault.step, fault.fault, fault.other, fault.for_ms)
         for seed in range(100)
         for fault in draw_faults(7, seed, 200.0)
     ]
-    assert number(repr(drawn).encode()) == DRAWN_CHECKSUM
+    assert number(repr(drawn).encode()) == SCHEDULES_CHECKSUM
 
 
 def test_a_fault_is_due_before_the_nth_datagram_of_its_kind_and_direction():
     fault = ClusterFault("n0", "sends ping 2", "cut")
     schedule = FaultSchedule(NAMES, ClusterTable(faults=[fault]), 1)
-    assert schedule.next_fault("n0", True, datagram()) is None  # not counted before the run's zero
+    assert schedule.next_fault("n0", True, datagram()) is None  # not counted before the run's time 0
     schedule.is_counting = True
     assert schedule.next_fault("n0", True, datagram()) is None
     assert schedule.next_fault("n0", False, datagram()) is None
@@ -65,11 +65,11 @@
         ("a>b>c", {("a", "b"), ("a", "c"), ("b", "c")}),
     ],
 )
-def test_a_split_cuts_groups_off_from_each_other_or_one_way(groups, pairs):
+def test_a_split_cuts_groups_off_in_both_directions_or_one(groups, pairs):
     assert {(cut.sender, cut.receiver) for cut in split_cuts(groups, 5.0)} == pairs
 
 
-def test_a_cut_holds_for_its_pair_until_its_time():
+def test_a_cut_applies_to_its_pair_before_its_end_only():
     cut = Cut("a", "", 5.0)
     assert cut.applies(Pair("a", "b"), 4.0)
     assert not cut.applies(Pair("b", "a"), 4.0)
--- a/tests/test_cluster_relay.py
+++ b/tests/test_cluster_relay.py
@@ -1,4 +1,4 @@
-"""The relay of datagrams between nodes: what it passes on, loses, duplicates and delays."""
+"""Tests of the datagram relay between nodes: forwarding, loss, duplication and delay."""
 
 import socket
 import time
@@ -9,15 +9,15 @@
 from marlseam.experiment.cluster_tables import ClusterTable
 
 TO_RECEIVER = Pair("a", "b")
-SILENCE_S = 0.2  # after which nothing more is on its way
+SILENCE_S = 0.2  # the receive timeout after which no more datagrams are expected
 
 
 class TwoNodes:
-    """The sockets of two nodes, and a relay between them.
+    """The sockets of two nodes, `a` and `b`, and a relay between them.
 
     Attributes:
-        relay: the relay.
-        seen: node, whether it sends, and the datagram, as the relay asked before each.
+        relay: the relay, whose thread runs.
+        hook_calls: the arguments of each call of `before_datagram`, without the pair.
     """
 
     def __init__(self, table):
@@ -26,27 +26,27 @@
             sock.bind(("127.0.0.1", 0))
             sock.settimeout(SILENCE_S)
         addresses = {name: "{}:{}".format(*sock.getsockname()) for name, sock in self.sockets.items()}
-        self.relay, self.seen = DatagramRelay(addresses, table, seed=1), []
-        self.relay.start(RelayHooks(self.now, lambda _now_ms: None, self.note))
+        self.relay, self.hook_calls = DatagramRelay(addresses, table, seed=1), []
+        self.relay.start(RelayHooks(self.now, lambda _now_ms: None, self.before_datagram))
 
     def now(self):
         return 1000.0 * time.monotonic()
 
-    def note(self, node, is_sent, _pair, data):
-        self.seen.append((node, is_sent, data))
+    def before_datagram(self, node, is_sent, _pair, data):
+        self.hook_calls.append((node, is_sent, data))
 
     def send(self, data):
         host, _, port = self.relay.address("a", "b").rpartition(":")
         self.sockets["a"].sendto(data, (host, int(port)))
 
     def received(self):
-        """Return all that reaches the receiver."""
-        found = []
+        """Return the datagrams that reach `b` until none comes for `SILENCE_S`."""
+        datagrams = []
         while True:
             try:
-                found.append(self.sockets["b"].recv(1000))
+                datagrams.append(self.sockets["b"].recv(1000))
             except TimeoutError:
-                return found
+                return datagrams
 
     def close(self):
         self.relay.stop()
@@ -68,11 +68,11 @@
         nodes.close()
 
 
-def test_a_datagram_is_passed_on_and_asked_about_at_both_ends(make_nodes):
+def test_a_datagram_is_forwarded_and_the_hook_is_called_at_both_ends(make_nodes):
     nodes = make_nodes()
     nodes.send(b"x")
     assert nodes.received() == [b"x"]
-    assert nodes.seen == [("a", True, b"x"), ("b", False, b"x")]
+    assert nodes.hook_calls == [("a", True, b"x"), ("b", False, b"x")]
     assert (nodes.relay.delivered_count, nodes.relay.lost_count) == (1, 0)
 
 
@@ -84,7 +84,7 @@
     assert nodes.relay.lost_count == (copies == 0)
 
 
-def test_what_a_cut_loses_is_delivered_again_once_it_is_over(make_nodes):
+def test_datagrams_are_lost_during_a_cut_and_later_ones_are_delivered(make_nodes):
     nodes = make_nodes()
     nodes.relay.cuts.append(Cut("", "b", nodes.now() + 1e6))
     nodes.send(b"x")
@@ -94,8 +94,8 @@
     assert nodes.received() == [b"y"]
 
 
-def test_a_delayed_copy_is_delivered_at_its_time_and_asked_about_again(make_nodes):
+def test_a_delayed_copy_is_delivered_late_and_the_hook_is_called_at_the_receiver(make_nodes):
     nodes = make_nodes()
     nodes.relay.delay(TO_RECEIVER, b"late", nodes.now() + 50.0)
     assert nodes.received() == [b"late"]
-    assert nodes.seen == [("b", False, b"late")]
+    assert nodes.hook_calls == [("b", False, b"late")]
