--- a/marlseam/experiment/cluster_admin.py
+++ b/marlseam/experiment/cluster_admin.py
@@ -25,7 +25,7 @@
 
 
 def cluster_status(address: str) -> dict[str, Any] | None:
-    """Return the cluster status of the node at `address`, or None without a valid answer within 1 s."""
+    """Return the cluster status of the node at `address`, or None where it gives no valid answer in time."""
     host, _, port = address.rpartition(":")
     try:
         connection = http.client.HTTPConnection(host, int(port), timeout=STATUS_TIMEOUT_S)
--- a/marlseam/experiment/cluster_members.py
+++ b/marlseam/experiment/cluster_members.py
@@ -18,7 +18,7 @@
 
 PLAY = "fleet_members"
 ALIVE = "here"  # the status of a member that is considered alive, in a node's answer
-LOG_DELAY_MS = 250.0  # for reading a line of a node's log and for passing a datagram through the relay
+LOG_DELAY_MS = 250.0  # allowance for reading a line of a node's log, and for the relay's delay of a datagram
 DETECTABLE = (FaultKind.KILL, FaultKind.STOP, FaultKind.CUT)  # all other nodes must declare the node dead
 TABLE_HEAD = ["node", "fault", "at, s", "for, s", "gone with the first, s", "with the last, s", "bound, s"]
 
@@ -156,15 +156,17 @@
     return [span.node, span.kind.value, f"{since_s:.1f}", f"{for_s:.1f}", *detected, bound]
 
 
-def membership_figures(run: ClusterRun, check: DetectionCheck, found: DetectionFigures) -> dict[str, float]:
+def membership_figures(
+    run: ClusterRun, check: DetectionCheck, detections: DetectionFigures
+) -> dict[str, float]:
     """Return the membership figures of a run, by their names in reports."""
     healing_ms = healing_bound_ms(len(run.names), run.table.period_ms) + LOG_DELAY_MS
     return {
         "faults": float(len(run.injector.spans)),
         "not_struck": float(len(run.schedule.pending)),
-        "past_bound": found.past_bound,
-        "held_to_bound": found.checked,
-        "nearest_detection": found.max_bound_share,
+        "past_bound": detections.past_bound,
+        "held_to_bound": detections.checked,
+        "nearest_detection": detections.max_bound_share,
         "false_gone": float(check.false_detections()),
         "letters": float(run.relay.delivered_count),
         "heal_s": run.healed_after_ms / 1000.0,
@@ -180,7 +182,7 @@
     run.play(show_progress, wrong_member_states)
     judged = plays.judge_records(*records.read_folder(out / "records"), driver="sockets")
     check = DetectionCheck(run)
-    found = check.check()
-    figures = judged.figures | membership_figures(run, check, found)
-    tables = [("Members under faults", [TABLE_HEAD, *found.rows])]
+    detections = check.check()
+    figures = judged.figures | membership_figures(run, check, detections)
+    tables = [("Members under faults", [TABLE_HEAD, *detections.rows])]
     return RunResult(figures, judged.verdict, judged.book, tables, "sockets")
--- a/marlseam/experiment/cluster_publications.py
+++ b/marlseam/experiment/cluster_publications.py
@@ -72,7 +72,10 @@
         return {"settings": settings, "why": f"change {number}"}
 
     def _wait_for_result(self, node: str) -> str:
-        """Return the result that a node reports for its last publication, empty if none comes in time."""
+        """Return the final result that a node reports for its last publication.
+
+        Empty if none is reported within `RESULT_TIMEOUT_S` or before the run is over.
+        """
         end_s = time.monotonic() + RESULT_TIMEOUT_S
         while time.monotonic() < end_s and not self._is_over():
             status = cluster_admin.cluster_status(self._admin_addresses[node])
--- a/marlseam/experiment/cluster_relay.py
+++ b/marlseam/experiment/cluster_relay.py
@@ -87,9 +87,7 @@
     def __init__(self, node_addresses: Mapping[str, str], table: ClusterTable, seed: int) -> None:
         """Bind a socket for each ordered pair of the nodes in `node_addresses` (addresses by name)."""
         self.node_addresses, self._table = node_addresses, table
-        self.random = RandomSource(
-            f"rig:{seed}"
-        )  # unchanged, so that a seed draws the same in later versions
+        self.random = RandomSource(f"rig:{seed}")  # the text stays: a seed draws the same in later versions
         self._sockets: dict[Pair, socket.socket] = {}
         for sender in node_addresses:
             for receiver in node_addresses:
--- a/marlseam/experiment/cluster_run.py
+++ b/marlseam/experiment/cluster_run.py
@@ -88,7 +88,7 @@
         return self.last_statuses
 
     def play(self, show_progress: ShowProgress, find_unhealed: FindUnhealed) -> None:
-        """Play the day under faults, until the driver ends it.
+        """Play the day under faults, and stop the relay once the driver has ended the day.
 
         `find_unhealed` is called after the last fault until it returns no deviation. Raises RunFailedError
         where the relay's thread has ended with an exception.
--- a/marlseam/experiment/cluster_scale.py
+++ b/marlseam/experiment/cluster_scale.py
@@ -111,7 +111,7 @@
     cpu_s: float
 
     def figures(self) -> dict[str, float]:
-        """Return the sample under the keys of reports."""
+        """Return the figures of the sample, by their names in reports."""
         return {
             "not_told": self.undetected,
             "median_s": self.median_s,
@@ -147,7 +147,7 @@
     violations: float
 
     def figures(self) -> dict[str, float]:
-        """Return the sample under the keys of reports."""
+        """Return the figures of the sample, by their names in reports."""
         return {
             "not_acting": self.not_acting,
             "act_median_s": self.median_s,
--- a/marlseam/experiment/durable_state_run.py
+++ b/marlseam/experiment/durable_state_run.py
@@ -1,4 +1,4 @@
-"""Runs on loopback of nodes that may keep durable state, which begin with empty state directories."""
+"""Runs on loopback of nodes that may keep durable state and that start with empty state directories."""
 
 import shutil
 from collections.abc import Callable
@@ -20,13 +20,13 @@
 from marlseam.verification.verdict import Verdict, Violation
 
 ONE_EFFECT_RULE = "no effect twice"
-WAIT_MS = 1000.0  # that a request may wait until its record is durable
+WAIT_MS = 1000.0  # how long a request may wait until its record is durable
 
 Sync = Literal["durable", "written"]
 
 
 class DriverOptions(TypedDict, total=False):
-    """Those of `SocketOptions` that plays of durable state set."""
+    """The fields of `SocketOptions` that the plays of durable state set."""
 
     operator_settings: str
     before_first_start: Callable[[str, dict[str, str]], None]
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True)
 class SocketRun:
-    """A run that is over.
+    """A finished run on sockets.
 
     Attributes:
-        result: its figures.
-        verdict: what the check of the rules found.
-        book: all records.
-        counted: what the load generator counted.
-        driver: the driver, with its nodes' names.
+        result: the result of the run, with its figures.
+        verdict: the verdict on the rules of service.
+        book: all records of the run.
+        counted: the counts and latencies of the load generators.
+        driver: the driver that played the day.
     """
 
     result: RunResult
@@ -57,7 +57,7 @@
     driver: SocketDriver
 
     def double_effects(self) -> list[Violation]:
-        """Return the requests that had two effects."""
+        """Return the violations of the rule that no request may take effect twice."""
         return [
             violation
             for rule in self.verdict.rules
@@ -67,17 +67,21 @@
 
 
 def store_settings(sync: Sync, wait_ms: float = WAIT_MS) -> str:
-    """Return a node's own settings that turn its store on; the driver fills in `{folder}`."""
+    """Return the operator settings that turn a node's store on, as TOML; the driver fills in `{folder}`."""
     return f'[store]\nfolder = "{{folder}}"\nsync = "{sync}"\nwait_ms = {wait_ms:g}\n'
 
 
 def state_path(out: Path, name: str) -> Path:
-    """Return a node's state directory."""
+    """Return the path of a node's state directory in a run's folder."""
     return out / "state" / name
 
 
 def run_on_sockets(day: Day, seed: int, out: Path, **options: Unpack[DriverOptions]) -> SocketRun:
-    """Play a day on loopback; each node's state directory is empty unless `before_first_start` fills it."""
+    """Play a day on loopback; each node's state directory is empty unless `before_first_start` fills it.
+
+    State directories of an earlier run in `out` are deleted. Raises RunFailedError where the records have no
+    verdict.
+    """
     shutil.rmtree(out / "state", ignore_errors=True)
     (out / "state").mkdir(parents=True)
     options.setdefault("before_first_start", lambda name, _: create_state(state_path(out, name), name))
@@ -86,5 +90,7 @@
     counted = merge(tallies, len(arrivals_of(day, seed)))
     result = plays.judge_records(*records.read_folder(out / "records"), driver="sockets")
     if result.verdict is None or result.book is None:
-        raise RunFailedError(f"the records of {out} were not judged")
+        raise RunFailedError(
+            f"the records of the run in {out} have no verdict, expected one from the check of the rules"
+        )
     return SocketRun(result, result.verdict, result.book, counted, driver)
--- a/marlseam/experiment/idempotency_kills.py
+++ b/marlseam/experiment/idempotency_kills.py
@@ -1,6 +1,7 @@
 """The plays `receipts` and `receipts_disks`: nodes are killed while they work on keyed requests.
 
-No keyed request may have two effects, with a store that makes the node's records durable, on any disk.
+With a store that makes a node's records durable, no keyed request may take effect twice, whatever faults the
+node's disk has.
 """
 
 import time
@@ -33,19 +34,19 @@
 from marlseam.store.state_directory import StateDirectory
 from marlseam.verification.book import RunRecords
 
-DISK_MODULE = "marlseam.emulators.disk"  # as which a node runs whose disk has faults
-READ_DELAY_MS = 2000.0  # of a server's memory that may pass until a state directory is read after a run
-FIRST_KILL_SHARE, LAST_KILL_SHARE = 0.1, 0.95  # of the day, between which nodes are killed
+DISK_MODULE = "marlseam.emulators.disk"  # the Python module of a node whose disk has faults
+READ_DELAY_MS = 2000.0  # deducted from a server's memory: a state directory is read up to 2 s after a run
+FIRST_KILL_SHARE, LAST_KILL_SHARE = 0.1, 0.95  # shares of the day between which nodes are killed
 KILL_S = 1.0
 DAMAGED_BIT = 0x10
 
 
 class DiskCase(DiskFaults, frozen=True):
-    """One disk under a node.
+    """One disk of a node, with its faults.
 
     Attributes:
-        name: of the case, with which its figures' names begin.
-        torn: before every so many-th start a byte of what the disk holds changes; 0: never.
+        name: the name of the case, with which the names of its figures begin.
+        torn: a byte of the journal is damaged before every `torn`-th restart; 0 for never.
     """
 
     name: str = "quick"
@@ -56,11 +57,11 @@
     """Table `receipts` of an experiment file: kills at random times.
 
     Attributes:
-        kills: how many.
-        sync: when a record counts as durable.
-        wait_ms: how long a request may wait for its record, in `receipts_disks`.
-        disks: that are played in `receipts_disks`.
-        at_once: how many of these at a time.
+        kills: how many kills a day has.
+        sync: when a record counts as durable: once it is synced (durable) or written.
+        wait_ms: how long a request may wait until its record is durable, in ms; in `receipts_disks` only.
+        disks: the disks on which `receipts_disks` plays the day.
+        at_once: how many of these disks are played at the same time.
     """
 
     kills: Count = 10
@@ -71,7 +72,7 @@
 
 
 def with_kills(experiment: Experiment, settings: KillSettings) -> Day:
-    """Return the experiment's day with kills of its nodes."""
+    """Return the experiment's day with kills of all its nodes at times drawn from the seed."""
     day = experiment.day
     random = stream(experiment.head.seed, "kills")
     earliest_s, latest_s = FIRST_KILL_SHARE * day.seconds, LAST_KILL_SHARE * day.seconds
@@ -80,11 +81,11 @@
     return replace(day, troubles=[*day.troubles, *kills])
 
 
-# Disks with faults.
+# The play `receipts_disks`: nodes on disks with faults.
 
 
 def damage_journal(path: Path) -> None:
-    """Change a byte in the middle of a state directory's newest journal."""
+    """Flip a bit in the middle of a state directory's newest journal, if there is one."""
     journals = sorted(path.glob("journal-*"))
     if journals:
         data = bytearray(journals[-1].read_bytes())
@@ -93,10 +94,10 @@
 
 
 def unrecorded_keys(book: RunRecords, day: Day, path: Path, name: str, now_ms: float) -> list[str]:
-    """Return the keys that servers received and still know, of which a node's state directory knows nothing.
+    """Return the keys that servers received and still remember, but that a node's state directory lacks.
 
-    Where the directory says that something was lost there are none: the node's next process takes any key as
-    perhaps run.
+    `now_ms` is the time of the run. The result is empty where the directory records a loss of history: the
+    node's next process then treats every key as one that may have run.
     """
     state = StateDirectory(Disk(path), name).load(1000.0 * time.time())
     if state.lost_ms is not None:
@@ -106,35 +107,35 @@
         for request_type in day.types
         if request_type.effect == "receipted"
     }
-    found = []
+    missing_keys = []
     for try_id, attempts in book.attempts.items():
         request = book.tries.get(try_id)
         if request is None or request.receipt is None or request.receipt in state.sent:
             continue
         if is_refused(book, try_id):
             continue
-        known_ms = memory_ms.get(request.type, 0.0) - READ_DELAY_MS
-        if any(now_ms - attempt.t < known_ms for attempt in attempts):
-            found.append(request.receipt)
-    return found
+        remembered_ms = memory_ms.get(request.type, 0.0) - READ_DELAY_MS
+        if any(now_ms - attempt.t < remembered_ms for attempt in attempts):
+            missing_keys.append(request.receipt)
+    return missing_keys
 
 
 def is_refused(book: RunRecords, try_id: str) -> bool:
-    """Return whether a server refused an attempt of a try."""
+    """Return whether a server refused any attempt of a try, so that this attempt did not run."""
     ends = book.attempt_ends.get(try_id, ())
     return any(isinstance(end, records.AttemptRefused) for end in ends)
 
 
 @dataclass(frozen=True)
 class DiskFigures:
-    """What came of the kills on one disk.
+    """The figures of a day with kills on one disk.
 
     Attributes:
-        repeats: requests that had two effects.
-        missing: keys that servers know and the node's state directory does not.
-        rules_broken: violations of all rules.
+        repeats: the number of requests that took effect twice.
+        missing: the number of keys that servers remember and the nodes' state directories lack.
+        rules_broken: the number of violations of all rules.
         service: the service figure of the run.
-        refused: the share of keyed tries that were answered without work.
+        refused: the share of keyed tries that were deferred or aborted.
     """
 
     repeats: float
@@ -144,7 +145,7 @@
     refused: float
 
     def by_name(self, case_name: str) -> dict[str, float]:
-        """Return the figures by the names that experiment files expect them under."""
+        """Return the figures by the names used in experiment files."""
         return {
             f"{case_name}_repeats": self.repeats,
             f"{case_name}_missing": self.missing,
@@ -154,7 +155,7 @@
         }
 
     def row(self, case_name: str) -> list[str]:
-        """Return the row of the report."""
+        """Return the row of this disk in the report's table."""
         counts = (self.repeats, self.missing, self.rules_broken)
         return [
             case_name,
@@ -165,14 +166,14 @@
 
 
 def play_disk(experiment: Experiment, day: Day, case: DiskCase, out: Path) -> DiskFigures:
-    """Play a day with kills on one disk."""
+    """Play a day with kills on one disk, and return its figures."""
     settings: KillSettings = experiment.tables["receipts"]
     faults = {name: getattr(case, name) for name in DiskFaults.__struct_fields__}
-    over = out / "over"  # a file whose presence ends calls that hang
+    end_file = out / "over"  # disk calls that hang return once this file exists
     out.mkdir(parents=True, exist_ok=True)
-    over.unlink(missing_ok=True)
-    env = {FAULTS_VARIABLE: json.encode(faults).decode(), END_FILE_VARIABLE: str(over)}
-    starts = count(1)
+    end_file.unlink(missing_ok=True)
+    env = {FAULTS_VARIABLE: json.encode(faults).decode(), END_FILE_VARIABLE: str(end_file)}
+    restarts = count(1)
     try:
         run = run_on_sockets(
             day,
@@ -181,22 +182,22 @@
             operator_settings=store_settings(settings.sync, settings.wait_ms),
             node_module=lambda _name: DISK_MODULE,
             node_environment=lambda _name: env,
-            before_restart=lambda name: damage_at_start(state_path(out, name), starts, case.torn),
+            before_restart=lambda name: damage_before_restart(state_path(out, name), restarts, case.torn),
         )
     finally:
-        over.touch()
+        end_file.touch()
     return disk_figures(run, day, out)
 
 
-def damage_at_start(path: Path, starts: Iterator[int], every: int) -> None:
-    """Count a start of a node, and damage its journal before every so many-th; 0: never."""
-    start = next(starts)
-    if every and start % every == 0:
+def damage_before_restart(path: Path, restarts: Iterator[int], every: int) -> None:
+    """Count a restart, and damage the journal in `path` before every `every`-th restart; 0 for never."""
+    restart = next(restarts)
+    if every and restart % every == 0:
         damage_journal(path)
 
 
 def disk_figures(run: SocketRun, day: Day, out: Path) -> DiskFigures:
-    """Return the figures of a run on one disk."""
+    """Return the figures of a run on one disk; reads the nodes' state directories in `out`."""
     book, now_ms = run.book, run.driver.recorder.now_ms()
     missing = [
         key
@@ -219,26 +220,26 @@
 
 @register_play("receipts_disks")
 def receipts_disks(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Kill a node at random times while it works on keyed requests, on each of some disks."""
+    """Kill nodes at random times while they work on keyed requests, on each disk of the table."""
     settings: KillSettings = experiment.tables["receipts"]
     day = with_kills(experiment, settings)
     rows = [["disk", "two effects", "keys not on disk", "rules broken", "service", "keyed tries refused"]]
-    found: dict[str, float] = {}
+    all_figures: dict[str, float] = {}
     with ThreadPoolExecutor(settings.at_once) as pool:
         runs = [
             (case, pool.submit(play_disk, experiment, day, case, out / case.name)) for case in settings.disks
         ]
         for case, run in runs:
             figures = run.result()
-            show_progress(f"{case.name} played")
+            show_progress(f"disk {case.name} played")
             rows.append(figures.row(case.name))
-            found |= figures.by_name(case.name)
+            all_figures |= figures.by_name(case.name)
     for name in ("repeats", "missing", "rules_broken"):
-        found[name] = sum(value for key, value in found.items() if key.endswith(f"_{name}"))
-    return RunResult(found, tables=[(f"{settings.kills} kills on each disk", rows)], driver="sockets")
+        all_figures[name] = sum(value for key, value in all_figures.items() if key.endswith(f"_{name}"))
+    return RunResult(all_figures, tables=[(f"{settings.kills} kills on each disk", rows)], driver="sockets")
 
 
-# With a store and without.
+# The play `receipts`: nodes with a store and without one.
 
 
 @register_play("receipts")
@@ -259,12 +260,12 @@
 
 
 def lost_tries(run: SocketRun) -> int:
-    """Return how many tries ended without an answer."""
+    """Return how many sent tries were lost without an answer."""
     return sum(answer.how == "lost" for answer in run.book.of_type(records.TryAnswered))
 
 
 def store_row(name: str, kills: int, run: SocketRun) -> list[str]:
-    """Return the row of the report on a run with a store or without."""
+    """Return the row of one run, with the store on or off, in the report's table."""
     figures = run.result.figures
     return [
         name,
@@ -277,15 +278,15 @@
 
 
 def store_figures(runs: dict[str, SocketRun]) -> dict[str, float]:
-    """Return the figures of runs by the names that experiment files expect them under."""
-    found: dict[str, float] = {}
+    """Return the figures of the runs by the names used in experiment files; `runs` are by `on` and `off`."""
+    figures: dict[str, float] = {}
     for name, run in runs.items():
-        found[f"{name}_repeats"] = float(len(run.double_effects()))
-        found[f"{name}_lost"] = float(lost_tries(run))
-        found[f"{name}_service"] = run.result.figures["service"]
-    return found
+        figures[f"{name}_repeats"] = float(len(run.double_effects()))
+        figures[f"{name}_lost"] = float(lost_tries(run))
+        figures[f"{name}_service"] = run.result.figures["service"]
+    return figures
 
 
 def register() -> None:
-    """Make the table of these plays known to experiment files."""
+    """Register the table of these plays for experiment files."""
     file.register("receipts", KillSettings)
--- a/marlseam/experiment/ledger_comparison.py
+++ b/marlseam/experiment/ledger_comparison.py
@@ -1,4 +1,4 @@
-"""Compares what servers saw of a run with what the nodes' ledgers say."""
+"""Compares the attempts that servers recorded in a run with the attempts in the nodes' ledgers."""
 
 from collections import defaultdict
 from collections.abc import Mapping
@@ -11,16 +11,16 @@
 from marlseam.cluster.audit import SENT, Audit
 from marlseam.store import ledger_audit
 
-CLOCK_ERROR_MS = 20.0  # one machine: by which a node's clock, read at its start, may be off
-MAX_TRANSIT_MS = 300.0  # from the stamp of an attempt until its server records it
+CLOCK_ERROR_MS = 20.0  # the largest error of a node's clock, read at its start; all nodes are on one machine
+MAX_TRANSIT_MS = 300.0  # from when a node stamps an attempt until the server records it
 
 
 class AttemptSeen(NamedTuple):
-    """An attempt that a server took.
+    """An attempt that a server received.
 
     Attributes:
-        at_ms: when, in ms of the run.
-        stamp: that the attempt carried.
+        at_ms: when the server received the attempt, in ms of the run.
+        stamp: the stamp that the attempt carried.
     """
 
     at_ms: float
@@ -28,33 +28,33 @@
 
 
 class ProcessKey(NamedTuple):
-    """One process of a node."""
+    """Identifies one process of a node."""
 
     node: str
     generation: int
 
 
 class IntervalKey(NamedTuple):
-    """An interval in which a process acted on one version."""
+    """Identifies an interval, by its number, in which a process acted on one version."""
 
     process: ProcessKey
     number: int
 
 
 class LedgerComparison:
-    """What servers saw, compared with what the ledgers say.
+    """Compares the attempts that servers received with those in the ledgers.
 
     Attributes:
-        audit: what the ledgers say.
-        attempts: what servers took.
-        attempt_times_ms: when they took the attempts of each interval.
-        without_stamp: how many attempts carried none.
+        audit: the audit of the ledgers.
+        attempts: the attempts that servers received.
+        attempt_times_ms: when servers received the attempts of each interval, in ms of the run.
+        without_stamp: how many received attempts carried no stamp.
     """
 
     def __init__(
         self, ledgers: list[Path], all_records: list[records.Record], lease_ms: float, zero_ms: float
     ) -> None:
-        """Read the ledgers of a run that began at a Unix time, and its records."""
+        """Read the ledgers and the records of a run; `zero_ms` is the Unix time of its time 0, in ms."""
         self.audit: Audit = ledger_audit.read(ledgers, CLOCK_ERROR_MS)
         self._lease_ms, self._zero_ms = lease_ms, zero_ms
         self.attempts: list[AttemptSeen] = []
@@ -62,10 +62,10 @@
         self.without_stamp = 0
         for record in all_records:
             if isinstance(record, records.AttemptReceived):
-                self._take_attempt(record)
+                self._add_attempt(record)
 
-    def _take_attempt(self, record: records.AttemptReceived) -> None:
-        """Take in that a server took an attempt."""
+    def _add_attempt(self, record: records.AttemptReceived) -> None:
+        """Add an attempt that a server received; raises ValueError for an invalid stamp."""
         if not record.acting:
             self.without_stamp += 1
             return
@@ -75,14 +75,14 @@
         self.attempts.append(AttemptSeen(record.t, stamp))
 
     def first_held_ms(self) -> dict[int, float]:
-        """Return when each version was first held, in ms of the run, by its number."""
+        """Return when each version was first held by any node, in ms of the run, by version number."""
         return {
             number: min(times_ms.values()) - self._zero_ms
             for number, times_ms in self.audit.first_held_ms.items()
         }
 
     def _sent_in_ledgers(self) -> dict[IntervalKey, int]:
-        """Return the attempts sent in each interval, by the ledgers."""
+        """Return the number of attempts sent in each interval, according to the ledgers."""
         return {
             IntervalKey(ProcessKey(node, process.started.generation), number): interval.counts[SENT]
             for node, processes in self.audit.processes.items()
@@ -91,7 +91,10 @@
         }
 
     def _unknown_since_ms(self) -> dict[ProcessKey, float]:
-        """Return since when the actions of killed processes may be missing, in ms of the run."""
+        """Return since when actions of each killed process may be missing in its ledger, in ms of the run.
+
+        The times are CLOCK_ERROR_MS early, for the error of the node's clock.
+        """
         return {
             ProcessKey(node, process.started.generation): (
                 process.unknown.from_ms - self._zero_ms - CLOCK_ERROR_MS
@@ -104,9 +107,10 @@
     def _known_attempts(
         self, interval: IntervalKey, in_ledger: int, unknown_since_ms: Mapping[ProcessKey, float]
     ) -> int:
-        """Return how many of the attempts seen in an interval its ledger is to hold.
+        """Return how many of the attempts that servers received in an interval its ledger must contain.
 
-        Only what came after the last counts of a killed process may be missing.
+        `in_ledger` is the number in the ledger. Only attempts after the last counts that a killed process
+        wrote may be missing.
         """
         times_ms = self.attempt_times_ms.get(interval, [])
         since_ms = unknown_since_ms.get(interval.process)
@@ -115,7 +119,10 @@
         return max(in_ledger, sum(at_ms <= since_ms for at_ms in times_ms))
 
     def differences(self) -> dict[str, float]:
-        """Return differences between both, and the attempts that the ledgers declare as unknown."""
+        """Return the figures of differences between servers and ledgers, by name.
+
+        `unknown` are the attempts that may be missing in the ledgers of killed processes.
+        """
         sent, unknown_since_ms = self._sent_in_ledgers(), self._unknown_since_ms()
         differences = unknown = 0
         for interval in sent.keys() | self.attempt_times_ms.keys():
@@ -136,9 +143,11 @@
         }
 
     def staleness(self) -> dict[str, float]:
-        """Return attempts past the bound, and how near the others came to it.
+        """Return the figures of attempts that acted on a version as proven after a newer one was first held.
 
-        A version may be acted on as proven for one lease after a newer one was held.
+        A version may be acted on as proven for one lease after a newer version was first held. The figures
+        are the number of attempts later than this bound, how late the latest attempt was as a share of the
+        bound, and the share of attempts without a proof.
         """
         first_held_ms = self.first_held_ms()
         bound_ms = self._lease_ms + MAX_TRANSIT_MS
--- a/marlseam/experiment/stale_list_start.py
+++ b/marlseam/experiment/stale_list_start.py
@@ -1,4 +1,4 @@
-"""The play `old_list`: all nodes start from a saved endpoint list that is old, while discovery is down."""
+"""The play `old_list`: all nodes start from an old saved endpoint list while discovery is down."""
 
 import socket
 import time
@@ -22,7 +22,7 @@
 from marlseam.store.state_directory import StateDirectory
 from marlseam.verification.book import RunRecords
 
-FIRST_GONE_CELL, FIRST_MOVED_CELL = 9000, 9500  # of entries whose servers are not in the day
+FIRST_GONE_CELL, FIRST_MOVED_CELL = 9000, 9500  # cells of list entries whose servers are not in the day
 LIST_VERSION = 1
 SOCKET_FIGURES = (
     "service",
@@ -48,14 +48,14 @@
 
 
 class StaleListSettings(Strict, frozen=True):
-    """Table `old_list` of an experiment file: a saved list, and discovery's outage.
+    """Table `old_list` of an experiment file: a saved list and an outage of discovery.
 
     Attributes:
-        age_s: the list's age in seconds.
-        gone: the share of its entries whose servers are gone.
-        reused: the share of its entries whose addresses other servers have now.
-        down_s: for how many seconds discovery is down.
-        seeds: played in virtual time.
+        age_s: the age of the list, in seconds.
+        gone: the share of list entries whose servers are gone.
+        reused: the share of list entries whose addresses now belong to other servers.
+        down_s: how long discovery is down from the start, in seconds.
+        seeds: how many seeds are played in virtual time.
     """
 
     age_s: Positive = 86400.0
@@ -65,28 +65,28 @@
     seeds: Count = 20
 
     def entry_count(self, day: Day) -> float:
-        """Return how many entries a list has that names all servers of a day."""
+        """Return how many entries a list has that contains all servers of a day besides its stale entries."""
         return len(placed_servers(day)) / (1.0 - self.gone - self.reused)
 
     def with_outage(self, day: Day) -> Day:
-        """Return a day in which discovery is down at first."""
+        """Return a copy of a day in which discovery is down for the first `down_s` seconds."""
         outage = Fault(what="roster_outage", at_s=0.0, for_s=self.down_s)
         return replace(day, troubles=[*day.troubles, outage])
 
 
 @register_play("old_list")
 def old_list(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Start all nodes together from an old list with discovery down, and play the same day with it up."""
+    """Start all nodes from an old list with discovery down, and play the same day with discovery up."""
     if experiment.head.driver == "virtual":
         return play_virtual(experiment, show_progress)
     return play_on_sockets(experiment, out, show_progress)
 
 
-# On loopback.
+# The play on loopback sockets.
 
 
 def closed_port() -> int:
-    """Return a port on which nobody listens."""
+    """Return a loopback TCP port on which no process listens; the port is not reserved."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port: int = sock.getsockname()[1]
@@ -96,10 +96,10 @@
 def stale_entries(
     day: Day, addresses: dict[str, str], settings: StaleListSettings
 ) -> list[dict[str, object]]:
-    """Return the entries of an old list, in discovery's form.
+    """Return the entries of an old endpoint list, in discovery's format; `addresses` are by server name.
 
-    They are those of all servers, some of servers that are gone, and some of gone servers whose addresses
-    other servers have now.
+    The list has an entry for each server of the day, entries of servers that are gone and on whose addresses
+    no process listens, and entries of servers that are gone and whose addresses now belong to other servers.
     """
     total = settings.entry_count(day)
     entries: list[dict[str, object]] = [
@@ -122,7 +122,7 @@
 
 
 def save_list(path: Path, name: str, entries: list[dict[str, object]], age_s: float) -> None:
-    """Make a node's state directory, and write a list of some age into it."""
+    """Create a node's state directory with an endpoint list that was confirmed `age_s` seconds ago."""
     path.mkdir(parents=True)
     now_ms = 1000.0 * time.time()
     stored = ListStored(LIST_VERSION, entries, now_ms - 1000.0 * age_s)
@@ -132,12 +132,12 @@
 
 
 def play_on_sockets(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Play the day once with discovery up from the start, and once from an old list with it down."""
+    """Play the day with discovery up from the start, then from an old list with discovery down at first."""
     settings: StaleListSettings = experiment.tables["old_list"]
     seed, day = experiment.head.seed, experiment.day
-    show_progress("the roster up")
+    show_progress("discovery up")
     up = run_on_sockets(day, seed, out / "up")
-    show_progress("the roster down, from an old list")
+    show_progress("discovery down, start from an old list")
 
     def prepare(name: str, addresses: dict[str, str]) -> None:
         entries = stale_entries(day, addresses, settings)
@@ -158,7 +158,7 @@
 
 
 def socket_figures(up: SocketRun, down: SocketRun, day: Day, settings: StaleListSettings) -> Figures:
-    """Return what the two runs came to, by the names that experiment files expect."""
+    """Return the figures that compare the two runs, by the names used in experiment files."""
     up_figures, nodes = up.result.figures, day.fleet.nodes
     back_ms = 1000.0 * settings.down_s
     list_ms = first_list_ms(down.book, back_ms)
@@ -173,27 +173,27 @@
 
 
 def first_list_ms(book: RunRecords, since_ms: float) -> dict[str, float]:
-    """Return how long after a time each node first got a list, by node, in ms."""
-    found: dict[str, float] = {}
+    """Return the time from `since_ms` until each node's first successful call of discovery, in ms by node."""
+    taken_ms: dict[str, float] = {}
     for call in book.of_type(records.EndpointListCalled):
         if call.served and call.t >= since_ms:
-            found.setdefault(call.node, call.t - since_ms)
-    return found
+            taken_ms.setdefault(call.node, call.t - since_ms)
+    return taken_ms
 
 
 def peak_calls(book: RunRecords, since_ms: float) -> int:
-    """Return the most calls of discovery in one second, from a time on."""
+    """Return the largest number of calls of discovery in one second of the run, from `since_ms` on."""
     calls = book.of_type(records.EndpointListCalled)
     times_ms = [call.t for call in calls if call.t >= since_ms] or [since_ms]
     seconds = np.array(times_ms).astype(int) // 1000
     return int(max(np.bincount(seconds)))
 
 
-# In virtual time.
+# The play in virtual time.
 
 
 def play_day(day: Day, seed: int, start: StaleListStart | None) -> Figures:
-    """Play one day in virtual time, from an old list if one is given; return its figures."""
+    """Play one day in virtual time, from an old list if `start` is given; return its figures."""
     streams = RecordStreams(None, "driver")
     VirtualDriver(day, seed, streams, stale_list=start).run()
     kept = (record for writer in streams.writers.values() for record in writer.records)
@@ -201,16 +201,16 @@
 
 
 def play_virtual(experiment: Experiment, show_progress: ShowProgress) -> RunResult:
-    """Start all nodes of a cluster together, over many seeds.
+    """Start all nodes of a cluster together, with discovery up and down, over many seeds.
 
-    An address that another server has now counts as gone.
+    A list entry whose address now belongs to another server counts as gone.
     """
     settings: StaleListSettings = experiment.tables["old_list"]
     day, seed = experiment.day, experiment.head.seed
     start = stale_start(day, settings)
     down_day = settings.with_outage(day)
     rows = [list(VIRTUAL_HEAD)]
-    found: Figures = {}
+    all_figures: Figures = {}
     with ProcessPoolExecutor() as pool:
         seeds = range(seed, seed + settings.seeds)
         runs = {
@@ -218,33 +218,36 @@
             "down": [pool.submit(play_day, down_day, number, start) for number in seeds],
         }
         for name, futures in runs.items():
-            show_progress(f"the roster {name}")
+            show_progress(f"discovery {name}")
             figures = mean_figures(name, [future.result() for future in futures])
             rows.append(virtual_row(name, figures))
-            found |= figures
-    found["rules_broken"] = found["up_rules_broken"] + found["down_rules_broken"]
-    found["service_lost"] = found["up_service"] - found["down_service"]
+            all_figures |= figures
+    all_figures["rules_broken"] = all_figures["up_rules_broken"] + all_figures["down_rules_broken"]
+    all_figures["service_lost"] = all_figures["up_service"] - all_figures["down_service"]
     title = f"From an old list, {settings.seeds} seeds"
-    return RunResult(found, tables=[(title, rows)], driver="virtual")
+    return RunResult(all_figures, tables=[(title, rows)], driver="virtual")
 
 
 def stale_start(day: Day, settings: StaleListSettings) -> StaleListStart:
-    """Return how many entries of an old list are gone, and what a node that reads it makes of each."""
+    """Return how many entries of an old list are gone, and the doubt in each entry by the list's age."""
     gone = round(settings.entry_count(day) * (settings.gone + settings.reused))
     doubt = saved_list.entry_doubt(1000.0 * settings.age_s, saved_list.DepartureRate())
     return StaleListStart(gone, doubt)
 
 
 def mean_figures(name: str, runs: list[Figures]) -> Figures:
-    """Return the mean figures of runs, their largest margin, and the sum of rules broken; under a name."""
-    found = {f"{name}_{key}": float(np.mean([run[key] for run in runs])) for key in runs[0]}
-    found[f"{name}_cold_most"] = max(run["margin_cold_spared"] for run in runs)
-    found[f"{name}_rules_broken"] = sum(run["rules_broken"] for run in runs)
-    return found
+    """Return the means of the runs' figures, the largest cold margin and the sum of broken rules.
+
+    The names of the figures begin with `name` and an underscore.
+    """
+    figures = {f"{name}_{key}": float(np.mean([run[key] for run in runs])) for key in runs[0]}
+    figures[f"{name}_cold_most"] = max(run["margin_cold_spared"] for run in runs)
+    figures[f"{name}_rules_broken"] = sum(run["rules_broken"] for run in runs)
+    return figures
 
 
 def virtual_row(name: str, figures: Figures) -> list[str]:
-    """Return the row of the report with discovery up or down."""
+    """Return the row of the runs with discovery up or down (`name`) in the report's table."""
     shares = [f"{figures[f'{name}_{key}']:.4f}" for key in ("service", "late", "worst_10s")]
     margins = [f"{figures[f'{name}_{key}']:.3f}" for key in ("margin_cold_spared", "cold_most")]
     counts = [f"{figures[f'{name}_{key}']:.0f}" for key in ("deferred", "rules_broken")]
@@ -252,5 +255,5 @@
 
 
 def register() -> None:
-    """Make this play's table known to experiment files."""
+    """Register the table of this play for experiment files."""
     file.register("old_list", StaleListSettings)
--- a/marlseam/experiment/store_cost.py
+++ b/marlseam/experiment/store_cost.py
@@ -1,4 +1,4 @@
-"""The play `store_cost`: what keeping durable state costs a node, beside the same load without a store."""
+"""The play `store_cost`: what a store costs a node, compared with the same load without a store."""
 
 from pathlib import Path
 
@@ -10,10 +10,10 @@
 from marlseam.experiment.plays import RunResult, ShowProgress, register_play
 from marlseam.simulation.model import Count, Positive, Strict
 
-SERVER_PROCESSES = 3  # that the emulated servers are split among
+SERVER_PROCESSES = 3  # over which the emulated servers are spread
 NO_STORE = "off"
 SYNCS: tuple[Sync, ...] = ("written", "durable")
-COMPARED_FIGURES = ("p50", "p99", "cpu_ms")  # with those without a store
+COMPARED_FIGURES = ("p50", "p99", "cpu_ms")  # reported as ratios to the run without a store
 MIN_DIVISOR = 1e-9
 
 Figures = dict[str, float]
@@ -23,9 +23,9 @@
     """Table `store_cost` of an experiment file: a load of keyed requests.
 
     Attributes:
-        rate: requests a second.
-        seconds: for which the load lasts.
-        connections: of the load generator.
+        rate: requests per second.
+        seconds: how long the load lasts, in seconds.
+        connections: how many connections the load generator has.
     """
 
     rate: Positive = 200.0
@@ -34,7 +34,7 @@
 
 
 def cost_figures(run: SocketRun, out: Path) -> Figures:
-    """Return what a run cost: latencies and processor time in ms, and bytes of journals a request."""
+    """Return the cost of a run: latencies in ms, and CPU ms and journal bytes per completed request."""
     completed = max(1.0, run.result.figures["completed"])
     journal_bytes = sum(path.stat().st_size for path in (out / "state").rglob("journal-*"))
     return {
@@ -47,7 +47,7 @@
 
 
 def row_of(name: str, cost: Figures) -> list[str]:
-    """Return the row of the report on one run."""
+    """Return the row of one run in the report's table."""
     return [
         name,
         f"{cost['p50']:.2f}",
@@ -60,19 +60,19 @@
 
 @register_play("store_cost")
 def store_cost(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Play the same load without a store and with each way of syncing it, in turn."""
+    """Play the same load without a store and then with each sync mode of the store."""
     settings: StoreCostSettings = experiment.tables["store_cost"]
     load = replace(experiment.day.load, rate=settings.rate)
     day = replace(experiment.day, seconds=settings.seconds, load=load)
     costs: dict[str, Figures] = {}
-    own_settings = {NO_STORE: ""} | {str(sync): store_settings(sync) for sync in SYNCS}
-    for name, own in own_settings.items():
+    settings_by_run = {NO_STORE: ""} | {str(sync): store_settings(sync) for sync in SYNCS}
+    for name, operator_settings in settings_by_run.items():
         show_progress(f"store {name}")
         run = run_on_sockets(
             day,
             experiment.head.seed,
             out / name,
-            operator_settings=own,
+            operator_settings=operator_settings,
             connection_count=settings.connections,
             uses_network=False,
             server_process_count=SERVER_PROCESSES,
@@ -80,13 +80,13 @@
         costs[name] = cost_figures(run, out / name)
     rows = [["store", "p50, ms", "p99, ms", "CPU a job, ms", "bytes a job", "service"]]
     rows += [row_of(name, cost) for name, cost in costs.items()]
-    found = {f"{name}_{figure}": value for name, cost in costs.items() for figure, value in cost.items()}
-    found |= cost_ratios(costs)
-    return RunResult(found, tables=[("What the store costs", rows)], driver="sockets")
+    figures = {f"{name}_{figure}": value for name, cost in costs.items() for figure, value in cost.items()}
+    figures |= cost_ratios(costs)
+    return RunResult(figures, tables=[("What the store costs", rows)], driver="sockets")
 
 
 def cost_ratios(costs: dict[str, Figures]) -> Figures:
-    """Return latencies and processor time with each way of syncing, over those without a store."""
+    """Return the ratios of latencies and CPU time with each sync mode to those without a store, by name."""
     return {
         f"{sync}_{figure}_ratio": costs[sync][figure] / max(MIN_DIVISOR, costs[NO_STORE][figure])
         for sync in SYNCS
@@ -95,5 +95,5 @@
 
 
 def register() -> None:
-    """Make this play's table known to experiment files."""
+    """Register the table of this play for experiment files."""
     file.register("store_cost", StoreCostSettings)
