--- a/marlseam/experiment/cluster_scale.py
+++ b/marlseam/experiment/cluster_scale.py
@@ -220,9 +220,11 @@
     node_seconds = count * table.calm_s
     sent = Traffic.of(simulation).since(before)
     simulation.publish(PUBLISHER, 1)
-    asked_ms = simulation.now
-    simulation.run(asked_ms + 1000.0 * table.watched_s)
-    taken_ms = sorted(simulation.applied_at_ms.get((name, 1), inf) - asked_ms for name in simulation.names)
+    published_ms = simulation.now
+    simulation.run(published_ms + 1000.0 * table.watched_s)
+    taken_ms = sorted(
+        simulation.applied_at_ms.get((name, 1), inf) - published_ms for name in simulation.names
+    )
     return PublicationSample(
         not_acting=float(sum(taken == inf for taken in taken_ms)),
         median_s=median_of(taken_ms) / 1000.0,
@@ -257,7 +259,7 @@
         tracemalloc.stop()
 
 
-def measured_bound_s(count: int) -> float:
+def detection_bound_s(count: int) -> float:
     """Return the time within which members with local health 0 detect a death, in seconds."""
     names = frozenset(f"n{i}" for i in range(count))
     any_member = Membership("fleet", "n0", names, 0, 0, PERIOD_MS, 0.0)
@@ -278,7 +280,7 @@
         self.member_rows = [MEMBERS_HEAD]
         self.version_rows = [VERSIONS_HEAD]
 
-    def _add_each(self, count: int, loss: float, figures: dict[str, float]) -> None:
+    def _add_prefixed(self, count: int, loss: float, figures: dict[str, float]) -> None:
         prefix = f"n{count}_loss{round(100 * loss)}"
         self.figures |= {f"{prefix}_{key}": value for key, value in figures.items()}
 
@@ -291,8 +293,8 @@
 
     def add_detection(self, count: int, loss: float, sample: DetectionSample) -> None:
         """Add a detection sample; only a cluster without datagram loss is checked against the bound."""
-        bound_s = measured_bound_s(count)
-        self._add_each(count, loss, sample.figures())
+        bound_s = detection_bound_s(count)
+        self._add_prefixed(count, loss, sample.figures())
         if not loss:
             self._add_sums(sample.figures(), "false", "not_told")
             self._keep_greatest("nearest", sample.longest_s / bound_s)
@@ -315,7 +317,7 @@
         self, count: int, loss: float, sample: PublicationSample, membership_bytes: float
     ) -> None:
         """Add a publication sample; `membership_bytes` are sent per member and second by membership."""
-        self._add_each(count, loss, sample.figures())
+        self._add_prefixed(count, loss, sample.figures())
         self._add_sums(sample.figures(), "not_acting", "unproved", "versions_wrong")
         total_bytes, memory_kb = membership_bytes + sample.bytes, measure_memory_kb(count)
         self._keep_greatest("bytes_most", total_bytes)
--- a/marlseam/experiment/ledger_comparison.py
+++ b/marlseam/experiment/ledger_comparison.py
@@ -15,8 +15,8 @@
 MAX_TRANSIT_MS = 300.0  # from when a node stamps an attempt until the server records it
 
 
-class AttemptSeen(NamedTuple):
-    """An attempt that a server received.
+class RecordedAttempt(NamedTuple):
+    """An attempt with a stamp that a server received.
 
     Attributes:
         at_ms: when the server received the attempt, in ms of the run.
@@ -46,9 +46,9 @@
 
     Attributes:
         audit: the audit of the ledgers.
-        attempts: the attempts that servers received.
+        attempts: the stamped attempts that servers received.
         attempt_times_ms: when servers received the attempts of each interval, in ms of the run.
-        without_stamp: how many received attempts carried no stamp.
+        unstamped_count: how many received attempts carried no stamp.
     """
 
     def __init__(
@@ -57,9 +57,9 @@
         """Read the ledgers and the records of a run; `zero_ms` is the Unix time of its time 0, in ms."""
         self.audit: Audit = ledger_audit.read(ledgers, CLOCK_ERROR_MS)
         self._lease_ms, self._zero_ms = lease_ms, zero_ms
-        self.attempts: list[AttemptSeen] = []
+        self.attempts: list[RecordedAttempt] = []
         self.attempt_times_ms: dict[IntervalKey, list[float]] = defaultdict(list)
-        self.without_stamp = 0
+        self.unstamped_count = 0
         for record in all_records:
             if isinstance(record, records.AttemptReceived):
                 self._add_attempt(record)
@@ -67,12 +67,12 @@
     def _add_attempt(self, record: records.AttemptReceived) -> None:
         """Add an attempt that a server received; raises ValueError for an invalid stamp."""
         if not record.acting:
-            self.without_stamp += 1
+            self.unstamped_count += 1
             return
         stamp = ActionStamp.parse(record.acting)
         interval = IntervalKey(ProcessKey(stamp.node, stamp.generation), stamp.interval)
         self.attempt_times_ms[interval].append(record.t)
-        self.attempts.append(AttemptSeen(record.t, stamp))
+        self.attempts.append(RecordedAttempt(record.t, stamp))
 
     def first_held_ms(self) -> dict[int, float]:
         """Return when each version was first held by any node, in ms of the run, by version number."""
@@ -133,7 +133,7 @@
         contents = self.audit.first_held_ms.values()
         return {
             "allocations": float(len(self.attempts)),
-            "differences": float(differences + self.without_stamp),
+            "differences": float(differences + self.unstamped_count),
             "unknown": float(unknown),
             "unknown_share": unknown / max(1, len(self.attempts)),
             "numbers": float(len(contents)),
--- a/marlseam/experiment/store_cost.py
+++ b/marlseam/experiment/store_cost.py
@@ -46,7 +46,7 @@
     }
 
 
-def row_of(name: str, cost: Figures) -> list[str]:
+def cost_row(name: str, cost: Figures) -> list[str]:
     """Return the row of one run in the report's table."""
     return [
         name,
@@ -79,7 +79,7 @@
         )
         costs[name] = cost_figures(run, out / name)
     rows = [["store", "p50, ms", "p99, ms", "CPU a job, ms", "bytes a job", "service"]]
-    rows += [row_of(name, cost) for name, cost in costs.items()]
+    rows += [cost_row(name, cost) for name, cost in costs.items()]
     figures = {f"{name}_{figure}": value for name, cost in costs.items() for figure, value in cost.items()}
     figures |= cost_ratios(costs)
     return RunResult(figures, tables=[("What the store costs", rows)], driver="sockets")
