--- a/marlseam/experiment/sizing/cpu_clock.py
+++ b/marlseam/experiment/sizing/cpu_clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock that is charged with processor time."""
+"""A virtual clock that advances by the processor time used."""
 
 import time
 from collections.abc import Callable
@@ -9,19 +9,19 @@
 
 
 class CpuClock:
-    """The virtual time of one in-process node, which goes on by the processor time of what runs on it.
+    """The virtual time of one in-process node, which advances by the processor time of the calls run on it.
 
-    What is due while the node is busy waits, as it would in an event loop, and how late it was is noted.
-    State machines are told `due_ms`, not `now_ms`: what they do, and so every count, is then the same on
-    every run.
+    A call that becomes due while the node is busy waits, as it would in an event loop, and its lateness is
+    recorded. State machines are given `due_ms`, not `now_ms`, so that their decisions, and with them every
+    count, are the same on every run.
 
     Attributes:
         now_ms: the virtual time; the node is busy until then.
-        due_ms: when what runs now was due.
+        due_ms: when the current call was due.
         cpu_ms: processor time used so far.
         longest_turn_ms: the longest turn since `begin_measurement`.
-        max_late_ms: the longest that a turn ended after it was due, since `clear_backlog`.
-        turns: how many there were.
+        max_late_ms: the longest time between a turn's due time and its end, since `clear_backlog`.
+        turns: the number of turns so far.
     """
 
     def __init__(self) -> None:
@@ -30,18 +30,18 @@
         self.turns = 0
 
     def current_due_ms(self) -> float:
-        """Return when what runs now was due: the time as state machines are told it."""
+        """Return when the current call was due, which is the time given to state machines."""
         return self.due_ms
 
     def advance_to(self, due_ms: float) -> None:
-        """Go on to what is due next; the virtual time stays where the node is busy for longer."""
+        """Advance to the next due time; the virtual time does not change if the node is busy for longer."""
         self.due_ms = due_ms
         self.now_ms = max(self.now_ms, due_ms)
 
     def run(
         self, call: Callable[Parameters, Result], *arguments: Parameters.args, **options: Parameters.kwargs
     ) -> Result:
-        """Return what a call returns: one turn, charged with its processor time."""
+        """Make a call as one turn, add its processor time to the clock, and return its result."""
         began_ns = time.thread_time_ns()
         try:
             return call(*arguments, **options)
@@ -49,7 +49,7 @@
             self.charge((time.thread_time_ns() - began_ns) / 1e6)
 
     def charge(self, spent_ms: float) -> None:
-        """Note a turn and its processor time."""
+        """Add one turn of `spent_ms` of processor time."""
         self.now_ms += spent_ms
         self.cpu_ms += spent_ms
         self.longest_turn_ms = max(self.longest_turn_ms, spent_ms)
@@ -57,10 +57,10 @@
         self.turns += 1
 
     def clear_backlog(self) -> None:
-        """Let the node have done all that was due, and measure anew how late it is."""
+        """Set the virtual time back to the current due time, and reset `max_late_ms`."""
         self.now_ms, self.max_late_ms = self.due_ms, 0.0
 
     def begin_measurement(self) -> float:
-        """Return the processor time used so far, and measure the longest turn anew."""
+        """Reset `longest_turn_ms`, and return the processor time used so far, in ms."""
         self.longest_turn_ms = 0.0
         return self.cpu_ms
--- a/marlseam/experiment/sizing/endpoint_list/backend_server.py
+++ b/marlseam/experiment/sizing/endpoint_list/backend_server.py
@@ -1,4 +1,4 @@
-"""All servers of an endpoint list on loopback, at one address: probes and attempts are answered at once."""
+"""All servers of an endpoint list on loopback, at one address; probes and attempts are answered at once."""
 
 import json
 import socket
@@ -11,13 +11,13 @@
 
 
 def headers_from(head: str) -> dict[str, str]:
-    """Return a request's headers, by their names in lower case."""
+    """Return the headers of a request's head, by their names in lower case."""
     fields = (line.partition(":") for line in head.split("\r\n")[1:])
     return {name.lower(): value.strip() for name, _, value in fields}
 
 
 def attempt_lines(head: str) -> bytes:
-    """Return the body that says that an attempt has begun and is done, from the server it was sent to."""
+    """Return the body with which the server of an attempt reports the attempt as started and as done."""
     headers = headers_from(head)
     line = {"id": headers[REQUEST_ID], "from": headers[HOST]}
     lines = [line | {"state": "started"}, line | {"state": "done", "result": "x"}]
@@ -25,10 +25,10 @@
 
 
 class BackendServer(ThreadedServer):
-    """Answers as whichever server a request names.
+    """Answers each request in the name of the server that its `Host` header gives.
 
     Attributes:
-        probes, attempts: how many came.
+        probes, attempts: the number of probes and attempts received.
     """
 
     def __init__(self) -> None:
@@ -36,8 +36,8 @@
         self.probes = self.attempts = 0
         self.start()
 
-    def serve(self, connection: socket.socket, number: int) -> None:  # noqa: ARG002 - all are served alike
-        """Answer probes and attempts; none has a body."""
+    def serve(self, connection: socket.socket, connection_id: int) -> None:  # noqa: ARG002 - all are served alike
+        """Answer the probes (GET) and attempts of one connection; none has a body."""
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for raw_head in request_heads(connection):
             head = raw_head.decode("latin-1")
--- a/marlseam/experiment/sizing/endpoint_list/discovery_server.py
+++ b/marlseam/experiment/sizing/endpoint_list/discovery_server.py
@@ -1,4 +1,4 @@
-"""Discovery on loopback, which counts the nodes that have taken a version of the endpoint list in."""
+"""Discovery on loopback, which counts the nodes that have applied a version of the endpoint list."""
 
 import socket
 import threading
@@ -10,31 +10,33 @@
 from marlseam.experiment.sizing.endpoint_list.source import EndpointListSource
 from marlseam.experiment.sizing.endpoint_list.threaded_server import ThreadedServer, request_heads
 
-TAKEN_IN_TIMEOUT_S = 60.0
+APPLY_TIMEOUT_S = 60.0
 
 
 class NotTakenInError(RunFailedError):
-    """Not all nodes have taken a version in, in time.
+    """Not all nodes applied a version of the endpoint list within `APPLY_TIMEOUT_S`.
 
     Attributes:
-        version: of the list.
-        holding, expected: nodes that hold it, and how many there are.
+        version: the version of the list.
+        holding: the number of nodes that hold the version or a newer one.
+        expected: the number of nodes that must hold it.
     """
 
     def __init__(self, version: int, holding: int, expected: int) -> None:
         self.version, self.holding, self.expected = version, holding, expected
         super().__init__(
-            f"{holding} of {expected} nodes took version {version} in, in {TAKEN_IN_TIMEOUT_S:g} s"
+            f"only {holding} of {expected} nodes applied version {version} of the endpoint list "
+            f"within {APPLY_TIMEOUT_S:g} s"
         )
 
 
 class ListCall(NamedTuple):
-    """A node's call.
+    """A node's call of discovery.
 
     Attributes:
-        is_watch: whether it waits for what is newer than a version; else it asks for the whole list.
-        since: that version, 0 for none.
-        wait_ms: how long it waits at most.
+        is_watch: whether the call waits for changes after a version; else it requests the whole list.
+        since: the version that the node holds; 0 if it holds none.
+        wait_ms: the longest time that a watch waits.
     """
 
     is_watch: bool
@@ -43,7 +45,7 @@
 
 
 def list_call_from(head: bytes) -> ListCall:
-    """Read a call from a request's head."""
+    """Return the call that a request's head describes."""
     target = head.split(b" ", 2)[1].decode()
     return ListCall(
         is_watch="since=" in target,
@@ -53,89 +55,90 @@
 
 
 def query_value(target: str, name: str) -> str:
-    """Return a parameter of a request's target, empty if it has none."""
+    """Return a query parameter of a request target; empty if the target does not have it."""
     return target.partition(f"{name}=")[2].partition("&")[0]
 
 
 class AnswerKey(NamedTuple):
-    """What an answer depends on while the list does not change."""
+    """The values that determine an answer while the list does not change."""
 
     since: int
     whole: bool
 
 
 class DiscoveryServer(ThreadedServer):
-    """Gives real nodes the answers of an endpoint list.
+    """Sends real nodes the answers of an endpoint list.
 
-    A node that asks for what is newer than a version has taken that version in.
+    A node that watches for changes after a version has applied that version.
     """
 
     def __init__(self, source: EndpointListSource) -> None:
         super().__init__()
         self._source = source
-        self._changed = threading.Condition()  # guards all that follows
-        self._asked_at_s: dict[int, float] = {}  # when a connection last called
-        self._held_versions: dict[int, int] = {}  # since which version it did
+        self._changed = threading.Condition()  # guards the fields below and the source
+        self._called_s: dict[int, float] = {}  # monotonic time of the last call, by connection
+        self._held_versions: dict[int, int] = {}  # version that the node held at that call, by connection
         self._answers: dict[AnswerKey, bytes] = {}
         self._is_closed = False
         self.start()
 
     def publish(self, change: Callable[[], None], whole: bool, nodes: int) -> float:
-        """Change the list, and return the ms until all nodes have taken the change in.
+        """Change the list, and return the time in ms until all `nodes` nodes have applied the change.
 
-        `whole`: they are told the whole list, not what changed. Raises NotTakenInError.
+        `whole`: watches are answered with the whole list, not with the changes. Raises NotTakenInError.
         """
         with self._changed:
-            self._source.tells_whole_list = whole
+            self._source.sends_whole_list = whole
             change()
             version = self._source.version()
-            # Made before the time is taken: that is not the nodes' work.
+            # Encoded before the start time is read: encoding is not part of the nodes' work.
             self._answer(min(self._held_versions.values(), default=0), whole)
             began_s = time.monotonic()
             self._changed.notify_all()
-        self.wait_until_taken_in(version, nodes)
-        return 1000.0 * (max(self._asked_at_s.values()) - began_s)
+        self.wait_until_applied(version, nodes)
+        return 1000.0 * (max(self._called_s.values()) - began_s)
 
-    def wait_until_taken_in(self, version: int, nodes: int) -> None:
-        """Wait until so many nodes hold a version; raises NotTakenInError."""
-        end_s = time.monotonic() + TAKEN_IN_TIMEOUT_S
+    def wait_until_applied(self, version: int, nodes: int) -> None:
+        """Wait until `nodes` nodes hold a version or a newer one; raises NotTakenInError."""
+        end_s = time.monotonic() + APPLY_TIMEOUT_S
         with self._changed:
-            while self._holders(version) < nodes:
+            while self._holder_count(version) < nodes:
                 if not self._changed.wait(end_s - time.monotonic()):
-                    raise NotTakenInError(version, self._holders(version), nodes)
+                    raise NotTakenInError(version, self._holder_count(version), nodes)
 
-    def serve(self, connection: socket.socket, number: int) -> None:
+    def serve(self, connection: socket.socket, connection_id: int) -> None:
         """Answer one node's calls.
 
-        What a node holds stays known after it closes its connection, and is forgotten when that breaks.
+        The version that a node holds stays recorded after the node closes its connection, and is removed if
+        the connection breaks or the server is closed.
         """
         try:
             for head in request_heads(connection):
-                connection.sendall(self._answer_to(list_call_from(head), number))
+                connection.sendall(self._answer_to(list_call_from(head), connection_id))
                 if self._is_closed:
-                    self._forget(number)
+                    self._discard_held_version(connection_id)
                     return
         except OSError:
-            self._forget(number)
+            self._discard_held_version(connection_id)
             raise
 
     def close(self) -> None:
-        """End all waits, and take no more connections."""
+        """Answer all watches at once, and accept no more connections."""
         with self._changed:
             self._is_closed = True
             self._changed.notify_all()
         super().close()
 
-    def _answer_to(self, call: ListCall, number: int) -> bytes:
-        """Note what a node holds, and return the answer to its call once that is due."""
+    def _answer_to(self, call: ListCall, connection_id: int) -> bytes:
+        """Record the version that a node holds, wait if the call is a watch, and return the answer."""
         with self._changed:
-            self._held_versions[number], self._asked_at_s[number] = call.since, time.monotonic()
+            self._held_versions[connection_id], self._called_s[connection_id] = call.since, time.monotonic()
             self._changed.notify_all()
-            whole = not call.is_watch or (self._wait_for_newer(call) and self._source.tells_whole_list)
+            whole = not call.is_watch or (self._wait_for_newer(call) and self._source.sends_whole_list)
             return self._answer(call.since, whole)
 
     def _wait_for_newer(self, call: ListCall) -> bool:
-        """Wait for what is newer than a node's version; return False if the wait is over before that."""
+        """Wait for a version newer than the node's, or for `close`; return False if the wait times out."""
         end_s = time.monotonic() + call.wait_ms / 1000.0
         while self._source.version() <= call.since and not self._is_closed:
             if not self._changed.wait(end_s - time.monotonic()):
@@ -143,19 +146,19 @@
         return True
 
     def _answer(self, since: int, whole: bool) -> bytes:
-        """Return an answer, made once for all nodes."""
+        """Return an answer, encoded once for all nodes; only the latest answer is cached."""
         key = AnswerKey(since, whole)
         if key not in self._answers:
             self._answers.clear()
             self._answers[key] = self._source.answer(since, whole)
         return self._answers[key]
 
-    def _holders(self, version: int) -> int:
-        """Return how many nodes hold a version or a newer one."""
+    def _holder_count(self, version: int) -> int:
+        """Return the number of nodes that hold a version or a newer one."""
         return sum(held >= version for held in self._held_versions.values())
 
-    def _forget(self, number: int) -> None:
-        """Forget what the node of a connection holds."""
+    def _discard_held_version(self, connection_id: int) -> None:
+        """Remove the record of the version that the node of a connection holds."""
         with self._changed:
-            self._held_versions.pop(number, None)
+            self._held_versions.pop(connection_id, None)
             self._changed.notify_all()
--- a/marlseam/experiment/sizing/endpoint_list/figures.py
+++ b/marlseam/experiment/sizing/endpoint_list/figures.py
@@ -1,8 +1,8 @@
-"""The figures of an endpoint list of one length; their names are those in reports.
+"""The figures of an endpoint list of one length, under the names used in reports.
 
-A name's last word is its unit: `_ms` and `_us` of processor time, `_mb` of memory, `_bytes` on the wire. An
-answer tells the whole list (`whole`), one change (`one`), or that a zone's servers are gone (`thousand`) or
-back (`thousand_back`). `turn` is the longest turn of the event loop for it.
+The last word of a name is its unit: `_ms` and `_us` of processor time, `_mb` of memory, `_bytes` on the wire.
+The first words name the answer of discovery: the whole list (`whole`), one change (`one`), a zone's servers
+gone (`thousand`) or back (`thousand_back`). `turn` is the longest turn of the event loop for an answer.
 """
 
 from dataclasses import asdict, dataclass
@@ -10,15 +10,15 @@
 
 @dataclass(frozen=True)
 class InProcessFigures:
-    """What an in-process node shows.
+    """The figures of an in-process node.
 
-    Attributes not named above:
-        memory_mb, process_mb: what the whole list takes, and the process with it.
+    Attributes (those that the module's description does not cover):
+        memory_mb, process_mb: memory of the whole list, and of the process that holds the list.
         one_most_ms: the longest turn of all single changes.
-        touched, reads: entries of the node's tables that a single change reads, and how often in all.
-        decision_us, decision_turn_ms, decision_late_ms: of the reducer for a request, its longest turn, and
-            how late it was at most.
-        unit_probes, unit_sends: probes and attempts a request.
+        touched, reads: entries of the node's tables that a single change reads, and the reads of all entries.
+        decision_us, decision_turn_ms, decision_late_ms: processor time of the reducer per request, its
+            longest turn, and its largest lateness.
+        unit_probes, unit_sends: probes and attempts per request.
     """
 
     whole_bytes: float
@@ -51,16 +51,16 @@
 
 @dataclass(frozen=True)
 class LoopbackFigures:
-    """What real nodes show: the median over all nodes, or, from `unit_us` on, one that is alone.
+    """The figures of real nodes: medians over a group of nodes; from `unit_us` on, those of a single node.
 
-    Attributes not named above:
-        whole_all_ms, one_all_ms, thousand_all_ms, thousand_back_all_ms: time until all nodes have taken the
-            answer in; the longest of all single changes.
-        memory_mb, process_mb: what the whole list takes, and the process with it.
-        crowded_turn_ms: the longest turn of any of the nodes.
-        unit_us: processor time of a request.
-        unit_probes, unit_sends: probes and attempts a request.
-        whole_turn_ms: the longest turn of the node that is alone.
+    Attributes (those that the module's description does not cover):
+        whole_all_ms, one_all_ms, thousand_all_ms, thousand_back_all_ms: time until all nodes have applied the
+            answer; `one_all_ms` is the longest of all single changes.
+        memory_mb, process_mb: memory of the whole list, and of the process that holds the list.
+        crowded_turn_ms: the longest turn of any node of the group.
+        unit_us: processor time per request.
+        unit_probes, unit_sends: probes and attempts per request.
+        whole_turn_ms: the longest turn of the single node.
     """
 
     whole_ms: float
--- a/marlseam/experiment/sizing/endpoint_list/in_process_measurement.py
+++ b/marlseam/experiment/sizing/endpoint_list/in_process_measurement.py
@@ -1,4 +1,4 @@
-"""Measures what an endpoint list costs an in-process node."""
+"""Measures the cost of an endpoint list for an in-process node."""
 
 import gc
 from functools import partial
@@ -13,17 +13,17 @@
 from marlseam.experiment.sizing.endpoint_list.source import EndpointListSource
 from marlseam.experiment.sizing.process_usage import resident_mb
 
-WARM_UP_SHARE = 10  # of the requests, one in so many is taken before the measurement
+WARM_UP_DIVISOR = 10  # measured requests per request of the warm-up before them
 US_PER_MS = 1000.0
 
 
 class AnswerCost(NamedTuple):
-    """What one answer of discovery costs a node.
+    """The cost of one answer of discovery for a node.
 
     Attributes:
-        answer_bytes: its length on the wire.
-        cpu_ms: processor time to take it in.
-        longest_turn_ms: the longest turn within that.
+        answer_bytes: the length of the answer on the wire.
+        cpu_ms: processor time to apply the answer.
+        longest_turn_ms: the longest turn while the answer is applied.
     """
 
     answer_bytes: int
@@ -32,12 +32,12 @@
 
 
 class WholeListCost(NamedTuple):
-    """What the whole list costs a node.
+    """The cost of the whole list for a node.
 
     Attributes:
-        answer: what its answer costs.
-        memory_mb: by how much the process has grown for it.
-        process_mb: of the process after that.
+        answer: the cost of the answer that holds the list.
+        memory_mb: growth of the process's resident memory while the list is made and applied.
+        process_mb: the process's resident memory after that.
     """
 
     answer: AnswerCost
@@ -46,13 +46,13 @@
 
 
 class RequestCost(NamedTuple):
-    """What the decisions for requests cost.
+    """The cost of the decisions for requests.
 
     Attributes:
-        cpu_us: processor time of the reducer for each request.
-        longest_turn_ms: its longest turn.
-        max_late_ms: how late it was at most.
-        probes, attempts: sent for each request.
+        cpu_us: processor time of the reducer per request.
+        longest_turn_ms: the reducer's longest turn.
+        max_late_ms: the longest time between a turn's due time and its end.
+        probes, attempts: the number sent per request.
     """
 
     cpu_us: float
@@ -63,19 +63,22 @@
 
 
 def measure_in_process(settings: EndpointListSizes, count: int, config_path: str) -> InProcessFigures:
-    """Return what a list of `count` servers costs; to be called in a process of its own."""
+    """Return the cost of a list of `count` servers for a node with the configuration file at `config_path`.
+
+    Must be called in a separate process, since it measures that process's memory.
+    """
     gc.freeze()  # as a node does at its start
     node, source = InProcessNode(Path(config_path)), EndpointListSource(count)
-    # The list that is held first has one server.
+    # The node first holds a list of one server.
     source.change_next_entry()
-    node.take_answer(source.answer(0, whole=True))
+    node.apply_answer(source.answer(0, whole=True))
     whole = measure_whole_list(node, source)
     single = [
         measure_answer(node, source.answer_after(source.change_next_entry)) for _ in range(settings.changes)
     ]
     gone = measure_zone_change(node, source, EndpointState.GONE)
     back = measure_zone_change(node, source, EndpointState.READY)
-    counts = node.take_answer_counting_reads(source.answer_after(source.change_next_entry))
+    counts = node.apply_answer_counting_reads(source.answer_after(source.change_next_entry))
     request = measure_requests(node, settings.units)
     node.close()
     return InProcessFigures(
@@ -105,31 +108,34 @@
 
 
 def measure_answer(node: InProcessNode, answer: bytes) -> AnswerCost:
-    """Have a node take an answer in."""
+    """Make a node apply an answer, and return the cost."""
     before_ms = node.clock.begin_measurement()
-    node.take_answer(answer)
+    node.apply_answer(answer)
     return AnswerCost(len(answer), node.clock.cpu_ms - before_ms, node.clock.longest_turn_ms)
 
 
 def measure_whole_list(node: InProcessNode, source: EndpointListSource) -> WholeListCost:
-    """List all servers, and have a node take the whole list in."""
+    """List all servers, make a node apply the whole list, and return the cost."""
     before_mb = resident_mb()
     source.list_all()
-    cost = measure_answer(node, source.answer(0, whole=True))  # which is not kept
+    cost = measure_answer(node, source.answer(0, whole=True))  # the answer itself is not kept
     return WholeListCost(cost, resident_mb() - before_mb, resident_mb())
 
 
 def measure_zone_change(node: InProcessNode, source: EndpointListSource, state: EndpointState) -> AnswerCost:
-    """Change the state of a zone's servers, and have a node take that in."""
+    """Change the state of a zone's servers, make a node apply the change, and return the cost."""
     return measure_answer(node, source.answer_after(partial(source.change_zone, state)))
 
 
 def measure_requests(node: InProcessNode, count: int) -> RequestCost:
-    """Have a node take requests, after some that are not measured: it learns and probes more at first."""
+    """Make a node handle `count` requests, and return their cost.
+
+    A tenth as many requests precede them unmeasured, because a node learns and probes more at first.
+    """
     node.clock.clear_backlog()
-    node.take_requests(count // WARM_UP_SHARE)
+    node.handle_requests(count // WARM_UP_DIVISOR)
     before_ms, probes, attempts = node.clock.begin_measurement(), node.probes, node.attempts
-    node.take_requests(count)
+    node.handle_requests(count)
     return RequestCost(
         cpu_us=US_PER_MS * (node.clock.cpu_ms - before_ms) / count,
         longest_turn_ms=node.clock.longest_turn_ms,
--- a/marlseam/experiment/sizing/endpoint_list/loopback_measurement.py
+++ b/marlseam/experiment/sizing/endpoint_list/loopback_measurement.py
@@ -1,4 +1,4 @@
-"""Measures what an endpoint list costs real nodes on loopback."""
+"""Measures the cost of an endpoint list for real nodes on loopback."""
 
 import http.client
 from collections.abc import Callable
@@ -19,45 +19,47 @@
 from marlseam.net import protocol
 
 SINGLE_NODE = "single"
-REQUEST_CLASSES = ("urgent", "task")  # in turn
-DEADLINE_S = "5"  # as the header writes it
+REQUEST_CLASSES = ("urgent", "task")  # used in turn
+DEADLINE_S = "5"  # seconds, as text of the header
 CALL_TIMEOUT_S = 10.0
 US_PER_MS = 1000.0
 HTTP_OK = 200
 
 
 class RequestNotCompletedError(RunFailedError):
-    """A node has answered a request otherwise than with its result.
+    """A node answered a request with another HTTP status than 200.
 
     Attributes:
-        status: of the answer.
+        status: the HTTP status of the answer.
     """
 
     def __init__(self, status: int) -> None:
         self.status = status
-        super().__init__(f"a work unit was answered with {status}")
+        super().__init__(f"a node answered a request with HTTP status {status}, expected 200")
 
 
 class ChangeCost(NamedTuple):
-    """What a change of the list costs a group of nodes.
+    """The cost of a change of the list for a group of nodes.
 
     Attributes:
-        cpu_ms: processor time of a node, the median over all.
-        all_taken_in_ms: until all have taken the change in.
+        cpu_ms: processor time of a node, the median over all nodes.
+        all_applied_ms: time until all nodes have applied the change.
     """
 
     cpu_ms: float
-    all_taken_in_ms: float
+    all_applied_ms: float
 
 
 class GroupCost(NamedTuple):
-    """What an endpoint list costs a group of nodes.
+    """The cost of an endpoint list for a group of nodes.
 
     Attributes:
-        whole, single, gone, back: what each of its changes costs.
-        memory_mb: by how much a node has grown for the whole list, the median.
-        process_mb: of a node after that, the median.
-        longest_turn_ms: of any node.
+        whole: the cost of the whole list.
+        single: the cost of each change of one entry.
+        gone, back: the cost of a zone's servers being gone, and being back.
+        memory_mb: growth of a node's resident memory for the whole list, the median.
+        process_mb: a node's resident memory after that, the median.
+        longest_turn_ms: the longest turn of any node.
     """
 
     whole: ChangeCost
@@ -70,11 +72,11 @@
 
 
 class RequestCost(NamedTuple):
-    """What requests cost a node.
+    """The cost of requests for a node.
 
     Attributes:
-        cpu_us: processor time of the node for each request.
-        probes, attempts: sent for each request.
+        cpu_us: processor time of the node per request.
+        probes, attempts: the number sent per request.
     """
 
     cpu_us: float
@@ -83,10 +85,10 @@
 
 
 class SingleNodeCost(NamedTuple):
-    """What an endpoint list costs one node that is alone.
+    """The cost of an endpoint list for a node that runs without other nodes.
 
     Attributes:
-        request: what its requests cost.
+        request: the cost of its requests.
         longest_turn_ms: its longest turn.
     """
 
@@ -97,53 +99,53 @@
 def measure_on_loopback(
     settings: EndpointListSizes, count: int, seed: int, directory: Path
 ) -> LoopbackFigures:
-    """Return what a list of `count` servers costs real nodes; their files go to a directory."""
+    """Return the cost of a list of `count` servers for real nodes, whose files are written to `directory`."""
     group = measure_group(settings, count, seed, directory)
-    alone = measure_single_node(settings, count, seed, directory)
+    single_node = measure_single_node(settings, count, seed, directory)
     return LoopbackFigures(
         whole_ms=group.whole.cpu_ms,
-        whole_all_ms=group.whole.all_taken_in_ms,
+        whole_all_ms=group.whole.all_applied_ms,
         memory_mb=group.memory_mb,
         process_mb=group.process_mb,
         one_ms=upper_median([cost.cpu_ms for cost in group.single]),
-        one_all_ms=max(cost.all_taken_in_ms for cost in group.single),
+        one_all_ms=max(cost.all_applied_ms for cost in group.single),
         thousand_ms=group.gone.cpu_ms,
-        thousand_all_ms=group.gone.all_taken_in_ms,
+        thousand_all_ms=group.gone.all_applied_ms,
         thousand_back_ms=group.back.cpu_ms,
-        thousand_back_all_ms=group.back.all_taken_in_ms,
+        thousand_back_all_ms=group.back.all_applied_ms,
         crowded_turn_ms=group.longest_turn_ms,
-        unit_us=alone.request.cpu_us,
-        unit_probes=alone.request.probes,
-        unit_sends=alone.request.attempts,
-        whole_turn_ms=alone.longest_turn_ms,
+        unit_us=single_node.request.cpu_us,
+        unit_probes=single_node.request.probes,
+        unit_sends=single_node.request.attempts,
+        whole_turn_ms=single_node.longest_turn_ms,
     )
 
 
 class NodeGroup:
-    """Real nodes that follow one discovery server."""
+    """Real nodes that get their endpoint list from one discovery server."""
 
     def __init__(self, discovery: DiscoveryServer, nodes: LoopbackNodes, count: int, seed: int) -> None:
-        """Start `count` nodes, and wait until each holds the first version."""
+        """Start `count` nodes, and wait until each holds the first version of the list."""
         self._discovery, self._nodes, self._count = discovery, nodes, count
         for i in range(count):
             name = f"n{i}"
             nodes.start(name, node_config(name, discovery.address, count, seed + i))
         nodes.wait_until_listening()
-        discovery.wait_until_taken_in(version=1, nodes=count)
+        discovery.wait_until_applied(version=1, nodes=count)
 
     def measure_change(self, change: Callable[[], None], whole: bool = False) -> ChangeCost:
-        """Change the list, and have all nodes take that in."""
+        """Change the list, wait until all nodes have applied the change, and return the cost."""
         before_ms = self._nodes.cpu_ms()
-        all_taken_in_ms = self._discovery.publish(change, whole, self._count)
+        all_applied_ms = self._discovery.publish(change, whole, self._count)
         after_ms = self._nodes.cpu_ms()
         spent_ms = [after_ms[name] - before_ms[name] for name in before_ms]
-        return ChangeCost(upper_median(spent_ms), all_taken_in_ms)
+        return ChangeCost(upper_median(spent_ms), all_applied_ms)
 
 
 def measure_group(settings: EndpointListSizes, count: int, seed: int, directory: Path) -> GroupCost:
-    """Have a group of nodes take in the whole list, single changes, and those of a zone."""
+    """Return the cost of the whole list, of single changes and of changes of a zone for a group of nodes."""
     source = EndpointListSource(count)
-    source.change_next_entry()  # the list that is held first has one server
+    source.change_next_entry()  # the nodes first hold a list of one server
     discovery, nodes = DiscoveryServer(source), LoopbackNodes(directory)
     try:
         group = NodeGroup(discovery, nodes, settings.real, seed)
@@ -170,7 +172,7 @@
 def measure_single_node(
     settings: EndpointListSizes, count: int, seed: int, directory: Path
 ) -> SingleNodeCost:
-    """Have one node take the whole list in, and then requests."""
+    """Make one node apply the whole list and then handle requests, and return the cost."""
     backend = BackendServer()
     source = EndpointListSource(count, backend.address)
     source.change_next_entry()
@@ -178,7 +180,7 @@
     try:
         node = nodes.start(SINGLE_NODE, node_config(SINGLE_NODE, discovery.address, 1, seed))
         nodes.wait_until_listening()
-        discovery.wait_until_taken_in(version=1, nodes=1)
+        discovery.wait_until_applied(version=1, nodes=1)
         discovery.publish(source.list_all, whole=True, nodes=1)
         address = nodes.address(SINGLE_NODE)
         request = measure_requests(node.process.pid, address, backend, settings.real_units)
@@ -190,7 +192,10 @@
 
 
 def measure_requests(pid: int, address: str, backend: BackendServer, count: int) -> RequestCost:
-    """Send a node requests; as many go before, until it has as many connections as it may have."""
+    """Send `count` requests to a node, and return their cost.
+
+    As many requests precede them unmeasured, until the node has as many connections as its limit allows.
+    """
     client = http.client.HTTPConnection(address, timeout=CALL_TIMEOUT_S)
     send_requests(client, count)
     before_ms, probes, attempts = process_cpu_ms(pid), backend.probes, backend.attempts
@@ -205,7 +210,7 @@
 
 
 def send_requests(client: http.client.HTTPConnection, count: int) -> None:
-    """Send requests one after another; raises RequestNotCompletedError."""
+    """Send requests one after another; raises RequestNotCompletedError for an answer other than 200."""
     for i in range(count):
         request_class = REQUEST_CLASSES[i % len(REQUEST_CLASSES)]
         headers = {protocol.ID: f"u{i}", protocol.TYPE: request_class, protocol.TIME_LEFT: DEADLINE_S}
--- a/marlseam/experiment/sizing/endpoint_list/read_counters.py
+++ b/marlseam/experiment/sizing/endpoint_list/read_counters.py
@@ -8,11 +8,11 @@
 
 
 class ReadCounts(NamedTuple):
-    """How many entries were read.
+    """Counts of reads of table entries.
 
     Attributes:
-        entries: how many different ones.
-        reads: how often, all entries together.
+        entries: the number of different entries read.
+        reads: the number of reads of all entries together.
     """
 
     entries: int
@@ -20,7 +20,7 @@
 
 
 class CountingList(list[Value]):
-    """A list that counts the reads of each index, in a counter that lists of the same order may share."""
+    """A list that counts the reads of each index, in a counter that lists with the same indices may share."""
 
     def __init__(self, values: list[Value], reads: Counter[int]) -> None:
         super().__init__(values)
@@ -41,21 +41,21 @@
 
 
 class CountingDict(dict[str, Value]):
-    """A dict that counts the reads of each key, but for `get`, which looks at one entry only."""
+    """A dict that counts the reads of each key, except those by `get`, which reads only one entry."""
 
     def __init__(self, values: dict[str, Value], reads: Counter[str]) -> None:
         super().__init__(values)
         self._reads = reads
 
-    # Views are given as iterators, which is all that who reads this dict needs of them.
+    # Iterators replace the views: the code that reads this dict only iterates over them.
     def values(self) -> Iterator[Value]:  # type: ignore[override]
-        """Give the values."""
+        """Yield the values."""
         for key, value in super().items():
             self._reads[key] += 1
             yield value
 
     def items(self) -> Iterator[tuple[str, Value]]:  # type: ignore[override]
-        """Give keys and values."""
+        """Yield the pairs of key and value."""
         for key, value in super().items():
             self._reads[key] += 1
             yield key, value
--- a/marlseam/experiment/sizing/endpoint_list/settings.py
+++ b/marlseam/experiment/sizing/endpoint_list/settings.py
@@ -1,18 +1,18 @@
-"""The table of an experiment that measures endpoint lists."""
+"""The table `size_roster` of an experiment file, for experiments that measure endpoint lists."""
 
 from marlseam.simulation.model import Count, Strict
 
 
 class EndpointListSizes(Strict, frozen=True):
-    """Lengths of the endpoint list, and what is measured at each.
+    """Lengths of the endpoint list, and the extent of the measurement at each.
 
     Attributes:
-        sizes: how many servers are listed.
-        real: real nodes on loopback; 0 for none.
-        changes: single changes, one an answer, for the in-process node.
-        real_changes: the same for the real nodes.
+        sizes: the numbers of listed servers to measure at.
+        real: the number of real nodes on loopback; 0 for none.
+        changes: single changes, one per answer, for the in-process node.
+        real_changes: single changes, one per answer, for the real nodes.
         units: requests whose decisions are measured at the in-process node.
-        real_units: the same at one real node, after as many that are not measured.
+        real_units: requests that are measured at one real node, after as many unmeasured ones.
     """
 
     sizes: list[Count]
--- a/marlseam/experiment/sizing/endpoint_list/source.py
+++ b/marlseam/experiment/sizing/endpoint_list/source.py
@@ -1,4 +1,4 @@
-"""An endpoint list that changes, and discovery's answers that tell it, the same for each kind of node."""
+"""An endpoint list that changes, and discovery's answers for it, the same for both kinds of node."""
 
 import json
 from collections.abc import Callable
@@ -10,18 +10,18 @@
 from marlseam.experiment.sizing.loopback_nodes import KINDS, ZONES
 from marlseam.simulation.discovery import EndpointList
 
-ZONE_CHANGES = 1000  # in one answer, where a zone of 22 fails or returns at full size
+ZONE_CHANGES = 1000  # in one answer, when one of 22 zones fails or returns at the planned size
 SERVERS_PER_CELL = 4
 FIRST_START_UNIX_MS = 1.7e12
-SERVICE_CALLS_PER_S = 1e9  # of the modelled service, which is never busy here
+SERVICE_CALLS_PER_S = 1e9  # capacity of the modelled discovery service: never a limit here
 SERVICE_TIMEOUT_MS = 1e9
-# Of each 21 servers 11 are of the first kind, the others of the other two.
+# Of every 21 servers, 11 are of the first kind and the others of the other two kinds.
 KIND_CYCLE, FIRST_KIND_SERVERS = 21, 11
-# What a single change does in turn with the same entry.
+# The states that successive single changes set on the same entry.
 CHANGE_CYCLE = (EndpointState.DRAINING, EndpointState.GONE, EndpointState.READY)
 
 
-# A server as discovery's protocol lists it; `class` is no name in Python.
+# A server in the discovery protocol; the call syntax is needed because `class` is a Python keyword.
 HostRow = TypedDict(
     "HostRow",
     {
@@ -38,65 +38,65 @@
 
 
 class EndpointListSource:
-    """An endpoint list and the answers that tell it.
+    """An endpoint list, and discovery's answers for it.
 
     Attributes:
-        count: servers that are listed once all are.
-        address: of all servers; empty where each has one of its own, at which nobody listens.
-        tells_whole_list: whether the answer to a watch is the whole list.
+        count: the number of servers on the full list.
+        address: the address of all servers; if empty, each server has its own, on which nothing listens.
+        sends_whole_list: whether a watch is answered with the whole list.
     """
 
     def __init__(self, count: int, address: str = "") -> None:
         self.count, self.address = count, address
-        self.tells_whole_list = False
+        self.sends_whole_list = False
         self._list = EndpointList([], SERVICE_CALLS_PER_S, SERVICE_TIMEOUT_MS)
         self._names = [f"w-{i:05}" for i in range(count)]
-        self._single_changes = self._starts = 0
+        self._single_change_count = self._start_count = 0
 
     def version(self) -> int:
-        """Return the version of the list."""
+        """Return the current version of the list."""
         return self._list.version()
 
     def list_all(self) -> None:
-        """List all servers."""
+        """Add all servers to the list as ready."""
         for i in range(self.count):
             self._list.add_entry(self._entry(i, EndpointState.READY, None))
 
     def change_next_entry(self) -> None:
-        """Change one entry: a server drains, then is gone, then is back restarted; then the next server."""
-        i, step = divmod(self._single_changes, len(CHANGE_CYCLE))
+        """Change one entry: successive calls make one server drain, be gone and restart, then the next."""
+        i, step = divmod(self._single_change_count, len(CHANGE_CYCLE))
         self._set_state(i % self.count, CHANGE_CYCLE[step])
-        self._single_changes += 1
+        self._single_change_count += 1
 
     def change_zone(self, state: EndpointState) -> None:
-        """Have as many servers as a zone has be gone, or back restarted."""
+        """Set the state of as many servers as a zone has; those set to ready have restarted."""
         for i in range(min(ZONE_CHANGES, self.count)):
             self._set_state(i, state)
 
     def answer(self, since: int, whole: bool) -> bytes:
-        """Return the HTTP answer to a node: what is newer than a version, or the whole list."""
+        """Return the HTTP answer to a node: the changes after version `since`, or the whole list."""
         body = self._body(since, whole)
         head = f"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n"
         return head.encode() + body
 
     def answer_after(self, change: Callable[[], None]) -> bytes:
-        """Change the list, and return the answer that tells what changed."""
+        """Change the list, and return the answer that contains only the change."""
         since = self.version()
         change()
         return self.answer(since, whole=False)
 
     def _set_state(self, index: int, state: EndpointState) -> None:
-        """List a server's state; one that is ready has restarted."""
+        """Set a server's state on the list; a server set to ready has restarted."""
         started_unix_ms = self._next_start_unix_ms() if state is EndpointState.READY else None
         self._list.add_entry(self._entry(index, state, started_unix_ms))
 
     def _next_start_unix_ms(self) -> float:
-        """Return when a restarted server's process began; each has another time."""
-        self._starts += 1
-        return FIRST_START_UNIX_MS + self._starts
+        """Return the start time of a restarted server's process in Unix ms; different for each restart."""
+        self._start_count += 1
+        return FIRST_START_UNIX_MS + self._start_count
 
     def _entry(self, index: int, state: EndpointState, started_unix_ms: float | None) -> EndpointEntry:
-        """Return a server as it is listed."""
+        """Return the list entry of a server."""
         kind = 0 if index % KIND_CYCLE < FIRST_KIND_SERVERS else 1 + index % 2
         zone = index % len(ZONES)
         return EndpointEntry(
@@ -104,13 +104,13 @@
         )
 
     def _body(self, since: int, whole: bool) -> bytes:
-        """Return an answer's body."""
+        """Return the body of an answer, as JSON."""
         entries = self._list.answer_since(0 if whole else since).entries
         rows = [self._row(entry) for entry in entries]
         return json.dumps({"seq": self.version(), "whole": whole, "hosts": rows}).encode()
 
     def _row(self, entry: EndpointEntry) -> HostRow:
-        """Return an entry as the protocol writes it."""
+        """Return an entry in the form of the discovery protocol."""
         return {
             "host": entry.server,
             "dial": self.address or f"10.{entry.cell >> 8 & 255}.{entry.cell & 255}.{entry.zone}:7070",
--- a/marlseam/experiment/sizing/endpoint_list/threaded_server.py
+++ b/marlseam/experiment/sizing/endpoint_list/threaded_server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server on loopback, with a thread for each connection, for requests without a body."""
+"""A small HTTP server on loopback for requests without a body, with one thread per connection."""
 
 import contextlib
 import socket
@@ -12,7 +12,10 @@
 
 
 def request_heads(connection: socket.socket) -> Iterator[bytes]:
-    """Give the head of each request, without its end, until the peer closes; raises OSError."""
+    """Yield the head of each request, without the empty line at its end, until the peer closes.
+
+    Raises OSError if the connection breaks.
+    """
     unread = b""
     while True:
         while HEAD_END not in unread:
@@ -25,35 +28,35 @@
 
 
 class ThreadedServer(ABC):
-    """Listens on loopback and has each connection served in a thread of its own.
+    """Listens on loopback, and serves each connection in its own thread.
 
     Attributes:
-        address: `HOST:PORT`.
+        address: the address that the server listens on, as `HOST:PORT`.
     """
 
     def __init__(self) -> None:
-        """Listen; connections are taken from `start` on."""
+        """Listen on a free port; connections are accepted after `start`."""
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=LISTEN_BACKLOG)
         self.address = "{}:{}".format(*self._listener.getsockname())
         self._connections = 0
 
     def start(self) -> None:
-        """Take connections."""
+        """Begin to accept connections, in a thread."""
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Accept no more connections; open ones stay open."""
         self._listener.close()
 
     @abstractmethod
-    def serve(self, connection: socket.socket, number: int) -> None:
-        """Serve a connection until it ends; an OSError ends it too.
+    def serve(self, connection: socket.socket, connection_id: int) -> None:
+        """Serve a connection until it ends; the caller closes it, also after an OSError.
 
-        `number` tells it apart from all others.
+        `connection_id` identifies the connection among those of this server.
         """
 
     def _accept(self) -> None:
-        """Take connections until the listener is closed."""
+        """Accept connections until the listener is closed."""
         with contextlib.suppress(OSError):
             while True:
                 connection, _ = self._listener.accept()
@@ -62,7 +65,7 @@
                     target=self._serve_and_close, args=(connection, self._connections), daemon=True
                 ).start()
 
-    def _serve_and_close(self, connection: socket.socket, number: int) -> None:
-        """Serve a connection, and close it."""
+    def _serve_and_close(self, connection: socket.socket, connection_id: int) -> None:
+        """Serve a connection, and close it; an OSError is ignored."""
         with contextlib.suppress(OSError), connection:
-            self.serve(connection, number)
+            self.serve(connection, connection_id)
--- a/marlseam/experiment/sizing/isolation.py
+++ b/marlseam/experiment/sizing/isolation.py
@@ -1,4 +1,4 @@
-"""Time limit, child processes and working directory of a run, so that it leaves nothing behind."""
+"""Time limit, child processes and working directory of a run, which are cleaned up however the run ends."""
 
 import contextlib
 import multiprocessing
@@ -19,30 +19,30 @@
 from marlseam.experiment.sizing.resource_need import MAX_MEMORY_MB
 
 MAX_RUN_S = 600.0
-WORKING_DIRECTORY = "band"  # of real nodes, in the directory that a run writes to
+WORKING_DIRECTORY = "band"  # for files of real nodes, inside the run's output directory
 
 Parameters = ParamSpec("Parameters")
 Result = TypeVar("Result")
 
 
 class TimeLimitError(RunFailedError):
-    """A run is not over after the time that it may take.
+    """A run exceeded its time limit.
 
     Attributes:
-        limit_s: that time.
+        limit_s: the time limit in seconds.
     """
 
     def __init__(self, limit_s: float) -> None:
         self.limit_s = limit_s
-        super().__init__(f"not over after {limit_s:g} s")
+        super().__init__(f"run not finished within its time limit of {limit_s:g} s")
 
 
 class ChildCallError(RunFailedError):
     """A call in a child process raised.
 
     Attributes:
-        call_name: the function that was called.
-        description: its error.
+        call_name: the name of the function that was called.
+        description: type and text of its error.
     """
 
     def __init__(self, call_name: str, description: str) -> None:
@@ -54,20 +54,27 @@
     """A child process ended before its call returned.
 
     Attributes:
-        call_name: the function that was called.
-        exit_code: of the process.
+        call_name: the name of the function that was called.
+        exit_code: the exit code of the process.
     """
 
     def __init__(self, call_name: str, exit_code: int | None) -> None:
         self.call_name, self.exit_code = call_name, exit_code
-        super().__init__(f"{call_name} ended at once, code {exit_code}")
+        super().__init__(
+            f"child process of {call_name} exited before the call returned, exit code {exit_code}"
+        )
 
 
 @contextlib.contextmanager
 def time_limit(limit_s: float = MAX_RUN_S) -> Iterator[None]:
-    """Raise TimeLimitError inside once the time is over, and KeyboardInterrupt at a signal to end."""
+    """Limit the time of a block, and restore the signal handlers after it; main thread only.
+
+    Inside the block, TimeLimitError is raised after `limit_s`, and KeyboardInterrupt on SIGTERM or SIGHUP.
+    """
     if threading.current_thread() is not threading.main_thread():
-        raise RuntimeError("a run with a time limit belongs in the main thread")
+        raise RuntimeError(
+            "time_limit must be entered in the main thread, which alone may set signal handlers"
+        )
 
     def raise_time_limit(_number: int, _frame: FrameType | None) -> None:
         raise TimeLimitError(limit_s)
@@ -75,8 +82,8 @@
     def raise_interrupt(_number: int, _frame: FrameType | None) -> None:
         raise KeyboardInterrupt
 
-    numbers = (signal.SIGALRM, signal.SIGTERM, signal.SIGHUP)
-    former = {number: signal.getsignal(number) for number in numbers}
+    signal_numbers = (signal.SIGALRM, signal.SIGTERM, signal.SIGHUP)
+    former = {number: signal.getsignal(number) for number in signal_numbers}
     signal.signal(signal.SIGALRM, raise_time_limit)
     signal.signal(signal.SIGTERM, raise_interrupt)
     signal.signal(signal.SIGHUP, raise_interrupt)
@@ -91,7 +98,7 @@
 
 @dataclass(frozen=True)
 class Returned(Generic[Result]):
-    """What a call in a child process returned."""
+    """The result of a call in a child process."""
 
     value: Result
 
@@ -110,11 +117,14 @@
     arguments: tuple[Any, ...],
     options: dict[str, Any],
 ) -> None:
-    """Run a call in this child process, and send what it returns or raises to the parent."""
+    """Make a call in this child process, and send its result or error to the parent through `pipe`.
+
+    The address space of the process is limited to `MAX_MEMORY_MB`.
+    """
     exit_with_parent(parent_pid)
     max_bytes = int(MAX_MEMORY_MB) << 20
     resource.setrlimit(resource.RLIMIT_AS, (max_bytes, max_bytes))
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent ends this process
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the parent handles the interrupt and kills this process
     try:
         pipe.send(Returned(call(*arguments, **options)))
     except Exception as error:
@@ -124,9 +134,10 @@
 def call_in_child_process(
     call: Callable[Parameters, Result], *arguments: Parameters.args, **options: Parameters.kwargs
 ) -> Result:
-    """Return what a call returns that has a process, and so memory, of its own.
+    """Make a call in a child process, so that its memory is separate, and return its result.
 
-    The process ends with this one, however this one ends. Raises ChildCallError, ChildExitedError.
+    The child process ends when this process ends, also when this process is killed. Raises ChildCallError if
+    the call raises, and ChildExitedError if the process exits before the call returns.
     """
     context = multiprocessing.get_context("spawn")
     receiver, sender = context.Pipe(duplex=False)
@@ -151,7 +162,10 @@
 
 @contextlib.contextmanager
 def working_directory(out: Path) -> Iterator[Path]:
-    """Give a directory for files of a run; it stays only where a process failed, as its logs say why."""
+    """Create an empty directory in `out` for the files of a run, and remove it at the end of the block.
+
+    The directory is kept after a RunFailedError, because the logs in it show why a process failed.
+    """
     directory = out / WORKING_DIRECTORY
     shutil.rmtree(directory, ignore_errors=True)
     directory.mkdir(parents=True)
--- a/marlseam/experiment/sizing/loopback_nodes.py
+++ b/marlseam/experiment/sizing/loopback_nodes.py
@@ -1,4 +1,4 @@
-"""Real nodes on loopback: their configuration, processes, and what these use."""
+"""Real nodes on loopback: their configuration, processes, processor time and memory."""
 
 import json
 import os
@@ -14,9 +14,9 @@
 ZONES = [f"z{i:02}" for i in range(22)]
 KINDS = ["plain", "one", "two"]  # servers without accelerators, with one, with two
 NODE_LIMITS = {"memory_mb": 192, "sockets": 1024}
-START_TIMEOUT_S = 60.0  # long, as cores may be busy
+START_TIMEOUT_S = 60.0  # for all nodes together; long because other processes may occupy the cores
 LOG_POLL_S = 0.02
-# Lines of a node's log that are read here.
+# Texts in a node's log that are read here.
 LISTENS_ON = "listens on"
 LONGEST_TURN = "turns at most"
 
@@ -28,9 +28,9 @@
 
 
 def node_config(name: str, discovery: str, nodes: int, seed: int = 1) -> dict[str, Any]:
-    """Return the configuration file of a node, in-process or real, in a cluster of 22 zones.
+    """Return the content of the configuration file of a node, in-process or real, in a cluster of 22 zones.
 
-    `discovery` is the address of discovery, `nodes` the size of the cluster.
+    `discovery` is the address of discovery, `nodes` the number of nodes in the cluster.
     """
     kinds = [ServerKind(name=kind, executors=1) for kind in KINDS]
     day = Day(seconds=1.0, fleet=Fleet(zones=ZONES, nodes=nodes, kinds=kinds), types=REQUEST_TYPES)
@@ -46,11 +46,11 @@
 
 
 class LoopbackNodes:
-    """Real nodes on loopback, which end with this process, however that ends.
+    """Real nodes on loopback, whose processes end when this process ends, also when this process is killed.
 
     Attributes:
-        directory: where their configurations and logs are.
-        nodes: their processes, by name.
+        directory: the directory of their configuration files and logs.
+        nodes: their processes, by node name.
     """
 
     def __init__(self, directory: Path) -> None:
@@ -59,7 +59,7 @@
         (directory / "logs").mkdir(parents=True, exist_ok=True)
 
     def start(self, name: str, config: dict[str, Any], operator_settings: str = "") -> ChildProcess:
-        """Start a node with a configuration and, if given, the text of the operator's own settings."""
+        """Start a node with a configuration and, if given, the text of an operator's settings file (TOML)."""
         path = self.directory / f"{name}.json"
         path.write_text(json.dumps(config))
         arguments = [str(os.getpid()), "serve", "--config", str(path)]
@@ -73,30 +73,33 @@
         return self.nodes[name]
 
     def wait_until_listening(self) -> None:
-        """Wait until all have logged that they listen; raises RunFailedError."""
+        """Wait until all nodes have logged that they listen.
+
+        Raises RunFailedError if a node exits first or `START_TIMEOUT_S` passes.
+        """
         end_s = time.monotonic() + START_TIMEOUT_S
         for name, process in self.nodes.items():
             while LISTENS_ON not in process.log.read_text(errors="replace"):
                 if process.process.poll() is not None or time.monotonic() > end_s:
-                    raise RunFailedError(f"node {name} did not start: {process.tail()}")
+                    raise RunFailedError(f"node {name} ended or did not listen in time: {process.tail()}")
                 time.sleep(LOG_POLL_S)
 
     def address(self, name: str) -> str:
-        """Return the address on which a node listens."""
+        """Return the address that a node logged as the one it listens on, as `HOST:PORT`."""
         return self.nodes[name].log.read_text().partition(LISTENS_ON)[2].split()[0]
 
     def cpu_ms(self) -> dict[str, float]:
-        """Return the processor time of each node so far, by name."""
+        """Return the processor time in ms that each node has used so far, by name."""
         return {name: process_cpu_ms(node.process.pid) for name, node in self.nodes.items()}
 
     def resident_mb(self) -> dict[str, float]:
-        """Return the resident memory of each node, by name."""
+        """Return the resident memory of each node in MB, by name."""
         return {name: resident_mb(node.process.pid) for name, node in self.nodes.items()}
 
     def longest_turns_ms(self, count: int) -> list[float]:
-        """Return the longest turn of each node's loop, which a node logs as it ends.
+        """Return the longest turn of each node's event loop in ms, which a node logs when it stops.
 
-        Raises RunFailedError where fewer than `count` nodes have done so.
+        Raises RunFailedError if fewer than `count` nodes have logged it.
         """
         found = []
         for node in self.nodes.values():
@@ -104,11 +107,13 @@
             if LONGEST_TURN in text:
                 found.append(float(text.rpartition(LONGEST_TURN)[2].split()[0]))
         if len(found) < count:
-            raise RunFailedError(f"{len(found)} of {count} nodes told their longest turn as they ended")
+            raise RunFailedError(
+                f"only {len(found)} of {count} nodes logged their longest turn when they stopped"
+            )
         return found
 
     def stop(self) -> None:
-        """Stop all nodes, and wait until they have ended."""
+        """Send SIGTERM to all nodes, and wait until their processes have ended."""
         for node in self.nodes.values():
             node.signal(signal.SIGTERM)
         for node in self.nodes.values():
--- a/marlseam/experiment/sizing/membership/__init__.py
+++ b/marlseam/experiment/sizing/membership/__init__.py
@@ -1,7 +1,8 @@
-"""What membership costs a node, by how many members a cluster has: what `size_members` experiments measure.
+"""The cost of membership for a node, by the number of members in the cluster (`size_members` experiments).
 
-- `settings`: the table of the experiment's file.
-- `full_member`, `scripted_members`: the two kinds of members.
-- `sample`: a few of the first kind among many of the second, in virtual time.
+- `settings`: the table of the experiment file.
+- `full_member`: a member that runs the real state machine.
+- `scripted_members`: members that are only imitated.
+- `sample`: a few full members among many scripted ones, in virtual time.
 - `measurement`: the figures.
 """
--- a/marlseam/experiment/sizing/membership/full_member.py
+++ b/marlseam/experiment/sizing/membership/full_member.py
@@ -1,4 +1,4 @@
-"""A member in full: the pure state machine, each datagram through the codec, charged with processor time."""
+"""A full member: the real state machine and codec, with their processor time measured."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from marlseam.cluster.membership_types import Effect, SendDatagram
 from marlseam.experiment.sizing.cpu_clock import CpuClock
 
-CLUSTER = "size"
-GENERATION = 1  # of each first process
+CLUSTER_NAME = "size"
+FIRST_GENERATION = 1  # of each member's first process
 
 
 @dataclass
 class Usage:
-    """What members have done.
+    """The work done by one or more members.
 
     Attributes:
-        ticks, received: timers and datagrams that were handled.
-        sent, sent_bytes: datagrams.
-        tick_ms, receive_ms: processor time for timers and for datagrams.
+        ticks, received: timers and received datagrams that were handled.
+        sent, sent_bytes: datagrams sent, and their bytes.
+        tick_ms, receive_ms: processor time for timers, and for received datagrams.
     """
 
     ticks: int = 0
@@ -36,7 +36,7 @@
 
     @property
     def cpu_ms(self) -> float:
-        """Processor time in all."""
+        """Processor time for timers and received datagrams together."""
         return self.tick_ms + self.receive_ms
 
     def __add__(self, other: Usage) -> Usage:
@@ -47,7 +47,7 @@
 
 
 class OutgoingDatagram(NamedTuple):
-    """A datagram that a member sends."""
+    """An encoded datagram that a member sends."""
 
     receiver: str
     data: bytes
@@ -55,16 +55,16 @@
 
 @dataclass
 class FullMember:
-    """A member in full.
+    """A member that runs the real state machine.
 
     Attributes:
-        machine: its state machine.
-        names: of all members.
-        clock: the processor time that it has used.
-        pending: changes that scripted members have yet to tell it.
-        timer_ms: when it wants its timer next; -1 before that is known.
-        max_datagram_bytes: the longest datagram that it has sent.
-        usage: what it has done so far.
+        machine: the state machine.
+        names: the names of all members.
+        clock: the clock that is charged with the member's processor time.
+        pending: membership changes that scripted members have not yet sent to this member.
+        timer_ms: when the state machine's next timer is due; -1 before the first turn.
+        max_datagram_bytes: the length of the longest datagram sent.
+        usage: the work done so far.
     """
 
     machine: Membership
@@ -76,7 +76,7 @@
     usage: Usage = field(default_factory=Usage)
 
     def tick(self, now_ms: float) -> list[OutgoingDatagram]:
-        """Do what is due, and return what is sent."""
+        """Handle the timer, and return the datagrams to send."""
         before_ms = self.clock.cpu_ms
         datagrams = self._take_turn(now_ms, lambda: self.machine.tick(now_ms))
         self.usage.ticks += 1
@@ -84,24 +84,24 @@
         return datagrams
 
     def receive(self, now_ms: float, data: bytes) -> list[OutgoingDatagram]:
-        """Receive a datagram, and return what is sent."""
+        """Handle a received datagram, and return the datagrams to send."""
         before_ms = self.clock.cpu_ms
         datagrams = self._take_turn(
-            now_ms, lambda: self.machine.receive(now_ms, read(data, CLUSTER, self.names))
+            now_ms, lambda: self.machine.receive(now_ms, read(data, CLUSTER_NAME, self.names))
         )
         self.usage.received += 1
         self.usage.receive_ms += self.clock.cpu_ms - before_ms
         return datagrams
 
     def _take_turn(self, now_ms: float, handle: Callable[[], list[Effect]]) -> list[OutgoingDatagram]:
-        """Have the state machine handle an event, encode what it sends, and ask for its next timer."""
+        """Handle an event in the state machine, encode the datagrams it sends, and read its next timer."""
         effects = self.clock.run(handle)
         datagrams = [self._encode(effect) for effect in effects if isinstance(effect, SendDatagram)]
         self.timer_ms = max(now_ms, self.clock.run(lambda: self.machine.next_ms))
         return datagrams
 
     def _encode(self, effect: SendDatagram) -> OutgoingDatagram:
-        """Encode a datagram that is sent."""
+        """Encode a datagram, and count it as sent."""
         data = self.clock.run(write, effect.datagram)
         self.usage.sent += 1
         self.usage.sent_bytes += len(data)
@@ -110,10 +110,10 @@
 
 
 def new_full_member(name: str, names: Sequence[str], seed: int) -> FullMember:
-    """Return a member that holds all others as alive, and has passed that on."""
+    """Return a member that lists all others as alive and has no gossip left to send about them."""
     all_names = frozenset(names)
-    machine = Membership(CLUSTER, name, all_names, GENERATION, seed, PERIOD_MS, 0.0)
+    machine = Membership(CLUSTER_NAME, name, all_names, FIRST_GENERATION, seed, PERIOD_MS, 0.0)
     for other in names:
-        machine.merge(GossipEntry(other, MemberState(0, GENERATION, MemberStatus.ALIVE)))
+        machine.merge(GossipEntry(other, MemberState(0, FIRST_GENERATION, MemberStatus.ALIVE)))
     machine.gossip.clear()
     return FullMember(machine, all_names)
--- a/marlseam/experiment/sizing/membership/measurement.py
+++ b/marlseam/experiment/sizing/membership/measurement.py
@@ -1,4 +1,4 @@
-"""Measures what membership costs a member in full, and the operators' view of it."""
+"""Measures the cost of membership for a full member, and of the membership status for operators."""
 
 import gc
 import tracemalloc
@@ -12,7 +12,7 @@
 from marlseam.cluster.membership_codec import GossipEntry, MemberState, MemberStatus
 from marlseam.configuration import ClusterSettings
 from marlseam.experiment.sizing.cpu_clock import CpuClock
-from marlseam.experiment.sizing.membership.full_member import CLUSTER, Usage
+from marlseam.experiment.sizing.membership.full_member import CLUSTER_NAME, Usage
 from marlseam.experiment.sizing.membership.sample import MembershipSample
 from marlseam.experiment.sizing.membership.settings import MembershipSizes
 from marlseam.experiment.sizing.process_usage import BYTES_PER_MB
@@ -21,25 +21,25 @@
 from marlseam.net.membership_service import MembershipService
 
 WARM_UP_PERIODS = 2.0
-OWN_ADDRESS, OTHERS_ADDRESS = ("127.0.0.1", 0), ("127.0.0.1", 9)  # nobody listens at the others'
+OWN_ADDRESS, OTHERS_ADDRESS = ("127.0.0.1", 0), ("127.0.0.1", 9)  # nothing listens on port 9
 STATUS_AT_PERIODS = 10.0
 
 
 @dataclass(frozen=True)
 class MembershipFigures:
-    """What a member in full costs, the mean over all of them; the names are those in reports.
+    """The cost of a full member, as the mean over all full members, under the names used in reports.
 
     Attributes:
-        tick_ms, heard_ms: processor time of a timer, and of a datagram that was received.
+        tick_ms, heard_ms: processor time of a timer, and of a received datagram.
         turn_ms: the longest turn.
         core_share: processor time as a share of a core.
-        letters, bytes_s: datagrams and bytes sent a second.
-        letter_bytes, letter_most: length of a datagram, the mean and the most.
-        changes: of who is a member, in the run.
-        zone_core_share, zone_letters, zone_bytes_s, zone_turn_ms: the same where a zone fails.
-        memory_mb: what a member holds.
-        gone_bound_s: until each member has found out by its own probes that one is gone, at most.
-        door_bytes, door_ms: length of the status that operators get, and its turn.
+        letters, bytes_s: datagrams and bytes sent per second.
+        letter_bytes, letter_most: mean and largest length of a datagram in bytes.
+        changes: members that left or came back until the zone failed.
+        zone_core_share, zone_letters, zone_bytes_s, zone_turn_ms: the same figures while a zone fails.
+        memory_mb: memory of a member's state.
+        gone_bound_s: the longest time until every member has detected a gone member by its own probes.
+        door_bytes, door_ms: length of the status for operators in bytes, and processor time to make it.
     """
 
     tick_ms: float
@@ -65,12 +65,12 @@
         return asdict(self)
 
 
-class Interval(NamedTuple):
-    """What a time took.
+class IntervalUsage(NamedTuple):
+    """The work done in an interval of virtual time.
 
     Attributes:
-        usage: of all full members together.
-        longest_turn_ms: of any of them.
+        usage: the work of all full members together.
+        longest_turn_ms: the longest turn of any full member.
     """
 
     usage: Usage
@@ -78,11 +78,11 @@
 
 
 class StatusCost(NamedTuple):
-    """What the status that operators get costs.
+    """The cost of the membership status for operators.
 
     Attributes:
-        status_bytes: its length.
-        cpu_ms: processor time of the turn that tells it.
+        status_bytes: the length of the status.
+        cpu_ms: processor time of the turn that makes the status.
     """
 
     status_bytes: int
@@ -90,9 +90,9 @@
 
 
 def measure_membership(settings: MembershipSizes, count: int, seed: int) -> MembershipFigures:
-    """Return what `count` members cost each that runs in full, on an ordinary day and when a zone fails.
+    """Return the cost of a cluster of `count` members for a full member, normally and while a zone fails.
 
-    To be called in a process of its own.
+    Must be called in a separate process.
     """
     gc.freeze()
     sample = MembershipSample(count, min(settings.members, count), seed)
@@ -126,21 +126,21 @@
     )
 
 
-def measure_interval(sample: MembershipSample, seconds: float) -> Interval:
-    """Let a time pass, and return what it took."""
+def measure_interval(sample: MembershipSample, seconds: float) -> IntervalUsage:
+    """Run the sample for `seconds` of virtual time, and return the work done."""
     before = sample.begin_measurement()
     sample.run(sample.now_ms + 1000.0 * seconds)
     longest_turn_ms = sample.longest_turn_ms()
-    return Interval(sample.begin_measurement() - before, longest_turn_ms)
+    return IntervalUsage(sample.begin_measurement() - before, longest_turn_ms)
 
 
 def measure_status(names: Sequence[str]) -> StatusCost:
-    """Return what it costs a node to tell operators the state of so many members."""
+    """Return the cost for a node to report the state of the members `names` to operators."""
     loop, clock = Loop(print), CpuClock()
-    # A fixed time: ages are told, and would have other lengths on each run.
+    # A fixed time: the status contains ages, whose text would have another length on each run.
     loop.now = lambda: STATUS_AT_PERIODS * PERIOD_MS
     members = dict.fromkeys(names, OTHERS_ADDRESS) | {names[0]: OWN_ADDRESS}
-    settings = ClusterSettings(CLUSTER, members, PERIOD_MS)
+    settings = ClusterSettings(CLUSTER_NAME, members, PERIOD_MS)
     service = MembershipService(loop, Log("status", loop.now), settings, names[0], 1)
     for name in names:
         service.machine.merge(GossipEntry(name, MemberState(0, 1, MemberStatus.ALIVE)))
@@ -153,12 +153,12 @@
 
 
 def measure_memory_mb(count: int) -> float:
-    """Return what a member holds that has heard of `count` members, in MB."""
+    """Return the memory in MB of the state of a member in a cluster of `count` members."""
     names = frozenset(f"n{i:05}" for i in range(count))
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        machine = Membership(CLUSTER, "n00000", names, 0, 0, PERIOD_MS, 0.0)
+        machine = Membership(CLUSTER_NAME, "n00000", names, 0, 0, PERIOD_MS, 0.0)
         for name in sorted(names):
             machine.merge(GossipEntry(name, MemberState(0, 1, MemberStatus.ALIVE)))
         return (tracemalloc.get_traced_memory()[0] - before) / BYTES_PER_MB
--- a/marlseam/experiment/sizing/membership/scripted_members.py
+++ b/marlseam/experiment/sizing/membership/scripted_members.py
@@ -1,10 +1,10 @@
-"""The scripted members of a cluster: their states, and the changes of who is a member."""
+"""The scripted members of a cluster: their states, and how they leave, return and fail."""
 
 from collections.abc import Iterator, Sequence
 from zlib import crc32
 
 from marlseam.cluster.membership_codec import MemberState, MemberStatus
-from marlseam.experiment.sizing.membership.full_member import GENERATION
+from marlseam.experiment.sizing.membership.full_member import FIRST_GENERATION
 from marlseam.experiment.sizing.plan import (
     PLANNED_SERVERS,
     SECONDS_PER_DAY,
@@ -13,23 +13,23 @@
 )
 
 REGIONS, ZONES = 6, 22
-ZONE_SHARE = 21  # a zone has one in so many members: a thousand at the planned size
-# Changes a second that one member makes: each that fails or restarts goes, and comes back.
+ZONE_DIVISOR = 21  # members per member of one zone: a zone has 1000 members at the planned size
+# Changes per second and member: each failure or restart counts as two, leaving and coming back.
 CHANGES_PER_MEMBER_S = (
     2.0 * (SERVER_FAILURES_PER_DAY + SERVER_RESTARTS_PER_DAY) / SECONDS_PER_DAY / PLANNED_SERVERS
 )
 
 
 def member_names(count: int) -> list[str]:
-    """Return the names of all members."""
+    """Return the names of `count` members, spread over regions and zones."""
     return [f"r{i % REGIONS}-z{i % ZONES:02}-{i:05}" for i in range(count)]
 
 
 class MemberDraws:
-    """Random numbers and members, the same for a seed on every run.
+    """Draws of random numbers and members, the same on every run with the same seed.
 
     Attributes:
-        count: numbers drawn so far.
+        count: the number of draws so far.
     """
 
     def __init__(self, seed: int, names: Sequence[str]) -> None:
@@ -42,58 +42,58 @@
         return crc32(b"cohort:%d:%d" % (self._seed, self.count)) / 2.0**32
 
     def name(self) -> str:
-        """Return the next member."""
+        """Return the name of the next drawn member."""
         return self._names[int(self.number() * len(self._names))]
 
 
 class ScriptedMembers:
-    """States of the members that do not run in full.
+    """States of the scripted members.
 
     Attributes:
-        change_gap_ms: time between two changes of who is a member, at the planned rate.
-        changes: members that have left or come back so far, those of a failed zone apart.
+        change_gap_ms: time between two changes (a member leaves or comes back) at the planned rate.
+        changes: the number of changes so far, without those of a failed zone.
     """
 
     def __init__(self, names: Sequence[str], full_members: frozenset[str], draws: MemberDraws) -> None:
-        """Begin with all alive; `names` are those of all members, also those that run in full."""
+        """Start with all members alive; `names` are those of all members, full ones included."""
         self.change_gap_ms = 1000.0 / (CHANGES_PER_MEMBER_S * len(names))
         self.changes = 0
         self._names, self._full_members, self._draws = names, full_members, draws
-        self._generations = dict.fromkeys(names, GENERATION)
+        self._generations = dict.fromkeys(names, FIRST_GENERATION)
         self._statuses = dict.fromkeys(names, MemberStatus.ALIVE)
-        self._away = ""  # the member that has left and comes back with the next change
+        self._left_member = ""  # the member that has left and comes back with the next change
 
     def is_alive(self, name: str) -> bool:
         """Return whether a member is scripted and alive."""
         return name not in self._full_members and self._statuses[name] == MemberStatus.ALIVE
 
     def state(self, name: str) -> MemberState:
-        """Return a member's state."""
+        """Return the state of a scripted member."""
         generation = self._generations[name]
         return MemberState(generation - 1, generation, self._statuses[name])
 
     def change_one(self) -> str | None:
-        """Have a member leave, or the one that left come back as another process; return which.
+        """Make a member leave, or the member that left come back as another process; return its name.
 
-        None: a member was drawn that runs in full and does not leave.
+        Returns None, without a change, if a full member was drawn.
         """
-        name = self._away or self._draws.name()
+        name = self._left_member or self._draws.name()
         if name in self._full_members:
             return None
         self.changes += 1
-        if self._away:
+        if self._left_member:
             self._generations[name] += 1
             self._statuses[name] = MemberStatus.ALIVE
-            self._away = ""
+            self._left_member = ""
         else:
             self._statuses[name] = MemberStatus.LEFT
-            self._away = name
+            self._left_member = name
         return name
 
     def fail_zone(self) -> Iterator[str]:
-        """Have a zone's members fail without a word; give each as it does."""
+        """Make a zone's members fail without notice; yield the name of each right after it failed."""
         half = self._names[len(self._names) // 2 :]
-        for name in half[: max(1, len(self._names) // ZONE_SHARE)]:
+        for name in half[: max(1, len(self._names) // ZONE_DIVISOR)]:
             if self.is_alive(name):
                 self._statuses[name] = MemberStatus.DEAD
                 yield name
--- a/marlseam/experiment/sizing/membership/settings.py
+++ b/marlseam/experiment/sizing/membership/settings.py
@@ -1,17 +1,17 @@
-"""The table of an experiment that measures membership."""
+"""The table `size_members` of an experiment file, for experiments that measure membership."""
 
 from marlseam.simulation.model import Count, Positive, Strict
 
 
 class MembershipSizes(Strict, frozen=True):
-    """Sizes of a cluster, and for how long each is measured.
+    """Sizes of a cluster, and how long each is measured.
 
     Attributes:
-        sizes: how many members may belong.
-        members: how many of them run in full, at each size.
-        seconds: for how long they are measured, once on an ordinary day and once when a zone fails.
-        whole: sizes at which all members run in full and one of them is killed.
-        watched_s: for how long these are measured after that.
+        sizes: the numbers of members to measure at.
+        members: the number of full members at each size.
+        seconds: length of each of two measurements, one without the failure of a zone and one with it.
+        whole: sizes at which all members are full members, and one of them is killed.
+        watched_s: how long the clusters of `whole` are measured after that, in seconds.
     """
 
     sizes: list[Count]
--- a/marlseam/experiment/sizing/resource_need.py
+++ b/marlseam/experiment/sizing/resource_need.py
@@ -1,4 +1,4 @@
-"""Whether the machine may be asked for what a run needs."""
+"""Limits on the memory and the number of processes that a run may use."""
 
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
@@ -10,11 +10,11 @@
 
 
 class ResourceNeed(NamedTuple):
-    """What a run needs at once.
+    """The resources that a run needs at one time.
 
     Attributes:
-        memory_mb: of all its processes.
-        processes: how many there are.
+        memory_mb: memory of all its processes together.
+        processes: the number of its processes.
     """
 
     memory_mb: float
@@ -22,18 +22,18 @@
 
     @property
     def is_allowed(self) -> bool:
-        """Whether a run may have that much."""
+        """Whether the need is within `MAX_MEMORY_MB` and `MAX_PROCESSES`."""
         return self.memory_mb <= MAX_MEMORY_MB and self.processes <= MAX_PROCESSES
 
 
 class ResourceLimitError(FileError):
-    """An experiment file asks for more than is allowed.
+    """An experiment file asks for a size that needs more resources than are allowed.
 
     Attributes:
-        key: the key of the file that asks for it.
-        size: the greatest size under that key.
-        need: what that size needs.
-        largest_allowed: the greatest size that would be allowed; 0 for none.
+        key: the key of the experiment file that gives the sizes.
+        size: the largest size under that key.
+        need: the resources that this size needs.
+        largest_allowed: the largest size that would be allowed; 0 if none is.
     """
 
     def __init__(self, key: str, size: int, need: ResourceNeed, largest_allowed: int) -> None:
@@ -43,16 +43,16 @@
             advice = f"{largest_allowed} would fit"
         super().__init__(
             f"{key}: {size} needs {need.memory_mb:.0f} MB and {need.processes} processes, "
-            f"{MAX_MEMORY_MB:.0f} MB and {MAX_PROCESSES} at most are allowed; {advice}"
+            f"at most {MAX_MEMORY_MB:.0f} MB and {MAX_PROCESSES} processes are allowed; {advice}"
         )
 
 
 def check_resource_need(
     key: str, sizes: Sequence[int], need_of: Callable[[int], ResourceNeed]
 ) -> ResourceNeed:
-    """Return what the greatest of some sizes needs; `need_of` grows with the size.
+    """Return the resources that the largest of `sizes` needs; `need_of` must not decrease with the size.
 
-    Raises ResourceLimitError if that is more than is allowed.
+    Raises ResourceLimitError, which names `key`, if that need is not allowed.
     """
     size = max(sizes)
     need = need_of(size)
@@ -62,7 +62,7 @@
 
 
 def largest_allowed_size(refused: int, need_of: Callable[[int], ResourceNeed]) -> int:
-    """Return the greatest size below a refused one that is allowed, 0 if none is."""
+    """Return the largest allowed size below a refused one, found by bisection; 0 if none is allowed."""
     allowed = 0
     while refused - allowed > 1:
         middle = (allowed + refused) // 2
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -1,4 +1,4 @@
-"""Size experiments: resource limits, isolation, in-process nodes beside real ones, short plays."""
+"""Size experiments: resource limits, isolation, in-process nodes compared with real ones, short plays."""
 
 import http.client
 import itertools
@@ -37,7 +37,7 @@
     return ResourceNeed(0.5 * count, 20)
 
 
-def test_sizes_that_fit_are_allowed_and_others_are_refused_with_the_greatest_that_would():
+def test_size_within_the_limits_is_allowed_and_a_larger_one_is_refused_with_the_largest_allowed():
     assert check_resource_need("x.sizes", [100, 24576], need_of) == ResourceNeed(12288.0, 20)
     text = r"x.sizes: 30000 needs 15000 MB and 20 processes, .*; 24576 would fit"
     with pytest.raises(ResourceLimitError, match=text) as refused:
@@ -46,7 +46,7 @@
     assert refused.value.largest_allowed == 24576
 
 
-def test_too_many_processes_are_refused_whatever_the_size():
+def test_need_of_too_many_processes_is_refused_at_any_size():
     with pytest.raises(ResourceLimitError, match="no size would fit, ask for fewer real nodes") as refused:
         check_resource_need("x.sizes", [100], lambda _count: ResourceNeed(1.0, 301))
     assert refused.value.largest_allowed == 0
@@ -55,16 +55,19 @@
 # Isolation.
 
 
-def test_a_run_that_is_not_over_in_time_fails():
+def test_run_past_its_time_limit_raises_and_restores_signal_handlers():
     before = signal.getsignal(signal.SIGTERM)
-    with pytest.raises(isolation.TimeLimitError, match="not over after 0.05 s"), isolation.time_limit(0.05):
+    with (
+        pytest.raises(isolation.TimeLimitError, match="^run not finished within its time limit of 0.05 s$"),
+        isolation.time_limit(0.05),
+    ):
         signal.pause()
     assert issubclass(isolation.TimeLimitError, RunFailedError)
     assert signal.getsignal(signal.SIGTERM) is before
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
-def test_a_signal_to_end_unwinds_a_run_and_removes_its_directory(tmp_path, number):
+def test_termination_signal_interrupts_a_run_and_removes_its_directory(tmp_path, number):
     def run_until_signalled():
         with isolation.time_limit(), isolation.working_directory(tmp_path) as directory:
             (directory / "x").write_text("x")
@@ -76,7 +79,7 @@
     assert list(tmp_path.iterdir()) == []
 
 
-def test_the_directory_stays_where_a_process_failed(tmp_path):
+def test_working_directory_is_kept_after_a_process_failed(tmp_path):
     def run_and_fail():
         with isolation.working_directory(tmp_path) as directory:
             (directory / "x").write_text("why")
@@ -87,11 +90,13 @@
     assert (tmp_path / "band" / "x").read_text() == "why"
 
 
-def test_a_call_in_a_child_process_returns_its_result_or_raises_how_it_failed():
+def test_call_in_a_child_process_returns_its_result_or_raises_an_error_for_its_failure():
     assert isolation.call_in_child_process(len, "abc") == 3
     with pytest.raises(isolation.ChildCallError, match="int: ValueError"):
         isolation.call_in_child_process(int, "x")
-    with pytest.raises(isolation.ChildExitedError, match="ended at once") as exited:
+    with pytest.raises(
+        isolation.ChildExitedError, match="exited before the call returned, exit code 3"
+    ) as exited:
         isolation.call_in_child_process(os._exit, 3)
     assert exited.value.exit_code == 3
     for error in (isolation.ChildCallError, isolation.ChildExitedError):
@@ -122,7 +127,7 @@
 
 
 def has_ended(pid: int | str, within_s: float = 20.0) -> bool:
-    """Return whether a process ends; one that is dead and not yet collected counts as ended."""
+    """Return whether a process ends within `within_s` seconds; a zombie counts as ended."""
     end = time.monotonic() + within_s
     while time.monotonic() < end:
         try:
@@ -134,13 +139,19 @@
     return False
 
 
-@pytest.mark.parametrize("what", ["child", "nodes"])
-def test_no_process_outlives_a_run_that_is_killed(tmp_path, what):
+@pytest.mark.parametrize("process_kind", ["child", "nodes"])
+def test_no_process_outlives_a_run_that_is_killed(tmp_path, process_kind):
     (tmp_path / "holder.py").write_text(HOLDER)
     (tmp_path / "sleeper.py").write_text(SLEEPER)
-    words = [sys.executable, str(tmp_path / "holder.py"), str(tmp_path), what, str(tmp_path / "sleeper.py")]
+    command = [
+        sys.executable,
+        str(tmp_path / "holder.py"),
+        str(tmp_path),
+        process_kind,
+        str(tmp_path / "sleeper.py"),
+    ]
     env = os.environ | {"PYTHONPATH": str(Path(__file__).parent.parent)}
-    holder = subprocess.Popen(words, env=env)
+    holder = subprocess.Popen(command, env=env)
     try:
         end = time.monotonic() + 60.0
         while not (tmp_path / "pid").exists() or not (tmp_path / "pid").read_text():
@@ -158,12 +169,12 @@
 # In-process nodes.
 
 
-def test_the_virtual_clock_goes_on_by_processor_time_alone():
+def test_virtual_clock_advances_by_processor_time_only():
     clock = CpuClock()
     clock.advance_to(100.0)
     assert clock.now_ms == clock.current_due_ms() == 100.0
     clock.run(time.sleep, 0.05)
-    assert clock.now_ms < 140.0  # what sleeps uses none
+    assert clock.now_ms < 140.0  # sleeping uses no processor time
     assert clock.run(sum, range(300000)) == sum(range(300000))
     spent = clock.cpu_ms
     assert clock.longest_turn_ms > 0.5
@@ -173,33 +184,33 @@
     assert clock.longest_turn_ms == 0.0
 
 
-def test_what_is_due_while_an_in_process_node_is_busy_is_late_and_told_its_due_time():
+def test_turn_due_while_the_node_is_busy_counts_as_late_and_is_given_its_due_time():
     clock = CpuClock()
     clock.advance_to(100.0)
     clock.run(sum, range(300000))
     first = clock.max_late_ms
-    clock.advance_to(100.0)  # due at the same time as what went before it
+    clock.advance_to(100.0)  # due at the same time as the turn before
     clock.run(sum, range(300000))
     assert clock.current_due_ms() == 100.0
     assert clock.max_late_ms > first > 0.0
     assert clock.max_late_ms == pytest.approx(clock.cpu_ms)
 
 
-def test_a_comparison_of_in_process_and_real_nodes_says_which_figures_differ():
+def test_comparison_marks_figures_that_differ_by_more_than_the_tolerance():
     rows, ratios = compare({"one_ms_300": FigurePair(1.0, 1.2), "one_ms_21000": FigurePair(1.0, 2.0)})
     assert ratios == {"true_one_ms_300": pytest.approx(1 / 1.2), "true_one_ms_21000": 0.5}
     assert [row[-1] for row in rows[1:]] == ["", "off by over a quarter"]
     assert rows[2][:2] == ["one_ms", "21000"]
 
 
-def test_processor_time_of_a_process_is_read_from_its_own_clock():
+def test_processor_time_and_memory_of_a_process_are_read_from_the_system():
     before = process_cpu_ms(os.getpid())
     sum(range(2000000))
     assert process_cpu_ms(os.getpid()) - before > 1.0
     assert resident_mb() > 5.0
 
 
-# The plays, in a short form: what is counted, never times.
+# Short runs of the plays; only counts are compared, never times.
 
 ENDPOINT_LIST_EXPERIMENT = """
 name = "size-roster"
@@ -245,7 +256,7 @@
 
 
 class CountedRun(NamedTuple):
-    """What a run counted, as points of size and value by figure, and its summary."""
+    """The counts of a run, as points of size and value by figure, and its summary."""
 
     points: dict[str, list[list[float]]]
     summary: dict[str, Any]
@@ -253,7 +264,7 @@
 
 @pytest.fixture
 def run_experiment(tmp_path: Path) -> Callable[[str], CountedRun]:
-    """Return a function that runs an experiment file, given as text."""
+    """Return a function that runs an experiment, given as the text of its file."""
 
     def run(text: str) -> CountedRun:
         path, out = tmp_path / "x.toml", tmp_path / f"out-{len(list(tmp_path.iterdir()))}"
@@ -273,7 +284,7 @@
 @pytest.mark.parametrize(
     "text", [ENDPOINT_LIST_EXPERIMENT.format(real=0), MEMBERSHIP_EXPERIMENT], ids=["endpoint-list", "members"]
 )
-def test_the_plays_hold_their_bounds_and_count_the_same_twice(run_experiment, text):
+def test_plays_meet_their_expectations_and_repeat_the_same_counts(run_experiment, text):
     assert run_experiment(text).points == run_experiment(text).points
 
 
@@ -286,7 +297,7 @@
     assert [title for title, _ in summary["tables"]] == ["Slopes", "Hollow beside 2 real nodes"]
 
 
-def test_a_list_that_would_not_fit_is_refused_with_what_would(tmp_path):
+def test_list_above_the_memory_limit_is_refused_with_the_largest_allowed_size(tmp_path):
     path = tmp_path / "x.toml"
     path.write_text(
         ENDPOINT_LIST_EXPERIMENT.format(real=20).replace("sizes = [300, 1000]", "sizes = [300, 300000]")
@@ -298,24 +309,24 @@
     assert not (tmp_path / "out" / "band").exists()
 
 
-def test_the_whole_list_at_the_planned_size_is_within_what_a_node_takes():
+def test_whole_list_at_the_planned_size_is_below_the_length_limit_of_answers():
     source = EndpointListSource(PLANNED_SERVERS)
     source.list_all()
     assert len(source.answer(0, whole=True)) < protocol.MAX_LIST_BYTES
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_a_run_that_is_interrupted_leaves_no_process_and_no_directory(tmp_path, number):
+def test_interrupted_run_leaves_no_process_and_no_directory(tmp_path, number):
     path, out = tmp_path / "x.toml", tmp_path / "out"
     path.write_text(
         ENDPOINT_LIST_EXPERIMENT.format(real=2).replace("real_changes = 2", "real_changes = 2000")
     )
-    words = [sys.executable, "-m", "marlseam", "experiment", "run", str(path), "--out", str(out)]
+    command = [sys.executable, "-m", "marlseam", "experiment", "run", str(path), "--out", str(out)]
     run = subprocess.Popen(
-        words,
+        command,
         stderr=subprocess.DEVNULL,
         cwd=Path(__file__).parent.parent,
-        # A suite that a shell runs in the background was started with interrupts ignored, and hands that on.
+        # Guards against an ignored SIGINT, which a suite started in the background by a shell passes on.
         preexec_fn=lambda: signal.signal(signal.SIGINT, signal.SIG_DFL),
     )
     try:
@@ -335,7 +346,7 @@
     assert not (out / "band").exists()
 
 
-def test_the_discovery_server_ends_a_watch_without_changes_in_the_time_asked_for():
+def test_discovery_server_answers_a_watch_without_changes_at_the_end_of_its_timeout():
     source = EndpointListSource(3)
     source.change_next_entry()
     discovery = DiscoveryServer(source)
@@ -343,14 +354,14 @@
         call = http.client.HTTPConnection(discovery.address, timeout=10.0)
         call.request("GET", f"{protocol.LIST_PATH}?since=1&timeout_ms=50")
         answer = json.loads(call.getresponse().read())
-        # A node would take anything else for a failed watch, and ask for the whole list.
+        # A node treats any other answer as a failed watch, and requests the whole list.
         assert answer == {"seq": 1, "whole": False, "hosts": []}
         call.close()
     finally:
         discovery.close()
 
 
-def test_the_status_has_the_same_length_however_long_it_takes(monkeypatch):
+def test_length_of_the_status_does_not_depend_on_the_time_that_making_it_takes(monkeypatch):
     names, clock = member_names(40), itertools.count()
     monkeypatch.setattr("marlseam.net.loop.time.monotonic", lambda: 1e-3 * next(clock) ** 2)
     assert len({measure_status(names).status_bytes for _ in range(3)}) == 1
