--- a/marlseam/experiment/size_changes_report.py
+++ b/marlseam/experiment/size_changes_report.py
@@ -1,4 +1,4 @@
-"""The figures of `size_changes`: their units, how each is measured, their bounds, and tables of them."""
+"""The figures of the play `size_changes`: units, methods of measurement, bounds and tables."""
 
 from marlseam.experiment.config_change_workload import PLANNED_TEAMS
 from marlseam.experiment.sizing.plan import (
@@ -37,7 +37,7 @@
 }
 PROCESS_FIGURES = ("core_share", "cpu_ms_change", "publisher_core_share", "memory_mb")
 CHARGED_CLOCK_FIGURES = ("last_s", "burst_s")
-FAILURE_FIGURES = ("missed", "two_contents")  # summed over all runs; 0 in a run that is well
+FAILURE_FIGURES = ("missed", "two_contents")  # summed over all runs; 0 without failures
 COMPARED_FIGURES = ("bytes_change", "notes_change", "cpu_ms_change", "memory_mb", "last_s", "burst_s")
 BEYOND_COUNTS = (*PROCESS_FIGURES, *CHARGED_CLOCK_FIGURES, "_over", "true_")
 
@@ -45,19 +45,19 @@
 
 
 def is_count(name: str) -> bool:
-    """Return whether a figure by its name is a count, the same in each run."""
+    """Return whether the figure of a name is a count, which is the same in each run."""
     return not any(part in name for part in BEYOND_COUNTS)
 
 
 def method_of(name: str) -> str:
-    """Return how a figure is measured, as `Slope.how` has it."""
+    """Return how a figure is measured, as a value of `Slope.how`."""
     if name in PROCESS_FIGURES:
         return "hollow"
     return "virtual" if name in CHARGED_CLOCK_FIGURES else "counted"
 
 
 def table_of(figures: dict[str, float]) -> Rows:
-    """Return the figures of one run as a table, beside their bounds."""
+    """Return the figures of one run and their bounds as a table, header row first."""
     rows = [["figure", "unit", "value", "bound", "value over bound"]]
     for name, value in figures.items():
         bound = BOUNDS.get(name)
@@ -67,7 +67,7 @@
 
 
 def figures_with_ratios(run: str, figures: dict[str, float]) -> dict[str, float]:
-    """Return the figures of a run, named after it, and the ratio of each to its bound if it has one."""
+    """Return the figures of a run as `RUN_NAME`, and the ratios to their bounds as `RUN_NAME_over`."""
     found: dict[str, float] = {}
     for name, value in figures.items():
         found[f"{run}_{name}"] = value
@@ -77,7 +77,7 @@
 
 
 def slopes_of(figures_by_teams: dict[int, dict[str, float]]) -> list[Slope]:
-    """Return how each figure grows with the number of teams."""
+    """Return each figure by the number of teams."""
     return [
         Slope(
             name,
--- a/marlseam/experiment/size_cold.py
+++ b/marlseam/experiment/size_cold.py
@@ -1,7 +1,8 @@
-"""The play `size_cold`: what servers in slow start receive from all nodes together, by the cluster's size.
+"""The play `size_cold`: requests that servers in slow start receive from all nodes, by the cluster's size.
 
-Beside the most that any window of any server in slow start held, as a share of its bound, stands how much of
-what the settings allow was used over all slow starts, so that sending less does not count as better.
+The main figure is the largest share of its bound that any window of any server in slow start reached. The
+share of the allowed requests that was used over all slow starts is reported too, so that sending fewer
+requests does not count as better.
 """
 
 from collections.abc import Sequence
@@ -19,18 +20,18 @@
 from marlseam.experiment.slow_start_load import SlowStartDriver, SlowStartLoad, Traffic, mean_work_ms
 from marlseam.simulation.model import Count, Day, Fault, Name, NotNegative, Positive, Share, Strict
 
-PARALLEL_RUNS = 4  # processes that play at a time
+PARALLEL_RUNS = 4  # processes that play at the same time
 
 
 class Case(Strict, frozen=True):
-    """One `[[size_cold.cases]]` of an experiment file: traffic, uncounted nodes, age of load reports.
+    """One `[[size_cold.cases]]` of an experiment file: traffic, uncounted nodes, delay of load reports.
 
     Attributes:
-        name: of the case, a part of its figures' names.
-        load: the traffic, as a share of what servers past slow start can do.
-        surge: by which factor the traffic grows in the day's surges.
-        beside: nodes that the settings do not count, as a share of those that they do.
-        late_s: how late all load reports are, in seconds.
+        name: the name of the case, which is a part of the names of its figures.
+        load: the traffic, as a share of the capacity of all servers after slow start.
+        surge: the factor of the traffic in the day's surges.
+        beside: nodes that the nodes' settings do not count, as a share of the counted ones.
+        late_s: the delay of all load reports in seconds.
     """
 
     name: Name
@@ -45,10 +46,10 @@
 
     Attributes:
         nodes: the sizes of the clusters, in nodes.
-        cases: what they are played in.
-        traffic: whether the nodes of a zone get equal shares of the traffic.
-        seeds: how many seeds, from the experiment's on.
-        executors_a_node: by how much the number of servers grows with that of nodes; 0: not at all.
+        cases: the cases that each cluster is played in.
+        traffic: whether the nodes of a zone get equal (`even`) or unequal (`uneven`) shares of the traffic.
+        seeds: the number of seeds, counted up from the experiment's seed.
+        executors_a_node: growth of the number of servers, as a share of the growth of that of nodes; 0: none.
     """
 
     nodes: Annotated[list[Count], Meta(min_length=1)]
@@ -59,7 +60,7 @@
 
 
 def day_of(day: Day, settings: SlowStartSettings, nodes: int, case: Case) -> Day:
-    """Return a day with so many nodes, and with servers and traffic to match, in a case."""
+    """Return the day of a case for a cluster of `nodes` nodes, with servers and traffic in proportion."""
     growth = 1.0 + settings.executors_a_node * (nodes / settings.nodes[0] - 1.0)
     kinds = [replace(kind, executors=round(kind.executors * growth)) for kind in day.fleet.kinds]
     capacity = sum(kind.executors * kind.slots * kind.speed for kind in kinds)
@@ -73,7 +74,7 @@
 
 
 class Variant(NamedTuple):
-    """What is played once with each seed."""
+    """A combination of cluster size, traffic and case, which is played once with each seed."""
 
     nodes: int
     traffic: Traffic
@@ -81,17 +82,17 @@
 
     @property
     def label(self) -> str:
-        """How the names of its figures begin."""
+        """The prefix of the names of its figures."""
         return f"n{self.nodes}_{self.traffic}_{self.case.name}"
 
 
 def play_variant(day: Day, settings: SlowStartSettings, variant: Variant, seed: int) -> SlowStartLoad:
-    """Play a variant with one seed."""
+    """Play a variant with one seed, and return the load on servers in slow start."""
     variant_day = day_of(day, settings, variant.nodes, variant.case)
     return SlowStartDriver(variant_day, seed, variant.nodes, variant.traffic).measure()
 
 
-HEAD = (
+TABLE_HEAD = (
     "nodes",
     "traffic",
     "case",
@@ -109,12 +110,12 @@
 
 
 def mean(values: Sequence[float]) -> float:
-    """Return a mean that does not depend on the order of values."""
+    """Return the mean, added up in sorted order so that it does not depend on the order of the values."""
     return sum(sorted(values)) / len(values)
 
 
 def row_of(variant: Variant, loads: list[SlowStartLoad]) -> list[str]:
-    """Return the row of the report on a variant, over its seeds."""
+    """Return the report's row for a variant, over its seeds."""
     median_ratios = sorted(load.median_rate_ratio for load in loads)
     return [
         str(variant.nodes),
@@ -134,7 +135,7 @@
 
 
 def figures_of(loads_by_variant: dict[Variant, list[SlowStartLoad]]) -> dict[str, float]:
-    """Return the figures of each variant and of all, by the names that experiment files expect them under."""
+    """Return the figures of each variant and of all variants, by the names used in experiment files."""
     figures = dict.fromkeys(("most", "most_work", "used", "units", "lives"), 0.0)
     for variant, loads in loads_by_variant.items():
         most = max(load.max_bound_share for load in loads)
@@ -151,7 +152,7 @@
 
 
 def play_all(experiment: Experiment, show_progress: ShowProgress) -> dict[Variant, list[SlowStartLoad]]:
-    """Play each variant with each seed, several at a time, those of the largest clusters first."""
+    """Play each variant with each seed, `PARALLEL_RUNS` at a time, the largest clusters first."""
     settings: SlowStartSettings = experiment.tables["size_cold"]
     day, seed = experiment.day, experiment.head.seed
     variants = [Variant(*parts) for parts in product(settings.nodes, settings.traffic, settings.cases)]
@@ -170,14 +171,14 @@
 
 @register_play("size_cold")
 def size_cold(experiment: Experiment, _out: Path, show_progress: ShowProgress) -> RunResult:
-    """Measure the most that any window of a server in slow start held, by cluster, traffic and case."""
+    """Measure the largest window of requests to a server in slow start, by cluster, traffic and case."""
     loads_by_variant = play_all(experiment, show_progress)
-    rows = [list(HEAD), *(row_of(variant, loads) for variant, loads in loads_by_variant.items())]
+    rows = [list(TABLE_HEAD), *(row_of(variant, loads) for variant, loads in loads_by_variant.items())]
     seeds = experiment.tables["size_cold"].seeds
     title = f"What cold executors got, {seeds} seeds each, virtual time"
     return RunResult(figures_of(loads_by_variant), tables=[(title, rows)], driver="virtual")
 
 
 def register() -> None:
-    """Make this play's table known to experiment files."""
+    """Register the play's table for experiment files."""
     file.register("size_cold", SlowStartSettings)
--- a/marlseam/experiment/size_endpoint_list.py
+++ b/marlseam/experiment/size_endpoint_list.py
@@ -1,8 +1,9 @@
-"""The play `size_roster`: what an endpoint list costs a node, by its length.
+"""The play `size_roster`: the cost of an endpoint list for a node, by the length of the list.
 
-Measured are the whole list, one change, and a thousand changes in one answer: bytes, processor time, the
-longest turn, memory, how many entries a change reads, and what a decision costs. In-process nodes take
-discovery's answers through discovery's own code; real nodes on loopback are given the same answers.
+The whole list, one change, and a thousand changes in one answer are measured: bytes, processor time, longest
+turn, memory, table entries read for a change, and processor time of a decision. In-process nodes apply
+discovery's answers with the code of a real node's discovery client; real nodes on loopback receive the same
+answers.
 """
 
 import json
@@ -25,13 +26,13 @@
 from marlseam.net import protocol
 
 PLAY = "size_roster"  # in experiment files
-PLAY_MB = 120.0  # of the process that runs the play
-NODE_MB = 45.0  # of a node, with its interpreter
-ENTRY_MB = 0.0035  # of one entry of the list, in each process
-OTHER_PROCESSES = 2  # the play and the in-process node
-IN_PROCESS_NODE = "hollow"  # its name
-NO_DISCOVERY = "127.0.0.1:9"  # an address at which nobody listens
-ZONE_CHANGE_FIGURES = "thousand"  # with what the names of figures begin that tell of a zone's change
+PLAY_MB = 120.0  # memory of the process that runs the play
+NODE_MB = 45.0  # memory of a node with its interpreter, without a list
+ENTRY_MB = 0.0035  # memory of one entry of the list, in each process
+OTHER_PROCESSES = 2  # the play's process and the in-process node's
+IN_PROCESS_NODE = "hollow"  # name of the in-process node
+NO_DISCOVERY = "127.0.0.1:9"  # an address on which nothing listens
+ZONE_CHANGE_FIGURES = "thousand"  # prefix of the names of figures of a zone's change
 
 # Figures that are the same on every run of the in-process node.
 COUNTED = (
@@ -55,7 +56,7 @@
     "unit_probes",
     "unit_sends",
 )
-# By the last word of a figure's name.
+# Units, by the last word of a figure's name.
 UNITS = {
     "touched": "entries",
     "reads": "of entries",
@@ -67,7 +68,7 @@
     "bytes": "bytes",
 }
 OTHER_UNIT = "of the work"
-# At the planned size: by what discovery's answers may have, what a node may take, how late a loop may be.
+# Bounds at the planned size: length of discovery's answers, memory of a node, turn of an event loop.
 BOUNDS = {
     "whole_turn_ms": MAX_TURN_MS,
     "one_turn_ms": MAX_TURN_MS,
@@ -82,14 +83,14 @@
 
 
 def need_of(settings: EndpointListSizes, count: int) -> ResourceNeed:
-    """Return what a list of `count` servers needs: the play, the in-process node, the real nodes."""
+    """Return the resources that a list of `count` servers needs, in the play, in-process and real nodes."""
     list_mb = ENTRY_MB * count
     nodes = 1 + settings.real
     return ResourceNeed(PLAY_MB + list_mb + nodes * (NODE_MB + list_mb), OTHER_PROCESSES + settings.real)
 
 
 def is_shown(name: str, count: int) -> bool:
-    """Return whether a figure is one of a list that long: one that tells of a zone needs a whole zone."""
+    """Return whether a figure is shown for a list of `count` servers; those of a zone need a whole zone."""
     return count >= ZONE_CHANGES or not name.startswith(ZONE_CHANGE_FIGURES)
 
 
@@ -99,7 +100,7 @@
 
 
 def slopes(figures_by_size: FiguresBySize, on_loopback: bool) -> Iterator[Slope]:
-    """Give the figures by size, those of in-process nodes or those of real ones."""
+    """Yield the figures by size, either those of in-process nodes or those of real ones."""
     for name in next(iter(figures_by_size.values()), {}):
         points = [
             Point(float(count), figures[name])
@@ -128,15 +129,15 @@
 def in_process_figures(settings: EndpointListSizes, count: int, config_path: str) -> dict[str, float]:
     """Return the figures of an in-process node.
 
-    To be called in a child process, which loads this module with all that it imports: that is part of
-    `process_mb`, which stays comparable with earlier runs.
+    Must be called in a child process. That process loads this module with all its imports, which count in
+    `process_mb`, so that `process_mb` stays comparable with earlier runs.
     """
     return measure_in_process(settings, count, config_path).by_name()
 
 
 @register_play(PLAY)
 def size_endpoint_list(experiment: Experiment, out: Path, show_progress: ShowProgress) -> RunResult:
-    """Measure what an endpoint list costs a node by its length, in-process and on loopback."""
+    """Measure the cost of an endpoint list for a node by the list's length, in-process and on loopback."""
     settings: EndpointListSizes = experiment.tables[PLAY]
     need = check_resource_need(f"{PLAY}.sizes", settings.sizes, lambda count: need_of(settings, count))
     show_progress(f"needs {need.memory_mb:.0f} MB and {need.processes} processes at most")
@@ -148,26 +149,26 @@
         config = node_config(IN_PROCESS_NODE, NO_DISCOVERY, max(1, settings.real), seed)
         config_path.write_text(json.dumps(config))
         for count in settings.sizes:
-            show_progress(f"{count} executors, a hollow node")
+            show_progress(f"{count} servers, an in-process node")
             in_process[count] = call_in_child_process(in_process_figures, settings, count, str(config_path))
             if settings.real:
-                show_progress(f"{count} executors, {settings.real} real nodes")
+                show_progress(f"{count} servers, {settings.real} real nodes")
                 on_loopback[count] = measure_on_loopback(settings, count, seed, directory).by_name()
     return result(settings, in_process, on_loopback)
 
 
 def result(settings: EndpointListSizes, in_process: FiguresBySize, on_loopback: FiguresBySize) -> RunResult:
     """Return the result of a run from its figures by size."""
-    drawn = [*slopes(in_process, on_loopback=False), *slopes(on_loopback, on_loopback=True)]
-    figures = slope.figures(drawn)
-    tables = [("Slopes", slope.rows(drawn))]
+    all_slopes = [*slopes(in_process, on_loopback=False), *slopes(on_loopback, on_loopback=True)]
+    figures = slope.figures(all_slopes)
+    tables = [("Slopes", slope.rows(all_slopes))]
     if on_loopback:
         compared = comparison(in_process, on_loopback)
         tables.append((f"Hollow beside {settings.real} real nodes", compared.rows))
         figures |= compared.ratios
-    return RunResult(figures, tables=tables, driver="hollow and loopback", slopes=drawn)
+    return RunResult(figures, tables=tables, driver="hollow and loopback", slopes=all_slopes)
 
 
 def register() -> None:
-    """Make the play's table known to experiment files."""
+    """Register the play's table for experiment files."""
     file.register(PLAY, EndpointListSizes)
--- a/marlseam/experiment/size_members.py
+++ b/marlseam/experiment/size_members.py
@@ -1,7 +1,8 @@
-"""The play `size_members`: what membership costs a node, by how many members a cluster has.
+"""The play `size_members`: the cost of membership for a node, by the number of members in the cluster.
 
-A few members run in full among scripted ones. Small clusters are played with all members in full, and one of
-them is killed. By when each member has found out by its own probes that one is silent is calculated.
+A few full members, which run the real state machine, are measured among scripted ones. Small clusters are
+played with full members only, and one of them is killed. The time until every member has detected a silent
+member by its own probes is calculated.
 """
 
 from collections.abc import Iterator, Mapping
@@ -26,11 +27,11 @@
 from marlseam.experiment.slope import Point, Slope
 
 PLAY = "size_members"  # in experiment files
-PLAY_MB = 150.0
-NAME_MB = 0.006  # of one name, for each member in full
-PROCESSES = 2  # the play, and one size at a time
+PLAY_MB = 150.0  # memory of the run without the names that full members hold
+NAME_MB = 0.006  # memory of one name, in each full member
+PROCESSES = 2  # the play, and the child process of one size at a time
 
-# What is shown of clusters whose members all run in full, by its name in `DetectionSample.figures`.
+# Figures of clusters of full members only: the name shown, by the name in `DetectionSample.figures`.
 WHOLE_CLUSTER_FIGURES = {
     "most_s": "whole_gone_s",
     "median_s": "whole_half_s",
@@ -62,7 +63,7 @@
     "whole_bytes_s": "bytes a second",
     "whole_false": "words",
 }
-# At the planned size.
+# Bounds at the planned size.
 BOUNDS = {
     "core_share": NODE_CORE_SHARE,
     "bytes_s": NODE_BYTES_PER_S,
@@ -90,12 +91,12 @@
 
 
 def need_of(settings: MembershipSizes, count: int) -> ResourceNeed:
-    """Return what `count` members need; each size has a process of its own, one after another."""
+    """Return the resources that `count` members need; sizes run one after another in child processes."""
     return ResourceNeed(PLAY_MB + NAME_MB * count * settings.members, PROCESSES)
 
 
-def origin_of(name: str) -> str:
-    """Return where a figure comes from, as `Slope.how` has it."""
+def method_of(name: str) -> str:
+    """Return how a figure is measured, as a value of `Slope.how`."""
     if name == "gone_bound_s":
         return "worked out"
     if name in WHOLE_CLUSTER_FIGURES.values():
@@ -104,23 +105,26 @@
 
 
 def slopes(figures_by_size: FiguresBySize, planned_size: int) -> Iterator[Slope]:
-    """Give the figures by size."""
+    """Yield each figure by size."""
     for name in next(iter(figures_by_size.values()), {}):
         points = [Point(float(count), figures[name]) for count, figures in figures_by_size.items()]
         yield Slope(
-            name, UNITS[name], origin_of(name), points, float(planned_size), BOUNDS.get(name), "names"
+            name, UNITS[name], method_of(name), points, float(planned_size), BOUNDS.get(name), "names"
         )
 
 
 def measure_whole_cluster(count: int, seed: int, settings: ScaleTable) -> dict[str, float]:
-    """Return what a cluster shows whose members all run in full, in virtual time and without loss."""
+    """Return the figures of a cluster of full members only, in virtual time and without loss of datagrams."""
     found = call_in_child_process(measure_detection, count, 0.0, seed, settings).figures()
     return {shown: found[name] for name, shown in WHOLE_CLUSTER_FIGURES.items()}
 
 
 @register_play(PLAY)
 def size_members(experiment: Experiment, _out: Path, show_progress: ShowProgress) -> RunResult:
-    """Measure what membership costs by the members: timers, datagrams, memory, time until one is gone."""
+    """Measure the cost of membership by the number of members, and the time to detect that one is gone.
+
+    The cost consists of timers, datagrams and memory.
+    """
     settings: MembershipSizes = experiment.tables[PLAY]
     need = check_resource_need(f"{PLAY}.sizes", settings.sizes, lambda count: need_of(settings, count))
     show_progress(f"needs {need.memory_mb:.0f} MB and {need.processes} processes at most")
@@ -129,20 +133,20 @@
     whole_by_size: dict[int, dict[str, float]] = {}
     with time_limit():
         for count in settings.sizes:
-            show_progress(f"{count} names, {settings.members} members that are whole")
+            show_progress(f"{count} members, {settings.members} of them full members")
             figures = call_in_child_process(measure_membership, settings, count, seed)
             by_size[count] = figures.by_name()
         cluster = ScaleTable(nodes=[1], loss=[0.0], watched_s=settings.watched_s)
         for count in settings.whole:
-            show_progress(f"{count} members, all whole")
+            show_progress(f"{count} members, all of them full members")
             whole_by_size[count] = measure_whole_cluster(count, seed, cluster)
-    # Whole clusters are not extrapolated past the greatest that was played: they do not grow by a line.
-    greatest = max(whole_by_size, default=1)
-    drawn = [*slopes(by_size, PLANNED_SERVERS), *slopes(whole_by_size, greatest)]
-    tables = [("Slopes", slope.rows(drawn))]
-    return RunResult(slope.figures(drawn), tables=tables, driver="hollow and virtual", slopes=drawn)
+    # Clusters of full members are not extrapolated past the largest one played: they do not grow linearly.
+    largest_played = max(whole_by_size, default=1)
+    all_slopes = [*slopes(by_size, PLANNED_SERVERS), *slopes(whole_by_size, largest_played)]
+    tables = [("Slopes", slope.rows(all_slopes))]
+    return RunResult(slope.figures(all_slopes), tables=tables, driver="hollow and virtual", slopes=all_slopes)
 
 
 def register() -> None:
-    """Make the play's table known to experiment files."""
+    """Register the play's table for experiment files."""
     file.register(PLAY, MembershipSizes)
--- a/marlseam/experiment/slope_chart.py
+++ b/marlseam/experiment/slope_chart.py
@@ -1,4 +1,4 @@
-"""Drawing of how a figure grows with a size: its points, the line through them, and its bound."""
+"""Chart of a figure by size: its points, the fitted line, and its bound."""
 
 from html import escape
 from math import log10
@@ -21,39 +21,42 @@
 from marlseam.experiment.slope import Slope
 
 X_MARGIN_PX = 20.0  # between the y axis and the smallest size
-LINE_POINTS = 60  # with which the line is drawn, which is a curve on logarithmic axes
+LINE_POINTS = 60  # points of the drawn line, which is a curve on logarithmic axes
 POINT_RADIUS_PX = 4
 
 
 class LogScales:
-    """Where sizes and values lie; both axes are logarithmic, the y axis covers whole powers of ten.
+    """Pixel positions of sizes and values on logarithmic axes; the y axis covers whole powers of ten.
 
     Attributes:
-        min_power: the lower end of the y axis, as a power of ten.
-        max_power: its upper end.
-        min_size_log: the logarithm of the smallest size.
-        max_size_log: that of the largest.
+        min_power: the exponent of ten at the lower end of the y axis.
+        max_power: the exponent of ten at its upper end.
+        min_size_log: the decimal logarithm of the smallest size.
+        max_size_log: the decimal logarithm of the largest size.
     """
 
     def __init__(self, sizes: list[float], values: list[float]) -> None:
-        """Make scales for some sizes and values, all above 0."""
+        """Make scales that cover the given sizes and values, all above 0."""
         self.min_size_log, self.max_size_log = log10(min(sizes)), log10(max(sizes))
         self.min_power = float(np.floor(log10(min(values))))
         self.max_power = max(float(np.ceil(log10(max(values)) + 1e-9)), self.min_power + 1.0)
 
     def x_px(self, size: float) -> float:
-        """Return where a size lies."""
+        """Return the x position of a size in px."""
         share = (log10(size) - self.min_size_log) / max(self.max_size_log - self.min_size_log, 1e-9)
         return LEFT + X_MARGIN_PX + (WIDTH - LEFT - 3.0 * X_MARGIN_PX) * share
 
     def y_px(self, value: float) -> float:
-        """Return where a value lies; one off the axis lies at its end."""
+        """Return the y position of a value in px; a value off the axis is placed at its end."""
         share = (log10(max(value, 1e-30)) - self.min_power) / (self.max_power - self.min_power)
         return HEIGHT - BOTTOM - (HEIGHT - BOTTOM - TOP) * min(max(share, 0.0), 1.0)
 
 
 def slope_chart(slope: Slope) -> str:
-    """Draw a figure by size; return nothing where no value or a size cannot be on a logarithmic axis."""
+    """Return the chart of a figure as HTML, or an empty string if logarithmic axes cannot show it.
+
+    They cannot if no value and no bound is above 0, or if a size is not.
+    """
     sizes = [size for size, _ in slope.points] + [slope.full]
     values = [value for _, value in slope.points if value > 0.0]
     if slope.bound:
@@ -71,7 +74,7 @@
 
 
 def axes(scales: LogScales, sizes: list[float]) -> list[str]:
-    """Return the grid, with a line for each power of ten, and the sizes along the x axis."""
+    """Return the grid lines, one for each power of ten, and the labels of the sizes on the x axis."""
     parts: list[str] = []
     for power in range(int(scales.min_power), int(scales.max_power) + 1):
         parts += grid_line(scales.y_px(10.0**power), f"{10.0**power:g}")
@@ -80,7 +83,7 @@
 
 
 def bound_line(scales: LogScales, bound: float) -> str:
-    """Return the line of the bound."""
+    """Return the line and the label of the bound."""
     y_px = scales.y_px(bound)
     return (
         f'<line x1="{LEFT}" x2="{WIDTH - RIGHT}" y1="{y_px:.1f}" y2="{y_px:.1f}" stroke="var(--c)" '
@@ -89,7 +92,7 @@
 
 
 def fitted_line(scales: LogScales, slope: Slope) -> str:
-    """Return the line through the points, where its values are above 0."""
+    """Return the fitted line where its values are above 0; empty if none is."""
     sizes = 10.0 ** np.linspace(scales.min_size_log, scales.max_size_log, LINE_POINTS)
     line = [(size, slope.fit.at(size)) for size in sizes]
     path = " L".join(
@@ -109,11 +112,11 @@
 
 
 def slope_key(slope: Slope) -> str:
-    """Return what the colours stand for."""
+    """Return the key of the chart's colours."""
     fit = slope.fit
     entries = [
         KeyEntry("d", "found"),
-        KeyEntry("a", f"{fit.a:.4g} + {fit.b:.4g} N, largest miss {fit.miss:.0%}"),
+        KeyEntry("a", f"{fit.a:.4g} + {fit.b:.4g} N, largest miss {fit.max_relative_error:.0%}"),
     ]
     if slope.bound:
         entries.append(KeyEntry("c", "bound"))
--- a/marlseam/experiment/slow_start_load.py
+++ b/marlseam/experiment/slow_start_load.py
@@ -1,8 +1,8 @@
-"""What servers in slow start receive from all nodes together, played in virtual time.
+"""Requests that servers in slow start receive from all nodes together, played in virtual time.
 
-The bound is one of chance: where the settings allow N requests of mean size in their window, no window may
-hold more than N plus twice its root plus two; N grows as slow start goes on. No server breaks down by
-overload here, so that what follows is measured too.
+The bound is statistical: if the settings allow N requests of mean size per window, no window may hold more
+than N + 2 sqrt(N) + 2. N grows in the course of slow start. Servers do not break down under overload here,
+so that the time after an overload is measured too.
 """
 
 import math
@@ -28,32 +28,32 @@
 
 
 class DiscardingWriter(StreamWriter):
-    """A stream that keeps nothing."""
+    """A stream that discards its records."""
 
     def add(self, record: records.Record) -> None:
         """Discard a record."""
 
 
 class DiscardingStreams(RecordStreams):
-    """Streams that keep nothing: a long play of hundreds of nodes would fill the memory."""
+    """Streams that discard their records, which would fill the memory in a long play of hundreds of nodes."""
 
     def of(self, by: str) -> StreamWriter:
-        """Return the stream of a writer, begun if it is new."""
+        """Return the stream of a writer; it is created for a new writer."""
         if by not in self.writers:
             self.writers[by] = DiscardingWriter(by, self.system, None, self.rules)
         return self.writers[by]
 
 
 class UnevenLoadBalancer(FrontLoadBalancer):
-    """Gives each node of a zone a share of its own, which may be several times the mean.
+    """Gives the nodes of a zone unequal shares of the traffic; a share may be several times the mean.
 
     Attributes:
-        random: draws the node of each try.
-        cumulative_shares: of the nodes of each zone.
+        random: the random stream that nodes are drawn from.
+        cumulative_shares: the cumulative shares of the nodes of each zone, in the order of the names.
     """
 
     def __init__(self, balancer: FrontLoadBalancer, seed: int) -> None:
-        """Balance the nodes of another load balancer."""
+        """Distribute traffic over the nodes of another load balancer."""
         super().__init__(balancer.by_zone, balancer.notice_ms)
         self.random = stream(seed, "front")
         self.cumulative_shares = {}
@@ -62,7 +62,7 @@
             self.cumulative_shares[zone] = np.cumsum(weights) / sum(weights)
 
     def pick_node(self, zone: str, now_ms: float) -> NodePick:
-        """Return a node drawn by its share, or the next one that is not noticed as down."""
+        """Return a node drawn by its share, or the next node after it that is not yet detected as down."""
         names = self.by_zone[zone]
         drawn = int(np.searchsorted(self.cumulative_shares[zone], self.random.random()))
         first = min(drawn, len(names) - 1)
@@ -75,7 +75,7 @@
 
 
 class ReceivedRequest(NamedTuple):
-    """A request that reached a server in slow start: when, and its size over the mean."""
+    """A request that a server in slow start received at a time, with its size over the mean size."""
 
     at_ms: float
     size: float
@@ -83,17 +83,17 @@
 
 @dataclass(frozen=True)
 class SlowStartLoad:
-    """What servers in slow start received in one run.
+    """The load on servers in slow start in one run.
 
     Attributes:
-        max_bound_share: the most that a window held, over the bound, by the requests' mean sizes.
-        max_work_bound_share: the same by their real sizes.
-        max_budget_share: the most that a window held, over N.
-        budget_used: what was sent, over what was allowed in all slow starts.
-        requests: that reached servers in slow start.
-        process_starts: of servers.
-        median_rate_ratio, p99_rate_ratio: what senders take a server's rate for, over what it is.
-        cpu_s: processor time of the run.
+        max_bound_share: the largest window over its bound, by the mean work of each request's type.
+        max_work_bound_share: the largest window over its bound, by each request's own work.
+        max_budget_share: the largest window over N, by the mean work of each request's type.
+        budget_used: the size of all requests sent, over the size allowed in all slow starts.
+        requests: the number of requests that servers in slow start received.
+        process_starts: the number of starts of server processes.
+        median_rate_ratio, p99_rate_ratio: the rate of a server that senders assume, over its actual rate.
+        cpu_s: processor time of the run in seconds.
     """
 
     max_bound_share: float
@@ -108,22 +108,22 @@
 
 
 class SlowStartDriver(VirtualDriver):
-    """Plays a day and measures what each server receives in its slow start.
+    """Plays a day, and measures the requests that each server receives in slow start.
 
     Attributes:
-        began_cpu_s: processor time when it was prepared.
-        settings_day: the day as the nodes' settings have it, with the nodes that they count.
-        mean_work_ms: standard work of a mean request, its slots included.
+        began_cpu_s: processor time of this process when the driver was created.
+        settings_day: the day that the nodes' settings are made from, with the number of nodes they count.
+        mean_work_ms: standard work of a mean request, multiplied by its slots.
         max_bound_share, max_work_bound_share, max_budget_share: as in `SlowStartLoad`, so far.
-        allowed: requests of mean size that the settings allowed in slow starts that are over.
-        sent: requests that reached servers in slow start, in mean sizes.
-        received: what reached each server within its last window.
-        request_count, process_starts: as in `SlowStartLoad`, so far.
-        rate_ratios: what a sender took a server's rate for, over what it is, for each request.
+        allowed_requests: requests that the settings allowed in the slow starts that are over, in mean sizes.
+        sent_requests: requests that servers in slow start received, in mean sizes.
+        received: the requests that each server received in slow start within its latest window.
+        request_count, process_starts: `requests` and `process_starts` of `SlowStartLoad`, so far.
+        rate_ratios: for each request, the server's rate that its sender assumed, over the actual rate.
     """
 
     def __init__(self, day: Day, seed: int, counted_nodes: int, traffic: Traffic) -> None:
-        """Prepare a day; `counted_nodes` is how many nodes the settings count."""
+        """Prepare a day; `counted_nodes` is the number of nodes in the nodes' settings."""
         self.began_cpu_s = time.process_time()
         self.settings_day = replace(day, fleet=replace(day.fleet, nodes=counted_nodes))
         super().__init__(day, seed, DiscardingStreams(None, "driver"))
@@ -133,24 +133,24 @@
             host.model.fall_multiple = math.inf
         self.mean_work_ms = mean_work_ms(day)
         self.max_bound_share = self.max_work_bound_share = self.max_budget_share = 0.0
-        self.allowed = self.sent = 0.0
+        self.allowed_requests = self.sent_requests = 0.0
         self.received: dict[str, deque[ReceivedRequest]] = {name: deque() for name in self.world.servers}
         self.request_count = self.process_starts = 0
         self.rate_ratios: list[float] = []
 
     def make_node(self, name: str, zone: str) -> SimulatedNode:
-        """Make a node whose settings count `counted_nodes` nodes."""
+        """Make a node whose settings give `counted_nodes` as the number of nodes."""
         deployment = deployment_from(node_settings(self.settings_day, zone))
         return SimulatedNode(name, zone, deployment, self.make_reducer())
 
     def budget(self, host: SimulatedServer, at_ms: float) -> float:
-        """Return how many requests of mean size the settings allow a server in their window at a time."""
+        """Return N, the requests of mean size that the settings allow a server per window, at a time."""
         kind, rules = host.model.kind, self.day.rules
         rate = kind.slots * kind.speed * host.model.speed_share(at_ms)
         return rules.fall_multiple * rate * rules.fall_ms / self.mean_work_ms
 
     def deliver(self, flight: AttemptInFlight) -> None:
-        """Hand an attempt to its server, and measure it if the server is in slow start."""
+        """Deliver an attempt to its server, and measure it if the server is in slow start."""
         host, server = flight.server, flight.server.model
         is_delivered = flight.is_written and flight.is_open and self.world.is_delivered(flight.node, host)
         is_received = is_delivered and server.is_up
@@ -160,7 +160,7 @@
             self.measure_rate_ratio(flight)
 
     def measure_window(self, flight: AttemptInFlight) -> None:
-        """Add a request to its server's window, and compare the window with its bound."""
+        """Add a request to its server's window, and compare the window with its bound and with N."""
         server, rules = flight.server.model, self.day.rules
         arrival, window = self.world.arrivals[flight.request_id], self.received[server.name]
         size = self.day.types[arrival.type].work_ms * arrival.slots / self.mean_work_ms
@@ -168,18 +168,18 @@
         started_ms = -math.inf if server.started_ms is None else server.started_ms
         while window[0].at_ms <= self.now_ms - rules.fall_ms or window[0].at_ms < started_ms:
             window.popleft()
-        server.slow_start_load(0.0)  # drops what has left the window
-        real_size = sum(work.area for work in server.state.arrived) / self.mean_work_ms
+        server.slow_start_load(0.0)  # called to remove requests that have left the window from `arrived`
+        own_work_size = sum(work.area for work in server.state.arrived) / self.mean_work_ms
         window_size, budget = sum(request.size for request in window), self.budget(flight.server, self.now_ms)
         bound = budget + 2.0 * math.sqrt(budget) + 2.0
         self.max_bound_share = max(self.max_bound_share, window_size / bound)
-        self.max_work_bound_share = max(self.max_work_bound_share, real_size / bound)
+        self.max_work_bound_share = max(self.max_work_bound_share, own_work_size / bound)
         self.max_budget_share = max(self.max_budget_share, window_size / budget)
-        self.sent += size
+        self.sent_requests += size
         self.request_count += 1
 
     def measure_rate_ratio(self, flight: AttemptInFlight) -> None:
-        """Compare what a request's sender takes its server's rate for with what it is."""
+        """Compare the rate of a server that the request's sender assumes with the actual rate."""
         node, name, kind = flight.node.reducer, flight.server.model.name, flight.server.model.kind
         dispatcher, server = node.dispatcher, node.servers.by_name.get(name)
         if dispatcher is None or server is None:
@@ -190,26 +190,28 @@
         self.rate_ratios.append(assumed_rate * self.day.types[type_index].work_ms / (kind.slots * kind.speed))
 
     def start_server(self, host: SimulatedServer) -> None:
-        """Start a server's process."""
+        """Start a server's process, and count the start."""
         super().start_server(host)
         self.process_starts += 1
 
     def crash(self, host: SimulatedServer) -> None:
-        """End a server's process."""
+        """End a server's process, and add the requests allowed in its slow start."""
         self.add_allowed(host)
         super().crash(host)
 
     def add_allowed(self, host: SimulatedServer) -> None:
-        """Add up what the settings allowed in a process's slow start, as the process or the day ends."""
+        """Add the requests allowed in a process's slow start; called when the process or the day ends."""
         server = host.model
         if server.started_ms is not None and server.is_up:
             end_ms = min(self.now_ms, server.started_ms + 1000.0 * server.kind.warm_s)
-            mean_budget = self.budget(host, (server.started_ms + end_ms) / 2.0)  # it grows linearly
+            mean_budget = self.budget(
+                host, (server.started_ms + end_ms) / 2.0
+            )  # the budget grows linearly in slow start
             slow_start_ms = max(0.0, end_ms - server.started_ms)
-            self.allowed += mean_budget * slow_start_ms / self.day.rules.fall_ms
+            self.allowed_requests += mean_budget * slow_start_ms / self.day.rules.fall_ms
 
     def measure(self) -> SlowStartLoad:
-        """Play the day, and return what servers in slow start received."""
+        """Play the day, and return the load on servers in slow start."""
         self.run()
         for host in self.world.servers.values():
             self.add_allowed(host)
@@ -218,7 +220,7 @@
             max_bound_share=self.max_bound_share,
             max_work_bound_share=self.max_work_bound_share,
             max_budget_share=self.max_budget_share,
-            budget_used=self.sent / (self.allowed or 1.0),
+            budget_used=self.sent_requests / (self.allowed_requests or 1.0),
             requests=float(self.request_count),
             process_starts=float(self.process_starts),
             median_rate_ratio=ratios[len(ratios) // 2],
@@ -228,7 +230,7 @@
 
 
 def mean_work_ms(day: Day) -> float:
-    """Return the standard work of a mean request, its slots included."""
+    """Return the standard work of a mean request in ms, multiplied by its slots."""
     shares = sum(request_type.share for request_type in day.types)
     work_ms = sum(
         request_type.share * request_type.work_ms * mean_slots(request_type) for request_type in day.types
@@ -237,6 +239,6 @@
 
 
 def mean_slots(request_type: RequestType) -> float:
-    """Return how many slots a request of a type takes."""
+    """Return the mean number of slots that a request of a type takes."""
     shares = request_type.slots
     return sum((i + 1) * share for i, share in enumerate(shares)) / sum(shares)
