--- a/marlseam/experiment/config_change_measurement.py
+++ b/marlseam/experiment/config_change_measurement.py
@@ -1,4 +1,4 @@
-"""What a simulated node uses by a configuration's size: idle, at the usual pace of changes, in a burst."""
+"""Measures the usage of simulated nodes: without changes, with paced changes, and in a burst of changes."""
 
 import tracemalloc
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 from marlseam.experiment.config_change_simulation import ConfigChangeSimulation
 from marlseam.experiment.config_change_usage import SimulatedUsage
 from marlseam.experiment.config_change_workload import (
-    FIRST_BURST_MARK,
+    FIRST_BURST_INDEX,
     LAN,
     PUBLISHER,
     WARM_UP_S,
@@ -32,16 +32,16 @@
 
 @dataclass(frozen=True)
 class SimulatedCase:
-    """One run of the simulation.
+    """The parameters of one run of the simulation.
 
     Attributes:
-        seed: of the changes and of the simulation.
-        settings: how often the configuration changes.
-        teams: that the configuration lists.
-        nodes: how many.
-        lists_members: whether each content lists all nodes.
-        delays: of the network, the disks and the operator.
-        replica_type: what is run on each node.
+        seed: the seed of the changes and of the simulation.
+        settings: the number and the pace of changes.
+        teams: the number of teams in the configuration.
+        nodes: the number of nodes.
+        lists_members: whether each content lists all nodes as members.
+        delays: the delays of the network, the disks and the operator.
+        replica_type: the class of each node's replica.
     """
 
     seed: int
@@ -54,19 +54,19 @@
 
 
 class PacedChanges(NamedTuple):
-    """What came of changes at their usual pace: their versions and what was used meanwhile."""
+    """The result of paced changes: their versions, and the usage in that time."""
 
     versions: list[int]
     usage: SimulatedUsage
 
 
 class Burst(NamedTuple):
-    """What came of a burst of changes.
+    """The result of a burst of changes.
 
     Attributes:
-        changes: how many versions were published.
-        seconds: from the burst's begin until the last node acted on its newest version.
-        usage: what was used meanwhile.
+        changes: the number of versions published.
+        seconds: time from the start of the burst until the last node applied the newest version.
+        usage: the usage in that time.
     """
 
     changes: int
@@ -75,16 +75,16 @@
 
 
 class SimulatedRun:
-    """One run: first version, a time without changes, changes at their pace, a burst.
+    """One run: first version, a time without changes, paced changes, a burst.
 
     Attributes:
-        case: what is run.
-        simulation: the nodes.
-        shared: the settings that were published last.
+        case: the parameters of the run.
+        simulation: the simulated nodes.
+        shared: the shared settings that were requested last.
     """
 
     def __init__(self, case: SimulatedCase) -> None:
-        """Start the nodes."""
+        """Start the nodes, without a version."""
         self.case = case
         self.simulation = ConfigChangeSimulation(
             case.nodes, case.seed, case.lists_members, case.delays, case.replica_type
@@ -92,63 +92,63 @@
         self.shared = shared_settings(case.nodes, case.teams)
 
     def begin(self) -> None:
-        """Publish the first version, and wait until all act on it and have come to rest."""
+        """Publish the first version, run until all nodes apply it, and then for `WARM_UP_S` more."""
         self.simulation.request_publication(self.shared)
         self.simulation.settle()
         self.run_seconds(WARM_UP_S)
 
     def run_seconds(self, seconds: float) -> None:
-        """Run for so long."""
+        """Run the simulation for `seconds` of virtual time."""
         self.simulation.run(self.simulation.now + 1000.0 * seconds)
 
-    def publish_change(self, mark: int) -> None:
-        """Have the next change published."""
-        self.shared = change_one_team(self.shared, self.case.seed, mark)
+    def publish_change(self, change_index: int) -> None:
+        """Request the publication of the change with index `change_index`."""
+        self.shared = change_one_team(self.shared, self.case.seed, change_index)
         self.simulation.request_publication(self.shared)
 
     def run_idle(self) -> SimulatedUsage:
-        """Run without changes, and return what was used."""
+        """Run without changes for `idle_s`, and return the usage."""
         before = self.simulation.usage()
         self.run_seconds(self.case.settings.idle_s)
         return self.simulation.usage().since(before)
 
     def run_paced(self) -> PacedChanges:
-        """Publish changes at their usual pace."""
+        """Publish a change every `every_s` seconds, and return the versions and the usage."""
         simulation, versions = self.simulation, list[int]()
         before = simulation.usage()
-        for mark in range(self.case.settings.changes):
+        for change_index in range(self.case.settings.changes):
             versions.append(max(simulation.requested_at_ms) + 1)
-            self.publish_change(mark)
+            self.publish_change(change_index)
             self.run_seconds(self.case.settings.every_s)
         usage = simulation.usage().since(before)
         simulation.settle()
         return PacedChanges(versions, usage)
 
     def run_burst(self) -> Burst:
-        """Publish changes as fast as they are agreed on."""
+        """Publish changes as fast as the cluster agrees on them, and return the result."""
         simulation = self.simulation
         before, began_ms, last_version = simulation.usage(), simulation.now, max(simulation.requested_at_ms)
-        for mark in range(self.case.settings.burst):
-            self.publish_change(FIRST_BURST_MARK + mark)
+        for change_index in range(self.case.settings.burst):
+            self.publish_change(FIRST_BURST_INDEX + change_index)
         simulation.settle()
         usage, newest = simulation.usage().since(before), max(simulation.requested_at_ms)
         requested_s = (simulation.requested_at_ms[newest] - began_ms) / 1000.0
         return Burst(newest - last_version, simulation.last_applied_s(newest) + requested_s, usage)
 
     def has_missed(self) -> bool:
-        """Return whether some node does not act on the newest version."""
+        """Return whether any node has not applied the newest version."""
         newest = max(self.simulation.requested_at_ms)
         replicas = map(replica_of, self.simulation.processes.values())
         return any(replica.applied_number != newest for replica in replicas)
 
     def content_bytes(self) -> int:
-        """Return the size of the content that the publisher holds."""
+        """Return the length in bytes of the content that the publisher holds."""
         replica = replica_of(self.simulation.processes[PUBLISHER])
         return len(replica.store.contents[replica.content_id])
 
 
 def measure_case(case: SimulatedCase) -> dict[str, float]:
-    """Run a case; return its figures by the names that experiment files expect them under."""
+    """Run a case, and return its figures by the names used in experiment files."""
     run = SimulatedRun(case)
     simulation, settings = run.simulation, case.settings
     run.begin()
@@ -184,7 +184,7 @@
 
 
 def version_memory_mb(teams: int, nodes: int, lists_members: bool) -> float:
-    """Return what a node holds for a version: the replica, its bytes and what it acts on, in MB."""
+    """Return the memory in MB that a node holds for a version: replica, encoded content and deployment."""
     names = [f"n{i}" for i in range(nodes)]
     voters = names[:MEMORY_TEST_VOTERS]
     tracemalloc.start()
@@ -196,18 +196,18 @@
         settings = ReplicationSettings(frozenset(voters), PERIOD_MS, LEASE_PERIODS * PERIOD_MS, False, 0.0)
         replica = ConfigReplica(names[0], frozenset(names), settings, "n0/1", 0, 0.0, recovered)
         if replica.content is None:
-            raise ValueError(f"a content of {teams} teams cannot be read: {replica.unusable_reason}")
+            raise ValueError(f"the content with {teams} teams cannot be read: {replica.unusable_reason}")
         digester = SettingsDigester()
         digester.digest(replica.content.settings)
         deployment = deployment_from(replica.content.settings, whole=True)
         held_mb = (tracemalloc.get_traced_memory()[0] - before_bytes) / BYTES_PER_MB
-        del deployment, digester  # held until the memory was read
+        del deployment, digester  # kept alive until the memory has been read
         return held_mb
     finally:
         tracemalloc.stop()
 
 
 def first_content(names: list[str], voters: list[str], teams: int, members: dict[str, str]) -> bytes:
-    """Return the bytes of a first version's content; `members` are the addresses that it lists."""
+    """Return the encoded content of a first version; `members` are the addresses that it lists, by name."""
     settings = node_settings(len(names)) | {"teams": team_quotas(teams)}
     return write(Content(FORMAT, 1, "", voters, "w", names[0], settings, members))
--- a/marlseam/experiment/config_change_simulation.py
+++ b/marlseam/experiment/config_change_simulation.py
@@ -1,9 +1,9 @@
 """Nodes that replicate a configuration, simulated in one process and in virtual time.
 
-Each is a real `ConfigReplica` with the real codecs and checks, without sockets. The nodes run on a clock
-that does not count processor time, so that counts (bytes, datagrams, values) are the same in each run. Beside
-it goes a charged clock, on which a node is busy for the processor time that it used and a datagram leaves
-when that is over; latencies are taken from it.
+Each node is a real `ConfigReplica` with the real codecs and checks, without sockets. The nodes run on a clock
+that does not count processor time, so that counts (bytes, datagrams, values) are the same in each run. A
+second, charged clock counts the processor time: on it a node is busy for the processor time that it used, and
+a datagram leaves when the node is no longer busy. Latencies are measured on the charged clock.
 """
 
 import json
@@ -42,7 +42,7 @@
     node_settings,
 )
 
-SERVE_LEASES = 100.0  # for which a node without a proof serves on
+SERVE_WITHOUT_PROOF_LEASES = 100.0  # how long a node without a proof continues to serve, in leases
 SETTLE_CHECK_MS = 100.0
 HOSTS_PER_SUBNET = 250
 NS_PER_MS = 1e6
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class OutgoingDatagram:
-    """An encoded message on its way to a member."""
+    """An encoded message to a member."""
 
     recipient: str
     data: bytes
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True)
 class EncodedEffects:
-    """The effects of one call of a replica, by kind and in their order, once their bytes are made."""
+    """The effects of one call of a replica, by kind and in order, with their messages encoded."""
 
     datagrams: list[OutgoingDatagram] = field(default_factory=list)
     writes: list[Persist] = field(default_factory=list)
@@ -66,32 +66,34 @@
 
 
 class ConfigChangeSimulation(ClusterSimulation):
-    """Members of a cluster with versions; times in ms, of which `charged` ones count processor time.
+    """Nodes of a cluster with versions of the configuration; times are in ms unless named `_s`.
+
+    Times named `charged` are those of the charged clock.
 
     Attributes:
-        voters: the names of the members that vote, n0 first.
-        replication_settings: of each replica.
-        replica_type: what is run on each node.
-        delays: of the network, the disks and the operator.
-        own_settings: of a node, its zone among them.
-        listed_members: the addresses that each content lists, by member; none where contents list no members.
-        last_arrival_ms: when the last datagram arrives, by sender and recipient.
-        busy_until_ms: until when a node is busy, by the charged clock.
-        disk_busy_until_ms, charged_disk_busy_until_ms: until when its disk is busy, by either clock.
+        voters: the names of the voters, n0 first.
+        replication_settings: the settings of each replica.
+        replica_type: the class of each node's replica.
+        delays: the delays of the network, the disks and the operator.
+        own_settings: the settings of a node, which include its zone.
+        listed_members: the addresses that each content lists, by member; empty if contents list no members.
+        last_arrival_ms: when the last datagram sent arrives, by sender and recipient.
+        busy_until_ms: until when a node is busy on the charged clock, by node.
+        disk_busy_until_ms, charged_disk_busy_until_ms: until when a node's disk is busy, on either clock.
         cpu_ms: processor time used, by node.
-        bytes_sent: by node.
+        bytes_sent: bytes sent, by node.
         datagrams_by_kind: datagrams sent, by the kind of message.
-        values_read: values that nodes decoded as versions reached them.
-        contents_applied: versions that nodes but the publisher began to act on.
-        conflicting_contents: records of a version held under another content than the one first held.
-        applied_at_ms: when each node began to act on a version, by both, by the charged clock.
-        content_ids: of the contents first held, by version.
-        last_transfer_counts: `ContentStore.transfer_counts` of each node at its last change.
-        deployments: what each node acts on.
-        digesters: digest the settings that each node acts on.
-        pending_settings: what the publisher is to publish.
-        requested_at_ms: when each version was requested.
-        is_publication_due: whether the operator is about to call.
+        values_read: values that nodes other than the publisher decoded from received versions.
+        contents_applied: versions that nodes other than the publisher applied, in total.
+        conflicting_contents: records that hold a version with another content than the one first held.
+        applied_at_ms: when a node applied a version on the charged clock, by node and version.
+        content_ids: the id of the content first held, by version.
+        last_transfer_counts: `ContentStore.transfer_counts` of each node when it last applied a version.
+        deployments: the deployment that each node has applied.
+        digesters: the digesters of the settings that each node has applied.
+        pending_settings: the settings that are still to be published, in order.
+        requested_at_ms: when each version was requested, by version.
+        is_publication_due: whether an operator's call is scheduled.
     """
 
     def __init__(
@@ -102,12 +104,12 @@
         delays: Delays = LAN,
         replica_type: type[ConfigReplica] = ConfigReplica,
     ) -> None:
-        """Start so many nodes without a version."""
+        """Start `nodes` nodes without a version."""
         names = [f"n{i}" for i in range(nodes)]
         self.voters = names[:MAX_VOTERS] if nodes >= MAX_VOTERS else names
         lease_ms = LEASE_PERIODS * PERIOD_MS
         self.replication_settings = ReplicationSettings(
-            frozenset(self.voters), PERIOD_MS, lease_ms, False, SERVE_LEASES * lease_ms
+            frozenset(self.voters), PERIOD_MS, lease_ms, False, SERVE_WITHOUT_PROOF_LEASES * lease_ms
         )
         self.replica_type, self.delays, self.own_settings = replica_type, delays, node_settings(nodes)
         self.listed_members = member_addresses(names) if lists_members else {}
@@ -129,10 +131,10 @@
         self.is_publication_due = False
         super().__init__(nodes, seed, [], drift=DRIFT)
 
-    # The simulation's steps, for replicas.
+    # Steps of the simulation.
 
     def new_machine(self, name: str, seed: int) -> ConfigReplica:
-        """Return a process's replica, which checks contents as a node does."""
+        """Return the replica of a new process, which checks contents as a node does."""
         replica = self.replica_type(
             name,
             self.names,
@@ -147,7 +149,7 @@
         return replica
 
     def check_content(self, name: str, content: Content) -> str:
-        """Return what is wrong with a content on a node, or nothing."""
+        """Return why a node cannot use a content, or an empty string if it can."""
         try:
             self.load_deployment(name, content.settings)
         except ConfigError as error:
@@ -155,12 +157,15 @@
         return ""
 
     def load_deployment(self, name: str, shared: JsonObject) -> Deployment:
-        """Return settings as a node would act on them; raise ConfigError."""
+        """Return the deployment that a node makes of shared settings; raises ConfigError for wrong ones."""
         settings = shared | {"zone": self.own_settings["zone"]}
         return deployment_from(settings, before=self.deployments.get(name), whole=True)
 
     def run_call(self, process: SimulatedMember, charged_ms: float, call: Callable[[], list[Effect]]) -> None:
-        """Run a call of a node that is due, charge the node with its cost, and carry out the effects."""
+        """Make a call on a node, add its processor time, and carry out its effects.
+
+        `charged_ms` is when the call is due on the charged clock.
+        """
         name = process.name
         began_ns = time.thread_time_ns()
         effects = self.encode_effects(name, call())
@@ -177,7 +182,7 @@
             self.schedule_publication()
 
     def encode_effects(self, name: str, effects: list[Effect]) -> EncodedEffects:
-        """Do what effects cost a node's processor: encode messages and records, act on contents."""
+        """Do the processor work of effects: encode messages and records, apply contents."""
         encoded = EncodedEffects()
         for effect in effects:
             if type(effect) is SendMessage:
@@ -194,12 +199,12 @@
         return encoded
 
     def apply_content(self, name: str, content: Content) -> None:
-        """Act on a content, as a node does."""
+        """Apply a content as a node does."""
         self.deployments[name] = self.load_deployment(name, content.settings)
         self.digesters[name].digest(content.settings)
 
     def send_datagram(self, sender: str, datagram: OutgoingDatagram, charged_ms: float) -> None:
-        """Send a datagram, which leaves at a time by the charged clock."""
+        """Send a datagram, which leaves at `charged_ms` on the charged clock."""
         self.bytes_sent[sender] += len(datagram.data)
         delay_ms = self.delays.min_datagram_ms + self.delays.datagram_span_ms * self.random()
         due_ms = self.now + delay_ms
@@ -210,7 +215,7 @@
         self.at(due_ms, self.receive_datagram, datagram.recipient, datagram.data, arrival_ms)
 
     def receive_datagram(self, recipient: str, data: bytes, charged_ms: float) -> None:
-        """Hand a datagram to the process of its recipient."""
+        """Deliver a datagram to the process of its recipient."""
         process = self.processes[recipient]
 
         def receive() -> list[Effect]:
@@ -221,11 +226,11 @@
         self.schedule_tick(process)
 
     def begin_write(self, process: SimulatedMember, persist: Persist, charged_ms: float) -> None:
-        """Write records to a node's disk, one write after the other."""
+        """Start a write of records to a node's disk, after the writes that are under way there."""
         name = process.name
-        took_ms = self.delays.max_disk_ms * self.random()
-        done_ms = max(self.disk_busy_until_ms[name], self.now) + took_ms
-        charged_done_ms = max(self.charged_disk_busy_until_ms[name], charged_ms) + took_ms
+        write_ms = self.delays.max_disk_ms * self.random()
+        done_ms = max(self.disk_busy_until_ms[name], self.now) + write_ms
+        charged_done_ms = max(self.charged_disk_busy_until_ms[name], charged_ms) + write_ms
         self.disk_busy_until_ms[name] = done_ms
         self.charged_disk_busy_until_ms[name] = charged_done_ms
         self.at(done_ms, self.end_write, process, persist.token, charged_done_ms)
@@ -235,20 +240,23 @@
                 self.conflicting_contents += first_id != record.id
 
     def end_write(self, process: SimulatedMember, token: int, charged_ms: float) -> None:
-        """Tell a node that records are durable."""
+        """Notify a node that records are durable."""
         persisted = partial(replica_of(process).persisted, self.local(process), token)
         self.run_call(process, charged_ms, persisted)
         self.schedule_tick(process)
 
     def record_applied(self, process: SimulatedMember, apply: ApplyContent, charged_ms: float) -> None:
-        """Note that a node acts on a version; the publisher has the content from its operator."""
+        """Record that a node has applied a version, and count the values that it decoded.
+
+        The publisher is not counted, since it has the content from its operator.
+        """
         self.applied_at_ms[process.name, apply.number] = charged_ms
         if process.name != PUBLISHER:
             self.contents_applied += 1
             self.values_read += self.values_received(process, apply)
 
     def values_received(self, process: SimulatedMember, apply: ApplyContent) -> int:
-        """Return how many values a node decoded for a change: those of a whole content, or the edits."""
+        """Return how many values a node decoded since it last applied a version: whole contents and edits."""
         content_values = count_values(apply.content.settings) + len(apply.content.members)
         counts = replica_of(process).store.transfer_counts
         earlier = self.last_transfer_counts.get(process.name, Counter())
@@ -256,7 +264,7 @@
         return content_values * (counts["whole"] - earlier["whole"]) + counts["edits"] - earlier["edits"]
 
     def tick(self, process: SimulatedMember) -> None:
-        """Wake a node whose time has come."""
+        """Run a node's timer if it is due, and schedule the next tick."""
         process.tick_at = inf
         replica, now_ms = replica_of(process), self.local(process)
         if replica.next_ms <= now_ms + TIMER_ROUNDING_MS:
@@ -266,19 +274,19 @@
     # Publications.
 
     def request_publication(self, settings: JsonObject) -> None:
-        """Have settings published as soon as that can be."""
+        """Queue settings for publication, and publish them at once if no call is scheduled or under way."""
         self.pending_settings.append(settings)
         if not self.is_publication_due:
             self.publish_next()
 
     def schedule_publication(self) -> None:
-        """Have the operator call once more, if settings are to be published."""
+        """Schedule the operator's next call if settings are pending and none is scheduled."""
         if self.pending_settings and not self.is_publication_due:
             self.is_publication_due = True
             self.at(self.now + self.delays.operator_ms, self.publish_next)
 
     def publish_next(self) -> None:
-        """Have the publisher publish the next settings, unless a publication is under way there."""
+        """Publish the next settings at the publisher, unless it has a publication under way or is behind."""
         self.is_publication_due = False
         process = self.processes[PUBLISHER]
         replica = replica_of(process)
@@ -293,7 +301,10 @@
         self.schedule_tick(process)
 
     def publish(self, process: SimulatedMember, number: int, body: bytes) -> list[Effect]:
-        """Have a replica publish settings, read and checked as a node does at an operator's call."""
+        """Publish settings at a replica, read and checked as a node does for an operator's call.
+
+        Return the replica's effects; raises ConfigError if the settings are wrong.
+        """
         replica = replica_of(process)
         settings = json.loads(body)
         content = Content(
@@ -311,21 +322,24 @@
         return replica.publish(self.local(process), data)
 
     def settle(self) -> None:
-        """Run until all nodes act on the newest version, or until it counts as missed."""
+        """Run until all nodes have applied the newest version, or for `SETTLE_TIMEOUT_S` at most."""
         end_ms = self.now + 1000.0 * SETTLE_TIMEOUT_S
         while self.now < end_ms:
             self.run(self.now + SETTLE_CHECK_MS)
-            if not self.pending_settings and self.all_act_on(max(self.requested_at_ms)):
+            if not self.pending_settings and self.all_applied(max(self.requested_at_ms)):
                 break
 
     # Measurements.
 
-    def all_act_on(self, number: int) -> bool:
-        """Return whether all nodes act on a version, or a later one."""
+    def all_applied(self, number: int) -> bool:
+        """Return whether all nodes have applied a version or a later one."""
         return all(replica_of(process).applied_number >= number for process in self.processes.values())
 
     def last_applied_s(self, number: int) -> float:
-        """Return how long after its request the last node acted on a version or a later one, in s."""
+        """Return the time in s from a version's request until the last node applied it or a later one.
+
+        The time is that of the charged clock; it is inf if a node has not applied one.
+        """
         first_ms = dict.fromkeys(self.names, inf)
         for (name, applied), at_ms in self.applied_at_ms.items():
             if applied >= number:
@@ -333,22 +347,22 @@
         return (max(first_ms.values()) - self.requested_at_ms[number]) / 1000.0
 
     def usage(self) -> SimulatedUsage:
-        """Return what nodes have used so far."""
-        bystanders = self.names - set(self.voters)
+        """Return the usage of the nodes so far."""
+        non_voters = self.names - set(self.voters)
         return SimulatedUsage(
             time_ms=self.now,
             bytes=sum(self.bytes_sent.values()) / len(self.names),
             datagrams=sum(self.datagrams_by_kind.values()) / len(self.names),
             values_read=self.values_read,
             contents_applied=self.contents_applied,
-            cpu_ms=sum(self.cpu_ms[name] for name in bystanders) / max(1, len(bystanders)),
+            cpu_ms=sum(self.cpu_ms[name] for name in non_voters) / max(1, len(non_voters)),
             publisher_cpu_ms=self.cpu_ms[PUBLISHER],
             publisher_bytes=self.bytes_sent[PUBLISHER],
         )
 
 
 def member_addresses(names: list[str]) -> dict[str, str]:
-    """Return an address for each member."""
+    """Return a distinct address for each member, by name."""
     return {
         name: f"10.0.{i // HOSTS_PER_SUBNET}.{i % HOSTS_PER_SUBNET + 1}:7000" for i, name in enumerate(names)
     }
--- a/marlseam/experiment/config_change_workload.py
+++ b/marlseam/experiment/config_change_workload.py
@@ -1,4 +1,4 @@
-"""The workload of `size_changes`: settings that list teams with quotas, and changes of one team's quota."""
+"""The workload of the play `size_changes`: settings with the quotas of teams, and changes of one quota."""
 
 from typing import Any, NamedTuple
 
@@ -7,32 +7,33 @@
 from marlseam.random_source import number as random_number
 from marlseam.simulation.model import Count, Positive, Strict
 
-PLANNED_TEAMS = 640  # that a deployment is planned for
+PLANNED_TEAMS = 640  # number of teams that a deployment is planned for
 CLUSTER_NAME = "size"
 PUBLISHER = "n0"
 MAX_VOTERS = 7
-WARM_UP_S = 5.0  # from the first version until counts begin
-SETTLE_TIMEOUT_S = 120.0  # after which a change that has not reached all nodes counts as missed
-FIRST_BURST_MARK = 1000  # of the changes in a burst; those before are marked from 0
+WARM_UP_S = 5.0  # from when all nodes apply the first version until the measurement begins
+SETTLE_TIMEOUT_S = 120.0  # after this time, a change that not all nodes have applied counts as missed
+FIRST_BURST_INDEX = 1000  # index of a burst's first change; the paced changes before it count from 0
 
 JsonObject = dict[str, Any]
 
 
 class ChangeSettings(Strict, frozen=True):
-    """Table `size_changes` of an experiment file: sizes of the configuration, and how often it changes.
+    """Table `size_changes` of an experiment file: sizes of the configuration, and its rate of change.
 
     Attributes:
-        teams: numbers of teams to measure at.
-        nodes: simulated nodes, at each size.
-        full_nodes: simulated nodes of a further run at `PLANNED_TEAMS`, whose content lists them; 0: none.
-        full_changes: changes in that run, and as many in its burst.
-        disorder: teams of one further run in which datagrams overtake each other; 0: none.
-        every_s: seconds between changes; by default 16,000 a day.
-        changes: how many at that pace.
-        burst: changes that follow each other as fast as they are agreed on.
-        idle_s: seconds without changes, before the first.
-        real: real nodes on loopback that run the same workload beside as many simulated ones; 0: none.
-        real_teams: teams in that comparison.
+        teams: the numbers of teams to measure at.
+        nodes: the number of simulated nodes, at each size.
+        full_nodes: simulated nodes of a further run at `PLANNED_TEAMS`, whose content lists them as members;
+            0: no such run.
+        full_changes: the number of paced changes in that run, and the number in its burst.
+        disorder: teams of a further run whose network reorders datagrams; 0: no such run.
+        every_s: seconds between paced changes; the default makes 16,000 a day.
+        changes: the number of paced changes.
+        burst: the number of changes that are published as fast as the cluster agrees on them.
+        idle_s: seconds without changes, before the first paced change.
+        real: real nodes on loopback, compared with as many simulated ones; 0: no comparison.
+        real_teams: the number of teams in the comparison.
     """
 
     teams: list[Count]
@@ -49,14 +50,14 @@
 
 
 class Delays(NamedTuple):
-    """How long a datagram, a write to the disk and the operator's next call take, in ms.
+    """Delays of datagrams, of writes to the disk and of the operator's calls, in ms.
 
     Attributes:
-        min_datagram_ms: the least time that a datagram takes.
-        datagram_span_ms: by how much it may take longer.
-        max_disk_ms: the most that a write takes.
-        operator_ms: from when a version can be published until the operator's call comes.
-        reorders: whether a datagram may overtake one that its sender sent to the same node before.
+        min_datagram_ms: the smallest delay of a datagram.
+        datagram_span_ms: the largest delay of a datagram less the smallest.
+        max_disk_ms: the longest time that a write takes.
+        operator_ms: time from when a version can be published until the operator's call.
+        reorders: whether a datagram may overtake an earlier one from the same sender to the same node.
     """
 
     min_datagram_ms: float = 0.3
@@ -71,7 +72,7 @@
 
 
 def team_quotas(count: int) -> JsonObject:
-    """Return the quotas of so many teams, by name."""
+    """Return the quotas of `count` teams, by team name."""
     return {
         f"team-{i:03d}": {
             "accelerators": 20 + i % 80,
@@ -84,16 +85,19 @@
     }
 
 
-def change_one_team(settings: JsonObject, seed: int, mark: int) -> JsonObject:
-    """Return settings in which one team, drawn by seed and mark, has another quota."""
+def change_one_team(settings: JsonObject, seed: int, change_index: int) -> JsonObject:
+    """Return settings in which one team has another quota; `seed` and `change_index` determine the team.
+
+    The new quota of accelerators is 1000 plus `change_index`.
+    """
     names = sorted(settings["teams"])
-    name = names[random_number(b"change:%d:%d" % (seed, mark)) % len(names)]
-    quota = settings["teams"][name] | {"accelerators": 1000 + mark}
+    name = names[random_number(b"change:%d:%d" % (seed, change_index)) % len(names)]
+    quota = settings["teams"][name] | {"accelerators": 1000 + change_index}
     return settings | {"teams": settings["teams"] | {name: quota}}
 
 
 def count_values(document: object) -> int:
-    """Return how many single values a document holds."""
+    """Return the number of scalar values in a JSON document."""
     if isinstance(document, dict):
         return sum(map(count_values, document.values()))
     if isinstance(document, list):
@@ -102,12 +106,12 @@
 
 
 def node_settings(nodes: int) -> JsonObject:
-    """Return the settings of one node of a cluster of so many, without teams."""
+    """Return the settings of one node of a cluster of `nodes` nodes, without teams."""
     settings: JsonObject = node_config(PUBLISHER, "", nodes)["settings"]
     return settings
 
 
 def shared_settings(nodes: int, teams: int) -> JsonObject:
-    """Return the settings that all nodes of a cluster share, with so many teams."""
+    """Return the settings that all nodes of a cluster share, with the quotas of `teams` teams."""
     shared = {key: value for key, value in node_settings(nodes).items() if key != "zone"}
     return shared | {"teams": team_quotas(teams)}
--- a/tests/test_size_changes.py
+++ b/tests/test_size_changes.py
@@ -1,4 +1,4 @@
-"""The experiment `size-changes`: what changes of a cluster's configuration cost a node."""
+"""The play `size_changes`: repeatable counts, resource limits, and detection of missing deltas."""
 
 from pathlib import Path
 
@@ -17,7 +17,7 @@
 SHORT = Path(__file__).parent.parent / "experiments" / "size-changes-short.toml"
 
 
-def test_the_short_experiment_holds_and_gives_the_same_counts_twice(tmp_path):
+def test_short_experiment_meets_its_expectations_and_repeats_the_same_counts(tmp_path):
     registered_plays.register()
     experiment = file.load(SHORT)
     summary = runner.run(experiment, tmp_path / "one", lambda _text: None)
@@ -28,7 +28,7 @@
     assert len(counts[0]) > 30
 
 
-def test_an_experiment_that_needs_too_much_is_refused_with_what_would_fit(tmp_path):
+def test_experiment_above_the_resource_limits_is_refused_with_the_largest_allowed_size(tmp_path):
     path = tmp_path / "big.toml"
     path.write_text(SHORT.read_text().replace("nodes = 12", "nodes = 60000"))
     result = CliRunner().invoke(main, ["experiment", "run", str(path), "--out", str(tmp_path / "out")])
@@ -37,27 +37,27 @@
     assert not (tmp_path / "out" / "band").exists()
 
 
-@pytest.mark.parametrize("mark", [0, 1, 1000])
-def test_a_change_is_of_one_team(mark):
+@pytest.mark.parametrize("change_index", [0, 1, 1000])
+def test_change_alters_the_quota_of_exactly_one_team(change_index):
     before = {"teams": team_quotas(10)}
-    after = change_one_team(before, 7, mark)
+    after = change_one_team(before, 7, change_index)
     assert sum(before["teams"][name] != after["teams"][name] for name in before["teams"]) == 1
 
 
 class NoDeltasStore(ContentStore):
-    """Computes no delta."""
+    """A content store that computes no deltas."""
 
     def add_delta_from_predecessor(self, content_id):
         pass
 
 
 class NoDeltasReplica(ConfigReplica):
-    """A defect: no delta is computed for what is published, so all are sent the whole."""
+    """A defect: no delta is computed for a published content, so that nodes are sent the whole content."""
 
     store_type = NoDeltasStore
 
 
-def test_the_counts_show_that_nobody_sends_deltas():
+def test_bytes_per_change_reveal_a_defect_that_sends_no_deltas():
     experiment = file.load(SHORT)
     settings = msgspec.structs.replace(experiment.tables["size_changes"], burst=0)
     bytes_change = [
