--- a/marlseam/experiment/config_change_nodes.py
+++ b/marlseam/experiment/config_change_nodes.py
@@ -36,8 +36,8 @@
 from marlseam.experiment.sizing.process_usage import process_cpu_ms
 from marlseam.store.ledger_writer import create_ledger
 
-LOG_CHECK_S = 0.005  # between two readings of the nodes' logs
-START_UP_S = 3.0  # from when all nodes listen until the first version is published
+LOG_CHECK_S = 0.005  # time between two readings of the nodes' logs
+START_UP_S = 3.0  # time from when all nodes listen until the first version is published
 ALL_APPLIED_TIMEOUT_S = 30.0
 CALL_TIMEOUT_S = 5.0
 UNUSED_ADDRESS = "127.0.0.1:9"  # address of discovery, which these nodes do not need
--- a/marlseam/experiment/config_change_workload.py
+++ b/marlseam/experiment/config_change_workload.py
@@ -11,7 +11,7 @@
 CLUSTER_NAME = "size"
 PUBLISHER = "n0"
 MAX_VOTERS = 7
-WARM_UP_S = 5.0  # from when all nodes apply the first version until the measurement begins
+WARM_UP_S = 5.0  # time from when all nodes apply the first version until the measurement begins
 SETTLE_TIMEOUT_S = 120.0  # after this time, a change that not all nodes have applied counts as missed
 FIRST_BURST_INDEX = 1000  # index of a burst's first change; the paced changes before it count from 0
 
--- a/marlseam/experiment/size_endpoint_list.py
+++ b/marlseam/experiment/size_endpoint_list.py
@@ -25,7 +25,7 @@
 from marlseam.experiment.slope import Point, Slope
 from marlseam.net import protocol
 
-PLAY = "size_roster"  # in experiment files
+PLAY = "size_roster"  # name of the play in experiment files
 PLAY_MB = 120.0  # memory of the process that runs the play
 NODE_MB = 45.0  # memory of a node with its interpreter, without a list
 ENTRY_MB = 0.0035  # memory of one entry of the list, in each process
--- a/marlseam/experiment/size_members.py
+++ b/marlseam/experiment/size_members.py
@@ -26,7 +26,7 @@
 from marlseam.experiment.sizing.resource_need import ResourceNeed, check_resource_need
 from marlseam.experiment.slope import Point, Slope
 
-PLAY = "size_members"  # in experiment files
+PLAY = "size_members"  # name of the play in experiment files
 PLAY_MB = 150.0  # memory of the run without the names that full members hold
 NAME_MB = 0.006  # memory of one name, in each full member
 PROCESSES = 2  # the play, and the child process of one size at a time
--- a/marlseam/experiment/sizing/endpoint_list/in_process_measurement.py
+++ b/marlseam/experiment/sizing/endpoint_list/in_process_measurement.py
@@ -67,7 +67,7 @@
 
     Must be called in a separate process, since it measures that process's memory.
     """
-    gc.freeze()  # as a node does at its start
+    gc.freeze()  # a real node calls gc.freeze at its start too
     node, source = InProcessNode(Path(config_path)), EndpointListSource(count)
     # The node first holds a list of one server.
     source.change_next_entry()
--- a/marlseam/experiment/sizing/endpoint_list/in_process_node.py
+++ b/marlseam/experiment/sizing/endpoint_list/in_process_node.py
@@ -23,11 +23,11 @@
 from marlseam.net.loop import LATE, READY, Loop, Wait
 from marlseam.net.upstream import Upstream
 
-REQUEST_GAP_MS = 5.0  # between two requests
-REQUEST_CLASSES = 2  # the first ones of the settings, used in turn
+REQUEST_GAP_MS = 5.0  # time between two requests
+REQUEST_CLASSES = 2  # the first classes of the settings are used in turn
 DEADLINE_MS = 5000.0
-ROUND_TRIP_MS = 1.0  # from a probe to its answer, and from sending an attempt to its start
-RUN_MS = 1.5  # from sending an attempt to its completion
+ROUND_TRIP_MS = 1.0  # time from a probe to its answer, and from sending an attempt to its start
+RUN_MS = 1.5  # time from sending an attempt to its completion
 FREE_SLOTS = 8.0  # free slots that each server reports
 
 
--- a/marlseam/experiment/sizing/endpoint_list/loopback_measurement.py
+++ b/marlseam/experiment/sizing/endpoint_list/loopback_measurement.py
@@ -19,8 +19,8 @@
 from marlseam.net import protocol
 
 SINGLE_NODE = "single"
-REQUEST_CLASSES = ("urgent", "task")  # used in turn
-DEADLINE_S = "5"  # seconds, as text of the header
+REQUEST_CLASSES = ("urgent", "task")  # classes of the requests, used in turn
+DEADLINE_S = "5"  # time to the deadline in seconds, as text of the header
 CALL_TIMEOUT_S = 10.0
 US_PER_MS = 1000.0
 HTTP_OK = 200
--- a/marlseam/experiment/sizing/endpoint_list/source.py
+++ b/marlseam/experiment/sizing/endpoint_list/source.py
@@ -10,7 +10,7 @@
 from marlseam.experiment.sizing.loopback_nodes import KINDS, ZONES
 from marlseam.simulation.discovery import EndpointList
 
-ZONE_CHANGES = 1000  # in one answer, when one of 22 zones fails or returns at the planned size
+ZONE_CHANGES = 1000  # changes in one answer, when one of 22 zones fails or returns at the planned size
 SERVERS_PER_CELL = 4
 FIRST_START_UNIX_MS = 1.7e12
 SERVICE_CALLS_PER_S = 1e9  # capacity of the modelled discovery service: never a limit here
--- a/marlseam/experiment/sizing/isolation.py
+++ b/marlseam/experiment/sizing/isolation.py
@@ -19,7 +19,7 @@
 from marlseam.experiment.sizing.resource_need import MAX_MEMORY_MB
 
 MAX_RUN_S = 600.0
-WORKING_DIRECTORY = "band"  # for files of real nodes, inside the run's output directory
+WORKING_DIRECTORY = "band"  # name of the directory for files of real nodes, inside the run's output directory
 
 Parameters = ParamSpec("Parameters")
 Result = TypeVar("Result")
--- a/marlseam/experiment/sizing/loopback_nodes.py
+++ b/marlseam/experiment/sizing/loopback_nodes.py
@@ -14,7 +14,7 @@
 ZONES = [f"z{i:02}" for i in range(22)]
 KINDS = ["plain", "one", "two"]  # servers without accelerators, with one, with two
 NODE_LIMITS = {"memory_mb": 192, "sockets": 1024}
-START_TIMEOUT_S = 60.0  # for all nodes together; long because other processes may occupy the cores
+START_TIMEOUT_S = 60.0  # limit for all nodes together, long because other processes may occupy the cores
 LOG_POLL_S = 0.02
 # Texts in a node's log that are read here.
 LISTENS_ON = "listens on"
--- a/marlseam/experiment/sizing/membership/full_member.py
+++ b/marlseam/experiment/sizing/membership/full_member.py
@@ -14,7 +14,7 @@
 from marlseam.experiment.sizing.cpu_clock import CpuClock
 
 CLUSTER_NAME = "size"
-FIRST_GENERATION = 1  # of each member's first process
+FIRST_GENERATION = 1  # generation of each member's first process
 
 
 @dataclass
--- a/marlseam/experiment/sizing/membership/sample.py
+++ b/marlseam/experiment/sizing/membership/sample.py
@@ -24,7 +24,7 @@
 )
 from marlseam.experiment.sizing.membership.scripted_members import MemberDraws, ScriptedMembers, member_names
 
-DELIVERY_MS = 1.0  # from sending a datagram to its receipt
+DELIVERY_MS = 1.0  # time from sending a datagram to its receipt
 TIMER_SLACK_MS = 1e-6  # added to timers, so that rounding never makes a timer fire before it is due
 PENDING_ENTRIES = 13  # most changes that a scripted member passes on in one datagram
 REFRESH_ENTRIES = 2  # states of other members sent in addition, as real members do
@@ -144,7 +144,7 @@
     # Scripted members.
 
     def _deliver(self, sender: str, receiver: str, data: bytes) -> None:
-        """Deliver a full member's datagram; an alive scripted member answers pings and indirect probes."""
+        """Deliver a full member's datagram; a live scripted member answers pings and indirect probes."""
         if receiver in self.members:
             self._receive(receiver, data)
             return
--- a/marlseam/experiment/slope.py
+++ b/marlseam/experiment/slope.py
@@ -116,7 +116,8 @@
 def figures(slopes: Sequence[Slope]) -> dict[str, float]:
     """Return the figures of slopes for experiment files, by name.
 
-    They are the values by size, the fitted line, its error, and the value at full size and over its bound.
+    The figures are the values by size, the fitted line, its error, and the value at the planned size, also
+    over its bound.
     """
     found: dict[str, float] = {}
     for slope in slopes:
--- a/marlseam/experiment/slope_chart.py
+++ b/marlseam/experiment/slope_chart.py
@@ -20,7 +20,7 @@
 )
 from marlseam.experiment.slope import Slope
 
-X_MARGIN_PX = 20.0  # between the y axis and the smallest size
+X_MARGIN_PX = 20.0  # distance between the y axis and the smallest size
 LINE_POINTS = 60  # points of the drawn line, which is a curve on logarithmic axes
 POINT_RADIUS_PX = 4
 
@@ -55,7 +55,7 @@
 def slope_chart(slope: Slope) -> str:
     """Return the chart of a figure as HTML, or an empty string if logarithmic axes cannot show it.
 
-    They cannot if no value and no bound is above 0, or if a size is not.
+    The string is empty if neither a value nor the bound is above 0, or if a size is not above 0.
     """
     sizes = [size for size, _ in slope.points] + [slope.full]
     values = [value for _, value in slope.points if value > 0.0]
