--- a/marlseam/__main__.py
+++ b/marlseam/__main__.py
@@ -77,7 +77,7 @@
     """Run one node until SIGTERM; on SIGHUP it reloads its configuration."""
     # Signals stay pending until the node has installed its handlers: a SIGHUP would end the process before.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP, signal.SIGTERM, signal.SIGINT))
-    node = Node(configuration.load(path, own=own))
+    node = Node(configuration.load(path, operator_settings_path=own))
     gc.freeze()
     node.run()
 
@@ -87,7 +87,7 @@
 @SETTINGS_OPTION
 def check(path: str | None, own: str | None) -> None:
     """Check a configuration; lock, write and read its folders for state and ledger, if it names any."""
-    config = configuration.load(path, own=own)
+    config = configuration.load(path, operator_settings_path=own)
     if config.store is not None:
         importlib.import_module("marlseam.store.check").check_state(config.store, config.name)
     if config.cluster is not None and config.cluster.folder is not None:
--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -13,13 +13,13 @@
 from marlseam.cli.control_client import fleet_status
 from marlseam.cli.tables import table
 from marlseam.cluster import audit as auditing
-from marlseam.cluster.audit_log import ACTS, IntervalBegun
+from marlseam.cluster.audit_log import ACTION_KINDS, IntervalBegun
 from marlseam.store import ledger_audit
 from marlseam.store.disk import Disk
 from marlseam.store.errors import code_of
 from marlseam.store.state_directory import StateDirectory
 
-Row = dict[str, Any]  # an interval as `marlseam.cluster.audit.rows` returns it
+Row = dict[str, Any]  # an interval as `marlseam.cluster.audit.interval_rows` returns it
 
 FOLDER = click.Path(path_type=Path, file_okay=False, exists=True)
 PAGE = """<!doctype html><meta charset=utf-8><title>Audit of the fleet</title>
@@ -147,14 +147,14 @@
     """
     found = read_ledgers(folders, address, error_ms)
     since_ms = 1000.0 * (time.time() - since_s) if since_s is not None else 0.0
-    rows = auditing.rows(found, since_ms, node)
+    rows = auditing.interval_rows(found, since_ms, node)
     if raw:
         for row in rows:
             click.echo(json.dumps(row))
     elif unit is not None:
         print_attempts(found, unit, stores)
     elif rows:
-        click.echo(table([[*HEADINGS, *ACTS], *map(table_row, rows)]))
+        click.echo(table([[*HEADINGS, *ACTION_KINDS], *map(table_row, rows)]))
     if not raw:
         print_unknown(found, node)
     if html is not None and rows:
@@ -183,7 +183,7 @@
 
 
 def table_row(row: Row) -> list[str]:
-    """Return the cells of an interval's table row, in the order of HEADINGS and ACTS."""
+    """Return the cells of an interval's table row, in the order of HEADINGS and ACTION_KINDS."""
     return [
         row["node"],
         str(row["life"]),
@@ -195,7 +195,7 @@
         "yes" if row["proved"] else "no",
         "in" if row["serving"] else "out",
         row["code"],
-        *(str(row[name]) for name in ACTS),
+        *(str(row[name]) for name in ACTION_KINDS),
     ]
 
 
--- a/marlseam/cluster/audit.py
+++ b/marlseam/cluster/audit.py
@@ -12,7 +12,7 @@
 from msgspec.structs import replace
 
 from marlseam.cluster.audit_log import (
-    ACTS,
+    ACTION_KINDS,
     ActionCounts,
     BatchWritten,
     IntervalBegun,
@@ -34,7 +34,7 @@
     "serving": "serving",
     "code": "code",
 }  # fields of IntervalBegun, by the key of a row that operators' programs read
-SENT = ACTS.index("sent")
+SENT = ACTION_KINDS.index("sent")
 
 Counts = tuple[int, ...]
 
@@ -60,7 +60,7 @@
     Attributes:
         begun: the record of its start, with the version that its actions are based on.
         ended_ms: when the next interval began; None if the interval lasted to the end of the process.
-        counts: total counts of its actions, in the order of ACTS.
+        counts: total counts of its actions, in the order of ACTION_KINDS.
         marks: the counts recorded over time.
 
     """
@@ -319,7 +319,7 @@
     return None
 
 
-def rows(audit: Audit, since_ms: float = 0.0, node: str | None = None) -> list[dict[str, Any]]:
+def interval_rows(audit: Audit, since_ms: float = 0.0, node: str | None = None) -> list[dict[str, Any]]:
     """Return the intervals that ended at `since_ms` or later as rows, sorted by node and time.
 
     The keys of a row are those that operators' programs read. `node` limits the rows to one node.
@@ -343,7 +343,7 @@
         row: dict[str, Any] = {"node": node}
         row |= {key: getattr(interval.begun, name) for key, name in FIELDS_BY_KEY.items()}
         row |= {"from_ms": interval.begun.wall_ms, "to_ms": ended_ms}
-        row |= zip(ACTS, interval.counts, strict=True)
+        row |= zip(ACTION_KINDS, interval.counts, strict=True)
         row["unknown_after"] = process.unknown is not None and is_last
         found.append(row)
     return found
--- a/marlseam/cluster/audit_log.py
+++ b/marlseam/cluster/audit_log.py
@@ -19,8 +19,8 @@
 from marlseam.cluster.replication.paxos import NO_BALLOT, AcceptorState
 
 DIGEST_BYTES = 16  # length of a digest in the chain, a truncated SHA-256
-START = b"\0" * DIGEST_BYTES  # takes the place of the previous digest before the first record
-ACTS = ("taken", "sent", "answered", "refused")  # counted kinds of actions, as shown to operators
+FIRST_PREVIOUS_DIGEST = b"\0" * DIGEST_BYTES  # takes the place of the previous digest before the first record
+ACTION_KINDS = ("taken", "sent", "answered", "refused")  # counted kinds of actions, as shown to operators
 
 
 class LedgerBegun(msgspec.Struct, tag="begun", array_like=True, frozen=True):
--- a/marlseam/cluster/replication/quorum_lease.py
+++ b/marlseam/cluster/replication/quorum_lease.py
@@ -151,7 +151,7 @@
         promised for the number after that one, so it is excluded too.
         """
         replica, voter = self.replica, self.replica.voter
-        if voter.votes_excluded_up_to is not None or voter.memory_is_elsewhere:
+        if voter.votes_excluded_up_to is not None or voter.is_memory_in_other_process:
             return []
         if read.number != replica.number or len(read.highest_promised) < paxos.majority(read.voters):
             return []
--- a/marlseam/cluster/replication/replica.py
+++ b/marlseam/cluster/replication/replica.py
@@ -187,10 +187,10 @@
 
         return self.persist((OperatorOverride(why is not None, why or "", wall_ms),), apply_override)
 
-    def take_over_memory(self, recovered: RecoveredLog) -> None:
+    def adopt_memory(self, recovered: RecoveredLog) -> None:
         """Adopt this node's log from another of its processes, which held it until now."""
         self.store.contents |= recovered.contents
-        self.voter.take_over_memory(recovered)
+        self.voter.adopt_memory(recovered)
 
     # Functions shared by the components.
 
--- a/marlseam/cluster/replication/voting.py
+++ b/marlseam/cluster/replication/voting.py
@@ -80,7 +80,7 @@
         durable_promises: promises that are on disk, by version number.
         votes_excluded_up_to: the highest number on which this node does not vote, as it may have lost its
             memory of votes up to there; None: it votes on no number until that bound is determined.
-        memory_is_elsewhere: whether the node's memory of votes is in another of its processes.
+        is_memory_in_other_process: whether the node's memory of votes is in another of its processes.
         awaiting_content: accept requests whose content is being fetched, by content id.
 
     """
@@ -91,15 +91,15 @@
         self.acceptor = Acceptor(replica.name, dict(recovered.promises))
         self.durable_promises = dict(recovered.promises)
         self.votes_excluded_up_to = recovered.votes_excluded_up_to
-        self.memory_is_elsewhere = False
+        self.is_memory_in_other_process = False
         self.awaiting_content: dict[str, AwaitingRequest] = {}
 
-    def take_over_memory(self, recovered: RecoveredLog) -> None:
+    def adopt_memory(self, recovered: RecoveredLog) -> None:
         """Adopt this node's memory of votes from another of its processes, which held it until now."""
         for number, promise in recovered.promises.items():
             if number > self.replica.number:
                 self.acceptor.promises[number] = self.durable_promises[number] = promise
-        self.votes_excluded_up_to, self.memory_is_elsewhere = recovered.votes_excluded_up_to, False
+        self.votes_excluded_up_to, self.is_memory_in_other_process = recovered.votes_excluded_up_to, False
 
     def may_vote(self, number: int) -> bool:
         """Return whether this node is a voter on a number and has a complete memory of its votes on it."""
--- a/marlseam/configuration/deployment.py
+++ b/marlseam/configuration/deployment.py
@@ -86,13 +86,13 @@
 
 
 def deployment_from(
-    options: object, key: str = "settings", before: Deployment | None = None, whole: bool = False
+    options: object, key: str = "settings", before: Deployment | None = None, is_complete: bool = False
 ) -> Deployment:
     """Parse a deployment's settings; a missing entry gets its most restrictive value.
 
     `key` is the full key of `options` in errors. `before` is the deployment in force, whose names keep their
-    indices. `whole` settings, as in a node's file, must give each request class an objective, a deadline and
-    its semantics, and the number of attempts: these have no default. Raises ConfigError.
+    indices. `is_complete` is for settings of a node's file, which must give each request class an objective,
+    a deadline and its semantics, and the number of attempts: these have no default. Raises ConfigError.
     """
     top = ConfigTable(options, key)
     sections = Sections(
@@ -104,10 +104,10 @@
     )
     zones = top.indexed_names("dcs", before.zones if before else {})
     kinds = top.indexed_names("kinds", before.kinds if before else {})
-    classes = request_classes(top, sections.info, before, whole)
+    classes = request_classes(top, sections.info, before, is_complete)
     times = list_times(top, sections.rules)
     return Deployment(
-        settings=settings_from(sections, zones, len(kinds), classes.classes, times, whole),
+        settings=settings_from(sections, zones, len(kinds), classes.classes, times, is_complete),
         zones=zones,
         kinds=kinds,
         types={name: classes.index_of[name] for name in classes.offered},
@@ -127,7 +127,7 @@
     kind_count: int,
     classes: tuple[RequestClass, ...],
     times: ListTimes,
-    whole: bool,
+    is_complete: bool,
 ) -> Settings:
     """Return the settings of the decisions."""
     top, limits, rules, costs, info = sections
@@ -137,7 +137,7 @@
         zone=zones.get(top.text("zone", "none"), -1),
         node_count=max(1, int(top.number("fleetSize", 1))),
         tick_ms=top.milliseconds("tickUs", 1.0),
-        **attempt_limits(limits, whole),
+        **attempt_limits(limits, is_complete),
         subscribes_to_endpoints=times.is_subscribed,
         list_max_age_ms=times.max_age_ms,
         max_poll_interval_ms=times.max_poll_interval_ms,
@@ -156,10 +156,10 @@
 
 
 def request_classes(
-    top: ConfigTable, info: ConfigTable, before: Deployment | None, whole: bool
+    top: ConfigTable, info: ConfigTable, before: Deployment | None, is_complete: bool
 ) -> RequestClasses:
     """Read the request classes; one that was removed keeps its index for its requests that are still open."""
-    required_ms, minimum_us = (REQUIRED, 1.0) if whole else (0.0, 0.0)
+    required_ms, minimum_us = (REQUIRED, 1.0) if is_complete else (0.0, 0.0)
     run_factors, class_kinds = info.numbers("classStretch"), info.numbers("classKind")
     rows = top.tables("requestClasses")
     offered = [row.text("name") for row in rows]
@@ -171,7 +171,7 @@
             latency_objective_ms=row.milliseconds("aimUs", required_ms),
             objective_run_factor=run_factor,
             deadline_ms=row.milliseconds("deadlineUs", required_ms, minimum_us),
-            idempotency=row.choice("semantics", IDEMPOTENCY, REQUIRED if whole else "unsafe"),
+            idempotency=row.choice("semantics", IDEMPOTENCY, REQUIRED if is_complete else "unsafe"),
             deduplication_scope=row.choice("dedupScope", DeduplicationScope, "cell"),
             deduplication_window_ms=row.milliseconds("memorySpanUs", 0.0),
             kind=int(class_kinds[i]) if i < len(class_kinds) else -1,
@@ -200,9 +200,9 @@
     return ListTimes(is_subscribed, max_age_ms, interval_ms, grace_ms)
 
 
-def attempt_limits(limits: ConfigTable, whole: bool) -> dict[str, Any]:
+def attempt_limits(limits: ConfigTable, is_complete: bool) -> dict[str, Any]:
     """Read the limits on attempts of one request, as keyword arguments of Settings."""
-    required, minimum = (REQUIRED, 1.0) if whole else (1, 0.0)
+    required, minimum = (REQUIRED, 1.0) if is_complete else (1, 0.0)
     return {
         "max_attempts": int(limits.number("sendCap", required, minimum)),
         "may_probe": limits.flag("mayProbe"),
--- a/marlseam/configuration/loader.py
+++ b/marlseam/configuration/loader.py
@@ -101,14 +101,16 @@
     path: str | None,
     env: Mapping[str, str] = os.environ,
     before: Config | None = None,
-    own: str | None = None,
+    operator_settings_path: str | None = None,
 ) -> Config:
-    """Load a node's configuration; `before` is the one in force, `own` the path of the operator settings.
+    """Load a node's configuration.
+
+    `before` is the configuration in force, `operator_settings_path` the path of the operator settings.
 
     At the start of a process, environment variables override the file; on a reload, changed entries of the
     file override them (see `values_in_force`). Raises ConfigError.
     """
-    sources = read_sources(path, env, before, own)
+    sources = read_sources(path, env, before, operator_settings_path)
     top, operator, in_force = sources.top, sources.operator, sources.in_force
     limits, settings = top.table("limits", {}), top.table("settings").values
     return Config(
@@ -122,7 +124,7 @@
         memory_mb=limits.number("memory_mb", 192.0, minimum=1.0),
         sockets=int(limits.number("sockets", 1024.0, minimum=1.0)),
         known=dict(top.table("known", {}).values),
-        deployment=deployment_from(settings, before=before.deployment if before else None, whole=True),
+        deployment=deployment_from(settings, before=before.deployment if before else None, is_complete=True),
         shape=shape_of(top.values),
         settings=dict(settings) if operator.cluster is not None else {},
         admin=address(in_force, "admin", env) if in_force["admin"] else None,
@@ -135,13 +137,17 @@
     )
 
 
-def read_sources(path: str | None, env: Mapping[str, str], before: Config | None, own: str | None) -> Sources:
+def read_sources(
+    path: str | None, env: Mapping[str, str], before: Config | None, operator_settings_path: str | None
+) -> Sources:
     """Read the node's file and the operator settings; raises ConfigError."""
     path = path or env.get(FILE_VARIABLE)
     top = ConfigTable(read_file(path), "")
     top.table("limits", {})
     seed = seed_from(top)
-    operator_path = own or env.get(SETTINGS_VARIABLE) or (before.settings_path if before else None)
+    operator_path = (
+        operator_settings_path or env.get(SETTINGS_VARIABLE) or (before.settings_path if before else None)
+    )
     operator = operator_settings(operator_path)
     settings = top.table("settings")
     if before is not None:
@@ -157,7 +163,7 @@
     """Return a configuration with the cluster's settings in place of its file's, except for the zone."""
     merged = {**settings, **{key: config.settings[key] for key in ("zone",) if key in config.settings}}
     require_request_classes(merged)
-    deployment = deployment_from(merged, before=config.deployment, whole=True)
+    deployment = deployment_from(merged, before=config.deployment, is_complete=True)
     return replace(config, deployment=deployment, settings=merged)
 
 
--- a/marlseam/core/__init__.py
+++ b/marlseam/core/__init__.py
@@ -38,7 +38,7 @@
     ShutdownBegun,
     TimerFired,
 )
-from marlseam.core.reducer import EVENT_HANDLERS, FORGET_AFTER_LIST_MAX_AGES, Follower, Reducer
+from marlseam.core.reducer import EVENT_HANDLERS, FORGET_AFTER_LIST_MAX_AGES, Reducer, ReducerObserver
 
 __all__ = [
     "AttemptEnded",
@@ -53,7 +53,6 @@
     "Event",
     "EVENT_HANDLERS",
     "Fail",
-    "Follower",
     "FORGET_AFTER_LIST_MAX_AGES",
     "Gossip",
     "GossipReceived",
@@ -69,6 +68,7 @@
     "Probe",
     "ProbeEnded",
     "Reducer",
+    "ReducerObserver",
     "Reject",
     "RequestArrived",
     "Respond",
--- a/marlseam/core/reducer.py
+++ b/marlseam/core/reducer.py
@@ -51,7 +51,7 @@
 FORGET_AFTER_LIST_MAX_AGES = 60.0  # how long a server must be gone to be forgotten, in `list_max_age_ms`
 
 
-class Follower(Protocol):
+class ReducerObserver(Protocol):
     """An observer of the reducer's events and effects, which changes nothing in the reducer."""
 
     def observe(self, reducer: "Reducer", event: Event, effects: list[Effect]) -> None:
@@ -76,7 +76,7 @@
 
     Attributes:
         dispatcher: the node's dispatcher.
-        follower: the observer of this reducer; None for none.
+        observer: the observer of this reducer; None for none.
         open_requests: requests without a final answer or with attempts in flight, by id.
         unavailable_history: sources whose records of requests that may have run are missing here.
         answer_by_ms: the time by which all requests must be answered; inf unless the node shuts down.
@@ -84,9 +84,9 @@
 
     dispatcher_type: type[Dispatcher] = Dispatcher  # overridden by baselines in experiments
 
-    def __init__(self, follower: Follower | None = None) -> None:
+    def __init__(self, observer: ReducerObserver | None = None) -> None:
         super().__init__()
-        self.follower = follower
+        self.observer = observer
         self.open_requests: dict[str, RequestState] = {}
         self.unavailable_history = UnavailableHistory()
         self.answer_by_ms = inf
@@ -97,8 +97,8 @@
         effects: list[Effect] = []
         self.effects = effects
         EVENT_HANDLERS[type(event)](self, event)
-        if self.follower is not None:
-            self.follower.observe(self, event, effects)
+        if self.observer is not None:
+            self.observer.observe(self, event, effects)
         return effects
 
     # The node: start, settings, shutdown and timers.
--- a/marlseam/experiment/config_change_measurement.py
+++ b/marlseam/experiment/config_change_measurement.py
@@ -199,7 +199,7 @@
             raise ValueError(f"the content with {teams} teams cannot be read: {replica.unusable_reason}")
         digester = SettingsDigester()
         digester.digest(replica.content.settings)
-        deployment = deployment_from(replica.content.settings, whole=True)
+        deployment = deployment_from(replica.content.settings, is_complete=True)
         held_mb = (tracemalloc.get_traced_memory()[0] - before_bytes) / BYTES_PER_MB
         del deployment, digester  # kept alive until the memory has been read
         return held_mb
--- a/marlseam/experiment/config_change_simulation.py
+++ b/marlseam/experiment/config_change_simulation.py
@@ -159,7 +159,7 @@
     def load_deployment(self, name: str, shared: JsonObject) -> Deployment:
         """Return the deployment that a node makes of shared settings; raises ConfigError for wrong ones."""
         settings = shared | {"zone": self.own_settings["zone"]}
-        return deployment_from(settings, before=self.deployments.get(name), whole=True)
+        return deployment_from(settings, before=self.deployments.get(name), is_complete=True)
 
     def run_call(self, process: SimulatedMember, charged_ms: float, call: Callable[[], list[Effect]]) -> None:
         """Make a call on a node, add its processor time, and carry out its effects.
--- a/marlseam/net/action_ledger.py
+++ b/marlseam/net/action_ledger.py
@@ -14,7 +14,7 @@
 from marlseam import __version__
 from marlseam.cluster.action_stamp import ActionStamp
 from marlseam.cluster.audit_log import (
-    ACTS,
+    ACTION_KINDS,
     ActionCounts,
     IntervalBegun,
     LogRecord,
@@ -189,7 +189,7 @@
     def totals(self) -> dict[str, int]:
         """Return the sums of the counts of all open intervals, by the action's name."""
         sums = map(sum, zip(*self.counts.values(), strict=True))
-        return dict(zip(ACTS, sums, strict=True))
+        return dict(zip(ACTION_KINDS, sums, strict=True))
 
     # Writing.
 
--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -126,7 +126,7 @@
     def take_over_ledger(self, recovered: RecoveredLog) -> None:
         """Continue in the node's main ledger, with its memory of votes; from now on this process may vote."""
         if self.replica is not None:
-            self.replica.take_over_memory(recovered)
+            self.replica.adopt_memory(recovered)
         self.actions.write_all_again(self.loop.now())
 
     def recover(self, recovered: RecoveredLog) -> None:
@@ -137,7 +137,7 @@
         replica = self.replica = self.make_replica(now, recovered)
         if replica.unusable_reason:
             self.log.line(f"fleet code=unfit: version {replica.number}: {replica.unusable_reason}")
-        replica.voter.memory_is_elsewhere = self.is_beside
+        replica.voter.is_memory_in_other_process = self.is_beside
         if recovered.votes_excluded_up_to is None and not self.is_beside:
             self.log.line("fleet code=lost: does not vote until the promises that it may have made are known")
         self.actions.begin_process(now, self.is_beside)
--- a/marlseam/net/node_ledger.py
+++ b/marlseam/net/node_ledger.py
@@ -85,7 +85,7 @@
             return
         beside, self.current, self.main = self.current, self.main, None
         self.on_moved(recovered)
-        beside.leave()
+        beside.stop_writing()
         self.log.line("fleet: this process has the main ledger now")
 
     def merge_other(self, recovered: RecoveredLog) -> RecoveredLog:
--- a/marlseam/store/ledger_writer.py
+++ b/marlseam/store/ledger_writer.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from marlseam.cluster.audit_log import (
-    START,
+    FIRST_PREVIOUS_DIGEST,
     BatchWritten,
     FileOpened,
     LogRecord,
@@ -75,9 +75,9 @@
 
     number: int
     node: str
-    before: bytes = START
+    before: bytes = FIRST_PREVIOUS_DIGEST
     records: list[LogRecord] = field(default_factory=list)
-    last: bytes = START
+    last: bytes = FIRST_PREVIOUS_DIGEST
     findings: list[Finding] = field(default_factory=list)
 
     def add_finding(self, code: str, text: str) -> None:
@@ -144,7 +144,7 @@
         """
         self.disk, self.node, self.outlives_machine = disk, node, outlives_machine
         self.era = era or current_era()
-        self.number, self.last = 0, START
+        self.number, self.last = 0, FIRST_PREVIOUS_DIGEST
         self.fd: int | None = None  # of the open file
         self.size = 0
         self.findings: list[Finding] = []
@@ -201,7 +201,7 @@
         if loss:
             self.findings.append(Finding("", "lost", f"{loss}: earlier promises and votes are not known"))
             recovered.votes_excluded_up_to = None
-        self.number, self.last = max(numbers, default=0), files[-1].last if files else START
+        self.number, self.last = max(numbers, default=0), files[-1].last if files else FIRST_PREVIOUS_DIGEST
         return recovered
 
     def _loss(self, files: list[LedgerFile], recovered: RecoveredLog) -> str:
@@ -236,12 +236,12 @@
             frames.append(encode_frame(record))
         data = b"".join(frames)
         write_all(self.disk, self.fd, data)
-        # Set before the sync: after a failed sync the file may have the data, and `renew` reads the file.
+        # Set before the sync: after a failed sync the file may have the data, and `compact` reads the file.
         self.size, self.last = self.size + len(data), last
         if sync:
             self.disk.sync(self.fd)
 
-    def renew(self) -> list[str]:
+    def compact(self) -> list[str]:
         """Begin a new file from the existing ones; return a text for each loss found in them."""
         self.close()
         recovered = self.load()
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -50,7 +50,7 @@
 
     Attributes:
         writer_module: the module that the writer process runs; emulators of a disk set another.
-        what: the name of the written data in log lines.
+        content_name: the name of the written data in log lines.
         max_retry_delay_ms: the longest delay before a failed disk is retried.
         era: the clock era of the times in the directory.
         is_loaded: whether the directory was read.
@@ -76,7 +76,7 @@
     """
 
     writer_module = "marlseam.store.writer_process"
-    what = "state"
+    content_name = "state"
     max_retry_delay_ms = MAX_RETRY_DELAY_MS
 
     def __init__(
@@ -128,7 +128,7 @@
         """Read the directory if it was not read yet, start the writer process, and request a compaction."""
         self.supervise_task = self.loop.spawn(self.supervise())
 
-    def leave(self) -> None:
+    def stop_writing(self) -> None:
         """Stop writing, and release the lock while the node runs on; pending records may not be durable."""
         if self.supervise_task is not None:
             self.supervise_task.cancel()
@@ -309,13 +309,13 @@
         """Resolve the waits for written messages, and begin a new file if this one has grown too large."""
         self.wait_queue.resolve_up_to(self.answered_count, True)
         if not self.is_success_logged:
-            self.log.line(f"{self.what} is kept in {self.path}")
+            self.log.line(f"{self.content_name} is kept in {self.path}")
         self.accepts_records, self.is_success_logged = True, True
         self.retry_delay_ms, self.code = MIN_RETRY_DELAY_MS, ""
         for text in answer.losses or ():
             if not self.is_loss_logged:
                 self.is_loss_logged = True
-                self.log.line(f"{self.what} file {self.path} code=lost: {text}")
+                self.log.line(f"{self.content_name} file {self.path} code=lost: {text}")
         if answer.file_bytes <= self.max_file_mb * BYTES_PER_MB:
             self.is_compacting = False
         elif not self.is_compacting:
@@ -352,7 +352,7 @@
     def log_failure(self, code: str, text: str) -> None:
         """Log why records do not become durable, once as long as the reason code stays the same."""
         if code != self.code:
-            self.log.line(f"{self.what} is not kept code={code}: {text}")
+            self.log.line(f"{self.content_name} is not kept code={code}: {text}")
         self.code, self.is_success_logged = code, False
 
     def mark_unavailable(self, code: str, text: str) -> None:
--- a/marlseam/store/state_directory.py
+++ b/marlseam/store/state_directory.py
@@ -104,7 +104,7 @@
         self._rename_unusable()
         self._remove_old()
 
-    def renew(self) -> list[str]:
+    def compact(self) -> list[str]:
         """Write a snapshot of the directory's content; return a text for each loss found while reading."""
         now = unix_ms(self.era)
         state = self.load(now)
--- a/marlseam/store/writer_process.py
+++ b/marlseam/store/writer_process.py
@@ -85,7 +85,7 @@
     def append(self, parts: list[bytes], sync: bool) -> None:
         """Append frames or records, and flush them to the disk if `sync` is set; raises OSError."""
 
-    def renew(self) -> list[str]:
+    def compact(self) -> list[str]:
         """Begin a new file with the directory's content; return a text for each loss; raises OSError."""
 
     def close(self) -> None:
@@ -169,7 +169,7 @@
         """
         self.done_count += 1
         try:
-            losses = self.log.renew()
+            losses = self.log.compact()
         except OSError as error:
             self.report_failure(error)
         else:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -64,7 +64,7 @@
         for server, count in enumerate(counts):
             dispatcher.set_others_slots(server, count)
             dispatcher.last_report_ms[server] = dispatcher.port.clock
-        dispatcher.port.acts.clear()
+        dispatcher.port.operations.clear()
         return dispatcher
 
     return build
--- a/tests/effects_digest.py
+++ b/tests/effects_digest.py
@@ -46,14 +46,14 @@
 }
 
 
-def plain(value):
+def canonical_text(value):
     """Return a value as text without names of types, fields or enum members."""
     if isinstance(value, Enum):
         return f"#{list(type(value)).index(value)}"
     if is_dataclass(value):
-        return plain([getattr(value, field.name) for field in fields(value)])
+        return canonical_text([getattr(value, field.name) for field in fields(value)])
     if isinstance(value, tuple | list):
-        return "[" + ",".join(map(plain, value)) + "]"
+        return "[" + ",".join(map(canonical_text, value)) + "]"
     return value.hex() if isinstance(value, bytes) else repr(value)
 
 
@@ -73,7 +73,7 @@
         for effect in effects:
             code = CODES[type(effect)]
             values = re.findall(r"\d+(?:\.\d+)?", effect.text) if code == 12 else list(effect)
-            self.hash.update(f"{clock!r} {code} {plain(values)}\n".encode())
+            self.hash.update(f"{clock!r} {code} {canonical_text(values)}\n".encode())
             self.effect_counts[code] += 1
 
     def result(self):
--- a/tests/ledgers.py
+++ b/tests/ledgers.py
@@ -25,7 +25,7 @@
     """Write a ledger of two files: a process with one interval, a promise, an override and its counts."""
     create_ledger(path, "n")
     ledger = LedgerWriter(Disk(path), "n")
-    ledger.renew()
+    ledger.compact()
     records = [
         PROCESS_STARTED,
         interval_begun(1, 1000.0),
--- a/tests/recording_port.py
+++ b/tests/recording_port.py
@@ -10,46 +10,46 @@
 
     Attributes:
         clock: the time in ms.
-        acts: the operations, each a tuple of its name and its main arguments.
+        operations: the operations, each a tuple of its name and its main arguments.
         timers: pairs of the time in ms when a timer fires and the function to call then.
 
     """
 
     def __init__(self) -> None:
         self.clock = 1000.0
-        self.acts: list[tuple] = []
+        self.operations: list[tuple] = []
         self.timers: list[tuple[float, Callable[[], None]]] = []
 
     def now(self) -> float:
         return self.clock
 
     def send(self, state: RequestState, server: int, _time_left_ms: float) -> None:
-        self.acts.append(("send", state.request.request_id, server))
+        self.operations.append(("send", state.request.request_id, server))
 
     def cancel(self, state: RequestState, attempt_index: int) -> None:
-        self.acts.append(("cancel", state.request.request_id, attempt_index))
+        self.operations.append(("cancel", state.request.request_id, attempt_index))
 
     def reject(self, state: RequestState, _retry_after_ms: float) -> None:
-        self.acts.append(("reject", state.request.request_id))
+        self.operations.append(("reject", state.request.request_id))
 
     def fail(self, state: RequestState) -> None:
-        self.acts.append(("fail", state.request.request_id))
+        self.operations.append(("fail", state.request.request_id))
 
     def probe(self, server: int) -> None:
-        self.acts.append(("probe", server))
+        self.operations.append(("probe", server))
 
     def after(self, delay_ms: float, call: Callable[[], None]) -> None:
         self.timers.append((self.clock + delay_ms, call))
 
     def never_ran(self, state: RequestState, server: int, _sent_ms: float) -> None:
-        self.acts.append(("never_ran", state.request.request_id, server))
+        self.operations.append(("never_ran", state.request.request_id, server))
 
     def watch_endpoints(self) -> None:
-        self.acts.append(("watch_endpoints",))
+        self.operations.append(("watch_endpoints",))
 
     def log(self, text: str) -> None:
-        self.acts.append(("log", text))
+        self.operations.append(("log", text))
 
-    def acts_named(self, name: str) -> list[tuple]:
+    def operations_named(self, name: str) -> list[tuple]:
         """Return the recorded operations of one name."""
-        return [act for act in self.acts if act[0] == name]
+        return [act for act in self.operations if act[0] == name]
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -42,7 +42,7 @@
         interval_begun(2, 2000.0),
         ActionCounts(GENERATION, [(1, 3, 2, 1, 0), (2, 1, 1, 0, 0)], 2500.0, 0.0),
     )
-    rows = audit.rows(found)
+    rows = audit.interval_rows(found)
     assert [(row["taken"], row["sent"], row["unknown_after"]) for row in rows] == [
         (3, 2, False),
         (1, 1, True),
--- a/tests/test_cluster_settings.py
+++ b/tests/test_cluster_settings.py
@@ -35,7 +35,7 @@
     config.write_text(json.dumps(values))
     own.write_text(f'[fleet]\nname = "f"\n{lines}\n[fleet.members]\nn = "127.0.0.1:9"\n')
     with pytest.raises(ConfigError, match=f"fleet.{key}"):
-        load(str(config), {}, own=str(own))
+        load(str(config), {}, operator_settings_path=str(own))
 
 
 class SingleNode(NamedTuple):
@@ -76,7 +76,7 @@
     started = []
 
     def start():
-        started.append(Node(load(str(config), {}, own=str(own))))
+        started.append(Node(load(str(config), {}, operator_settings_path=str(own))))
         return started[-1]
 
     def stop(node):
@@ -188,9 +188,9 @@
     config.write_text(
         json.dumps({"name": "a", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": OPTIONS})
     )
-    assert load(str(config), {}, own=str(own)).cluster.members == {"a": ("10.0.0.1", 5)}
+    assert load(str(config), {}, operator_settings_path=str(own)).cluster.members == {"a": ("10.0.0.1", 5)}
     with pytest.raises(ConfigError) as error:
-        load(str(config), {"EDGE_NAME": "q"}, own=str(own))
+        load(str(config), {"EDGE_NAME": "q"}, operator_settings_path=str(own))
     assert error.value.key == "fleet.members"
 
 
--- a/tests/test_config_service.py
+++ b/tests/test_config_service.py
@@ -135,7 +135,7 @@
     assert found.findings == []
     assert list(found.first_held_ms) == [1]
     assert len(found.first_held_ms[1]) == 1
-    assert sum(row["sent"] for row in audit.rows(found, node="a")) == 1
+    assert sum(row["sent"] for row in audit.interval_rows(found, node="a")) == 1
 
 
 def keys_of(value):
@@ -274,7 +274,7 @@
     duplicate.start()
     assert not duplicate.may_accept()
     assert "code=locked" in capsys.readouterr().err
-    duplicate.ledger.leave()
+    duplicate.ledger.stop_writing()
 
 
 @pytest.mark.usefixtures("until_all_serve")
--- a/tests/test_durable_state.py
+++ b/tests/test_durable_state.py
@@ -34,7 +34,7 @@
         values = {"listen": listen, "discovery": "127.0.0.1:1", "settings": PAYMENTS, "known": known}
         config.write_text(json.dumps(values))
         operator_file.write_text(f'[store]\nfolder = "{tmp_path / "state"}"\n')
-        node = Node(load(str(config), {}, own=str(operator_file)))
+        node = Node(load(str(config), {}, operator_settings_path=str(operator_file)))
         nodes.append(node)
         return node
 
--- a/tests/test_eligibility.py
+++ b/tests/test_eligibility.py
@@ -36,7 +36,7 @@
     assert due_ms < dispatcher.port.clock + 5000.0
     answer_in_time()
     answer_in_time()
-    assert dispatcher.port.acts_named("fail") == [("fail", "w")]
+    assert dispatcher.port.operations_named("fail") == [("fail", "w")]
 
 
 def test_nothing_is_sent_after_the_answer(make_dispatcher, make_request):
@@ -44,7 +44,7 @@
     state = make_request(dispatcher)
     state.answer()
     state.place()
-    assert not dispatcher.port.acts_named("send")
+    assert not dispatcher.port.operations_named("send")
 
 
 def test_a_request_without_any_server_is_queued_then_rejected(make_dispatcher):
@@ -53,15 +53,15 @@
     assert not state.is_closed
     dispatcher.port.clock += 2000.0
     dispatcher.dispatch_queue()
-    assert dispatcher.port.acts_named("reject") == [("reject", "w")]
+    assert dispatcher.port.operations_named("reject") == [("reject", "w")]
 
 
 @pytest.mark.parametrize("outcome", OUTCOMES_THAT_MAY_HAVE_RUN)
 def test_an_unsafe_request_that_may_have_run_is_failed(make_dispatcher, make_request, outcome):
     dispatcher = make_dispatcher(0.0, 0.0)
     make_request(dispatcher, 2, ((0, None),)).attempt_ended(0, outcome, False, None)
-    assert dispatcher.port.acts_named("fail")
-    assert not dispatcher.port.acts_named("reject")
+    assert dispatcher.port.operations_named("fail")
+    assert not dispatcher.port.operations_named("reject")
 
 
 @pytest.mark.parametrize("outcome", OUTCOMES_THAT_NEVER_RAN)
@@ -104,7 +104,7 @@
     dispatcher = make_dispatcher(0.0, 0.0)
     state = make_request(dispatcher, class_index, ((0, None),))
     state.attempt_ended(0, Outcome.INVALID_REQUEST, False, None)
-    assert dispatcher.port.acts == [("fail", state.request.request_id)]
+    assert dispatcher.port.operations == [("fail", state.request.request_id)]
     assert dispatcher.log_likelihood_ratio[0] == 0.0
     assert dispatcher.last_response_ms[0] == dispatcher.port.now()
 
@@ -116,14 +116,14 @@
     make_request(dispatcher, attempts=((0, None),))
     dispatcher.eject(0, "test")
     dispatcher.retry_elsewhere(0)
-    assert dispatcher.port.acts_named("cancel") == [("cancel", "w0", 0)]
+    assert dispatcher.port.operations_named("cancel") == [("cancel", "w0", 0)]
 
 
 def test_an_attempt_cancelled_beside_another_in_flight_is_not_retried(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0, 0.0, 0.0, may_hedge=True)
     state = make_request(dispatcher, attempts=((0, None), (1, None)))
     state.attempt_ended(0, Outcome.CANCELLED_UNSENT, False, None)
-    assert not dispatcher.port.acts_named("send")
+    assert not dispatcher.port.operations_named("send")
     assert state.in_flight_count() == 1
     state.attempt_ended(1, Outcome.CANCELLED_UNSENT, False, None)
-    assert len(dispatcher.port.acts_named("send")) == 1
+    assert len(dispatcher.port.operations_named("send")) == 1
--- a/tests/test_endpoints.py
+++ b/tests/test_endpoints.py
@@ -64,9 +64,10 @@
     assert dispatcher.port.clock < due_ms == dispatcher.next_poll_ms < dispatcher.port.clock + 10000.0
     for _, earlier_poll in dispatcher.port.timers[:-1]:
         earlier_poll()
-    assert not dispatcher.port.acts_named("watch_endpoints")  # one poll regardless of the number of failures
+    # One poll, regardless of the number of failures.
+    assert not dispatcher.port.operations_named("watch_endpoints")
     poll()
-    assert dispatcher.port.acts_named("watch_endpoints") == [("watch_endpoints",)]
+    assert dispatcher.port.operations_named("watch_endpoints") == [("watch_endpoints",)]
 
 
 def test_a_new_start_time_of_a_process_resets_the_others_slots(make_dispatcher):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -9,10 +9,10 @@
 def test_a_node_publishes_its_slots(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0, 0.0, may_gossip=True, subscribes_to_endpoints=False)
     update_weights(dispatcher, None, None)
-    dispatcher.port.publish = lambda message: dispatcher.port.acts.append(("publish", message))
+    dispatcher.port.publish = lambda message: dispatcher.port.operations.append(("publish", message))
     make_request(dispatcher).send(1)
     dispatcher.publish_gossip()
-    assert dispatcher.port.acts_named("publish") == [("publish", (101).to_bytes(3, "big") + b"\x01")]
+    assert dispatcher.port.operations_named("publish") == [("publish", (101).to_bytes(3, "big") + b"\x01")]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -27,7 +27,7 @@
         assert recovered.operator_override == "w"
         assert recovered.promises[3].ballot == (2, "p")
         assert not ledger.findings
-        ledger.renew()
+        ledger.compact()
         ledger.close()
 
 
@@ -96,13 +96,13 @@
     try:
         for _ in range(4):
             with pytest.raises(OSError, match="File too large"):
-                ledger.renew()
+                ledger.compact()
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, (soft_limit, hard_limit))
     recovered, ledger = load_ledger(ledger_folder)
     assert recovered.votes_excluded_up_to == 0
     assert recovered.operator_override == "w"
-    assert ledger.renew() == []
+    assert ledger.compact() == []
     ledger.close()
 
 
@@ -110,7 +110,7 @@
     monkeypatch.setattr("marlseam.store.ledger_writer.MAX_LEDGER_FILES", 3)
     _, ledger = load_ledger(ledger_folder)
     for _ in range(6):
-        ledger.renew()
+        ledger.compact()
     ledger.close()
     assert len(list(ledger_folder.glob("ledger-*"))) == 3
     assert load_ledger(ledger_folder)[0].operator_override == "w"
@@ -127,10 +127,10 @@
 
 def test_the_end_of_an_override_survives_a_new_ledger_file(ledger_folder):
     _, ledger = load_ledger(ledger_folder)
-    ledger.renew()
+    ledger.compact()
     ledger.append([encode(OperatorOverride(False, "", 99.0))], True)
-    ledger.renew()
-    ledger.renew()
+    ledger.compact()
+    ledger.compact()
     ledger.close()
     recovered, _ = load_ledger(ledger_folder)
     assert recovered.operator_override is None
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -21,12 +21,12 @@
         outcome = Outcome.COMPLETED if i % 5 in (1, 3) else Outcome.ERROR
         make_request(dispatcher, attempts=((i % 6, None),)).attempt_ended(0, outcome, False, None)
         dispatcher.port.clock += 500.0
-    logged_before = len(dispatcher.port.acts_named("log"))
+    logged_before = len(dispatcher.port.operations_named("log"))
     for i in range(120):
         outcome = Outcome.COMPLETED if i % 5 in (1, 3) else Outcome.ERROR
         make_request(dispatcher, attempts=((i % 6, None),)).attempt_ended(0, outcome, False, None)
         dispatcher.port.clock += 20.0
-    assert len(dispatcher.port.acts_named("log")) - logged_before <= 2
+    assert len(dispatcher.port.operations_named("log")) - logged_before <= 2
     assert len(usable_servers(dispatcher)) >= 5
     for _ in range(3):  # failures of a class that succeeds elsewhere still count against the server
         make_request(dispatcher, 1, ((3, None),)).attempt_ended(0, Outcome.ERROR, False, None)
@@ -49,11 +49,11 @@
     assert usable_servers(dispatcher) == []
     dispatcher.port.clock = dispatcher.ejected_until_ms[0]
     make_request(dispatcher).place()
-    assert dispatcher.port.acts_named("probe")
-    assert not dispatcher.port.acts_named("send")
+    assert dispatcher.port.operations_named("probe")
+    assert not dispatcher.port.operations_named("send")
     dispatcher.probe_ended(0, Outcome.COMPLETED, 1.0, LoadReport(held=0.0))
     assert dispatcher.ejected_until_ms[0] is None
-    assert dispatcher.port.acts_named("send")
+    assert dispatcher.port.operations_named("send")
 
 
 def test_a_server_with_an_overdue_probe_is_avoided(make_dispatcher):
@@ -92,9 +92,9 @@
     dispatcher.record_outcome(0, 99.0)
     dispatcher.probe_ended(0, Outcome.BROKEN, 1.0, None)
     assert 0 not in usable_servers(dispatcher)
-    assert not dispatcher.port.acts_named("cancel")
+    assert not dispatcher.port.operations_named("cancel")
     dispatcher.probe_ended(0, Outcome.TIMED_OUT, 1.0, None)
-    assert dispatcher.port.acts_named("cancel") == [("cancel", "w0", 0)]
+    assert dispatcher.port.operations_named("cancel") == [("cancel", "w0", 0)]
 
 
 def test_a_silent_attempt_from_before_the_ejection_does_not_prevent_the_trial(make_dispatcher, make_request):
--- a/tests/test_pending_queue.py
+++ b/tests/test_pending_queue.py
@@ -10,7 +10,7 @@
 def test_a_request_that_would_miss_its_objective_is_queued(make_dispatcher, make_request):
     dispatcher = make_dispatcher(40.0)
     make_request(dispatcher).place()
-    assert not dispatcher.port.acts_named("send")
+    assert not dispatcher.port.operations_named("send")
     assert pending_count(dispatcher) == 1
 
 
@@ -35,7 +35,7 @@
         make_request(dispatcher).enqueue()
     dispatcher.last_report_ms[:] = [-1e18] * 3
     dispatcher.dispatch_queue()
-    assert len(dispatcher.port.acts_named("probe")) == 1
+    assert len(dispatcher.port.operations_named("probe")) == 1
 
 
 def test_unsuccessful_placements_are_bounded_however_many_wait(make_dispatcher, make_request):
@@ -56,7 +56,7 @@
     bound.enqueue()
     make_request(dispatcher).enqueue()
     dispatcher.dispatch_queue()
-    assert len(dispatcher.port.acts_named("send")) == 1
+    assert len(dispatcher.port.operations_named("send")) == 1
     assert pending_count(dispatcher) == 1
 
 
@@ -67,7 +67,7 @@
     dispatcher.last_report_ms[:] = [-1e18] * 3
     dispatcher.dispatch_queue()
     dispatcher.probe_ended(0, Outcome.COMPLETED, 1.0, LoadReport(held=0.0))
-    assert len(dispatcher.port.acts_named("send")) == 2
+    assert len(dispatcher.port.operations_named("send")) == 2
 
 
 def test_priority_weight_goes_before_time_to_spare_where_requests_are_weighed_by_size(
@@ -82,4 +82,4 @@
     make_request(dispatcher, 2).enqueue()
     dispatcher.set_others_slots(0, 3.0)
     dispatcher.dispatch_queue()
-    assert dispatcher.port.acts_named("send")[0] == ("send", "w2", 0)
+    assert dispatcher.port.operations_named("send")[0] == ("send", "w2", 0)
--- a/tests/test_replication_schedules.py
+++ b/tests/test_replication_schedules.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from effects_digest import plain
+from effects_digest import canonical_text
 
 from marlseam import random_source
 from marlseam.cluster.checking import replication_schedules
@@ -50,7 +50,7 @@
 @pytest.mark.usefixtures("linear_random_source")
 def test_schedules_found_by_earlier_searches_violate_no_bound(seed, checksum):
     faults = replication_schedules.schedule(NODES, seed)
-    assert crc32(plain(faults).encode()) == checksum
+    assert crc32(canonical_text(faults).encode()) == checksum
     assert replication_schedules.play(NODES, seed, faults, rows=0).violations == []
 
 
--- a/tests/test_shadow_policy.py
+++ b/tests/test_shadow_policy.py
@@ -106,9 +106,9 @@
     reducer.reduce(0.0, core.NodeStarted(SETTINGS, 7))
     reducer.reduce(1.0, core.EndpointListUpdate(ListUpdateKind.FULL, [make_entry("e0")]))
     reducer.reduce(2.0, core.RequestArrived(Request("w", 0, 5000.0)))
-    assert reducer.follower.differences == {(Decision.PROBE_HOME, Decision.HOME): 1}
-    assert reducer.follower.decision_count == 1
-    assert reducer.follower.lines()[1] == "watch: 1 times decided home asked, by shadow settings home"
+    assert reducer.observer.differences == {(Decision.PROBE_HOME, Decision.HOME): 1}
+    assert reducer.observer.decision_count == 1
+    assert reducer.observer.lines()[1] == "watch: 1 times decided home asked, by shadow settings home"
 
 
 @pytest.fixture
@@ -119,7 +119,7 @@
         values = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": OPTIONS}
         (tmp_path / "node.json").write_text(json.dumps(values))
         (tmp_path / "operators.toml").write_text(text)
-        return load(str(tmp_path / "node.json"), {}, own=str(tmp_path / "operators.toml"))
+        return load(str(tmp_path / "node.json"), {}, operator_settings_path=str(tmp_path / "operators.toml"))
 
     return read
 
