--- a/marlseam/configuration/loader.py
+++ b/marlseam/configuration/loader.py
@@ -41,7 +41,8 @@
         in_file: the file's values of the entries that environment variables can override.
         in_force: the values of these entries that the node uses.
         name: name of the node.
-        listen, discovery, admin: IP addresses and ports; admin is None without an operator port.
+        listen, discovery, admin: IP addresses and ports; admin is None if no admin address is
+            configured.
         seed: seed of the node's random source.
         memory_mb, sockets: limits of the process: memory in MB and the number of sockets.
         known: the initial endpoint list, in discovery's format.
--- a/marlseam/emulators/process.py
+++ b/marlseam/emulators/process.py
@@ -66,7 +66,7 @@
         if self.zero_s is None:
             self._calls_before_zero.append(ScheduledCall(at_ms, call))
         else:
-            self.loop.at(self.loop.now() + at_ms - (time.monotonic() - self.zero_s) * 1000.0, call)
+            self.loop.call_at(self.loop.now() + at_ms - (time.monotonic() - self.zero_s) * 1000.0, call)
 
     def begin(self, zero_s: float) -> None:
         """Start the run's clock at `zero_s` of the monotonic clock, and schedule the calls kept so far."""
--- a/marlseam/emulators/servers.py
+++ b/marlseam/emulators/servers.py
@@ -17,11 +17,19 @@
 from marlseam.decisions.types import LoadReport
 from marlseam.emulators.http_listener import HttpListener, reply
 from marlseam.emulators.process import EmulatorProcess
-from marlseam.net.connection import MAX_AHEAD_BYTES, Connection, Steps
+from marlseam.net.connection import MAX_PIPELINED_BYTES, Connection, Steps
 from marlseam.net.errors import ConnectionEndedError
 from marlseam.net.log import Reason
 from marlseam.net.loop import READ, READY, sleep
-from marlseam.net.protocol import ACTING, ID, LOAD_PATH, NEVER_RAN, RECEIPT, TYPE, Head
+from marlseam.net.protocol import (
+    ACTING_HEADER,
+    CORRELATION_ID_HEADER,
+    IDEMPOTENCY_KEY_HEADER,
+    LOAD_PATH,
+    SERVICE_CLASS_HEADER,
+    UNPROCESSED_HEADER,
+    Head,
+)
 from marlseam.simulation import faults, fleet
 from marlseam.simulation.faults import ScheduledFault
 from marlseam.simulation.job import Job, JobEvent
@@ -142,26 +150,26 @@
 
     def _attempt_from(self, head: Head, body: bytes) -> ReceivedAttempt | None:
         """Return a request's attempt; None if the class is unknown, the id missing or the body malformed."""
-        request_type = self._request_types.get(head.get(TYPE, ""))
+        request_type = self._request_types.get(head.get(SERVICE_CLASS_HEADER, ""))
         try:
             cost: RequestBody = msgspec.json.decode(body or b"{}", type=RequestBody)
         except msgspec.MsgspecError:
             return None
-        if request_type is None or ID not in head:
+        if request_type is None or CORRELATION_ID_HEADER not in head:
             return None
         self._job_count += 1
         job = Job(
-            id=f"{head[ID]}/{self._job_count}",
-            try_id=head[ID],
+            id=f"{head[CORRELATION_ID_HEADER]}/{self._job_count}",
+            try_id=head[CORRELATION_ID_HEADER],
             class_name=request_type.name,
             work=cost.work,
             slots=cost.slots,
             memory=cost.memory,
-            idempotency_key=head.get(RECEIPT),
+            idempotency_key=head.get(IDEMPOTENCY_KEY_HEADER),
             key_group=request_type.group,
             key_memory_ms=request_type.memory_ms,
         )
-        return ReceivedAttempt(job, head.get(ACTING, ""))
+        return ReceivedAttempt(job, head.get(ACTING_HEADER, ""))
 
     def offer(self, attempt: ReceivedAttempt) -> bool:
         """Offer an attempt to the server and record it; return whether the server accepts the job.
@@ -189,7 +197,7 @@
             self._records.add(
                 records.ServerOverloaded(t=self.process.now(), by=self.name, load=overload_share)
             )
-            self.process.loop.soon(self.crash)
+            self.process.loop.call_soon(self.crash)
         return is_accepted
 
     def cancel(self, job: Job) -> None:
@@ -278,7 +286,7 @@
             if self._server.offer(self._attempt):
                 yield from self._write_lines()
             else:
-                yield from reply(self._connection, 503, b"", [(NEVER_RAN, "1")])
+                yield from reply(self._connection, 503, b"", [(UNPROCESSED_HEADER, "1")])
                 self._is_finished = True
         finally:
             del self._server.responses[self._job.id]
@@ -307,7 +315,7 @@
     def _wait_for_event(self) -> Steps:
         """Wait for the job's next event; raise ConnectionEndedError if the client closes the connection."""
         connection = self._connection
-        may_read = not connection.eof and len(connection.buffer) < MAX_AHEAD_BYTES
+        may_read = not connection.eof and len(connection.buffer) < MAX_PIPELINED_BYTES
         event = yield (connection.sock.fileno(), READ, inf) if may_read else (-1, 0, inf)
         if event == READY:
             connection.fill()
--- a/marlseam/experiment/node_starts.py
+++ b/marlseam/experiment/node_starts.py
@@ -187,7 +187,7 @@
         """Run the loop until `is_done` returns true or the timeout has passed."""
         end_ms = self.loop.now() + 1000.0 * timeout_s
         while not is_done() and self.loop.now() < end_ms:
-            self.loop.at(min(end_ms, self.loop.now() + POLL_MS), lambda: None)
+            self.loop.call_at(min(end_ms, self.loop.now() + POLL_MS), lambda: None)
             self.loop.turn()
 
     def run_for(self, seconds: float) -> None:
--- a/marlseam/experiment/sizing/endpoint_list/backend_server.py
+++ b/marlseam/experiment/sizing/endpoint_list/backend_server.py
@@ -7,7 +7,7 @@
 from marlseam.net import protocol
 
 LOAD_REPORT = b"TEXT backlog=0, x0=8"
-REQUEST_ID, HOST = protocol.ID.lower(), "host"
+REQUEST_ID, HOST = protocol.CORRELATION_ID_HEADER.lower(), "host"
 
 
 def headers_from(head: str) -> dict[str, str]:
--- a/marlseam/experiment/sizing/endpoint_list/in_process_node.py
+++ b/marlseam/experiment/sizing/endpoint_list/in_process_node.py
@@ -112,7 +112,7 @@
     def close(self) -> None:
         """Close the event loop's descriptors."""
         self._loop.poll.close()
-        self._loop.first.close()
+        self._loop.prioritized.close()
 
     def apply_answer(self, answer: bytes) -> None:
         """Call discovery and apply its answer; each wait in between ends a turn."""
@@ -154,7 +154,7 @@
         target = protocol.watch_target(self._discovery.version, self._discovery.wait_ms)
         call: Steps = self._discovery.call(self._connection, target, inf)
         answer = yield from call
-        self._discovery.heed(self._connection, answer)
+        self._discovery.apply_answer(self._connection, answer)
 
     def _post(self, event: core.Event) -> None:
         """Pass an event to the reducer, and schedule the events that follow from its effects."""
--- a/marlseam/experiment/sizing/endpoint_list/loopback_measurement.py
+++ b/marlseam/experiment/sizing/endpoint_list/loopback_measurement.py
@@ -213,7 +213,11 @@
     """Send requests one after another; raises RequestNotCompletedError for an answer other than 200."""
     for i in range(count):
         request_class = REQUEST_CLASSES[i % len(REQUEST_CLASSES)]
-        headers = {protocol.ID: f"u{i}", protocol.TYPE: request_class, protocol.TIME_LEFT: DEADLINE_S}
+        headers = {
+            protocol.CORRELATION_ID_HEADER: f"u{i}",
+            protocol.SERVICE_CLASS_HEADER: request_class,
+            protocol.TIME_LEFT_HEADER: DEADLINE_S,
+        }
         client.request("POST", f"/{request_class}", b"", headers)
         answer = client.getresponse()
         answer.read()
--- a/marlseam/experiment/sizing/membership/measurement.py
+++ b/marlseam/experiment/sizing/membership/measurement.py
@@ -148,7 +148,7 @@
     if service.sock is not None:
         service.sock.close()
     loop.poll.close()
-    loop.first.close()
+    loop.prioritized.close()
     return StatusCost(len(text), clock.cpu_ms)
 
 
--- a/marlseam/experiment/startup_timing.py
+++ b/marlseam/experiment/startup_timing.py
@@ -43,17 +43,17 @@
 
 def report_first_list(discovery: type["Discovery"]) -> None:
     """Make discovery report the arrival of its first list that does not come from the disk."""
-    take = discovery.take
+    apply_list = discovery.apply_list
     has_reported = False
 
-    def take_and_report(self: "Discovery", value: object, cached: bool = False, **options: object) -> bool:
+    def apply_and_report(self: "Discovery", value: object, cached: bool = False, **options: object) -> bool:
         nonlocal has_reported
         if not cached and not has_reported:
             has_reported = True
             report_phase("list")
-        return take(self, value, cached, **options)  # type: ignore[arg-type]  # passed on unchanged
+        return apply_list(self, value, cached, **options)  # type: ignore[arg-type]  # passed on unchanged
 
-    discovery.take = take_and_report  # type: ignore[assignment]  # differs only in the types of the options
+    discovery.apply_list = apply_and_report  # type: ignore[assignment]  # differs only in the types of the options
 
 
 def main() -> None:
@@ -69,7 +69,7 @@
     report_phase("interpreter", INTERPRETER_STARTED_S)
     report_phase("import")
     report_calls(configuration, "load", "settings")
-    report_calls(http, "bound", "socket")
+    report_calls(http, "bound_socket", "socket")
     report_calls(program, "Node", "node")
     report_first_list(Discovery)
     program.main()
--- a/marlseam/net/admin.py
+++ b/marlseam/net/admin.py
@@ -50,7 +50,9 @@
         self.loop, self.log, self.calls = loop, log, calls
         self.max_connections, self.max_body_bytes = max_connections, max_body_bytes
         self.open: dict[Connection, Task | None] = {}
-        self.listener = http.Listener(loop, http.bound(address), self.has_capacity, self.accept, first=True)
+        self.listener = http.Listener(
+            loop, http.bound_socket(address), self.has_capacity, self.accept, prioritized=True
+        )
 
     def has_capacity(self, is_short: bool) -> bool:
         """Make room for a connection; return whether one may be accepted.
@@ -59,7 +61,7 @@
         and finish no call. Where the system is short of descriptors (`is_short`), connections of clients
         without an open request are closed first.
         """
-        if is_short and self.loop.descriptors.release_one(own=not self.open):
+        if is_short and self.loop.descriptors.release_one(use_spares=not self.open):
             return True
         while len(self.open) >= self.max_connections or (is_short and self.open):
             self.close_oldest()
@@ -79,7 +81,7 @@
         """Start a task that serves a new connection."""
         connection = Connection(self.loop, self.log, sock, h11.SERVER, "operator")
         self.open[connection] = None
-        task = self.loop.spawn(self.serve(connection), first=True)
+        task = self.loop.spawn(self.serve(connection), prioritized=True)
         if connection in self.open:
             self.open[connection] = task
 
@@ -96,7 +98,7 @@
         except ConnectionEndedError as end:
             reason = end.reason
             if end.status:
-                yield from http.complain(connection, end, self.loop.now() + CALL_MS)
+                yield from http.send_error(connection, end, self.loop.now() + CALL_MS)
         finally:
             self.open.pop(connection, None)
             connection.close(reason)
@@ -106,7 +108,7 @@
         try:
             call = yield from http.read(connection, until_ms, self.check_path, self.max_body_bytes)
         except MalformedMessageError as error:
-            raise http.bad(error) from None
+            raise http.malformed_end(error) from None
         status, text = self.calls[protocol.path_of(call.target)].answer(call.body)
         headers = [("Content-Type", "text/plain"), ("Connection", "close")]
         yield from http.answer(connection, status, headers, text.encode(), self.loop.now() + CALL_MS)
--- a/marlseam/net/admin_calls.py
+++ b/marlseam/net/admin_calls.py
@@ -11,7 +11,7 @@
 
 
 def open_admin(node: NodeInterface, address: tuple[str, int]) -> Admin:
-    """Start to answer operators' calls; raises ConfigError where the address cannot be bound."""
+    """Start to answer operators' calls; raises ConfigError where the admin address cannot be bound."""
     calls = service_calls(node) | cluster_calls(node)
     max_body_bytes = MAX_BODY_BYTES if node.config_service is None else MAX_CONTENT_BYTES
     with config_error_on_failure("admin", "{}:{}".format(*address), "a free address"):
--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -99,7 +99,7 @@
         self.node_ledger = NodeLedger(loop, log, folder, name, self.recover, self.take_over_ledger)
         self.actions = ActionLedger(self.node_ledger, name, generation, settings.lease_ms)
         self.requests = ConfigRequests(self)
-        self.timer = loop.at(loop.now(), lambda: None)
+        self.timer = loop.call_at(loop.now(), lambda: None)
         self.is_beside = self.is_started = False
 
     # Start and end.
@@ -232,7 +232,7 @@
 
     def tick(self) -> None:
         """Run the replica's due actions, refresh the status, write counts, and set the next timer."""
-        self.loop.drop(self.timer)
+        self.loop.cancel_timer(self.timer)
         now = self.loop.now()
         due_ms = now + CHECK_PERIOD_MS
         if self.replica is not None:
@@ -243,7 +243,7 @@
         self.share_proof()
         if self.replica is not None:
             due_ms = min(due_ms, self.replica.next_ms)
-        self.timer = self.loop.at(due_ms, self.tick)
+        self.timer = self.loop.call_at(due_ms, self.tick)
 
     def carry_out(self, effects: Iterable[Effect]) -> None:
         """Carry out the replica's effects, in order."""
--- a/marlseam/net/connection.py
+++ b/marlseam/net/connection.py
@@ -18,8 +18,8 @@
 
 PARSE_BYTES = 4096  # bytes passed to the parser at a time, and in one turn of the loop
 MAX_HEAD_BYTES = 16384  # maximum size of a message's head
-MAX_AHEAD_BYTES = 2048  # bytes of pipelined data that are kept while a message is worked on
-AHEAD_CHECK_MS = 20.0  # how often a peer that has sent MAX_AHEAD_BYTES is checked for more
+MAX_PIPELINED_BYTES = 2048  # bytes of pipelined data that are kept while a message is worked on
+PIPELINED_CHECK_MS = 20.0  # how often a peer that has sent MAX_PIPELINED_BYTES is checked for more
 # Share of the socket's receive buffer, at most DISCARD_BUFFER's size; more unread bytes may hide an end.
 HIDDEN_END_SHARE = 0.5
 # Maximum reads of DISCARD_BUFFER's size, in one check and before a connection is closed without a wait.
@@ -136,7 +136,7 @@
 
     def wait_for_first_byte(self, until_ms: float) -> Steps:
         """Wait for the first byte of an answer, or for the peer's end; raises TIMED_OUT after `until_ms`."""
-        while not (self.eof or self.has_ahead() or self.fill()):
+        while not (self.eof or self.has_pipelined() or self.fill()):
             if (yield (self.sock.fileno(), READ, until_ms)) == LATE:
                 raise ConnectionEndedError(Reason.TIMED_OUT)
 
@@ -164,7 +164,7 @@
             else:
                 raise ConnectionEndedError(Reason.PEER_CLOSED)
 
-    def has_ahead(self) -> bool:
+    def has_pipelined(self) -> bool:
         """Return whether bytes of a further message have been received, passed to the parser or not.
 
         Guards clients that pipeline requests: the parser may hold all of them.
@@ -174,21 +174,22 @@
     def is_quiet(self) -> bool:
         """Return whether an idle connection is still open and has received nothing."""
         try:
-            return not self.has_ahead() and not self.eof and not self.fill()
+            return not self.has_pipelined() and not self.eof and not self.fill()
         except ConnectionEndedError:
             return False
 
     def wait_for_end(self) -> Wait:
         """Return the wait for a peer's end while its message is worked on; pipelined bytes are buffered.
 
-        Beyond MAX_AHEAD_BYTES, pipelined bytes stay in the socket. The peer's end is still detected: the wait
-        is for the end alone, and every AHEAD_CHECK_MS the socket is checked for bytes that may hide it.
+        Beyond MAX_PIPELINED_BYTES, pipelined bytes stay in the socket. The peer's end is still detected: the
+        wait is for the end alone, and every PIPELINED_CHECK_MS the socket is checked for bytes that may hide
+        it.
         """
-        if len(self.buffer) < MAX_AHEAD_BYTES and not self.has_discarded:
+        if len(self.buffer) < MAX_PIPELINED_BYTES and not self.has_discarded:
             return (self.sock.fileno(), END | READ, inf)
-        return (self.sock.fileno(), END, self.loop.now() + AHEAD_CHECK_MS)
+        return (self.sock.fileno(), END, self.loop.now() + PIPELINED_CHECK_MS)
 
-    def discard_ahead(self) -> None:
+    def discard_pipelined(self) -> None:
         """Discard pipelined bytes if they fill much of the socket's receive buffer, and all later bytes.
 
         Guards against work for a client that has disconnected: with a full receive buffer the system accepts
@@ -319,15 +320,17 @@
 
 
 def connect(
-    loop: Loop, log: Log, address: tuple[str, int], what: str, until_ms: float, own: bool = False
+    loop: Loop, log: Log, address: tuple[str, int], what: str, until_ms: float, use_spares: bool = False
 ) -> Steps:
-    """Open a connection to a server; `own` allows the node's spare descriptors.
+    """Open a connection to a server; `use_spares` allows the node's spare descriptors.
 
     Raises ConnectionEndedError with NO_SOCKETS, REFUSED, or NO_CONNECT if not established by `until_ms`.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     try:
-        sock = loop.descriptors.opened(lambda: socket.socket(family, socket.SOCK_STREAM), own)
+        sock = loop.descriptors.open_with_release(
+            lambda: socket.socket(family, socket.SOCK_STREAM), use_spares
+        )
     except OSError:
         log.connection_ended(what, Reason.NO_SOCKETS, 0)
         raise ConnectionEndedError(Reason.NO_SOCKETS) from None
--- a/marlseam/net/descriptors.py
+++ b/marlseam/net/descriptors.py
@@ -45,30 +45,30 @@
                 return error.errno not in SHORTAGE_ERRNOS
         return True
 
-    def release_one(self, own: bool = False) -> bool:
-        """Release one descriptor; return whether one was. `own` allows a spare, for the node's own needs."""
+    def release_one(self, use_spares: bool = False) -> bool:
+        """Release one descriptor; return whether one was. `use_spares` allows a spare."""
         self.on_shortage()
         if any(release() for release in self.releasers):
             return True
-        if own and self.spares:
+        if use_spares and self.spares:
             os.close(self.spares.pop())
             return True
         return False
 
-    def opened(self, call: Callable[[], T], own: bool = False) -> T:
+    def open_with_release(self, call: Callable[[], T], use_spares: bool = False) -> T:
         """Return what a call opens; in a shortage, release a descriptor and retry, up to MAX_TRIES times."""
         for _ in range(MAX_TRIES):
             try:
                 return call()
             except OSError as error:
-                if error.errno not in SHORTAGE_ERRNOS or not self.release_one(own):
+                if error.errno not in SHORTAGE_ERRNOS or not self.release_one(use_spares):
                     raise
         return call()
 
-    def ensure(self) -> None:
+    def ensure_one(self) -> None:
         """Release a descriptor if needed, so that a file can be opened next; a failure is ignored."""
         with contextlib.suppress(OSError):
-            os.close(self.opened(lambda: os.dup(2), own=True))
+            os.close(self.open_with_release(lambda: os.dup(2), use_spares=True))
 
     def drop_spares(self) -> None:
         """Close the spare descriptors and hold none from now on."""
--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -61,7 +61,7 @@
         version: version of the held list; -1 before the first list.
         is_confirmed: whether the held list came from discovery itself, not from a file or a handover.
         is_version_live: whether `version` was numbered by the discovery process that is called now.
-        held: the entries of the held list, by server.
+        entries: the entries of the held list, by server.
         on_answer: called at each answer, with whether the answer changed the list.
         task: the task that follows discovery; None while there is none.
         overdue: tasks of list calls that were posted as failed and may still be answered.
@@ -79,7 +79,7 @@
         self.version = -1
         self.is_confirmed = False
         self.cancel_reason = Reason.DRAINING
-        self.held: dict[str, EndpointEntry] = {}
+        self.entries: dict[str, EndpointEntry] = {}
         self.on_answer: Callable[[bool], None] = lambda _changed: None
         self.task: Task | None = None
         self.overdue: set[Task] = set()
@@ -116,7 +116,7 @@
         before = self.config
         self.set_config(config)
         if not self.is_confirmed:
-            self.begin()
+            self.apply_initial_list()
         old, new = before.deployment, config.deployment
         if before.discovery == config.discovery and (old.zones, old.kinds) == (new.zones, new.kinds):
             return
@@ -130,7 +130,7 @@
             self.task.cancel()
         self.cancel_reason = Reason.DRAINING
 
-    def begin(self, saved: ListSnapshot | None = None, doubt: float = 0.0) -> None:
+    def apply_initial_list(self, saved: ListSnapshot | None = None, doubt: float = 0.0) -> None:
         """Apply the list in the configuration or a saved list, unless the held list has a later version.
 
         `doubt` is the chance that an entry of the list is no longer true.
@@ -139,9 +139,9 @@
             answer = self.config.known
             if saved is not None:
                 answer = {"seq": saved.version, "whole": True, "hosts": saved.rows}
-            held = self.take(answer, cached=True, doubt=doubt)
+            is_applied = self.apply_list(answer, cached=True, doubt=doubt)
             # A saved list may come from another discovery; the configured list comes from the configured one.
-            self.is_version_live = saved is None and held and not self.is_confirmed
+            self.is_version_live = saved is None and is_applied and not self.is_confirmed
         except MalformedMessageError as error:
             self.log.line(f"endpoint list of the configuration or the saved state is invalid: {error}")
 
@@ -168,9 +168,11 @@
                 # cut off within its answer only after the whole wait, which is long in large fleets.
                 answer = yield from self.call(connection, target, until_ms, self.call_ms)
                 self.confirmed_ms = self.loop.now()  # a watch reports changes as they happen
-                if not self.heed(connection, answer):
+                if not self.apply_answer(connection, answer):
                     until_ms = self.loop.now() + self.call_ms
-                    self.heed(connection, (yield from self.call(connection, protocol.LIST_PATH, until_ms)))
+                    self.apply_answer(
+                        connection, (yield from self.call(connection, protocol.LIST_PATH, until_ms))
+                    )
                 # Guards discovery against a storm of calls if it answers watches without waiting.
                 yield from sleep(began_ms + self.min_watch_gap_ms)
         except ConnectionEndedError as ended:
@@ -213,20 +215,20 @@
             overdue_calls.add(task)
             self.post_failure()
 
-        resumed = self.is_version_live and bool(self.held) and not self.incomplete
+        resumed = self.is_version_live and bool(self.entries) and not self.incomplete
         target = protocol.watch_target(self.version, RESUME_MS) if resumed else protocol.LIST_PATH
-        timer = self.loop.at(began_ms + self.call_ms, mark_overdue)
+        timer = self.loop.call_at(began_ms + self.call_ms, mark_overdue)
         try:
             answer = yield from self.call(connection, target, began_ms + self.max_call_ms)
         finally:
-            self.loop.drop(timer)
+            self.loop.cancel_timer(timer)
         if began_ms < self.listed_ms:
             raise ConnectionEndedError(Reason.DONE)
         self.listed_ms = began_ms
-        if not self.heed(connection, answer, resumed):
+        if not self.apply_answer(connection, answer, resumed):
             # Discovery's version is older than the held one, so discovery has restarted its numbering.
             until_ms = self.loop.now() + self.call_ms
-            self.heed(connection, (yield from self.call(connection, protocol.LIST_PATH, until_ms)))
+            self.apply_answer(connection, (yield from self.call(connection, protocol.LIST_PATH, until_ms)))
         self.is_version_live = True
         if task in overdue_calls:
             if self.task is not None and not self.task.done:
@@ -253,12 +255,12 @@
         except (ValueError, RecursionError):
             raise MalformedMessageError("the answer is not valid JSON") from None
 
-    def heed(self, connection: Connection, answer: Any, resumed: bool = False) -> bool:  # noqa: ANN401
+    def apply_answer(self, connection: Connection, answer: Any, resumed: bool = False) -> bool:  # noqa: ANN401
         """Apply an answer, also a connection's last one; return False if it is older than the held list.
 
         Raises ConnectionEndedError if the answer was the last one on its connection.
         """
-        is_applied = self.take(answer, resumed=resumed)
+        is_applied = self.apply_list(answer, resumed=resumed)
         if not connection.start_next_message():
             raise ConnectionEndedError(Reason.DONE)
         return is_applied
@@ -276,14 +278,14 @@
         """Return the held list in discovery's format; servers without an address are left out."""
         servers, deployment = self.upstream.pool.servers, self.config.deployment
         encoded = []
-        for name, entry in self.held.items():
+        for name, entry in self.entries.items():
             address = servers[name].address if name in servers else None
             if address is not None:
                 as_listed = entry._replace(process_started_ms=self.starts.listed_unix_ms(name))
-                encoded.append(list_codec.row_of(as_listed, address, deployment))
+                encoded.append(list_codec.encode_entry(as_listed, address, deployment))
         return encoded
 
-    def take(self, value: Any, cached: bool = False, doubt: float = 0.0, resumed: bool = False) -> bool:  # noqa: ANN401
+    def apply_list(self, value: Any, cached: bool = False, doubt: float = 0.0, resumed: bool = False) -> bool:  # noqa: ANN401
         """Apply an answer; return False for a change or a cached list that is older than the held list.
 
         An empty answer to a resumed watch is not posted: it does not show that a watch lasts, and the
@@ -297,20 +299,20 @@
         self.version, self.is_confirmed = answer.version, not cached
         for host, text in answer.invalid:
             self.log.line(f"discovery: entry of host {host[:80] or 'no host'} left out: {text}")
-            if whole and host in self.held:
-                answer.entries.append(self.held[host])  # the last valid entry stays
+            if whole and host in self.entries:
+                answer.entries.append(self.entries[host])  # the last valid entry stays
         self.incomplete = bool(answer.invalid) or (self.incomplete and not whole)
         if whole:
-            self.held.clear()
+            self.entries.clear()
         for entry in answer.entries:
             if entry.state is EndpointState.GONE:
-                self.held.pop(entry.server, None)
+                self.entries.pop(entry.server, None)
             else:
-                self.held[entry.server] = entry
-        self.starts.forget_delisted(self.held)
-        self.upstream.update_endpoints(self.held, answer.addresses)
+                self.entries[entry.server] = entry
+        self.starts.forget_delisted(self.entries)
+        self.upstream.update_endpoints(self.entries, answer.addresses)
         if self.upstream.guard is not None:
-            self.upstream.guard.note_endpoints(self.held, self.loop.now())
+            self.upstream.guard.note_endpoints(self.entries, self.loop.now())
         if resumed and not whole and not answer.entries:
             self.on_answer(False)
             return True
--- a/marlseam/net/downstream.py
+++ b/marlseam/net/downstream.py
@@ -90,7 +90,7 @@
         self.close_answered_at_ms = self.close_idle_at_ms = inf
         fd = config.socket_fd
         self.shared = fd is not None
-        self.sock = http.bound(config.listen) if fd is None else http.inherited(fd)
+        self.sock = http.bound_socket(config.listen) if fd is None else http.inherited_socket(fd)
         self.listener: http.Listener | None = None
 
     def configure(self, deployment: Deployment, limits: AdmissionLimits) -> None:
@@ -199,7 +199,7 @@
     def resume(self) -> None:
         """End a drain."""
         if self.drain_timer is not None:
-            self.loop.drop(self.drain_timer)
+            self.loop.cancel_timer(self.drain_timer)
         self.drain_timer, self.close_answered_at_ms, self.close_idle_at_ms = None, inf, inf
 
     def close_idle(self) -> None:
@@ -208,7 +208,7 @@
         for connection in list(self.idle) if now >= self.close_idle_at_ms else ():
             if connection not in self.unvalidated or now >= connection.opened_ms + NEW_GRACE_MS:
                 self.close_or_wake(connection, Reason.DRAINING)
-        self.drain_timer = self.loop.at(now + DRAIN_CHECK_MS, self.close_idle)
+        self.drain_timer = self.loop.call_at(now + DRAIN_CHECK_MS, self.close_idle)
 
     def refuse_unread(self) -> None:
         """Refuse the requests that are still being received as the node ends; later they get no answer."""
@@ -254,18 +254,18 @@
             if end.status:
                 self.unvalidated[connection] = self.loop.running_task()
                 self.unanswered.pop(connection, None)
-                yield from http.complain(connection, end, self.loop.now() + WRITE_TIMEOUT_MS)
+                yield from http.send_error(connection, end, self.loop.now() + WRITE_TIMEOUT_MS)
         except Cancelled:
             reason = Reason.DRAINING
             raise
         except Exception:
             # Guards the client against an error of this program: each request that was sent gets an answer.
-            self.loop.fault(traceback.format_exc())
+            self.loop.on_exception(traceback.format_exc())
             self.unanswered.pop(connection, None)
             failed = ConnectionEndedError(
                 Reason.FAULT, HTTPStatus.INTERNAL_SERVER_ERROR, "internal error of this node"
             )
-            yield from http.complain(connection, failed, self.loop.now() + WRITE_TIMEOUT_MS)
+            yield from http.send_error(connection, failed, self.loop.now() + WRITE_TIMEOUT_MS)
         finally:
             id = self.unanswered.pop(connection, None)
             if id is not None and self.violations is not None and not connection.is_peer_gone():
@@ -279,7 +279,7 @@
         until_ms = self.loop.now() + IDLE_TIMEOUT_MS
         if connection in self.unvalidated:
             until_ms = connection.opened_ms + READ_TIMEOUT_MS
-        while not connection.has_ahead() and not connection.eof:
+        while not connection.has_pipelined() and not connection.eof:
             if connection.fill():
                 continue
             self.idle[connection] = self.loop.running_task()
@@ -287,7 +287,7 @@
             self.idle.pop(connection, None)
             if event == LATE and connection.is_quiet():  # unless a request is arriving
                 raise ConnectionEndedError(Reason.IDLE)
-        if not connection.has_ahead():
+        if not connection.has_pipelined():
             raise ConnectionEndedError(Reason.PEER_CLOSED)
 
     def request(self, connection: Connection) -> Steps:
@@ -308,7 +308,7 @@
             if protocol.path_of(received.target) == protocol.READY_PATH:
                 status, headers, body = (200 if self.is_ready() else 503), [], b""
             else:
-                self.unanswered[connection] = received.head.get(protocol.ID, "")
+                self.unanswered[connection] = received.head.get(protocol.CORRELATION_ID_HEADER, "")
                 client_request = protocol.client_request_from(
                     received.target, received.head, received.body, self.deployment
                 )
@@ -317,7 +317,7 @@
                     PendingRequest(client_request, connection.earliest_sent_ms, connection.is_peer_gone),
                 )
         except MalformedMessageError as error:
-            raise http.bad(error) from None
+            raise http.malformed_end(error) from None
         del self.reserved_bytes[connection]
         if self.is_last_message(connection):
             headers = [*headers, ("Connection", "close")]
@@ -330,8 +330,8 @@
     def serve_request(self, connection: Connection, pending: PendingRequest) -> Steps:
         """Pass a request to the node and wait for its answer, or until the client disconnects."""
         id = pending.client_request.id
-        if connection.has_ahead():
-            connection.discard_ahead()
+        if connection.has_pipelined():
+            connection.discard_pipelined()
         if connection.is_peer_gone():  # guards against work for a client that has already left
             raise ConnectionEndedError(Reason.PEER_CLOSED)
         if id in self.correlation_ids:
@@ -360,7 +360,7 @@
             wait, asked_ms = connection.wait_for_end(), self.loop.now()
             event = yield wait
             if event == LATE:
-                connection.discard_ahead()
+                connection.discard_pipelined()
             elif event == WOKEN and wait[1] & READ and self.loop.polled_ms > asked_ms:
                 connection.note_empty(self.loop.polled_ms)
             if event != WOKEN and pending.answer is None:
--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -77,8 +77,8 @@
                 pass
         gc.enable()
         if not self.restore_list(state, began_s):
-            node.discovery.begin()
-        self.counted_servers, self.counted_since_ms = set(node.discovery.held), node.loop.now()
+            node.discovery.apply_initial_list()
+        self.counted_servers, self.counted_since_ms = set(node.discovery.entries), node.loop.now()
         node.discovery.on_answer = self.record_list
         self.store.begin()
 
@@ -86,7 +86,7 @@
         """Restore state that was read after the start, in steps, while the node serves."""
         for _ in self.restore_history(state):
             yield from sleep(self.node.loop.now())
-        if not self.node.discovery.held:
+        if not self.node.discovery.entries:
             self.restore_list(state, time.monotonic())
         self.node.log.line(f"history of keyed requests is recovered: {self.recovered_keys} keys on record")
 
@@ -99,7 +99,7 @@
         age_ms = saved_list.list_age_ms(saved, now_unix_ms)
         doubt = saved_list.entry_doubt(age_ms, self.departure_rate)
         self.confirmed_unix_ms = saved.confirmed_ms or 0.0
-        self.node.discovery.begin(ListSnapshot(saved.version, saved.rows), doubt)
+        self.node.discovery.apply_initial_list(ListSnapshot(saved.version, saved.rows), doubt)
         age_text = "of unknown age" if age_ms is None else f"{age_ms / 1000.0:.0f} s old"
         took_ms = 1000.0 * (time.monotonic() - began_s)
         self.node.log.line(
@@ -191,7 +191,7 @@
 
     def count_departures(self, now_ms: float) -> None:
         """Add the servers' time on the list, and the servers that have left it, to `departure_rate`."""
-        held = set(self.node.discovery.held)
+        held = set(self.node.discovery.entries)
         self.departure_rate.lived_ms += len(self.counted_servers) * (now_ms - self.counted_since_ms)
         self.departure_rate.departures += len(self.counted_servers - held)
         self.counted_servers, self.counted_since_ms = held, now_ms
--- a/marlseam/net/effects.py
+++ b/marlseam/net/effects.py
@@ -100,7 +100,7 @@
     def set_timer(self, effect: core.SetTimer) -> None:
         """Post TimerFired with the timer's id after its delay."""
         loop, timer_id = self.node.loop, effect.timer_id
-        loop.at(loop.now() + effect.delay_ms, lambda: self.node.post(core.TimerFired(timer_id)))
+        loop.call_at(loop.now() + effect.delay_ms, lambda: self.node.post(core.TimerFired(timer_id)))
 
     def watch_endpoints(self, _effect: core.WatchEndpoints) -> None:
         """Start to watch discovery for the endpoint list."""
--- a/marlseam/net/graceful_shutdown.py
+++ b/marlseam/net/graceful_shutdown.py
@@ -47,9 +47,9 @@
         idle_grace_ms = IDLE_GRACE_MS if is_socket_shared else max(LISTEN_MS, KEEP_SHARE * drain_ms)
         node.downstream.drain(0.0 if is_socket_shared else idle_grace_ms, idle_grace_ms)
         listen_ms = 0.0 if is_socket_shared else LISTEN_MS
-        node.loop.at(began_ms + listen_ms, node.downstream.stop_listening)
+        node.loop.call_at(began_ms + listen_ms, node.downstream.stop_listening)
         last_ms = began_ms + max(drain_ms + EXIT_MS, idle_grace_ms + LAST_READ_MS)
-        node.loop.at(began_ms + idle_grace_ms, lambda: self.finish(last_ms))
+        node.loop.call_at(began_ms + idle_grace_ms, lambda: self.finish(last_ms))
 
     def drain_ms(self) -> float:
         """Return how long open requests may run, in ms: the longest deadline, at most MAX_DRAIN_MS."""
@@ -63,7 +63,7 @@
         """Stop the loop once no client waits for an answer, or at `last_ms` by the loop's clock."""
         node, loop = self.node, self.node.loop
         if node.downstream.has_waiting_clients() and loop.now() < last_ms:
-            loop.at(loop.now() + downstream.DRAIN_CHECK_MS, lambda: self.finish(last_ms))
+            loop.call_at(loop.now() + downstream.DRAIN_CHECK_MS, lambda: self.finish(last_ms))
             return
         node.downstream.refuse_unread()
         for line in node.shadow_policy.lines() if node.shadow_policy is not None else ():
--- a/marlseam/net/http.py
+++ b/marlseam/net/http.py
@@ -25,7 +25,7 @@
 CAPACITY_RETRY_MS = 20.0  # wait before a retry if there was no capacity
 
 
-def bound(address: tuple[str, int]) -> socket.socket:
+def bound_socket(address: tuple[str, int]) -> socket.socket:
     """Return a socket that is bound to an address; raises OSError if the address is not available."""
     sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -38,7 +38,7 @@
     return sock
 
 
-def inherited(descriptor: int) -> socket.socket:
+def inherited_socket(descriptor: int) -> socket.socket:
     """Return the listening socket that the process inherited; raises OSError if the descriptor is none."""
     try:
         sock = socket.socket(fileno=descriptor)
@@ -76,7 +76,7 @@
         sock: socket.socket,
         has_capacity: Callable[[bool], bool],
         on_accept: Callable[[socket.socket], None],
-        first: bool = False,
+        prioritized: bool = False,
     ) -> None:
         self.loop, self.sock, self.has_capacity, self.on_accept = loop, sock, has_capacity, on_accept
         self.closed = False  # whether the socket is closed too, so that no client is in its accept queue
@@ -85,7 +85,7 @@
             # The socket does not listen earlier: a client's time would pass unnoticed while the node recovers
             # its state at the start, but a client whose connection is refused tries another node at once.
             sock.listen(BACKLOG)
-        self.task = loop.spawn(self.accept(), first)
+        self.task = loop.spawn(self.accept(), prioritized)
 
     def accept(self) -> Coroutine:
         """Accept connections, at most MAX_ACCEPTS_PER_TURN in each turn of the loop."""
@@ -163,7 +163,7 @@
             if result is AcceptResult.QUEUE_EMPTY:
                 break
             if result is AcceptResult.NO_CAPACITY:
-                self.loop.at(self.loop.now() + CAPACITY_RETRY_MS, self.accept_queued)
+                self.loop.call_at(self.loop.now() + CAPACITY_RETRY_MS, self.accept_queued)
                 return
             if result is not AcceptResult.LOST:
                 has_made_capacity = result is AcceptResult.CAPACITY_MADE
@@ -208,7 +208,7 @@
     return Call(method, target, head, (yield from connection.body(max_bytes, until_ms)))
 
 
-def bad(error: MalformedMessageError) -> ConnectionEndedError:
+def malformed_end(error: MalformedMessageError) -> ConnectionEndedError:
     """Return the ConnectionEndedError for a malformed message."""
     return ConnectionEndedError(Reason.BAD_MESSAGE, error.status, str(error), error.allow)
 
@@ -220,7 +220,7 @@
     yield from connection.message(head, body, until_ms)
 
 
-def complain(connection: Connection, ended: ConnectionEndedError, until_ms: float) -> Steps:
+def send_error(connection: Connection, ended: ConnectionEndedError, until_ms: float) -> Steps:
     """Answer a client with the error in its request, if possible, then read on for up to LINGER_MS."""
     headers = [("Connection", "close")] + ([("Allow", ended.allow)] if ended.allow else [])
     try:
--- a/marlseam/net/limits.py
+++ b/marlseam/net/limits.py
@@ -74,7 +74,7 @@
         self, loop: Loop, downstream: DownstreamServer, upstream: Upstream, restore: Callable[[], None]
     ) -> None:
         self.loop, self.downstream, self.upstream, self.restore = loop, downstream, upstream, restore
-        self.restore_timer = loop.at(loop.now(), lambda: None)
+        self.restore_timer = loop.call_at(loop.now(), lambda: None)
         loop.descriptors.releasers = [downstream.close_one, upstream.pool.close_longest_idle]
         loop.descriptors.on_shortage = self.reduce_clients
 
@@ -85,8 +85,8 @@
         """
         connections = len(self.downstream.open) + self.upstream.pool.open_count()
         self.downstream.limit_clients(max(MIN_CLIENTS, int(CLIENT_SHARE * connections)))
-        self.loop.drop(self.restore_timer)
-        self.restore_timer = self.loop.at(self.loop.now() + SHORTAGE_MS, self.end)
+        self.loop.cancel_timer(self.restore_timer)
+        self.restore_timer = self.loop.call_at(self.loop.now() + SHORTAGE_MS, self.end)
 
     def end(self) -> None:
         """Try the settings' limit again: other processes may have released descriptors."""
--- a/marlseam/net/list_codec.py
+++ b/marlseam/net/list_codec.py
@@ -113,7 +113,7 @@
     return AddressedEntry(entry, address)
 
 
-def row_of(entry: EndpointEntry, address: tuple[str, int], deployment: Deployment) -> dict[str, Any]:
+def encode_entry(entry: EndpointEntry, address: tuple[str, int], deployment: Deployment) -> dict[str, Any]:
     """Encode an entry, whose process start is in Unix ms, in discovery's format."""
     zones, kinds = list(deployment.zones), list(deployment.kinds)
     host = f"[{address[0]}]" if ":" in address[0] else address[0]
--- a/marlseam/net/loop.py
+++ b/marlseam/net/loop.py
@@ -22,7 +22,7 @@
 READ, WRITE, END = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
 READY, LATE, WOKEN = "ready", "late", "woken"
 MIN_WAITED_MS = 1.0  # a poll that took longer than this had to wait for an event
-FIRST_CHECK_MS = 5.0  # how often within a turn the prioritized tasks are polled
+PRIORITIZED_CHECK_MS = 5.0  # how often within a turn the prioritized tasks are polled
 Wait = tuple[int, int, float]
 Coroutine = Generator[Wait, str, None]
 
@@ -56,7 +56,7 @@
 
 
 class Timer:
-    """A call that is due at a time, unless it is dropped before."""
+    """A call that is due at a time, unless it is cancelled before."""
 
     __slots__ = ("call", "earliest_ms")
 
@@ -68,8 +68,8 @@
 class Task:
     """A coroutine and its current wait."""
 
-    def __init__(self, loop: "Loop", coroutine: Coroutine, first: bool) -> None:
-        self.loop, self.coroutine, self.first = loop, coroutine, first
+    def __init__(self, loop: "Loop", coroutine: Coroutine, prioritized: bool) -> None:
+        self.loop, self.coroutine, self.prioritized = loop, coroutine, prioritized
         self.fd = -1
         self.timer: Timer | None = None
         self.done = self.running = self.woken = False
@@ -89,19 +89,19 @@
         except Exception:
             # Guards the process: an error on one connection ends this connection only.
             self.end()
-            self.loop.fault(traceback.format_exc())
+            self.loop.on_exception(traceback.format_exc())
             return
         finally:
             self.running, self.loop.current = False, outer_task
         if self.woken:
-            self.loop.soon(lambda: self.step(WOKEN))
+            self.loop.call_soon(lambda: self.step(WOKEN))
             return
         descriptor, mask, until_ms = wait
         if descriptor >= 0:
             self.fd = descriptor
             self.arm(mask)
         if until_ms < inf:
-            self.timer = self.loop.at(until_ms, lambda: self.step(LATE))
+            self.timer = self.loop.call_at(until_ms, lambda: self.step(LATE))
 
     def resume(self, value: str | None, error: BaseException | None) -> Wait:
         """Run the coroutine up to its next wait; a value of None starts it."""
@@ -116,11 +116,11 @@
             self.loop.arm(descriptor, mask, self)
         except OSError as error:
             if syscalls.is_transient(error):
-                self.loop.at(
+                self.loop.call_at(
                     self.loop.now() + syscalls.TRANSIENT_RETRY_MS, lambda: self.retry_arm(descriptor, mask)
                 )
             else:
-                self.loop.soon(partial(self.fail_wait, descriptor, error))
+                self.loop.call_soon(partial(self.fail_wait, descriptor, error))
 
     def retry_arm(self, descriptor: int, mask: int) -> None:
         """Retry to register the wait for a socket, unless the coroutine was resumed meanwhile."""
@@ -147,7 +147,7 @@
             self.loop.waiting.pop(self.fd, None)
             self.fd = -1
         if self.timer is not None:
-            self.loop.drop(self.timer)
+            self.loop.cancel_timer(self.timer)
             self.timer = None
 
     def wake(self) -> None:
@@ -155,7 +155,7 @@
         if not self.woken:
             self.woken = True
             if not self.running:
-                self.loop.soon(lambda: self.step(WOKEN) if self.woken else None)
+                self.loop.call_soon(lambda: self.step(WOKEN) if self.woken else None)
 
     def cancel(self) -> None:
         """Raise Cancelled in the coroutine at its current wait; does nothing while it is running."""
@@ -168,9 +168,9 @@
 
     Attributes:
         clock: its monotonic clock; `now` returns the time in ms.
-        fault: called with the traceback of an unexpected exception.
+        on_exception: called with the traceback of an unexpected exception.
         descriptors: opens file descriptors, and releases some in a shortage.
-        poll, first: epoll objects of all tasks, and of the prioritized tasks.
+        poll, prioritized: epoll objects of all tasks, and of the prioritized tasks.
         pollers: by descriptor, the epoll object in which it is registered.
         waiting: by descriptor, the task that waits for it.
         tasks: the tasks that have not ended, in order of their start.
@@ -179,11 +179,11 @@
 
     """
 
-    def __init__(self, fault: Callable[[str], None]) -> None:
-        self.clock, self.fault, self.descriptors = Clock(), fault, Descriptors()
+    def __init__(self, on_exception: Callable[[str], None]) -> None:
+        self.clock, self.on_exception, self.descriptors = Clock(), on_exception, Descriptors()
         self.now = self.clock.now
-        self.poll, self.first = select.epoll(), select.epoll()
-        syscalls.retry_transient(lambda: self.poll.register(self.first.fileno(), READ))
+        self.poll, self.prioritized = select.epoll(), select.epoll()
+        syscalls.retry_transient(lambda: self.poll.register(self.prioritized.fileno(), READ))
         self.prioritized_run_ms = 0.0  # when the prioritized tasks were last polled
         self.pollers: dict[int, select.epoll] = {}
         self.closed_fds: set[int] = set()  # descriptors closed in this turn
@@ -192,18 +192,18 @@
         self.calls: deque[Callable[[], None]] = deque()
         self.tasks: dict[Task, None] = {}
         self.current: Task | None = None
-        self.timer_count = self.dropped_timers = 0
+        self.timer_count = self.cancelled_timers = 0
         self.stopped = False
         # When this turn's poll returned, and the earliest time at which its events may have occurred.
         self.polled_ms = self.ready_since_ms = self.now()
         self.late_ms = self.turn_ms = 0.0  # the longest delay of a timer, and the longest turn
 
-    def spawn(self, coroutine: Coroutine, first: bool = False) -> Task:
+    def spawn(self, coroutine: Coroutine, prioritized: bool = False) -> Task:
         """Start a coroutine, which runs up to its first wait at once.
 
-        With `first`, the task is prioritized: it is resumed before all other ready tasks, also within a turn.
+        A `prioritized` task is resumed before all other ready tasks, also within a turn.
         """
-        task = Task(self, coroutine, first)
+        task = Task(self, coroutine, prioritized)
         self.tasks[task] = None
         task.step(None)
         return task
@@ -213,30 +213,30 @@
         assert self.current is not None
         return self.current
 
-    def soon(self, call: Callable[[], None]) -> None:
+    def call_soon(self, call: Callable[[], None]) -> None:
         """Schedule a call before the next poll."""
         self.calls.append(call)
 
-    def at(self, due_ms: float, call: Callable[[], None]) -> Timer:
+    def call_at(self, due_ms: float, call: Callable[[], None]) -> Timer:
         """Schedule a call at a time; return its timer."""
         timer = Timer(call, max(due_ms, self.now()))
         self.timer_count += 1
         heapq.heappush(self.timers, (due_ms, self.timer_count, timer))
         return timer
 
-    def drop(self, timer: Timer) -> None:
-        """Drop a scheduled call.
+    def cancel_timer(self, timer: Timer) -> None:
+        """Cancel a scheduled call.
 
-        Guards against waits with long limits that end early and fill the memory: once more than 1000 dropped
-        timers are more than half of all timers, they are removed.
+        Guards against waits with long limits that end early and fill the memory: once more than 1000
+        cancelled timers are more than half of all timers, they are removed.
         """
         if timer.call is not None:
             timer.call = None
-            self.dropped_timers += 1
-        if self.dropped_timers > 1000 and self.dropped_timers > len(self.timers) // 2:
+            self.cancelled_timers += 1
+        if self.cancelled_timers > 1000 and self.cancelled_timers > len(self.timers) // 2:
             self.timers = [row for row in self.timers if row[2].call is not None]
             heapq.heapify(self.timers)
-            self.dropped_timers = 0
+            self.cancelled_timers = 0
 
     def arm(self, descriptor: int, mask: int, task: Task) -> None:
         """Register a descriptor with epoll, to resume a task once when it is ready."""
@@ -245,7 +245,7 @@
         if poll is not None:
             poll.modify(descriptor, mask | select.EPOLLONESHOT)
         else:
-            poll = self.first if task.first else self.poll
+            poll = self.prioritized if task.prioritized else self.poll
             poll.register(descriptor, mask | select.EPOLLONESHOT)
             self.pollers[descriptor] = poll
 
@@ -296,20 +296,20 @@
                 self.guarded(call)
                 self.run_calls()
             else:
-                self.dropped_timers -= 1
+                self.cancelled_timers -= 1
         self.turn_ms = max(self.turn_ms, self.now() - began_ms)
 
     def run_prioritized(self) -> None:
         """Resume the prioritized tasks that are ready."""
         self.prioritized_run_ms = self.now()
-        for descriptor, _ in syscalls.none_if_transient(lambda: self.first.poll(0)) or []:
+        for descriptor, _ in syscalls.none_if_transient(lambda: self.prioritized.poll(0)) or []:
             task = self.waiting.get(descriptor)
             if task is not None:
                 task.step(READY)
 
     def run_prioritized_if_due(self) -> None:
         """Resume the prioritized tasks within a long turn. Guards operators' calls against a busy node."""
-        if self.now() - self.prioritized_run_ms > FIRST_CHECK_MS:
+        if self.now() - self.prioritized_run_ms > PRIORITIZED_CHECK_MS:
             self.run_prioritized()
 
     def run_calls(self) -> None:
@@ -319,17 +319,17 @@
             self.run_prioritized_if_due()
 
     def guarded(self, call: Callable[[], None]) -> None:
-        """Run a call and report an exception to `fault`."""
+        """Run a call and report an exception to `on_exception`."""
         try:
             call()
         except Exception:
-            self.fault(traceback.format_exc())
+            self.on_exception(traceback.format_exc())
 
     def pause_s(self) -> float:
         """Return the time in s until the next timer is due; 0 if calls are scheduled, -1 without timers."""
         while self.timers and self.timers[0][2].call is None:
             heapq.heappop(self.timers)
-            self.dropped_timers -= 1
+            self.cancelled_timers -= 1
         if self.calls:
             return 0.0
         return max(0.0, (self.timers[0][0] - self.now()) / 1000.0) if self.timers else -1.0
--- a/marlseam/net/membership_service.py
+++ b/marlseam/net/membership_service.py
@@ -120,7 +120,7 @@
         self.machine = self.new_machine()
         self.sock: socket.socket | None = None
         self.closed = False
-        self.timer = loop.at(loop.now(), lambda: None)
+        self.timer = loop.call_at(loop.now(), lambda: None)
         self.join()
 
     @property
@@ -182,7 +182,9 @@
         """Return a socket bound to the member's address, None if another process has it; raises OSError."""
         address = self.settings.members[self.name]
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-        sock = self.loop.descriptors.opened(lambda: socket.socket(family, socket.SOCK_DGRAM), own=True)
+        sock = self.loop.descriptors.open_with_release(
+            lambda: socket.socket(family, socket.SOCK_DGRAM), use_spares=True
+        )
         try:
             sock.setblocking(False)
             sock.bind(address)
@@ -201,7 +203,7 @@
                 "not a member until it is free"
             )
         self.dropped[ADDRESS_IN_USE] += 1
-        self.loop.at(self.loop.now() + min(MAX_BIND_RETRY_MS, self.settings.period_ms), self.join)
+        self.loop.call_at(self.loop.now() + min(MAX_BIND_RETRY_MS, self.settings.period_ms), self.join)
 
     def set_members(self, members: Mapping[str, str]) -> None:
         """Take over a configuration version's members; addresses in the node's settings have precedence."""
@@ -224,7 +226,7 @@
         self.closed = True
         if self.sock is not None:
             self.apply_effects(self.machine.leave(self.loop.now()))
-            self.loop.drop(self.timer)
+            self.loop.cancel_timer(self.timer)
             self.loop.close(self.sock)
             self.sock = None
 
@@ -268,8 +270,8 @@
 
     def schedule_tick(self) -> None:
         """Set the timer to the state machine's next due time."""
-        self.loop.drop(self.timer)
-        self.timer = self.loop.at(self.machine.next_ms, self.tick)
+        self.loop.cancel_timer(self.timer)
+        self.timer = self.loop.call_at(self.machine.next_ms, self.tick)
 
     # Effects.
 
--- a/marlseam/net/node.py
+++ b/marlseam/net/node.py
@@ -80,7 +80,7 @@
         shadow_policy: evaluates changed settings without applying them; None where none are configured.
         membership: the cluster's members; None in a node without a cluster.
         config_service: the cluster's configuration versions; None without a ledger.
-        admin: answers operators' calls; None where no address is configured for them.
+        admin: answers operators' calls; None without an admin address.
         durable_state: the state kept across restarts; None without a state directory.
         handover: connections to other processes of this node; None where the socket is not shared.
         events: the events that wait for the reducer.
@@ -163,7 +163,7 @@
         self.shortage = DescriptorShortage(loop, self.downstream, self.upstream, self.apply_client_limits)
 
     def make_admin(self) -> None:
-        """Start to answer operators' calls, if an address is configured for them."""
+        """Start to answer operators' calls, if an admin address is configured."""
         self.admin: Admin | None = None
         if self.config.admin is not None:
             from marlseam.net.admin_calls import open_admin
@@ -173,7 +173,7 @@
     def recover(self) -> None:
         """Recover the last process's stored state; without a store, use the list in the configuration."""
         if self.config.store is None:
-            self.discovery.begin()
+            self.discovery.apply_initial_list()
             return
         from marlseam.net.durable_state import DurableState
 
@@ -206,7 +206,7 @@
         The handover calls this once, at its end.
         """
         if snapshot.rows and snapshot.version >= self.discovery.version and not self.discovery.is_confirmed:
-            self.discovery.begin(snapshot)
+            self.discovery.apply_initial_list(snapshot)
         if not self.shutdown.is_ending:
             self.service.listen()
 
@@ -273,14 +273,16 @@
 
     def is_ready(self) -> bool:
         """Return whether the node accepts clients: it listens, has servers and does not drain."""
-        return bool(self.discovery.held and self.downstream.listener) and self.downstream.drain_timer is None
+        return (
+            bool(self.discovery.entries and self.downstream.listener) and self.downstream.drain_timer is None
+        )
 
     def figures(self) -> str:
         """Return the counters, present gauges and counts of violated invariants as text, one a line."""
-        held = self.discovery.held
+        entries = self.discovery.entries
         gauges = {
             "pending": len(self.requests.pending),
-            "members": len(held),
+            "members": len(entries),
             "members_unavailable": self.reducer.avoided_count(),
         }
         violations = {f"invariant_violations_total.{p.value}": n for p, n in self.violations.counts.items()}
@@ -289,7 +291,7 @@
     def schedule_shadow_log(self) -> None:
         """Schedule the next log lines of the shadow policy, every `every_s` seconds of its settings."""
         if self.config.shadow is not None:
-            self.loop.at(self.loop.now() + 1000.0 * self.config.shadow.every_s, self.log_shadow_policy)
+            self.loop.call_at(self.loop.now() + 1000.0 * self.config.shadow.every_s, self.log_shadow_policy)
 
     def log_shadow_policy(self) -> None:
         """Log how the shadow policy's decisions have differed so far, and schedule the next time."""
@@ -320,11 +322,11 @@
             effects: Sequence[NodeEffect] = self.reducer.reduce(self.loop.now(), event)
         except Exception:
             # Guards other clients against an exception in a decision; effects emitted before it still hold.
-            self.loop.fault(traceback.format_exc())
+            self.loop.on_exception(traceback.format_exc())
             effects = [*self.reducer.effects, GiveUp(request_id_of(event))]
         for effect in effects:
             try:
                 self.effects.carry_out(effect)
             except Exception:
-                self.loop.fault(traceback.format_exc())
+                self.loop.on_exception(traceback.format_exc())
                 self.requests.give_up(GiveUp(request_id_of(effect)))
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -79,7 +79,7 @@
                 self.connect(path)
         if self.peers:
             self.node.apply_process_count()
-        self.loop.at(self.began_ms + SNAPSHOT_TIMEOUT_MS, self.finish)
+        self.loop.call_at(self.began_ms + SNAPSHOT_TIMEOUT_MS, self.finish)
         self.finish_if_complete()
 
     def listen(self) -> None:
@@ -98,7 +98,7 @@
             self.log_fault("unheard", f"cannot listen for later processes: {error}")
             self.close()
         else:
-            self.loop.spawn(self.accept(self.sock), first=True)
+            self.loop.spawn(self.accept(self.sock), prioritized=True)
 
     def connect(self, path: Path) -> None:
         """Connect to another process; a socket that refuses is of one that was killed, and is removed."""
@@ -121,7 +121,7 @@
             if path.name not in self.node.reducer.unavailable_history.last_sent_ms:
                 self.mark_history_unavailable(path.name, None)
                 self.log_fault("silent", f"{path.name} does not accept connections")
-            self.loop.at(self.loop.now() + SNAPSHOT_TIMEOUT_MS, lambda: self.connect(path))
+            self.loop.call_at(self.loop.now() + SNAPSHOT_TIMEOUT_MS, lambda: self.connect(path))
         except OSError as error:
             # Guards against a process that ended just now and did not send its history.
             self.mark_history_unavailable(path.name, self.loop.now())
@@ -146,7 +146,7 @@
         while True:
             yield (listener.fileno(), READ, inf)
             try:
-                sock, _ = descriptors.opened(listener.accept, own=True)
+                sock, _ = descriptors.open_with_release(listener.accept, use_spares=True)
             except OSError:
                 # Guards against a busy loop: a connection that cannot be accepted keeps the socket readable.
                 yield from sleep(self.loop.now() + CAPACITY_RETRY_MS)
@@ -168,7 +168,7 @@
         )
         if not peer.is_outgoing:
             peer.unsent += b"".join(self.snapshot())
-        peer.task = self.loop.spawn(self.exchange(peer), first=True)
+        peer.task = self.loop.spawn(self.exchange(peer), prioritized=True)
 
     def snapshot(self) -> Iterable[bytes]:
         """Return the lines of this process's snapshot: its endpoint list and its keyed attempts."""
--- a/marlseam/net/protocol.py
+++ b/marlseam/net/protocol.py
@@ -15,14 +15,33 @@
 from marlseam.net.errors import MalformedMessageError
 
 READY_PATH, LOAD_PATH, LIST_PATH = "/-/ready", "/-/load", "/api/targets"
-ID, TYPE, TIME_LEFT, RECEIPT = "X-Correlation-Id", "X-Service-Class", "X-Time-Left", "Idempotency-Key"
-ACTING = "X-Marlseam-Acting"  # with a fleet: the configuration version under which an attempt is sent
-FACTS, LOAD, NEVER_RAN, REPEAT = "X-Facts", "X-Backend-Load", "X-Unprocessed", "X-Repeat"
+CORRELATION_ID_HEADER, SERVICE_CLASS_HEADER, TIME_LEFT_HEADER, IDEMPOTENCY_KEY_HEADER = (
+    "X-Correlation-Id",
+    "X-Service-Class",
+    "X-Time-Left",
+    "Idempotency-Key",
+)
+ACTING_HEADER = "X-Marlseam-Acting"  # with a fleet: the configuration version under which an attempt is sent
+FACTS_HEADER, LOAD_HEADER, UNPROCESSED_HEADER, REPEAT_HEADER = (
+    "X-Facts",
+    "X-Backend-Load",
+    "X-Unprocessed",
+    "X-Repeat",
+)
 KEY = "user"  # the query parameter that names the resource that a request needs
 MAX_BODY_BYTES = 65536  # maximum size of a request's body, and of a server's answer
 MAX_LINE_BYTES = 2 * MAX_BODY_BYTES  # maximum size of a line, which holds a body in JSON
 MAX_LIST_BYTES = 1 << 22  # maximum size of a whole endpoint list
-SINGLE_HEADERS = (ID, TYPE, TIME_LEFT, RECEIPT, FACTS, "Host", "Content-Length", "Transfer-Encoding")
+SINGLE_HEADERS = (
+    CORRELATION_ID_HEADER,
+    SERVICE_CLASS_HEADER,
+    TIME_LEFT_HEADER,
+    IDEMPOTENCY_KEY_HEADER,
+    FACTS_HEADER,
+    "Host",
+    "Content-Length",
+    "Transfer-Encoding",
+)
 MAX_ID_LENGTH = 256
 MAX_TIME_LEFT_IN_DEADLINES = 100.0  # longest plausible time left, in deadlines of the request class
 OUTCOME_BY_STATE = {
@@ -167,26 +186,28 @@
 
 def client_request_from(target: str, head: Head, body: bytes, deployment: Deployment) -> ClientRequest:
     """Decode a client's request; raises MalformedMessageError if a header is missing or invalid."""
-    id = head.get(ID, "")
+    id = head.get(CORRELATION_ID_HEADER, "")
     if not is_header_safe(id):
-        raise MalformedMessageError(f"{ID} is missing or invalid")
-    name = head.get(TYPE, "")
+        raise MalformedMessageError(f"{CORRELATION_ID_HEADER} is missing or invalid")
+    name = head.get(SERVICE_CLASS_HEADER, "")
     if name not in deployment.types or class_name_of(target) != name:
-        raise MalformedMessageError(f"{TYPE} is missing, unknown or differs from the path's request class")
-    left_ms = 1000.0 * parse_number(head.get(TIME_LEFT, ""), TIME_LEFT)
+        raise MalformedMessageError(
+            f"{SERVICE_CLASS_HEADER} is missing, unknown or differs from the path's request class"
+        )
+    left_ms = 1000.0 * parse_number(head.get(TIME_LEFT_HEADER, ""), TIME_LEFT_HEADER)
     class_index = deployment.types[name]
     request_class = deployment.settings.request_classes[class_index]
     deadline_ms = request_class.deadline_ms or inf
     if left_ms > MAX_TIME_LEFT_IN_DEADLINES * deadline_ms:
-        raise MalformedMessageError(f"{TIME_LEFT} is too long for the deadline of the request class")
-    idempotency_key = head.get(RECEIPT)
+        raise MalformedMessageError(f"{TIME_LEFT_HEADER} is too long for the deadline of the request class")
+    idempotency_key = head.get(IDEMPOTENCY_KEY_HEADER)
     if not is_header_safe(idempotency_key or "") and (
         idempotency_key is not None or request_class.idempotency is Idempotency.KEYED
     ):
-        raise MalformedMessageError(f"{RECEIPT} is missing or invalid")
-    facts = parse_pairs(head.get(FACTS, ""))
-    if head.get(FACTS) and len(facts) < head[FACTS].count(",") + 1:
-        raise MalformedMessageError(f"{FACTS} is not a list of distinct name=value pairs")
+        raise MalformedMessageError(f"{IDEMPOTENCY_KEY_HEADER} is missing or invalid")
+    facts = parse_pairs(head.get(FACTS_HEADER, ""))
+    if head.get(FACTS_HEADER) and len(facts) < head[FACTS_HEADER].count(",") + 1:
+        raise MalformedMessageError(f"{FACTS_HEADER} is not a list of distinct name=value pairs")
     return ClientRequest(
         id=id,
         target=target,
@@ -195,10 +216,10 @@
         class_index=class_index,
         type_name=name,
         time_left_ms=min(left_ms, deadline_ms),
-        slots=parse_number(facts.get("slots", "1"), FACTS) or 1.0,
+        slots=parse_number(facts.get("slots", "1"), FACTS_HEADER) or 1.0,
         is_unsafe=request_class.idempotency is Idempotency.UNSAFE,
         must_run_once=request_class.idempotency is not Idempotency.SAFE,
-        may_be_retry=head.get(REPEAT) == "1" or not deployment.marks_retry,
+        may_be_retry=head.get(REPEAT_HEADER) == "1" or not deployment.marks_retry,
         resource_key=dict(parse_qsl(target.partition("?")[2])).get(KEY),
     )
 
@@ -217,15 +238,15 @@
     """Return the headers of an attempt; `acting` is the configuration version under which it is sent."""
     headers = [
         ("Host", host),
-        (ID, client_request.id),
-        (TYPE, client_request.type_name),
-        (TIME_LEFT, f"{max(0.0, left_ms) / 1000.0:.3f}"),
+        (CORRELATION_ID_HEADER, client_request.id),
+        (SERVICE_CLASS_HEADER, client_request.type_name),
+        (TIME_LEFT_HEADER, f"{max(0.0, left_ms) / 1000.0:.3f}"),
         ("Content-Length", str(len(client_request.body))),
     ]
     if client_request.idempotency_key is not None:
-        headers.append((RECEIPT, client_request.idempotency_key))
+        headers.append((IDEMPOTENCY_KEY_HEADER, client_request.idempotency_key))
     if acting:
-        headers.append((ACTING, acting))
+        headers.append((ACTING_HEADER, acting))
     return headers
 
 
@@ -233,7 +254,9 @@
     """Return the outcome that the status and headers of a refusal mean."""
     if 400 <= status < 500:
         return Outcome.INVALID_REQUEST
-    return Outcome.AT_CAPACITY if status in (503, 504) and head.get(NEVER_RAN) == "1" else Outcome.ERROR
+    return (
+        Outcome.AT_CAPACITY if status in (503, 504) and head.get(UNPROCESSED_HEADER) == "1" else Outcome.ERROR
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -322,7 +345,7 @@
             return report_from(json.loads(text), report_names)
         except (ValueError, RecursionError):
             return None
-    return report_from(text or head.get(LOAD), report_names)
+    return report_from(text or head.get(LOAD_HEADER), report_names)
 
 
 # Discovery.
--- a/marlseam/net/settings_reload.py
+++ b/marlseam/net/settings_reload.py
@@ -27,7 +27,7 @@
     def reload(self) -> None:
         """Read the file and apply it if it is valid; otherwise log the error and keep the configuration."""
         node = self.node
-        node.loop.descriptors.ensure()
+        node.loop.descriptors.ensure_one()
         try:
             config = self.load()
         except ConfigError as error:
--- a/marlseam/net/upstream/attempts.py
+++ b/marlseam/net/upstream/attempts.py
@@ -254,7 +254,7 @@
     def is_allowed(self, headers: Headers, now: float) -> bool:
         """Return whether the invariants allow the attempt now, given the time left in its headers."""
         guard, order = self.attempts.guard, self.order
-        time_left_ms = 1000.0 * float(dict(headers)[protocol.TIME_LEFT])
+        time_left_ms = 1000.0 * float(dict(headers)[protocol.TIME_LEFT_HEADER])
         if guard is None:
             return True
         return guard.admit(order.request_id, order.attempt_index, self.server.name, time_left_ms, now)
@@ -326,7 +326,7 @@
 
     def settle_refusal(self, status: int, head: Head) -> None:
         """Post the outcome of an answer with another status than 200, which has no lines."""
-        report = protocol.report_from(head.get(protocol.LOAD), self.attempts.deployment.report_names)
+        report = protocol.report_from(head.get(protocol.LOAD_HEADER), self.attempts.deployment.report_names)
         outcome = protocol.outcome_of_refusal(status, head)
         if outcome is not Outcome.INVALID_REQUEST and self.loop.now() < self.duplicate_until_ms:
             # Guards requests that must not run twice: this refusal names no request, and may be a duplicate
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -162,11 +162,11 @@
         """Lock and read the directory, and start a writer process; return the channel to the process."""
         descriptors = self.loop.descriptors
         if self.lock_fd is None:
-            self.lock_fd = descriptors.opened(lambda: lock_directory(self.path), own=True)
+            self.lock_fd = descriptors.open_with_release(lambda: lock_directory(self.path), use_spares=True)
         lock_fd = self.lock_fd
         if not self.is_loaded:
             yield from self.read()
-        return descriptors.opened(lambda: self.start_process(lock_fd), own=True)
+        return descriptors.open_with_release(lambda: self.start_process(lock_fd), use_spares=True)
 
     def start_process(self, lock_fd: int) -> socket.socket:
         """Start a writer process, which shares this process's lock; return the channel to the new process."""
@@ -257,7 +257,7 @@
     def send_remainder(self, channel: socket.socket) -> Coroutine:
         """Send the outgoing bytes that the channel did not take at once, as the channel becomes writable."""
         # A copy of the descriptor: the loop allows one task per socket, and another task reads the answers.
-        copy = self.loop.descriptors.opened(channel.dup, own=True)
+        copy = self.loop.descriptors.open_with_release(channel.dup, use_spares=True)
         try:
             while self.outgoing and channel is self.channel:
                 try:
@@ -302,7 +302,7 @@
     def handle_failure(self, answer: WriteFailed) -> None:
         """Mark the disk as failed, and retry after a delay with a compaction."""
         self.mark_unavailable(answer.code, answer.text)
-        self.loop.at(self.loop.now() + self.retry_delay_ms, self.compact)
+        self.loop.call_at(self.loop.now() + self.retry_delay_ms, self.compact)
         self.increase_retry_delay()
 
     def handle_written(self, answer: Written) -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -142,7 +142,7 @@
 def turn_until(loop: Loop, holds: Callable[[], object]) -> None:
     """Run turns of a loop until a condition holds; fail after 10 s by the loop's clock."""
     end_ms = loop.now() + 10000.0
-    loop.at(end_ms, lambda: None)
+    loop.call_at(end_ms, lambda: None)
     while not holds():
         assert loop.now() < end_ms
         loop.turn()
@@ -241,7 +241,7 @@
 
 
 def reconfigured(node: Node, path: Path, **values: object) -> Config:
-    """Write a node's configuration with changed values to a file; return it without operators' address."""
+    """Write a node's configuration with changed values to a file; return it without an admin address."""
     path.write_text(json.dumps(json.loads(Path(node.config.path).read_text()) | values))
     return replace(load(str(path), {}), admin=None)
 
@@ -300,7 +300,7 @@
 
     def wait(sock: socket.socket) -> bytes:
         data, end = b"", node.loop.now() + 10000.0
-        node.loop.at(end, lambda: None)
+        node.loop.call_at(end, lambda: None)
         while node.loop.now() < end:
             try:
                 more = sock.recv(65536)
@@ -321,7 +321,7 @@
     client: Callable[..., socket.socket],
     reply: Callable[[socket.socket], bytes],
 ) -> Callable[..., OperatorReply]:
-    """Return a function that makes one call to the operators' address and returns the whole answer."""
+    """Return a function that makes one call to the admin address and returns the whole answer."""
 
     def call(method: str, path: str, headers: str = "") -> OperatorReply:
         sock = client(f"{method} {path} HTTP/1.1\r\nHost: h\r\n{headers}\r\n".encode(), node.admin)
--- a/tests/controlled_node.py
+++ b/tests/controlled_node.py
@@ -105,7 +105,7 @@
 
     def run_turn(self) -> None:
         """Run one turn of the loop."""
-        self.node.loop.at(self.clock, lambda: None)
+        self.node.loop.call_at(self.clock, lambda: None)
         self.node.loop.turn()
 
     def run_until(self, condition: Callable[[], object]) -> object:
--- a/tests/departure_scenario.py
+++ b/tests/departure_scenario.py
@@ -8,8 +8,8 @@
 from conftest import ANSWER, OPTIONS
 from http_samples import CLIENT_REQUEST
 from loopback_servers import (
-    MUCH_AHEAD,
     NEVER_RAN_RESPONSE,
+    PIPELINED_BYTES,
     SAFE_REQUEST,
     UNSAFE_REQUEST,
     reset_connection,
@@ -19,7 +19,7 @@
 )
 
 from marlseam.decisions.types import EndpointState, ListUpdateKind
-from marlseam.net.connection import MAX_AHEAD_BYTES
+from marlseam.net.connection import MAX_PIPELINED_BYTES
 from marlseam.net.loop import READ as READ_MASK
 from marlseam.net.loop import READY
 from marlseam.net.upstream import AttemptOrder
@@ -27,7 +27,7 @@
 
 LATE_MS = 150.0  # how long a late turn takes after the client's end; attempts may begin for 100 ms after it
 # Their latency objective of 1 s prevents a time-out of an attempt in a late turn.
-PATIENT_CLASSES = [row | {"aimUs": 1000000} for row in OPTIONS["requestClasses"]]
+LONG_OBJECTIVE_CLASSES = [row | {"aimUs": 1000000} for row in OPTIONS["requestClasses"]]
 ERROR_RESPONSE = b"HTTP/1.1 500 -\r\nContent-Length: 0\r\n\r\n"
 LOAD_REPORT_RESPONSE = b"HTTP/1.1 200 -\r\nContent-Length: 12\r\n\r\nTEXT queue=0"
 
@@ -77,7 +77,7 @@
     def list_servers(self, *names, probes=False, **options):
         """List servers with two idle connections each: an attempt is then sent in the turn it starts in."""
         ceilings = {"mayProbe": probes, "cancel": self.may_cancel} | options.pop("ceilings", {})
-        options = {"requestClasses": PATIENT_CLASSES} | options
+        options = {"requestClasses": LONG_OBJECTIVE_CLASSES} | options
         self.upstream = dict(
             zip(names, self.list_test_servers(*names, ceilings=ceilings, **options), strict=True)
         )
@@ -102,13 +102,13 @@
         (self.client_connection,) = set(self.node.downstream.open) - before
         run_until(self.node, lambda: self.node.requests.last_request_id > requests_before)
         if read and self.sent_ahead:
-            is_much = self.sent_ahead is MUCH_AHEAD
+            is_much = self.sent_ahead is PIPELINED_BYTES
             run_until(
                 self.node,
-                lambda: self.client_connection.has_ahead()
-                and (not is_much or len(self.client_connection.buffer) >= MAX_AHEAD_BYTES),
+                lambda: self.client_connection.has_pipelined()
+                and (not is_much or len(self.client_connection.buffer) >= MAX_PIPELINED_BYTES),
             )
-            self.node.loop.at(self.node.loop.now(), lambda: None)
+            self.node.loop.call_at(self.node.loop.now(), lambda: None)
             self.node.loop.turn()  # else the bytes are still a pending event, which the client's end replaces
 
     def read(self):
@@ -188,7 +188,7 @@
 
 
 def wait_for_timeout(scenario):
-    classes = [PATIENT_CLASSES[0], OPTIONS["requestClasses"][1]]  # time is left for two attempts
+    classes = [LONG_OBJECTIVE_CLASSES[0], OPTIONS["requestClasses"][1]]  # time is left for two attempts
     scenario.list_servers("e1", "e2", requestClasses=classes)
     scenario.send_request()
     scenario.wait_at_server()
@@ -242,7 +242,9 @@
 
 
 def wait_for_key(scenario):
-    scenario.list_servers("e1", requestClasses=[PATIENT_CLASSES[0] | {"oneAtATime": True, "aimStretch": 20}])
+    scenario.list_servers(
+        "e1", requestClasses=[LONG_OBJECTIVE_CLASSES[0] | {"oneAtATime": True, "aimStretch": 20}]
+    )
     ordered_request = SAFE_REQUEST.replace(b"/statement", b"/statement?user=u")
     scenario.client(ordered_request.replace(b"9b", b"9a"))
     _, sock = scenario.wait_at_server()
--- a/tests/loopback_servers.py
+++ b/tests/loopback_servers.py
@@ -29,7 +29,7 @@
 SAFE_REQUEST = REQUEST.replace(b"0.5", b"5")
 UNSAFE_REQUEST = SAFE_REQUEST.replace(b"statement", b"posting")
 LONG_BODY_BYTES = 65536
-MUCH_AHEAD = b"x" * 20000  # more pipelined bytes than a node buffers
+PIPELINED_BYTES = b"x" * 20000  # more pipelined bytes than a node buffers
 NEVER_RAN_RESPONSE = b"HTTP/1.1 503 -\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 RESPONSE_HEAD = b"HTTP/1.1 200 -\r\nContent-Length: %d\r\n\r\n"
 
@@ -145,14 +145,14 @@
     end_ms = node.loop.now() + limit_ms
     while not condition():
         assert node.loop.now() < end_ms, "condition not met in time"
-        node.loop.at(node.loop.now() + wait_ms, lambda: None)
+        node.loop.call_at(node.loop.now() + wait_ms, lambda: None)
         node.loop.turn()
 
 
 def run_loop(node: Node, turns: int = 30) -> None:
     """Run turns of the node's loop, by default enough to handle all pending events."""
     for _ in range(turns):
-        node.loop.at(node.loop.now(), lambda: None)
+        node.loop.call_at(node.loop.now(), lambda: None)
         node.loop.turn()
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -8,12 +8,12 @@
 
 from marlseam.net import admin, limits
 from marlseam.net.admin import AdminCall
-from marlseam.net.loop import FIRST_CHECK_MS
+from marlseam.net.loop import PRIORITIZED_CHECK_MS
 
 
 def test_the_readiness_call_answers_200_while_the_node_has_servers_and_503_without(node, call_operator):
     assert call_operator("GET", "/control/ready").status == 200
-    node.discovery.held.clear()
+    node.discovery.entries.clear()
     assert call_operator("GET", "/control/ready").status == 503
 
 
@@ -73,7 +73,7 @@
         if not taken:
             client(b"GET /control/ready HTTP/1.1\r\nHost: h\r\n\r\n", node.admin)
         taken.append(pending)
-        end_ms = node.loop.now() + 2.0 * FIRST_CHECK_MS
+        end_ms = node.loop.now() + 2.0 * PRIORITIZED_CHECK_MS
         while node.loop.now() < end_ms:
             pass
         return node.requests.take(pending)
@@ -90,7 +90,7 @@
     assert requests_before_call[:1] in ([1], [2])
 
 
-def test_a_node_without_an_operators_address_has_no_server_for_calls(node):
+def test_a_node_without_an_admin_address_has_no_server_for_calls(node):
     other = type(node)(replace(node.config, admin=None, listen=("127.0.0.1", 0)))
     assert other.admin is None
     other.busy = True
--- a/tests/test_attempt_outcomes.py
+++ b/tests/test_attempt_outcomes.py
@@ -191,7 +191,7 @@
     head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     upstream = make_upstream(head, *[b"%x\r\n%b\r\n" % (len(running), running)] * 2000, silent=True)
     turns = []
-    loop.soon(lambda: turns.append(1))
+    loop.call_soon(lambda: turns.append(1))
     send_attempt(upstream)
     assert upstream.connections[0].sock.replies  # other tasks run before the whole response is read
     loop.turn()
--- a/tests/test_bytes.py
+++ b/tests/test_bytes.py
@@ -40,7 +40,7 @@
         assert connection.start_next_message()
     connection.sock.close()
     loop.poll.close()
-    loop.first.close()
+    loop.prioritized.close()
     return requests
 
 
@@ -75,7 +75,7 @@
     end_ms = node.loop.now() + 5000.0
     while node.downstream.open or len(node.loop.tasks) > tasks_before:
         assert node.loop.now() < end_ms
-        node.loop.at(node.loop.now() + 5.0, lambda: None)
+        node.loop.call_at(node.loop.now() + 5.0, lambda: None)
         node.loop.turn()
     assert not node.requests.pending
     assert not node.downstream.reserved_bytes
@@ -90,7 +90,7 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
     node.requests.answer("1", 200, [], b"x" * (1 << 23))
     for _ in range(3):
-        node.loop.at(node.loop.now(), lambda: None)
+        node.loop.call_at(node.loop.now(), lambda: None)
         node.loop.turn()
     assert node.downstream.open
     sock.close()
--- a/tests/test_client_departure.py
+++ b/tests/test_client_departure.py
@@ -10,11 +10,11 @@
 
 import pytest
 from conftest import ANSWER
-from departure_scenario import PATIENT_CLASSES, WAITS, DepartureScenario, wait_for_events
+from departure_scenario import LONG_OBJECTIVE_CLASSES, WAITS, DepartureScenario, wait_for_events
 from loopback_servers import (
     LONG_BODY_BYTES,
-    MUCH_AHEAD,
     NO_PROBES_NO_CANCEL,
+    PIPELINED_BYTES,
     SAFE_REQUEST,
     UNSAFE_REQUEST,
     close_sending_side,
@@ -29,7 +29,7 @@
 from marlseam import core
 from marlseam.decisions.types import EndpointState, ListUpdateKind
 from marlseam.net import protocol
-from marlseam.net.connection import AHEAD_CHECK_MS, Connection
+from marlseam.net.connection import PIPELINED_CHECK_MS, Connection
 from marlseam.net.loop import READY
 from marlseam.net.protocol import MAX_BODY_BYTES
 
@@ -39,7 +39,9 @@
     ids=["closes", "resets", "half"],
 )
 EACH_SENT_AHEAD = pytest.mark.parametrize(
-    "sent_ahead", [b"", SAFE_REQUEST.replace(b"9b", b"9d"), MUCH_AHEAD], ids=["nothing", "a request", "much"]
+    "sent_ahead",
+    [b"", SAFE_REQUEST.replace(b"9b", b"9d"), PIPELINED_BYTES],
+    ids=["nothing", "a request", "much"],
 )
 MAY_CANCEL_OR_NOT = pytest.mark.parametrize("may_cancel", [True, False], ids=["cancel", "no cancel"])
 EACH_WAIT = pytest.mark.parametrize("wait", WAITS)
@@ -184,8 +186,8 @@
     send_as_much_as_taken(scenario.sock)
     end_client(scenario.sock)
     assert is_end_hidden(scenario)
-    for _ in range(int(100.0 / AHEAD_CHECK_MS) - 1):
-        scenario.clock_ms += AHEAD_CHECK_MS
+    for _ in range(int(100.0 / PIPELINED_CHECK_MS) - 1):
+        scenario.clock_ms += PIPELINED_CHECK_MS
         run_loop(scenario.node, 3)
     assert scenario.client_connection not in node.downstream.open
     trigger_send()
@@ -235,7 +237,7 @@
     scenario.sent_ahead = large
     scenario.send_request()
     _, server_socket = scenario.wait_at_server()
-    scenario.clock_ms += 10.0 * AHEAD_CHECK_MS
+    scenario.clock_ms += 10.0 * PIPELINED_CHECK_MS
     run_loop(scenario.node)
     server_socket.sendall(ANSWER)
     assert reply(scenario.sock).startswith(b"HTTP/1.1 200 ")
@@ -268,7 +270,7 @@
 
 
 def test_an_attempt_whose_client_left_leaves_no_record_and_the_keys_next_request_is_sent(make_scenario, node):
-    keyed_class = PATIENT_CLASSES[0] | {
+    keyed_class = LONG_OBJECTIVE_CLASSES[0] | {
         "semantics": "keyed",
         "dedupScope": "cell",
         "memorySpanUs": 30000000,
@@ -415,7 +417,7 @@
     scenario = make_scenario(False)
     trigger_send = WAITS["an error"](scenario)
     begun_attempts, faults = scenario.begun_attempts, []
-    node.loop.fault = faults.append
+    node.loop.on_exception = faults.append
     with monkeypatch.context() as patch:
         patch.setattr(Connection, "fill", lambda _connection: 1 // 0)
         scenario.sock.sendall(b"GET")
--- a/tests/test_cluster_settings.py
+++ b/tests/test_cluster_settings.py
@@ -93,7 +93,7 @@
 def turn_until(node, holds):
     """Run turns of a node's loop until a condition holds; fail after 5 s."""
     end_ms = node.loop.now() + 5000.0
-    node.loop.at(end_ms, lambda: None)
+    node.loop.call_at(end_ms, lambda: None)
     while not holds() and node.loop.now() < end_ms:
         node.loop.turn()
     assert holds()
--- a/tests/test_descriptor_release.py
+++ b/tests/test_descriptor_release.py
@@ -88,7 +88,7 @@
             raise OSError(errors.pop(), "none")
         return "open"
 
-    assert descriptors.opened(open_descriptor) == "open"
+    assert descriptors.open_with_release(open_descriptor) == "open"
     assert len(released) == 3
 
 
@@ -101,7 +101,7 @@
         raise OSError(errno.EACCES, "no")
 
     with pytest.raises(OSError, match="no"):
-        descriptors.opened(open_descriptor)
+        descriptors.open_with_release(open_descriptor)
     assert not released
 
 
@@ -114,7 +114,7 @@
         raise OSError(errno.ENFILE, "none")
 
     with pytest.raises(OSError, match="none"):
-        descriptors.opened(open_descriptor)
+        descriptors.open_with_release(open_descriptor)
     assert len(released) < 20  # releasing does not help if the whole system is short
 
 
@@ -123,7 +123,7 @@
     descriptors.hold_spares()
     assert len(descriptors.spares) == SPARE_COUNT
     assert not descriptors.release_one()
-    assert descriptors.release_one(own=True)
+    assert descriptors.release_one(use_spares=True)
     assert len(descriptors.spares) == SPARE_COUNT - 1
     with monkeypatch.context() as patch:
         patch.setattr(os, "dup", lambda _descriptor: (_ for _ in ()).throw(OSError(errno.EMFILE, "none")))
@@ -135,7 +135,7 @@
 
 def test_spares_are_refilled_before_more_clients_are_accepted(node, client, monkeypatch):
     node.loop.descriptors.hold_spares()
-    node.loop.descriptors.release_one(own=True)
+    node.loop.descriptors.release_one(use_spares=True)
     accepted = node.downstream.open
     with monkeypatch.context() as patch:
         patch.setattr(os, "dup", lambda _descriptor: (_ for _ in ()).throw(OSError(errno.EMFILE, "none")))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -32,12 +32,12 @@
 def test_an_invalid_answer_is_posted_as_failed_and_keeps_the_last_valid_list(node, follow_discovery, answer):
     events = follow_discovery(endpoint_list(5, "e1"), answer)
     assert events[-1].update_kind is ListUpdateKind.FAILED
-    assert list(node.discovery.held) == ["e1"]
+    assert list(node.discovery.entries) == ["e1"]
 
 
 def test_an_invalid_entry_keeps_the_last_valid_entry(node, follow_discovery):
     follow_discovery(endpoint_list(5, "e1", "e2"), endpoint_list(6, "e1", dial="odd"))
-    assert list(node.discovery.held) == ["e1"]
+    assert list(node.discovery.entries) == ["e1"]
 
 
 def test_unreachable_discovery_is_posted_as_failed(node):
@@ -50,7 +50,7 @@
 
 def test_a_configured_list_that_is_invalid_is_rejected(node):
     with pytest.raises(MalformedMessageError, match="list"):
-        node.discovery.take({}, cached=True)
+        node.discovery.apply_list({}, cached=True)
 
 
 def test_a_watch_that_is_answered_at_once_is_not_called_again_at_once(follow_discovery, capsys):
--- a/tests/test_discovery_sockets.py
+++ b/tests/test_discovery_sockets.py
@@ -43,9 +43,9 @@
 @pytest.mark.parametrize("whole", [True, False], ids=["whole", "change"])
 def test_a_drain_is_applied_from_an_entry_with_another_field_malformed(node, malformed_field, whole):
     entry = ENTRY | {"dial": "127.0.0.1:1", "health": "active"}
-    node.discovery.take({"seq": 5, "whole": True, "hosts": [entry]})
+    node.discovery.apply_list({"seq": 5, "whole": True, "hosts": [entry]})
     entry = entry | {"health": "leaving"} | malformed_field
-    node.discovery.take({"seq": 6, "whole": whole, "hosts": [entry]})
+    node.discovery.apply_list({"seq": 6, "whole": whole, "hosts": [entry]})
     assert endpoint_state(node, "e1") is EndpointState.DRAINING
 
 
@@ -53,8 +53,8 @@
 def test_a_number_that_no_float_holds_invalidates_its_entry_alone(node, field):
     entry = ENTRY | {"dial": "127.0.0.1:1", "health": "active"}
     invalid_entry = entry | {"host": "e2", field: 10**400}
-    node.discovery.take({"seq": 5, "whole": True, "hosts": [invalid_entry, entry]})
-    assert "e1" in node.discovery.held
+    node.discovery.apply_list({"seq": 5, "whole": True, "hosts": [invalid_entry, entry]})
+    assert "e1" in node.discovery.entries
 
 
 # The list on real sockets, from a discovery that the test controls, with a controlled clock.
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -30,7 +30,7 @@
 
 
 def test_a_node_without_a_list_is_not_ready(node, client, reply):
-    node.discovery.held.clear()
+    node.discovery.entries.clear()
     assert reply(client(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n")).startswith(b"HTTP/1.1 503 ")
 
 
@@ -98,7 +98,7 @@
         node.loop.turn()
     (connection,) = node.downstream.open
     connection.opened_ms -= 500.0
-    node.loop.at(node.loop.now(), lambda: sock.send(last_bytes))
+    node.loop.call_at(node.loop.now(), lambda: sock.send(last_bytes))
     while node.downstream.open:
         node.loop.turn()
     assert logged_codes(capsys)[-1] == code
@@ -112,7 +112,7 @@
     node.requests.answer("1", 200, [], b"")
     reply(sock)
     end = node.loop.now() + 400.0
-    node.loop.at(end, lambda: None)
+    node.loop.call_at(end, lambda: None)
     while node.loop.now() < end:
         node.loop.turn()
     assert node.downstream.idle
@@ -161,7 +161,7 @@
     client(REQUEST.replace(b"9b", b"9c"))
     while len(node.downstream.open) < 2:
         node.loop.turn()
-    node.loop.at(node.loop.now() + 50.0, lambda: node.requests.answer("1", 200, [], b""))
+    node.loop.call_at(node.loop.now() + 50.0, lambda: node.requests.answer("1", 200, [], b""))
     while "2" not in node.requests.pending:
         node.loop.turn()
     assert "1" not in node.requests.pending
@@ -171,7 +171,7 @@
     request_count = 50
     client(b"GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n" * request_count)
     for _ in range(5):
-        node.loop.at(node.loop.now(), lambda: None)
+        node.loop.call_at(node.loop.now(), lambda: None)
         node.loop.turn()
     (connection,) = node.downstream.open
     assert connection.messages < 10
@@ -208,7 +208,7 @@
     sock = client(REQUEST[:first_write_bytes])
     while not node.downstream.open:
         node.loop.turn()
-    node.loop.at(node.loop.now(), lambda: sock.sendall(REQUEST[first_write_bytes:]))
+    node.loop.call_at(node.loop.now(), lambda: sock.sendall(REQUEST[first_write_bytes:]))
     while not node.requests.pending:
         node.loop.turn()
     assert node.requests.pending["1"].client_request.body == b"abc"
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -49,7 +49,7 @@
 def run_for(process: EmulatorProcess, ms: float) -> None:
     """Run the event loop for `ms` milliseconds."""
     process.loop.stopped = False
-    process.loop.at(process.loop.now() + ms, process.stop)
+    process.loop.call_at(process.loop.now() + ms, process.stop)
     process.loop.run()
 
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -9,10 +9,10 @@
 import pytest
 from conftest import ANSWER, OPTIONS
 from loopback_servers import (
-    MUCH_AHEAD,
     NEVER_RAN_RESPONSE,
     NO_PROBES,
     NO_PROBES_NO_CANCEL,
+    PIPELINED_BYTES,
     SAFE_REQUEST,
     UNSAFE_REQUEST,
     close_sending_side,
@@ -27,7 +27,7 @@
 
 from marlseam import core
 from marlseam.decisions.types import EndpointState, ListUpdateKind
-from marlseam.net.connection import MAX_AHEAD_BYTES
+from marlseam.net.connection import MAX_PIPELINED_BYTES
 
 # The end of a client's connection is detected, however many of its bytes are unread.
 
@@ -37,7 +37,7 @@
     [socket.socket.close, reset_connection, close_sending_side],
     ids=["closes", "resets", "half"],
 )
-@pytest.mark.parametrize("sent_ahead", [b"", b"GET", MUCH_AHEAD], ids=["nothing", "some", "much"])
+@pytest.mark.parametrize("sent_ahead", [b"", b"GET", PIPELINED_BYTES], ids=["nothing", "some", "much"])
 def test_a_clients_end_is_detected_behind_what_it_sent_ahead(
     node, client, list_test_servers, end_client, sent_ahead
 ):
@@ -56,8 +56,8 @@
         node,
         lambda: not sent_ahead
         or (
-            connection.has_ahead()
-            and (sent_ahead is not MUCH_AHEAD or len(connection.buffer) >= MAX_AHEAD_BYTES)
+            connection.has_pipelined()
+            and (sent_ahead is not PIPELINED_BYTES or len(connection.buffer) >= MAX_PIPELINED_BYTES)
         ),
     )
     end_client(client_socket)
--- a/tests/test_event_loop.py
+++ b/tests/test_event_loop.py
@@ -28,30 +28,30 @@
 
 def test_timers_run_in_order_of_their_time(loop, until):
     seen = []
-    loop.at(2.0, lambda: seen.append(2))
-    loop.at(1.0, lambda: seen.append(1))
+    loop.call_at(2.0, lambda: seen.append(2))
+    loop.call_at(1.0, lambda: seen.append(1))
     until(lambda: len(seen) == 2)
     assert seen == [1, 2]
 
 
 def test_a_timer_set_for_the_past_is_not_late(loop, until):
     seen = []
-    loop.at(loop.now() - 5000.0, lambda: seen.append(1))
+    loop.call_at(loop.now() - 5000.0, lambda: seen.append(1))
     until(lambda: seen)
     assert loop.late_ms < 5000.0
 
 
-def test_a_dropped_timer_never_runs(loop, until):
+def test_a_cancelled_timer_never_runs(loop, until):
     seen = []
-    loop.drop(loop.at(1.0, lambda: seen.append("dropped")))
-    loop.at(2.0, lambda: seen.append("kept"))
+    loop.cancel_timer(loop.call_at(1.0, lambda: seen.append("cancelled")))
+    loop.call_at(2.0, lambda: seen.append("kept"))
     until(lambda: seen)
     assert seen == ["kept"]
 
 
-def test_many_dropped_timers_are_removed(loop):
+def test_many_cancelled_timers_are_removed(loop):
     for _ in range(5000):
-        loop.drop(loop.at(1e9, lambda: None))
+        loop.cancel_timer(loop.call_at(1e9, lambda: None))
     assert len(loop.timers) < 2000
 
 
@@ -94,15 +94,15 @@
 
 def test_an_error_in_one_coroutine_or_call_does_not_affect_others(loop, until):
     faults, seen = [], []
-    loop.fault = faults.append
+    loop.on_exception = faults.append
 
     def fail():
         yield (-1, 0, loop.now())
         raise RuntimeError
 
     loop.spawn(fail())
-    loop.at(0.0, lambda: 1 / 0)
-    loop.at(loop.now() + 1.0, lambda: seen.append(1))
+    loop.call_at(0.0, lambda: 1 / 0)
+    loop.call_at(loop.now() + 1.0, lambda: seen.append(1))
     until(lambda: seen)
     assert len(faults) == 2
 
@@ -131,7 +131,7 @@
 
 
 def test_a_loop_without_timers_polls_without_a_time_limit(loop):
-    loop.drop(loop.at(5.0, lambda: None))
+    loop.cancel_timer(loop.call_at(5.0, lambda: None))
     assert loop.pause_s() == -1.0
 
 
--- a/tests/test_process_handover.py
+++ b/tests/test_process_handover.py
@@ -76,9 +76,9 @@
     assert not node.is_ready()
     accept_connection()
     turn_until(node.loop, node.is_ready)
-    assert set(node.discovery.held) == held_servers
+    assert set(node.discovery.entries) == held_servers
     assert node.discovery.version == max(1, version)
-    assert version == 0 or node.discovery.held["e2"].state is EndpointState.DRAINING
+    assert version == 0 or node.discovery.entries["e2"].state is EndpointState.DRAINING
     assert [record.server for _, record in node.reducer.idempotency_records] == ["e1"]
 
 
@@ -188,7 +188,7 @@
     turn_until(node.loop, node.is_ready)
     assert f"code={code}" in capsys.readouterr().err
     assert node.reducer.unavailable_history.last_sent_ms
-    assert set(node.discovery.held) == {"e1"}
+    assert set(node.discovery.entries) == {"e1"}
 
 
 def test_a_marked_retry_fails_at_once_where_the_history_is_unavailable(
--- a/tests/test_ready.py
+++ b/tests/test_ready.py
@@ -51,7 +51,7 @@
             for _ in range(20000):
                 if condition():
                     return
-                node.loop.at(node.loop.now() + 1.0, lambda: None)
+                node.loop.call_at(node.loop.now() + 1.0, lambda: None)
                 node.loop.turn()
             raise AssertionError("the condition did not hold within 20000 turns of the loop")
 
@@ -81,7 +81,7 @@
     first = discovery.held[0]
     node.loop.clock.zero -= slow_ms / 1000.0
     for _ in range(3):
-        node.loop.at(node.loop.now(), lambda: None)
+        node.loop.call_at(node.loop.now(), lambda: None)
         node.loop.turn()
     assert not node.is_ready()
     first.sendall(ANSWER)  # accepted even if the call was reported as failed and another call is under way
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -194,13 +194,13 @@
         "health": "active",
         "born_ms": 0,
     }
-    assert discovery.take(
+    assert discovery.apply_list(
         {"seq": 90, "whole": True, "hosts": [entry_values | {"host": "old"}]}, cached=True, doubt=0.6
     )
     assert events[-1].update_kind is ListUpdateKind.CACHED
     assert events[-1].doubt == 0.6
-    assert discovery.take({"seq": 3, "whole": True, "hosts": [entry_values | {"host": "new"}]})
-    assert set(discovery.held) == {"new"}
+    assert discovery.apply_list({"seq": 3, "whole": True, "hosts": [entry_values | {"host": "new"}]})
+    assert set(discovery.entries) == {"new"}
     assert events[-1].update_kind is ListUpdateKind.FULL
     assert events[-1].doubt == 0.0
 
--- a/tests/test_service_state.py
+++ b/tests/test_service_state.py
@@ -68,7 +68,7 @@
     sock.sendall(REQUEST[:30])
     call_operator("POST", "/control/out-of-service")
     end_ms = node.loop.now() + 3 * downstream.DRAIN_CHECK_MS
-    node.loop.at(end_ms, lambda: None)
+    node.loop.call_at(end_ms, lambda: None)
     while node.loop.now() < end_ms:
         node.loop.turn()
     sock.sendall(REQUEST[30:])
@@ -98,7 +98,7 @@
     assert data.startswith(b"HTTP/1.1 200 ")
     assert b"Connection: close" not in data
     end_ms = node.loop.now() + graceful_shutdown.IDLE_GRACE_MS + 2 * downstream.DRAIN_CHECK_MS
-    node.loop.at(end_ms, lambda: None)
+    node.loop.call_at(end_ms, lambda: None)
     while node.loop.now() < end_ms:
         node.loop.turn()
     assert node.downstream.idle
--- a/tests/test_settings_reload.py
+++ b/tests/test_settings_reload.py
@@ -32,7 +32,7 @@
     assert watch.done
     assert events[-1].update_kind is ListUpdateKind.FAILED
     assert logged_codes(capsys) == ["forgotten"]
-    assert list(node.discovery.held) == ["e1"]
+    assert list(node.discovery.entries) == ["e1"]
     assert node.discovery.config.discovery == ("127.0.0.1", 2)
 
 
@@ -42,7 +42,7 @@
     events = follow_discovery(endpoint_list(3, "e2"), endpoint_list(4, "e3", whole=False))
     while len(events) < 3:
         node.loop.turn()
-    assert list(node.discovery.held) == ["e2", "e3"]
+    assert list(node.discovery.entries) == ["e2", "e3"]
 
 
 def test_the_watch_of_discovery_goes_on_after_a_reload_without_changes(node, rewrite):
@@ -182,12 +182,12 @@
 def test_an_older_list_in_the_file_is_ignored(node, rewrite):
     hosts = json.loads(endpoint_list(0, "e9"))["hosts"]
     rewrite(known={"seq": 0, "whole": True, "hosts": hosts})
-    assert list(node.discovery.held) == ["e1"]
+    assert list(node.discovery.entries) == ["e1"]
     rewrite(known={"seq": 2, "whole": True, "hosts": hosts})
-    assert list(node.discovery.held) == ["e9"]
+    assert list(node.discovery.entries) == ["e9"]
 
 
 def test_a_list_in_the_file_does_not_replace_one_from_discovery(node, follow_discovery, rewrite):
     follow_discovery(endpoint_list(1, "e2"))
     rewrite(known=json.loads(endpoint_list(9, "e9")))
-    assert list(node.discovery.held) == ["e2"]
+    assert list(node.discovery.entries) == ["e2"]
--- a/tests/test_shutdown_sockets.py
+++ b/tests/test_shutdown_sockets.py
@@ -114,7 +114,7 @@
     node.loop.now = lambda: clock() + lead_ms[0]
     while not node.loop.stopped:
         lead_ms[0] += 5.0  # shortens the test, which is about the time that a shutdown takes
-        node.loop.at(node.loop.now(), lambda: None)
+        node.loop.call_at(node.loop.now(), lambda: None)
         node.loop.turn()
     kill_ms = min(longest_ms, 3000.0) + 700.0
     assert node.loop.now() - began_ms < kill_ms
--- a/tests/test_stopped_process.py
+++ b/tests/test_stopped_process.py
@@ -13,7 +13,7 @@
 
 import pytest
 from conftest import ANSWER, OPTIONS
-from departure_scenario import ERROR_RESPONSE, PATIENT_CLASSES
+from departure_scenario import ERROR_RESPONSE, LONG_OBJECTIVE_CLASSES
 from loopback_servers import (
     NEVER_RAN_RESPONSE,
     NO_PROBES_NO_CANCEL,
@@ -105,7 +105,7 @@
     values = {
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:1",
-        "settings": OPTIONS | {"requestClasses": PATIENT_CLASSES, "ceilings": ceilings},
+        "settings": OPTIONS | {"requestClasses": LONG_OBJECTIVE_CLASSES, "ceilings": ceilings},
         "known": {"seq": 1, "whole": True, "hosts": endpoints},
     }
     path = tmp_path / "node.json"
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -236,7 +236,7 @@
 
     task = loop.spawn(wait_forever())
     loop.poll = FailingCalls(loop.poll, "poll", errno.EINTR)
-    loop.at(loop.now(), lambda: None)
+    loop.call_at(loop.now(), lambda: None)
     loop.turn()
     assert not task.done
 
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -53,7 +53,7 @@
         while self.due and self.due[0][0] <= time.monotonic():
             _, sock, request_id = self.due.pop(0)
             sock.sendall(response_of(b'{"id":"%b","from":"e1","state":"done","result":"r"}\n' % request_id))
-        self.node.loop.at(self.node.loop.now() + 5.0, lambda: None)
+        self.node.loop.call_at(self.node.loop.now() + 5.0, lambda: None)
         self.node.loop.turn()
 
     def accept(self) -> None:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -128,7 +128,7 @@
     upstream.attempts.send(
         AttemptOrder("1", 0, "e1", replace(CLIENT_REQUEST, is_unsafe=is_unsafe), now + 90000.0, now + 90000.0)
     )
-    upstream.loop.at(now + 51.0, lambda: None)
+    upstream.loop.call_at(now + 51.0, lambda: None)
     until(lambda: upstream.loop.now() > now + 50.0)
     assert attempt_outcomes(upstream) == ([outcome] if outcome else [])
 
@@ -269,7 +269,7 @@
 
 
 def test_an_internal_error_in_an_attempt_closes_its_connection(make_upstream, loop, capsys, monkeypatch):
-    loop.fault = lambda _: None
+    loop.on_exception = lambda _: None
     upstream = make_upstream(ANSWER)
     monkeypatch.setattr(attempts.AttemptRun, "read_last_line", lambda *_: 1 / 0)
     assert send_attempt(upstream) == [Outcome.BROKEN]
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -26,7 +26,9 @@
 
 def take_list(node, *entries: dict[str, object], whole: bool = True) -> None:
     """Apply a list from discovery, or changes of it, to the node."""
-    node.discovery.take({"seq": max(0, node.discovery.version) + 1, "whole": whole, "hosts": list(entries)})
+    node.discovery.apply_list(
+        {"seq": max(0, node.discovery.version) + 1, "whole": whole, "hosts": list(entries)}
+    )
 
 
 def step_own_clock(node, step_ms: float) -> None:
