--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -99,7 +99,7 @@
         self.node_ledger = NodeLedger(loop, log, folder, name, self.recover, self.take_over_ledger)
         self.actions = ActionLedger(self.node_ledger, name, generation, settings.lease_ms)
         self.requests = ConfigRequests(self)
-        self.timer = loop.at(loop.now(), lambda: None)
+        self.timer = loop.call_at(loop.now(), lambda: None)
         self.is_beside = self.is_started = False
 
     # Start and end.
@@ -126,7 +126,7 @@
     def take_over_ledger(self, recovered: RecoveredLog) -> None:
         """Continue in the node's main ledger, with its memory of votes; from now on this process may vote."""
         if self.replica is not None:
-            self.replica.take_over_memory(recovered)
+            self.replica.adopt_memory(recovered)
         self.actions.write_all_again(self.loop.now())
 
     def recover(self, recovered: RecoveredLog) -> None:
@@ -137,7 +137,7 @@
         replica = self.replica = self.make_replica(now, recovered)
         if replica.unusable_reason:
             self.log.line(f"fleet code=unfit: version {replica.number}: {replica.unusable_reason}")
-        replica.voter.memory_is_elsewhere = self.is_beside
+        replica.voter.is_memory_in_other_process = self.is_beside
         if recovered.votes_excluded_up_to is None and not self.is_beside:
             self.log.line("fleet code=lost: does not vote until the promises that it may have made are known")
         self.actions.begin_process(now, self.is_beside)
@@ -232,7 +232,7 @@
 
     def tick(self) -> None:
         """Run the replica's due actions, refresh the status, write counts, and set the next timer."""
-        self.loop.drop(self.timer)
+        self.loop.cancel_timer(self.timer)
         now = self.loop.now()
         due_ms = now + CHECK_PERIOD_MS
         if self.replica is not None:
@@ -243,7 +243,7 @@
         self.share_proof()
         if self.replica is not None:
             due_ms = min(due_ms, self.replica.next_ms)
-        self.timer = self.loop.at(due_ms, self.tick)
+        self.timer = self.loop.call_at(due_ms, self.tick)
 
     def carry_out(self, effects: Iterable[Effect]) -> None:
         """Carry out the replica's effects, in order."""
