--- a/marlseam/cli/load.py
+++ b/marlseam/cli/load.py
@@ -51,7 +51,7 @@
     from marlseam.load.tally import Tally
     from marlseam.load.verdict import merge, table
     from marlseam.records import RecordStreams
-    from marlseam.simulation.chance import stream
+    from marlseam.simulation.random_streams import random_stream
 
     _check_addresses(nodes)
     played_day = common.load_day(day)
@@ -61,7 +61,7 @@
     if records is not None:
         records.mkdir(parents=True, exist_ok=True)
     writer = RecordStreams(records, "clients").of("clients")
-    generator = Generator(played_day, arrivals, places, writer, stream(seed, "clients"), connections)
+    generator = Generator(played_day, arrivals, places, writer, random_stream(seed, "clients"), connections)
 
     def show_progress(now_ms: float, tally: Tally) -> None:
         sent, open_tries = tally.sent, generator.open_tries
--- a/marlseam/emulators/network.py
+++ b/marlseam/emulators/network.py
@@ -23,10 +23,10 @@
 from marlseam.emulators.process import EmulatorProcess
 from marlseam.net.loop import READ, WRITE, Cancelled, Coroutine, Loop, Task, sleep
 from marlseam.simulation import faults
-from marlseam.simulation.chance import stream
 from marlseam.simulation.faults import ScheduledFault
 from marlseam.simulation.model import Day, placed_servers
 from marlseam.simulation.network import Links
+from marlseam.simulation.random_streams import random_stream
 
 SYSTEM = "network"  # the name of the network in records, in its log and in the names of its files
 CHUNK_BYTES = 65536  # the most bytes that are relayed in one step
@@ -223,7 +223,7 @@
         """Create the proxies, schedule the faults; `addresses` maps a server to its HOST:PORT."""
         self._process = process
         self._records = process.streams.of(SYSTEM)
-        self._links = Links(day.network, stream(seed, "network"))
+        self._links = Links(day.network, random_stream(seed, "network"))
         self._proxies = [
             LinkProxy(
                 process, self._links, Link(zone, name, server_zone), parse_socket_address(addresses[name])
--- a/marlseam/experiment/charts.py
+++ b/marlseam/experiment/charts.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 from marlseam.records import AttemptReceived, FaultBegan
-from marlseam.verification.book import RunRecords
+from marlseam.verification.run_records import RunRecords
 from marlseam.verification.service import RequestOutcome, request_outcomes
 
 # Size of a drawing, and margins around its plot, in pixels.
@@ -149,16 +149,16 @@
     return f'<p class="key">{"".join(marks)}</p>'
 
 
-def day_charts(book: RunRecords) -> str:
+def day_charts(run_records: RunRecords) -> str:
     """Return the charts of a run as HTML: arrivals and answers, latencies, attempts received per server."""
-    outcomes, faults = request_outcomes(book), book.of_type(FaultBegan)
+    outcomes, faults = request_outcomes(run_records), run_records.of_type(FaultBegan)
     if not outcomes:
         return ""
     last_ms = max([outcome.first.intended for outcome in outcomes] + [fault.until for fault in faults])
     seconds = max(1, int(last_ms / 1000.0) + 1)
     parts = answers_chart(outcomes, faults, seconds)
     parts += latency_chart(outcomes, faults, seconds)
-    return "\n".join(parts) + attempts_chart(book, seconds)
+    return "\n".join(parts) + attempts_chart(run_records, seconds)
 
 
 def answers_chart(
@@ -225,9 +225,9 @@
     return by_second
 
 
-def attempts_chart(book: RunRecords, seconds: int) -> str:
+def attempts_chart(run_records: RunRecords, seconds: int) -> str:
     """Draw the attempts received: one row per server, one cell per interval, darker for more attempts."""
-    received = book.of_type(AttemptReceived)
+    received = run_records.of_type(AttemptReceived)
     servers = sorted({record.by for record in received})[:MAX_SERVER_ROWS]
     if not servers:
         return ""
--- a/marlseam/experiment/cluster_members.py
+++ b/marlseam/experiment/cluster_members.py
@@ -185,4 +185,4 @@
     detections = check.check()
     figures = judged.figures | membership_figures(run, check, detections)
     tables = [("Members under faults", [TABLE_HEAD, *detections.rows])]
-    return RunResult(figures, judged.verdict, judged.book, tables, "sockets")
+    return RunResult(figures, judged.verdict, judged.run_records, tables, "sockets")
--- a/marlseam/experiment/compare.py
+++ b/marlseam/experiment/compare.py
@@ -11,7 +11,7 @@
 
 import numpy as np
 
-from marlseam.simulation.chance import stream
+from marlseam.simulation.random_streams import random_stream
 
 RESAMPLES = 2000
 RESAMPLES_AT_ONCE = 50  # bounds the memory of the resampled tables
@@ -76,7 +76,7 @@
 
 def interval(values: np.ndarray, seed: int) -> Interval:
     """Return the mean of values of shape (n,) and its 95% bootstrap interval."""
-    random = stream(seed, "bootstrap")
+    random = random_stream(seed, "bootstrap")
     resamples = random.integers(len(values), size=(RESAMPLES, len(values)))
     low, high = np.percentile(values[resamples].mean(axis=1), INTERVAL_PERCENTILES)
     return Interval(float(values.mean()), float(low), float(high))
@@ -109,7 +109,7 @@
     common = [first_try for first_try in first if first_try in second]
     is_paired = len(common) >= MIN_COMMON_SHARE * max(len(first), len(second))
     tables = [np.array([run[first_try] for first_try in (common if is_paired else run)]) for run in runs]
-    random = stream(len(first), "bootstrap")
+    random = random_stream(len(first), "bootstrap")
     resamples = [random.integers(len(table), size=(RESAMPLES, len(table))) for table in tables]
     if is_paired:
         resamples[1] = resamples[0]
--- a/marlseam/experiment/day_plays.py
+++ b/marlseam/experiment/day_plays.py
@@ -52,7 +52,7 @@
     return RunResult(
         figures,
         verdict=Verdict(sockets.verdict.rules, virtual.verdict.gaps + sockets.verdict.gaps),
-        book=sockets.book,
+        run_records=sockets.run_records,
         tables=[("Both drivers", comparison_rows(virtual, sockets))],
         driver="virtual and sockets",
     )
@@ -117,4 +117,6 @@
 
 def sorted_faults(result: JudgedResult) -> list[tuple[str, tuple[str, ...]]]:
     """Return the kind and targets of each fault of a run, sorted so that two runs compare equal."""
-    return sorted((fault.kind, tuple(fault.targets)) for fault in result.book.of_type(records.FaultBegan))
+    return sorted(
+        (fault.kind, tuple(fault.targets)) for fault in result.run_records.of_type(records.FaultBegan)
+    )
--- a/marlseam/experiment/durable_state_run.py
+++ b/marlseam/experiment/durable_state_run.py
@@ -16,7 +16,7 @@
 from marlseam.load.verdict import Counted, merge
 from marlseam.simulation.model import Day
 from marlseam.store.state_directory import create_state
-from marlseam.verification.book import RunRecords
+from marlseam.verification.run_records import RunRecords
 from marlseam.verification.verdict import Verdict, Violation
 
 ONE_EFFECT_RULE = "no effect twice"
@@ -45,14 +45,14 @@
     Attributes:
         result: the result of the run, with its figures.
         verdict: the verdict on the rules of service.
-        book: all records of the run.
+        run_records: all records of the run.
         counted: the counts and latencies of the load generators.
         driver: the driver that played the day.
     """
 
     result: RunResult
     verdict: Verdict
-    book: RunRecords
+    run_records: RunRecords
     counted: Counted
     driver: SocketDriver
 
@@ -89,8 +89,8 @@
     tallies = cast(list[TallySummary], driver.run())
     counted = merge(tallies, len(arrivals_of(day, seed)))
     result = plays.judge_records(*records.read_folder(out / "records"), driver="sockets")
-    if result.verdict is None or result.book is None:
+    if result.verdict is None or result.run_records is None:
         raise RunFailedError(
             f"the records of the run in {out} have no verdict, expected one from the check of the rules"
         )
-    return SocketRun(result, result.verdict, result.book, counted, driver)
+    return SocketRun(result, result.verdict, result.run_records, counted, driver)
--- a/marlseam/experiment/idempotency_kills.py
+++ b/marlseam/experiment/idempotency_kills.py
@@ -28,11 +28,11 @@
 )
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.plays import RunResult, ShowProgress, register_play
-from marlseam.simulation.chance import stream
 from marlseam.simulation.model import Count, Day, Fault, NotNegative, Strict
+from marlseam.simulation.random_streams import random_stream
 from marlseam.store.disk import Disk
 from marlseam.store.state_directory import StateDirectory
-from marlseam.verification.book import RunRecords
+from marlseam.verification.run_records import RunRecords
 
 DISK_MODULE = "marlseam.emulators.disk"  # the Python module of a node whose disk has faults
 READ_DELAY_MS = 2000.0  # deducted from a server's memory: a state directory is read up to 2 s after a run
@@ -74,7 +74,7 @@
 def with_kills(experiment: Experiment, settings: KillSettings) -> Day:
     """Return the experiment's day with kills of all its nodes at times drawn from the seed."""
     day = experiment.day
-    random = stream(experiment.head.seed, "kills")
+    random = random_stream(experiment.head.seed, "kills")
     earliest_s, latest_s = FIRST_KILL_SHARE * day.seconds, LAST_KILL_SHARE * day.seconds
     times_s = np.sort(random.uniform(earliest_s, latest_s, settings.kills)).tolist()
     kills = [Fault(what="node_kill", at_s=at_s, for_s=KILL_S, share=1.0) for at_s in times_s]
@@ -93,7 +93,7 @@
         journals[-1].write_bytes(data)
 
 
-def unrecorded_keys(book: RunRecords, day: Day, path: Path, name: str, now_ms: float) -> list[str]:
+def unrecorded_keys(run_records: RunRecords, day: Day, path: Path, name: str, now_ms: float) -> list[str]:
     """Return the keys that servers received and still remember, but that a node's state directory lacks.
 
     `now_ms` is the time of the run. The result is empty where the directory records a loss of history: the
@@ -108,11 +108,11 @@
         if request_type.effect == "receipted"
     }
     missing_keys = []
-    for try_id, attempts in book.attempts.items():
-        request = book.tries.get(try_id)
+    for try_id, attempts in run_records.attempts.items():
+        request = run_records.tries.get(try_id)
         if request is None or request.receipt is None or request.receipt in state.sent:
             continue
-        if is_refused(book, try_id):
+        if is_refused(run_records, try_id):
             continue
         remembered_ms = memory_ms.get(request.type, 0.0) - READ_DELAY_MS
         if any(now_ms - attempt.t < remembered_ms for attempt in attempts):
@@ -120,9 +120,9 @@
     return missing_keys
 
 
-def is_refused(book: RunRecords, try_id: str) -> bool:
+def is_refused(run_records: RunRecords, try_id: str) -> bool:
     """Return whether a server refused any attempt of a try, so that this attempt did not run."""
-    ends = book.attempt_ends.get(try_id, ())
+    ends = run_records.attempt_ends.get(try_id, ())
     return any(isinstance(end, records.AttemptRefused) for end in ends)
 
 
@@ -198,16 +198,16 @@
 
 def disk_figures(run: SocketRun, day: Day, out: Path) -> DiskFigures:
     """Return the figures of a run on one disk; reads the nodes' state directories in `out`."""
-    book, now_ms = run.book, run.driver.recorder.now_ms()
+    run_records, now_ms = run.run_records, run.driver.recorder.now_ms()
     missing = [
         key
         for name in run.driver.node_processes.running
-        for key in unrecorded_keys(book, day, state_path(out, name), name, now_ms)
+        for key in unrecorded_keys(run_records, day, state_path(out, name), name, now_ms)
     ]
-    keyed = {request.id for request in book.tries.values() if request.receipt is not None}
+    keyed = {request.id for request in run_records.tries.values() if request.receipt is not None}
     refused = sum(
         answer.how in ("deferred", "aborted") and answer.id in keyed
-        for answer in book.of_type(records.TryAnswered)
+        for answer in run_records.of_type(records.TryAnswered)
     )
     return DiskFigures(
         repeats=float(len(run.double_effects())),
@@ -256,12 +256,12 @@
     rows = [head, *(store_row(name, settings.kills, run) for name, run in runs.items())]
     figures = with_store.result.figures | store_figures(runs)
     tables = [("Kills under receipted work", rows)]
-    return RunResult(figures, with_store.verdict, with_store.book, tables, "sockets")
+    return RunResult(figures, with_store.verdict, with_store.run_records, tables, "sockets")
 
 
 def lost_tries(run: SocketRun) -> int:
     """Return how many sent tries were lost without an answer."""
-    return sum(answer.how == "lost" for answer in run.book.of_type(records.TryAnswered))
+    return sum(answer.how == "lost" for answer in run.run_records.of_type(records.TryAnswered))
 
 
 def store_row(name: str, kills: int, run: SocketRun) -> list[str]:
--- a/marlseam/experiment/plays.py
+++ b/marlseam/experiment/plays.py
@@ -12,8 +12,8 @@
 from marlseam.experiment.slope import Slope
 from marlseam.experiment.summary import Table
 from marlseam.records import Record
-from marlseam.verification.book import RunRecords
 from marlseam.verification.rules import judge
+from marlseam.verification.run_records import RunRecords
 from marlseam.verification.service import figures
 from marlseam.verification.verdict import Verdict
 
@@ -27,7 +27,7 @@
     Attributes:
         figures: figures by name; the experiment file may bound each of them.
         verdict: the outcome of the rule check, None if the play checks no rules.
-        book: the records of the run, for the report; None if the play has no records.
+        run_records: the records of the run, for the report; None if the play has no records.
         tables: tables for the report.
         driver: the driver that the play ran on; empty if it is the driver named in the file.
         slopes: figures by size, each with its bound, drawn in the report.
@@ -35,7 +35,7 @@
 
     figures: dict[str, float]
     verdict: Verdict | None = None
-    book: RunRecords | None = None
+    run_records: RunRecords | None = None
     tables: list[Table] = field(default_factory=list)
     driver: str = ""
     slopes: list[Slope] = field(default_factory=list)
@@ -46,7 +46,7 @@
     """The result of a run whose records were checked against the rules."""
 
     verdict: Verdict = field()
-    book: RunRecords = field()
+    run_records: RunRecords = field()
 
 
 Play = Callable[[Experiment, Path, ShowProgress], RunResult]
@@ -68,11 +68,11 @@
     return "margin_" + rule_name.replace(" ", "_")
 
 
-def judge_records(run_records: Iterable[Record], read_errors: list[str], driver: str) -> JudgedResult:
+def judge_records(all_records: Iterable[Record], read_errors: list[str], driver: str) -> JudgedResult:
     """Check records against the rules and compute figures; with `read_errors` the verdict has gaps only."""
-    verdict, book = judge(list(run_records), read_errors)
-    run_figures = figures(book)
+    verdict, run_records = judge(list(all_records), read_errors)
+    run_figures = figures(run_records)
     run_figures["rules_broken"] = float(verdict.violation_count)
     for rule in verdict.rules:
         run_figures[margin_figure(rule.name)] = rule.margin
-    return JudgedResult(run_figures, verdict, book, driver=driver)
+    return JudgedResult(run_figures, verdict, run_records, driver=driver)
--- a/marlseam/experiment/policy_comparison.py
+++ b/marlseam/experiment/policy_comparison.py
@@ -41,10 +41,10 @@
     """Play one day with one policy in virtual time; return its figures."""
     streams = RecordStreams(None, "driver")
     VirtualDriver(day, seed, streams, POLICIES[name]).run()
-    verdict, book = judge(list(records_in_memory(streams)))
+    verdict, run_records = judge(list(records_in_memory(streams)))
     outcome = {"rules_broken": float(verdict.violation_count), "judged": float(verdict.is_judged)}
     margins = {margin_figure(rule.name): rule.margin for rule in verdict.rules}
-    return figures(book) | outcome | margins
+    return figures(run_records) | outcome | margins
 
 
 @register_play("policies")
--- a/marlseam/experiment/replication_plays.py
+++ b/marlseam/experiment/replication_plays.py
@@ -179,13 +179,13 @@
     others = check.other_nodes()
     figures = disturbed_run.figures | {
         "slowest_up_s": check.slowest_ms / 1000.0,
-        "rest_service": service_at_nodes(disturbed_run.book, others),
-        "rest_without": service_at_nodes(baseline_run.book, others),
+        "rest_service": service_at_nodes(disturbed_run.run_records, others),
+        "rest_without": service_at_nodes(baseline_run.run_records, others),
     }
     figures["rest_lost"] = figures["rest_without"] - figures["rest_service"]
     publication_table = publication_rows(disturbed_run.cluster.publisher.publications)
     tables = [("Stragglers", check.rows), ("Publications", publication_table)]
-    return RunResult(figures, disturbed_run.judged.verdict, disturbed_run.book, tables, "sockets")
+    return RunResult(figures, disturbed_run.judged.verdict, disturbed_run.run_records, tables, "sockets")
 
 
 def cut_row(cut: str, mode: str, figures: Mapping[str, float]) -> list[str]:
--- a/marlseam/experiment/replication_runs.py
+++ b/marlseam/experiment/replication_runs.py
@@ -15,7 +15,7 @@
 from marlseam.experiment.file import Experiment
 from marlseam.experiment.ledger_comparison import LedgerComparison
 from marlseam.experiment.plays import RunResult, ShowProgress
-from marlseam.verification.book import RunRecords
+from marlseam.verification.run_records import RunRecords
 from marlseam.verification.service import request_outcomes
 
 UNUSABLE = "unfit"  # the reason code of a node that cannot use the version that it holds
@@ -31,14 +31,14 @@
         cluster: the cluster run, with its faults, logs and publications.
         comparison: the comparison of the servers' records with the ledgers.
         judged: the result of checking the records against the rules of service.
-        book: the records.
+        run_records: the records.
         figures: the figures of all checks, by name.
     """
 
     cluster: ClusterRun
     comparison: LedgerComparison
     judged: RunResult
-    book: RunRecords
+    run_records: RunRecords
     figures: dict[str, float]
 
 
@@ -102,8 +102,8 @@
     figures |= run_figures(run) | delivery_figures(run)
     for text in comparison.audit.findings:
         show_progress(f"ledger audit: {text}")
-    assert judged.book is not None  # `judge_records` always sets the book
-    return ReplicationRun(run, comparison, judged, judged.book, figures)
+    assert judged.run_records is not None  # `judge_records` always sets `run_records`
+    return ReplicationRun(run, comparison, judged, judged.run_records, figures)
 
 
 def catch_up_ms(
--- a/marlseam/experiment/report.py
+++ b/marlseam/experiment/report.py
@@ -5,7 +5,7 @@
 from marlseam.experiment.charts import day_charts
 from marlseam.experiment.slope_chart import slope_chart
 from marlseam.experiment.summary import ExpectationOutcome, RuleOutcome, RunSummary
-from marlseam.verification.book import RunRecords
+from marlseam.verification.run_records import RunRecords
 
 GOOD_VERDICTS = ("kept", "holds")
 STYLE = """
@@ -32,15 +32,15 @@
 """
 
 
-def page(summary: RunSummary, book: RunRecords | None) -> str:
-    """Return the HTML page of a run's report; `book` holds the run's records, None if it has none."""
+def page(summary: RunSummary, run_records: RunRecords | None) -> str:
+    """Return the HTML page of a run's report; `run_records` holds the run's records, None if it has none."""
     parts = heading(summary)
     if summary.expectations:
         parts.append(table(expectation_rows(summary.expectations), marks_verdicts=True))
     if summary.rules:
         parts += rules_section(summary.rules)
-    if book is not None:
-        parts.append(day_charts(book))
+    if run_records is not None:
+        parts.append(day_charts(run_records))
     for title, rows in summary.tables:
         parts.append(f"<h2>{escape(title)}</h2>" + table(rows))
     parts += [slope_chart(slope) for slope in summary.slopes]
--- a/marlseam/experiment/runner.py
+++ b/marlseam/experiment/runner.py
@@ -13,7 +13,7 @@
 from marlseam.experiment.file import Experiment, FileError, Head, nearest_name_hint
 from marlseam.experiment.plays import PLAYS, RunResult, ShowProgress
 from marlseam.experiment.summary import ExpectationOutcome, RuleOutcome, RunSummary, ViolationExample
-from marlseam.verification.book import RunRecords
+from marlseam.verification.run_records import RunRecords
 from marlseam.verification.service import request_outcomes
 from marlseam.verification.verdict import Rule, Verdict
 
@@ -131,27 +131,27 @@
             violation_count=len(rule.violations),
             margin=rule.margin,
             means=rule.means,
-            examples=violation_examples(rule, result.book),
+            examples=violation_examples(rule, result.run_records),
         )
         for rule in result.verdict.rules
     ]
 
 
-def violation_examples(rule: Rule, book: RunRecords | None) -> list[ViolationExample]:
+def violation_examples(rule: Rule, run_records: RunRecords | None) -> list[ViolationExample]:
     """Return the first violations of a rule, each with the timeline of the request concerned."""
     examples: list[ViolationExample] = []
     for subject, text in rule.violations[:MAX_EXAMPLES]:
-        timeline = book.timeline(first_try_of(book, subject)) if book is not None else []
+        timeline = run_records.timeline(first_try_of(run_records, subject)) if run_records is not None else []
         examples.append(ViolationExample(subject, text, timeline))
     return examples
 
 
-def first_try_of(book: RunRecords, subject: str) -> str:
+def first_try_of(run_records: RunRecords, subject: str) -> str:
     """Return the id of the first try of the request that `subject` is a try of; else `subject` unchanged."""
-    return book.tries[subject].first if subject in book.tries else subject
+    return run_records.tries[subject].first if subject in run_records.tries else subject
 
 
-def request_rows(book: RunRecords) -> list[RequestRow]:
+def request_rows(run_records: RunRecords) -> list[RequestRow]:
     """Return one row per request of a run, as `units.json` stores them."""
     return [
         RequestRow(
@@ -160,16 +160,16 @@
             earned_weight=outcome.credit_in_time,
             turnaround_ms=outcome.turnaround_ms,
         )
-        for outcome in request_outcomes(book)
+        for outcome in request_outcomes(run_records)
     ]
 
 
 def write_folder(out: Path, summary: RunSummary, result: RunResult) -> None:
     """Write `summary.json`, `report.html` and, if the run has records, `units.json`."""
     (out / "summary.json").write_bytes(msgspec.json.format(msgspec.json.encode(summary), indent=1))
-    if result.book is not None:
-        (out / "units.json").write_bytes(msgspec.json.encode(request_rows(result.book)))
-    (out / "report.html").write_text(report.page(summary, result.book), encoding="utf-8")
+    if result.run_records is not None:
+        (out / "units.json").write_bytes(msgspec.json.encode(request_rows(result.run_records)))
+    (out / "report.html").write_text(report.page(summary, result.run_records), encoding="utf-8")
 
 
 def versions() -> dict[str, str]:
--- a/marlseam/experiment/scale.py
+++ b/marlseam/experiment/scale.py
@@ -117,7 +117,7 @@
     return RunResult(
         figures,
         verdict=runs[0].result.verdict,
-        book=runs[0].result.book,
+        run_records=runs[0].result.run_records,
         tables=[("Growing fleets, virtual time", rows)],
         driver="virtual",
     )
--- a/marlseam/experiment/slow_start_load.py
+++ b/marlseam/experiment/slow_start_load.py
@@ -18,9 +18,9 @@
 from marlseam.configuration import deployment_from
 from marlseam.experiment.virtual import AttemptInFlight, SimulatedNode, SimulatedServer, VirtualDriver
 from marlseam.records import RecordStreams, StreamWriter
-from marlseam.simulation.chance import stream
 from marlseam.simulation.clients import FrontLoadBalancer, NodePick
 from marlseam.simulation.model import Day, RequestType, node_settings
+from marlseam.simulation.random_streams import random_stream
 
 UNEVEN_DEVIATION = 1.0  # standard deviation of the logarithm of a node's share of the traffic
 
@@ -55,10 +55,10 @@
     def __init__(self, balancer: FrontLoadBalancer, seed: int) -> None:
         """Distribute traffic over the nodes of another load balancer."""
         super().__init__(balancer.by_zone, balancer.notice_ms)
-        self.random = stream(seed, "front")
+        self.random = random_stream(seed, "front")
         self.cumulative_shares = {}
         for zone, names in balancer.by_zone.items():
-            weights = [stream(seed, "part", name).lognormal(0.0, UNEVEN_DEVIATION) for name in names]
+            weights = [random_stream(seed, "part", name).lognormal(0.0, UNEVEN_DEVIATION) for name in names]
             self.cumulative_shares[zone] = np.cumsum(weights) / sum(weights)
 
     def pick_node(self, zone: str, now_ms: float) -> NodePick:
--- a/marlseam/experiment/soak.py
+++ b/marlseam/experiment/soak.py
@@ -106,25 +106,24 @@
 
     The order of the draws must not change: it determines which faults a seed stands for.
     """
-    generator = random.Random(seed)
-    day_faults = _draw_day_faults(generator, seconds)
-    calls = generator.sample(sorted(ERRORS_BY_CALL), generator.choice(FAILING_CALL_COUNTS))
+    rng = random.Random(seed)
+    day_faults = _draw_day_faults(rng, seconds)
+    calls = rng.sample(sorted(ERRORS_BY_CALL), rng.choice(FAILING_CALL_COUNTS))
     failures = [
-        CallFailure(call, generator.choice(ERRORS_BY_CALL[call]), generator.choice(FAILING_CALL_SHARES))
-        for call in calls
+        CallFailure(call, rng.choice(ERRORS_BY_CALL[call]), rng.choice(FAILING_CALL_SHARES)) for call in calls
     ]
-    clock_s = generator.choice(CLOCK_ERRORS_S) if generator.random() < CLOCK_ERROR_CHANCE else 0.0
-    event = generator.choice(FAILING_EVENTS) if generator.random() < FAILING_EVENT_CHANCE else ""
+    clock_s = rng.choice(CLOCK_ERRORS_S) if rng.random() < CLOCK_ERROR_CHANCE else 0.0
+    event = rng.choice(FAILING_EVENTS) if rng.random() < FAILING_EVENT_CHANCE else ""
     return DrawnFaults(day_faults, NodeFaults(seed, failures, clock_s=clock_s, decision=event))
 
 
-def _draw_day_faults(generator: random.Random, seconds: float) -> list[Fault]:
+def _draw_day_faults(rng: random.Random, seconds: float) -> list[Fault]:
     """Draw faults that are all active at one instant in the middle of the day."""
-    middle_s = generator.uniform(MIN_MIDDLE_SHARE, MAX_MIDDLE_SHARE) * seconds
+    middle_s = rng.uniform(MIN_MIDDLE_SHARE, MAX_MIDDLE_SHARE) * seconds
     faults = []
-    for name in generator.sample(FAULT_NAMES, generator.choice(FAULT_COUNTS)):
-        at_s = middle_s - generator.uniform(0.0, MAX_LEAD_S)
-        for_s = generator.uniform(MIN_DURATION_S, MAX_DURATION_S)
+    for name in rng.sample(FAULT_NAMES, rng.choice(FAULT_COUNTS)):
+        at_s = middle_s - rng.uniform(0.0, MAX_LEAD_S)
+        for_s = rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
         size = ERROR_SHARE if name == "errors" else DEFAULT_FAULT_SIZE
         faults.append(Fault(what=name, at_s=at_s, for_s=for_s, share=TARGET_SHARE, size=size))
     return faults
--- a/marlseam/experiment/sockets/nodes.py
+++ b/marlseam/experiment/sockets/nodes.py
@@ -14,8 +14,8 @@
 from marlseam.experiment.sockets.options import NodeConfiguration, SocketOptions
 from marlseam.experiment.sockets.process_group import ProcessGroup, address_of
 from marlseam.net.protocol import READY_PATH
-from marlseam.simulation.chance import stream
 from marlseam.simulation.model import Day, node_settings, placed_nodes
+from marlseam.simulation.random_streams import random_stream
 
 START_TIMEOUT_S = 30.0  # from the start of a node process until it must listen
 NODE_READY_TIMEOUT_S = 20.0  # of a wait until a node is ready
@@ -94,12 +94,12 @@
 
     def _configuration(self, name: str, listen: str) -> NodeConfiguration:
         """Return the content of a node's configuration file and its operator settings."""
-        generator = stream(self._seed, "node", name, time.monotonic_ns())
+        rng = random_stream(self._seed, "node", name, time.monotonic_ns())
         configuration: dict[str, Any] = {
             "name": name,
             "listen": listen,
             "discovery": self.discovery_addresses[name],
-            "seed": f"{int(generator.integers(SEED_BOUND)):x}",
+            "seed": f"{int(rng.integers(SEED_BOUND)):x}",
             "limits": {"memory_mb": MEMORY_MB, "sockets": MAX_SOCKETS},
             "known": {"seq": 0, "whole": True, "hosts": []},
             "settings": node_settings(self._day, self._zones[name]),
--- a/marlseam/experiment/stale_list_start.py
+++ b/marlseam/experiment/stale_list_start.py
@@ -20,7 +20,7 @@
 from marlseam.store.disk import Disk
 from marlseam.store.file_format import ListStored, encode_record
 from marlseam.store.state_directory import StateDirectory
-from marlseam.verification.book import RunRecords
+from marlseam.verification.run_records import RunRecords
 
 FIRST_GONE_CELL, FIRST_MOVED_CELL = 9000, 9500  # cells of list entries whose servers are not in the day
 LIST_VERSION = 1
@@ -154,36 +154,36 @@
     for name in SOCKET_FIGURES:
         rows.append([name, f"{up.result.figures[name]:.3f}", f"{down.result.figures[name]:.3f}"])
     figures = down.result.figures | socket_figures(up, down, day, settings)
-    return RunResult(figures, down.verdict, down.book, [("From an old list", rows)], "sockets")
+    return RunResult(figures, down.verdict, down.run_records, [("From an old list", rows)], "sockets")
 
 
 def socket_figures(up: SocketRun, down: SocketRun, day: Day, settings: StaleListSettings) -> Figures:
     """Return the figures that compare the two runs, by the names used in experiment files."""
     up_figures, nodes = up.result.figures, day.fleet.nodes
     back_ms = 1000.0 * settings.down_s
-    list_ms = first_list_ms(down.book, back_ms)
+    list_ms = first_list_ms(down.run_records, back_ms)
     return {
         "up_service": up_figures["service"],
         "up_rules_broken": up_figures["rules_broken"],
         "service_lost": up_figures["service"] - down.result.figures["service"],
         "ready_s": max(down.driver.ready_s),
         "list_s": max(list_ms.values()) / 1000.0 if len(list_ms) == nodes else float("inf"),
-        "call_peak_a_node": float(peak_calls(down.book, back_ms)) / nodes,
+        "call_peak_a_node": float(peak_calls(down.run_records, back_ms)) / nodes,
     }
 
 
-def first_list_ms(book: RunRecords, since_ms: float) -> dict[str, float]:
+def first_list_ms(run_records: RunRecords, since_ms: float) -> dict[str, float]:
     """Return the time from `since_ms` until each node's first successful call of discovery, in ms by node."""
     taken_ms: dict[str, float] = {}
-    for call in book.of_type(records.EndpointListCalled):
+    for call in run_records.of_type(records.EndpointListCalled):
         if call.served and call.t >= since_ms:
             taken_ms.setdefault(call.node, call.t - since_ms)
     return taken_ms
 
 
-def peak_calls(book: RunRecords, since_ms: float) -> int:
+def peak_calls(run_records: RunRecords, since_ms: float) -> int:
     """Return the largest number of calls of discovery in one second of the run, from `since_ms` on."""
-    calls = book.of_type(records.EndpointListCalled)
+    calls = run_records.of_type(records.EndpointListCalled)
     times_ms = [call.t for call in calls if call.t >= since_ms] or [since_ms]
     seconds = np.array(times_ms).astype(int) // 1000
     return int(max(np.bincount(seconds)))
--- a/marlseam/experiment/virtual/clients.py
+++ b/marlseam/experiment/virtual/clients.py
@@ -7,9 +7,9 @@
 from marlseam.experiment.virtual.nodes import NodeRunner
 from marlseam.experiment.virtual.state import ClientTry, SimulatedNode
 from marlseam.experiment.virtual.world import VirtualWorld
-from marlseam.simulation.chance import stream
 from marlseam.simulation.clients import Client, try_record
 from marlseam.simulation.plan import Arrival
+from marlseam.simulation.random_streams import random_stream
 
 FinalAnswer = core.Respond | core.Reject | core.Fail
 
@@ -21,7 +21,7 @@
 
     def __init__(self, world: VirtualWorld, nodes: NodeRunner) -> None:
         self._world, self._nodes = world, nodes
-        self._generator: np.random.Generator = stream(world.seed, "clients")
+        self._rng: np.random.Generator = random_stream(world.seed, "clients")
 
     def arrive(self, arrival: Arrival) -> None:
         """Begin a request at its arrival; an arrival from a trace may be a later try of a request."""
@@ -93,7 +93,7 @@
         if not was_open:
             return
         client = client_try.client
-        wait_ms = client.wait(world.now_ms, how, retry_after_ms, self._generator)
+        wait_ms = client.wait(world.now_ms, how, retry_after_ms, self._rng)
         if wait_ms is not None:
             world.queue.schedule(world.now_ms + wait_ms, self._send_try, client)
 
--- a/marlseam/experiment/virtual/lifecycle.py
+++ b/marlseam/experiment/virtual/lifecycle.py
@@ -12,7 +12,7 @@
 from marlseam.experiment.virtual.state import SimulatedNode
 from marlseam.experiment.virtual.world import VirtualWorld
 from marlseam.net.graceful_shutdown import ANSWER_MS, MAX_DRAIN_MS
-from marlseam.simulation.chance import stream
+from marlseam.simulation.random_streams import random_stream
 
 RESTART_MS = 300.0  # minimum time from a node's end until its next process starts
 LISTENING_AFTER_SHUTDOWN_MS = 350.0  # from the start of a shutdown until no client picks the node
@@ -43,8 +43,8 @@
         node.is_up, node.is_watching = True, False
         node.idle_connections, node.tries, node.list_version = {}, {}, 0
         self._record(node, "began")
-        generator = stream(self._world.seed, "node", node.name, node.generation)
-        reducer_seed = int(generator.integers(SEED_BOUND))
+        rng = random_stream(self._world.seed, "node", node.name, node.generation)
+        reducer_seed = int(rng.integers(SEED_BOUND))
         self._nodes.post(node, core.NodeStarted(node.deployment.settings, reducer_seed))
         self._nodes.post(node, self._discovery.initial_update())
         if node.generation > 1:
--- a/marlseam/experiment/virtual/world.py
+++ b/marlseam/experiment/virtual/world.py
@@ -4,12 +4,12 @@
 from marlseam.experiment.virtual.state import SimulatedNode, SimulatedServer
 from marlseam.records import RecordStreams, StreamWriter
 from marlseam.simulation import fleet
-from marlseam.simulation.chance import stream
 from marlseam.simulation.clients import FrontLoadBalancer
 from marlseam.simulation.faults import ScheduledFault
 from marlseam.simulation.model import Day, RequestType, placed_nodes, placed_servers
 from marlseam.simulation.network import Links
 from marlseam.simulation.plan import Arrival
+from marlseam.simulation.random_streams import random_stream
 
 DELIVERY_SLACK_TICKS = 5.0  # tolerated delay of answers and sends, for the network between client and node
 GONE_SERVERS_FIRST_CELL = 9000  # cells from here on contain one gone server each and no other server
@@ -37,7 +37,7 @@
         """Create a world without servers and nodes, and begin the streams of records."""
         self.day, self.seed = day, seed
         self.queue = EventQueue()
-        self.links = Links(day.network, stream(seed, "network"))
+        self.links = Links(day.network, random_stream(seed, "network"))
         self.streams = streams
         streams.rules = fleet.rules(day, self.delivery_slack_ms)
         self.driver_records = self._begin_stream("driver", "driver")
--- a/marlseam/load/process.py
+++ b/marlseam/load/process.py
@@ -11,8 +11,8 @@
 from marlseam.load.tally import Tally, TallySummary
 from marlseam.records import RecordStreams
 from marlseam.simulation import faults, plan
-from marlseam.simulation.chance import stream
 from marlseam.simulation.model import Day
+from marlseam.simulation.random_streams import random_stream
 
 START_DELAY_S = 0.2  # from the ready line to the run's zero, if the parent sends no zero
 
@@ -57,7 +57,7 @@
     streams = RecordStreams(folder, "clients")
     writer = streams.of(f"clients-{number}")
     places = {name: NodePlace(zone, address) for name, (zone, address) in nodes.items()}
-    generator = Generator(day, arrivals, places, writer, stream(seed, "clients", number), connections)
+    generator = Generator(day, arrivals, places, writer, random_stream(seed, "clients", number), connections)
     print(json.dumps({}), flush=True)
     zero_s = time.monotonic() + START_DELAY_S if now else float(json.loads(sys.stdin.readline())["zero"])
     # Guards against late sends: a garbage collection over all objects of a long plan is a long pause.
--- a/marlseam/simulation/faults.py
+++ b/marlseam/simulation/faults.py
@@ -12,9 +12,9 @@
 import numpy as np
 
 from marlseam.decisions.types import EndpointState
-from marlseam.simulation.chance import stream
 from marlseam.simulation.model import Day, Fault, placed_nodes, placed_servers
 from marlseam.simulation.plan import Surge
+from marlseam.simulation.random_streams import random_stream
 from marlseam.simulation.server import FaultEffects
 
 NODE_FAULTS = ("node_kill", "node_roll", "node_reload")
@@ -56,7 +56,7 @@
 
 def drawn(day: Day, seed: int) -> list[Fault]:
     """Draw the day's random faults: each begins in the middle of the day; they may overlap."""
-    rng = stream(seed, "troubles")
+    rng = random_stream(seed, "troubles")
     return [_drawn_fault(day, rng) for _ in range(day.drawn.count)]
 
 
@@ -75,7 +75,7 @@
     """Return all faults, given and drawn, with their targets, sorted by their begin."""
     faults: list[ScheduledFault] = []
     for index, settings in enumerate([*day.troubles, *drawn(day, seed)]):
-        rng = stream(seed, "targets", index)
+        rng = random_stream(seed, "targets", index)
         targets = _targets(day, settings, rng)
         at_ms = settings.at_s * 1000.0
         fault = ScheduledFault(settings, at_ms, at_ms + settings.for_s * 1000.0, targets)
--- a/marlseam/simulation/fleet.py
+++ b/marlseam/simulation/fleet.py
@@ -4,11 +4,11 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from marlseam.simulation.chance import stream
 from marlseam.simulation.faults import ScheduledFault
 from marlseam.simulation.job import GroupMemory, Job
 from marlseam.simulation.model import Day, RequestType, ServerKind, placed_servers
 from marlseam.simulation.plan import Arrival
+from marlseam.simulation.random_streams import random_stream
 from marlseam.simulation.server import Server
 from marlseam.simulation.server_settings import ReportSettings, ServerSettings
 
@@ -39,7 +39,7 @@
         checkpoint_ms=1000.0 * day.fleet.checkpoint_s,
     )
     started_ms = 0.0 if day.fleet.cold else None
-    return Server(name, kind, memories, stream(seed, "executor", name), settings, started_ms)
+    return Server(name, kind, memories, random_stream(seed, "executor", name), settings, started_ms)
 
 
 def job(arrival: Arrival, type: RequestType, try_id: str, attempt: object) -> Job:
--- a/marlseam/simulation/plan.py
+++ b/marlseam/simulation/plan.py
@@ -10,8 +10,8 @@
 import numpy as np
 from numpy.typing import NDArray
 
-from marlseam.simulation.chance import lognormal, stream
 from marlseam.simulation.model import Day, Load, RequestType, placed_nodes
+from marlseam.simulation.random_streams import lognormal, random_stream
 
 MAX_WORK_IN_MEANS = 12.0  # largest work of a request, as a multiple of the mean of its class
 RATE_STEP_MS = 10.0  # step in which the rate of arrivals counts as constant
@@ -79,7 +79,7 @@
     else:
         # Ten standard deviations above the expected count, so that the draws reach the day's end.
         draws = int(total + 10.0 * np.sqrt(total + 1.0)) + 20
-        counts = np.cumsum(stream(seed, "arrivals").exponential(1.0, draws))
+        counts = np.cumsum(random_stream(seed, "arrivals").exponential(1.0, draws))
         counts = counts[counts < total]
     at_ms: NDArray[np.float64] = np.interp(counts, expected_count, grid_ms)
     return at_ms
@@ -105,7 +105,7 @@
     at_ms = times(day.load, day.seconds, seed, surges)
     count = len(at_ms)
     # The order of these draws must not change: it determines the arrivals of each seed.
-    rng = stream(seed, "plan")
+    rng = random_stream(seed, "plan")
     class_indices = _drawn_indices(rng, count, np.array([each.share for each in day.types]))
     zones = list(dict.fromkeys(node.zone for node in placed_nodes(day)))
     zone_indices = _drawn_indices(rng, count, _zone_weights(day, len(zones)))
@@ -166,7 +166,7 @@
         of_class = class_indices == class_index
         count = int(of_class.sum())
         work = lognormal(
-            stream(seed, "work", request_class.name), request_class.work_ms, request_class.cv, count
+            random_stream(seed, "work", request_class.name), request_class.work_ms, request_class.cv, count
         )
         sizes.work[of_class] = np.minimum(work, MAX_WORK_IN_MEANS * request_class.work_ms)
         sizes.slots[of_class] = _drawn_slots(seed, request_class, count)
@@ -176,7 +176,7 @@
 def _drawn_slots(seed: int, request_class: RequestType, count: int) -> NDArray[np.float64]:
     """Draw the number of slots of each request of a class, shape (count,)."""
     bounds = np.cumsum(np.array(request_class.slots) / sum(request_class.slots))
-    draws = stream(seed, "slots", request_class.name).random(count)
+    draws = random_stream(seed, "slots", request_class.name).random(count)
     return 1.0 + np.minimum(np.searchsorted(bounds, draws, side="right"), len(bounds) - 1)
 
 
@@ -188,7 +188,7 @@
             continue
         of_class = np.flatnonzero(class_indices == class_index).tolist()
         weights = np.arange(1.0, request_class.keys + 1.0) ** -request_class.key_skew
-        rng = stream(seed, "keys", request_class.name)
+        rng = random_stream(seed, "keys", request_class.name)
         drawn = rng.choice(request_class.keys, len(of_class), p=weights / weights.sum())
         for i, key in zip(of_class, drawn.tolist(), strict=True):
             keys[i] = f"k{key}"
--- a/marlseam/simulation/chance.py
+++ b/marlseam/simulation/random_streams.py
@@ -9,7 +9,7 @@
 from numpy.typing import NDArray
 
 
-def stream(seed: int, *names: object) -> np.random.Generator:
+def random_stream(seed: int, *names: object) -> np.random.Generator:
     """Return the random stream of a seed and name; the same in every process."""
     text = "/".join(str(part) for part in (seed, *names)).encode()
     key = np.frombuffer(blake2b(text, digest_size=16).digest(), dtype=np.uint64)
--- a/marlseam/verification/rules.py
+++ b/marlseam/verification/rules.py
@@ -21,7 +21,7 @@
     ServerStateHeard,
     TrySent,
 )
-from marlseam.verification.book import RunRecords, find_gaps
+from marlseam.verification.run_records import RunRecords, find_gaps
 from marlseam.verification.verdict import Rule, Verdict
 
 DEFAULT_EFFECT = ("exclusive", "cell")  # effect and key group of a request class without settings in the run
--- a/marlseam/verification/service.py
+++ b/marlseam/verification/service.py
@@ -13,7 +13,7 @@
 from numpy.typing import NDArray
 
 from marlseam.records import AttemptEnded, AttemptReceived, GeneratorLagged, ProbeAnswered, TrySent
-from marlseam.verification.book import RunRecords
+from marlseam.verification.run_records import RunRecords
 
 Key = TypeVar("Key", bound=Hashable)
 
--- a/tests/test_emulators.py
+++ b/tests/test_emulators.py
@@ -18,9 +18,9 @@
 from marlseam.net.connection import Connection, Steps
 from marlseam.net.log import Reason
 from marlseam.simulation import fleet
-from marlseam.simulation.chance import stream
 from marlseam.simulation.model import Day, Fleet, Network, RequestType, ServerKind
 from marlseam.simulation.network import Links
+from marlseam.simulation.random_streams import random_stream
 
 TIMEOUT_S = 10.0  # of a wait for a condition
 CHECK_INTERVAL_MS = 10.0  # how long the loop runs between two checks of a condition
@@ -184,7 +184,7 @@
 
 def test_a_cut_link_holds_bytes_back_until_the_cut_ends(process):
     listener = HttpListener(process, "x", answer_ok)
-    links = Links(Network(), stream(1, "network"))
+    links = Links(Network(), random_stream(1, "network"))
     target = SocketAddress("127.0.0.1", listener.port)
     proxy = LinkProxy(process, links, Link("east", "plain-1", "west"), target)
     with connect(proxy.address) as client:
@@ -202,7 +202,7 @@
 def test_a_proxy_resets_a_client_whose_server_refuses_the_connection(process):
     listener = HttpListener(process, "x", answer_ok)
     listener.stop_listening()
-    links = Links(Network(), stream(1, "network"))
+    links = Links(Network(), random_stream(1, "network"))
     target = SocketAddress("127.0.0.1", listener.port)
     proxy = LinkProxy(process, links, Link("east", "plain-0", "east"), target)
     with connect(proxy.address) as client, pytest.raises(ConnectionResetError):
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -19,8 +19,8 @@
     TryAnswered,
     TrySent,
 )
-from marlseam.verification.book import RunRecords
 from marlseam.verification.rules import judge
+from marlseam.verification.run_records import RunRecords
 from marlseam.verification.service import figures
 
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -20,14 +20,19 @@
 from marlseam.load.verdict import merge, table
 from marlseam.records import StreamEnded, StreamWriter, TryAnswered, TrySent
 from marlseam.simulation import plan
-from marlseam.simulation.chance import stream
+from marlseam.simulation.random_streams import random_stream
 
 ONE_SERVER = {"fleet": {"zones": ["east"], "nodes": 1, "kinds": [{"name": "k", "executors": 1}]}}
 
 
 def make_generator(small_day, arrivals, address="127.0.0.1:1", connections=0):
     return Generator(
-        small_day, arrivals, {"n0": ("east", address)}, StreamWriter("c", "clients"), stream(1), connections
+        small_day,
+        arrivals,
+        {"n0": ("east", address)},
+        StreamWriter("c", "clients"),
+        random_stream(1),
+        connections,
     )
 
 
--- a/tests/test_one_answer_rule.py
+++ b/tests/test_one_answer_rule.py
@@ -11,8 +11,8 @@
     TryAnswered,
     TrySent,
 )
-from marlseam.verification.book import RunRecords
 from marlseam.verification.rules import check_one_answer
+from marlseam.verification.run_records import RunRecords
 
 
 @pytest.mark.parametrize(("until_ms", "violations"), [(1500.0, 1), (2500.0, 0)])
--- a/tests/test_simulated_clients.py
+++ b/tests/test_simulated_clients.py
@@ -7,9 +7,9 @@
 from worlds import day
 
 from marlseam.simulation import plan
-from marlseam.simulation.chance import stream
 from marlseam.simulation.clients import Client, FrontLoadBalancer
 from marlseam.simulation.model import Load
+from marlseam.simulation.random_streams import random_stream
 
 
 def make_client(effect, tries=3):
@@ -48,7 +48,7 @@
 def test_a_client_retries_only_without_risk_of_a_second_effect(effect, ending, is_retried):
     client = make_client(effect)
     assert client.begin() == "a"
-    wait_ms = client.wait(10.0, ending, 500.0, stream(1))
+    wait_ms = client.wait(10.0, ending, 500.0, random_stream(1))
     assert (wait_ms is not None) == is_retried
     assert wait_ms is None or wait_ms >= 500.0
     assert client.begin() == "a.1"
@@ -57,13 +57,13 @@
 def test_a_client_stops_retrying_at_its_last_try_its_deadline_and_in_a_replay():
     client = make_client("rerunnable", tries=2)
     client.begin()
-    assert client.wait(client.expires - 1.0, "deferred", 0.0, stream(1)) is None
+    assert client.wait(client.expires - 1.0, "deferred", 0.0, random_stream(1)) is None
     client.begin()
-    assert client.wait(0.0, "deferred", 0.0, stream(1)) is None
+    assert client.wait(0.0, "deferred", 0.0, random_stream(1)) is None
     client = make_client("rerunnable")
     client.replayed = True
     client.begin()
-    assert client.wait(0.0, "deferred", 0.0, stream(1)) is None
+    assert client.wait(0.0, "deferred", 0.0, random_stream(1)) is None
 
 
 def test_a_load_balancer_picks_a_failed_node_until_it_detects_the_failure():
--- a/tests/test_simulated_server.py
+++ b/tests/test_simulated_server.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marlseam.simulation.chance import stream
 from marlseam.simulation.job import GroupMemory, Job
 from marlseam.simulation.model import ServerKind
+from marlseam.simulation.random_streams import random_stream
 from marlseam.simulation.server import FaultEffects, Server
 from marlseam.simulation.server_settings import ReportSettings, ServerSettings
 
@@ -20,7 +20,7 @@
     group_memory = group_memory or GroupMemory()
     memories = {"all": group_memory, "zone": group_memory, "cell": group_memory}
     kind = ServerKind(**({"name": "k", "executors": 1, "slots": 3, "queue": 100} | kind_values))
-    return Server("e", kind, memories, stream(1, "e"), SETTINGS, started_ms)
+    return Server("e", kind, memories, random_stream(1, "e"), SETTINGS, started_ms)
 
 
 def started_ids(events):
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -9,8 +9,8 @@
 from marlseam.experiment.virtual import VirtualDriver
 from marlseam.records import Record, RecordStreams
 from marlseam.simulation.model import Day
-from marlseam.verification.book import RunRecords
 from marlseam.verification.rules import judge
+from marlseam.verification.run_records import RunRecords
 from marlseam.verification.service import figures
 from marlseam.verification.verdict import Verdict
 
@@ -43,7 +43,7 @@
     """A day run in virtual time: the judge's verdict, the judge's input, the figures and the records."""
 
     verdict: Verdict
-    book: RunRecords
+    run_records: RunRecords
     figures: dict[str, float]
     records: list[Record]
 
@@ -60,5 +60,5 @@
     streams = RecordStreams(None, "driver")
     VirtualDriver(day, seed, streams, make_reducer).run()
     records = [record for writer in streams.writers.values() for record in writer.records]
-    verdict, book = judge(records)
-    return PlayedDay(verdict, book, figures(book), records)
+    verdict, run_records = judge(records)
+    return PlayedDay(verdict, run_records, figures(run_records), records)
