--- a/marlseam/emulators/discovery.py
+++ b/marlseam/emulators/discovery.py
@@ -180,7 +180,7 @@
         is_whole, entries = self.endpoint_list.answer_since(since)
         for notice in self.endpoint_list.departure_notices(node.name, is_whole, entries):
             self._records.add(
-                records.ServerStateHeard(
+                records.ServerStateNotified(
                     t=self.process.now(),
                     by=STREAM,
                     node=node.name,
--- a/marlseam/experiment/capacity.py
+++ b/marlseam/experiment/capacity.py
@@ -16,7 +16,7 @@
 from marlseam.experiment.sockets import SocketDriver, SocketOptions
 from marlseam.load.process import arrivals_of
 from marlseam.load.tally import TallySummary
-from marlseam.load.verdict import Counted, merge
+from marlseam.load.verdict import MergedCounts, merge
 from marlseam.simulation.model import Count, Positive, Share, Strict
 
 MIN_PROFILED_RATE = 50.0  # requests per second
@@ -80,7 +80,7 @@
     rate: float
     seconds: float
     figures: Mapping[str, float]
-    counted: Counted
+    counted: MergedCounts
     node_cpu_s: float
 
     @property
--- a/marlseam/experiment/charts.py
+++ b/marlseam/experiment/charts.py
@@ -24,14 +24,14 @@
 MIN_OPACITY = 0.15
 
 
-class KeyEntry(NamedTuple):
+class LegendEntry(NamedTuple):
     """An entry of a chart's legend; the colour is the name of a CSS variable of the report's style."""
 
     colour: str
     text: str
 
 
-ANSWER_COLOURS = (KeyEntry("d", "completed"), KeyEntry("b", "deferred"), KeyEntry("c", "aborted"))
+ANSWER_COLOURS = (LegendEntry("d", "completed"), LegendEntry("b", "deferred"), LegendEntry("c", "aborted"))
 
 
 class Percentile(NamedTuple):
@@ -143,7 +143,7 @@
     return f'<text x="{x_px:.1f}" y="{HEIGHT - 8}" text-anchor="middle">{label}</text>'
 
 
-def key(*entries: KeyEntry) -> str:
+def legend(*entries: LegendEntry) -> str:
     """Return a chart's legend as an HTML paragraph."""
     marks = (f'<i style="background:var(--{entry.colour})"></i>{escape(entry.text)}' for entry in entries)
     return f'<p class="key">{"".join(marks)}</p>'
@@ -175,7 +175,7 @@
         chart.draw_line(midpoints, counts[how].astype(float), colour)
     return [
         "<h2>Arrivals and answers a second</h2>",
-        key(KeyEntry("a", "arrived"), *ANSWER_COLOURS),
+        legend(LegendEntry("a", "arrived"), *ANSWER_COLOURS),
         chart.svg("arrivals and answers"),
     ]
 
@@ -210,7 +210,7 @@
         chart.draw_line(np.arange(seconds) + 0.5, values, colour)
     return [
         "<h2>Latency from the intended send, ms, by the second of that send</h2>",
-        key(*(KeyEntry(colour, name) for _, colour, name in LATENCY_PERCENTILES)),
+        legend(*(LegendEntry(colour, name) for _, colour, name in LATENCY_PERCENTILES)),
         chart.svg("latency"),
     ]
 
--- a/marlseam/experiment/cluster_nodes.py
+++ b/marlseam/experiment/cluster_nodes.py
@@ -14,7 +14,7 @@
 from marlseam.experiment.sockets import NodeConfiguration
 from marlseam.store.ledger_writer import create_ledger
 
-WALL_CLOCK_STEP_MS = 3.6e6  # how far the wall clock of a node with wrong clocks is ahead or behind
+WALL_CLOCK_OFFSET_MS = 3.6e6  # how far the wall clock of a node with wrong clocks is ahead or behind
 
 
 class ClusterNodes:
@@ -95,8 +95,8 @@
         rate = self._table.clocks.get(name)
         if rate is None:
             return {}
-        step_ms = WALL_CLOCK_STEP_MS * (-1) ** self.fault_counts[name]
-        return {clocks.CLOCKS_VARIABLE: f"{rate} {step_ms}"}
+        offset_ms = WALL_CLOCK_OFFSET_MS * (-1) ** self.fault_counts[name]
+        return {clocks.CLOCKS_VARIABLE: f"{rate} {offset_ms}"}
 
     def settings(self, name: str) -> NodeConfiguration:
         """Return the keys that are added to a node's configuration, and its operator settings as TOML."""
--- a/marlseam/experiment/config_change_nodes.py
+++ b/marlseam/experiment/config_change_nodes.py
@@ -53,8 +53,8 @@
         show_progress: called with progress texts.
         names: the names of the nodes; the first `MAX_VOTERS` are voters.
         loopback_nodes: the processes of the nodes.
-        reserved_sockets: sockets that keep the operators' ports reserved until the nodes listen on them.
-        admin_addresses: the addresses for operators, by node.
+        reserved_sockets: sockets that keep the admin addresses reserved until the nodes listen on them.
+        admin_addresses: the admin addresses (`HOST:PORT`), by node.
         read_bytes: the number of bytes of each node's log read so far.
         applied_at_s: when a log was first read that shows a version as applied, by node and version, as
             monotonic time.
@@ -88,7 +88,7 @@
         self.loopback_nodes.start(name, config | {"admin": self.admin_addresses[name]}, operator_settings)
 
     def reserve_admin_address(self) -> str:
-        """Return an address for operators, reserved by a socket that is bound but does not listen."""
+        """Return an admin address, reserved by a socket that is bound but does not listen."""
         reserving = socket.socket()
         reserving.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         reserving.bind(("127.0.0.1", 0))
--- a/marlseam/experiment/durable_state_run.py
+++ b/marlseam/experiment/durable_state_run.py
@@ -13,7 +13,7 @@
 from marlseam.experiment.sockets import SocketDriver, SocketOptions
 from marlseam.load.process import arrivals_of
 from marlseam.load.tally import TallySummary
-from marlseam.load.verdict import Counted, merge
+from marlseam.load.verdict import MergedCounts, merge
 from marlseam.simulation.model import Day
 from marlseam.store.state_directory import create_state
 from marlseam.verification.run_records import RunRecords
@@ -53,7 +53,7 @@
     result: RunResult
     verdict: Verdict
     run_records: RunRecords
-    counted: Counted
+    counted: MergedCounts
     driver: SocketDriver
 
     def double_effects(self) -> list[Violation]:
--- a/marlseam/experiment/generator_plays.py
+++ b/marlseam/experiment/generator_plays.py
@@ -16,7 +16,7 @@
 from marlseam.experiment.sockets import START_LEAD_S
 from marlseam.load.process import arrivals_of
 from marlseam.load.tally import HistogramName, TallySummary
-from marlseam.load.verdict import Counted, merge
+from marlseam.load.verdict import MergedCounts, merge
 from marlseam.simulation.model import Count, Day, Positive, Strict
 
 GENERATOR_START_S = 60.0  # time limit for a generator to plan its day and report that it is ready
@@ -53,7 +53,7 @@
     connections: int = 0
     stalls: tuple[Stall, ...] = ()
 
-    def run(self) -> Counted:
+    def run(self) -> MergedCounts:
         """Send the requests of the day; return the merged counts of the generators."""
         for name in ("records", "logs"):
             (self.out / name).mkdir(parents=True, exist_ok=True)
@@ -168,7 +168,7 @@
     return RunResult(figures, tables=[("A stall of the node, ms", rows)], driver="sockets, stand-in node")
 
 
-def pause_rows(table: Pause, counted: Counted, expected: float) -> list[list[str]]:
+def pause_rows(table: Pause, counted: MergedCounts, expected: float) -> list[list[str]]:
     """Return table rows of the latencies from intended and actual sends, and of the values expected."""
     names: tuple[HistogramName, ...] = ("intended", "actual")
     rows = [["counted from", "p50", "p99", "most", f"share over {table.over_ms:g} ms"]]
@@ -220,7 +220,9 @@
     return RunResult(figures, tables=[("What generators sustain", rows)], driver="sockets, stand-in nodes")
 
 
-def send_at_rate(experiment: Experiment, table: Rates, rate: float, processes: int, out: Path) -> Counted:
+def send_at_rate(
+    experiment: Experiment, table: Rates, rate: float, processes: int, out: Path
+) -> MergedCounts:
     """Send requests at a total rate from `processes` generators to as many nodes; return merged counts."""
     load = msgspec.structs.replace(experiment.day.load, rate=rate)
     day = msgspec.structs.replace(experiment.day, seconds=table.seconds, load=load)
--- a/marlseam/experiment/processes.py
+++ b/marlseam/experiment/processes.py
@@ -27,7 +27,7 @@
     """A process of the experiment failed, which ends the run."""
 
 
-class ProcessSilentError(RunFailedError):
+class ProcessTimeoutError(RunFailedError):
     """A process printed no line within the timeout.
 
     Attributes:
@@ -131,13 +131,13 @@
     def read_json(self, timeout_s: float = READY_TIMEOUT_S) -> Any:  # noqa: ANN401 - any JSON value
         """Return the next line of the process's output, parsed as JSON.
 
-        Raises ProcessSilentError if no line arrives within the timeout, ProcessEndedError if the output ends.
+        Raises ProcessTimeoutError if no line arrives within `timeout_s`, ProcessEndedError if the output ends.
         """
         text, end_s = b"", time.monotonic() + timeout_s
         while not text.endswith(b"\n"):
             remaining_s = end_s - time.monotonic()
             if remaining_s <= 0.0 or not select.select([self._output], [], [], remaining_s)[0]:
-                raise ProcessSilentError(self._command, timeout_s)
+                raise ProcessTimeoutError(self._command, timeout_s)
             chunk = os.read(self._output.fileno(), READ_BYTES)
             if not chunk:
                 raise ProcessEndedError(self._command, self.tail())
--- a/marlseam/experiment/sizing/endpoint_list/discovery_server.py
+++ b/marlseam/experiment/sizing/endpoint_list/discovery_server.py
@@ -13,7 +13,7 @@
 APPLY_TIMEOUT_S = 60.0
 
 
-class NotTakenInError(RunFailedError):
+class ListNotAppliedError(RunFailedError):
     """Not all nodes applied a version of the endpoint list within `APPLY_TIMEOUT_S`.
 
     Attributes:
@@ -85,7 +85,7 @@
     def publish(self, change: Callable[[], None], whole: bool, nodes: int) -> float:
         """Change the list, and return the time in ms until all `nodes` nodes have applied the change.
 
-        `whole`: watches are answered with the whole list, not with the changes. Raises NotTakenInError.
+        `whole`: watches are answered with the whole list, not with the changes. Raises ListNotAppliedError.
         """
         with self._changed:
             self._source.sends_whole_list = whole
@@ -99,12 +99,12 @@
         return 1000.0 * (max(self._called_s.values()) - began_s)
 
     def wait_until_applied(self, version: int, nodes: int) -> None:
-        """Wait until `nodes` nodes hold a version or a newer one; raises NotTakenInError."""
+        """Wait until `nodes` nodes hold a version or a newer one; raises ListNotAppliedError."""
         end_s = time.monotonic() + APPLY_TIMEOUT_S
         with self._changed:
             while self._holder_count(version) < nodes:
                 if not self._changed.wait(end_s - time.monotonic()):
-                    raise NotTakenInError(version, self._holder_count(version), nodes)
+                    raise ListNotAppliedError(version, self._holder_count(version), nodes)
 
     def serve(self, connection: socket.socket, connection_id: int) -> None:
         """Answer one node's calls.
--- a/marlseam/experiment/slope_chart.py
+++ b/marlseam/experiment/slope_chart.py
@@ -12,10 +12,10 @@
     RIGHT,
     TOP,
     WIDTH,
-    KeyEntry,
+    LegendEntry,
     drawing,
     grid_line,
-    key,
+    legend,
     x_axis_label,
 )
 from marlseam.experiment.slope import Slope
@@ -70,7 +70,7 @@
     parts.append(fitted_line(scales, slope))
     parts += points(scales, slope)
     title = f"{slope.name}, {slope.unit}, by {slope.by} ({slope.how})"
-    return f"<h2>{escape(title)}</h2>{slope_key(slope)}{drawing(HEIGHT, title, parts)}"
+    return f"<h2>{escape(title)}</h2>{slope_legend(slope)}{drawing(HEIGHT, title, parts)}"
 
 
 def axes(scales: LogScales, sizes: list[float]) -> list[str]:
@@ -111,13 +111,13 @@
     ]
 
 
-def slope_key(slope: Slope) -> str:
-    """Return the key of the chart's colours."""
+def slope_legend(slope: Slope) -> str:
+    """Return the legend of the chart as an HTML paragraph."""
     fit = slope.fit
     entries = [
-        KeyEntry("d", "found"),
-        KeyEntry("a", f"{fit.a:.4g} + {fit.b:.4g} N, largest miss {fit.max_relative_error:.0%}"),
+        LegendEntry("d", "found"),
+        LegendEntry("a", f"{fit.a:.4g} + {fit.b:.4g} N, largest miss {fit.max_relative_error:.0%}"),
     ]
     if slope.bound:
-        entries.append(KeyEntry("c", "bound"))
-    return key(*entries)
+        entries.append(LegendEntry("c", "bound"))
+    return legend(*entries)
--- a/marlseam/experiment/sockets/driver.py
+++ b/marlseam/experiment/sockets/driver.py
@@ -86,7 +86,7 @@
         self._group = ProcessGroup()
         self._emulators = EmulatorProcesses(day, seed, out, options, self._group)
         self.node_processes = NodeProcesses(day, seed, out, options, self._group)
-        rules = fleet.rules(day, DELIVERY_SLACK_MS)
+        rules = fleet.rule_settings(day, DELIVERY_SLACK_MS)
         self.recorder = DriverRecorder(RecordStreams(out / "records", "driver", rules))
         self._zones = dict(placed_nodes(day))
         self._restarts: list[PendingRestart] = []
--- a/marlseam/experiment/virtual/clients.py
+++ b/marlseam/experiment/virtual/clients.py
@@ -56,7 +56,7 @@
         node, arrival = client_try.node, client_try.client.arrival
         if not (client_try.is_open and node.is_running(client_try.generation)):
             return
-        deadline_ms = client_try.client.expires + self._world.links.figures.client_ms
+        deadline_ms = client_try.client.expires + self._world.links.settings.client_ms
         request = Request(client_try.id, arrival.type, deadline_ms, arrival.slots, resource_key=arrival.key)
         self._nodes.post(node, core.RequestArrived(request))
 
--- a/marlseam/experiment/virtual/discovery.py
+++ b/marlseam/experiment/virtual/discovery.py
@@ -88,7 +88,7 @@
         node.list_version, node.last_update_ms = self.endpoints.version(), world.now_ms
         for server, state in self.endpoints.departure_notices(node.name, is_whole, entries):
             world.discovery_records.add(
-                records.ServerStateHeard(
+                records.ServerStateNotified(
                     t=world.now_ms, by="roster", node=node.name, executor=server, state=state.value
                 )
             )
--- a/marlseam/experiment/virtual/driver.py
+++ b/marlseam/experiment/virtual/driver.py
@@ -92,7 +92,7 @@
         `arrivals` replaces the arrivals planned from the day and the seed.
         """
         if arrivals is None:
-            arrivals = plan.make(self.day, self.world.seed, faults.surges(self.schedule))
+            arrivals = plan.make_arrivals(self.day, self.world.seed, faults.surges(self.schedule))
         queue = self.world.queue
         for node in self.world.nodes.values():
             self._lifecycle.start(node)
--- a/marlseam/experiment/virtual/world.py
+++ b/marlseam/experiment/virtual/world.py
@@ -39,7 +39,7 @@
         self.queue = EventQueue()
         self.links = Links(day.network, random_stream(seed, "network"))
         self.streams = streams
-        streams.rules = fleet.rules(day, self.delivery_slack_ms)
+        streams.rules = fleet.rule_settings(day, self.delivery_slack_ms)
         self.driver_records = self._begin_stream("driver", "driver")
         self.client_records = self._begin_stream("clients", "clients")
         self.network_records = self._begin_stream("network", "network")
--- a/marlseam/load/process.py
+++ b/marlseam/load/process.py
@@ -21,7 +21,7 @@
     """Return a day's arrivals, drawn from the seed or read from the day's trace; raise TraceError."""
     if day.load.shape == "trace":
         return trace.load(Path(day.load.trace), day)
-    return plan.make(day, seed, faults.surges(faults.schedule(day, seed)))
+    return plan.make_arrivals(day, seed, faults.surges(faults.schedule(day, seed)))
 
 
 def summary(tally: Tally) -> TallySummary:
--- a/marlseam/load/verdict.py
+++ b/marlseam/load/verdict.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class Counted:
+class MergedCounts:
     """The merged counts of all generators of a run.
 
     Attributes:
@@ -57,7 +57,7 @@
         return over / total if total else 0.0
 
 
-def merge(counts: list[TallySummary], planned: int) -> Counted:
+def merge(counts: list[TallySummary], planned: int) -> MergedCounts:
     """Merge the counts of several generators; `planned` is the number of sends in the plan."""
     histograms = {name: new_histogram() for name in HISTOGRAM_NAMES}
     refused: dict[str, int] = {}
@@ -67,7 +67,7 @@
         for reason, unsent in count["refused"].items():
             refused[reason] = refused.get(reason, 0) + unsent
     latencies_ms = {name: _percentiles_ms(histogram) for name, histogram in histograms.items()}
-    return Counted(
+    return MergedCounts(
         planned=planned,
         sent=sum(count["sent"] for count in counts),
         intended=latencies_ms["intended"],
@@ -85,7 +85,7 @@
     return {p: histogram.get_value_at_percentile(p) / 1000.0 for p in PERCENTILES}
 
 
-def table(counted: Counted) -> str:
+def table(counted: MergedCounts) -> str:
     """Return the counts as a text table for display."""
     rows = [f"{counted.sent} sent of {counted.planned} planned (retries included)"]
     rows.append(
--- a/marlseam/records.py
+++ b/marlseam/records.py
@@ -180,7 +180,7 @@
 # Endpoint list, network, driver.
 
 
-class ServerStateHeard(Record, tag="told"):
+class ServerStateNotified(Record, tag="told"):
     """The endpoint list notified a node of a server's state: ready, draining or gone."""
 
     node: str
@@ -237,7 +237,7 @@
     | ServerStarted
     | ServerOverloaded
     | EndpointListCalled
-    | ServerStateHeard
+    | ServerStateNotified
     | LinkChanged
     | FaultBegan
     | NodeStateChanged
--- a/marlseam/simulation/clients.py
+++ b/marlseam/simulation/clients.py
@@ -53,10 +53,10 @@
         early_ms = now_ms + EARLY_LEAVE_IN_OBJECTIVES * self.promised
         return min(self.expires, early_ms) if self.arrival.leaves else self.expires
 
-    def wait(self, now_ms: float, how: str, advice_ms: float, rng: np.random.Generator) -> float | None:
+    def wait(self, now_ms: float, how: str, retry_after_ms: float, rng: np.random.Generator) -> float | None:
         """Draw the wait before the next try in ms, or return None where the client makes no further try.
 
-        `how` is the outcome of the last try as in `TryAnswered`; `advice_ms` is the Retry-After of its
+        `how` is the outcome of the last try as in `TryAnswered`; `retry_after_ms` is the Retry-After of its
         answer, a lower bound of the wait if this client honours it. The wait doubles with each try and has a
         random factor in [0.5, 1.5).
         """
@@ -64,7 +64,7 @@
             return None
         wait_ms: float = self.settings.wait_ms * 2.0 ** (self.tries - 1) * (0.5 + rng.random())
         if self.arrival.honours:
-            wait_ms = max(wait_ms, advice_ms)
+            wait_ms = max(wait_ms, retry_after_ms)
         return wait_ms if now_ms + wait_ms < self.expires else None
 
     def _may_retry(self, how: str) -> bool:
--- a/marlseam/simulation/fleet.py
+++ b/marlseam/simulation/fleet.py
@@ -57,7 +57,7 @@
     )
 
 
-def rules(day: Day, slack_ms: float) -> dict[str, Any]:
+def rule_settings(day: Day, slack_ms: float) -> dict[str, Any]:
     """Return the settings of the rules for a day, for the first record of the driver's stream.
 
     `slack_ms` is by how much two records may appear out of order.
--- a/marlseam/simulation/network.py
+++ b/marlseam/simulation/network.py
@@ -21,15 +21,15 @@
     """The state of the links between zones and to servers.
 
     Attributes:
-        figures: the settings of delays and jitter.
+        settings: the settings of delays and jitter.
         cut_zones: the number of active cuts that separate a zone from all others, by zone.
         silent: the number of active faults that make a server unreachable, by name.
         slow: the zones with slow links, once for each active fault.
     """
 
-    def __init__(self, figures: Network, rng: np.random.Generator) -> None:
+    def __init__(self, settings: Network, rng: np.random.Generator) -> None:
         """Make a network without cuts; `rng` draws jitter and losses."""
-        self.figures, self._rng = figures, rng
+        self.settings, self._rng = settings, rng
         self.cut_zones: dict[str, int] = {}
         self.silent: dict[str, int] = {}
         self.slow: list[SlowZone] = []
@@ -38,7 +38,7 @@
     def jitter(self) -> float:
         """Draw a factor of 1 plus an exponential part with the mean of the setting `jitter`."""
         if not self._jitter_draws:
-            scale = self.figures.jitter
+            scale = self.settings.jitter
             self._jitter_draws = self._rng.exponential(scale, JITTER_DRAWS).tolist() if scale else [0.0]
         return 1.0 + self._jitter_draws.pop()
 
@@ -51,7 +51,7 @@
     def delay(self, zone: str, other_zone: str) -> float:
         """Draw the one-way delay of a message between two zones, in ms."""
         added_ms = sum(slow.added_ms for slow in self._slow_zones_between(zone, other_zone))
-        usual_ms = self.figures.same_ms if zone == other_zone else self.figures.cross_ms
+        usual_ms = self.settings.same_ms if zone == other_zone else self.settings.cross_ms
         return usual_ms * self.jitter() + added_ms
 
     def is_lost(self, zone: str, other_zone: str) -> bool:
@@ -70,7 +70,7 @@
 
     def client_delay(self) -> float:
         """Draw the one-way delay of a message between a client and its node, in ms."""
-        return self.figures.client_ms * self.jitter()
+        return self.settings.client_ms * self.jitter()
 
     def is_reachable(self, zone: str, server: str, server_zone: str) -> bool:
         """Return whether a node in `zone` and a server can exchange messages."""
--- a/marlseam/simulation/plan.py
+++ b/marlseam/simulation/plan.py
@@ -62,7 +62,7 @@
     key: str | None = None
 
 
-def times(
+def arrival_times_ms(
     load: Load, seconds: float, seed: int, surges: Sequence[Surge] | None = None
 ) -> NDArray[np.float64]:
     """Return the intended times of a day's requests in ms, shape (n,).
@@ -100,9 +100,9 @@
     return rate
 
 
-def make(day: Day, seed: int, surges: Sequence[Surge] | None = None) -> list[Arrival]:
+def make_arrivals(day: Day, seed: int, surges: Sequence[Surge] | None = None) -> list[Arrival]:
     """Return a day's requests, sorted by their intended times."""
-    at_ms = times(day.load, day.seconds, seed, surges)
+    at_ms = arrival_times_ms(day.load, day.seconds, seed, surges)
     count = len(at_ms)
     # The order of these draws must not change: it determines the arrivals of each seed.
     rng = random_stream(seed, "plan")
--- a/marlseam/verification/rules.py
+++ b/marlseam/verification/rules.py
@@ -18,7 +18,7 @@
     ClientLeft,
     Record,
     ServerOverloaded,
-    ServerStateHeard,
+    ServerStateNotified,
     TrySent,
 )
 from marlseam.verification.run_records import RunRecords, find_gaps
@@ -190,7 +190,7 @@
 
 
 def _leaving_known_since(
-    notices: Sequence[ServerStateHeard], until_ms: float, gone_binds: bool
+    notices: Sequence[ServerStateNotified], until_ms: float, gone_binds: bool
 ) -> float | None:
     """Return when a node was first notified that a server leaves, in ms; None if the server is ready.
 
--- a/marlseam/verification/run_records.py
+++ b/marlseam/verification/run_records.py
@@ -14,7 +14,7 @@
     ClientLeft,
     NodeStateChanged,
     Record,
-    ServerStateHeard,
+    ServerStateNotified,
     StreamBegan,
     StreamEnded,
     TryAnswered,
@@ -99,7 +99,7 @@
         self.attempt_ends: dict[str, list[AttemptRefused | AttemptEnded | AttemptCancelled]] = defaultdict(
             list
         )
-        self.state_notices: dict[tuple[str, str], list[ServerStateHeard]] = defaultdict(list)
+        self.state_notices: dict[tuple[str, str], list[ServerStateNotified]] = defaultdict(list)
         self.node_kills: dict[str, list[float]] = defaultdict(list)
         self.node_pauses: dict[str, list[NodePause]] = defaultdict(list)
         for record in self.records:
@@ -124,7 +124,7 @@
                 self.runs[record.id].append(record)
             case AttemptRefused() | AttemptEnded() | AttemptCancelled():
                 self.attempt_ends[record.id].append(record)
-            case ServerStateHeard():
+            case ServerStateNotified():
                 self.state_notices[record.node, record.executor].append(record)
             case NodeStateChanged():
                 self._index_node_state(record)
--- a/tests/effects_digest.py
+++ b/tests/effects_digest.py
@@ -155,7 +155,7 @@
 
     tables = dict(DAYS[name])
     rate = tables.pop("rate", 15.0)
-    worlds.played(worlds.day(8.0, rate, **tables), 3, DigestedReducer)
+    worlds.run_day(worlds.day(8.0, rate, **tables), 3, DigestedReducer)
     return digest.result()
 
 
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 from click.testing import CliRunner, Result
-from worlds import KINDS, TYPES, day, played
+from worlds import KINDS, TYPES, day, run_day
 
 from marlseam.__main__ import main
 from marlseam.experiment import compare, file, plays, policy_comparison, registered_plays
@@ -203,7 +203,7 @@
 
 @pytest.mark.parametrize("name", POLICIES)
 def test_each_policy_keeps_the_rules_in_the_simulation(name):
-    verdict, _, figures, _ = played(day(seconds=8.0, rate=15.0), make_reducer=POLICIES[name])
+    verdict, _, figures, _ = run_day(day(seconds=8.0, rate=15.0), make_reducer=POLICIES[name])
     assert verdict.is_judged
     assert not verdict.violation_count
     assert figures["service"] > 0.4
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -2,7 +2,7 @@
 
 import msgspec
 import pytest
-from worlds import TYPES, day, played
+from worlds import TYPES, day, run_day
 
 from marlseam import records
 from marlseam.core import Reducer
@@ -136,8 +136,8 @@
 @pytest.mark.parametrize("name", DEFECTS)
 def test_a_planted_defect_violates_its_rule_and_a_correct_dispatcher_none(name):
     violated_rule, make_reducer, changes = DEFECTS[name]
-    assert not played(day(**changes)).verdict.violation_count
-    verdict, run_records, _, _ = played(day(**changes), make_reducer=make_reducer)
+    assert not run_day(day(**changes)).verdict.violation_count
+    verdict, run_records, _, _ = run_day(day(**changes), make_reducer=make_reducer)
     violations = {rule.name: rule.violations for rule in verdict.rules}
     assert verdict.is_judged
     assert violations[violated_rule], {name: found[:2] for name, found in violations.items()}
@@ -268,7 +268,7 @@
 
 def test_a_send_to_a_draining_server_after_the_grace_violates_drains_kept_until_it_is_ready_again():
     notices = [
-        records.ServerStateHeard(t=t, by="roster", node="n0", executor="executors", state=state)
+        records.ServerStateNotified(t=t, by="roster", node="n0", executor="executors", state=state)
         for t, state in ((10.0, "draining"), (400.0, "ready"))
     ]
     for sent_ms, is_violation in ((100.0, False), (300.0, True), (500.0, False)):
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from worlds import day, played
+from worlds import day, run_day
 
 from marlseam.experiment.processes import ChildProcess
 from marlseam.load import generator as generator_module
@@ -56,7 +56,7 @@
 @pytest.mark.usefixtures("clock")
 def test_without_answers_tries_are_sent_within_1_ms_of_their_intended_times(monkeypatch):
     small_day = day(seconds=3.0, rate=100.0, **ONE_SERVER)
-    arrivals = plan.make(small_day, 1)
+    arrivals = plan.make_arrivals(small_day, 1)
     sent = []
     monkeypatch.setattr(
         Generator, "send", lambda generator, pending: sent.append((generator.now_ms(), pending.intended_ms))
@@ -69,7 +69,7 @@
 def test_a_burst_over_capacity_marks_lagged_seconds_and_the_run_as_not_valid(clock, monkeypatch):
     load = {"rate": 20.0, "shape": "burst", "to_rate": 500.0, "burst_at_s": 1.0, "burst_for_s": 1.0}
     small_day = day(seconds=4.0, load=load, **ONE_SERVER)
-    arrivals = plan.make(small_day, 1)
+    arrivals = plan.make_arrivals(small_day, 1)
 
     def send(_generator, _pending):
         clock.now += 0.004  # 4 ms a send: the generator sustains 250 sends a second
@@ -85,7 +85,7 @@
 
 def test_tries_on_refused_connections_are_counted_as_unsent_and_retried_and_the_run_ends():
     small_day = day(seconds=0.2, rate=100.0, clients={"tries": 2, "wait_ms": 1.0}, **ONE_SERVER)
-    arrivals = plan.make(small_day, 1)
+    arrivals = plan.make_arrivals(small_day, 1)
     generator = make_generator(small_day, arrivals)
     counted = merge([summary(generator.run(time.monotonic()))], len(arrivals))
     written = generator.writer.records
@@ -98,7 +98,7 @@
 
 def test_a_lack_of_descriptors_makes_the_run_not_valid():
     small_day = day(seconds=0.1, rate=100.0, clients={"tries": 1}, **ONE_SERVER)
-    arrivals = plan.make(small_day, 1)
+    arrivals = plan.make_arrivals(small_day, 1)
     generator = make_generator(small_day, arrivals)
     generator.max_descriptors = 0
     counted = merge([summary(generator.run(time.monotonic()))], len(arrivals))
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize("connections", [0, 1])
 def test_all_tries_are_completed_and_counted_with_one_connection_or_without_limit(echo, connections):
     small_day = day(seconds=0.3, rate=400.0, **ONE_SERVER)
-    arrivals = plan.make(small_day, 1)
+    arrivals = plan.make_arrivals(small_day, 1)
     generator = make_generator(small_day, arrivals, echo, connections)
     counted = merge([summary(generator.run(time.monotonic()))], len(arrivals))
     assert counted.sent == len(arrivals) == counted.histograms["intended"].get_total_count()
@@ -185,8 +185,8 @@
 
 def test_a_trace_written_from_records_can_be_loaded_with_all_its_tries(tmp_path):
     small_day = day(seconds=4.0, rate=40.0, clients={"tries": 3, "wait_ms": 20.0})
-    arrivals = plan.make(small_day, 1)
-    run_records = played(small_day).records
+    arrivals = plan.make_arrivals(small_day, 1)
+    run_records = run_day(small_day).records
     for retries in (False, True):
         path = Path(tmp_path / "t.jsonl")
         path.write_bytes(b"".join(trace.trace_lines(run_records, arrivals, retries)))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -9,7 +9,7 @@
     ChildProcess,
     NodeFailedError,
     ProcessEndedError,
-    ProcessSilentError,
+    ProcessTimeoutError,
     RunFailedError,
 )
 
@@ -41,7 +41,7 @@
     process = ChildProcess(["standin", "echo"], tmp_path / "log")
     process.read_json()
     assert not process.has_output()
-    with pytest.raises(ProcessSilentError, match="^standin echo printed no line within 0.01 s$") as error:
+    with pytest.raises(ProcessTimeoutError, match="^standin echo printed no line within 0.01 s$") as error:
         process.read_json(0.01)
     assert (error.value.command, error.value.waited_s) == ("standin echo", 0.01)
     process.end()
@@ -63,4 +63,4 @@
         "was not ready within 20 s",
     )
     assert issubclass(ProcessEndedError, RunFailedError)
-    assert issubclass(ProcessSilentError, RunFailedError)
+    assert issubclass(ProcessTimeoutError, RunFailedError)
--- a/tests/test_simulated_clients.py
+++ b/tests/test_simulated_clients.py
@@ -87,11 +87,11 @@
     ],
 )
 def test_even_arrivals_follow_the_shape_of_the_load(load, arrivals_by_second):
-    counts, _ = np.histogram(plan.times(load, 4.0, 1), bins=[0, 1000, 2000, 3000, 4001])
+    counts, _ = np.histogram(plan.arrival_times_ms(load, 4.0, 1), bins=[0, 1000, 2000, 3000, 4001])
     assert np.abs(counts - np.array(arrivals_by_second)).max() <= 1
 
 
 def test_poisson_arrivals_have_the_mean_and_deviation_of_their_rate():
-    gaps_ms = np.diff(plan.times(Load(rate=200.0), 60.0, 3))
+    gaps_ms = np.diff(plan.arrival_times_ms(Load(rate=200.0), 60.0, 3))
     assert gaps_ms.mean() == pytest.approx(5.0, rel=0.05)
     assert gaps_ms.std() == pytest.approx(5.0, rel=0.1)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -5,7 +5,7 @@
 import sys
 
 import pytest
-from worlds import day, played
+from worlds import day, run_day
 
 from marlseam.core import EndpointEntry
 from marlseam.decisions.types import EndpointState
@@ -61,7 +61,7 @@
 def test_no_rule_is_violated_on_a_day_with_any_one_fault(fault):
     size = {"errors": 0.8, "neighbour": 0.5, "late_reports": 2.0}.get(fault, 3.0)
     settings = day(troubles=[Fault(what=fault, at_s=4.0, for_s=4.0, share=0.25, size=size)])
-    verdict, _, figures, _ = played(settings)
+    verdict, _, figures, _ = run_day(settings)
     violations = [rule.violations[:2] for rule in verdict.rules]
     assert verdict.is_judged, violations
     assert not verdict.violation_count, violations
@@ -72,16 +72,16 @@
 
 def encoded_records(settings, seed):
     """Play a day in virtual time; return all its records as lines of JSON."""
-    *_, records = played(settings, seed)
+    *_, records = run_day(settings, seed)
     return b"\n".join(ENCODER.encode(record) for record in records)
 
 
 def test_the_same_seed_gives_the_same_bytes_in_every_process():
     settings = day(seconds=5.0, drawn={"count": 2})
     script = (
-        "import sys; sys.path.insert(0, 'tests'); from worlds import day, played;"
+        "import sys; sys.path.insert(0, 'tests'); from worlds import day, run_day;"
         "from marlseam.records import ENCODER;"
-        "*_, records = played(day(seconds=5.0, drawn={'count': 2}), 4);"
+        "*_, records = run_day(day(seconds=5.0, drawn={'count': 2}), 4);"
         "sys.stdout.buffer.write(b'\\n'.join(ENCODER.encode(record) for record in records))"
     )
     own_bytes = encoded_records(settings, 4)
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -39,8 +39,8 @@
 ]
 
 
-class PlayedDay(NamedTuple):
-    """A day run in virtual time: the judge's verdict, the judge's input, the figures and the records."""
+class DayResult(NamedTuple):
+    """The result of a day in virtual time: the verdict and index of the verification, figures, records."""
 
     verdict: Verdict
     run_records: RunRecords
@@ -55,10 +55,10 @@
     return msgspec.convert(standard | tables, Day)
 
 
-def played(day: Day, seed: int = 1, make_reducer: Callable[[], Reducer] = Reducer) -> PlayedDay:
-    """Run a day in virtual time, with a reducer from `make_reducer` for each node; judge its records."""
+def run_day(day: Day, seed: int = 1, make_reducer: Callable[[], Reducer] = Reducer) -> DayResult:
+    """Run a day in virtual time, with a reducer from `make_reducer` for each node; check its records."""
     streams = RecordStreams(None, "driver")
     VirtualDriver(day, seed, streams, make_reducer).run()
     records = [record for writer in streams.writers.values() for record in writer.records]
     verdict, run_records = judge(records)
-    return PlayedDay(verdict, run_records, figures(run_records), records)
+    return DayResult(verdict, run_records, figures(run_records), records)
