--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -110,7 +110,7 @@
 
 @click.command()
 @click.argument("folders", nargs=-1, type=FOLDER)
-@click.option("--at", "address", help="Control address of a node on this machine: also read its ledger.")
+@click.option("--at", "address", help="Admin address of a node on this machine: also read its ledger.")
 @click.option("--node", help="Show this node only.")
 @click.option(
     "--since", "since_s", type=float, help="Show only intervals that reach into the last so many seconds."
--- a/marlseam/cli/control_client.py
+++ b/marlseam/cli/control_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls to a node's control address."""
+"""HTTP calls to a node's admin address."""
 
 import http.client
 import json
@@ -18,7 +18,7 @@
 
 
 def call(address: str, method: str, path: str, body: bytes = b"") -> ControlAnswer:
-    """Send a request to a node's control address and return the answer.
+    """Send a request to a node's admin address and return the answer.
 
     Raises ClickException on a socket error, a wait over TIMEOUT_S, or a response that is not valid HTTP.
     """
@@ -38,7 +38,7 @@
     status, body = call(address, "GET", "/control/fleet")
     if status != 200:
         raise click.ClickException(
-            f"{address}: HTTP status {status}, expected 200 from the control address of a node in a fleet"
+            f"{address}: HTTP status {status}, expected 200 from the admin address of a node in a fleet"
         )
     found: dict[str, Any] = json.loads(body)
     return found
--- a/marlseam/cli/fleet.py
+++ b/marlseam/cli/fleet.py
@@ -48,9 +48,7 @@
 
 
 @group.command()
-@click.option(
-    "--at", "addresses", multiple=True, required=True, help="Control address of a node; may repeat."
-)
+@click.option("--at", "addresses", multiple=True, required=True, help="Admin address of a node; may repeat.")
 @click.option("--json", "raw", is_flag=True, help="Print the nodes' JSON, one line per node.")
 def status(addresses: tuple[str, ...], *, raw: bool) -> None:
     """Show the members of the fleet as each given node sees them.
@@ -145,7 +143,7 @@
 
 @group.command()
 @click.argument("file", type=click.Path(path_type=Path, dir_okay=False, exists=True))
-@click.option("--at", "address", required=True, help="Control address of a node.")
+@click.option("--at", "address", required=True, help="Admin address of a node.")
 @click.option("--why", required=True, help="Reason for the version, up to 160 characters.")
 @click.option(
     "--voters", help="Voters on the version after this one, separated by commas; unchanged by default."
@@ -235,13 +233,13 @@
     """
     name = fleet_status(address)["by"]
     if name != node:
-        raise click.ClickException(f"{address} is the control address of {name}, expected that of {node}")
+        raise click.ClickException(f"{address} is the admin address of {name}, expected that of {node}")
     click.echo(post(address, path, why.encode()).strip())
 
 
 @group.command()
 @click.argument("node")
-@click.option("--at", "address", required=True, help="Control address of NODE.")
+@click.option("--at", "address", required=True, help="Admin address of NODE.")
 @click.option("--why", required=True, help="Reason, up to 160 characters.")
 def out(node: str, address: str, why: str) -> None:
     """Take NODE out of service until `fleet in`; restarts do not change that."""
@@ -250,7 +248,7 @@
 
 @group.command("in")
 @click.argument("node")
-@click.option("--at", "address", required=True, help="Control address of NODE.")
+@click.option("--at", "address", required=True, help="Admin address of NODE.")
 def back(node: str, address: str) -> None:
     """Return NODE to service after `fleet out`."""
     post_to_node(node, address, "/control/fleet/in", "")
--- a/marlseam/experiment/processes.py
+++ b/marlseam/experiment/processes.py
@@ -131,7 +131,7 @@
     def read_json(self, timeout_s: float = READY_TIMEOUT_S) -> Any:  # noqa: ANN401 - any JSON value
         """Return the next line of the process's output, parsed as JSON.
 
-        Raises ProcessTimeoutError if no line arrives within `timeout_s`, ProcessEndedError if the output ends.
+        Raises ProcessTimeoutError if no line arrives within `timeout_s`, ProcessEndedError at end of output.
         """
         text, end_s = b"", time.monotonic() + timeout_s
         while not text.endswith(b"\n"):
