--- a/marlseam/experiment/charts.py
+++ b/marlseam/experiment/charts.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 from marlseam.records import AttemptReceived, FaultBegan
-from marlseam.verification.book import RunRecords
+from marlseam.verification.run_records import RunRecords
 from marlseam.verification.service import RequestOutcome, request_outcomes
 
 # Size of a drawing, and margins around its plot, in pixels.
@@ -24,14 +24,14 @@
 MIN_OPACITY = 0.15
 
 
-class KeyEntry(NamedTuple):
+class LegendEntry(NamedTuple):
     """An entry of a chart's legend; the colour is the name of a CSS variable of the report's style."""
 
     colour: str
     text: str
 
 
-ANSWER_COLOURS = (KeyEntry("d", "completed"), KeyEntry("b", "deferred"), KeyEntry("c", "aborted"))
+ANSWER_COLOURS = (LegendEntry("d", "completed"), LegendEntry("b", "deferred"), LegendEntry("c", "aborted"))
 
 
 class Percentile(NamedTuple):
@@ -143,22 +143,22 @@
     return f'<text x="{x_px:.1f}" y="{HEIGHT - 8}" text-anchor="middle">{label}</text>'
 
 
-def key(*entries: KeyEntry) -> str:
+def legend(*entries: LegendEntry) -> str:
     """Return a chart's legend as an HTML paragraph."""
     marks = (f'<i style="background:var(--{entry.colour})"></i>{escape(entry.text)}' for entry in entries)
     return f'<p class="key">{"".join(marks)}</p>'
 
 
-def day_charts(book: RunRecords) -> str:
+def day_charts(run_records: RunRecords) -> str:
     """Return the charts of a run as HTML: arrivals and answers, latencies, attempts received per server."""
-    outcomes, faults = request_outcomes(book), book.of_type(FaultBegan)
+    outcomes, faults = request_outcomes(run_records), run_records.of_type(FaultBegan)
     if not outcomes:
         return ""
     last_ms = max([outcome.first.intended for outcome in outcomes] + [fault.until for fault in faults])
     seconds = max(1, int(last_ms / 1000.0) + 1)
     parts = answers_chart(outcomes, faults, seconds)
     parts += latency_chart(outcomes, faults, seconds)
-    return "\n".join(parts) + attempts_chart(book, seconds)
+    return "\n".join(parts) + attempts_chart(run_records, seconds)
 
 
 def answers_chart(
@@ -175,7 +175,7 @@
         chart.draw_line(midpoints, counts[how].astype(float), colour)
     return [
         "<h2>Arrivals and answers a second</h2>",
-        key(KeyEntry("a", "arrived"), *ANSWER_COLOURS),
+        legend(LegendEntry("a", "arrived"), *ANSWER_COLOURS),
         chart.svg("arrivals and answers"),
     ]
 
@@ -210,7 +210,7 @@
         chart.draw_line(np.arange(seconds) + 0.5, values, colour)
     return [
         "<h2>Latency from the intended send, ms, by the second of that send</h2>",
-        key(*(KeyEntry(colour, name) for _, colour, name in LATENCY_PERCENTILES)),
+        legend(*(LegendEntry(colour, name) for _, colour, name in LATENCY_PERCENTILES)),
         chart.svg("latency"),
     ]
 
@@ -225,9 +225,9 @@
     return by_second
 
 
-def attempts_chart(book: RunRecords, seconds: int) -> str:
+def attempts_chart(run_records: RunRecords, seconds: int) -> str:
     """Draw the attempts received: one row per server, one cell per interval, darker for more attempts."""
-    received = book.of_type(AttemptReceived)
+    received = run_records.of_type(AttemptReceived)
     servers = sorted({record.by for record in received})[:MAX_SERVER_ROWS]
     if not servers:
         return ""
--- a/tests/worlds.py
+++ b/tests/worlds.py
@@ -9,8 +9,8 @@
 from marlseam.experiment.virtual import VirtualDriver
 from marlseam.records import Record, RecordStreams
 from marlseam.simulation.model import Day
-from marlseam.verification.book import RunRecords
 from marlseam.verification.rules import judge
+from marlseam.verification.run_records import RunRecords
 from marlseam.verification.service import figures
 from marlseam.verification.verdict import Verdict
 
@@ -39,11 +39,11 @@
 ]
 
 
-class PlayedDay(NamedTuple):
-    """A day run in virtual time: the judge's verdict, the judge's input, the figures and the records."""
+class DayResult(NamedTuple):
+    """The result of a day in virtual time: the verdict and index of the verification, figures, records."""
 
     verdict: Verdict
-    book: RunRecords
+    run_records: RunRecords
     figures: dict[str, float]
     records: list[Record]
 
@@ -55,10 +55,10 @@
     return msgspec.convert(standard | tables, Day)
 
 
-def played(day: Day, seed: int = 1, make_reducer: Callable[[], Reducer] = Reducer) -> PlayedDay:
-    """Run a day in virtual time, with a reducer from `make_reducer` for each node; judge its records."""
+def run_day(day: Day, seed: int = 1, make_reducer: Callable[[], Reducer] = Reducer) -> DayResult:
+    """Run a day in virtual time, with a reducer from `make_reducer` for each node; check its records."""
     streams = RecordStreams(None, "driver")
     VirtualDriver(day, seed, streams, make_reducer).run()
     records = [record for writer in streams.writers.values() for record in writer.records]
-    verdict, book = judge(records)
-    return PlayedDay(verdict, book, figures(book), records)
+    verdict, run_records = judge(records)
+    return DayResult(verdict, run_records, figures(run_records), records)
