--- a/marlseam/cluster/checking/quota_schedules.py
+++ b/marlseam/cluster/checking/quota_schedules.py
@@ -31,7 +31,9 @@
 LEASE_PERIODS = 10.0
 MAX_DISK_MS = 20.0  # longest time to write a record
 SAMPLE_MS = 100.0  # time between samples of demand, use and the sum of usable quota
-DEMAND_PHASE_PERIODS = 20.0  # time for which the demand stays on one member
+# How many protocol periods the high demand stays on one member before it moves to the next. Meanwhile each
+# other member has a tenth of an equal share of the limit as its demand.
+DEMAND_PHASE_PERIODS = 20.0
 PLAYED_PERIODS = 60.0  # time in which faults are injected
 MAX_FAULT_PERIODS = 40  # longest duration of a fault
 MIN_USED_SHARE = 0.95  # required use at the end, as a share of the demand that the limit can satisfy
@@ -184,7 +186,10 @@
 
 
 def demand_on_one(limit: float, nodes: int, name: str, shares: float) -> Callable[[str, float], float]:
-    """Return a demand function: `shares` equal shares on member `name`, a tenth of a share on each other."""
+    """Return a demand function, by member and time: `shares` equal shares of `limit` on member `name`.
+
+    Each other member has a demand of a tenth of an equal share.
+    """
     share = limit / nodes
     return lambda member, _now: shares * share if member == name else 0.1 * share
 
--- a/marlseam/cluster/replication/content.py
+++ b/marlseam/cluster/replication/content.py
@@ -26,7 +26,7 @@
 
 
 class InvalidContentError(ContentError):
-    """Raised for a content that cannot be used on this node."""
+    """Raised for the content of a version that cannot be used on this node."""
 
 
 class Content(msgspec.Struct):
@@ -114,8 +114,8 @@
     def part_of(key: str, value: Mapping[str, Any], before: "DigestedObject | None") -> "DigestedObject":
         """Return a nested object, reused from `before` if it is the identical object, else encoded."""
         part = before.parts.get(key) if before is not None else None
-        # Identity implies an equal encoding: settings are replaced, not changed in place, and changed
-        # settings share their unchanged objects with the earlier ones.
+        # The identical object has the same encoding, because settings are never changed in place, only
+        # replaced. Reuse is frequent, because changed settings share unchanged objects with the earlier ones.
         if part is not None and part.value is value:
             return part
         return DigestedObject(key, value, part)
@@ -163,11 +163,14 @@
 
 
 def read(data: bytes, members: frozenset[str]) -> Content:
-    """Decode a content, which may name these members; raises InvalidContentError."""
+    """Decode a content and check it; raises InvalidContentError.
+
+    `members` are those of the cluster, for a content that lists no members itself.
+    """
     try:
         found = DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise InvalidContentError(f"not a content: {error}"[:MAX_REASON_CHARACTERS]) from None
+        raise InvalidContentError(f"invalid content: {error}"[:MAX_REASON_CHARACTERS]) from None
     check_usable(found, members)
     return found
 
@@ -177,7 +180,7 @@
     try:
         found = msgspec.convert(document, Content)
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise InvalidContentError(f"not a content: {error}"[:MAX_REASON_CHARACTERS]) from None
+        raise InvalidContentError(f"invalid content: {error}"[:MAX_REASON_CHARACTERS]) from None
     check_usable(found, members)
     return found
 
@@ -191,7 +194,7 @@
         raise InvalidContentError(f"content has format {content.format}, this program reads format {FORMAT}")
     is_why_in_bounds = 0 < len(content.why) <= MAX_REASON_CHARACTERS
     if content.number < 1 or not is_why_in_bounds or len(content.by) > MAX_NAME_CHARACTERS:
-        raise InvalidContentError("content: number, why or by is out of bounds")
+        raise InvalidContentError("content: length or value of `number`, `why` or `by` is out of bounds")
     are_names_in_bounds = all(0 < len(name) <= MAX_NAME_CHARACTERS for name in content.members)
     if len(content.members) > MAX_MEMBERS or not are_names_in_bounds:
         raise InvalidContentError(
--- a/marlseam/cluster/replication/quorum_lease.py
+++ b/marlseam/cluster/replication/quorum_lease.py
@@ -2,8 +2,11 @@
 
 A voter requests the status of all voters. Once a majority of them, each with a complete memory of its votes,
 have answered that they accepted nothing above a number, no higher number was chosen at the time of the
-request: any choice needs the vote of one of them. Other members adopt such a proof together with its age. A
-proof is valid for one lease, counted on the member's own clock from the time of the request.
+request: any choice needs the vote of one of them. Other members adopt such a proof together with its age.
+
+A proof is valid for a share of the setting `lease_ms` that differs by member, 50 to 100 %, less 0.2 % for the
+drift of two clocks. The time is counted on the member's own clock from the request, or, for an adopted proof,
+from the request less the proof's age.
 """
 
 from dataclasses import dataclass, field
@@ -56,10 +59,10 @@
     over to another process of the same node. The consequences of a missing proof are decided in `serving`.
 
     Attributes:
-        proven_at_ms: the latest time at which the version held is proven to have been in force, by the
-            replica's clock; -inf without any proof.
-        stagger_share: the position of this member, 0 to 1, between the first and the last member to leave
-            service.
+        proven_at_ms: the latest time, by the replica's clock, at which no number above that of the version
+            held had been chosen, as far as it is proven; -inf without any proof.
+        stagger_position: when this member leaves service, among members whose proofs end together: from 0
+            (first) to 1 (last); a hash of its name.
         last_sequence: the sequence number of the last quorum read.
         reads: quorum reads whose responses are still counted, by sequence number.
 
@@ -69,17 +72,17 @@
         """Start without a proof."""
         self.replica = replica
         self.proven_at_ms = -inf
-        self.stagger_share = crc32(replica.name.encode()) / 2.0**32
+        self.stagger_position = crc32(replica.name.encode()) / 2.0**32
         self.last_sequence = 0
         self.reads: dict[int, QuorumRead] = {}
 
     def staggered_share(self) -> float:
         """Return the share of a lease, or of the time to serve without a proof, that this member uses.
 
-        Guards against all members leaving service at once when the cluster has lost its voters: members leave
-        one after another.
+        It grows with `stagger_position` from `MIN_LEASE_SHARE` to 1. Guards against all members leaving
+        service at once when the cluster has lost its voters: members leave one after another.
         """
-        return MIN_LEASE_SHARE + (1.0 - MIN_LEASE_SHARE) * self.stagger_share
+        return MIN_LEASE_SHARE + (1.0 - MIN_LEASE_SHARE) * self.stagger_position
 
     def staggered_lease_ms(self) -> float:
         """Return how long a proof is valid on this member, in ms of its own clock."""
--- a/marlseam/experiment/cluster_faults.py
+++ b/marlseam/experiment/cluster_faults.py
@@ -39,18 +39,19 @@
 def parse_step(fault: ClusterFault, names: Collection[str]) -> Step:
     """Return the step before which a fault is due.
 
-    Raises FileError where the direction, the datagram kind or the fault kind is unknown, or where a node is
-    not one of `names`.
+    Raises FileError where the direction, the datagram kind or the fault kind is unknown, or where `node`, or
+    `other` of a PAIR fault, is not one of `names`; the groups of a SPLIT fault are not checked. Raises
+    ValueError where the step does not have three words or its ordinal is not an integer.
     """
     direction, kind, ordinal = fault.step.split()
     is_fault = fault.fault in list(FaultKind)
     if direction not in DIRECTIONS or not is_fault or kind not in KINDS_BY_NAME:
         raise file.FileError(
-            f"fleet.faults: {fault} has an unknown direction, datagram kind or fault kind; "
-            "a step reads like `sends ping 20`"
+            f"fleet.faults: {fault} has an unknown direction, datagram kind or fault kind; expected a step "
+            "`sends` or `receives`, datagram kind, number, for example `sends ping 20`"
         )
     if fault.node not in names or (fault.fault == FaultKind.PAIR and fault.other not in names):
-        raise file.FileError(f"fleet.faults: {fault} refers to a node that the day does not have")
+        raise file.FileError(f"fleet.faults: {fault} names a node that the day does not have")
     return Step(StepKind(fault.node, direction == "sends", KINDS_BY_NAME[kind]), int(ordinal))
 
 
@@ -85,11 +86,12 @@
 
 
 class FaultSchedule:
-    """Counts datagrams by kind, and finds the fault that is due before each.
+    """Counts the datagrams of each node by direction and kind, and finds the fault that is due before each.
 
     Attributes:
         pending: the faults that have not been injected, by step.
-        is_counting: whether datagrams are counted; must be False before the run's time 0.
+        is_counting: whether datagrams are counted. False until the run's time 0, so that the datagrams that
+            nodes exchange while they start do not count towards the ordinal of a step.
     """
 
     def __init__(self, names: list[str], table: ClusterTable, seed: int) -> None:
--- a/marlseam/simulation/model.py
+++ b/marlseam/simulation/model.py
@@ -87,7 +87,9 @@
     nodes: Count
     kinds: Annotated[list[ServerKind], Meta(min_length=1)]
     connections: Count = 600  # a server's limit
-    connect_ms: NotNegative = 3.0  # added to the first attempt on a new connection
+    # Time to set up a connection, in ms beyond its round trip; delays the delivery of each attempt, also of a
+    # retry, that opens a new connection. Attempts on an idle connection are not delayed.
+    connect_ms: NotNegative = 3.0
     checkpoint_s: NotNegative = 0.0  # period in which a cell saves the work of running jobs; 0: never
     progress_s: NotNegative = 1.0  # period in which a running job reports progress; 0: never
     roll_s: NotNegative = 0.0  # shortest time from a node's shutdown signal to its next start
@@ -186,7 +188,7 @@
     for_s: Positive = 10.0
     share: Share = 0.2  # of all servers or nodes, that the fault affects
     size: NotNegative = 4.0
-    type: str = ""  # for errors: the request class that fails; empty: all classes
+    type: str = ""  # for `errors`: the request class of which a share `size` fails; empty: all classes
     targets: tuple[str, ...] = ()  # names of what the fault affects; empty: drawn from the seed
     part: Share = 0.4  # of a flap's period that is bad, of the load that is reported, or of messages lost
     how: Literal["silent", "crash"] = "silent"  # fault in the bad part of a flap's period
--- a/marlseam/verification/rules.py
+++ b/marlseam/verification/rules.py
@@ -1,5 +1,9 @@
 """The rules, each checked against the records of clients, nodes and servers.
 
+In records and reports a work unit is a request with all its tries, an executor is a server, and `deferred` is
+the answer to a rejected request. Servers record an attempt when they receive it: the rules compare the times
+of receipt, not of sending.
+
 Each violation names its try or server. Reports contain the names of the rules and the texts of violations;
 experiments compare the names.
 """
@@ -31,7 +35,10 @@
 
 
 def check_one_answer(run: RunRecords) -> Rule:
-    """Check rule 1: each try gets one final answer before its deadline, and no server an attempt after it."""
+    """Check rule 1: each try gets one final answer before its deadline.
+
+    After that answer no server receives an attempt of the try.
+    """
     rule = Rule("one answer", "largest share of the time to its deadline that an answered work unit took")
     for tried in run.tries.values():
         finals = run.final_answers(tried.id)
@@ -57,7 +64,7 @@
     for attempt in run.attempts.get(tried.id, ()):
         if attempt.t > answered_ms + run.slack_ms:
             late_ms = attempt.t - answered_ms
-            rule.add_violation(tried.id, f"sent to {attempt.by} {late_ms:.0f} ms after its answer")
+            rule.add_violation(tried.id, f"received by {attempt.by} {late_ms:.0f} ms after the try's answer")
 
 
 def _is_missing_answer_excused(run: RunRecords, tried: TrySent) -> bool:
@@ -93,8 +100,10 @@
 def check_effects(run: RunRecords) -> Rule:
     """Check rule 2 for each request.
 
-    An unsafe or keyed request has at most one effect and is not rejected after it ran; without permission to
-    hedge no try has two attempts in flight at once.
+    An unsafe request (effect `exclusive` in the records) or a keyed one (`receipted`) has at most one effect,
+    and is not rejected (`deferred`) after it ran; a safe one (`rerunnable`) may have any number. The check of
+    rejections leaves out keyed requests whose key is known to all servers. Without permission to hedge no try
+    has two attempts in flight at once.
     """
     rule = Rule("no effect twice", "largest number of effects of one receipted or exclusive work unit")
     effect_by_class = run.rules.get("effects", {})
@@ -117,7 +126,7 @@
     rule.raise_margin(float(len(runs)))
     if len(runs) > 1:
         servers = ", ".join(started.by for started in runs)
-        rule.add_violation(tries[0].first, f"{len(runs)} effects of {effect} work: {servers}")
+        rule.add_violation(tries[0].first, f"{len(runs)} effects of one {effect} work unit, on {servers}")
 
 
 def _check_no_rejection_after_run(rule: Rule, run: RunRecords, tries: Sequence[TrySent], effect: str) -> None:
@@ -125,7 +134,7 @@
     for tried in tries:
         final, runs = run.final_answer(tried.id), run.runs.get(tried.id)
         if final is not None and final.how == "deferred" and runs:
-            rule.add_violation(tried.first, f"{effect} work deferred though {runs[0].by} ran it")
+            rule.add_violation(tried.first, f"{effect} work unit was deferred though {runs[0].by} ran it")
 
 
 def _check_no_overlap(rule: Rule, run: RunRecords, tries: Sequence[TrySent]) -> None:
@@ -146,7 +155,10 @@
 
 
 def find_overlap(run: RunRecords, try_id: str) -> str | None:
-    """Return a text that names two attempts of a try that were in flight at once, None if none were."""
+    """Return a text on two attempts of a try that were in flight at once, None if no two were.
+
+    An attempt counts as in flight from its receipt by the server until its end there.
+    """
     spans = []
     for index, attempt in enumerate(run.attempts.get(try_id, ())):
         ends_ms = (end.t for end in run.ends_at_server(try_id, attempt.by) if end.t >= attempt.t)
@@ -154,7 +166,7 @@
     spans.sort()
     for earlier, later in pairwise(spans):
         if later.from_ms + run.slack_ms < earlier.until_ms:
-            return f"sent to {later.server} while in flight to {earlier.server}"
+            return f"received by {later.server} while another attempt was in flight to {earlier.server}"
     return None
 
 
@@ -162,12 +174,14 @@
 
 
 def check_drains(run: RunRecords) -> Rule:
-    """Check rule 3: no attempt to a server after the grace since its node was notified of its departure.
+    """Check rule 3: a server that leaves receives no attempt after the grace.
 
-    A departure is the notification that the server drains or is gone; with the setting `drain_binds_alone`
-    only that it drains.
+    The grace begins when the node that sends the attempt is notified that the server leaves. A server leaves
+    when it drains or is gone; with the setting `drain_binds_alone` only when it drains.
     """
-    rule = Rule("drains kept", "latest send after the notification of a departure, as a share of the grace")
+    rule = Rule(
+        "drains kept", "latest receipt of an attempt after the notice that the server leaves, in graces"
+    )
     grace_ms = float(run.rules.get("grace_ms", 0.0))
     gone_binds = not run.rules.get("drain_binds_alone", False)
     for try_id, attempts in run.attempts.items():
@@ -184,7 +198,8 @@
                 late_ms = attempt.t - left_ms
                 rule.add_violation(
                     try_id,
-                    f"sent to {attempt.by} {late_ms:.0f} ms after {tried.node} was notified that it leaves",
+                    f"received by {attempt.by} {late_ms:.0f} ms after {tried.node} was notified that this "
+                    "server leaves",
                 )
     return rule
 
@@ -192,11 +207,11 @@
 def _leaving_known_since(
     notices: Sequence[ServerStateHeard], until_ms: float, gone_binds: bool
 ) -> float | None:
-    """Return when a node was first notified that a server leaves, in ms; None if the server is ready.
+    """Return when a node was first notified that a server leaves, in ms of the run; None if it was not.
 
-    `notices` are sorted by time; those after `until_ms` are ignored, and a notice that the server is ready
-    cancels those before it. Without `gone_binds` only the notice that a server drains counts as
-    leaving.
+    `notices` are those on one server at one node, sorted by time. Those after `until_ms` are ignored, and a
+    notice that the server is ready cancels those before. Without `gone_binds` only the notice that the server
+    drains counts, not the one that it is gone.
     """
     since_ms = None
     for notice in notices:
@@ -222,7 +237,7 @@
         last = _last_attempt_before(run, overload)
         subject = overload.by if last is None else last.id
         rule.add_violation(
-            subject, f"{overload.by} was overloaded in slow start at {overload.load:.2f} of its bound"
+            subject, f"{overload.by} was overloaded in slow start: {overload.load:.2f} of its overload bound"
         )
     return rule
 
@@ -294,12 +309,15 @@
 def _check_after_release(
     rule: Rule, run: RunRecords, earlier: TrySent, attempt: AttemptReceived, gap_ms: float
 ) -> None:
-    """Check that an attempt was sent after an earlier try had released the key, and the gap if required."""
+    """Check that an attempt was received after an earlier try released the key and after any required gap."""
     release = _key_release(run, earlier.id, attempt.t)
     if release.needs_gap and gap_ms:
         rule.raise_margin((release.at_ms + gap_ms - attempt.t) / gap_ms)
     if attempt.t + run.slack_ms < release.at_ms + (gap_ms if release.needs_gap else 0.0):
-        rule.add_violation(attempt.id, f"sent to {attempt.by} before {earlier.id} released the same key")
+        rule.add_violation(
+            attempt.id,
+            f"received by {attempt.by} before {earlier.id} released the same key or in the gap after that",
+        )
 
 
 def _key_release(run: RunRecords, try_id: str, until_ms: float) -> _KeyRelease:
--- a/tests/test_one_answer_rule.py
+++ b/tests/test_one_answer_rule.py
@@ -52,4 +52,4 @@
         AttemptReceived(n=1, t=1900.0, by="e", id="1"),
     ]
     found = check_one_answer(RunRecords([*run, *send_after_answer])).violations
-    assert any("after its answer" in violation.text for violation in found)
+    assert any("after the try's answer" in violation.text for violation in found)
