--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -175,7 +175,7 @@
             raise click.ClickException(f"{address}: expected a node whose ledger is a folder on this machine")
         folders = (*folders, Path(folder))
     if not folders:
-        raise click.ClickException("no ledger given: expected FOLDERS or --at")
+        raise click.ClickException("no ledger given: expected folders of ledgers as arguments, or --at")
     try:
         return ledger_audit.read(folders, error_ms)
     except OSError as error:
@@ -208,7 +208,9 @@
             if process.unknown is not None:
                 first, last = map(time_text, process.unknown)
                 killed = f"{name}: life {process.started.generation} was killed"
-                click.echo(f"{killed}, its acts after {first} are not recorded, until {last} at the latest")
+                click.echo(
+                    f"{killed}, its actions from {first} to {last} (UTC; -: no end known) are not recorded"
+                )
 
 
 def print_attempts(found: auditing.Audit, key: str, stores: Iterable[Path]) -> None:
@@ -227,7 +229,7 @@
     click.echo(
         table(rows)
         if len(rows) > 1
-        else f"nothing was sent under {key}, according to the given state folders"
+        else f"nothing was sent under {key}, according to the state folders given by --store"
     )
 
 
--- a/marlseam/cli/control_client.py
+++ b/marlseam/cli/control_client.py
@@ -30,7 +30,7 @@
             answer = connection.getresponse()
             return ControlAnswer(answer.status, answer.read())
     except (OSError, ValueError, http.client.HTTPException) as error:
-        raise click.ClickException(f"{address}: {error}") from None
+        raise click.ClickException(f"{address}: the request to the control address failed: {error}") from None
 
 
 def fleet_status(address: str) -> dict[str, Any]:
--- a/marlseam/cli/fleet.py
+++ b/marlseam/cli/fleet.py
@@ -55,7 +55,7 @@
 def status(addresses: tuple[str, ...], *, raw: bool) -> None:
     """Show the members of the fleet as each given node sees them.
 
-    Exits with 1 if one of these nodes reports a member with a standing other than here.
+    Exits with 1 if one of these nodes reports a member with a standing other than `here` (alive).
     """
     statuses = [fleet_status(address) for address in addresses]
     for node_status in statuses:
@@ -137,7 +137,9 @@
     try:
         create_ledger(folder, node)
     except FileExistsError:
-        raise click.ClickException(f"{folder}: there is a ledger already") from None
+        raise click.ClickException(
+            f"{folder}: there is a ledger already, expected a folder without one"
+        ) from None
     except OSError as error:
         raise click.ClickException(f"{folder}: {code_of(error)}: {error.strerror}") from None
     click.echo(f"{folder} is ready for the first start of {node}")
@@ -202,7 +204,7 @@
             sys.exit(0 if result.startswith("version") else 1)
         time.sleep(PUBLICATION_POLL_S)
     raise click.ClickException(
-        f"no result of the publication within {wait_s:g} s; `fleet status --json` shows it later"
+        f"the publication has no result after {wait_s:g} s; `fleet status --json` shows the result later"
     )
 
 
@@ -349,7 +351,7 @@
     """Explore every interleaving of three voters, two operators and one quorum reader, or of quota leasing.
 
     Exits with 1 if two contents are chosen for one version number, a proof is wrong, or members together may
-    use more than their limit. A step is one process's. The number of states triples per step.
+    use more than their limit. A step is one action of one process. The number of states triples per step.
     """
     from marlseam.cluster.checking import explore_leasing, explore_paxos
 
--- a/marlseam/cli/load.py
+++ b/marlseam/cli/load.py
@@ -44,7 +44,8 @@
 def run(day: Path, nodes: tuple[str, ...], seed: int, connections: int, records: Path | None) -> None:
     """Send a day's work units (requests) to nodes and print counts and latencies.
 
-    Exits with 1 if the run is not valid because the generator itself was the bottleneck.
+    Exits with 1 if the run is not valid because the generator itself was the bottleneck: it sent too late, or
+    had no file descriptors left.
     """
     from marlseam.load import process
     from marlseam.load.generator import Generator, NodePlace
@@ -66,7 +67,7 @@
     def show_progress(now_ms: float, tally: Tally) -> None:
         sent, open_tries = tally.sent, generator.open_tries
         common.show_progress(
-            f"{now_ms / 1000.0:.0f} s of {played_day.seconds:g}: {sent} sent, {open_tries} open"
+            f"{now_ms / 1000.0:.0f} s of {played_day.seconds:g} s: {sent} sent, {open_tries} unanswered"
         )
 
     tally = generator.run(time.monotonic() + process.START_DELAY_S, show_progress)
@@ -101,7 +102,7 @@
     if any(arrival.zone not in covered_zones for arrival in arrivals):
         zone_count = len(day.fleet.zones)
         raise click.UsageError(
-            f"--node: {len(places)} given, expected at least one for each of {zone_count} zones"
+            f"--node: {len(places)} addresses given, expected at least one for each of {zone_count} zones"
         )
     return arrivals
 
--- a/marlseam/cli/state.py
+++ b/marlseam/cli/state.py
@@ -58,7 +58,9 @@
     try:
         create_state(folder, node)
     except FileExistsError:
-        raise click.ClickException(f"{folder}: there is a state already") from None
+        raise click.ClickException(
+            f"{folder}: there is a state already, expected a folder without one"
+        ) from None
     except OSError as error:
         raise click.ClickException(f"{folder}: {code_of(error)}: {error.strerror}") from None
     click.echo(f"{folder} is ready for the first start of {node}")
@@ -83,15 +85,17 @@
     else:
         listed = state.listed
         age_s = (now_ms - listed.confirmed_ms) / 1000.0
-        lines.append(f"{len(listed.rows)} servers, version {listed.version}, confirmed {age_s:.0f} s ago")
+        lines.append(
+            f"saved list: {len(listed.rows)} servers, version {listed.version}, confirmed {age_s:.0f} s ago"
+        )
     last_ms = max((attempt.until_ms for sent in state.sent.values() for attempt in sent), default=now_ms)
     left_s = max(0.0, last_ms - now_ms) / 1000.0
-    lines.append(f"{len(state.sent)} keys that may have run, the last expires in {left_s:.0f} s")
+    lines.append(f"{len(state.sent)} keys of requests that may have run, the last expires in {left_s:.0f} s")
     if state.lost_ms is not None:
         lost_s = (now_ms - state.lost_ms) / 1000.0
-        lines.append(f"which keys may have run before {lost_s:.0f} s ago is not known")
+        lines.append(f"which requests may have run before {lost_s:.0f} s ago is not known: records were lost")
     hours = state.departure_rate.lived_ms / MS_PER_HOUR
-    lines.append(f"{state.departure_rate.departures:.0f} departures in {hours:.1f} server hours")
+    lines.append(f"{state.departure_rate.departures:.0f} departures of servers in {hours:.1f} server hours")
     return lines
 
 
@@ -109,7 +113,7 @@
     print_findings(folder, findings)
     if findings:
         raise SystemExit(1)
-    click.echo("the whole folder can be read")
+    click.echo("all parts of the state folder can be read")
 
 
 @group.command()
--- a/marlseam/cluster/audit.py
+++ b/marlseam/cluster/audit.py
@@ -122,7 +122,7 @@
     Attributes:
         processes: by node, in the order of their start.
         first_held_ms: when each content of a version was first held by any node, by number and content id.
-        findings: violations and gaps that were found, as texts.
+        findings: a text for each violation of the rules and each gap in the records.
         boot_zero_ms: the Unix time of a machine's start to which its times are aligned, by `boot`.
 
     """
@@ -225,7 +225,9 @@
         """Read the start of an interval."""
         interval = process.intervals.setdefault(record.interval, Interval(record))
         if interval.begun != record:
-            self.report(f"two different intervals {record.interval} of generation {record.generation}")
+            self.report(
+                f"two different intervals {record.interval} of generation {record.generation} are recorded"
+            )
 
     def read_counts(self, record: ActionCounts, process: Process) -> None:
         """Read the counts of some intervals."""
@@ -234,14 +236,16 @@
             interval, counts = process.intervals.get(number), tuple(row)
             if interval is None:
                 self.report(
-                    f"actions in interval {number} of generation {record.generation}, which is missing"
+                    f"actions are counted in interval {number} of generation {record.generation}, "
+                    "whose start is missing"
                 )
                 continue
             # Counts only grow within one chain; a chain that is read later may hold older counts.
             earlier = self.chain_counts.get((record.generation, number), ())
             if any(count < before for count, before in zip(counts, earlier, strict=False)):
                 self.report(
-                    f"fewer actions in interval {number} of generation {record.generation} than before"
+                    f"fewer actions in interval {number} of generation {record.generation} than an earlier "
+                    "record counts"
                 )
             self.chain_counts[record.generation, number] = counts
             interval.counts = tuple(map(max, counts, interval.counts))
@@ -282,7 +286,9 @@
     """Report versions that nodes held with different contents."""
     for number, ids in sorted(audit.first_held_ms.items()):
         if len(ids) > 1:
-            audit.findings.append(f"version {number} has {len(ids)} contents: {', '.join(sorted(ids))}")
+            audit.findings.append(
+                f"nodes held version {number} with {len(ids)} contents, expected 1: {', '.join(sorted(ids))}"
+            )
 
 
 def find_overlapping_processes(audit: Audit, node: str, error_ms: float) -> None:
@@ -304,7 +310,8 @@
             if count and begun.proved:
                 audit.findings.append(
                     f"{node}: {count} attempts sent on version {begun.number}, as proven, in interval "
-                    f"{begun.interval} of generation {process.started.generation}, past {lease_ms:.0f} ms"
+                    f"{begun.interval} of generation {process.started.generation}, more than its lease of "
+                    f"{lease_ms:.0f} ms after a newer version was first held"
                 )
 
 
--- a/marlseam/cluster/checking/membership_schedules.py
+++ b/marlseam/cluster/checking/membership_schedules.py
@@ -30,9 +30,9 @@
 from marlseam.cluster.membership_types import DuplicateMember, MemberChanged, SendDatagram
 
 CLUSTER = "fleet"
-SETTLE_PERIODS = 4.0  # time before the first fault
-PLAYED_PERIODS = 60.0  # time from the start in which faults are injected
-MAX_FAULT_PERIODS = 90  # longest duration of a fault
+SETTLE_PERIODS = 4.0  # protocol periods before the first fault
+PLAYED_PERIODS = 60.0  # protocol periods from the start in which faults are injected
+MAX_FAULT_PERIODS = 90  # longest duration of a fault, in protocol periods
 FAULTS = ("kill", "restart", "stop", "cut", "deaf", "mute", "pair", "hold", "twin")
 
 
@@ -138,7 +138,9 @@
                 state = member.state
                 is_right = state is not None and state.status == MemberStatus.ALIVE
                 if not is_right or state.generation != generation:
-                    found.append(f"{process.name} holds {name} in state {state}")
+                    found.append(
+                        f"{process.name} has {name} in state {state}, expected alive in its current process"
+                    )
         return found
 
 
@@ -167,8 +169,8 @@
             nearest[kind] = max(nearest[kind], took / bound)
             if took > bound:
                 violations.append(
-                    f"{observer} held {name} as alive for {took:.0f} ms after its outage at {since:.0f} ms, "
-                    f"bound {bound:.0f} ms"
+                    f"{observer} held {name} as alive for {took:.0f} ms after the outage of that member at "
+                    f"{since:.0f} ms, bound {bound:.0f} ms"
                 )
     violations += false_deaths(simulation, detection_ms)
     return MembershipVerdict(violations, nearest, simulation.duplicates_reported)
@@ -188,7 +190,7 @@
 def false_deaths(simulation: MembershipSimulation, detection_ms: float) -> list[str]:
     """Return descriptions of the deaths declared without any fault in the detection time before."""
     return [
-        f"{observer} declared {name} dead at {at:.0f} ms without a fault"
+        f"{observer} declared {name} dead at {at:.0f} ms, with no fault in the detection time before"
         for (observer, name), times in simulation.declared_dead.items()
         for at in times
         if simulation.is_fault_free(at - detection_ms, at) and not simulation.loss
--- a/marlseam/cluster/checking/quota_schedules.py
+++ b/marlseam/cluster/checking/quota_schedules.py
@@ -28,14 +28,14 @@
 )
 from marlseam.cluster.replication.messages import MessageKind
 
-LEASE_PERIODS = 10.0
+LEASE_PERIODS = 10.0  # duration of a lease, in protocol periods
 MAX_DISK_MS = 20.0  # longest time to write a record
 SAMPLE_MS = 100.0  # time between samples of demand, use and the sum of usable quota
 # How many protocol periods the high demand stays on one member before it moves to the next. Meanwhile each
 # other member has a tenth of an equal share of the limit as its demand.
 DEMAND_PHASE_PERIODS = 20.0
-PLAYED_PERIODS = 60.0  # time in which faults are injected
-MAX_FAULT_PERIODS = 40  # longest duration of a fault
+PLAYED_PERIODS = 60.0  # protocol periods from the start in which faults are injected
+MAX_FAULT_PERIODS = 40  # longest duration of a fault, in protocol periods
 MIN_USED_SHARE = 0.95  # required use at the end, as a share of the demand that the limit can satisfy
 FAULTS = ("kill", "restart", "stop", "cut", "deaf", "mute", "pair", "hold", "lost")
 
@@ -224,9 +224,13 @@
     available = min(limit, last.demanded)
     violations = []
     if simulation.max_usable > limit * (1.0 + 1e-9):
-        violations.append(f"all members together may use {simulation.max_usable:.2f}, limit {limit:g}")
+        violations.append(
+            f"quota that all members together may use at once: {simulation.max_usable:.2f}, limit {limit:g}"
+        )
     if last.used < MIN_USED_SHARE * available:
-        violations.append(f"{last.used:.2f} of the available {available:.2f} is used at the end")
+        violations.append(
+            f"at the end members use only {last.used:.2f} of the {available:.2f} that limit and demand permit"
+        )
     unused = 1.0 - last.used / available
     nearest = {"the sum": simulation.max_usable / limit, "unused at the end": unused / 0.05}
     return QuotaVerdict(violations, nearest)
--- a/marlseam/cluster/checking/replication_checker.py
+++ b/marlseam/cluster/checking/replication_checker.py
@@ -100,19 +100,23 @@
             stale_ms = now - self.chosen[next_number].at_ms
             self.max_stale_ms = max(self.max_stale_ms, stale_ms)
             if stale_ms > self.lease_ms:
-                acts = f"{replica.name} acts on {replica.applied_number}"
-                self.findings.append(f"{acts} {stale_ms:.0f} ms after {next_number} was chosen")
+                acts = f"{replica.name} acts on version {replica.applied_number} as proven"
+                self.findings.append(f"{acts} {stale_ms:.0f} ms after version {next_number} was chosen")
 
     def check_store(self, replica: ConfigReplica) -> None:
         """Check the digest of the held content, the transfer failures and the total size of the deltas."""
         name, store = replica.name, replica.store
         data = store.contents.get(replica.content_id)
         if data is not None and digest(data) != replica.content_id:
-            self.findings.append(f"{name} holds a content with a wrong digest as version {replica.number}")
+            self.findings.append(
+                f"{name} holds content whose digest is not its id, as version {replica.number}"
+            )
         if not self.has_corruption and store.transfer_counts["changes"] + store.transfer_counts["digest"]:
-            self.findings.append(f"{name} received wrong deltas or a wrong content without any corruption")
+            self.findings.append(f"{name} received wrong deltas or content, though no datagram was corrupted")
         if store.delta_links_bytes > len(data or b""):
-            self.findings.append(f"{name} stores deltas that are larger in total than the content held")
+            self.findings.append(
+                f"{name} stores deltas that are larger in total than the content of the version held"
+            )
 
     def stale_replicas(self, replicas: Iterable[tuple[float, ConfigReplica]]) -> list[str]:
         """Return descriptions of the replicas that do not act on the newest version as proven.
--- a/marlseam/cluster/checking/simulation.py
+++ b/marlseam/cluster/checking/simulation.py
@@ -36,7 +36,7 @@
         fault: name of the fault, one of the `FAULTS` of the schedules; `ClusterSimulation.inject` has their
             effects.
         other: the second member of a fault between two members.
-        for_ms: duration of the fault.
+        for_ms: duration of the fault, in ms of simulation time.
     """
 
     node: str
--- a/marlseam/cluster/membership.py
+++ b/marlseam/cluster/membership.py
@@ -38,15 +38,15 @@
 from marlseam.random_source import RandomSource
 
 INDIRECT_PROBES = 3  # helpers that probe a member indirectly
-INDIRECT_PROBE_AFTER_PERIODS = 0.3  # time without an ack after which indirect probes are requested
-PROBE_TIMEOUT_PERIODS = 0.9  # time after which a probe counts as missed
-NACK_AFTER_PERIODS = 0.25  # time without an ack after which a helper answers with a nack
-MIN_SUSPICION_PERIODS = 2.0  # shortest suspicion timeout, per power of ten of the number of members
+INDIRECT_PROBE_AFTER_PERIODS = 0.3  # protocol periods without an ack until indirect probes are requested
+PROBE_TIMEOUT_PERIODS = 0.9  # protocol periods after which a probe counts as missed
+NACK_AFTER_PERIODS = 0.25  # protocol periods without an ack until a helper answers with a nack
+MIN_SUSPICION_PERIODS = 2.0  # shortest suspicion timeout, in protocol periods per power of ten of the members
 MAX_SUSPICION_IN_MINIMA = 3.0  # longest suspicion timeout, as a multiple of the shortest
 SUSPICION_CONFIRMATIONS = 3  # confirmations by other members with which the suspicion timeout is shortest
 MAX_LOCAL_HEALTH = 3  # bound of the local health multiplier minus 1; 0 is healthy
 REFRESH_ENTRIES = 2  # members per datagram that are sent in turn, changed or not
-MAX_GAP_PERIODS = 2.0  # longest gap between two events; after a longer one the process itself was stopped
+MAX_GAP_PERIODS = 2.0  # protocol periods between two events; after a longer gap the process was stopped
 
 
 class Membership:
@@ -170,7 +170,7 @@
         return self.effects
 
     def receive(self, now_ms: float, datagram: Datagram) -> list[Effect]:
-        """Handle a datagram."""
+        """Handle a datagram from another member; one from a sender that is no member has no effect."""
         self.begin_event(now_ms)
         if datagram.sender == self.name:
             # Another process under this member's name, or a datagram of its own that came back.
--- a/marlseam/cluster/membership_invariants.py
+++ b/marlseam/cluster/membership_invariants.py
@@ -21,9 +21,15 @@
     for name, member in membership.members.items():
         is_suspect = member.state is not None and member.state.status == MemberStatus.SUSPECT
         if is_suspect != (name in membership.suspected):
-            found.append(f"{name} has state {member.state}, but in suspected: {name in membership.suspected}")
+            found.append(
+                f"{name} has state {member.state}, but is among the suspected members: "
+                f"{name in membership.suspected}"
+            )
         if is_suspect != (member.suspicion_ends_ms < inf) or is_suspect != bool(member.suspected_by):
-            found.append(f"{name} has state {member.state}, and its suspicion does not match this state")
+            found.append(
+                f"{name} has state {member.state}, which its suspicion timeout or suspecting members "
+                "contradict"
+            )
     if not membership.suspected <= membership.members.keys():
         found.append("a suspected name is not a member of the cluster")
     return found
@@ -46,7 +52,10 @@
     found = []
     for sequence, probe in membership.pending_probes.items():
         if probe.name not in membership.members or sequence > membership.sequence:
-            found.append(f"probe {sequence} of {probe.name} is invalid, last probe is {membership.sequence}")
+            found.append(
+                f"probe {sequence} of {probe.name}: not a member, or later than the last probe "
+                f"{membership.sequence}"
+            )
     if not 0 <= membership.local_health <= MAX_LOCAL_HEALTH:
-        found.append(f"local health is out of bounds: {membership.local_health}")
+        found.append(f"local health score is out of bounds: {membership.local_health}")
     return found
--- a/marlseam/cluster/replication/delta.py
+++ b/marlseam/cluster/replication/delta.py
@@ -70,9 +70,9 @@
     try:
         found = msgspec.json.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise DeltaError(f"not a JSON document: {error}") from None
+        raise DeltaError(f"content is not valid JSON: {error}") from None
     if not isinstance(found, dict):
-        raise DeltaError("document is not a JSON object")
+        raise DeltaError("content is not a JSON object")
     return found
 
 
@@ -83,7 +83,7 @@
     except (msgspec.MsgspecError, TypeError, ValueError, OverflowError, RecursionError) as error:
         raise DeltaError(f"document cannot be encoded: {error}") from None
     if len(data) > MAX_CONTENT_BYTES:
-        raise DeltaError("encoded document is too large")
+        raise DeltaError("encoded document is too large for a content")
     return data
 
 
@@ -258,13 +258,13 @@
     try:
         changes = CHAIN_DECODER.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise DeltaError(f"not a chain of changes: {error}") from None
+        raise DeltaError(f"invalid chain of changes: {error}") from None
     document, current_id = base, base_id
     links: dict[str, DeltaLink] = {}
     edit_count = 0
     for change in changes:
         if len(change.id) != DIGEST_CHARACTERS:
-            raise DeltaError("the id of a change has a wrong length")
+            raise DeltaError("the id of a change does not have the length of a content id")
         document = apply_change(document, current_id, change)
         links[change.id] = DeltaLink(current_id, ENCODER.encode(change))
         current_id = change.id
--- a/marlseam/cluster/replication/effects.py
+++ b/marlseam/cluster/replication/effects.py
@@ -22,7 +22,7 @@
 
 
 class ApplyContent(NamedTuple):
-    """Apply the settings and members of a content to this node."""
+    """Apply the settings and members of a version's content to this node."""
 
     number: int
     content_id: str
--- a/marlseam/cluster/replication/fetch.py
+++ b/marlseam/cluster/replication/fetch.py
@@ -13,9 +13,9 @@
     from marlseam.cluster.replication.replica import ConfigReplica
 
 MAX_CONTENTS = 8  # stored contents from which on those that are not needed are dropped
-WINDOW_CHUNKS = 8  # chunks sent for one request
+WINDOW_CHUNKS = 8  # most chunks sent for one request
 MAX_FETCHES = 3  # concurrent fetches
-MAX_STALLED_PERIODS = 3  # consecutive periods without a new chunk after which a fetch restarts
+MAX_STALLED_PERIODS = 3  # consecutive protocol periods without a new chunk until a fetch restarts
 
 
 class TransferForm(NamedTuple):
@@ -45,8 +45,8 @@
         form: form of the transfer; None before its first chunk.
         out_of_order: chunks of the window received before an earlier one, by byte offset.
         requested_up_to: the byte offset up to which chunks were requested.
-        has_progress: whether a new chunk was received in the current period.
-        stalled_periods: consecutive periods without a new chunk.
+        has_progress: whether a new chunk was received in the current protocol period.
+        stalled_periods: consecutive protocol periods without a new chunk.
 
     """
 
--- a/marlseam/cluster/replication/publication.py
+++ b/marlseam/cluster/replication/publication.py
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from marlseam.cluster.replication.replica import ConfigReplica
 
-ROUND_PERIODS = 4.0  # time until a round without a majority is followed by the next; at random up to double
-PUBLICATION_TIMEOUT_PERIODS = 40.0  # time after which a publication is abandoned
+ROUND_PERIODS = 4.0  # protocol periods from a round without a majority to the next; at random up to double
+PUBLICATION_TIMEOUT_PERIODS = 40.0  # protocol periods after which a publication is abandoned
 
 
 @dataclass
@@ -213,7 +213,7 @@
         if not publication.cannot_reach_quorum():
             return []
         reasons = "; ".join(f"{name}: {text}" for name, text in sorted(publication.refusals.items()))
-        return self.end(f"refused by most voters: {reasons}", publication)
+        return self.end(f"refused by too many voters for a quorum: {reasons}", publication)
 
     def hold_chosen(self, publication: Publication, content_id: str) -> list[Effect]:
         """End a publication, and hold the chosen content, which is fetched first if it is not stored."""
@@ -236,7 +236,10 @@
         proposed = publication.proposer.number
         if proposed == number:
             return self.end(publication.result_text(number, content_id), publication)
-        return self.end(f"not known whether it became version {proposed}: {number} is held now", publication)
+        return self.end(
+            f"not known whether the content became version {proposed}: version {number} is held now",
+            publication,
+        )
 
     def end(self, result: str, publication: Publication) -> list[Effect]:
         """End a publication, log its result, and keep the result if an operator requested it."""
--- a/marlseam/cluster/replication/serving.py
+++ b/marlseam/cluster/replication/serving.py
@@ -6,7 +6,7 @@
 if TYPE_CHECKING:
     from marlseam.cluster.replication.replica import ConfigReplica
 
-RECOVERY_PERIODS = 2.0  # time without a fault before a node that left service serves again
+RECOVERY_PERIODS = 2.0  # protocol periods without a fault until a node that left service serves again
 
 
 class ServingStatus(NamedTuple):
--- a/marlseam/cluster/replication/voting.py
+++ b/marlseam/cluster/replication/voting.py
@@ -176,8 +176,8 @@
         except InvalidContentError as error:
             return str(error)
         if content.number != vote.number or content.before != replica.content_id:
-            found = f"number {content.number} after {content.before[:12]}"
-            return f"{found}, expected {vote.number} after {replica.content_id[:12]}"
+            found = f"content of version {content.number} after {content.before[:12]}"
+            return f"{found}, expected version {vote.number} after {replica.content_id[:12]}"
         return replica.check(content)
 
     def refuse_content(self, now: float, sender: str, vote: VoteMessage, fault: str) -> list[Effect]:
--- a/marlseam/experiment/capacity.py
+++ b/marlseam/experiment/capacity.py
@@ -113,7 +113,7 @@
     sustained_rate = 0.0
     figures: dict[str, float] = {}
     for rate in table.rates:
-        show_progress(f"{rate:g} requests per second")
+        show_progress(f"one node at {rate:g} requests per second")
         run = run_at_rate(experiment, table, rate, out / "steps")
         rows.append(run.row())
         if not run.is_sustained(table.in_time):
--- a/marlseam/experiment/cluster_scale.py
+++ b/marlseam/experiment/cluster_scale.py
@@ -23,7 +23,7 @@
 KILLED_MEMBER = "n1"
 PUBLISHER = "n7"
 MAX_VOTERS = 7
-LEASE_PERIODS = 15.0
+LEASE_PERIODS = 15.0  # lease, in protocol periods
 MEMBERS_HEAD = [
     "members",
     "loss",
@@ -353,7 +353,7 @@
         }
         for count, loss in clusters:
             detection = detections[count, loss].result()
-            show_progress(f"{count} members, {loss:.0%} lost")
+            show_progress(f"{count} members, {loss:.0%} of datagrams lost")
             report.add_detection(count, loss, detection)
             publication = publications[count, loss].result()
             report.add_publication(count, loss, publication, detection.bytes)
--- a/marlseam/experiment/compare.py
+++ b/marlseam/experiment/compare.py
@@ -13,7 +13,7 @@
 
 from marlseam.simulation.chance import stream
 
-RESAMPLES = 2000
+RESAMPLES = 2000  # bootstrap samples per interval
 RESAMPLES_AT_ONCE = 50  # bounds the memory of the resampled tables
 INTERVAL_PERCENTILES = (2.5, 97.5)  # of a 95% interval
 MIN_COMMON_SHARE = 0.9  # share of the larger run's requests that both runs must have to be paired
--- a/marlseam/experiment/config_change_measurement.py
+++ b/marlseam/experiment/config_change_measurement.py
@@ -196,7 +196,9 @@
         settings = ReplicationSettings(frozenset(voters), PERIOD_MS, LEASE_PERIODS * PERIOD_MS, False, 0.0)
         replica = ConfigReplica(names[0], frozenset(names), settings, "n0/1", 0, 0.0, recovered)
         if replica.content is None:
-            raise ValueError(f"the content with {teams} teams cannot be read: {replica.unusable_reason}")
+            raise ValueError(
+                f"the configuration content with {teams} teams cannot be read: {replica.unusable_reason}"
+            )
         digester = SettingsDigester()
         digester.digest(replica.content.settings)
         deployment = deployment_from(replica.content.settings, whole=True)
--- a/marlseam/experiment/config_change_simulation.py
+++ b/marlseam/experiment/config_change_simulation.py
@@ -43,7 +43,7 @@
 )
 
 SERVE_WITHOUT_PROOF_LEASES = 100.0  # how long a node without a proof continues to serve, in leases
-SETTLE_CHECK_MS = 100.0
+SETTLE_CHECK_MS = 100.0  # time between two checks whether all nodes have applied the newest version
 HOSTS_PER_SUBNET = 250
 NS_PER_MS = 1e6
 
--- a/marlseam/experiment/day_plays.py
+++ b/marlseam/experiment/day_plays.py
@@ -87,7 +87,7 @@
     arrivals = arrivals_of(day, seed)
 
     def show_time(now_ms: float) -> None:
-        show_progress(f"{max(0.0, now_ms) / 1000.0:.0f} s of {day.seconds:g}")
+        show_progress(f"{max(0.0, now_ms) / 1000.0:.0f} s of {day.seconds:g} s played")
 
     counts = driver.run(show_time)
     counted = merge(msgspec.convert(counts, list[TallySummary]), len(arrivals))
--- a/marlseam/experiment/file.py
+++ b/marlseam/experiment/file.py
@@ -198,7 +198,7 @@
 def check_unique(names: list[str], key: str) -> None:
     """Raise FileError if the list at `key` contains a duplicate name."""
     if len(set(names)) < len(names):
-        raise FileError(f"{key}: duplicate name, expected unique names")
+        raise FileError(f"{key}: a name occurs twice, expected unique names")
 
 
 def check_faults(day: Day) -> None:
@@ -213,7 +213,9 @@
                 hint = nearest_name_hint(name, list(target_names))
                 raise FileError(f"{key}.targets: no server, node or zone is named {name!r}{hint}")
         if fault.type and fault.type not in class_names:
-            raise FileError(f"{key}.type: no such request class{nearest_name_hint(fault.type, class_names)}")
+            raise FileError(
+                f"{key}.type: no such request class of the day{nearest_name_hint(fault.type, class_names)}"
+            )
         if fault.at_s >= day.seconds:
             raise FileError(f"{key}.at_s: {fault.at_s:g}, expected less than day.seconds")
 
--- a/marlseam/experiment/generator_plays.py
+++ b/marlseam/experiment/generator_plays.py
@@ -147,7 +147,7 @@
     """
     table: Pause = experiment.tables["pause"]
     seed, day = experiment.head.seed, experiment.day
-    show_progress(f"{day.seconds:g} s of sends")
+    show_progress(f"sending the load of {day.seconds:g} s")
     stalls = (Stall(table.at_s, table.for_s),)
     counted = EchoRun(day, seed, out, connections=table.connections, stalls=stalls).run()
     expected = table.expected_share(day, seed)
--- a/marlseam/experiment/idempotency_kills.py
+++ b/marlseam/experiment/idempotency_kills.py
@@ -231,7 +231,7 @@
         ]
         for case, run in runs:
             figures = run.result()
-            show_progress(f"disk {case.name} played")
+            show_progress(f"kills on disk {case.name} played")
             rows.append(figures.row(case.name))
             all_figures |= figures.by_name(case.name)
     for name in ("repeats", "missing", "rules_broken"):
--- a/marlseam/experiment/replication_runs.py
+++ b/marlseam/experiment/replication_runs.py
@@ -49,7 +49,9 @@
     which cannot use the version, must be out of service with the code `UNUSABLE` instead.
     """
     answers = run.statuses()
-    lagging = [f"{name} gave no status answer" for name, answer in answers.items() if answer is None]
+    lagging = [
+        f"{name} did not answer the status request" for name, answer in answers.items() if answer is None
+    ]
     if run.publisher.has_pending():
         lagging.append("the result of a publication is not known yet")
     statuses = {name: answer.get("acting", {}) for name, answer in answers.items() if answer is not None}
--- a/marlseam/experiment/runner.py
+++ b/marlseam/experiment/runner.py
@@ -114,7 +114,7 @@
 
 def missed_rules(verdict: Verdict) -> list[str]:
     """Return one line per gap in the records, and one per violation for the first violations of each rule."""
-    missed = [f"not judged: {gap}" for gap in verdict.gaps]
+    missed = [f"rules not judged, records incomplete: {gap}" for gap in verdict.gaps]
     for rule in verdict.rules:
         for subject, text in rule.violations[:MAX_EXAMPLES]:
             missed.append(f"rule '{rule.name}' violated by {subject}: {text}")
--- a/marlseam/experiment/scale.py
+++ b/marlseam/experiment/scale.py
@@ -105,7 +105,7 @@
     table: Scale = experiment.tables["scale"]
     runs: list[SizeRun] = []
     for factor in table.times:
-        show_progress(f"{factor} times the fleet")
+        show_progress(f"day at {factor} times its size")
         runs.append(run_at_size(experiment, factor))
     if not runs:
         raise FileError("scale.times: empty, expected at least one number")
--- a/marlseam/experiment/size_cold.py
+++ b/marlseam/experiment/size_cold.py
@@ -165,7 +165,7 @@
         }
         for count, run in enumerate(as_completed(runs), 1):
             loads_by_variant[runs[run]].append(run.result())
-            show_progress(f"{count} of {len(runs)} plays")
+            show_progress(f"{count} of {len(runs)} days played")
     return loads_by_variant
 
 
--- a/marlseam/experiment/sizing/loopback_nodes.py
+++ b/marlseam/experiment/sizing/loopback_nodes.py
@@ -81,7 +81,9 @@
         for name, process in self.nodes.items():
             while LISTENS_ON not in process.log.read_text(errors="replace"):
                 if process.process.poll() is not None or time.monotonic() > end_s:
-                    raise RunFailedError(f"node {name} ended or did not listen in time: {process.tail()}")
+                    raise RunFailedError(
+                        f"node {name} ended or did not listen in time; last line of its log: {process.tail()}"
+                    )
                 time.sleep(LOG_POLL_S)
 
     def address(self, name: str) -> str:
--- a/marlseam/experiment/sockets/nodes.py
+++ b/marlseam/experiment/sockets/nodes.py
@@ -23,8 +23,8 @@
 POLL_S = 0.02  # between two checks whether a node listens or is ready
 UPGRADE_OVERLAP_S = 1.0  # time for which both processes of an upgrade run
 SEED_BOUND = 1 << 62  # exclusive upper bound of a node's seed
-MEMORY_MB = 192  # limit of a node
-MAX_SOCKETS = 1024  # limit of a node
+MEMORY_MB = 192  # memory limit in the configuration of a node
+MAX_SOCKETS = 1024  # limit of sockets in the configuration of a node
 LISTENS = "listens on "  # precedes the address in a node's log
 
 
--- a/marlseam/experiment/sockets/recorder.py
+++ b/marlseam/experiment/sockets/recorder.py
@@ -22,7 +22,7 @@
     def zero_s(self) -> float:
         """The run's zero in seconds of the monotonic clock; raises RuntimeError before it is set."""
         if self._zero_s is None:
-            raise RuntimeError("the run's zero was read before it was set")
+            raise RuntimeError("the run's time 0 was read before the driver set it")
         return self._zero_s
 
     @zero_s.setter
--- a/marlseam/experiment/stale_list_start.py
+++ b/marlseam/experiment/stale_list_start.py
@@ -218,7 +218,7 @@
             "down": [pool.submit(play_day, down_day, number, start) for number in seeds],
         }
         for name, futures in runs.items():
-            show_progress(f"discovery {name}")
+            show_progress(f"virtual days with discovery {name}")
             figures = mean_figures(name, [future.result() for future in futures])
             rows.append(virtual_row(name, figures))
             all_figures |= figures
--- a/marlseam/experiment/store_cost.py
+++ b/marlseam/experiment/store_cost.py
@@ -67,7 +67,7 @@
     costs: dict[str, Figures] = {}
     settings_by_run = {NO_STORE: ""} | {str(sync): store_settings(sync) for sync in SYNCS}
     for name, operator_settings in settings_by_run.items():
-        show_progress(f"store {name}")
+        show_progress(f"day with state storage {name}")
         run = run_on_sockets(
             day,
             experiment.head.seed,
--- a/marlseam/load/connection.py
+++ b/marlseam/load/connection.py
@@ -11,8 +11,10 @@
 from marlseam.load.errors import ConnectionUnavailableError
 from marlseam.simulation.clients import Client
 
-RECEIVE_BYTES = 65536
-OUTCOME_BY_STATUS = {200: "completed", 429: "deferred", 503: "deferred"}  # any other status: aborted
+RECEIVE_BYTES = 65536  # most bytes that are read at once
+# Outcome of a try in the records, by HTTP status: `deferred` is a rejection that permits a retry. Any other
+# status is `aborted`, an error after which the request may have run.
+OUTCOME_BY_STATUS = {200: "completed", 429: "deferred", 503: "deferred"}
 REQUEST = (
     b"POST /%b%b HTTP/1.1\r\nHost: %b\r\nX-Correlation-Id: %b\r\nX-Service-Class: %b\r\nX-Time-Left: %.3f\r\n"
     b"%bX-Facts: slots=%g,memory=%g\r\nContent-Length: %d\r\n\r\n%b"
@@ -27,7 +29,7 @@
 
     @classmethod
     def parse(cls, address: str) -> "Address":
-        """Parse an address HOST:PORT; raise ValueError if the port is not a number."""
+        """Parse an address HOST:PORT; raise ValueError if the port is missing or not a number."""
         host, _, port = address.rpartition(":")
         return cls(host, int(port))
 
@@ -137,7 +139,7 @@
         self.keep_alive = True
 
     def outcome(self, pending: PendingTry) -> str:
-        """Return a try's outcome: completed, deferred, aborted, or garbled (answer of another try)."""
+        """Return a try's outcome by the status, or garbled for a completed answer that is of another try."""
         outcome = OUTCOME_BY_STATUS.get(self._parser.get_status_code(), "aborted")
         if outcome == "completed" and not self.body.startswith(pending.id.encode()):
             return "garbled"
--- a/marlseam/load/generator.py
+++ b/marlseam/load/generator.py
@@ -27,12 +27,12 @@
 from marlseam.simulation.model import Day
 from marlseam.simulation.plan import Arrival
 
-NODE_CHECK_INTERVAL_MS = 250.0  # between two checks of a node that refused a connection
-NODE_CHECK_TIMEOUT_S = 0.05  # of connecting to such a node
-ANSWER_GRACE_MS = 50.0  # how long after its deadline a client waits for an answer in transit
-MAX_POLL_MS = 200.0
-MAX_POLL_EVENTS = 256
-PROGRESS_INTERVAL_MS = 500.0
+NODE_CHECK_INTERVAL_MS = 250.0  # time between two checks whether a node that refused a connection listens
+NODE_CHECK_TIMEOUT_S = 0.05  # longest wait for the connection of such a check
+ANSWER_GRACE_MS = 50.0  # how long after the deadline of a try its client waits for an answer in transit
+MAX_POLL_MS = 200.0  # longest wait for events of sockets
+MAX_POLL_EVENTS = 256  # most events handled between two checks of due sends
+PROGRESS_INTERVAL_MS = 500.0  # shortest time between two calls of `progress`
 SENDS_BETWEEN_CLOCK_READS = 64  # while many sends are due at once
 RESERVED_DESCRIPTORS = 32  # for files, epoll and the checks of nodes
 
@@ -287,7 +287,7 @@
             self.send(pending)
 
     def _end_try(self, pending: PendingTry, outcome: str, retry_after_ms: float) -> None:
-        """Record the outcome of a try, and schedule the client's retry if it makes one."""
+        """Record the outcome of a try, and schedule the client's retry if there is one; times in ms."""
         pending.is_open = False
         self.open_tries -= 1
         now_ms = self.now_ms()
@@ -332,7 +332,10 @@
     # Failed connections.
 
     def _connection_refused(self, connection: Connection) -> None:
-        """Fail the try of a refused connection; the load balancer notices the failure after a delay."""
+        """End the try of a refused connection as unsent, and mark its node as down.
+
+        The load balancer avoids the node only after its detection time; checks mark the node up again.
+        """
         node, pending = connection.node, connection.pending
         connection.pending = None
         self._close(connection)
--- a/marlseam/load/tally.py
+++ b/marlseam/load/tally.py
@@ -5,8 +5,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-MAX_LATENCY_US = 600_000_000
-SIGNIFICANT_DIGITS = 3
+MAX_LATENCY_US = 600_000_000  # highest value of a histogram, 10 minutes
+SIGNIFICANT_DIGITS = 3  # precision of a histogram, in decimal digits of a value
 LAG_MS = 5.0  # a send later than this by the generator's own lag marks its second as lagged
 
 HistogramName = Literal["intended", "actual", "lag"]
@@ -34,7 +34,8 @@
         intended: latencies from the intended send, in microseconds.
         actual: latencies from the actual send, in microseconds.
         lag: how late the generator sent each arrival by its own lag, in microseconds.
-        sent: the number of tries written to a connection, retries included.
+        sent: the number of requests written to a connection; includes retries, and tries sent again on
+            another connection.
         lagged: the seconds in which the generator lagged, by the second's number from the run's zero.
         refused: the number of tries that were not sent, by reason.
     """
--- a/marlseam/load/verdict.py
+++ b/marlseam/load/verdict.py
@@ -17,7 +17,8 @@
 
     Attributes:
         planned: the number of sends in the plan.
-        sent: the number of tries written to a connection, retries included.
+        sent: the number of requests written to a connection; includes retries, and tries sent again on
+            another connection.
         intended: latencies from the intended send in ms, by percentile.
         actual: latencies from the actual send in ms, by percentile.
         lag: the generators' own lag in ms, by percentile.
@@ -87,7 +88,7 @@
 
 def table(counted: Counted) -> str:
     """Return the counts as a text table for display."""
-    rows = [f"{counted.sent} sent of {counted.planned} planned (retries included)"]
+    rows = [f"{counted.sent} requests sent (retries included), {counted.planned} sends planned"]
     rows.append(
         f"{'latency, ms':<24}" + "".join(f"{f'p{p:g}' if p < 100.0 else 'max':>10}" for p in PERCENTILES)
     )
@@ -100,9 +101,12 @@
     if counted.lagged:
         shown = ", ".join(str(second) for second in counted.lagged[:20])
         rows.append(
-            f"own lag over {LAG_MS:g} ms in seconds {shown}: {counted.lagged_share:.2%} of the planned sends"
+            f"own lag over {LAG_MS:g} ms in seconds {shown} of the run: {counted.lagged_share:.2%} of the "
+            "planned sends"
         )
-    rows += [f"tries not sent, {reason}: {unsent}" for reason, unsent in counted.refused.items()]
+    rows += [f"tries not sent, reason {reason}: {unsent}" for reason, unsent in counted.refused.items()]
     if not counted.is_valid:
-        rows.append("run not valid: the load generator was the bottleneck")
+        rows.append(
+            "run not valid: the load generator was the bottleneck, by own lag or lack of file descriptors"
+        )
     return "\n".join(rows)
--- a/marlseam/records.py
+++ b/marlseam/records.py
@@ -3,7 +3,8 @@
 Each writer (clients, servers, endpoint list, network, driver) writes one stream: a `StreamBegan`, its records
 numbered from 1 without gaps, and a `StreamEnded` with the last number. By the numbers the check of a run
 (`marlseam.verification`) distinguishes a complete stream from one with gaps. Fields and tags of the structs
-are stored in the files under their names.
+are stored in the files under their names; there `executor` is a server, `roster` discovery with its endpoint
+list, `receipt` an idempotency key and `credit` a priority weight.
 
 A try is one send of a request by its client: the first, or a client retry. `id` is the id of a try, `first`
 the id of the first try of its request. An attempt is one send of a try by a node to a server. Times are float
@@ -23,7 +24,7 @@
     """One event of a run.
 
     Attributes:
-        n: the record's number in the writer's stream, from 1.
+        n: the number of the record in its stream, counted from 1.
         t: the time of the event, in ms of the run.
         by: the name of the writer: for a server's records the server's name.
     """
@@ -133,7 +134,7 @@
 
 
 class AttemptStarted(Record, tag="ran"):
-    """An attempt began to run; without `effect` if the server had seen its idempotency key and dropped it."""
+    """An attempt began to run; `effect` is false if the server had seen its idempotency key before."""
 
     id: str
     effect: bool = True
@@ -181,7 +182,7 @@
 
 
 class ServerStateHeard(Record, tag="told"):
-    """The endpoint list notified a node of a server's state: ready, draining or gone."""
+    """Discovery notified a node of a server's state in the endpoint list: ready, draining or gone."""
 
     node: str
     executor: str
@@ -189,7 +190,7 @@
 
 
 class EndpointListCalled(Record, tag="called"):
-    """A node called the endpoint list; not `served` if the list was down or too many calls waited."""
+    """A node called discovery for its endpoint list; not `served` in an outage or if it timed out."""
 
     node: str
     served: bool
@@ -313,7 +314,7 @@
 
 
 def read_records(lines: Iterable[bytes]) -> Iterator[Record]:
-    """Yield the records of a stream; raise ValueError with the line's number at a line that is no record."""
+    """Yield the records of a stream; raise ValueError with the line's number at an invalid record."""
     for number, line in enumerate(lines, 1):
         try:
             yield DECODER.decode(line)
@@ -331,7 +332,7 @@
 def read_folder(folder: Path) -> FolderRecords:
     """Return all records of the `.jsonl` files of a folder.
 
-    A file with a line that is no record contributes none of its records, and one text to `problems`.
+    A file with an invalid record contributes none of its records, and one text to `problems`.
     """
     found = FolderRecords([], [])
     for path in sorted(folder.glob("*.jsonl")):
--- a/marlseam/simulation/clients.py
+++ b/marlseam/simulation/clients.py
@@ -56,9 +56,9 @@
     def wait(self, now_ms: float, how: str, advice_ms: float, rng: np.random.Generator) -> float | None:
         """Draw the wait before the next try in ms, or return None where the client makes no further try.
 
-        `how` is the outcome of the last try as in `TryAnswered`; `advice_ms` is the Retry-After of its
-        answer, a lower bound of the wait if this client honours it. The wait doubles with each try and has a
-        random factor in [0.5, 1.5).
+        `how` is the outcome of the last try as in `TryAnswered`, for example `deferred` for a rejected one;
+        `advice_ms` is the Retry-After of its answer, a lower bound of the wait if this client honours it. The
+        wait doubles with each try and has a random factor in [0.5, 1.5).
         """
         if not self._may_retry(how):
             return None
@@ -123,7 +123,7 @@
     Attributes:
         by_zone: the names of the nodes of each zone.
         notice_ms: the time from a node's failure to its detection, in ms.
-        down_since_by_node: since when each node that is down is so, in ms, by name.
+        down_since_by_node: when each node that is down was marked as down, in ms of the run, by name.
         pick_counts: the number of round-robin steps made so far, by zone.
     """
 
--- a/marlseam/simulation/faults.py
+++ b/marlseam/simulation/faults.py
@@ -1,7 +1,7 @@
 """A day's faults: the schedule, given or drawn from the seed, with the targets of each fault.
 
-This module determines the effects of faults on servers and on the endpoint list; the driver that plays the
-day applies those on links and nodes.
+This module determines the effects of faults on servers and on the endpoint list. The driver that plays the
+day applies the faults of links and nodes.
 """
 
 from collections.abc import Iterable
@@ -21,8 +21,8 @@
 ZONE_FAULTS = ("zone_cut", "slow_link")
 UNTARGETED_FAULTS = ("roster_outage", "surge")
 LISTED_FAULTS = ("silent", "crash", "shrink", "grow")  # change the endpoint list
-MAX_STOLEN_SHARE = 0.95
-TAIL_SHARE = 0.05  # of the jobs during a `tail` fault, whose work is multiplied by its size
+MAX_STOLEN_SHARE = 0.95  # of a server's speed, that all `neighbour` faults together take at most
+TAIL_SHARE = 0.05  # share of jobs whose work is multiplied by the size of a `tail` fault
 
 
 class SizeRange(NamedTuple):
@@ -143,7 +143,10 @@
 
 
 def _add_effect(effects: FaultEffects, settings: Fault) -> None:
-    """Combine the effect of one fault on a server with `effects`, in place."""
+    """Combine the effect of one fault on a server with `effects`, in place.
+
+    The shares of several `errors` faults add up, and the request class of the last one applies to the sum.
+    """
     match settings.what:
         case "slow":
             effects.slowdown *= max(1.0, settings.size)
--- a/marlseam/simulation/model.py
+++ b/marlseam/simulation/model.py
@@ -1,7 +1,9 @@
 """The settings of a day: servers, request classes, clients, network, endpoint list, rules, faults.
 
 The names of the structs' fields are keys of experiment files. Times in seconds end in `_s`, in milliseconds
-in `_ms`. Standard work in ms is what one slot of speed 1 does in that time.
+in `_ms`. Standard work in ms is what one slot of speed 1 does in that time. Among the keys and values
+`executors` are servers, `roster` is discovery, `troubles` are faults, and the effects `rerunnable`,
+`receipted` and `exclusive` are those of safe, keyed and unsafe requests.
 """
 
 from typing import Annotated, Any, Literal, NamedTuple
@@ -51,7 +53,7 @@
     executors: Count
     slots: Count = 4
     speed: Positive = 1.0
-    queue: int = 40
+    queue: int = 40  # most jobs that wait; a further one is rejected
     memory: NotNegative = 0.0  # units; 0: memory is not limited
     cell: Count = 4  # servers per cell; a cell shares the memory of idempotency keys
     cold_share: Share = 0.4  # of `speed`, at the begin of slow start
@@ -63,18 +65,18 @@
 
     name: Name
     share: Positive
-    work_ms: Positive
+    work_ms: Positive  # mean of the standard work
     promised_ms: Positive
-    limit_ms: Positive
+    limit_ms: Positive  # from the intended send to the deadline
     effect: Literal["rerunnable", "receipted", "exclusive"] = "rerunnable"
-    cv: NotNegative = 1.0
+    cv: NotNegative = 1.0  # coefficient of variation of the work
     stretch: NotNegative = 2.0
-    credit: Positive = 1.0
-    late_credit: Share = 0.5
-    group: Literal["all", "zone", "cell"] = "cell"
-    memory_ms: Positive = 30000.0
+    credit: Positive = 1.0  # priority weight
+    late_credit: Share = 0.5  # share of `credit` for an answer after the latency objective
+    group: Literal["all", "zone", "cell"] = "cell"  # servers that share the memory of an idempotency key
+    memory_ms: Positive = 30000.0  # for how long they remember the key
     slots: tuple[Positive, ...] = (1.0,)  # shares of requests that take 1, 2, ... slots
-    memory: NotNegative = 0.0
+    memory: NotNegative = 0.0  # units that a request occupies while it runs
     keys: Annotated[int, Meta(ge=0)] = 0  # different keys, the same ones in all classes; 0: no keys
     key_skew: NotNegative = 1.1  # a key's frequency is its rank to the power of minus this
     in_turn: bool = False  # whether requests of one key run one at a time, in order of arrival
@@ -86,7 +88,7 @@
     zones: Annotated[list[Name], Meta(min_length=1)]
     nodes: Count
     kinds: Annotated[list[ServerKind], Meta(min_length=1)]
-    connections: Count = 600  # a server's limit
+    connections: Count = 600  # most connections that a server has open at once
     # Time to set up a connection, in ms beyond its round trip; delays the delivery of each attempt, also of a
     # retry, that opens a new connection. Attempts on an idle connection are not delayed.
     connect_ms: NotNegative = 3.0
@@ -102,14 +104,14 @@
     rate: Positive = 10.0  # first tries per second
     shape: Literal["steady", "ramp", "burst", "trace"] = "steady"
     to_rate: NotNegative = 0.0  # rate at the end of a ramp, or during a burst
-    burst_at_s: NotNegative = 0.0
+    burst_at_s: NotNegative = 0.0  # from the begin of the day
     burst_for_s: NotNegative = 0.0
     arrivals: Literal["poisson", "even"] = "poisson"
     skew: Share = 0.0  # weight added to the first zone, as a multiple of the weight of all zones together
-    trace: str = ""
-    time_scale: Positive = 1.0
-    from_s: NotNegative = 0.0
-    to_s: NotNegative = 0.0
+    trace: str = ""  # path of the trace to replay, for the shape `trace`
+    time_scale: Positive = 1.0  # factor of the times of a trace
+    from_s: NotNegative = 0.0  # begin of the part of a trace that is replayed
+    to_s: NotNegative = 0.0  # its end, exclusive; 0: the end of the trace
 
 
 class Clients(Strict, frozen=True):
@@ -165,19 +167,19 @@
 class Rules(Strict, frozen=True):
     """The bounds of the rules, and the permissions and limits in the settings of nodes."""
 
-    grace_ms: Positive = 2500.0
-    fall_multiple: Positive = 2.5
-    fall_ms: Positive = 3000.0
-    must_ask_ms: Positive = 10000.0
-    second_copies: bool = False
+    grace_ms: Positive = 2500.0  # from a node's notice that a server leaves until no attempt may reach it
+    fall_multiple: Positive = 2.5  # overload bound in slow start, as a multiple of what the server can do
+    fall_ms: Positive = 3000.0  # window over which the work received in slow start is counted
+    must_ask_ms: Positive = 10000.0  # maximum age of a node's endpoint list
+    second_copies: bool = False  # whether nodes may hedge
     probes: bool = True
     cancel: bool = True
-    max_allocs: Count = 5
-    max_advice_ms: NotNegative = 2000.0
-    cross_price: NotNegative = 0.03
+    max_allocs: Count = 5  # most attempts of a try
+    max_advice_ms: NotNegative = 2000.0  # longest Retry-After of a node; 0: no Retry-After
+    cross_price: NotNegative = 0.03  # cost of an attempt to a server of another zone
     tick_ms: Positive = 4.0
     turn_gap_ms: NotNegative = 0.0  # how long a key stays unused after an attempt that may still run
-    drain_binds_alone: bool = False
+    drain_binds_alone: bool = False  # whether only draining servers count as leaving, not those gone
 
 
 class Fault(Strict, frozen=True):
@@ -186,12 +188,14 @@
     what: Literal[FAULT_NAMES]  # type: ignore[valid-type]
     at_s: NotNegative
     for_s: Positive = 10.0
-    share: Share = 0.2  # of all servers or nodes, that the fault affects
+    share: Share = 0.2  # share of all servers, or of all nodes for a fault of nodes, that is drawn as targets
     size: NotNegative = 4.0
     type: str = ""  # for `errors`: the request class of which a share `size` fails; empty: all classes
     targets: tuple[str, ...] = ()  # names of what the fault affects; empty: drawn from the seed
-    part: Share = 0.4  # of a flap's period that is bad, of the load that is reported, or of messages lost
-    how: Literal["silent", "crash"] = "silent"  # fault in the bad part of a flap's period
+    # For `flapping` the share of its period that is bad, for `false_reports` the share of the load that is
+    # reported, for `slow_link` the share of messages that are lost.
+    part: Share = 0.4
+    how: Literal["silent", "crash"] = "silent"  # for `flapping`: the fault in the bad part of its period
     by: Literal["any", "zone"] = "any"  # zone: all targets are in one drawn zone
 
 
--- a/marlseam/simulation/server.py
+++ b/marlseam/simulation/server.py
@@ -24,9 +24,9 @@
 from marlseam.simulation.model import ServerKind
 from marlseam.simulation.server_settings import ServerSettings
 
-QUICK_WORK_SHARE = 0.02  # of a job's work, spent on a job that fails at once or is a duplicate
+QUICK_WORK_SHARE = 0.02  # share of its work that a job takes if an `errors` fault or a duplicate key ends it
 MIN_WORK_MS = 0.01  # lower bound of a job's standard work
-MAX_REPORT_SAMPLES = 64
+MAX_REPORT_SAMPLES = 64  # newest load reports that are kept
 
 
 @dataclass
@@ -36,8 +36,8 @@
     Attributes:
         slowdown: the divisor of its speed.
         stolen_share: the share of its speed that another tenant takes.
-        error_share: the share of jobs that fail at once.
-        error_class: the request class whose jobs fail; empty: all classes.
+        error_share: the share of jobs of `error_class` that fail after QUICK_WORK_SHARE of their work.
+        error_class: the request class whose jobs may fail; empty: all classes.
         tail_share: the share of jobs whose work is multiplied by `tail_factor`.
         tail_factor: the factor for these jobs.
         report_delay_ms: added to the delay of its load reports.
@@ -323,7 +323,10 @@
         )
 
     def offer(self, now_ms: float, job: Job) -> bool:
-        """Accept a job and return True, or reject it. The server must have been advanced to `now_ms`."""
+        """Accept a job and return True, or reject it and return False.
+
+        The server must have been advanced to `now_ms`.
+        """
         if self.is_draining or len(self.state.queue) >= self.kind.queue or job.slots > self.kind.slots:
             return False
         if self.is_in_slow_start(now_ms):
--- a/marlseam/verification/book.py
+++ b/marlseam/verification/book.py
@@ -23,7 +23,10 @@
 
 RecordType = TypeVar("RecordType", bound=Record)
 
-REQUIRED_SYSTEMS = ("clients", "executors", "roster", "driver")  # each must have at least one complete stream
+# Parts of a run of which each must have a stream with its first record; `executors` are servers, `roster` is
+# discovery.
+REQUIRED_SYSTEMS = ("clients", "executors", "roster", "driver")
+# Outcomes that are an answer of a node; `deferred` is a rejected try, `aborted` one that failed.
 FINAL_ANSWERS = ("completed", "deferred", "aborted")
 UNSHOWN_FIELDS = ("n", "t", "by", "id", "first")  # not among the NAME=VALUE pairs of a timeline's line
 
@@ -48,19 +51,25 @@
         if begin.n == 1 and isinstance(begin, StreamBegan):
             begun_systems.add(begin.system)
         gaps += _gaps_of_stream(writer, stream)
-    return gaps + [f"{system}: no stream" for system in REQUIRED_SYSTEMS if system not in begun_systems]
+    return gaps + [
+        f"{system}: no stream with its first record"
+        for system in REQUIRED_SYSTEMS
+        if system not in begun_systems
+    ]
 
 
 def _gaps_of_stream(writer: str, stream: Sequence[Record]) -> list[str]:
     """Return the gaps of one stream, whose records are sorted by number."""
     gaps = []
     if stream[0].n != 1 or not isinstance(stream[0], StreamBegan):
-        gaps.append(f"{writer}: first record missing")
+        gaps.append(f"{writer}: first record of the stream missing")
     if not isinstance(stream[-1], StreamEnded):
-        gaps.append(f"{writer}: last record missing")
+        gaps.append(f"{writer}: last record of the stream missing")
     after_gap = [later.n for earlier, later in pairwise(stream) if later.n != earlier.n + 1]
     if after_gap:
-        gaps.append(f"{writer}: {len(after_gap)} gaps, the first before number {after_gap[0]}")
+        gaps.append(
+            f"{writer}: {len(after_gap)} gaps in the record numbers, the first before number {after_gap[0]}"
+        )
     return gaps
 
 
@@ -80,8 +89,9 @@
         quits: the record that a try's client left, by the try's id.
         attempts: the attempts of a try that servers received, by the try's id.
         runs: the starts of a try's attempts on servers, by the try's id.
-        attempt_ends: the rejections, ends and cancellations of a try's attempts, by the try's id.
-        state_notices: the notifications of a server's state to a node, by node and server.
+        attempt_ends: the rejections, ends and cancellations of a try's attempts, by the try's id; recorded by
+            the server, cancellations by the server or the network.
+        state_notices: the notifications of a server's state to a node, sorted by time, by node and server.
         node_kills: the times at which a node was killed or ended, by node.
         node_pauses: the periods in which a node was stopped, by node.
     """
--- a/marlseam/verification/rules.py
+++ b/marlseam/verification/rules.py
@@ -43,7 +43,7 @@
     for tried in run.tries.values():
         finals = run.final_answers(tried.id)
         if len(finals) > 1:
-            rule.add_violation(tried.id, f"{len(finals)} final answers")
+            rule.add_violation(tried.id, f"{len(finals)} final answers, expected one")
         if finals:
             _check_answer_time(rule, run, tried, answered_ms=finals[0].t)
         elif not _is_missing_answer_excused(run, tried):
--- a/marlseam/verification/service.py
+++ b/marlseam/verification/service.py
@@ -1,7 +1,7 @@
 """The service figures of a run: the priority weight earned in time, latencies, and the cost.
 
 Client retries count as part of the request that they repeat. Reports contain the names of the figures, and
-experiments compare them.
+experiments compare them. Among the outcomes `deferred` is a rejected request, `aborted` a failed one.
 """
 
 from collections import Counter, defaultdict
@@ -17,7 +17,7 @@
 
 Key = TypeVar("Key", bound=Hashable)
 
-WINDOW_MS = 10000.0
+WINDOW_MS = 10000.0  # width of the windows of the figure `worst_10s`
 MIN_WINDOW_SHARE = 0.3  # of the weight of a mean window; windows of less are ignored as not significant
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 OUTCOMES = ("completed", "deferred", "aborted", "lost", "left", "unsent", "none")
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -133,7 +133,7 @@
     page = tmp_path / "page.html"
     good = CliRunner().invoke(fleet_command.group, ["audit", str(ledger_folder), "--html", str(page)])
     assert good.exit_code == 0
-    assert "acts after" in good.output
+    assert "its actions from" in good.output
     assert "svg" in page.read_text()
     row = json.loads(CliRunner().invoke(fleet_command.group, ["audit", str(ledger_folder), "--json"]).output)
     assert (row["node"], row["sent"]) == ("n", 4)
--- a/tests/test_publication.py
+++ b/tests/test_publication.py
@@ -25,7 +25,7 @@
     assert "aimUs" in refusal.why
     for name in "bc":
         operator.publisher.receive_vote(0.0, name, refusal)
-    assert operator.publisher.result.startswith("refused by most voters")
+    assert operator.publisher.result.startswith("refused by too many voters for a quorum: ")
     assert operator.number == 0
     assert voter.voter.acceptor.promises == {}
 
