--- a/marlseam/cluster/checking/replication_checker.py
+++ b/marlseam/cluster/checking/replication_checker.py
@@ -82,7 +82,9 @@
         """Record the content chosen for a number and the voters on the next; report a second content."""
         chosen = self.chosen.setdefault(number, ChosenContent(content_id, now))
         if chosen.content_id != content_id:
-            self.findings.append(f"version {number} has two contents at {now:.0f} ms")
+            self.findings.append(
+                f"two contents were chosen for version {number}, the second found at {now:.0f} ms"
+            )
         for replica in replicas:
             data = replica.store.contents.get(content_id)
             if data is not None:
--- a/marlseam/cluster/checking/replication_schedules.py
+++ b/marlseam/cluster/checking/replication_schedules.py
@@ -83,7 +83,7 @@
         checker: checks all disks and replicas.
         applied_at_ms: when a member first applied a version, by member and number.
         without_memory: members whose disks were lost or set back.
-        corrupted_share: share of chunks that are sent with one byte changed.
+        corrupted_share: share of chunks that are sent with one bit changed.
         content_rows: rows in the published settings; with 0 contents are smaller than the deltas to them.
 
     """
--- a/marlseam/cluster/membership.py
+++ b/marlseam/cluster/membership.py
@@ -170,7 +170,7 @@
         return self.effects
 
     def receive(self, now_ms: float, datagram: Datagram) -> list[Effect]:
-        """Handle a datagram from another member; one from a sender that is no member has no effect."""
+        """Handle a datagram; one from a sender that is no member has no effect."""
         self.begin_event(now_ms)
         if datagram.sender == self.name:
             # Another process under this member's name, or a datagram of its own that came back.
--- a/marlseam/cluster/membership_codec.py
+++ b/marlseam/cluster/membership_codec.py
@@ -12,7 +12,7 @@
 
 VERSION = 1
 MAX_DATAGRAM_BYTES = 1400  # fits into one packet on common links
-MAX_GOSSIP_ENTRIES = 16  # per datagram
+MAX_GOSSIP_ENTRIES = 16  # most states of other members in one datagram
 MAX_NUMBER = (1 << 53) - 1  # bound of incarnations, generations, sequence, version and round numbers
 MAX_NAME_CHARACTERS = 64
 
@@ -76,7 +76,7 @@
         sender: name of the sending member.
         sender_state: the sender's own state.
         kind: a `DatagramKind`; a plain number, so that unknown values can be decoded.
-        sequence: matches answers to pings; 0 if no answer is expected.
+        sequence: matches answers to pings; 0 if the sender does not wait for an answer.
         subject: the member that an indirect probe, an ack or a nack is about; empty for pings.
         entries: piggybacked gossip.
     """
--- a/marlseam/cluster/replication/content_store.py
+++ b/marlseam/cluster/replication/content_store.py
@@ -40,7 +40,10 @@
         return found
 
     def read(self, content_id: str, members: frozenset[str]) -> Content:
-        """Decode a stored content, which may name these members; raises InvalidContentError."""
+        """Decode a stored content; raises InvalidContentError.
+
+        `members` are those of the cluster, for a content that lists no members itself.
+        """
         try:
             return of_document(self.document(content_id), members)
         except DeltaError as error:
--- a/marlseam/cluster/replication/fetch.py
+++ b/marlseam/cluster/replication/fetch.py
@@ -108,7 +108,8 @@
     def begin(self, content_id: str, number: int, source: str) -> list[Effect]:
         """Begin to fetch a content from a member, for the version `number` or, with 0, for a vote.
 
-        If `MAX_FETCHES` run already, the one for the lowest number is dropped, unless `number` is no higher.
+        If `MAX_FETCHES` run already, the one for the lowest number is dropped if `number` is higher; otherwise
+        nothing is begun.
         """
         running = self.fetches.get(content_id)
         if running is not None:
@@ -180,7 +181,11 @@
         return self.complete_whole(sender, fetch)
 
     def complete_deltas(self, sender: str, fetch: Fetch, base_id: str) -> FetchProgress:
-        """Apply received deltas; if they do not lead to the content, fetch the whole from a random member."""
+        """Apply received deltas, which complete the fetch, or fetch again.
+
+        If the base of the deltas was dropped, the content is requested again from the sender; if the deltas
+        do not lead to the content, the whole is requested from a random member.
+        """
         if base_id not in self.store.contents:
             # The base was dropped in the meantime, as a later version is held.
             self.store.transfer_counts["gone"] += 1
@@ -200,7 +205,10 @@
         return FetchProgress([], fetch)
 
     def complete_whole(self, sender: str, fetch: Fetch) -> FetchProgress:
-        """Verify the digest of a content received as a whole; on a mismatch drop it and fetch again."""
+        """Verify the digest of a content received as a whole; on a mismatch drop the bytes.
+
+        The next `retry_stalled` requests the whole content again.
+        """
         data = bytes(fetch.received)
         if digest(data) != fetch.content_id:
             self.store.transfer_counts["digest"] += 1
--- a/marlseam/cluster/replication/publication.py
+++ b/marlseam/cluster/replication/publication.py
@@ -26,7 +26,7 @@
         content_id: id of the proposed content.
         by_operator: whether an operator requested the publication on this node.
         started_ms: when the publication started.
-        round_ends_ms: when the next round begins if no majority has answered.
+        round_ends_ms: when the next round begins if no content is chosen until then.
         highest_refused_round: the latest round of another proposer reported in a refusal.
         refusals: the reasons of voters that cannot use the content, by voter.
 
@@ -133,7 +133,9 @@
             return self.finish_abandoned(now)
         timeout_ms = PUBLICATION_TIMEOUT_PERIODS * self.replica.settings.period_ms
         if now > publication.started_ms + timeout_ms:
-            return self.end("timed out: no majority of the voters answered", publication)
+            return self.end(
+                "timed out: no content was chosen by a majority of the voters in time", publication
+            )
         if now < publication.round_ends_ms:
             return self.repeat_request(publication)
         return self.begin_round(now, publication)
--- a/marlseam/cluster/replication/replica.py
+++ b/marlseam/cluster/replication/replica.py
@@ -178,9 +178,9 @@
                 LogLine(
                     "fleet code=hand: "
                     + (
-                        f"taken out by an operator: {why}"
+                        f"this node was taken out of service by an operator: {why}"
                         if why is not None
-                        else "returned to service by an operator"
+                        else "this node was returned to service by an operator"
                     )
                 )
             ]
--- a/marlseam/experiment/file.py
+++ b/marlseam/experiment/file.py
@@ -198,7 +198,7 @@
 def check_unique(names: list[str], key: str) -> None:
     """Raise FileError if the list at `key` contains a duplicate name."""
     if len(set(names)) < len(names):
-        raise FileError(f"{key}: a name occurs twice, expected unique names")
+        raise FileError(f"{key}: duplicate name, expected unique names")
 
 
 def check_faults(day: Day) -> None:
