--- a/marlseam/cluster/replication/fetch.py
+++ b/marlseam/cluster/replication/fetch.py
@@ -108,7 +108,7 @@
     def begin(self, content_id: str, number: int, source: str) -> list[Effect]:
         """Begin to fetch a content from a member, for the version `number` or, with 0, for a vote.
 
-        If `MAX_FETCHES` run already, the one for the lowest number is dropped if `number` is higher; otherwise
+        If `MAX_FETCHES` run already, the one for the lowest number is dropped if `number` is higher; else
         nothing is begun.
         """
         running = self.fetches.get(content_id)
--- a/marlseam/emulators/network.py
+++ b/marlseam/emulators/network.py
@@ -55,7 +55,7 @@
 
 
 def parse_socket_address(text: str) -> SocketAddress:
-    """Parse an address HOST:PORT; raise ValueError if the port is not a number."""
+    """Parse an address HOST:PORT; raise ValueError if the port is missing or not a number."""
     host, _, port = text.rpartition(":")
     return SocketAddress(host, int(port))
 
--- a/marlseam/emulators/process.py
+++ b/marlseam/emulators/process.py
@@ -20,7 +20,7 @@
 from marlseam.net.loop import READ, Coroutine, Loop
 from marlseam.records import RecordStreams
 
-INPUT_CHUNK_BYTES = 4096
+INPUT_CHUNK_BYTES = 4096  # most bytes that are read from standard input at once
 
 
 class QuietLog(Log):
--- a/marlseam/experiment/cluster_members.py
+++ b/marlseam/experiment/cluster_members.py
@@ -35,12 +35,16 @@
         for name, status in statuses.items()
         if status
     }
-    wrong = [f"{name} gave no status answer" for name, status in statuses.items() if status is None]
+    wrong = [
+        f"{name} did not answer the status request" for name, status in statuses.items() if status is None
+    ]
     for name, status in statuses.items():
         for member in status["members"] if status else ():
             is_current = member["life"] == generations.get(member["name"])
             if member["standing"] != ALIVE or not is_current:
-                wrong.append(f"{name} has {member['name']} {member['standing']}, generation {member['life']}")
+                wrong.append(
+                    f"{name} reports {member['name']} {member['standing']}, generation {member['life']}"
+                )
     return wrong
 
 
--- a/marlseam/experiment/virtual/attempts.py
+++ b/marlseam/experiment/virtual/attempts.py
@@ -27,9 +27,10 @@
     """Carries attempts between nodes and servers over simulated connections.
 
     Attributes:
-        accept_timeout_ms: the time for which a node waits until a server accepts an attempt.
-        progress_gap_ms: the time for which a node waits for the next progress message of a running attempt;
-            inf if servers send no progress.
+        accept_timeout_ms: how long a node waits until a server accepts an attempt; for an unsafe request it
+            waits until the deadline.
+        progress_gap_ms: how long a node waits for the next progress message of a running attempt; inf if
+            servers send no progress. For an unsafe request it waits until the deadline.
     """
 
     def __init__(
--- a/marlseam/simulation/network.py
+++ b/marlseam/simulation/network.py
@@ -24,7 +24,7 @@
         figures: the settings of delays and jitter.
         cut_zones: the number of active cuts that separate a zone from all others, by zone.
         silent: the number of active faults that make a server unreachable, by name.
-        slow: the zones with slow links, once for each active fault.
+        slow: the zones with slow links, one entry for each active fault.
     """
 
     def __init__(self, figures: Network, rng: np.random.Generator) -> None:
