--- a/marlseam/simulation/model.py
+++ b/marlseam/simulation/model.py
@@ -142,7 +142,7 @@
 
 
 class Reports(Strict, frozen=True):
-    """How servers report their load: a report is refreshed every `period_ms`, and available `late_ms` later."""
+    """How servers report their load: a report is refreshed every `period_ms`, available `late_ms` later."""
 
     period_ms: Positive = 60.0
     late_ms: NotNegative = 10.0
