--- a/marlseam/verification/rules.py
+++ b/marlseam/verification/rules.py
@@ -180,7 +180,7 @@
     when it drains or is gone; with the setting `drain_binds_alone` only when it drains.
     """
     rule = Rule(
-        "drains kept", "latest receipt of an attempt after the notice that the server leaves, in graces"
+        "drains kept", "latest receipt after the notice that the server leaves, as a share of the grace"
     )
     grace_ms = float(run.rules.get("grace_ms", 0.0))
     gone_binds = not run.rules.get("drain_binds_alone", False)
