--- a/marlseam/cluster/checking/quota_schedules.py
+++ b/marlseam/cluster/checking/quota_schedules.py
@@ -28,12 +28,14 @@
 )
 from marlseam.cluster.replication.messages import MessageKind
 
-LEASE_PERIODS = 10.0
+LEASE_PERIODS = 10.0  # duration of a lease, in protocol periods
 MAX_DISK_MS = 20.0  # longest time to write a record
 SAMPLE_MS = 100.0  # time between samples of demand, use and the sum of usable quota
-DEMAND_PHASE_PERIODS = 20.0  # time for which the demand stays on one member
-PLAYED_PERIODS = 60.0  # time in which faults are injected
-MAX_FAULT_PERIODS = 40  # longest duration of a fault
+# How many protocol periods the high demand stays on one member before it moves to the next. Meanwhile each
+# other member has a tenth of an equal share of the limit as its demand.
+DEMAND_PHASE_PERIODS = 20.0
+PLAYED_PERIODS = 60.0  # protocol periods from the start in which faults are injected
+MAX_FAULT_PERIODS = 40  # longest duration of a fault, in protocol periods
 MIN_USED_SHARE = 0.95  # required use at the end, as a share of the demand that the limit can satisfy
 FAULTS = ("kill", "restart", "stop", "cut", "deaf", "mute", "pair", "hold", "lost")
 
@@ -184,7 +186,10 @@
 
 
 def demand_on_one(limit: float, nodes: int, name: str, shares: float) -> Callable[[str, float], float]:
-    """Return a demand function: `shares` equal shares on member `name`, a tenth of a share on each other."""
+    """Return a demand function, by member and time: `shares` equal shares of `limit` on member `name`.
+
+    Each other member has a demand of a tenth of an equal share.
+    """
     share = limit / nodes
     return lambda member, _now: shares * share if member == name else 0.1 * share
 
@@ -219,9 +224,13 @@
     available = min(limit, last.demanded)
     violations = []
     if simulation.max_usable > limit * (1.0 + 1e-9):
-        violations.append(f"all members together may use {simulation.max_usable:.2f}, limit {limit:g}")
+        violations.append(
+            f"quota that all members together may use at once: {simulation.max_usable:.2f}, limit {limit:g}"
+        )
     if last.used < MIN_USED_SHARE * available:
-        violations.append(f"{last.used:.2f} of the available {available:.2f} is used at the end")
+        violations.append(
+            f"at the end members use only {last.used:.2f} of the {available:.2f} that limit and demand permit"
+        )
     unused = 1.0 - last.used / available
     nearest = {"the sum": simulation.max_usable / limit, "unused at the end": unused / 0.05}
     return QuotaVerdict(violations, nearest)
--- a/marlseam/cluster/checking/replication_schedules.py
+++ b/marlseam/cluster/checking/replication_schedules.py
@@ -34,7 +34,7 @@
 SERVE_LEASES = 100.0  # time, in leases, for which a node that is not strict serves without a proof
 MAX_DISK_MS = 20.0  # longest time for one write
 CHECK_PERIOD_MS = 100.0  # time between checks of all replicas
-HEAL_PERIODS = 20.0  # bound of the time to recover after the last fault; see `heal_ms`
+HEAL_PERIODS = 20.0  # protocol periods after the last fault within which a cluster recovers; see `heal_ms`
 CONTENT_ROWS = 40  # rows in the settings of a content: enough for several chunks, and for smaller deltas
 RESTART_MS = 1.0  # downtime of a process whose disk was lost or set back
 VOTER_CHANGE_EVERY = 20  # marks of publications between two changes of voters
@@ -83,7 +83,7 @@
         checker: checks all disks and replicas.
         applied_at_ms: when a member first applied a version, by member and number.
         without_memory: members whose disks were lost or set back.
-        corrupted_share: share of chunks that are sent with one byte changed.
+        corrupted_share: share of chunks that are sent with one bit changed.
         content_rows: rows in the published settings; with 0 contents are smaller than the deltas to them.
 
     """
--- a/marlseam/experiment/file.py
+++ b/marlseam/experiment/file.py
@@ -213,7 +213,9 @@
                 hint = nearest_name_hint(name, list(target_names))
                 raise FileError(f"{key}.targets: no server, node or zone is named {name!r}{hint}")
         if fault.type and fault.type not in class_names:
-            raise FileError(f"{key}.type: no such request class{nearest_name_hint(fault.type, class_names)}")
+            raise FileError(
+                f"{key}.type: no such request class of the day{nearest_name_hint(fault.type, class_names)}"
+            )
         if fault.at_s >= day.seconds:
             raise FileError(f"{key}.at_s: {fault.at_s:g}, expected less than day.seconds")
 
