--- a/marlseam/core/effects.py
+++ b/marlseam/core/effects.py
@@ -16,8 +16,10 @@
     Attributes:
         request_id, attempt_index: the attempt.
         server: the server to which it is sent.
-        time_left_ms: the time until the request's deadline.
-        send_within_ms: the time within which the last byte must be sent; later the attempt must not be sent.
+        time_left_ms: the time until the request's deadline, counted from when this effect is carried out.
+        send_within_ms: the time within which the last byte must be sent, counted likewise; an attempt that is
+            late is not sent. inf sets no limit. There is a limit where an earlier attempt of a keyed request
+            may have run: servers drop a repeat only within the deduplication window of that attempt.
     """
 
     request_id: str
--- a/marlseam/core/port.py
+++ b/marlseam/core/port.py
@@ -22,7 +22,8 @@
 from marlseam.decisions.dispatcher import Dispatcher
 from marlseam.decisions.types import Idempotency, TrackedRequest
 
-MAX_KEYS = 20000  # idempotency keys of requests that may have run; requests under further keys are rejected
+# Maximum number of idempotency keys of requests that may have run; requests under further keys are rejected.
+MAX_KEYS = 20000
 
 
 class EffectsPort:
@@ -59,7 +60,8 @@
             attempt for attempt in state.attempts_that_may_have_run() if attempt is not state.attempts[-1]
         ]
         if earlier and request_class.idempotency is Idempotency.KEYED:
-            # After this time the servers that drop repeats need not remember the first attempt any more.
+            # After this time servers may have forgotten the key of the first attempt that may have run, and
+            # would run the request a second time.
             send_within_ms = earlier[0].sent_ms + request_class.deduplication_window_ms - self.clock
         if request.idempotency_key is not None and request_class.idempotency is not Idempotency.SAFE:
             self.persist(state, request.idempotency_key, server)
--- a/marlseam/decisions/request_record.py
+++ b/marlseam/decisions/request_record.py
@@ -68,11 +68,11 @@
 
     @abstractmethod
     def retry(self) -> None:
-        """Queue the request for another attempt; answer at once if none is allowed and none is in flight."""
+        """Queue the request for another attempt; end it at once if none is allowed and none is in flight."""
 
     @abstractmethod
     def answer(self) -> None:
-        """Give the request its one final answer; a second call has no effect."""
+        """Reject or fail a request that has no final answer yet."""
 
     @abstractmethod
     def time_to_spare_ms(self, pace: float) -> float:
--- a/marlseam/decisions/retry.py
+++ b/marlseam/decisions/retry.py
@@ -1,4 +1,6 @@
-"""Queueing, retries and the final answer of a request that is not sent at once.
+"""Queueing and retries of a request, and its rejection or failure once no attempt may follow.
+
+The result of an attempt is not answered here but in `core.reducer`.
 
 Module `eligibility` decides whether another attempt is allowed (`may_attempt`, and by server `is_eligible`);
 module `hedging` whether one may be made in place of, or beside, an attempt in flight (`may_replace`).
@@ -8,7 +10,7 @@
 
 
 class Retry(Eligibility):
-    """Queues and retries a request, and gives its one final answer."""
+    """Queues and retries a request, sent before or not, and rejects or fails it if no attempt may follow."""
 
     def enqueue(self) -> None:
         """Put the request into the pending queue, where first attempts are served before retries."""
@@ -18,14 +20,17 @@
             self.dispatcher.schedule_check()
 
     def retry(self) -> None:
-        """Queue the request for another attempt; answer at once if none is allowed and none is in flight."""
+        """Queue the request for another attempt; end it at once if none is allowed and none is in flight."""
         if self.may_attempt():
             self.enqueue()
         elif not self.in_flight_count():
             self.answer()
 
     def answer(self) -> None:
-        """Give the one final answer: reject if a retry by the client is harmless, else fail."""
+        """End a request without a result: reject it if a retry by the client is harmless, else fail it.
+
+        Without effect on a request that has its final answer.
+        """
         if self.is_closed:
             return
         self.is_closed = True
--- a/marlseam/decisions/types.py
+++ b/marlseam/decisions/types.py
@@ -308,7 +308,7 @@
         ...
 
     def retry(self) -> None:
-        """Queue the request for another attempt; answer at once if none is allowed and none is in flight."""
+        """Queue the request for another attempt; end it at once if none is allowed and none is in flight."""
         ...
 
     def attempt_ended(
--- a/marlseam/net/config_requests.py
+++ b/marlseam/net/config_requests.py
@@ -37,7 +37,7 @@
 
 
 class RejectedRequestError(Exception):
-    """An operator's request that is not carried out: the response's HTTP status, and why as text."""
+    """An operator's request that is not carried out: the response's HTTP status, and why as a string."""
 
     def __init__(self, status: int, reason: str) -> None:
         """Create the error of an HTTP status, for a reason that the operator reads."""
@@ -60,7 +60,7 @@
 
 
 def is_reason(why: object) -> bool:
-    """Return whether a value is a valid reason: a text of 1 to MAX_REASON_CHARACTERS characters."""
+    """Return whether a value is a valid reason: a string of 1 to MAX_REASON_CHARACTERS characters."""
     return isinstance(why, str) and 0 < len(why) <= messages.MAX_REASON_CHARACTERS
 
 
@@ -71,17 +71,21 @@
         settings, why = given["settings"], given["why"]
         voters, members = given.get("voters"), given.get("members")
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
-        raise RejectedRequestError(BAD_REQUEST, f"expected JSON with settings and why ({error!r})") from None
+        raise RejectedRequestError(
+            BAD_REQUEST, BAD_REQUEST, f"expected a JSON object with `settings` and `why` ({error!r})"
+        ) from None
     if not isinstance(settings, dict) or not is_reason(why):
         limit = messages.MAX_REASON_CHARACTERS
         raise RejectedRequestError(
-            BAD_REQUEST, f"expected settings as an object, and why as a text of 1 to {limit} characters"
+            BAD_REQUEST, f"expected `settings` as an object, and `why` as a string of 1 to {limit} characters"
         )
     are_names = isinstance(voters, list) and all(isinstance(name, str) for name in voters)
     if voters is not None and not are_names:
-        raise RejectedRequestError(BAD_REQUEST, "voters: expected a list of members' names")
+        raise RejectedRequestError(BAD_REQUEST, "`voters`: expected a list of members' names")
     if members is not None and not (isinstance(members, dict) and members):
-        raise RejectedRequestError(BAD_REQUEST, "members: expected an object of names and addresses")
+        raise RejectedRequestError(
+            BAD_REQUEST, "`members`: expected an object of addresses by name, with one at least"
+        )
     return PublishRequest(settings, why, voters, members)
 
 
@@ -95,7 +99,10 @@
     def replica(self) -> ConfigReplica:
         """Return the service's replica; raises RejectedRequestError while there is none."""
         if self.service.replica is None:
-            raise RejectedRequestError(UNAVAILABLE, "the ledger is not read yet: another process has it")
+            raise RejectedRequestError(
+                UNAVAILABLE,
+                "this process has not read the ledger yet: another one has its lock, or reading failed",
+            )
         return self.service.replica
 
     # Publishing.
@@ -161,9 +168,9 @@
     def step_fault(self, replica: ConfigReplica, voters: frozenset[str], members: frozenset[str]) -> str:
         """Return why voters and members cannot follow the present ones in one version; "" if they can."""
         if not is_single_step(replica.voters, voters, MAX_VOTER_CHANGES):
-            return f"voters {sorted(voters)}: expected two to be added or removed at most, or one replaced"
+            return f"`voters` {sorted(voters)}: expected at most two added or removed, or one replaced"
         if not is_single_step(replica.members, members, MAX_MEMBER_CHANGES):
-            return f"members {sorted(members)}: expected one at most to be added, removed or replaced"
+            return f"`members` {sorted(members)}: expected at most one added, removed or replaced"
         return voters_fault(sorted(voters), members)
 
     def is_in_force(self, content: Content) -> bool:
@@ -191,9 +198,12 @@
         service, replica = self.service, self.replica()
         if why is not None and not is_reason(why):
             limit = messages.MAX_REASON_CHARACTERS
-            raise RejectedRequestError(BAD_REQUEST, f"expected why as a text of 1 to {limit} characters")
+            raise RejectedRequestError(BAD_REQUEST, f"expected `why` as a string of 1 to {limit} characters")
         if not service.ledger.is_available():
-            raise RejectedRequestError(UNAVAILABLE, f"the ledger is not writable: {service.ledger.code}")
+            raise RejectedRequestError(
+                UNAVAILABLE,
+                f"the override cannot be stored, as the ledger is not writable: {service.ledger.code}",
+            )
         service.carry_out([replica.override_by_operator(why, service.ledger.wall_ms())])
         return Response(ACCEPTED, f"{service.name} goes {'out of' if why is not None else 'in'} service\n")
 
--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -136,10 +136,16 @@
         now = self.loop.now()
         replica = self.replica = self.make_replica(now, recovered)
         if replica.unusable_reason:
-            self.log.line(f"fleet code=unfit: version {replica.number}: {replica.unusable_reason}")
+            self.log.line(
+                f"fleet code=unfit: version {replica.number} cannot be used on this node: "
+                f"{replica.unusable_reason}"
+            )
         replica.voter.memory_is_elsewhere = self.is_beside
         if recovered.votes_excluded_up_to is None and not self.is_beside:
-            self.log.line("fleet code=lost: does not vote until the promises that it may have made are known")
+            self.log.line(
+                "fleet code=lost: this node has lost its memory of its votes, and does not vote until a "
+                "majority of the voters has reported up to which version it may have voted"
+            )
         self.actions.begin_process(now, self.is_beside)
         if replica.applied_number:
             content = self.held_content()
@@ -331,7 +337,10 @@
         self.valid_until_ms = min(replica.serving.next_change_ms(now), now + CHECK_PERIOD_MS)
         if before.is_serving != status.is_serving and self.is_started:
             if not status.is_serving:
-                self.log.line(f"fleet code={status.code}: out of service")
+                self.log.line(
+                    f"fleet code={status.code}: out of service: this node serves no new requests until the "
+                    "cause that the code names has ended"
+                )
             self.port.serve(status.is_serving)
 
     def action_basis(self, replica: ConfigReplica) -> ActionBasis:
@@ -362,7 +371,10 @@
     def report_local_settings(self, settings: Mapping[str, Any]) -> None:
         """Log that the settings of the node's own file are ignored, if they differ from those in force."""
         if settings_digest(settings) != self.last_settings_digest:
-            self.log.line("fleet code=local-refused: the file's settings are ignored, the version's stay")
+            self.log.line(
+                "fleet code=local-refused: the settings in this node's file are ignored, those of the "
+                "configuration version stay in force"
+            )
 
     # Actions.
 
--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -143,7 +143,10 @@
             # A saved list may come from another discovery; the configured list comes from the configured one.
             self.is_version_live = saved is None and held and not self.is_confirmed
         except MalformedMessageError as error:
-            self.log.line(f"endpoint list of the configuration or the saved state is invalid: {error}")
+            self.log.line(
+                "endpoint list of the configuration, the saved state or another process of this node is "
+                f"invalid and ignored until discovery returns a list: {error}"
+            )
 
     def watch(self) -> None:
         """Start a task that requests the list and follows its changes, unless one is running."""
@@ -176,7 +179,10 @@
         except ConnectionEndedError as ended:
             reason = ended.reason
         except MalformedMessageError as error:
-            self.log.line(f"discovery: {error}")
+            self.log.line(
+                f"discovery: {error}: the answer is ignored, the held list stays in use, and discovery is "
+                "called again after a backoff"
+            )
             reason = Reason.BAD_MESSAGE
         except Cancelled:
             reason = self.cancel_reason
--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -71,7 +71,10 @@
         node.reducer.idempotency_records.max_keys = self.settings.keys
         if state is None:
             node.post(core.HistoryUnavailable(SOURCE))
-            node.log.line("history of keyed requests is not read yet, marked retries are not sent until then")
+            node.log.line(
+                "history of keyed requests is not read yet: until the state directory can be read, a request "
+                "that may be a client's retry and whose key is not on record is answered 500 and not sent"
+            )
         else:
             for _ in self.restore_history(state):
                 pass
@@ -88,7 +91,9 @@
             yield from sleep(self.node.loop.now())
         if not self.node.discovery.held:
             self.restore_list(state, time.monotonic())
-        self.node.log.line(f"history of keyed requests is recovered: {self.recovered_keys} keys on record")
+        self.node.log.line(
+            f"history of keyed requests is read from the store: {self.recovered_keys} keys on record"
+        )
 
     def restore_list(self, state: NodeState | None, began_s: float) -> bool:
         """Start discovery from the stored list unless the configuration's is newer; return whether it did."""
@@ -103,7 +108,8 @@
         age_text = "of unknown age" if age_ms is None else f"{age_ms / 1000.0:.0f} s old"
         took_ms = 1000.0 * (time.monotonic() - began_s)
         self.node.log.line(
-            f"starts from stored endpoint list, {age_text}: {len(saved.rows)} servers, doubt {doubt:.3f}, "
+            f"starts from stored endpoint list, {age_text}: {len(saved.rows)} servers, doubt {doubt:.3f} "
+            f"(probability that an entry is no longer true), "
             f"{self.recovered_keys} keys on record, read in {took_ms:.0f} ms"
         )
         return True
@@ -143,7 +149,11 @@
             node.post(core.HistoryAvailable(SOURCE))
         else:
             node.post(core.HistoryUnavailable(SOURCE, min(node.loop.now(), state.lost_ms + shift_ms)))
-            node.log.line("history of keyed requests is lost: marked retries are not sent for now")
+            node.log.line(
+                "history of keyed requests is lost: until servers have forgotten the requests sent before "
+                "this start, a request that may be a client's retry and whose key is not on record is "
+                "answered 500 and not sent"
+            )
 
     # Attempts.
 
--- a/marlseam/net/node_ledger.py
+++ b/marlseam/net/node_ledger.py
@@ -1,7 +1,7 @@
 """The ledgers of a node: the main one, and one beside it for a second process of the node, as in an upgrade.
 
-The later process writes to the ledger beside the main one until the earlier process has released that. Only
-then may the later process vote, as only the main ledger holds the node's memory of votes.
+The later process writes to the ledger beside the main one until the earlier process has released the main
+one. Only then may the later process vote, as only the main ledger holds the node's memory of votes.
 """
 
 import contextlib
@@ -70,7 +70,10 @@
             self.current.is_loss_logged = True  # no loss to log: this ledger never had a memory of votes
         except OSError:
             return False
-        self.log.line("fleet: another process has the ledger, this one writes beside it until that ends")
+        self.log.line(
+            "fleet: another process of this node has the main ledger: until it releases the ledger, this "
+            "process does not vote, and writes its records to a second ledger"
+        )
         return True
 
     def start(self) -> None:
@@ -86,7 +89,9 @@
         beside, self.current, self.main = self.current, self.main, None
         self.on_moved(recovered)
         beside.leave()
-        self.log.line("fleet: this process has the main ledger now")
+        self.log.line(
+            "fleet: this process has taken over the node's main ledger, with the node's memory of votes"
+        )
 
     def merge_other(self, recovered: RecoveredLog) -> RecoveredLog:
         """Merge the node's other ledger into `recovered`: its version and override where they are later."""
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -39,7 +39,11 @@
 MAX_UNSENT_BYTES = 1 << 22  # unsent bytes to one process above which its connection is closed
 MAX_SNAPSHOT_BYTES = 1 << 24  # received from one process until its snapshot is complete
 PREFIX, SUFFIX = "marlseam-", ".sock"
-HISTORY_INCOMPLETE = "history of keyed requests is incomplete: marked retries are not sent for now"
+HISTORY_INCOMPLETE = (
+    "history of keyed requests is incomplete, as another process of this node has not sent all of its own: a "
+    "request that may be a client's retry and whose key is not on record is answered 500 and not sent, until "
+    "that history is received or servers have forgotten that process's requests"
+)
 
 
 class ProcessHandover:
@@ -95,19 +99,24 @@
             # does not listen yet, and so refuses, for one of a process that was killed.
             temporary.rename(self.path)
         except OSError as error:
-            self.log_fault("unheard", f"cannot listen for later processes: {error}")
+            self.log_fault(
+                "unheard", f"later processes of this node get no handover, as this one cannot listen: {error}"
+            )
             self.close()
         else:
             self.loop.spawn(self.accept(self.sock), first=True)
 
     def connect(self, path: Path) -> None:
-        """Connect to another process; a socket that refuses is of one that was killed, and is removed."""
+        """Connect to another process; a socket that refuses belongs to a killed process, and is removed."""
         try:
             sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         except OSError as error:
-            # Guards the start where the system refuses Unix sockets: the other's history stays unavailable.
+            # Guards the node's start against a system that refuses Unix sockets: this process starts without
+            # the history of the other process, which counts as unavailable as long as this one runs.
             self.mark_history_unavailable(path.name, None)
-            self.log_fault("unheard", f"{path.name}: no socket to connect from: {error}")
+            self.log_fault(
+                "unheard", f"{path.name}: cannot create a socket to get the history of its process: {error}"
+            )
             return
         sock.setblocking(False)
         try:
@@ -120,12 +129,16 @@
             # The process runs but does not accept, as it hangs: it may go on at any time and then answer.
             if path.name not in self.node.reducer.unavailable_history.last_sent_ms:
                 self.mark_history_unavailable(path.name, None)
-                self.log_fault("silent", f"{path.name} does not accept connections")
+                self.log_fault(
+                    "silent", f"{path.name}: its process does not accept connections, connecting is retried"
+                )
             self.loop.at(self.loop.now() + SNAPSHOT_TIMEOUT_MS, lambda: self.connect(path))
         except OSError as error:
             # Guards against a process that ended just now and did not send its history.
             self.mark_history_unavailable(path.name, self.loop.now())
-            self.log_fault("unheard", f"{path.name}: cannot connect: {error}")
+            self.log_fault(
+                "unheard", f"{path.name}: cannot connect to its process, which may have just ended: {error}"
+            )
         else:
             self.add_peer(PeerProcess(sock, True, path.name))
             return
@@ -191,12 +204,16 @@
         for peer in list(self.peers):
             if not peer.is_snapshot_complete:
                 self.mark_history_unavailable(peer.source, None)
-                self.log_fault("silent", f"process {peer.name()} did not complete its snapshot in time")
+                self.log_fault(
+                    "silent",
+                    f"process {peer.name()} did not complete its snapshot in time: this one serves without",
+                )
         took_ms = self.loop.now() - self.began_ms
         latest = self.latest_list
         if latest.rows:
             self.log.line(
-                f"takes over {len(latest.rows)} servers, list version {latest.version}, in {took_ms:.0f} ms"
+                f"received an endpoint list of {len(latest.rows)} servers, list version {latest.version}, "
+                f"from another process of this node in {took_ms:.0f} ms; it is used unless this process has a newer list"
             )
         self.on_complete(latest)
 
@@ -231,14 +248,16 @@
             try:
                 self.receive_bytes(peer, data)
             except (InvalidLineError, MalformedMessageError) as error:
-                self.log_fault(getattr(error, "code", "odd"), f"process {peer.name()}: {error}")
+                self.log_fault(
+                    getattr(error, "code", "odd"), f"connection to process {peer.name()} is closed: {error}"
+                )
                 return False
 
     def receive_bytes(self, peer: PeerProcess, data: bytes) -> None:
         """Handle received bytes; raises InvalidLineError or MalformedMessageError for an invalid message."""
         peer.received_bytes += len(data)
         if not peer.is_snapshot_complete and peer.received_bytes > MAX_SNAPSHOT_BYTES:
-            raise InvalidLineError("too-large", "its snapshot exceeds the limit of bytes")
+            raise InvalidLineError("too-large", "its snapshot has more than MAX_SNAPSHOT_BYTES bytes")
         for raw in peer.lines.feed(data):
             for item in handover_codec.parse_line(raw):
                 self.receive(peer, item)
@@ -246,7 +265,7 @@
     def receive(self, peer: PeerProcess, item: HandoverItem) -> None:
         """Handle one message; raises InvalidLineError where the first one is not Hello."""
         if peer.hello is None and type(item) is not Hello:
-            raise InvalidLineError("odd", "its first message is not a hello")
+            raise InvalidLineError("odd", "expected a hello as its first message")
         HANDLERS[type(item)](self, peer, item)
 
     def receive_hello(self, peer: PeerProcess, item: Hello) -> None:
@@ -255,7 +274,9 @@
         Raises InvalidLineError where it is from a process of another node.
         """
         if item.node != self.node.config.name:
-            raise InvalidLineError("foreign", f"it is a process of another node, {item.node:.80}")
+            raise InvalidLineError(
+                "foreign", f"expected a process of this node, got one of node {item.node:.80}"
+            )
         peer.hello = item
         if item.is_in_cluster and self.node.config_service is not None:
             self.node.config_service.share_proof()
@@ -285,8 +306,8 @@
             self.latest_list = ListSnapshot(peer.list_version, peer.list_rows)
         took_ms = self.loop.now() - self.began_ms
         self.log.line(
-            f"process {peer.name()} sent its snapshot of {len(peer.list_rows)} servers and "
-            f"{peer.attempt_count} attempts after {took_ms:.0f} ms"
+            f"process {peer.name()} of this node sent its snapshot of {len(peer.list_rows)} servers and "
+            f"{peer.attempt_count} attempts, complete {took_ms:.0f} ms after the handover began"
         )
         self.finish_if_complete()
 
@@ -329,7 +350,10 @@
                 continue
             if len(peer.unsent) > MAX_UNSENT_BYTES:
                 # Guards this process's memory against a peer that hangs and reads nothing.
-                self.log_fault("behind", f"process {peer.name()} does not read, too many bytes are unsent")
+                self.log_fault(
+                    "behind",
+                    f"process {peer.name()} does not read, its connection is closed: too much is unsent",
+                )
                 self.remove_peer(peer)
             elif peer.unsent and peer.task is not None:
                 peer.task.wake()
@@ -353,12 +377,16 @@
         if peer.task is not None:
             peer.task.cancel()
         if peer.is_snapshot_complete and peer.has_sent_goodbye:
-            self.log.line(f"process {peer.name()} of this node has ended")
+            self.log.line(f"process {peer.name()} of this node has ended after it reported all its attempts")
         else:
             # Guards against a process that was killed, or hangs and was disconnected: its last attempts may
             # not have been received.
             self.mark_history_unavailable(peer.source, self.loop.now())
-            self.log_fault("cut", f"process {peer.name()} disconnected without a goodbye or whole snapshot")
+            self.log_fault(
+                "cut",
+                f"connection to process {peer.name()} of this node ended, closed by either side, without "
+                "its goodbye, its whole snapshot or both: its last attempts may be unknown here",
+            )
         self.node.apply_process_count()
         if not self.is_done:
             self.finish_if_complete()
--- a/marlseam/net/protocol.py
+++ b/marlseam/net/protocol.py
@@ -122,17 +122,22 @@
         if header_names.count(name.lower().encode()) > 1:
             raise MalformedMessageError(f"{name} is given more than once")
     if "Transfer-Encoding" in head and ("Content-Length" in head or version != b"1.1"):
-        raise MalformedMessageError("Transfer-Encoding with Content-Length, or not in HTTP/1.1")
+        raise MalformedMessageError(
+            "Transfer-Encoding is given together with Content-Length, or not in HTTP/1.1"
+        )
     end = HEAD_END.search(raw)
     raw = raw[: end.start()] if end else raw
     lengths = LENGTHS.findall(raw)
     if FOLDED.search(raw) or len(lengths) > 1 or not all(length.strip().isdigit() for length in lengths):
-        raise MalformedMessageError("folded header line, or Content-Length that is repeated or not a number")
+        raise MalformedMessageError(
+            "a header line is folded, Content-Length is given more than once, or its value has other "
+            "characters than digits"
+        )
     return head
 
 
 def is_header_safe(text: str) -> bool:
-    """Return whether a text can be forwarded in a header: not empty, short, only visible ASCII characters."""
+    """Return whether a string can be forwarded in a header: not empty, short, only visible ASCII."""
     return 0 < len(text) <= MAX_ID_LENGTH and text.isascii() and text.isprintable() and " " not in text
 
 
@@ -172,7 +177,9 @@
         raise MalformedMessageError(f"{ID} is missing or invalid")
     name = head.get(TYPE, "")
     if name not in deployment.types or class_name_of(target) != name:
-        raise MalformedMessageError(f"{TYPE} is missing, unknown or differs from the path's request class")
+        raise MalformedMessageError(
+            f"{TYPE} is missing, names no known request class, or differs from the path's first segment"
+        )
     left_ms = 1000.0 * parse_number(head.get(TIME_LEFT, ""), TIME_LEFT)
     class_index = deployment.types[name]
     request_class = deployment.settings.request_classes[class_index]
@@ -264,7 +271,7 @@
         raise MalformedMessageError("answer line is not valid JSON") from None
     if not isinstance(row, dict) or row.get("id") != correlation_id or row.get("from") != server:
         raise MalformedMessageError(
-            "answer line is not an object with the id of the request and its server under from"
+            "answer line is not an object with the request's id as `id` and the server's name as `from`"
         )
     state, share, result = row.get("state"), row.get("share"), row.get("result")
     report = report_from(row.get("load"), report_names)
@@ -274,7 +281,9 @@
         return AnswerLine(progress=finite(share))
     outcome = OUTCOME_BY_STATE.get(state) if isinstance(state, str) else None
     if outcome is None or (state == "done" and not isinstance(result, str)):
-        raise MalformedMessageError("answer line has an unknown state, or no result with state done")
+        raise MalformedMessageError(
+            "answer line has an unknown `state`, or state done without a string as `result`"
+        )
     text = str(result) if state == "done" else ""
     try:
         return AnswerLine(outcome=outcome, result=text.encode(), report=report)
@@ -283,7 +292,7 @@
 
 
 class Lines:
-    """Splits a streamed answer into its lines."""
+    """Splits a received stream, a server's answer or a handover, into its lines."""
 
     def __init__(self) -> None:
         self.remainder = b""
@@ -292,7 +301,7 @@
         """Add received bytes and return the lines that they complete, without blank lines."""
         *lines, self.remainder = (self.remainder + data).split(b"\n")
         if len(self.remainder) > MAX_LINE_BYTES or any(len(line) > MAX_LINE_BYTES for line in lines):
-            raise MalformedMessageError("answer line is too long")
+            raise MalformedMessageError("line is too long: more than MAX_LINE_BYTES bytes")
         return [line for line in lines if line.strip()]
 
 
--- a/marlseam/net/service_state.py
+++ b/marlseam/net/service_state.py
@@ -44,7 +44,10 @@
         """Take the node out of service for `who` and drain clients; accepted requests are finished."""
         self.out_of_service_by.add(who)
         if self.node.downstream.drain_timer is None:
-            self.node.log.line(f"out of service with {len(self.node.requests.pending)} requests open")
+            self.node.log.line(
+                f"out of service with {len(self.node.requests.pending)} requests open: this node reports "
+                "that it is not ready, and closes clients' connections once they are answered or idle"
+            )
         self.node.downstream.drain(0.0, graceful_shutdown.IDLE_GRACE_MS)
         return OperatorAnswer(200, "")
 
@@ -60,6 +63,6 @@
             names = ", ".join(sorted(self.out_of_service_by))
             return OperatorAnswer(200, f"still out of service by {names}\n")
         if self.node.downstream.drain_timer is not None:
-            self.node.log.line("in service")
+            self.node.log.line("this node is in service")
             self.node.downstream.resume()
         return OperatorAnswer(200, "")
--- a/marlseam/recovery/handover_codec.py
+++ b/marlseam/recovery/handover_codec.py
@@ -177,7 +177,9 @@
         return [SnapshotEnd()]
     if fields.get("over") is True:
         return [Goodbye()]
-    raise _invalid("the line has no known field")
+    raise _invalid(
+        "expected a field `marlseam`, `proof`, `hosts`, `sent` or `never`, or `whole` or `over` as true"
+    )
 
 
 def _invalid(text: str) -> InvalidLineError:
@@ -219,7 +221,7 @@
     """Parse a part of the endpoint list."""
     hosts = _parse_rows(fields["hosts"])
     if not all(isinstance(host, dict) for host in hosts):
-        raise _invalid("an entry of `hosts` is not a JSON object")
+        raise _invalid("field `hosts`: expected a JSON object for each entry")
     return [ListPart(int(_parse_number(fields.get("seq"))), hosts)]
 
 
@@ -232,7 +234,7 @@
     """Parse one attempt that may have run."""
     key, server, zone, cell, sent_ms, until_ms = _parse_fixed_list(row, 6)
     if not isinstance(cell, int) or isinstance(cell, bool):
-        raise _invalid("the cell of an attempt is not an integer")
+        raise _invalid("an attempt in `sent`: expected the cell as an integer")
     return AttemptSent(
         _parse_text(key),
         _parse_text(server),
@@ -252,28 +254,32 @@
 def _parse_rows(value: object) -> list[Any]:
     """Return a value that must be a list of at most MAX_ROWS_PER_LINE rows."""
     if not isinstance(value, list) or len(value) > MAX_ROWS_PER_LINE:
-        raise _invalid("expected a list, no longer than the limit of a line")
+        raise _invalid(f"field `hosts` or `sent`: expected a list of at most {MAX_ROWS_PER_LINE} rows")
     return value
 
 
 def _parse_fixed_list(value: object, count: int) -> list[Any]:
     """Return a value that must be a list of exactly `count` values."""
     if not isinstance(value, list) or len(value) != count:
-        raise _invalid(f"expected a list of {count} values")
+        raise _invalid(
+            f"field `proof` or `never`, or an attempt in `sent`: expected a list of {count} values"
+        )
     return value
 
 
 def _parse_text(value: object, min_characters: int = 1) -> str:
     """Return a value that must be a string of a valid length for a key or a name."""
     if not isinstance(value, str) or not min_characters <= len(value) <= MAX_TEXT_CHARACTERS:
-        raise _invalid("expected a string of a valid length for a key or a name")
+        raise _invalid(
+            f"a key, name or id: expected a string of {min_characters} to {MAX_TEXT_CHARACTERS} characters"
+        )
     return value
 
 
 def _parse_number(value: object) -> float:
     """Return a value that must be a number from 0 to MAX_TIME_MS."""
     if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value <= MAX_TIME_MS:
-        raise _invalid("expected a number in the range of a time")
+        raise _invalid(f"a time, process id or version: expected a number from 0 to {MAX_TIME_MS:g}")
     return value
 
 
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -1,7 +1,8 @@
 """The node's client of a writer process: sends it records and tracks which of them are durable.
 
-If the disk cannot be used, `is_available` returns False before a record is sent, and `wait_durable` returns
-False to a waiting task. The reason is logged with a code, and the disk is retried with backoff.
+While the disk cannot be used, `is_available` returns False, so that callers need not send a record, and the
+tasks that wait for a sent record get False from `wait_durable`. The reason is logged with a code, and the
+disk is retried with backoff.
 """
 
 import contextlib
@@ -36,8 +37,8 @@
 MAX_LOCK_WAIT_S = 0.5  # at a start: the previous process's writer holds the lock until the writer has ended
 LOCK_RETRY_S = 0.01  # between attempts within MAX_LOCK_WAIT_S
 LOCK_POLL_MS = 50.0  # between attempts to take another process's lock while the loop runs
-MIN_RETRY_DELAY_MS = 1000.0  # before a failed disk is retried
-MAX_RETRY_DELAY_MS = 60000.0
+MIN_RETRY_DELAY_MS = 1000.0  # before the first retry of a failed disk; doubled with each failure in a row
+MAX_RETRY_DELAY_MS = 60000.0  # the longest delay before a retry of a failed disk
 MAX_OUTGOING_BYTES = 8 << 20  # unsent to the writer process; beyond this the disk counts as slow
 MAX_RECEIVE_BYTES = 65536
 MAX_CLOSE_SEND_S = 1.0  # to send the last messages when the node ends
@@ -150,8 +151,9 @@
                     yield from sleep(self.loop.now() + LOCK_POLL_MS)
                     continue
             else:
-                # The writer process compacts, as compacting here would stall the loop. A record is durable
-                # before its request is sent, so no snapshot replaces records that were not read.
+                # The writer process compacts, as compacting here would stall the loop. It begins the new file
+                # from the files on the disk. Nothing is missing there: an attempt or a vote is sent only once
+                # its record is durable, so a record that was never written stands for nothing that was sent.
                 self.compact()
                 yield from self.receive_answers(channel)
                 self.stop_process()
@@ -309,13 +311,13 @@
         """Resolve the waits for written messages, and begin a new file if this one has grown too large."""
         self.wait_queue.resolve_up_to(self.answered_count, True)
         if not self.is_success_logged:
-            self.log.line(f"{self.what} is kept in {self.path}")
+            self.log.line(f"{self.what} is kept in {self.path}: new records become durable from now on")
         self.accepts_records, self.is_success_logged = True, True
         self.retry_delay_ms, self.code = MIN_RETRY_DELAY_MS, ""
         for text in answer.losses or ():
             if not self.is_loss_logged:
                 self.is_loss_logged = True
-                self.log.line(f"{self.what} file {self.path} code=lost: {text}")
+                self.log.line(f"{self.what} directory {self.path} code=lost: {text}")
         if answer.file_bytes <= self.max_file_mb * BYTES_PER_MB:
             self.is_compacting = False
         elif not self.is_compacting:
@@ -333,8 +335,9 @@
     def wait_durable(self, number: int) -> Steps:
         """Wait until the message with a number is durable; return whether it is.
 
-        The result is False after `max_wait_ms`. The record may still be written later, and then counts as an
-        attempt that may have run.
+        The result is False at once where the writer process accepts no records or `number` is 0, and after
+        `max_wait_ms` where the record is not durable by then. Such a record may still be written later; the
+        record of an attempt then counts as one of an attempt that may have run, although it was not sent.
         """
         if not number or not self.accepts_records:
             return False
@@ -352,7 +355,7 @@
     def log_failure(self, code: str, text: str) -> None:
         """Log why records do not become durable, once as long as the reason code stays the same."""
         if code != self.code:
-            self.log.line(f"{self.what} is not kept code={code}: {text}")
+            self.log.line(f"{self.what} is not kept code={code}: new records are not durable in time: {text}")
         self.code, self.is_success_logged = code, False
 
     def mark_unavailable(self, code: str, text: str) -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("nodes", [20, 30, 200])
-def test_a_burst_after_a_quiet_slow_start_is_bounded_by_the_tokens_saved(nodes):
+def test_a_burst_late_in_slow_start_after_no_requests_is_bounded_by_the_tokens_of_all_nodes(nodes):
     dispatchers = make_dispatchers(nodes)
     for step in range(1, 150):  # no node sends, all refill their buckets
         set_clocks(dispatchers, STARTED_MS + 100.0 * step)
