--- a/marlseam/configuration/loader.py
+++ b/marlseam/configuration/loader.py
@@ -255,7 +255,7 @@
     for key, inner in shape.items():
         full_key = f"{path}{key}"
         if key not in values:
-            raise ConfigError(full_key, REQUIRED, "an entry, as in the file in force")
+            raise ConfigError(full_key, REQUIRED, "an entry, as the file in force has one")
         value = values[key]
         if full_key == "known":
             continue
--- a/marlseam/configuration/operator_settings.py
+++ b/marlseam/configuration/operator_settings.py
@@ -19,9 +19,9 @@
 SETTINGS_VARIABLE = "MARLSEAM_SETTINGS"
 MAX_NAME_CHARACTERS = 64  # of a member's name
 MIN_PERIOD_MS = 20.0  # of the protocol period, in which each member pings one other
-DEFAULT_PERIOD_MS = 1000.0
-DEFAULT_LEASE_PERIODS = 15.0
-MIN_LEASE_PERIODS = 6.0
+DEFAULT_PERIOD_MS = 1000.0  # of the protocol period
+DEFAULT_LEASE_PERIODS = 15.0  # of a lease, in protocol periods
+MIN_LEASE_PERIODS = 6.0  # of a lease, in protocol periods
 DEFAULT_SERVE_LEASES = 100.0  # for how long a node stays in service without a proof, in leases
 VERSION_KEYS = ("folder", "voters", "lease_ms", "past_lease", "serve_ms", "local")
 KNOWN_KEYS = {
--- a/marlseam/recovery/handover_codec.py
+++ b/marlseam/recovery/handover_codec.py
@@ -21,10 +21,10 @@
 from typing import Any, NamedTuple
 
 PROTOCOL_VERSION = 1
-MAX_ROWS_PER_LINE = 200  # entries of the endpoint list, or attempts
-MAX_TEXT_CHARACTERS = 256  # of a key or a name
-MAX_TIME_MS = 1e15  # the latest valid Unix time
-MAX_SHOWN_CHARACTERS = 20  # of an unsupported protocol version, in an error
+MAX_ROWS_PER_LINE = 200  # maximum number of entries of the endpoint list, or of attempts
+MAX_TEXT_CHARACTERS = 256  # maximum length of a key, a name or an id
+MAX_TIME_MS = 1e15  # the latest valid Unix time, and the maximum of every other number
+MAX_SHOWN_CHARACTERS = 20  # of an unsupported protocol version that an error shows
 
 
 class InvalidLineError(Exception):
--- a/marlseam/recovery/saved_list.py
+++ b/marlseam/recovery/saved_list.py
@@ -15,7 +15,7 @@
 DEFAULT_LIFETIME_DEPARTURES = 3.0  # weight of the default lifetime, in observed departures
 MAX_CERTAIN_DOUBT = 0.001  # up to this doubt an entry counts as one of the live list
 DOUBT_SHARE_AFTER_ANSWER = 0.5  # share of the doubt that remains after an answered probe
-MAX_CLOCK_DIFFERENCE_MS = 1000.0  # by which a list's confirmation may lie in the future
+MAX_CLOCK_DIFFERENCE_MS = 1000.0  # a list confirmed further in the future than this has an unknown age
 
 
 @dataclass(frozen=True)
--- a/marlseam/simhost/wire.py
+++ b/marlseam/simhost/wire.py
@@ -197,5 +197,5 @@
             if event:
                 events.append(event)
         else:
-            raise MalformedLineError("the input ended within a batch")
+            raise MalformedLineError("the input ended within a batch, before its end line")
         yield Batch(int(clock_us) / 1000.0, events)
--- a/marlseam/store/check.py
+++ b/marlseam/store/check.py
@@ -43,7 +43,7 @@
     print(f"{summary.text}, a sync takes {sync_ms:.1f} ms")
     kind = summary.text.split()[0]
     for finding in summary.findings:
-        print(f"{kind} file {finding.name or path} code={finding.code}: {finding.text}")
+        print(f"{kind} file or directory {finding.name or path} code={finding.code}: {finding.text}")
 
 
 def _unusable(path: Path, key: str, expected: str, error: OSError) -> ConfigError:
--- a/marlseam/store/file_format.py
+++ b/marlseam/store/file_format.py
@@ -20,7 +20,7 @@
 READABLE_VERSIONS = (1, 2)  # version 1 has neither the start of the machine nor the record `lost`
 FRAME_HEADER = struct.Struct(">II")  # the payload's length in bytes, its CRC-32
 MAX_PAYLOAD_BYTES = 16 << 20  # a frame with a greater length counts as damaged
-MAX_TORN_BYTES = 4096  # of a frame cut short by a crash; a longer unreadable end of a file counts as damaged
+MAX_TORN_BYTES = 4096  # maximum size of a frame cut short by a crash; a longer unreadable end is damage
 MAX_ATTEMPTS_PER_BATCH = 1000
 
 
--- a/marlseam/store/ledger_writer.py
+++ b/marlseam/store/ledger_writer.py
@@ -50,9 +50,11 @@
 
 LEDGER = "ledger"
 FILE_NAME = re.compile(r"ledger-(\d{10})$")
-MAX_LEDGER_FILES = 16  # the newest are retained
+MAX_LEDGER_FILES = 16  # how many files are retained, the newest ones
 BESIDE = "beside"  # subdirectory for a process while another process of its node holds the ledger
-MAX_WRITE_TIME_DIFFERENCE_MS = 10000.0  # between a write's recorded time and the file system's
+# Between the recorded time of a file's last write and the file system's time of its last change; a greater
+# difference means that another program has changed the file.
+MAX_WRITE_TIME_DIFFERENCE_MS = 10000.0
 
 
 def file_name(number: int) -> str:
@@ -242,7 +244,7 @@
             self.disk.sync(self.fd)
 
     def renew(self) -> list[str]:
-        """Begin a new file from the existing ones; return a text for each loss found in them."""
+        """Begin a new file from the existing ones; return a string for each loss found in them."""
         self.close()
         recovered = self.load()
         self.begin(recovered)
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -34,15 +34,16 @@
     encode_message,
 )
 
-MAX_LOCK_WAIT_S = 0.5  # at a start: the previous process's writer holds the lock until the writer has ended
-LOCK_RETRY_S = 0.01  # between attempts within MAX_LOCK_WAIT_S
-LOCK_POLL_MS = 50.0  # between attempts to take another process's lock while the loop runs
-MIN_RETRY_DELAY_MS = 1000.0  # before the first retry of a failed disk; doubled with each failure in a row
+# How long a starting process waits for the lock, which the previous process's writer holds until it ends.
+MAX_LOCK_WAIT_S = 0.5
+LOCK_RETRY_S = 0.01  # time between tries to take the lock within MAX_LOCK_WAIT_S
+LOCK_POLL_MS = 50.0  # time between tries to take a lock that another process has, while the loop runs
+MIN_RETRY_DELAY_MS = 1000.0  # delay of the first retry of a failed disk; doubled with each failure in a row
 MAX_RETRY_DELAY_MS = 60000.0  # the longest delay before a retry of a failed disk
-MAX_OUTGOING_BYTES = 8 << 20  # unsent to the writer process; beyond this the disk counts as slow
-MAX_RECEIVE_BYTES = 65536
-MAX_CLOSE_SEND_S = 1.0  # to send the last messages when the node ends
-MAX_CLOSE_WAIT_S = 2.0  # for the writer process to end after the last messages
+MAX_OUTGOING_BYTES = 8 << 20  # not yet sent to the writer process; beyond this the disk counts as slow
+MAX_RECEIVE_BYTES = 65536  # maximum size of one read of the writer process's answers
+MAX_CLOSE_SEND_S = 1.0  # time to send the last messages to the writer process when the node ends
+MAX_CLOSE_WAIT_S = 2.0  # time for the writer process to end after the last messages
 BYTES_PER_MB = 1 << 20
 
 
--- a/marlseam/store/state_directory.py
+++ b/marlseam/store/state_directory.py
@@ -105,7 +105,7 @@
         self._remove_old()
 
     def renew(self) -> list[str]:
-        """Write a snapshot of the directory's content; return a text for each loss found while reading."""
+        """Write a snapshot of the directory's content; return a string for each loss found while reading."""
         now = unix_ms(self.era)
         state = self.load(now)
         self.snapshot(encode_records(state.entries()), now)
--- a/marlseam/store/state_reader.py
+++ b/marlseam/store/state_reader.py
@@ -16,7 +16,7 @@
 
 SNAPSHOT, JOURNAL = "snapshot", "journal"
 FILE_NAME = re.compile(r"(snapshot|journal)-(\d{10})$")
-MAX_CLOCK_DIFFERENCE_MS = 1000.0  # by which a snapshot may have been created in the future
+MAX_CLOCK_DIFFERENCE_MS = 1000.0  # how far in the future a snapshot may be created without a finding
 
 
 def file_name(kind: str, number: int) -> str:
--- a/marlseam/store/state_store.py
+++ b/marlseam/store/state_store.py
@@ -20,7 +20,7 @@
 from marlseam.store.state_directory import StateDirectory
 from marlseam.store.writer_channel import APPEND
 
-MAX_READ_MS_PER_TURN = 5.0  # for reading the directory in a turn of the loop
+MAX_READ_MS_PER_TURN = 5.0  # how long one turn of the loop may read the directory
 
 
 @contextmanager
@@ -79,7 +79,9 @@
         """Mark the directory as read, and log the findings about its files."""
         self.is_loaded = True
         for finding in directory.findings:
-            self.log.line(f"state file {finding.name or self.path} code={finding.code}: {finding.text}")
+            self.log.line(
+                f"state file or directory {finding.name or self.path} code={finding.code}: {finding.text}"
+            )
             self.is_loss_logged = self.is_loss_logged or finding.code == "lost"
 
     def read(self) -> Coroutine:
--- a/marlseam/store/writer_channel.py
+++ b/marlseam/store/writer_channel.py
@@ -30,7 +30,7 @@
     Attributes:
         done_count: number of messages that this writer process has executed.
         file_bytes: the size of the open file.
-        losses: after a compaction, a text for each loss found in the directory; None after appends.
+        losses: after a compaction, a string for each loss found in the directory; None after appends.
     """
 
     done_count: int
--- a/marlseam/store/writer_process.py
+++ b/marlseam/store/writer_process.py
@@ -86,7 +86,7 @@
         """Append frames or records, and flush them to the disk if `sync` is set; raises OSError."""
 
     def renew(self) -> list[str]:
-        """Begin a new file with the directory's content; return a text for each loss; raises OSError."""
+        """Begin a new file with the directory's content; return a string for each loss; raises OSError."""
 
     def close(self) -> None:
         """Close the open file."""
