--- a/marlseam/net/action_ledger.py
+++ b/marlseam/net/action_ledger.py
@@ -25,8 +25,8 @@
 from marlseam.net.ledger_client import LedgerClient
 from marlseam.net.node_ledger import NodeLedger
 
-MAX_UNWRITTEN_ACTIONS = 200  # after so many actions counts are written before the period ends
-MAX_OPEN_INTERVALS = 64  # the latest intervals, whose counts may still grow
+MAX_UNWRITTEN_ACTIONS = 200  # number of unwritten actions at which counts are written at once
+MAX_OPEN_INTERVALS = 64  # number of the latest intervals, whose counts may still grow
 
 
 class Action(enum.IntEnum):
--- a/marlseam/net/admin.py
+++ b/marlseam/net/admin.py
@@ -20,7 +20,7 @@
 
 
 class AdminCall(NamedTuple):
-    """A call: its HTTP method, and the function that maps its body to an HTTP status and a text."""
+    """A call: its HTTP method, and the function that maps its body to an HTTP status and a string."""
 
     method: str
     answer: Callable[[bytes], tuple[int, str]]
--- a/marlseam/net/config_requests.py
+++ b/marlseam/net/config_requests.py
@@ -25,7 +25,7 @@
     from marlseam.net.config_service import ConfigVersionService
 
 ACCEPTED, BAD_REQUEST, CONFLICT, UNAVAILABLE = 202, 400, 409, 503  # HTTP statuses
-MAX_VOTER_CHANGES, MAX_MEMBER_CHANGES = 2, 1  # added or removed by one version
+MAX_VOTER_CHANGES, MAX_MEMBER_CHANGES = 2, 1  # most voters, and members, that one version adds or removes
 MAX_PROOF_AGE_MS = 1e12  # a greater age of the proof means that there never was one
 
 
@@ -72,7 +72,7 @@
         voters, members = given.get("voters"), given.get("members")
     except (ValueError, KeyError, TypeError, AttributeError, RecursionError) as error:
         raise RejectedRequestError(
-            BAD_REQUEST, BAD_REQUEST, f"expected a JSON object with `settings` and `why` ({error!r})"
+            BAD_REQUEST, f"expected a JSON object with `settings` and `why` ({error!r})"
         ) from None
     if not isinstance(settings, dict) or not is_reason(why):
         limit = messages.MAX_REASON_CHARACTERS
--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -35,7 +35,7 @@
 
 __all__ = ["ConfigServicePort", "ConfigVersionService"]
 
-CHECK_PERIOD_MS = 1000.0  # between writes of counts, and between evaluations of the serving status at most
+CHECK_PERIOD_MS = 1000.0  # longest time between writes of counts, and between evaluations of the status
 PROPOSER_RANDOM_BYTES = 8  # in a proposer's id, so that no two processes of one generation share it
 STATUS_OK = 200
 
@@ -338,7 +338,7 @@
         if before.is_serving != status.is_serving and self.is_started:
             if not status.is_serving:
                 self.log.line(
-                    f"fleet code={status.code}: out of service: this node serves no new requests until the "
+                    f"fleet code={status.code}: out of service, this node serves no new requests until the "
                     "cause that the code names has ended"
                 )
             self.port.serve(status.is_serving)
--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -145,7 +145,7 @@
         except MalformedMessageError as error:
             self.log.line(
                 "endpoint list of the configuration, the saved state or another process of this node is "
-                f"invalid and ignored until discovery returns a list: {error}"
+                f"invalid and not used; the next list is that of discovery: {error}"
             )
 
     def watch(self) -> None:
@@ -180,7 +180,7 @@
             reason = ended.reason
         except MalformedMessageError as error:
             self.log.line(
-                f"discovery: {error}: the answer is ignored, the held list stays in use, and discovery is "
+                f"discovery: {error}: the answer is ignored, any held list stays in use, and discovery is "
                 "called again after a backoff"
             )
             reason = Reason.BAD_MESSAGE
@@ -302,7 +302,10 @@
         self.convert_starts(answer, cached)
         self.version, self.is_confirmed = answer.version, not cached
         for host, text in answer.invalid:
-            self.log.line(f"discovery: entry of host {host[:80] or 'no host'} left out: {text}")
+            self.log.line(
+                f"discovery: entry of host {host[:80] or 'no host'} left out, an earlier valid one stays: "
+                f"{text}"
+            )
             if whole and host in self.held:
                 answer.entries.append(self.held[host])  # the last valid entry stays
         self.incomplete = bool(answer.invalid) or (self.incomplete and not whole)
--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -24,8 +24,8 @@
 
 KEYS_PER_STEP = 500  # recovered keys that are posted to the reducer in one event
 SOURCE = "store"  # the name of this source of history in the reducer
-CONFIRMATION_INTERVAL_MS = 5000.0  # between two journal records that an unchanged list was confirmed
-MIN_LIST_INTERVAL_MS = 1000.0  # between two endpoint lists in the journal
+CONFIRMATION_INTERVAL_MS = 5000.0  # least time between two journal records that confirm an unchanged list
+MIN_LIST_INTERVAL_MS = 1000.0  # least time between two endpoint lists in the journal
 
 
 class DurableState:
@@ -109,7 +109,7 @@
         took_ms = 1000.0 * (time.monotonic() - began_s)
         self.node.log.line(
             f"starts from stored endpoint list, {age_text}: {len(saved.rows)} servers, doubt {doubt:.3f} "
-            f"(probability that an entry is no longer true), "
+            f"(probability that an entry is outdated), "
             f"{self.recovered_keys} keys on record, read in {took_ms:.0f} ms"
         )
         return True
@@ -151,7 +151,7 @@
             node.post(core.HistoryUnavailable(SOURCE, min(node.loop.now(), state.lost_ms + shift_ms)))
             node.log.line(
                 "history of keyed requests is lost: until servers have forgotten the requests sent before "
-                "this start, a request that may be a client's retry and whose key is not on record is "
+                "the loss, a request that may be a client's retry and whose key is not on record is "
                 "answered 500 and not sent"
             )
 
--- a/marlseam/net/graceful_shutdown.py
+++ b/marlseam/net/graceful_shutdown.py
@@ -19,7 +19,7 @@
 KEEP_SHARE = 0.4  # share of the drain time in which clients may go on using open connections
 ANSWER_MS = 300.0  # from the end of the drain until all requests that are still open are answered
 EXIT_MS = 500.0  # from the end of the drain to the latest end of the process
-LAST_READ_MS = 100.0  # at least, after the idle grace, to read what came on the last connections
+LAST_READ_MS = 100.0  # least time after the idle grace to read what has arrived on connections
 
 
 class GracefulShutdown:
@@ -40,7 +40,9 @@
         if node.membership is not None and is_socket_shared:
             node.membership.leave()  # frees the address: the later process is the member from here on
         drain_ms = self.drain_ms()
-        node.log.line(f"shutdown begins with {len(node.requests.pending)} requests open")
+        node.log.line(
+            f"shutdown begins with {len(node.requests.pending)} requests open, to be answered before its end"
+        )
         node.post(core.ShutdownBegun(drain_ms + ANSWER_MS))
         # Guards against a time at which no node listens: another that restarted may not be back yet.
         # With a shared socket another process of this node accepts connections already, or will.
@@ -68,6 +70,8 @@
         node.downstream.refuse_unread()
         for line in node.shadow_policy.lines() if node.shadow_policy is not None else ():
             node.log.line(line)
-        late = f"timers at most {loop.late_ms:.0f} ms late, loop turns at most {loop.turn_ms:.0f} ms"
+        late = (
+            f"timers were at most {loop.late_ms:.0f} ms late, a loop turn took at most {loop.turn_ms:.0f} ms"
+        )
         node.log.line(f"ends with {len(node.requests.pending)} requests open, {late}")
         loop.stopped = True
--- a/marlseam/net/ledger_client.py
+++ b/marlseam/net/ledger_client.py
@@ -14,7 +14,7 @@
 
 MAX_FILE_MB = 1.0  # at this size a new file of the ledger is begun
 DISK_TIMEOUT_MS = 2000.0  # a record that takes longer to become durable means that the disk is too slow
-MAX_BACKOFF_MS = 2000.0  # between retries of a failed disk: the node is out of service until it works
+MAX_BACKOFF_MS = 2000.0  # longest delay of a retry of a failed disk; the node is out of service meanwhile
 
 
 class LedgerClient(LogWriterClient):
@@ -36,7 +36,9 @@
         recovered = ledger.load()
         self.is_loaded = True
         for finding in ledger.findings if report_findings else ():
-            self.log.line(f"ledger file {finding.name or self.path} code={finding.code}: {finding.text}")
+            self.log.line(
+                f"ledger file or directory {finding.name or self.path} code={finding.code}: {finding.text}"
+            )
             self.is_loss_logged = self.is_loss_logged or finding.code == "lost"
         self.on_recovered(recovered)
 
--- a/marlseam/net/list_codec.py
+++ b/marlseam/net/list_codec.py
@@ -56,10 +56,10 @@
     Raises MalformedMessageError if the answer itself has no list or no version.
     """
     if not isinstance(value, dict) or not isinstance(value.get("hosts"), list):
-        raise MalformedMessageError("the answer is not an object with a list under hosts")
+        raise MalformedMessageError("the answer is not an object with a list as `hosts`")
     version = value.get("seq")
     if not isinstance(version, int) or isinstance(version, bool):
-        raise MalformedMessageError("the answer has no integer version under seq")
+        raise MalformedMessageError("the answer has no integer as `seq`, the list's version")
     answer = ListAnswer(
         version, ListUpdateKind.FULL if value.get("whole") else ListUpdateKind.DELTA, [], {}, []
     )
@@ -91,11 +91,11 @@
     )
     share, at = finite(row.get("share")), finite(started_unix_ms)
     if not isinstance(name, str) or not name:
-        raise MalformedMessageError("host is not a non-empty string")
+        raise MalformedMessageError("`host` is not a non-empty string")
     if not isinstance(state, str) or state not in STATE_BY_HEALTH:
-        raise MalformedMessageError("health is not one of active, leaving, left")
+        raise MalformedMessageError("`health` is not one of active, leaving, left")
     if started_unix_ms is not None and at is None and STATE_BY_HEALTH[state] is EndpointState.READY:
-        raise MalformedMessageError("born_ms is not a finite number")
+        raise MalformedMessageError("`born_ms` is not a finite number")
     entry = EndpointEntry(
         server=name,
         state=STATE_BY_HEALTH[state],
@@ -109,7 +109,7 @@
         return AddressedEntry(entry, None)
     address = address_from(row.get("dial"))
     if address is None and entry.state is EndpointState.READY:
-        raise MalformedMessageError("dial is not an IP address and port")
+        raise MalformedMessageError("`dial` is not an IP address and port")
     return AddressedEntry(entry, address)
 
 
--- a/marlseam/net/membership_service.py
+++ b/marlseam/net/membership_service.py
@@ -42,7 +42,8 @@
     from marlseam.net.config_service import ConfigServicePort, ConfigVersionService
 
 MAX_READS_PER_TURN = 32  # datagrams read in one turn of the loop
-MAX_BIND_RETRY_MS = 50.0  # between tries to bind an address that another process has; at most a period
+# Time between tries to bind an address that another process has; a protocol period if that is shorter.
+MAX_BIND_RETRY_MS = 50.0
 ADDRESS_IN_USE = "in-use"  # code in `dropped`: another process has bound the member's address
 NOT_SENT = "unsent"  # code in `dropped`: the system did not accept a datagram for sending
 
@@ -198,7 +199,7 @@
         if not self.dropped[ADDRESS_IN_USE]:
             self.log.line(
                 f"fleet code={ADDRESS_IN_USE}: another process has this member's address; "
-                "not a member until it is free"
+                "this process is not a member until it has bound the address"
             )
         self.dropped[ADDRESS_IN_USE] += 1
         self.loop.at(self.loop.now() + min(MAX_BIND_RETRY_MS, self.settings.period_ms), self.join)
@@ -211,7 +212,9 @@
         self.names |= members.keys()
         self.published_members = frozenset(members)
         self.machine.set_members(self.published_members)
-        self.log.line(f"the configuration version names {len(members)} members")
+        self.log.line(
+            f"the configuration version names {len(members)} members, which make up the cluster from now on"
+        )
 
     def close(self) -> None:
         """Close the service of configuration versions, and leave the cluster."""
@@ -259,7 +262,9 @@
         """Count an invalid datagram, and log the first of each code."""
         self.dropped[code] += 1
         if self.dropped[code] == 1:
-            self.log.line(f"fleet code={code}: dropped a datagram, further ones are only counted")
+            self.log.line(
+                f"fleet code={code}: this node dropped a datagram; others of this code are only counted"
+            )
 
     def tick(self) -> None:
         """Run the state machine's due actions and set the next timer."""
@@ -287,7 +292,8 @@
             else:
                 self.log.line(
                     f"fleet code=twin: {effect.name} life={effect.generation} "
-                    "sent a datagram after another process took over its name"
+                    "sent a datagram after another process took over its name: two processes may "
+                    "run as this member"
                 )
 
     def send(self, receiver: str, data: bytes) -> None:
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -33,11 +33,13 @@
     VersionProof,
 )
 
-SNAPSHOT_TIMEOUT_MS = 1000.0  # how long a new process waits for snapshots, and between tries to connect
-MAX_PEERS = 4  # other processes connected at a time
-READ_BYTES = 1 << 16  # read at a time
+# How long a new process waits for snapshots, from its first connection on, and the time between its tries to
+# connect to a process that does not accept.
+SNAPSHOT_TIMEOUT_MS = 1000.0
+MAX_PEERS = 4  # maximum number of other processes connected at a time
+READ_BYTES = 1 << 16  # maximum size of one read from another process
 MAX_UNSENT_BYTES = 1 << 22  # unsent bytes to one process above which its connection is closed
-MAX_SNAPSHOT_BYTES = 1 << 24  # received from one process until its snapshot is complete
+MAX_SNAPSHOT_BYTES = 1 << 24  # maximum received from one process until its snapshot is complete
 PREFIX, SUFFIX = "marlseam-", ".sock"
 HISTORY_INCOMPLETE = (
     "history of keyed requests is incomplete, as another process of this node has not sent all of its own: a "
@@ -206,14 +208,16 @@
                 self.mark_history_unavailable(peer.source, None)
                 self.log_fault(
                     "silent",
-                    f"process {peer.name()} did not complete its snapshot in time: this one serves without",
+                    f"process {peer.name()} did not complete its snapshot in time: this process begins to "
+                    "serve without it",
                 )
         took_ms = self.loop.now() - self.began_ms
         latest = self.latest_list
         if latest.rows:
             self.log.line(
                 f"received an endpoint list of {len(latest.rows)} servers, list version {latest.version}, "
-                f"from another process of this node in {took_ms:.0f} ms; it is used unless this process has a newer list"
+                f"from another process of this node in {took_ms:.0f} ms; it is used unless this "
+                "process has a newer list"
             )
         self.on_complete(latest)
 
--- a/marlseam/net/service_state.py
+++ b/marlseam/net/service_state.py
@@ -57,7 +57,7 @@
         The answer's status is 409 once the process is shutting down.
         """
         if self.node.shutdown.is_ending:
-            return OperatorAnswer(409, "the node is shutting down\n")
+            return OperatorAnswer(409, "the node is shutting down and cannot return to service\n")
         self.out_of_service_by.discard(who)
         if self.out_of_service_by:
             names = ", ".join(sorted(self.out_of_service_by))
--- a/marlseam/net/settings_reload.py
+++ b/marlseam/net/settings_reload.py
@@ -37,7 +37,9 @@
         before = node.config
         for field, key in FIXED_FIELDS.items():
             if getattr(config, field) != getattr(before, field):
-                node.log.line(f"{key}: cannot change in a running node, the old value is kept")
+                node.log.line(
+                    f"{key}: cannot change in a running node, the old value is kept until a restart"
+                )
         node.adopt(replace(config, **{field: getattr(before, field) for field in FIXED_FIELDS}))
         node.counters.reloads += 1
         node.log.line(f"new configuration, discovery at {config.discovery[0]}:{config.discovery[1]}")
--- a/tests/test_config_service.py
+++ b/tests/test_config_service.py
@@ -196,8 +196,8 @@
 @pytest.mark.parametrize(
     ("body", "what"),
     [
-        (b"[]", "settings and why"),
-        (b"{", "settings and why"),
+        (b"[]", "`settings` and `why`"),
+        (b"{", "`settings` and `why`"),
         (b'{"settings": 1, "why": "w"}', "settings"),
         (b'{"settings": {}, "why": ""}', "why"),
         (b'{"settings": {}, "why": "w", "voters": 3}', "voters"),
