--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -143,7 +143,10 @@
             # A saved list may come from another discovery; the configured list comes from the configured one.
             self.is_version_live = saved is None and is_applied and not self.is_confirmed
         except MalformedMessageError as error:
-            self.log.line(f"endpoint list of the configuration or the saved state is invalid: {error}")
+            self.log.line(
+                "endpoint list of the configuration, the saved state or another process of this node is "
+                f"invalid and not used; the next list is that of discovery: {error}"
+            )
 
     def watch(self) -> None:
         """Start a task that requests the list and follows its changes, unless one is running."""
@@ -178,7 +181,10 @@
         except ConnectionEndedError as ended:
             reason = ended.reason
         except MalformedMessageError as error:
-            self.log.line(f"discovery: {error}")
+            self.log.line(
+                f"discovery: {error}: the answer is ignored, any held list stays in use, and discovery is "
+                "called again after a backoff"
+            )
             reason = Reason.BAD_MESSAGE
         except Cancelled:
             reason = self.cancel_reason
@@ -298,7 +304,10 @@
         self.convert_starts(answer, cached)
         self.version, self.is_confirmed = answer.version, not cached
         for host, text in answer.invalid:
-            self.log.line(f"discovery: entry of host {host[:80] or 'no host'} left out: {text}")
+            self.log.line(
+                f"discovery: entry of host {host[:80] or 'no host'} left out, an earlier valid one stays: "
+                f"{text}"
+            )
             if whole and host in self.entries:
                 answer.entries.append(self.entries[host])  # the last valid entry stays
         self.incomplete = bool(answer.invalid) or (self.incomplete and not whole)
