--- a/marlseam/decisions/outlier_detection.py
+++ b/marlseam/decisions/outlier_detection.py
@@ -66,10 +66,7 @@
         if until_ms is not None and now < until_ms:
             return
         count, for_ms = len(self.own_attempts[server]), self.ejection_ms[server]
-        self.port.log(
-            f"server with index {server} ejected, this node sends it nothing for {for_ms:.0f} ms: {reason}, "
-            f"{count} attempts in flight there"
-        )
+        self.port.log(f"server {server} ejected for {for_ms:.0f} ms: {reason}, {count} attempts in flight")
         self.subtract_from_sums(server)  # an ejected server counts in no sum until it is readmitted
         if server in self.in_use_though_removed:
             del self.in_use_though_removed[server]
--- a/marlseam/net/config_service.py
+++ b/marlseam/net/config_service.py
@@ -143,8 +143,8 @@
         replica.voter.is_memory_in_other_process = self.is_beside
         if recovered.votes_excluded_up_to is None and not self.is_beside:
             self.log.line(
-                "fleet code=lost: this node has lost its memory of its votes, and does not vote until a "
-                "majority of the voters has reported up to which version it may have voted"
+                "fleet code=lost: this node's earlier votes are not known, it does not vote until a majority "
+                "of the voters has reported its highest promises"
             )
         self.actions.begin_process(now, self.is_beside)
         if replica.applied_number:
@@ -338,8 +338,8 @@
         if before.is_serving != status.is_serving and self.is_started:
             if not status.is_serving:
                 self.log.line(
-                    f"fleet code={status.code}: out of service, this node serves no new requests until the "
-                    "cause that the code names has ended"
+                    f"fleet code={status.code}: out of service, this node is not ready, drains its clients' "
+                    "connections and sends no attempts"
                 )
             self.port.serve(status.is_serving)
 
--- a/marlseam/net/discovery.py
+++ b/marlseam/net/discovery.py
@@ -145,7 +145,7 @@
         except MalformedMessageError as error:
             self.log.line(
                 "endpoint list of the configuration, the saved state or another process of this node is "
-                f"invalid and not used; the next list is that of discovery: {error}"
+                f"invalid and not used: {error}"
             )
 
     def watch(self) -> None:
@@ -182,8 +182,8 @@
             reason = ended.reason
         except MalformedMessageError as error:
             self.log.line(
-                f"discovery: {error}: the answer is ignored, any held list stays in use, and discovery is "
-                "called again after a backoff"
+                f"discovery: {error}: answer ignored, any held list stays in use, discovery is called again "
+                "after a backoff"
             )
             reason = Reason.BAD_MESSAGE
         except Cancelled:
@@ -305,7 +305,7 @@
         self.version, self.is_confirmed = answer.version, not cached
         for host, text in answer.invalid:
             self.log.line(
-                f"discovery: entry of host {host[:80] or 'no host'} left out, an earlier valid one stays: "
+                f"discovery: entry of host {host[:80] or 'no host'} left out, any earlier valid one stays: "
                 f"{text}"
             )
             if whole and host in self.entries:
--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -72,8 +72,8 @@
         if state is None:
             node.post(core.HistoryUnavailable(SOURCE))
             node.log.line(
-                "history of keyed requests is not read yet: until the state directory can be read, a request "
-                "that may be a client's retry and whose key is not on record is answered 500 and not sent"
+                "history of keyed requests is not read yet: possible retries whose key is not on record are "
+                "answered 500 until the state directory is read"
             )
         else:
             for _ in self.restore_history(state):
@@ -109,7 +109,7 @@
         took_ms = 1000.0 * (time.monotonic() - began_s)
         self.node.log.line(
             f"starts from stored endpoint list, {age_text}: {len(saved.rows)} servers, doubt {doubt:.3f} "
-            f"(probability that an entry is outdated), "
+            "(probability that an entry is outdated), "
             f"{self.recovered_keys} keys on record, read in {took_ms:.0f} ms"
         )
         return True
@@ -150,9 +150,8 @@
         else:
             node.post(core.HistoryUnavailable(SOURCE, min(node.loop.now(), state.lost_ms + shift_ms)))
             node.log.line(
-                "history of keyed requests is lost: until servers have forgotten the requests sent before "
-                "the loss, a request that may be a client's retry and whose key is not on record is "
-                "answered 500 and not sent"
+                "history of keyed requests is lost: possible retries whose key is not on record are answered "
+                "500 until servers have forgotten the requests sent before the loss"
             )
 
     # Attempts.
--- a/marlseam/net/graceful_shutdown.py
+++ b/marlseam/net/graceful_shutdown.py
@@ -70,8 +70,6 @@
         node.downstream.refuse_unread()
         for line in node.shadow_policy.lines() if node.shadow_policy is not None else ():
             node.log.line(line)
-        late = (
-            f"timers were at most {loop.late_ms:.0f} ms late, a loop turn took at most {loop.turn_ms:.0f} ms"
-        )
+        late = f"timers at most {loop.late_ms:.0f} ms late, loop turns at most {loop.turn_ms:.0f} ms"
         node.log.line(f"ends with {len(node.requests.pending)} requests open, {late}")
         loop.stopped = True
--- a/marlseam/net/node_ledger.py
+++ b/marlseam/net/node_ledger.py
@@ -71,8 +71,8 @@
         except OSError:
             return False
         self.log.line(
-            "fleet: another process of this node has the main ledger: until it releases the ledger, this "
-            "process does not vote, and writes its records to a second ledger"
+            "fleet: another process of this node has the main ledger: this one writes to a second ledger and "
+            "does not vote until the main one is released"
         )
         return True
 
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -42,9 +42,8 @@
 MAX_SNAPSHOT_BYTES = 1 << 24  # maximum received from one process until its snapshot is complete
 PREFIX, SUFFIX = "marlseam-", ".sock"
 HISTORY_INCOMPLETE = (
-    "history of keyed requests is incomplete, as another process of this node has not sent all of its own: a "
-    "request that may be a client's retry and whose key is not on record is answered 500 and not sent, until "
-    "that history is received or servers have forgotten that process's requests"
+    "history of another process's keyed requests is incomplete: possible retries whose key is not on record "
+    "are answered 500 until it is received or has expired"
 )
 
 
@@ -208,16 +207,15 @@
                 self.mark_history_unavailable(peer.source, None)
                 self.log_fault(
                     "silent",
-                    f"process {peer.name()} did not complete its snapshot in time: this process begins to "
-                    "serve without it",
+                    f"process {peer.name()} did not complete its snapshot in time: this process starts "
+                    "without it",
                 )
         took_ms = self.loop.now() - self.began_ms
         latest = self.latest_list
         if latest.rows:
             self.log.line(
                 f"received an endpoint list of {len(latest.rows)} servers, list version {latest.version}, "
-                f"from another process of this node in {took_ms:.0f} ms; it is used unless this "
-                "process has a newer list"
+                f"from another process of this node in {took_ms:.0f} ms; used unless a newer one is held"
             )
         self.on_complete(latest)
 
@@ -388,8 +386,8 @@
             self.mark_history_unavailable(peer.source, self.loop.now())
             self.log_fault(
                 "cut",
-                f"connection to process {peer.name()} of this node ended, closed by either side, without "
-                "its goodbye, its whole snapshot or both: its last attempts may be unknown here",
+                f"connection to process {peer.name()} ended without its goodbye or without its whole "
+                "snapshot: its last attempts may be unknown here",
             )
         self.node.apply_process_count()
         if not self.is_done:
--- a/marlseam/recovery/handover_codec.py
+++ b/marlseam/recovery/handover_codec.py
@@ -254,7 +254,7 @@
 def _parse_rows(value: object) -> list[Any]:
     """Return a value that must be a list of at most MAX_ROWS_PER_LINE rows."""
     if not isinstance(value, list) or len(value) > MAX_ROWS_PER_LINE:
-        raise _invalid(f"field `hosts` or `sent`: expected a list of at most {MAX_ROWS_PER_LINE} rows")
+        raise _invalid("field `hosts` or `sent`: expected a list of at most 200 rows")
     return value
 
 
@@ -271,7 +271,8 @@
     """Return a value that must be a string of a valid length for a key or a name."""
     if not isinstance(value, str) or not min_characters <= len(value) <= MAX_TEXT_CHARACTERS:
         raise _invalid(
-            f"a key, name or id: expected a string of {min_characters} to {MAX_TEXT_CHARACTERS} characters"
+            "a key, name or id: expected a string of at most 256 characters, empty only for a zone or a "
+            "version's id"
         )
     return value
 
@@ -279,7 +280,7 @@
 def _parse_number(value: object) -> float:
     """Return a value that must be a number from 0 to MAX_TIME_MS."""
     if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value <= MAX_TIME_MS:
-        raise _invalid(f"a time, process id or version: expected a number from 0 to {MAX_TIME_MS:g}")
+        raise _invalid("a time, process id or version: expected a number from 0 to 1e15")
     return value
 
 
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -154,7 +154,7 @@
             else:
                 # The writer process compacts, as compacting here would stall the loop. It begins the new file
                 # from the files on the disk. Nothing is missing there: an attempt or a vote is sent only once
-                # its record is durable, so a record that was never written stands for nothing that was sent.
+                # its record is durable, so one that was never written stands for nothing that was sent.
                 self.compact()
                 yield from self.receive_answers(channel)
                 self.stop_process()
