--- a/marlseam/net/ledger_client.py
+++ b/marlseam/net/ledger_client.py
@@ -20,7 +20,7 @@
 class LedgerClient(LogWriterClient):
     """Runs the process that writes the ledger; calls `on_recovered` once, with what the ledger holds."""
 
-    writer_module, what = "marlseam.store.ledger_writer", "the ledger"
+    writer_module, content_name = "marlseam.store.ledger_writer", "the ledger"
     max_retry_delay_ms = MAX_BACKOFF_MS
 
     def __init__(
--- a/tests/test_config_service.py
+++ b/tests/test_config_service.py
@@ -138,6 +138,14 @@
     assert sum(row["sent"] for row in audit.interval_rows(found, node="a")) == 1
 
 
+def test_the_ledger_is_named_in_its_log_lines(capsys, cluster, until):
+    until(lambda: all(member.service.ledger.is_success_logged for member in cluster.values()))
+    log = capsys.readouterr().err
+    for member in cluster.values():
+        assert f"the ledger is kept in {member.service.ledger.path}:" in log
+    assert "state is kept in" not in log
+
+
 def keys_of(value):
     """Return the nested keys of a JSON value: of an object all, of a list those of its first row."""
     if isinstance(value, list):
