--- a/marlseam/cli/audit.py
+++ b/marlseam/cli/audit.py
@@ -175,7 +175,10 @@
             raise click.ClickException(f"{address}: expected a node whose ledger is a folder on this machine")
         folders = (*folders, Path(folder))
     if not folders:
-        raise click.ClickException("no ledger given: expected folders of ledgers as arguments, or --at")
+        raise click.ClickException(
+            "no ledger given: expected folders of ledgers as arguments, or --at with the admin address of a "
+            "node on this machine"
+        )
     try:
         return ledger_audit.read(folders, error_ms)
     except OSError as error:
--- a/marlseam/decisions/slow_start.py
+++ b/marlseam/decisions/slow_start.py
@@ -12,7 +12,8 @@
 from marlseam.decisions.types import Request
 
 SLOW_START_PLANNED_SHARE = 0.6  # share of a server's budget that the nodes plan to use
-MAX_SAVED_BUDGETS = 4.0  # size of a token bucket, in this node's parts of the margin above the planned share
+# maximum of a token bucket, as a multiple of this node's part of the margin (see max_tokens)
+MAX_SAVED_BUDGETS = 4.0
 MIN_SAVED_COST_SHARE = 0.25  # share of a large request's cost that must be saved up before it is sent
 
 
--- a/marlseam/experiment/cluster_cost.py
+++ b/marlseam/experiment/cluster_cost.py
@@ -34,7 +34,7 @@
 
 
 class CostSample(NamedTuple):
-    """The cost of one day.
+    """Figures of one played day, with the cluster on or off.
 
     Attributes:
         cpu_ms: CPU time of all nodes per completed request, in ms.
@@ -68,7 +68,7 @@
 
 
 def measure_day(day: Day, seed: int, out: Path, nodes: ClusterNodeSettings) -> CostSample:
-    """Play a day on sockets, and return its cost."""
+    """Play a day on sockets, with the cluster on or off as `nodes` sets it, and return its figures."""
     driver = SocketDriver(day, seed, out, SocketOptions(node_configuration=nodes.settings))
     driver.run()
     figures = plays.judge_records(*records.read_folder(out / "records"), driver="sockets").figures
--- a/marlseam/net/durable_state.py
+++ b/marlseam/net/durable_state.py
@@ -92,7 +92,8 @@
         if not self.node.discovery.entries:
             self.restore_list(state, time.monotonic())
         self.node.log.line(
-            f"history of keyed requests is read from the store: {self.recovered_keys} keys on record"
+            "history of keyed requests was read from the state directory after the start: "
+            f"{self.recovered_keys} keys on record"
         )
 
     def restore_list(self, state: NodeState | None, began_s: float) -> bool:
--- a/marlseam/net/membership_service.py
+++ b/marlseam/net/membership_service.py
@@ -294,8 +294,8 @@
             else:
                 self.log.line(
                     f"fleet code=twin: {effect.name} life={effect.generation} "
-                    "sent a datagram after another process took over its name: two processes may "
-                    "run as this member"
+                    "was reported again after another process took over its name: two processes may "
+                    "run under this name"
                 )
 
     def send(self, receiver: str, data: bytes) -> None:
--- a/marlseam/net/process_handover.py
+++ b/marlseam/net/process_handover.py
@@ -259,7 +259,7 @@
         """Handle received bytes; raises InvalidLineError or MalformedMessageError for an invalid message."""
         peer.received_bytes += len(data)
         if not peer.is_snapshot_complete and peer.received_bytes > MAX_SNAPSHOT_BYTES:
-            raise InvalidLineError("too-large", "its snapshot has more than MAX_SNAPSHOT_BYTES bytes")
+            raise InvalidLineError("too-large", "its snapshot has more than 16 MiB")
         for raw in peer.lines.feed(data):
             for item in handover_codec.parse_line(raw):
                 self.receive(peer, item)
--- a/marlseam/net/protocol.py
+++ b/marlseam/net/protocol.py
@@ -323,7 +323,7 @@
         """Add received bytes and return the lines that they complete, without blank lines."""
         *lines, self.remainder = (self.remainder + data).split(b"\n")
         if len(self.remainder) > MAX_LINE_BYTES or any(len(line) > MAX_LINE_BYTES for line in lines):
-            raise MalformedMessageError("line is too long: more than MAX_LINE_BYTES bytes")
+            raise MalformedMessageError("line is too long: more than 128 KiB")
         return [line for line in lines if line.strip()]
 
 
--- a/marlseam/net/upstream/attempts.py
+++ b/marlseam/net/upstream/attempts.py
@@ -331,7 +331,9 @@
         if outcome is not Outcome.INVALID_REQUEST and self.loop.now() < self.duplicate_until_ms:
             # Guards requests that must not run twice: this refusal names no request, and may be a duplicate
             # answer to the previous request on this connection.
-            raise MalformedMessageError("refusal may be a duplicate answer to the previous request")
+            raise MalformedMessageError(
+                "refusal may be a duplicate answer to the previous request on this connection"
+            )
         self.outcome = outcome
         self.settle(outcome, report)
 
--- a/marlseam/simhost/wire.py
+++ b/marlseam/simhost/wire.py
@@ -106,7 +106,7 @@
     """Return a field that must be present."""
     value = values.get(field)
     if value is None:
-        raise MalformedLineError(f"field {field} is missing")
+        raise MalformedLineError(f"field {field} is missing or '-'")
     return value
 
 
@@ -115,7 +115,7 @@
     value = values.get(field)
     if value is None:
         if default is None:
-            raise MalformedLineError(f"field {field} is missing")
+            raise MalformedLineError(f"field {field} is missing or '-'")
         return default
     try:
         return float(value)
--- a/marlseam/store/log_writer_client.py
+++ b/marlseam/store/log_writer_client.py
@@ -320,7 +320,9 @@
         for text in answer.losses or ():
             if not self.is_loss_logged:
                 self.is_loss_logged = True
-                self.log.line(f"{self.content_name} directory {self.path} code=lost: {text}")
+                self.log.line(
+                    f"{self.content_name} directory {self.path} code=lost: records may be lost: {text}"
+                )
         if answer.file_bytes <= self.max_file_mb * BYTES_PER_MB:
             self.is_compacting = False
         elif not self.is_compacting:
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -127,7 +127,7 @@
     assert found.processes["n"][0].unknown == (1500.0, inf)
 
 
-def test_the_audit_command_prints_a_table_writes_a_page_and_exits_with_1_if_there_are_findings(
+def test_the_audit_command_reports_killed_processes_writes_a_page_and_exits_with_1_on_findings(
     ledger_folder, tmp_path
 ):
     page = tmp_path / "page.html"
--- a/tests/test_slow_start_budget.py
+++ b/tests/test_slow_start_budget.py
@@ -41,7 +41,7 @@
         assert -1.0 < dispatcher.slow_start_tokens[0] <= 0.0
 
 
-def test_a_request_over_the_slow_start_budget_of_a_window_is_not_eligible(make_dispatcher, make_request):
+def test_a_large_request_is_not_eligible_for_a_server_that_has_just_started(make_dispatcher, make_request):
     dispatcher = make_dispatcher(0.0)
     dispatcher.mean_run_ms[0] = 100.0 * dispatcher.mean_slot_ms
     state = make_request(dispatcher)
